--- a/consensus/tests/frozen/mod.rs
+++ b/consensus/tests/frozen/mod.rs
@@ -79,6 +79,16 @@
         }
     }
 
+    /// What the bytes of that name are read as, where others may be written for the same value.
+    #[allow(dead_code)]
+    pub fn read_fixture<T: Serialize + DeserializeOwned>(&mut self, name: &str, value: &T) -> T {
+        let written = hex(&encoded(value));
+        self.seen.push((name.to_owned(), written.clone()));
+        let fixture = self.expected.iter().find(|(known, _)| known == name).map(|(_, bytes)| bytes);
+        let bytes = if writes_fixtures() { &written } else { fixture.expect("the value has a fixture") };
+        ciborium::from_reader(&*unhex(bytes)).expect("the fixture can be read")
+    }
+
     /// To be called after the last value: tells of all that differed, and of fixtures that no value was held against.
     pub fn finish(mut self) {
         if writes_fixtures() {
