--- /dev/null
+++ b/storage/tests/frozen_data_dir.rs
@@ -0,0 +1,261 @@
+//! The layout of a replica's data_dir and the bytes of its files, against a folder that main wrote before types were
+//! renamed. A run with `WRITE_FIXTURES=1` writes the folder anew and always fails, so that it can't be taken for a test.
+
+use std::collections::BTreeMap;
+use std::fs;
+use std::net::SocketAddr;
+use std::path::{Path, PathBuf};
+use std::sync::Arc;
+
+use ochreshed_consensus::messages::{
+    Agreed, Answer, Ballot, Ballots, Claim, Entry, Holder, Holding, Outcome, Paper, ProposalNumber, Record,
+    Sheet, Station, Tie, VersionBallot, View,
+};
+use ochreshed_storage::{Store, history};
+
+/// All files of the folder, and nothing else.
+const FILES: [&str; 14] = [
+    "ballots.0",
+    "ballots.1",
+    "claims/000001",
+    "claims/000002",
+    "papers/m_2fbanco-norte.r1-22289d940d1f652d.json",
+    "papers/members.r1-70cf61845fb5886a.json",
+    "papers/members.r2-c83a436601016916.json",
+    "sessions/claims/000001",
+    "sessions/claims/000002",
+    "timetable/r3-90a8e35d13d113ae.json",
+    "timetable/r4-fae5e49b1bdb5f82.json",
+    "timetable/r5-587dcff83565db8c.json",
+    "timetable/r6-04d9f5552b9d99b8.json",
+    "timetable/r7-1f42f36a01dbc1e4.json",
+];
+
+fn address(last: u8) -> SocketAddr {
+    SocketAddr::from(([10, 1, 0, last], 8_300))
+}
+
+fn replica(last: u8) -> Station {
+    Station { at: address(last), disk: u64::from(last) << 40 }
+}
+
+fn membership(epoch: u64) -> View {
+    View { number: epoch, members: vec![replica(1), replica(2)], base: vec![replica(3)], undone: true }
+}
+
+fn membership_ballots(epoch: u64) -> Ballots {
+    Ballots {
+        me: replica(1),
+        view: membership(epoch),
+        voter: true,
+        promised: Ballot { round: 9, by: 2 },
+        accepted: Some((Ballot { round: 8, by: 1 }, membership(epoch + 1))),
+        told_new: true,
+        barred: true,
+    }
+}
+
+fn version_ballots() -> Vec<VersionBallot> {
+    let number = |round| ProposalNumber { epoch: 7, ballot: Ballot { round, by: 3 } };
+    let accepted =
+        |version, text: &str| Some((number(4), Arc::new(Sheet::new(version, text.as_bytes().to_vec()))));
+    vec![
+        VersionBallot {
+            name: "".into(),
+            version: 8,
+            promised: number(5),
+            accepted: accepted(8, "{\"edition\":\"r8\"}"),
+        },
+        VersionBallot {
+            name: "members".into(),
+            version: 3,
+            promised: number(4),
+            accepted: accepted(3, "{\"edition\":\"r3\",\"members\":[]}"),
+        },
+        VersionBallot { name: "m/banco-norte".into(), version: 2, promised: number(6), accepted: None },
+    ]
+}
+
+fn configuration(version: u64) -> Arc<Sheet> {
+    Arc::new(Sheet::new(version, format!("{{\"edition\":\"r{version}\",\"consignments\":[]}}").into_bytes()))
+}
+
+fn named(name: &str, version: u64) -> Paper {
+    let bytes = format!("{{\"edition\":\"r{version}\",\"of\":\"{name}\"}}").into_bytes();
+    Paper { name: name.into(), sheet: Arc::new(Sheet::new(version, bytes)) }
+}
+
+fn lease(token: u64, outcome: Outcome) -> Claim {
+    Claim { token, left_ms: 70_000, outcome }
+}
+
+fn completed() -> Outcome {
+    let headers = vec![("content-type".into(), "text/plain".into())];
+    Outcome::Done(Arc::new(Answer { status: 201, headers, body: vec![0, 1, 255] }))
+}
+
+fn session_record(epoch: u64) -> Entry {
+    let owner = |last| Some(Holder { gate: address(last), since: epoch });
+    let tie = Some(Tie { id: "life-1".into(), door: address(8) });
+    let holding = Holding { tie, holder: owner(5), before: owner(6) };
+    Entry { epoch, token: 78, taken: Some(Agreed { epoch, token: 77, holding }) }
+}
+
+/// The records of each write. The folder is opened anew for each list of writes, which begins new segments.
+fn writes() -> [Vec<Vec<Record>>; 2] {
+    let mut first: Vec<Vec<Record>> =
+        (1..=6).map(|version| vec![Record::Sheet(configuration(version))]).collect();
+    first.extend([
+        vec![Record::Ballots(membership_ballots(6)), Record::Paper(named("members", 1))],
+        vec![
+            Record::Claim(1, lease(11, Outcome::Open)),
+            Record::Claim(2, lease(12, Outcome::Open)),
+            Record::Claim(u128::MAX, lease(13, Outcome::Open)),
+            Record::Claim(4, lease(14, Outcome::Open)),
+        ],
+        vec![
+            Record::Session(1 << 100, session_record(3)),
+            Record::Session(2, session_record(1)),
+            Record::Session(3, Entry { epoch: 5, token: 0, taken: None }),
+        ],
+        vec![Record::Sheet(configuration(2)), Record::Paper(named("m/banco-norte", 1))],
+        vec![Record::Claim(2, lease(12, completed()))],
+    ]);
+    let mut second: Vec<Vec<Record>> =
+        (2..=7).map(|version| vec![Record::Sheet(configuration(version))]).collect();
+    second.extend([
+        vec![Record::Paper(named("members", 2))],
+        vec![Record::Claim(u128::MAX, lease(13, Outcome::Unknown)), Record::Free(4, 14)],
+        vec![Record::SessionOver(2), Record::Session(1 << 100, session_record(4))],
+        vec![Record::Claim(5, lease(15, Outcome::Open))],
+        vec![Record::VersionBallots(version_ballots()), Record::Ballots(membership_ballots(7))],
+    ]);
+    [first, second]
+}
+
+fn write_folder(dir: &Path) {
+    for writes in writes() {
+        let (mut store, _) = Store::open(dir).expect("opens");
+        for records in writes {
+            store.write(&records).expect("written");
+        }
+        assert!(store.found().is_empty(), "{:?}", store.found());
+    }
+}
+
+fn fixture() -> PathBuf {
+    Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/data_dir")
+}
+
+fn collect_files(root: &Path, folder: &Path, files: &mut BTreeMap<String, Vec<u8>>) {
+    for entry in fs::read_dir(folder).unwrap_or_else(|why| panic!("{}: {why}", folder.display())) {
+        let path = entry.expect("an entry").path();
+        if path.is_dir() {
+            collect_files(root, &path, files);
+        } else {
+            let name = path.strip_prefix(root).expect("within the root").to_str().expect("UTF-8");
+            files.insert(name.to_owned(), fs::read(&path).expect("read"));
+        }
+    }
+}
+
+/// The bytes of all files in a folder by their names.
+fn files_of(root: &Path) -> BTreeMap<String, Vec<u8>> {
+    let mut files = BTreeMap::new();
+    collect_files(root, root, &mut files);
+    files
+}
+
+fn names(files: &BTreeMap<String, Vec<u8>>) -> Vec<&str> {
+    files.keys().map(String::as_str).collect()
+}
+
+/// A folder that is removed at the end of a test, also of one that failed.
+struct TempFolder(PathBuf);
+
+impl TempFolder {
+    fn new(name: &str) -> TempFolder {
+        let path = std::env::temp_dir().join(format!("ochreshed-{name}-{}", std::process::id()));
+        let _ = fs::remove_dir_all(&path);
+        fs::create_dir_all(&path).expect("made");
+        TempFolder(path)
+    }
+
+    fn copy_of_fixture(name: &str) -> TempFolder {
+        let folder = TempFolder::new(name);
+        for (name, bytes) in files_of(&fixture()) {
+            let path = folder.0.join(name);
+            fs::create_dir_all(path.parent().expect("a parent")).expect("made");
+            fs::write(path, bytes).expect("written");
+        }
+        folder
+    }
+}
+
+impl Drop for TempFolder {
+    fn drop(&mut self) {
+        let _ = fs::remove_dir_all(&self.0);
+    }
+}
+
+#[test]
+fn the_fixture_has_these_files() {
+    assert_eq!(names(&files_of(&fixture())), FILES);
+}
+
+#[test]
+fn the_fixture_is_read_whole() {
+    let folder = TempFolder::copy_of_fixture("frozen-read");
+    let (store, saved) = Store::open(&folder.0).expect("opens");
+    assert!(store.found().is_empty(), "{:?}", store.found());
+    assert_eq!(saved.ballots, Some(membership_ballots(7)));
+    assert_eq!(saved.version_ballots, version_ballots());
+    assert_eq!(saved.sheet, Some(configuration(7)));
+    let leases = [
+        (1, lease(11, Outcome::Open)),
+        (2, lease(12, completed())),
+        (5, lease(15, Outcome::Open)),
+        (u128::MAX, lease(13, Outcome::Unknown)),
+    ];
+    assert_eq!(saved.claims, leases);
+    let mut papers = saved.papers;
+    papers.sort_by(|a, b| a.name.cmp(&b.name));
+    assert_eq!(papers, [named("m/banco-norte", 1), named("members", 2)]);
+    let sessions = [(3, Entry { epoch: 5, token: 0, taken: None }), (1 << 100, session_record(4))];
+    assert_eq!(saved.sessions, sessions);
+    let versions: Vec<Sheet> = history(&folder.0, "members").expect("read");
+    assert_eq!(versions, [2, 1].map(|version| Sheet::clone(&named("members", version).sheet)));
+    // Reading writes the ballots once more and changes no name.
+    assert_eq!(names(&files_of(&folder.0)), FILES);
+}
+
+/// Each slot alone is enough, and each holds what it did: the other is the one before.
+#[test]
+fn either_ballot_slot_is_read_alone() {
+    for (gone, kept) in [("ballots.0", "ballots.1"), ("ballots.1", "ballots.0")] {
+        let folder = TempFolder::copy_of_fixture(&format!("frozen-{kept}"));
+        fs::remove_file(folder.0.join(gone)).expect("removed");
+        let (_, saved) = Store::open(&folder.0).expect("opens");
+        let expected = if kept == NEWEST_SLOT { (7, version_ballots()) } else { (6, Vec::new()) };
+        assert_eq!(saved.ballots, Some(membership_ballots(expected.0)), "{kept}");
+        assert_eq!(saved.version_ballots, expected.1, "{kept}");
+    }
+}
+
+const NEWEST_SLOT: &str = "ballots.1";
+
+#[test]
+fn the_same_records_make_the_same_files() {
+    if std::env::var_os("WRITE_FIXTURES").is_some_and(|value| value == "1") {
+        let _ = fs::remove_dir_all(fixture());
+        write_folder(&fixture());
+        panic!("fixtures written");
+    }
+    let folder = TempFolder::new("frozen-written");
+    write_folder(&folder.0);
+    let (written, expected) = (files_of(&folder.0), files_of(&fixture()));
+    assert_eq!(names(&written), names(&expected));
+    for (name, bytes) in &expected {
+        assert_eq!(written[name], *bytes, "{name}");
+    }
+}
