--- a/balancer/benches/claims.rs
+++ b/balancer/benches/claims.rs
@@ -18,7 +18,9 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use ochreshed_consensus::messages::{Answer, Got, Key, Outcome, Token, Want};
+use ochreshed_consensus::messages::{
+    CoreRequest, CoreResponse, LeaseKey, LeaseOutcome, LeaseToken, StoredResponse,
+};
 use serde::{Deserialize, Serialize};
 use town::*;
 
@@ -33,7 +35,7 @@
 
 #[derive(Serialize)]
 enum Ask {
-    Core(Want),
+    Core(CoreRequest),
 }
 
 #[derive(Deserialize)]
@@ -43,11 +45,11 @@
 
 #[derive(Deserialize)]
 enum Reply {
-    Core(Got),
+    Core(CoreResponse),
 }
 
 /// A call to a steward and its reply.
-fn call(stream: &mut TcpStream, want: Want) -> Got {
+fn call(stream: &mut TcpStream, want: CoreRequest) -> CoreResponse {
     let mut bytes = vec![0; 4];
     ciborium::into_writer(&Frame { id: 1, say: Ask::Core(want) }, &mut bytes).expect("a frame");
     let length = (bytes.len() - 4) as u32;
@@ -63,7 +65,12 @@
 }
 
 /// So many claims, and what settles them, by each of some claimants, one after the other. The ms that each claim took.
-fn claimants(town: &Town, count: usize, each: usize, from: u64) -> (Vec<f64>, Vec<(u64, Key, Token)>) {
+fn claimants(
+    town: &Town,
+    count: usize,
+    each: usize,
+    from: u64,
+) -> (Vec<f64>, Vec<(u64, LeaseKey, LeaseToken)>) {
     let stewards: Vec<SocketAddr> = (0..STEWARDS).map(|steward| town.inner(steward)).collect();
     thread::scope(|scope| {
         let claimant = |nth: usize| {
@@ -74,11 +81,13 @@
                 let (mut took, mut granted) = (Vec::new(), Vec::new());
                 for one in 0..each {
                     let token = from + (nth * each + one) as u64 + 1;
-                    let key = Key::from(token) << 64 | Key::from(token.wrapping_mul(0x9e37_79b9_7f4a_7c15));
+                    let key = LeaseKey::from(token) << 64
+                        | LeaseKey::from(token.wrapping_mul(0x9e37_79b9_7f4a_7c15));
                     let began = Instant::now();
-                    let got = call(&mut stream, Want::Claim { key, token, left_ms: 2_000 });
+                    let got =
+                        call(&mut stream, CoreRequest::AcquireLease { key, token, time_left_ms: 2_000 });
                     took.push(began.elapsed().as_secs_f64() * 1e3);
-                    assert_eq!(got, Got::Granted);
+                    assert_eq!(got, CoreResponse::LeaseGranted);
                     granted.push((nth as u64, key, token));
                 }
                 (took, granted)
@@ -95,8 +104,8 @@
     })
 }
 
-fn settle(town: &Town, granted: &[(u64, Key, Token)]) {
-    let answer = Answer {
+fn settle(town: &Town, granted: &[(u64, LeaseKey, LeaseToken)]) {
+    let answer = StoredResponse {
         status: 200,
         headers: vec![("ochreshed-postmark".into(), "x".into())],
         body: vec![7; ANSWER],
@@ -105,10 +114,12 @@
     let mut streams: Vec<TcpStream> =
         (0..STEWARDS).map(|steward| TcpStream::connect(town.inner(steward)).expect("a steward")).collect();
     for (nth, key, token) in granted {
-        let outcome = Some(Outcome::Done(answer.clone()));
-        let got =
-            call(&mut streams[*nth as usize % STEWARDS], Want::Settle { key: *key, token: *token, outcome });
-        assert_eq!(got, Got::Taken);
+        let outcome = Some(LeaseOutcome::Completed(answer.clone()));
+        let got = call(
+            &mut streams[*nth as usize % STEWARDS],
+            CoreRequest::CompleteLease { key: *key, token: *token, outcome },
+        );
+        assert_eq!(got, CoreResponse::Accepted);
     }
 }
 
--- a/balancer/src/mesh/attendant.rs
+++ b/balancer/src/mesh/attendant.rs
@@ -15,7 +15,7 @@
 use hyper::Response;
 use hyper::header::HeaderValue;
 use ochreshed::{Name, Nanos};
-use ochreshed_consensus::messages::{Paper, Sheet};
+use ochreshed_consensus::messages::{NamedRegister, RegisterValue};
 use ochreshed_mesh::budget::{Figures, MOST_SERVICES, Report, Spending};
 use ochreshed_mesh::calls::Carried;
 use ochreshed_mesh::claim_breaker::ClaimBreaker;
@@ -118,7 +118,7 @@
     /// The platform's configuration and the papers on members: what is in force is laid out of them.
     bases: Mutex<(Option<Timetable>, Docs)>,
     /// The configuration in force as it was sent, and the rank of the one that is being fetched.
-    sheet: Mutex<(Option<Arc<Sheet>>, Rank)>,
+    sheet: Mutex<(Option<Arc<RegisterValue>>, Rank)>,
     rows: Mutex<Listing>,
     /// Doors whose attendants no watcher that replies has heard of late.
     quiet: ArcSwap<HashSet<SocketAddr>>,
@@ -218,7 +218,7 @@
     }
 
     /// The configuration that is here.
-    pub fn sheet(&self) -> Option<Arc<Sheet>> {
+    pub fn sheet(&self) -> Option<Arc<RegisterValue>> {
         held(&self.sheet).0.clone()
     }
 
@@ -390,7 +390,7 @@
     }
 
     /// Takes a configuration, if it is a later one. One that can't be read here is not asked for again.
-    pub fn take_sheet(&self, sheet: Sheet) {
+    pub fn take_sheet(&self, sheet: RegisterValue) {
         let mut here = held(&self.sheet);
         if here.0.as_ref().is_some_and(|here| here.rank() >= sheet.rank()) {
             return;
@@ -438,10 +438,10 @@
     }
 
     /// Takes papers, those that are later; whether any was.
-    pub fn take_papers(&self, papers: &[Paper]) -> bool {
+    pub fn take_papers(&self, papers: &[NamedRegister]) -> bool {
         let taken = {
             let mut bases = held(&self.bases);
-            papers.iter().filter(|paper| bases.1.take(&paper.name, &paper.sheet)).count()
+            papers.iter().filter(|paper| bases.1.take(&paper.name, &paper.value)).count()
         };
         if taken > 0 {
             self.lay();
--- a/balancer/src/mesh/docs.rs
+++ b/balancer/src/mesh/docs.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 
 use ochreshed::Name;
-use ochreshed_consensus::messages::{Paper, Sheet};
+use ochreshed_consensus::messages::{NamedRegister, RegisterValue};
 use ochreshed_mesh::lay::{self, Laid};
 use ochreshed_mesh::members::{MemberDoc, Register};
 use ochreshed_mesh::parcels::Rank;
@@ -64,7 +64,7 @@
 
 impl Docs {
     /// Takes a paper, if it is a later one; says whether it was. One that can't be read here is not asked for again.
-    pub fn take(&mut self, name: &Name, sheet: &Sheet) -> bool {
+    pub fn take(&mut self, name: &Name, sheet: &RegisterValue) -> bool {
         if self.rank(name) >= sheet.rank() {
             return false;
         }
@@ -139,14 +139,18 @@
 }
 
 /// Those of these papers that another has not, as many as go in one answer, and at least one.
-pub fn newer<'p>(papers: impl Iterator<Item = &'p Paper>, have: &[(Name, Rank)], most: usize) -> Vec<Paper> {
+pub fn newer<'p>(
+    papers: impl Iterator<Item = &'p NamedRegister>,
+    have: &[(Name, Rank)],
+    most: usize,
+) -> Vec<NamedRegister> {
     let have: BTreeMap<&str, Rank> = have.iter().map(|(name, rank)| (&**name, *rank)).collect();
     let mut bytes = 0;
     papers
-        .filter(|paper| have.get(&*paper.name).is_some_and(|rank| *rank < paper.sheet.rank()))
+        .filter(|paper| have.get(&*paper.name).is_some_and(|rank| *rank < paper.value.rank()))
         .take_while(|paper| {
             let before = bytes;
-            bytes += paper.sheet.bytes.len();
+            bytes += paper.value.bytes.len();
             before < most
         })
         .cloned()
--- a/balancer/src/mesh/fence.rs
+++ b/balancer/src/mesh/fence.rs
@@ -6,7 +6,7 @@
 
 use ochreshed::Nanos;
 use ochreshed_consensus::core::SESSION_IDLE;
-use ochreshed_consensus::messages::Session;
+use ochreshed_consensus::messages::SessionId;
 
 use crate::link::held;
 
@@ -19,7 +19,7 @@
 /// Which session a dispatch is of, and the epoch since which its gate holds it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Pass {
-    pub session: Session,
+    pub session: SessionId,
     pub since: u64,
 }
 
@@ -31,7 +31,7 @@
 
     pub fn read(word: &str) -> Option<Pass> {
         let (session, since) = word.split_once('.')?;
-        Some(Pass { session: Session::from_str_radix(session, 16).ok()?, since: since.parse().ok()? })
+        Some(Pass { session: SessionId::from_str_radix(session, 16).ok()?, since: since.parse().ok()? })
     }
 }
 
@@ -41,8 +41,8 @@
 #[derive(Default)]
 struct Known {
     /// Since when each is held, and until when that is kept.
-    all: HashMap<Session, (u64, Nanos)>,
-    order: BTreeSet<(Nanos, Session)>,
+    all: HashMap<SessionId, (u64, Nanos)>,
+    order: BTreeSet<(Nanos, SessionId)>,
     turned: u64,
 }
 
--- a/balancer/src/mesh/gate.rs
+++ b/balancer/src/mesh/gate.rs
@@ -10,7 +10,7 @@
 use hyper::http::response::Parts;
 use hyper::{Response, StatusCode};
 use ochreshed::{How, Name, Nanos, Req, seconds};
-use ochreshed_consensus::messages::{Answer, Got, Key, Outcome, Token};
+use ochreshed_consensus::messages::{CoreResponse, LeaseKey, LeaseOutcome, LeaseToken, StoredResponse};
 use ochreshed_mesh::fared::{Edition, Fared};
 use ochreshed_mesh::slots::Part;
 use ochreshed_mesh::timetable::{Kind, Route};
@@ -146,9 +146,9 @@
 }
 
 /// A req with a key: claimed first, run if it was granted, answered from the first one's answer if not.
-async fn keyed(trip: Trip, key: Key) -> Response<Flow> {
+async fn keyed(trip: Trip, key: LeaseKey) -> Response<Flow> {
     let branch = trip.branch.clone();
-    let token: Token = branch.draw();
+    let token: LeaseToken = branch.draw();
     let now = branch.clock.now();
     let left = trip.ends.saturating_sub(now);
     let wait = held(&branch.claims).wait(now, left, branch.core_away());
@@ -156,7 +156,7 @@
     let within = Duration::from_nanos(wait);
     let got = keys::claim(&branch.stewards, &branch.callers, (key, token), left_ms, within).await;
     match got {
-        Got::Unsure => {
+        CoreResponse::Unavailable => {
             let ended = branch.clock.now();
             held(&branch.claims).unanswered(ended, ended - now);
         }
@@ -165,14 +165,16 @@
     let settle =
         |outcome| keys::settle(branch.stewards.clone(), branch.callers.clone(), (key, token), outcome);
     match got {
-        Got::Granted => {}
+        CoreResponse::LeaseGranted => {}
         other => {
             // The claim may stand at some of the core: it is given back, and never used.
             settle(None);
             return match other {
-                Got::Held(Outcome::Done(answer)) => replay(&answer),
-                Got::Held(Outcome::Open) => say(409, "a req with this key is at work"),
-                Got::Held(Outcome::Unknown) => say(502, "a req with this key may have run"),
+                CoreResponse::LeaseHeld(LeaseOutcome::Completed(answer)) => replay(&answer),
+                CoreResponse::LeaseHeld(LeaseOutcome::Pending) => say(409, "a req with this key is at work"),
+                CoreResponse::LeaseHeld(LeaseOutcome::Indeterminate) => {
+                    say(502, "a req with this key may have run")
+                }
                 _ => deny(200 * MS),
             };
         }
@@ -182,9 +184,9 @@
             let bytes =
                 http_body_util::BodyExt::collect(body).await.map(|body| body.to_bytes()).unwrap_or_default();
             if bytes.len() <= MOST_KEPT {
-                settle(Some(Outcome::Done(Arc::new(kept(&head, &bytes)))));
+                settle(Some(LeaseOutcome::Completed(Arc::new(kept(&head, &bytes)))));
             } else {
-                settle(Some(Outcome::Unknown));
+                settle(Some(LeaseOutcome::Indeterminate));
             }
             Outcomes::Answer(head, Flow::of(bytes)).into_answer()
         }
@@ -193,22 +195,22 @@
             deny(come_back)
         }
         other => {
-            settle(Some(Outcome::Unknown));
+            settle(Some(LeaseOutcome::Indeterminate));
             other.into_answer()
         }
     }
 }
 
-fn kept(head: &Parts, body: &[u8]) -> Answer {
+fn kept(head: &Parts, body: &[u8]) -> StoredResponse {
     let text = |(name, value): (&HeaderName, &HeaderValue)| {
         Some((name.as_str().to_owned(), value.to_str().ok()?.to_owned()))
     };
     let ours = [&ID, &WAY];
     let headers = head.headers.iter().filter(|(name, _)| !ours.contains(name)).filter_map(text).collect();
-    Answer { status: head.status.as_u16(), headers, body: body.to_vec() }
+    StoredResponse { status: head.status.as_u16(), headers, body: body.to_vec() }
 }
 
-fn replay(answer: &Answer) -> Response<Flow> {
+fn replay(answer: &StoredResponse) -> Response<Flow> {
     let mut again = Response::new(Flow::of(answer.body.clone()));
     *again.status_mut() = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::BAD_GATEWAY);
     for (name, value) in &answer.headers {
@@ -258,7 +260,7 @@
     again: bool,
     /// It was called by a run.
     call: bool,
-    key: Option<Key>,
+    key: Option<LeaseKey>,
     /// What names its session.
     person: Option<String>,
 }
@@ -289,7 +291,8 @@
         let mut req = Req::new(0, rule_set, "".into(), self.at, self.ends);
         req.again = self.again;
         req.coming = self.message.long.is_some();
-        req.tie = bound.as_ref().and_then(|bound| bound.tie.as_ref()).map(|tie| tie.id.as_str().into());
+        req.tie =
+            bound.as_ref().and_then(|bound| bound.tie.as_ref()).map(|tie| tie.upstream_id.as_str().into());
         let mut turn = desk.take(req);
         let mut last: Option<(Parts, Flow)> = None;
         // A large answer is wanted from near: the first door may let it wait already.
--- a/balancer/src/mesh/gate_tests.rs
+++ b/balancer/src/mesh/gate_tests.rs
@@ -8,7 +8,7 @@
 
 use expect_test::expect;
 use ochreshed::Name;
-use ochreshed_consensus::messages::{Answer, Got, Outcome, Sheet, Want};
+use ochreshed_consensus::messages::{CoreRequest, CoreResponse, LeaseOutcome, RegisterValue, StoredResponse};
 use ochreshed_mesh::fared::{Edition, Fared};
 use ochreshed_mesh::lay::lay;
 use ochreshed_mesh::list::{Row, Stand};
@@ -104,16 +104,16 @@
     cut: usize,
     /// Connections that ended before the answer.
     left: usize,
-    claims: VecDeque<Got>,
+    claims: VecDeque<CoreResponse>,
     asked: usize,
-    settled: Vec<Option<Outcome>>,
+    settled: Vec<Option<LeaseOutcome>>,
     /// What comes by this path fails, whatever is to be done with others.
     fails: Option<&'static str>,
 }
 
 const UPSTREAMS: [(&str, &str); 3] = [("i-1", "alpha"), ("i-2", "alpha"), ("i-3", "omega")];
 
-fn timetable() -> Sheet {
+fn timetable() -> RegisterValue {
     let route = |name: &str, host: &str, prefix: &str, kind: &str, line: &str| {
         format!(
             r#"{{"category":"routes","label":{{"name":"{name}"}},"manifest":{{"depot":"{host}","lane_prefix":"{prefix}",
@@ -132,7 +132,7 @@
         r#"{"category":"mail_lines","label":{"name":"omega"},"manifest":{"health":"/h","berth_cap":9}}"#
             .into(),
     ];
-    Sheet::new(1, format!(r#"{{"edition":"r1","consignments":[{}]}}"#, all.join(",")).into_bytes())
+    RegisterValue::new(1, format!(r#"{{"edition":"r1","consignments":[{}]}}"#, all.join(",")).into_bytes())
 }
 
 /// That with routes of members laid over it, at places of their own and to one service with the platform: each with its
@@ -162,11 +162,11 @@
 }
 
 impl Rig {
-    async fn new(script: &[Does], claims: &[Got]) -> Rig {
+    async fn new(script: &[Does], claims: &[CoreResponse]) -> Rig {
         Rig::over(script, claims, None).await
     }
 
-    async fn over(script: &[Does], claims: &[Got], laid: Option<InForce>) -> Rig {
+    async fn over(script: &[Does], claims: &[CoreResponse], laid: Option<InForce>) -> Rig {
         let text = "station = \"s\"\nrole = \"r\"\nip = \"127.0.0.1\"\nzone = \"a\"\nregion = \"r\"\n\
              inner_ports = [1, 1]\nline = \"beta\"\napp = \"127.0.0.1:1\"\n";
         let settings = Settings::parse(text).expect("settings");
@@ -261,15 +261,15 @@
     format!("POST {path} HTTP/1.1\r\nHost: one.example\r\nOchreshed-Consignment-Id: 7\r\n{more}\r\n")
 }
 
-fn steward_says(seen: &mut Seen, ask: Ask) -> Option<Got> {
+fn steward_says(seen: &mut Seen, ask: Ask) -> Option<CoreResponse> {
     match ask {
-        Ask::Core(Want::Claim { .. }) => {
+        Ask::Core(CoreRequest::AcquireLease { .. }) => {
             seen.asked += 1;
-            Some(seen.claims.pop_front().unwrap_or(Got::Unsure))
+            Some(seen.claims.pop_front().unwrap_or(CoreResponse::Unavailable))
         }
-        Ask::Core(Want::Settle { outcome, .. }) => {
+        Ask::Core(CoreRequest::CompleteLease { outcome, .. }) => {
             seen.settled.push(outcome);
-            Some(Got::Taken)
+            Some(CoreResponse::Accepted)
         }
         _ => None,
     }
@@ -335,7 +335,7 @@
     use Does::Waits;
     let mut all = String::new();
     for (path, more) in [("/again/", ""), ("/once/", ""), ("/keyed/", "Ochreshed-Tracking-Key: k\r\n")] {
-        let rig = Rig::new(&[Waits(200, "late")], &[Got::Granted]).await;
+        let rig = Rig::new(&[Waits(200, "late")], &[CoreResponse::LeaseGranted]).await;
         let mut stream = rig.send(req(path, more).as_bytes()).await;
         rig.until(|seen| !seen.came.is_empty()).await;
         rig.branch.leave(Duration::from_secs(5));
@@ -432,18 +432,18 @@
 /// Guards against a run without a grant, and against an answer that is not the first one's.
 #[tokio::test]
 async fn a_key_is_answered_by_what_its_claim_came_to() {
-    let first = Answer {
+    let first = StoredResponse {
         status: 201,
         headers: vec![("ochreshed-postmark".into(), "st-0".into()), ("x-more".into(), "kept".into())],
         body: b"the first".to_vec(),
     };
     let long: &str = String::leak("x".repeat(64 * 1024 + 1));
-    let granted = Got::Granted;
-    let cases: [(Got, &[Does]); 9] = [
-        (Got::Held(Outcome::Done(Arc::new(first))), &[]),
-        (Got::Held(Outcome::Open), &[]),
-        (Got::Held(Outcome::Unknown), &[]),
-        (Got::Unsure, &[]),
+    let granted = CoreResponse::LeaseGranted;
+    let cases: [(CoreResponse, &[Does]); 9] = [
+        (CoreResponse::LeaseHeld(LeaseOutcome::Completed(Arc::new(first))), &[]),
+        (CoreResponse::LeaseHeld(LeaseOutcome::Pending), &[]),
+        (CoreResponse::LeaseHeld(LeaseOutcome::Indeterminate), &[]),
+        (CoreResponse::Unavailable, &[]),
         (granted.clone(), &[Does::Ran(200, "ran")]),
         (granted.clone(), &[Does::Ran(503, "no promise")]),
         (granted.clone(), &[Does::Ran(200, long)]),
@@ -457,7 +457,7 @@
         rig.until(|seen| seen.settled.len() == 1).await;
         let settled = match &held(&rig.seen).settled[0] {
             None => "freed".into(),
-            Some(Outcome::Done(kept)) => {
+            Some(LeaseOutcome::Completed(kept)) => {
                 let stamp = kept.headers.iter().find(|(name, _)| name == "ochreshed-postmark");
                 let ours = kept.headers.iter().filter(|(name, _)| name.starts_with("ochreshed")).count();
                 format!(
@@ -469,7 +469,11 @@
             }
             Some(other) => format!("{other:?}"),
         };
-        let got = if let Got::Held(Outcome::Done(_)) = got { "done".into() } else { format!("{got:?}") };
+        let got = if let CoreResponse::LeaseHeld(LeaseOutcome::Completed(_)) = got {
+            "done".into()
+        } else {
+            format!("{got:?}")
+        };
         let body = String::from_utf8_lossy(&answer.body);
         let body: String = body.trim().chars().take(40).collect();
         let stamp = answer.field("ochreshed-postmark").map_or("no", |_| "a");
@@ -635,7 +639,7 @@
     drop(stream);
     rig.until(|seen| seen.left == 1).await;
 
-    let rig = Rig::new(&[Does::Waits(200, "late")], &[Got::Granted]).await;
+    let rig = Rig::new(&[Does::Waits(200, "late")], &[CoreResponse::LeaseGranted]).await;
     let stream = rig.send(req("/keyed/", "Ochreshed-Tracking-Key: k-1\r\n").as_bytes()).await;
     rig.until(|seen| seen.came.len() == 1).await;
     drop(stream);
@@ -645,7 +649,7 @@
     rig.until(|seen| !seen.settled.is_empty()).await;
     let seen = held(&rig.seen);
     assert!(
-        matches!(&seen.settled[0], Some(Outcome::Done(answer)) if answer.body == b"late"),
+        matches!(&seen.settled[0], Some(LeaseOutcome::Completed(answer)) if answer.body == b"late"),
         "{:?}",
         seen.settled
     );
--- a/balancer/src/mesh/hollow.rs
+++ b/balancer/src/mesh/hollow.rs
@@ -12,7 +12,7 @@
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering::Relaxed};
 use std::time::{Duration, SystemTime};
 
-use ochreshed_consensus::messages::{Got, Outcome, Token};
+use ochreshed_consensus::messages::{CoreResponse, LeaseOutcome, LeaseToken};
 use tokio::sync::mpsc;
 use tokio::time::{Instant, sleep, sleep_until};
 
@@ -202,14 +202,14 @@
 
     async fn claim_one(self: Arc<Self>, number: u64) {
         let branch = &self.branches[number as usize % self.branches.len()];
-        let token: Token = branch.draw();
+        let token: LeaseToken = branch.draw();
         let key = u128::from(token) << 64 | u128::from(number);
         let began = Instant::now();
         let got = keys::claim(&branch.stewards, &branch.callers, (key, token), 900, CLAIM).await;
         self.claim_time.fetch_add(began.elapsed().as_nanos() as u64, Relaxed);
         self.claimed.fetch_add(1, Relaxed);
-        if got == Got::Granted {
-            let settled = Some(Outcome::Unknown);
+        if got == CoreResponse::LeaseGranted {
+            let settled = Some(LeaseOutcome::Indeterminate);
             keys::settle(branch.stewards.clone(), branch.callers.clone(), (key, token), settled);
         } else {
             self.missed.fetch_add(1, Relaxed);
--- a/balancer/src/mesh/keys.rs
+++ b/balancer/src/mesh/keys.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use futures_util::stream::{FuturesUnordered, StreamExt};
-use ochreshed_consensus::messages::{Got, Key, Outcome, Token, Want};
+use ochreshed_consensus::messages::{CoreRequest, CoreResponse, LeaseKey, LeaseOutcome, LeaseToken};
 use ochreshed_mesh::news::Known;
 use tokio::time::{sleep, sleep_until};
 use xxhash_rust::xxh3::xxh3_128;
@@ -22,7 +22,7 @@
 const SETTLES: u32 = 4;
 const PAUSE: Duration = Duration::from_millis(150);
 
-pub fn key(text: &str) -> Key {
+pub fn key(text: &str) -> LeaseKey {
     xxh3_128(text.as_bytes())
 }
 
@@ -54,7 +54,7 @@
     }
 
     /// In the order in which a key's duty falls to them.
-    pub fn by_key(&self, key: Key) -> Vec<SocketAddr> {
+    pub fn by_key(&self, key: LeaseKey) -> Vec<SocketAddr> {
         held(&self.known).by_key(self.clock.now(), key)
     }
 }
@@ -64,10 +64,10 @@
 pub async fn claim(
     stewards: &Stewards,
     callers: &Callers,
-    (key, token): (Key, Token),
+    (key, token): (LeaseKey, LeaseToken),
     left_ms: u32,
     within: Duration,
-) -> Got {
+) -> CoreResponse {
     let until = tokio::time::Instant::now() + within;
     let mut next = stewards.by_key(key).into_iter();
     let mut out = FuturesUnordered::new();
@@ -75,20 +75,20 @@
     loop {
         if let Some(steward) = next.next() {
             let call = async move {
-                let ask = Ask::Core(Want::Claim { key, token, left_ms });
+                let ask = Ask::Core(CoreRequest::AcquireLease { key, token, time_left_ms: left_ms });
                 (steward, callers.to(steward).call(ask, within).await)
             };
             silent.push(steward);
             out.push(call);
         } else if out.is_empty() {
-            return Got::Unsure;
+            return CoreResponse::Unavailable;
         }
         let hedge = (tokio::time::Instant::now() + HEDGE).min(until);
         tokio::select! {
             Some((steward, reply)) = out.next(), if !out.is_empty() => {
                 silent.retain(|silent| *silent != steward);
                 match reply {
-                    Ok(Reply::Core(Got::Unsure)) => {}
+                    Ok(Reply::Core(CoreResponse::Unavailable)) => {}
                     Ok(Reply::Core(got)) => {
                         stewards.replied(steward);
                         // Those asked before it that said nothing: others are asked first for a while.
@@ -101,7 +101,7 @@
             () = sleep_until(hedge) => {}
         }
         if tokio::time::Instant::now() >= until {
-            return Got::Unsure;
+            return CoreResponse::Unavailable;
         }
     }
 }
@@ -110,14 +110,14 @@
 pub fn settle(
     stewards: Arc<Stewards>,
     callers: Arc<Callers>,
-    (key, token): (Key, Token),
-    outcome: Option<Outcome>,
+    (key, token): (LeaseKey, LeaseToken),
+    outcome: Option<LeaseOutcome>,
 ) {
     tokio::spawn(async move {
         for round in 0..SETTLES {
             for steward in stewards.by_key(key) {
-                let ask = Ask::Core(Want::Settle { key, token, outcome: outcome.clone() });
-                if let Ok(Reply::Core(Got::Taken)) = callers.to(steward).call(ask, SETTLE).await {
+                let ask = Ask::Core(CoreRequest::CompleteLease { key, token, outcome: outcome.clone() });
+                if let Ok(Reply::Core(CoreResponse::Accepted)) = callers.to(steward).call(ask, SETTLE).await {
                     return;
                 }
                 stewards.failed(steward);
--- a/balancer/src/mesh/members.rs
+++ b/balancer/src/mesh/members.rs
@@ -13,7 +13,7 @@
 use hyper::Response;
 use hyper::header::HeaderValue;
 use ochreshed::Name;
-use ochreshed_consensus::messages::{Got, Paper, Sheet, Want};
+use ochreshed_consensus::messages::{CoreRequest, CoreResponse, NamedRegister, RegisterValue};
 use ochreshed_mesh::calls::Carried;
 use ochreshed_mesh::fared::{Edition, Fared};
 use ochreshed_mesh::lay;
@@ -100,11 +100,11 @@
         carried.iter().filter_map(of).collect()
     }
 
-    fn take(&self, papers: &[Paper]) {
+    fn take(&self, papers: &[NamedRegister]) {
         let mut docs = held(&self.docs);
         let mut taken = (**docs).clone();
         papers.iter().for_each(|paper| {
-            taken.take(&paper.name, &paper.sheet);
+            taken.take(&paper.name, &paper.value);
         });
         *docs = Arc::new(taken);
     }
@@ -147,8 +147,8 @@
     register: Register,
     own: Own,
     /// As they were sent.
-    settled: Option<Arc<Sheet>>,
-    trial: Option<Arc<Sheet>>,
+    settled: Option<Arc<RegisterValue>>,
+    trial: Option<Arc<RegisterValue>>,
 }
 
 /// Whether the key is the one that the register has the hash of. Takes as long for every key of a length.
@@ -178,9 +178,9 @@
 }
 
 async fn read(office: &Office, name: Name) -> Answer {
-    match office.want(Want::ReadPaper(name), OPERATOR).await {
-        Got::Newest(Some(sheet)) => Ok(String::from_utf8_lossy(&sheet.bytes).into_owned()),
-        Got::Newest(None) => Err(Refused::new(404, "none was ever taken")),
+    match office.want(CoreRequest::ReadRegister(name), OPERATOR).await {
+        CoreResponse::Register(Some(sheet)) => Ok(String::from_utf8_lossy(&sheet.bytes).into_owned()),
+        CoreResponse::Register(None) => Err(Refused::new(404, "none was ever taken")),
         _ => Err(unreached()),
     }
 }
@@ -194,11 +194,13 @@
 
 /// Has the core keep a paper; it is on more than half of its disks then.
 async fn keep(office: &Office, name: Name, version: u64, bytes: Vec<u8>) -> Result<(), Refused> {
-    let paper = Paper { name, sheet: Arc::new(Sheet::new(version, bytes)) };
-    match office.want(Want::Paper(paper), OPERATOR).await {
-        Got::Taken => Ok(()),
-        Got::Conflict => Err(Refused::new(409, "another document was taken under this edition")),
-        Got::Full => Err(Refused::new(413, "too long, or the core holds too many documents")),
+    let paper = NamedRegister { name, value: Arc::new(RegisterValue::new(version, bytes)) };
+    match office.want(CoreRequest::ReplaceRegister(paper), OPERATOR).await {
+        CoreResponse::Accepted => Ok(()),
+        CoreResponse::Conflict => Err(Refused::new(409, "another document was taken under this edition")),
+        CoreResponse::CapacityExceeded => {
+            Err(Refused::new(413, "too long, or the core holds too many documents"))
+        }
         _ => Err(Refused::new(503, "not safe on more than half of the core yet: send it again")),
     }
 }
@@ -277,9 +279,9 @@
     if asked.is_some_and(|at| at.elapsed() < LOOK) {
         return Ok(());
     }
-    match office.want(Want::ReadPaper(REGISTER.into()), OPERATOR).await {
-        Got::Newest(sheet) => {
-            let paper = sheet.map(|sheet| Paper { name: REGISTER.into(), sheet });
+    match office.want(CoreRequest::ReadRegister(REGISTER.into()), OPERATOR).await {
+        CoreResponse::Register(sheet) => {
+            let paper = sheet.map(|sheet| NamedRegister { name: REGISTER.into(), value: sheet });
             office.members.take(paper.as_slice());
             *asked = Some(Instant::now());
             Ok(())
@@ -290,21 +292,25 @@
 
 /// Asks the core for all that a change is checked against.
 async fn newest(office: &Office, member: &str) -> Result<Newest, Refused> {
-    let paper = |name: Name| office.want(Want::ReadPaper(name), OPERATOR);
+    let paper = |name: Name| office.want(CoreRequest::ReadRegister(name), OPERATOR);
     let all = tokio::join!(
-        office.want(Want::Read, OPERATOR),
+        office.want(CoreRequest::ReadConfiguration, OPERATOR),
         paper(REGISTER.into()),
         paper(docs::settled(member)),
         paper(docs::trial(member)),
         paper(docs::withdrawn(member)),
     );
-    let (Got::Newest(timetable), Got::Newest(register)) = (all.0, all.1) else { return Err(unreached()) };
-    let (Got::Newest(settled), Got::Newest(trial), Got::Newest(withdrawn)) = (all.2, all.3, all.4) else {
+    let (CoreResponse::Register(timetable), CoreResponse::Register(register)) = (all.0, all.1) else {
+        return Err(unreached());
+    };
+    let (CoreResponse::Register(settled), CoreResponse::Register(trial), CoreResponse::Register(withdrawn)) =
+        (all.2, all.3, all.4)
+    else {
         return Err(unreached());
     };
     let unread = |_| Refused::new(503, "what the core holds is of a build that differs");
     let Some(timetable) = timetable else { return Err(Refused::new(409, "there is no timetable yet")) };
-    let doc = |sheet: &Option<Arc<Sheet>>| {
+    let doc = |sheet: &Option<Arc<RegisterValue>>| {
         let read = sheet.as_ref().map(|sheet| MemberDoc::read(&sheet.bytes).map(Arc::new));
         read.transpose().map_err(unread)
     };
@@ -326,7 +332,7 @@
     }
     // Sent again, unchanged, it is taken again.
     let highest = newest.own.highest();
-    let another = |sheet: &Option<Arc<Sheet>>| {
+    let another = |sheet: &Option<Arc<RegisterValue>>| {
         sheet.as_ref().is_some_and(|sheet| sheet.version == doc.version && sheet.bytes != bytes)
     };
     let withdrawn = newest.own.withdrawn == Some(doc.version);
@@ -356,7 +362,7 @@
 }
 
 /// The versions of a member's settled document on this steward's disk, the latest first.
-async fn versions(office: &Office, name: &str) -> Result<Vec<Sheet>, Refused> {
+async fn versions(office: &Office, name: &str) -> Result<Vec<RegisterValue>, Refused> {
     let Some(dir) = office.settings.load().data_dir.clone() else { return Ok(Vec::new()) };
     let paper = docs::settled(name);
     let read = tokio::task::spawn_blocking(move || ochreshed_storage::history(&dir, &paper)).await;
--- a/balancer/src/mesh/news.rs
+++ b/balancer/src/mesh/news.rs
@@ -101,8 +101,8 @@
         if wanted.is_empty() {
             return true;
         }
-        let reply = branch.callers.to(steward).call(Ask::Papers(wanted), FETCH).await;
-        let Ok(Reply::Papers(papers)) = reply else { return false };
+        let reply = branch.callers.to(steward).call(Ask::Registers(wanted), FETCH).await;
+        let Ok(Reply::Registers(papers)) = reply else { return false };
         if !branch.take_papers(&papers) {
             return false;
         }
@@ -115,8 +115,8 @@
     let here = branch.sheet();
     for from in [here.as_deref(), None] {
         let have = from.map_or((0, 0), |from| from.rank());
-        let reply = branch.callers.to(steward).call(Ask::Sheet(have), FETCH).await;
-        let Ok(Reply::Sheet(Some(parcel))) = reply else { break };
+        let reply = branch.callers.to(steward).call(Ask::Configuration(have), FETCH).await;
+        let Ok(Reply::Configuration(Some(parcel))) = reply else { break };
         match parcel.open(from) {
             Ok(sheet) => {
                 branch.take_sheet(sheet);
--- a/balancer/src/mesh/pages.rs
+++ b/balancer/src/mesh/pages.rs
@@ -8,8 +8,8 @@
 use std::time::UNIX_EPOCH;
 
 use ochreshed::{Name, Nanos};
-use ochreshed_consensus::core::{Core, Known, SessionCounts};
-use ochreshed_consensus::messages::{Claim, Key, Outcome};
+use ochreshed_consensus::core::{Core, PeerStatus, SessionCounts};
+use ochreshed_consensus::messages::{Lease, LeaseKey, LeaseOutcome};
 use ochreshed_mesh::fared::{Edition, Fared};
 use ochreshed_mesh::health::Ill;
 use ochreshed_mesh::list::{Row, Stand, Table};
@@ -101,7 +101,7 @@
     }
 
     /// The key whose claim the answer wants.
-    pub fn key(&self) -> Option<Key> {
+    pub fn key(&self) -> Option<LeaseKey> {
         match &self.call {
             Call::Show(key) => Some(keys::key(key)),
             _ => None,
@@ -177,7 +177,7 @@
     pub settled: bool,
     /// The newest version that is safe, and its digest.
     pub safe: Option<(u64, u64)>,
-    pub stewards: Vec<Known>,
+    pub stewards: Vec<PeerStatus>,
     /// Open, unknown, done.
     pub keys: (usize, usize, usize),
     /// Bytes of kept answers, how many may be, and answers dropped for want of room.
@@ -185,20 +185,20 @@
     pub oldest_open: Option<Nanos>,
     pub sessions: SessionCounts,
     /// Of the key that was asked for, and for how long it is known here.
-    pub claim: Option<(Claim, Nanos)>,
+    pub claim: Option<(Lease, Nanos)>,
 }
 
 impl Seen {
-    pub fn of(core: &Core, now: Nanos, key: Option<Key>) -> Seen {
-        let claim = key.and_then(|key| Some((core.claim(key)?.clone(), core.age(key)?)));
+    pub fn of(core: &Core, now: Nanos, key: Option<LeaseKey>) -> Seen {
+        let claim = key.and_then(|key| Some((core.lease(key)?.clone(), core.lease_age(key)?)));
         Seen {
-            view: core.view().number,
-            settled: core.settled(now),
-            safe: core.safe().map(|sheet| sheet.rank()),
-            stewards: core.known(now),
-            keys: core.keys(),
-            answers: core.answers(),
-            oldest_open: core.oldest_open(),
+            view: core.membership().epoch,
+            settled: core.has_quorum(now),
+            safe: core.committed_configuration().map(|sheet| sheet.rank()),
+            stewards: core.peer_statuses(now),
+            keys: core.lease_counts(),
+            answers: core.response_cache_usage(),
+            oldest_open: core.oldest_pending_lease_age(),
             sessions: core.session_counts(),
             claim,
         }
@@ -529,16 +529,16 @@
 }
 
 fn nodes<'a>(facts: &'a Facts, shown: &'a [Attendant], next: Option<SocketAddr>) -> Nodes<'a> {
-    let steward = |known: &'a Known| Steward {
-        address: known.station.at,
+    let steward = |known: &'a PeerStatus| Steward {
+        address: known.replica.address,
         zone: &known.zone,
-        disk: format!("{:x}", known.station.disk),
+        disk: format!("{:x}", known.replica.disk_id),
         member: known.member,
         voter: known.member && known.voter,
-        view: known.view,
-        heard_ms: known.heard.map(|ago| ago / MS),
+        view: known.epoch,
+        heard_ms: known.heard_ago.map(|ago| ago / MS),
         leaving: known.leaving,
-        full_ms: facts.gathered.full.get(&known.station.at).copied(),
+        full_ms: facts.gathered.full.get(&known.replica.address).copied(),
     };
     let node = |of: &'a Attendant| Node {
         door: of.row.door,
@@ -576,7 +576,7 @@
     }
 }
 
-fn show<'a>(key: &'a str, claim: Option<&(Claim, Nanos)>) -> Shown<'a> {
+fn show<'a>(key: &'a str, claim: Option<&(Lease, Nanos)>) -> Shown<'a> {
     let mut shown = Shown {
         key,
         hashed: format!("{:032x}", keys::key(key)),
@@ -588,9 +588,9 @@
     };
     match claim.map(|(claim, _)| (&claim.outcome, claim.token)) {
         None => {}
-        Some((Outcome::Open, token)) => (shown.state, shown.disputed) = ("open", token == 0),
-        Some((Outcome::Unknown, _)) => shown.state = "unknown",
-        Some((Outcome::Done(answer), _)) => {
+        Some((LeaseOutcome::Pending, token)) => (shown.state, shown.disputed) = ("open", token == 0),
+        Some((LeaseOutcome::Indeterminate, _)) => shown.state = "unknown",
+        Some((LeaseOutcome::Completed(answer), _)) => {
             shown.state = "done";
             (shown.status, shown.bytes) = (Some(answer.status), Some(answer.body.len()));
         }
@@ -623,7 +623,7 @@
 mod tests {
     use super::*;
     use expect_test::expect;
-    use ochreshed_consensus::messages::{Answer, Station};
+    use ochreshed_consensus::messages::{ReplicaId, StoredResponse};
     use ochreshed_mesh::budget::{Figures, Report, Reports};
     use std::sync::Arc;
 
@@ -650,12 +650,12 @@
     }
 
     fn facts() -> Facts {
-        let known = |host, voter, heard| Known {
-            station: Station { at: at(host, 7620), disk: 0 },
+        let known = |host, voter, heard| PeerStatus {
+            replica: ReplicaId { address: at(host, 7620), disk_id: 0 },
             member: true,
             voter,
-            view: 3,
-            heard,
+            epoch: 3,
+            heard_ago: heard,
             leaving: false,
             zone: if voter { "quito-a" } else { "" }.into(),
         };
@@ -778,11 +778,15 @@
     #[test]
     fn a_claim_is_shown_as_it_stands() {
         let mut facts = facts();
-        let answer = Answer { status: 201, headers: Vec::new(), body: vec![0; 17] };
-        let outcomes = [(0, Outcome::Open), (5, Outcome::Unknown), (5, Outcome::Done(Arc::new(answer)))];
+        let answer = StoredResponse { status: 201, headers: Vec::new(), body: vec![0; 17] };
+        let outcomes = [
+            (0, LeaseOutcome::Pending),
+            (5, LeaseOutcome::Indeterminate),
+            (5, LeaseOutcome::Completed(Arc::new(answer))),
+        ];
         let mut all = String::new();
         for (token, outcome) in outcomes {
-            facts.seen.claim = Some((Claim { token, left_ms: 300, outcome }, 2_000 * MS));
+            facts.seen.claim = Some((Lease { token, time_left_ms: 300, outcome }, 2_000 * MS));
             all += &said("/api/rpc?call=keys.show&of=k%2D5512", &facts);
         }
         expect![[r#"
--- a/balancer/src/mesh/sessions.rs
+++ b/balancer/src/mesh/sessions.rs
@@ -9,7 +9,10 @@
 
 use hyper::header::{HOST, HeaderMap, HeaderValue};
 use ochreshed::Nanos;
-use ochreshed_consensus::messages::{Agreed, Got, Holder, Key, Session, Tie, Want, Wish};
+use ochreshed_consensus::messages::{
+    CommittedSession, CoreRequest, CoreResponse, LeaseKey, SessionBinding, SessionId, SessionOwner,
+    SessionRequest,
+};
 use sha2::{Digest, Sha256};
 use tokio::sync::OwnedMutexGuard;
 use tokio::time::{Instant, timeout};
@@ -46,19 +49,19 @@
 const MOVED: &str = "moved ";
 
 /// A person's session by its service, the header that names it and that header's value.
-pub fn name(service: &str, header: &str, value: &str) -> Session {
+pub fn name(service: &str, header: &str, value: &str) -> SessionId {
     let mut sum = Sha256::new();
     for part in [service, &header.to_ascii_lowercase(), value] {
         sum.update((part.len() as u64).to_be_bytes());
         sum.update(part);
     }
     let sum: [u8; 32] = sum.finalize().into();
-    sum.iter().take(16).fold(0, |all, byte| all << 8 | Session::from(*byte))
+    sum.iter().take(16).fold(0, |all, byte| all << 8 | SessionId::from(*byte))
 }
 
 struct Held {
-    holder: Holder,
-    tie: Option<Tie>,
+    holder: SessionOwner,
+    tie: Option<SessionBinding>,
     /// When the core was last told, and when it was last used.
     told: Nanos,
     used: Nanos,
@@ -66,14 +69,14 @@
 
 #[derive(Default)]
 struct Inner {
-    held: HashMap<Session, Held>,
-    order: BTreeSet<(Nanos, Session)>,
+    held: HashMap<SessionId, Held>,
+    order: BTreeSet<(Nanos, SessionId)>,
     /// Keys that are at work here.
-    keys: HashMap<Session, Vec<Key>>,
+    keys: HashMap<SessionId, Vec<LeaseKey>>,
     /// First reqs of sessions.
-    firsts: HashMap<Session, Arc<tokio::sync::Mutex<()>>>,
+    firsts: HashMap<SessionId, Arc<tokio::sync::Mutex<()>>>,
     /// Doors know of a holder since then.
-    above: HashMap<Session, u64>,
+    above: HashMap<SessionId, u64>,
     counts: Counts,
     times: Vec<Nanos>,
 }
@@ -107,8 +110,8 @@
 /// A req's session.
 pub struct Bound {
     pub pass: Pass,
-    pub tie: Option<Tie>,
-    holder: Holder,
+    pub tie: Option<SessionBinding>,
+    holder: SessionOwner,
     /// It is the first of its session here: others wait until it is known where that lives.
     first: Option<OwnedMutexGuard<()>>,
     /// Its session was tied to no open upstream when it came: it writes the tie before it is sent.
@@ -116,22 +119,22 @@
 }
 
 impl Bound {
-    fn new(pass: Pass, tie: Option<Tie>, holder: Holder) -> Bound {
+    fn new(pass: Pass, tie: Option<SessionBinding>, holder: SessionOwner) -> Bound {
         Bound { pass, tie, holder, first: None, unplaced: false }
     }
 
     /// Whether its session is tied to an upstream that takes requests.
     fn is_placed(&self, desk: &Desk) -> bool {
-        self.tie.as_ref().is_some_and(|tie| desk.takes(&tie.id.as_str().into()))
+        self.tie.as_ref().is_some_and(|tie| desk.takes(&tie.upstream_id.as_str().into()))
     }
 
     pub fn is_tied(&self, srv: &str) -> bool {
-        self.tie.as_ref().is_some_and(|tie| tie.id == srv)
+        self.tie.as_ref().is_some_and(|tie| tie.upstream_id == srv)
     }
 }
 
 /// A key at work in a session, until this is dropped.
-pub struct AtWork(Arc<Branch>, Session, Key);
+pub struct AtWork(Arc<Branch>, SessionId, LeaseKey);
 
 impl Drop for AtWork {
     fn drop(&mut self) {
@@ -146,26 +149,26 @@
 }
 
 impl Inner {
-    fn ends(&mut self, session: Session) {
+    fn ends(&mut self, session: SessionId) {
         if let Some(was) = self.held.remove(&session) {
             self.order.remove(&(was.used, session));
         }
     }
 
-    fn put(&mut self, now: Nanos, session: Session, agreed: &Agreed, holder: Holder) {
+    fn put(&mut self, now: Nanos, session: SessionId, agreed: &CommittedSession, holder: SessionOwner) {
         self.ends(session);
         while self.held.len() >= MOST
             && let Some(&(_, oldest)) = self.order.first()
         {
             self.ends(oldest);
         }
-        let tie = agreed.holding.tie.clone();
+        let tie = agreed.ownership.binding.clone();
         self.held.insert(session, Held { holder, tie, told: now, used: now });
         self.order.insert((now, session));
     }
 
     /// The hold that stands, and whether the core is to be told that it is used.
-    fn uses(&mut self, now: Nanos, session: Session) -> Option<(Bound, bool)> {
+    fn uses(&mut self, now: Nanos, session: SessionId) -> Option<(Bound, bool)> {
         let has = self.held.get_mut(&session)?;
         if now > has.used.saturating_add(UNUSED) {
             self.ends(session);
@@ -178,7 +181,7 @@
         if renew {
             has.told = now;
         }
-        let pass = Pass { session, since: has.holder.since };
+        let pass = Pass { session, since: has.holder.since_term };
         Some((Bound::new(pass, has.tie.clone(), has.holder), renew))
     }
 }
@@ -211,9 +214,9 @@
     }
 
     /// Another gate has taken a session since that epoch: it is let go here. Told with the keys that are at work.
-    pub fn let_go(&self, pass: Pass) -> Vec<Key> {
+    pub fn let_go(&self, pass: Pass) -> Vec<LeaseKey> {
         let mut inner = held(&self.0);
-        if inner.held.get(&pass.session).is_some_and(|has| has.holder.since < pass.since) {
+        if inner.held.get(&pass.session).is_some_and(|has| has.holder.since_term < pass.since) {
             inner.ends(pass.session);
             inner.counts.left += 1;
         }
@@ -230,7 +233,7 @@
     pub fn fenced(&self, pass: Pass, known: u64) {
         let mut inner = held(&self.0);
         inner.counts.fenced += 1;
-        if inner.held.get(&pass.session).is_some_and(|has| has.holder.since < known) {
+        if inner.held.get(&pass.session).is_some_and(|has| has.holder.since_term < known) {
             inner.ends(pass.session);
         }
         if inner.above.len() >= MOST {
@@ -239,32 +242,32 @@
         inner.above.insert(pass.session, known);
     }
 
-    fn learn(&self, now: Nanos, session: Session, got: &Agreed, me: SocketAddr) -> Option<Bound> {
+    fn learn(&self, now: Nanos, session: SessionId, got: &CommittedSession, me: SocketAddr) -> Option<Bound> {
         let mut inner = held(&self.0);
-        let Some(holder) = got.holding.holder.filter(|holder| holder.gate == me) else {
+        let Some(holder) = got.ownership.owner.filter(|holder| holder.outbound_proxy == me) else {
             inner.ends(session);
             return None;
         };
-        let newer = |has: &Held| has.holder.since > holder.since;
+        let newer = |has: &Held| has.holder.since_term > holder.since_term;
         if !inner.held.get(&session).is_some_and(newer) {
             inner.put(now, session, got, holder);
         }
         inner.above.remove(&session);
-        let pass = Pass { session, since: holder.since };
-        Some(Bound::new(pass, got.holding.tie.clone(), holder))
+        let pass = Pass { session, since: holder.since_term };
+        Some(Bound::new(pass, got.ownership.binding.clone(), holder))
     }
 }
 
 /// Asks the core, one steward after the other.
-async fn ask(branch: &Branch, session: Session, wish: Wish) -> Option<Option<Agreed>> {
+async fn ask(branch: &Branch, session: SessionId, wish: SessionRequest) -> Option<Option<CommittedSession>> {
     let until = Instant::now() + WITHIN;
     for steward in branch.stewards.by_key(session) {
         if Instant::now() >= until {
             break;
         }
-        let ask = Ask::Core(Want::Session(session, wish.clone()));
+        let ask = Ask::Core(CoreRequest::Session(session, wish.clone()));
         match branch.callers.to(steward).call(ask, ONE).await {
-            Ok(Reply::Core(Got::Session(agreed))) => {
+            Ok(Reply::Core(CoreResponse::Session(agreed))) => {
                 branch.stewards.replied(steward);
                 return Some(agreed);
             }
@@ -277,7 +280,7 @@
 
 /// The session of a req that came here, taken from whoever had it. None where the core is not there in time: the req
 /// goes on without, for what must run once does so by its key.
-pub async fn take(branch: &Arc<Branch>, desk: &Desk, session: Session, ties: bool) -> Option<Bound> {
+pub async fn take(branch: &Arc<Branch>, desk: &Desk, session: SessionId, ties: bool) -> Option<Bound> {
     let known = || {
         let (bound, renew) = held(&branch.sessions().0).uses(branch.clock.now(), session)?;
         if renew {
@@ -306,23 +309,25 @@
     Some(bound)
 }
 
-async fn ask_for(branch: &Arc<Branch>, session: Session) -> Option<Bound> {
+async fn ask_for(branch: &Arc<Branch>, session: SessionId) -> Option<Bound> {
     let (now, me, all) = (branch.clock.now(), branch.door_at(), branch.sessions());
     let above = held(&all.0).above.get(&session).copied().unwrap_or(0);
     let agreed = match branch.core_away() {
         true => None,
-        false => ask(branch, session, Wish::Take { gate: me, above }).await.flatten(),
+        false => ask(branch, session, SessionRequest::Acquire { outbound_proxy: me, above_term: above })
+            .await
+            .flatten(),
     };
     let Some(agreed) = agreed else {
         held(&all.0).counts.without += 1;
         return None;
     };
-    let before = agreed.holding.before.filter(|before| before.gate != me);
-    let fresh = agreed.holding.holder.is_some_and(|holder| holder.since == agreed.epoch);
+    let before = agreed.ownership.previous_owner.filter(|before| before.outbound_proxy != me);
+    let fresh = agreed.ownership.owner.is_some_and(|holder| holder.since_term == agreed.term);
     let bound = all.learn(now, session, &agreed, me)?;
     match before.filter(|_| fresh) {
         Some(before) => {
-            let heard = hand_over(branch, before.gate, bound.pass).await.is_some();
+            let heard = hand_over(branch, before.outbound_proxy, bound.pass).await.is_some();
             let took = branch.clock.now().saturating_sub(now);
             let mut inner = held(&all.0);
             inner.counts.moves += 1;
@@ -338,17 +343,17 @@
     Some(bound)
 }
 
-async fn renewal(branch: Arc<Branch>, session: Session, holder: Holder) {
-    if let Some(Some(agreed)) = ask(&branch, session, Wish::Renew(holder)).await
-        && let Some(other) = agreed.holding.holder
-        && other.since > holder.since
+async fn renewal(branch: Arc<Branch>, session: SessionId, holder: SessionOwner) {
+    if let Some(Some(agreed)) = ask(&branch, session, SessionRequest::Renew(holder)).await
+        && let Some(other) = agreed.ownership.owner
+        && other.since_term > holder.since_term
     {
-        branch.sessions().let_go(Pass { session, since: other.since });
+        branch.sessions().let_go(Pass { session, since: other.since_term });
     }
 }
 
 /// Asks the gate that had a session to let it go. Told with the keys at work there.
-async fn hand_over(branch: &Arc<Branch>, gate: SocketAddr, pass: Pass) -> Option<Vec<Key>> {
+async fn hand_over(branch: &Arc<Branch>, gate: SocketAddr, pass: Pass) -> Option<Vec<LeaseKey>> {
     let mut head = hyper::Request::new(());
     *head.method_mut() = hyper::Method::POST;
     head.headers_mut().insert(HOST, HeaderValue::from_static("ochreshed"));
@@ -364,11 +369,11 @@
     }
     let body = http_body_util::BodyExt::collect(flow).await.ok()?.to_bytes();
     let keys = std::str::from_utf8(&body).ok()?.lines();
-    Some(keys.take(MOST_KEYS).filter_map(|key| Key::from_str_radix(key, 16).ok()).collect())
+    Some(keys.take(MOST_KEYS).filter_map(|key| LeaseKey::from_str_radix(key, 16).ok()).collect())
 }
 
 /// A key is at work in a session here.
-pub fn at_work(branch: &Arc<Branch>, session: Session, key: Key) -> AtWork {
+pub fn at_work(branch: &Arc<Branch>, session: SessionId, key: LeaseKey) -> AtWork {
     let mut inner = held(&branch.sessions().0);
     let keys = inner.keys.entry(session).or_default();
     if keys.len() < MOST_KEYS {
@@ -386,18 +391,19 @@
     if !bound.unplaced || bound.is_tied(&place.id) || branch.core_away() {
         return true;
     }
-    let tie = Tie { id: place.id.to_string(), door: place.door };
-    let was = bound.tie.as_ref().map(|tie| tie.id.clone());
+    let tie = SessionBinding { upstream_id: place.id.to_string(), inbound_proxy: place.door };
+    let was = bound.tie.as_ref().map(|tie| tie.upstream_id.clone());
     let succeeds = was.is_some() && !bound.is_placed(desk);
-    let wish = Wish::Tie { holder: bound.holder, was, tie: tie.clone() };
+    let wish = SessionRequest::Bind { owner: bound.holder, current_upstream_id: was, binding: tie.clone() };
     let Some(Some(agreed)) = ask(branch, bound.pass.session, wish).await else { return true };
     branch.sessions().learn(branch.clock.now(), bound.pass.session, &agreed, branch.door_at());
     bound.first = None;
-    let ours = agreed.holding.holder == Some(bound.holder) && agreed.holding.tie.as_ref() == Some(&tie);
+    let ours =
+        agreed.ownership.owner == Some(bound.holder) && agreed.ownership.binding.as_ref() == Some(&tie);
     if ours && succeeds {
         held(&branch.sessions().0).counts.gone += 1;
     }
-    bound.tie = agreed.holding.tie;
+    bound.tie = agreed.ownership.binding;
     ours
 }
 
@@ -405,7 +411,7 @@
 pub fn served(branch: &Branch, bound: &Bound, place: &Place) {
     let counts = &mut held(&branch.sessions().0).counts;
     match &bound.tie {
-        Some(tie) if *tie.id == *place.id => counts.kept += 1,
+        Some(tie) if *tie.upstream_id == *place.id => counts.kept += 1,
         // The instance lives on there: it is but at capacity, or failed this once.
         Some(_) => counts.crowded += 1,
         None => {}
--- a/balancer/src/mesh/steward.rs
+++ b/balancer/src/mesh/steward.rs
@@ -14,7 +14,9 @@
 use hyper::Response;
 use ochreshed::{Name, Nanos};
 use ochreshed_consensus::core::{Config, Core};
-use ochreshed_consensus::messages::{Act, Got, Key, Letter, Paper, Record, Sheet, View, Want};
+use ochreshed_consensus::messages::{
+    CoreRequest, CoreResponse, Effect, LeaseKey, LogRecord, Membership, Message, NamedRegister, RegisterValue,
+};
 use ochreshed_mesh::budget::{Report, Reports};
 use ochreshed_mesh::list::Mark;
 use ochreshed_mesh::office;
@@ -64,22 +66,22 @@
 const SETTINGS: Duration = Duration::from_secs(2);
 
 enum Event {
-    Letter(Letter),
-    Want(Want, oneshot::Sender<Got>),
+    Message(Message),
+    Want(CoreRequest, oneshot::Sender<CoreResponse>),
     Seeds(Vec<SocketAddr>),
     /// For an operator, with the key whose claim is wanted.
-    Look(Option<Key>, oneshot::Sender<Seen>),
+    Look(Option<LeaseKey>, oneshot::Sender<Seen>),
     Leaving,
 }
 
 /// What the core has come to, for readers.
 #[derive(Clone, Default)]
 pub(super) struct Stand {
-    pub safe: Option<Arc<Sheet>>,
+    pub safe: Option<Arc<RegisterValue>>,
     pub stewards: Vec<SocketAddr>,
     pub settled: bool,
     pub papers: Arc<Safe>,
-    view: Option<View>,
+    view: Option<Membership>,
     voter: bool,
     gone: bool,
 }
@@ -95,7 +97,7 @@
 /// The papers that are safe.
 #[derive(Default)]
 pub(super) struct Safe {
-    pub all: Vec<Paper>,
+    pub all: Vec<NamedRegister>,
     pub number: u64,
     /// Of the core, when they were taken from it.
     changes: u64,
@@ -135,12 +137,12 @@
         held(&self.news).quiet().to_vec()
     }
 
-    pub async fn want(&self, want: Want, within: Duration) -> Got {
+    pub async fn want(&self, want: CoreRequest, within: Duration) -> CoreResponse {
         let (reply, got) = oneshot::channel();
         if self.events.send(Event::Want(want, reply)).await.is_err() {
-            return Got::Unsure;
+            return CoreResponse::Unavailable;
         }
-        timeout(within, got).await.ok().and_then(Result::ok).unwrap_or(Got::Unsure)
+        timeout(within, got).await.ok().and_then(Result::ok).unwrap_or(CoreResponse::Unavailable)
     }
 
     /// Answers what a process asks for news, at once if there are any, else when there are or its hold is over.
@@ -202,21 +204,21 @@
         match ask {
             Ask::News(ask) => Some(Reply::News(Box::new(self.news(ask).await))),
             Ask::Core(want) => Some(Reply::Core(self.want(want, Duration::from_secs(5)).await)),
-            Ask::Sheet(have) => Some(Reply::Sheet(self.parcel(have).await)),
-            Ask::Papers(have) => {
+            Ask::Configuration(have) => Some(Reply::Configuration(self.parcel(have).await)),
+            Ask::Registers(have) => {
                 let stand = self.stand.load();
-                Some(Reply::Papers(docs::newer(stand.papers.all.iter(), &have, MOST_PAPERS)))
+                Some(Reply::Registers(docs::newer(stand.papers.all.iter(), &have, MOST_PAPERS)))
             }
             Ask::Carried(member) => Some(Reply::Carried(self.members.nodes_of(&member))),
-            Ask::Letter(letter) if !letter.is_whole() => {
+            Ask::Message(letter) if !letter.is_intact() => {
                 log::warn!(
                     "a message of {} with content that its digest does not fit: dropped",
-                    letter.from.at
+                    letter.from.address
                 );
                 None
             }
-            Ask::Letter(letter) => {
-                let _ = self.events.send(Event::Letter(letter)).await;
+            Ask::Message(letter) => {
+                let _ = self.events.send(Event::Message(letter)).await;
                 None
             }
         }
@@ -234,9 +236,11 @@
                 Err(bad) => bad,
             },
             call if call.starts_with("member") => members::call(self, call, of, came, bodies).await,
-            "timetable.read" => match self.want(Want::Read, OPERATOR).await {
-                Got::Newest(Some(sheet)) => json(200, String::from_utf8_lossy(&sheet.bytes).into_owned()),
-                Got::Newest(None) => say(404, "no timetable was ever taken"),
+            "timetable.read" => match self.want(CoreRequest::ReadConfiguration, OPERATOR).await {
+                CoreResponse::Register(Some(sheet)) => {
+                    json(200, String::from_utf8_lossy(&sheet.bytes).into_owned())
+                }
+                CoreResponse::Register(None) => say(404, "no timetable was ever taken"),
                 _ => say(503, "more than half of the core is not reached"),
             },
             "sessions.count" => {
@@ -364,9 +368,12 @@
             }
         };
         let within = if self.stand.load().settled { OPERATOR } else { UNSETTLED };
-        match self.want(Want::Replace(Arc::new(Sheet::new(version, bytes))), within).await {
-            Got::Taken => json(200, "{}".into()),
-            Got::Conflict => say(409, "another configuration was taken under this edition"),
+        match self
+            .want(CoreRequest::ReplaceConfiguration(Arc::new(RegisterValue::new(version, bytes))), within)
+            .await
+        {
+            CoreResponse::Accepted => json(200, "{}".into()),
+            CoreResponse::Conflict => say(409, "another configuration was taken under this edition"),
             _ => say(503, "not safe on more than half of the core yet: send it again"),
         }
     }
@@ -432,16 +439,16 @@
     let room = settings.limits.sorting();
     let bodies = Arc::new(Semaphore::new(room.bodies));
     let config = Config {
-        keep: (settings.bounds.stamp_window + KEEP_MORE).as_nanos() as Nanos,
-        lost_after: LOST,
-        want: 2 * settings.tolerate.machines + 1,
-        most_claims: room.claims,
-        most_bytes: room.answers,
-        zones: settings.tolerate.zones,
+        lease_ttl: (settings.bounds.stamp_window + KEEP_MORE).as_nanos() as Nanos,
+        member_timeout: LOST,
+        target_members: 2 * settings.tolerate.machines + 1,
+        max_leases: room.claims,
+        max_response_bytes: room.answers,
+        tolerated_zone_losses: settings.tolerate.zones,
         zone: settings.zone.clone(),
     };
     let mut out = Vec::new();
-    let found = (saved.sheet.as_ref().map_or(0, |sheet| sheet.version), saved.claims.len());
+    let found = (saved.configuration.as_ref().map_or(0, |sheet| sheet.version), saved.leases.len());
     let core = Core::new(
         clock.now(),
         rand::random(),
@@ -488,7 +495,7 @@
     tokio::spawn(members::duty(office.clone()));
     let mut end = signal(SignalKind::terminate()).map_err(Failed::Signals)?;
     let disk = disk(store, events.clone(), office.written.clone());
-    let found = core.papers().filter_map(|paper| Some((paper.name, paper.held?.rank()))).collect();
+    let found = core.registers().filter_map(|paper| Some((paper.name, paper.stored?.rank()))).collect();
     let (office_of, calls) = (office.clone(), HashMap::new());
     let work = Work { office: office_of, core, disk, calls, next: 1, found, unsafe_writes: 0 };
     let work = tokio::spawn(async move { work.go(&mut coming, out).await });
@@ -509,13 +516,13 @@
 
 /// What goes to the disk's thread, in order: records, and what is sent once they are safe.
 struct Batch {
-    records: Vec<Record>,
-    sends: Vec<(SocketAddr, Letter)>,
+    records: Vec<LogRecord>,
+    sends: Vec<(SocketAddr, Message)>,
 }
 
 enum Back {
     /// Of how many batches, and what is sent now that they are safe.
-    Sends(usize, Vec<(SocketAddr, Letter)>),
+    Sends(usize, Vec<(SocketAddr, Message)>),
 }
 
 /// What went to disk since the start: writes, each made safe by itself, and the records in them.
@@ -576,7 +583,7 @@
     office: Arc<Office>,
     core: Core,
     disk: Disk,
-    calls: HashMap<u64, oneshot::Sender<Got>>,
+    calls: HashMap<u64, oneshot::Sender<CoreResponse>>,
     next: u64,
     /// The papers that this disk held at the start: better than none until it is known which are safe.
     found: HashMap<Name, Rank>,
@@ -585,7 +592,7 @@
 }
 
 impl Work {
-    async fn go(mut self, coming: &mut mpsc::Receiver<Event>, mut out: Vec<Act>) {
+    async fn go(mut self, coming: &mut mpsc::Receiver<Event>, mut out: Vec<Effect>) {
         let mut many = Vec::new();
         let mut wake = self.office.clock.now();
         loop {
@@ -618,13 +625,13 @@
         }
     }
 
-    fn take(&mut self, now: Nanos, event: Event, out: &mut Vec<Act>) {
+    fn take(&mut self, now: Nanos, event: Event, out: &mut Vec<Effect>) {
         match event {
-            Event::Letter(letter) => self.core.hear(now, letter, out),
+            Event::Message(letter) => self.core.handle_message(now, letter, out),
             Event::Want(want, reply) => {
                 self.next += 1;
                 self.calls.insert(self.next, reply);
-                self.core.want(now, self.next, want, out);
+                self.core.handle_request(now, self.next, want, out);
                 if self.next.is_multiple_of(64) {
                     let gone: Vec<u64> = self
                         .calls
@@ -634,31 +641,31 @@
                         .collect();
                     for call in gone {
                         self.calls.remove(&call);
-                        self.core.forget(call);
+                        self.core.cancel_request(call);
                     }
                 }
             }
-            Event::Seeds(seeds) => self.core.seeds(&seeds),
+            Event::Seeds(seeds) => self.core.set_seeds(&seeds),
             Event::Look(key, reply) => {
                 let _ = reply.send(Seen::of(&self.core, now, key));
             }
-            Event::Leaving => self.core.leaving(now, out),
+            Event::Leaving => self.core.announce_departure(now, out),
         }
     }
 
-    fn carry_out(&mut self, out: &mut Vec<Act>) {
+    fn carry_out(&mut self, out: &mut Vec<Effect>) {
         let mut batch = Batch { records: Vec::new(), sends: Vec::new() };
         for act in out.drain(..) {
             match act {
-                Act::Write(record) => batch.records.push(record),
-                Act::Send(to, letter) => batch.sends.push((to, letter)),
-                Act::Now(to, letter) => self.office.callers.to(to).post(letter),
-                Act::Answer { call, got } => {
+                Effect::Persist(record) => batch.records.push(record),
+                Effect::SendAfterPersist(to, letter) => batch.sends.push((to, letter)),
+                Effect::SendNow(to, letter) => self.office.callers.to(to).post(letter),
+                Effect::Respond { call, response: got } => {
                     if let Some(reply) = self.calls.remove(&call) {
                         let _ = reply.send(got);
                     }
                 }
-                Act::Log(line) => log::info!("core: {line}"),
+                Effect::Log(line) => log::info!("core: {line}"),
             }
         }
         if batch.records.is_empty() && self.unsafe_writes == 0 {
@@ -675,11 +682,11 @@
         }
     }
 
-    fn send(&mut self, sends: Vec<(SocketAddr, Letter)>, out: &mut Vec<Act>) {
+    fn send(&mut self, sends: Vec<(SocketAddr, Message)>, out: &mut Vec<Effect>) {
         let now = self.office.clock.now();
         for (to, letter) in sends {
             if to == self.office.at {
-                self.core.hear(now, letter, out);
+                self.core.handle_message(now, letter, out);
             } else {
                 self.office.callers.to(to).post(letter);
             }
@@ -691,17 +698,17 @@
         let was = self.office.stand.load();
         // After a start the newest one held here is better than none: who else holds it is known once more than half are
         // heard. Guards against attendants that come back before the core and have nothing to go by.
-        let safe = self.core.safe().or(self.core.held());
+        let safe = self.core.committed_configuration().or(self.core.stored_configuration());
         let same = was.safe.as_ref().map(|sheet| sheet.rank()) == safe.map(|sheet| sheet.rank())
-            && was.view.as_ref() == Some(self.core.view())
-            && was.voter == self.core.voter()
-            && was.papers.changes == self.core.papers_changes();
+            && was.view.as_ref() == Some(self.core.membership())
+            && was.voter == self.core.is_voting()
+            && was.papers.changes == self.core.register_changes();
         if same && !ticks {
             return;
         }
-        let same = same && was.settled == self.core.settled(now) && was.gone == self.core.gone();
+        let same = same && was.settled == self.core.has_quorum(now) && was.gone == self.core.may_stop();
         let stewards = {
-            let mut stewards = self.core.stewards();
+            let mut stewards = self.core.replica_addresses();
             stewards.sort();
             stewards
         };
@@ -716,11 +723,11 @@
         self.office.stand.store(Arc::new(Stand {
             safe: safe.cloned(),
             stewards,
-            settled: self.core.settled(now),
+            settled: self.core.has_quorum(now),
             papers,
-            view: Some(self.core.view().clone()),
-            voter: self.core.voter(),
-            gone: self.core.gone(),
+            view: Some(self.core.membership().clone()),
+            voter: self.core.is_voting(),
+            gone: self.core.may_stop(),
         }));
         if news {
             self.office.change();
@@ -732,16 +739,16 @@
     /// The papers that readers go by: those that are safe. After a start, and until it is known which are, those found
     /// on this disk.
     fn papers(&self, was: &Arc<Safe>) -> Arc<Safe> {
-        let changes = self.core.papers_changes();
+        let changes = self.core.register_changes();
         if was.changes == changes {
             return was.clone();
         }
-        let all = self.core.papers().filter_map(|paper| {
-            let found = paper.held.filter(|held| self.found.get(&paper.name) == Some(&held.rank()));
-            Some(Paper { name: paper.name, sheet: paper.safe.or(found)? })
+        let all = self.core.registers().filter_map(|paper| {
+            let found = paper.stored.filter(|held| self.found.get(&paper.name) == Some(&held.rank()));
+            Some(NamedRegister { name: paper.name, value: paper.committed.or(found)? })
         });
-        let all: Vec<Paper> = all.collect();
-        let number = docs::number(all.iter().map(|paper| (&*paper.name, paper.sheet.rank())));
+        let all: Vec<NamedRegister> = all.collect();
+        let number = docs::number(all.iter().map(|paper| (&*paper.name, paper.value.rank())));
         Arc::new(Safe { all, number, changes })
     }
 }
@@ -810,7 +817,7 @@
     let full_ms = full::within(&office.clock, &office.full, is).await;
     let stand = office.stand.load();
     let (view, safe) = (stand.view.as_ref(), stand.safe.as_ref());
-    let (view, safe) = (view.map_or(0, |view| view.number), safe.map_or(0, |sheet| sheet.version));
+    let (view, safe) = (view.map_or(0, |view| view.epoch), safe.map_or(0, |sheet| sheet.version));
     log::info!("full service after {full_ms} ms: votes in view {view}, r{safe}");
 }
 
--- a/balancer/src/mesh/wire.rs
+++ b/balancer/src/mesh/wire.rs
@@ -10,7 +10,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use ochreshed_consensus::messages::Letter;
+use ochreshed_consensus::messages::Message;
 pub use ochreshed_mesh::calls::{Ask, NewsAsk, NewsReply, Reply};
 use ochreshed_mesh::calls::{Frame, MOST_FRAME, encode};
 use serde::de::DeserializeOwned;
@@ -121,8 +121,8 @@
     }
 
     /// Sends a letter, which may get lost. One connection is tried for at a time.
-    pub fn post(self: &Arc<Self>, letter: Letter) {
-        let Some(bytes) = encode(&Frame { id: 0, say: Ask::Letter(letter) }) else { return };
+    pub fn post(self: &Arc<Self>, letter: Message) {
+        let Some(bytes) = encode(&Frame { id: 0, say: Ask::Message(letter) }) else { return };
         let open = held(&self.open).clone().filter(|open| !open.frames.is_closed());
         if let Some(open) = open {
             let _ = open.frames.try_send(bytes);
--- a/consensus/src/core.rs
+++ b/consensus/src/core.rs
@@ -1,7 +1,7 @@
 //! One replica's part in what the control plane agrees on: who votes (`membership`, `rollback`, `zones`), the newest
 //! configuration and other registers (`registers`, `named_registers`, `version_ballots`), leases on keys (`leases`,
 //! `kept_answers`) and sessions. It owns the heartbeats, the pending calls and the messages that wait to be sent together.
-//! It does no I/O and knows no clock. It must never say yes before the write behind it is safe, which `Act::Send`
+//! It does no I/O and knows no clock. It must never say yes before the write behind it is safe, which `Effect::SendAfterPersist`
 //! sees to, and never count an answer that was given in another view than its own.
 //!
 //! Why it holds. A thing is agreed once more than half of a view's voters hold it. A view is followed by one that
@@ -18,8 +18,9 @@
 use rand_chacha::ChaCha8Rng;
 
 use crate::messages::{
-    Act, Ballot, Ballots, Body, Claim, Got, Grant, Key, Letter, Name, Outcome, Paper, Record, Said, Saved,
-    Sheet, Station, Token, View, Want,
+    Ballot, CoreRequest, CoreResponse, Effect, Lease, LeaseKey, LeaseOutcome, LeaseToken, LeaseVote,
+    LogRecord, Membership, MembershipBallotState, Message, MessageBody, NamedRegister, PersistedState,
+    RegisterName, RegisterValue, ReplicaId, SessionMessage,
 };
 
 mod kept_answers;
@@ -68,16 +69,16 @@
 #[derive(Clone, Debug)]
 pub struct Config {
     /// How long claims are kept.
-    pub keep: Nanos,
+    pub lease_ttl: Nanos,
     /// After such a silence a member may be swapped out.
-    pub lost_after: Nanos,
+    pub member_timeout: Nanos,
     /// How many voters are wished.
-    pub want: usize,
-    pub most_claims: usize,
+    pub target_members: usize,
+    pub max_leases: usize,
     /// Of kept answers together. Above it the oldest go, and their claims stay.
-    pub most_bytes: usize,
+    pub max_response_bytes: usize,
     /// So many zones may be lost at once, where the stewards that are there allow it; 0: zones don't matter.
-    pub zones: usize,
+    pub tolerated_zone_losses: usize,
     /// This steward's.
     pub zone: String,
 }
@@ -96,13 +97,13 @@
     /// When it was last told or asked of views, and of sheets.
     told: Option<Nanos>,
     asked: Option<Nanos>,
-    pulled: BTreeMap<Name, Nanos>,
-    pushed: BTreeMap<Name, (Nanos, Rank)>,
+    pulled: BTreeMap<RegisterName, Nanos>,
+    pushed: BTreeMap<RegisterName, (Nanos, Rank)>,
     /// When it was last asked which papers it holds, and all of ours that it was last found to hold as well.
     listed: Option<Nanos>,
     counted: u128,
     /// Papers that it was asked for, as many as go in a letter.
-    wanted: BTreeMap<Name, Rank>,
+    wanted: BTreeMap<RegisterName, Rank>,
 }
 
 impl Peer {
@@ -135,13 +136,13 @@
 
 /// What is known of a steward, for those that look on.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Known {
-    pub station: Station,
+pub struct PeerStatus {
+    pub replica: ReplicaId,
     pub member: bool,
     pub voter: bool,
-    pub view: u64,
+    pub epoch: u64,
     /// How long ago; never, for one that was not heard yet.
-    pub heard: Option<Nanos>,
+    pub heard_ago: Option<Nanos>,
     pub leaving: bool,
     /// Empty where it has not told.
     pub zone: String,
@@ -159,17 +160,17 @@
 /// Small things for one address that go out together.
 #[derive(Clone, Debug, Default)]
 struct Post {
-    settles: Vec<(Key, Token, Option<Outcome>)>,
-    grants: Vec<(u64, Key, Token, u32)>,
-    granted: Vec<(u64, Grant)>,
-    session_asks: Vec<Said>,
-    session_replies: Vec<Said>,
+    settles: Vec<(LeaseKey, LeaseToken, Option<LeaseOutcome>)>,
+    grants: Vec<(u64, LeaseKey, LeaseToken, u32)>,
+    granted: Vec<(u64, LeaseVote)>,
+    session_asks: Vec<SessionMessage>,
+    session_replies: Vec<SessionMessage>,
 }
 
 /// A call that waits for its answer.
 #[derive(Clone, Debug)]
 enum Call {
-    Claim(leases::Asked),
+    Lease(leases::Asked),
     Replace(registers::Replacing),
     Read(registers::Reading),
     Session(Box<sessions::Changing>),
@@ -178,20 +179,20 @@
 #[derive(Clone, Debug)]
 pub struct Core {
     now: Nanos,
-    me: Station,
+    me: ReplicaId,
     config: Config,
     seeds: Vec<SocketAddr>,
     chance: ChaCha8Rng,
-    peers: BTreeMap<Station, Peer>,
+    peers: BTreeMap<ReplicaId, Peer>,
     next_beat: Nanos,
     /// Something changed that the others should hear of now.
     tell: bool,
     leaving: bool,
 
-    view: View,
+    view: Membership,
     voter: bool,
     promised: Ballot,
-    accepted: Option<(Ballot, View)>,
+    accepted: Option<(Ballot, Membership)>,
     attempt: Option<membership::Attempt>,
     next_try: Nanos,
     /// A change of the view is wished, and was a moment ago.
@@ -210,20 +211,20 @@
     /// The agreement on one content for each version of these.
     versions: version_ballots::Versions,
 
-    claims: BTreeMap<Key, leases::Kept>,
+    claims: BTreeMap<LeaseKey, leases::Kept>,
     answers: kept_answers::Answers,
-    expiry: BTreeSet<(Nanos, Key)>,
-    freed: BTreeMap<Token, Nanos>,
+    expiry: BTreeSet<(Nanos, LeaseKey)>,
+    freed: BTreeMap<LeaseToken, Nanos>,
     /// Who asked for a key while another's claim of it was open.
-    askers: BTreeSet<(Key, SocketAddr)>,
-    freed_order: VecDeque<(Nanos, Token)>,
+    askers: BTreeSet<(LeaseKey, SocketAddr)>,
+    freed_order: VecDeque<(Nanos, LeaseToken)>,
     told: VecDeque<(Nanos, leases::Told)>,
     sessions: sessions::Sessions,
 
     calls: BTreeMap<u64, Call>,
     sheet_calls: BTreeSet<u64>,
     timers: BTreeSet<(Nanos, u64)>,
-    by_key: BTreeMap<Key, Vec<u64>>,
+    by_key: BTreeMap<LeaseKey, Vec<u64>>,
     /// Goes with the numbers of calls on the wire, so that another life's are not taken for this one's.
     salt: u64,
     post: BTreeMap<SocketAddr, Post>,
@@ -245,24 +246,36 @@
         me: SocketAddr,
         first_start: bool,
         seeds: &[SocketAddr],
-        saved: Saved,
+        saved: PersistedState,
         config: Config,
-        out: &mut Vec<Act>,
+        out: &mut Vec<Effect>,
     ) -> Core {
         let mut chance = ChaCha8Rng::seed_from_u64(seed);
-        let fresh = saved.ballots.is_none();
-        let ballots = saved.ballots.unwrap_or_else(|| {
+        let fresh = saved.membership_ballot.is_none();
+        let ballots = saved.membership_ballot.unwrap_or_else(|| {
             let disk = if first_start { 0 } else { chance.random_range(1..=u64::MAX) };
-            let me = Station { at: me, disk };
-            let first = || seeds.iter().map(|at| Station { at: *at, disk: 0 }).collect();
-            let view = if first_start { View::first(1, first()) } else { View::first(0, Vec::new()) };
+            let me = ReplicaId { address: me, disk_id: disk };
+            let first = || seeds.iter().map(|at| ReplicaId { address: *at, disk_id: 0 }).collect();
+            let view = if first_start {
+                Membership::initial(1, first())
+            } else {
+                Membership::initial(0, Vec::new())
+            };
             let voter = view.members.contains(&me);
             let (promised, accepted) = (Ballot::default(), None);
-            Ballots { me, view, voter, promised, accepted, told_new: false, barred: false }
+            MembershipBallotState {
+                replica: me,
+                membership: view,
+                voter,
+                promised,
+                accepted,
+                served_snapshot: false,
+                barred_from_serving: false,
+            }
         });
-        let station = Station { at: me, disk: ballots.me.disk };
-        let voted = ballots.voter && station == ballots.me;
-        let member = ballots.view.members.contains(&station);
+        let station = ReplicaId { address: me, disk_id: ballots.replica.disk_id };
+        let voted = ballots.voter && station == ballots.replica;
+        let member = ballots.membership.members.contains(&station);
         let salt = chance.random();
         let mut core = Core {
             now,
@@ -275,19 +288,19 @@
             tell: false,
             leaving: false,
             voter: voted && member,
-            left: (voted && !member).then_some(ballots.view.number),
-            told_new: ballots.told_new,
-            barred: ballots.barred,
+            left: (voted && !member).then_some(ballots.membership.epoch),
+            told_new: ballots.served_snapshot,
+            barred: ballots.barred_from_serving,
             top_round: ballots.promised.round,
-            view: ballots.view,
+            view: ballots.membership,
             promised: ballots.promised,
             accepted: ballots.accepted,
             attempt: None,
             next_try: now,
             wishing: false,
             catching: None,
-            sheet: registers::Register::holding(saved.sheet),
-            papers: named_registers::Papers::holding(saved.papers),
+            sheet: registers::Register::holding(saved.configuration),
+            papers: named_registers::Papers::holding(saved.registers),
             versions: version_ballots::Versions::default(),
             claims: BTreeMap::new(),
             answers: kept_answers::Answers::default(),
@@ -306,36 +319,42 @@
             mutant: 0,
             hasty: false,
         };
-        for (key, claim) in saved.claims {
+        for (key, claim) in saved.leases {
             core.put(key, claim);
         }
         for (session, entry) in saved.sessions {
             core.put_session(session, entry);
         }
-        core.load_version_ballots(saved.version_ballots);
+        core.load_version_ballots(saved.acceptors);
         core.shed(out);
-        if fresh || station != ballots.me {
+        if fresh || station != ballots.replica {
             core.keep_ballots(out);
         }
-        out.push(Act::Log(format!("core: {station:?}, voter {}, view {:?}", core.voter, core.view)));
+        out.push(Effect::Log(format!("core: {station:?}, voter {}, view {:?}", core.voter, core.view)));
         core.enter(now, out);
         core
     }
 
     /// What came in a letter, from another steward or from oneself.
-    pub fn hear(&mut self, now: Nanos, letter: Letter, out: &mut Vec<Act>) {
+    pub fn handle_message(&mut self, now: Nanos, letter: Message, out: &mut Vec<Effect>) {
         self.now = self.now.max(now);
-        let Letter { from, view, body } = letter;
-        if from.at == self.me.at && from != self.me {
+        let Message { from, epoch: view, body } = letter;
+        if from.address == self.me.address && from != self.me {
             return; // An earlier life of this very steward.
         }
         if from != self.me {
             self.note(now, from, view, &body, out);
         }
-        let same = view == self.view.number;
+        let same = view == self.view.epoch;
         let member = same && self.is_member(&from);
         match body {
-            Body::Beat { voter, sheet, safe, papers, .. } => {
+            MessageBody::Heartbeat {
+                voter,
+                configuration: sheet,
+                committed_configuration: safe,
+                registers_digest: papers,
+                ..
+            } => {
                 if member && voter {
                     self.sheet.ranked(from, sheet);
                 }
@@ -344,69 +363,100 @@
                 self.recount(TIMETABLE, out);
                 self.papers_there(now, from, member && voter, papers, out);
             }
-            Body::Holds(view) => self.adopt(now, view, out),
-            Body::Prepare(ballot) if same => self.prepare(from, ballot, out),
-            Body::Promise { ballot, accepted } if member => self.promise(from, ballot, accepted, false, out),
-            Body::Accept(ballot, view) if same => self.accept(from, ballot, view, out),
-            Body::Accepted(ballot) if same => self.accepted(now, from, ballot, out),
-            Body::Bar(ballot) if same => self.bar(from, ballot, out),
-            Body::Barred { ballot, accepted } if same => self.promise(from, ballot, accepted, true, out),
-            Body::Outbid(ballot) if same => self.outbid(now, ballot),
-            Body::Grant(list) if same => self.asked_grants(now, from, list, out),
-            Body::Granted(list) if member || self.mutant == 1 => self.granted(now, from, list, out),
-            Body::Settle(list) => {
+            MessageBody::MembershipAnnouncement(view) => self.adopt(now, view, out),
+            MessageBody::Prepare(ballot) if same => self.prepare(from, ballot, out),
+            MessageBody::Promise { ballot, accepted } if member => {
+                self.promise(from, ballot, accepted, false, out)
+            }
+            MessageBody::Accept(ballot, view) if same => self.accept(from, ballot, view, out),
+            MessageBody::Accepted(ballot) if same => self.accepted(now, from, ballot, out),
+            MessageBody::PrepareRollback(ballot) if same => self.bar(from, ballot, out),
+            MessageBody::RollbackPromise { ballot, accepted } if same => {
+                self.promise(from, ballot, accepted, true, out)
+            }
+            MessageBody::Preempted(ballot) if same => self.outbid(now, ballot),
+            MessageBody::RequestLeases(list) if same => self.asked_grants(now, from, list, out),
+            MessageBody::LeaseVotes(list) if member || self.mutant == 1 => self.granted(now, from, list, out),
+            MessageBody::CompleteLeases(list) => {
                 for (key, token, outcome) in list {
                     self.settle(now, key, token, outcome, out);
                 }
             }
-            Body::Hold(sheet) => self.offered(from, same, sheet, out),
-            Body::WantSheet { ask, have } => self.want_sheet(from, same, ask, have, out),
-            Body::Held { ask, rank } => self.held_there(now, from, member, ask, rank, out),
-            Body::WantState { from: place, round, papers } if member || self.mutant == 9 => {
-                self.want_state(from, place, round, papers, out);
+            MessageBody::StoreConfiguration(sheet) => self.offered(from, same, sheet, out),
+            MessageBody::FetchConfiguration { read_id: ask, known: have } => {
+                self.want_sheet(from, same, ask, have, out)
+            }
+            MessageBody::ConfigurationStored { read_id: ask, revision: rank } => {
+                self.held_there(now, from, member, ask, rank, out)
             }
-            Body::Sessions(list) => self.said_of_sessions(now, from, (same, member), list, out),
-            Body::State { round, part, next, sheet, sessions, papers, next_paper, version_ballots }
-                if same || self.mutant == 9 =>
+            MessageBody::FetchSnapshot { from_key: place, catch_up_id: round, from_register: papers }
+                if member || self.mutant == 9 =>
             {
+                self.want_state(from, place, round, papers, out);
+            }
+            MessageBody::Sessions(list) => self.said_of_sessions(now, from, (same, member), list, out),
+            MessageBody::SnapshotChunk {
+                catch_up_id: round,
+                leases: part,
+                next_key: next,
+                configuration: sheet,
+                sessions,
+                registers: papers,
+                next_register: next_paper,
+                acceptors: version_ballots,
+            } if same || self.mutant == 9 => {
                 let held = (part, sessions, papers, version_ballots);
                 self.state(now, from, round, held, sheet, (next, next_paper), out);
             }
-            Body::Version(message) => self.version_message(now, from, (same, member), message, out),
-            Body::HoldPapers(papers) => self.papers_offered(from, same, papers, out),
-            Body::WantPapers { ask, have } => self.want_papers(from, same, ask, have, out),
-            Body::PapersHeld { ask, voter, ranks, next } => {
+            MessageBody::RegisterPaxos(message) => {
+                self.version_message(now, from, (same, member), message, out)
+            }
+            MessageBody::StoreRegisters(papers) => self.papers_offered(from, same, papers, out),
+            MessageBody::FetchRegisters { read_id: ask, known: have } => {
+                self.want_papers(from, same, ask, have, out)
+            }
+            MessageBody::RegistersStored { read_id: ask, voter, revisions: ranks, next } => {
                 self.papers_held(now, from, member && voter, ask, ranks, next, out);
             }
-            Body::ListPapers(place) => self.list_papers(from, &place, out),
+            MessageBody::ListRegisters(place) => self.list_papers(from, &place, out),
             _ => {}
         }
     }
 
-    /// Answered by `Act::Answer`, once. What it has to say to others may wait for `flush`.
-    pub fn want(&mut self, now: Nanos, call: u64, want: Want, out: &mut Vec<Act>) {
+    /// Answered by `Effect::Respond`, once. What it has to say to others may wait for `flush`.
+    pub fn handle_request(&mut self, now: Nanos, call: u64, want: CoreRequest, out: &mut Vec<Effect>) {
         self.now = self.now.max(now);
         if self.calls.contains_key(&call) {
             return;
         }
         match want {
-            Want::Claim { key, token, left_ms } => self.claim_wanted(now, call, key, token, left_ms, out),
-            Want::Settle { key, token, outcome } => self.settle_wanted(now, call, key, token, outcome, out),
-            Want::Replace(sheet) => self.replace_wanted(now, call, TIMETABLE.into(), sheet, out),
-            Want::Read => self.read_wanted(now, call, TIMETABLE.into(), out),
-            Want::Paper(Paper { name, sheet }) if self.papers.has_room(&name, &sheet) => {
+            CoreRequest::AcquireLease { key, token, time_left_ms: left_ms } => {
+                self.claim_wanted(now, call, key, token, left_ms, out)
+            }
+            CoreRequest::CompleteLease { key, token, outcome } => {
+                self.settle_wanted(now, call, key, token, outcome, out)
+            }
+            CoreRequest::ReplaceConfiguration(sheet) => {
+                self.replace_wanted(now, call, TIMETABLE.into(), sheet, out)
+            }
+            CoreRequest::ReadConfiguration => self.read_wanted(now, call, TIMETABLE.into(), out),
+            CoreRequest::ReplaceRegister(NamedRegister { name, value: sheet })
+                if self.papers.has_room(&name, &sheet) =>
+            {
                 self.replace_wanted(now, call, name, sheet, out);
             }
-            Want::Paper(_) => out.push(Act::Answer { call, got: Got::Full }),
-            Want::ReadPaper(name) => self.read_wanted(now, call, name, out),
-            Want::Session(session, wish) => self.session_wanted(now, call, session, wish, out),
+            CoreRequest::ReplaceRegister(_) => {
+                out.push(Effect::Respond { call, response: CoreResponse::CapacityExceeded })
+            }
+            CoreRequest::ReadRegister(name) => self.read_wanted(now, call, name, out),
+            CoreRequest::Session(session, wish) => self.session_wanted(now, call, session, wish, out),
         }
     }
 
     /// The caller has gone: no answer is given any more. What was claimed stays claimed.
-    pub fn forget(&mut self, call: u64) {
+    pub fn cancel_request(&mut self, call: u64) {
         match self.calls.remove(&call) {
-            Some(Call::Claim(asked)) => {
+            Some(Call::Lease(asked)) => {
                 self.timers.remove(&(asked.timer, call));
                 if let Some(calls) = self.by_key.get_mut(&asked.key) {
                     calls.retain(|other| *other != call);
@@ -432,7 +482,7 @@
     }
 
     /// Does what is due; says when to be called again at the latest. Flushes.
-    pub fn tick(&mut self, now: Nanos, out: &mut Vec<Act>) -> Nanos {
+    pub fn tick(&mut self, now: Nanos, out: &mut Vec<Effect>) -> Nanos {
         self.now = self.now.max(now);
         while let Some(&(at, call)) = self.timers.first() {
             if at > now {
@@ -440,7 +490,7 @@
             }
             self.timers.remove(&(at, call));
             match self.calls.get(&call) {
-                Some(Call::Claim(_)) => self.claim_timer(now, call, out),
+                Some(Call::Lease(_)) => self.claim_timer(now, call, out),
                 Some(Call::Session(_)) => self.session_timer(now, call, out),
                 Some(_) => self.sheet_timer(now, call, out),
                 None => {}
@@ -465,47 +515,56 @@
     }
 
     /// Hands out what waited to go out together; to be called after each batch of `hear` and `want`.
-    pub fn flush(&mut self, out: &mut Vec<Act>) {
+    pub fn flush(&mut self, out: &mut Vec<Effect>) {
         for (at, post) in std::mem::take(&mut self.post) {
-            let settled =
-                |(_, _, outcome): &(Key, Token, Option<Outcome>)| outcome.as_ref().map_or(0, weight);
+            let settled = |(_, _, outcome): &(LeaseKey, LeaseToken, Option<LeaseOutcome>)| {
+                outcome.as_ref().map_or(0, weight)
+            };
             for part in parts(post.settles, settled) {
-                out.push(Act::Now(at, self.letter(Body::Settle(part))));
+                out.push(Effect::SendNow(at, self.letter(MessageBody::CompleteLeases(part))));
             }
             for part in parts(post.grants, |_| 0) {
-                out.push(Act::Now(at, self.letter(Body::Grant(part))));
+                out.push(Effect::SendNow(at, self.letter(MessageBody::RequestLeases(part))));
             }
-            let refused = |(_, grant): &(u64, Grant)| match grant {
-                Grant::No(claim) => weight(&claim.outcome),
-                Grant::Yes | Grant::Freed => 0,
+            let refused = |(_, grant): &(u64, LeaseVote)| match grant {
+                LeaseVote::Held(claim) => weight(&claim.outcome),
+                LeaseVote::Granted | LeaseVote::TokenReleased => 0,
             };
             for part in parts(post.granted, refused) {
-                let letter = self.letter(Body::Granted(part));
-                out.push(if self.mutant == 3 { Act::Now(at, letter) } else { Act::Send(at, letter) });
+                let letter = self.letter(MessageBody::LeaseVotes(part));
+                out.push(if self.mutant == 3 {
+                    Effect::SendNow(at, letter)
+                } else {
+                    Effect::SendAfterPersist(at, letter)
+                });
             }
             for part in parts(post.session_asks, |_| 0) {
-                out.push(Act::Now(at, self.letter(Body::Sessions(part))));
+                out.push(Effect::SendNow(at, self.letter(MessageBody::Sessions(part))));
             }
             for part in parts(post.session_replies, |_| 0) {
-                let letter = self.letter(Body::Sessions(part));
-                out.push(if self.mutant == 27 { Act::Now(at, letter) } else { Act::Send(at, letter) });
+                let letter = self.letter(MessageBody::Sessions(part));
+                out.push(if self.mutant == 27 {
+                    Effect::SendNow(at, letter)
+                } else {
+                    Effect::SendAfterPersist(at, letter)
+                });
             }
         }
         if std::mem::take(&mut self.tell) {
             let letter = self.beat();
             for at in self.all_known() {
-                out.push(Act::Send(at, letter.clone()));
+                out.push(Effect::SendAfterPersist(at, letter.clone()));
             }
         }
     }
 
     /// The settings file changed.
-    pub fn seeds(&mut self, seeds: &[SocketAddr]) {
+    pub fn set_seeds(&mut self, seeds: &[SocketAddr]) {
         self.seeds = seeds.to_vec();
     }
 
     /// This steward is about to end: others may take its place at once.
-    pub fn leaving(&mut self, now: Nanos, out: &mut Vec<Act>) {
+    pub fn announce_departure(&mut self, now: Nanos, out: &mut Vec<Effect>) {
         self.now = self.now.max(now);
         self.leaving = true;
         self.tell = true;
@@ -515,7 +574,7 @@
     /// After `leaving`: what this replica holds is on enough others, so that it may end for good. As a member it waits
     /// until another that votes has its place, or until nobody is there to take it and all others vote: one that is
     /// still catching up may need to be told by this one.
-    pub fn gone(&self) -> bool {
+    pub fn may_stop(&self) -> bool {
         if !self.leaving || self.mutant == 38 {
             return self.leaving;
         }
@@ -528,81 +587,82 @@
     }
 
     /// The newest configuration known to be on more than half of the voters' disks. Never goes back in a life.
-    pub fn safe(&self) -> Option<&Arc<Sheet>> {
+    pub fn committed_configuration(&self) -> Option<&Arc<RegisterValue>> {
         self.sheet.safe.as_ref()
     }
 
     /// The newest one that this steward has, which may yet be lost.
-    pub fn held(&self) -> Option<&Arc<Sheet>> {
+    pub fn stored_configuration(&self) -> Option<&Arc<RegisterValue>> {
         self.sheet.held.as_ref()
     }
 
-    pub fn me(&self) -> Station {
+    pub fn replica(&self) -> ReplicaId {
         self.me
     }
 
-    pub fn view(&self) -> &View {
+    pub fn membership(&self) -> &Membership {
         &self.view
     }
 
-    pub fn voter(&self) -> bool {
+    pub fn is_voting(&self) -> bool {
         self.voter
     }
 
     /// More than half of the view is heard.
-    pub fn settled(&self, now: Nanos) -> bool {
-        let there = |station: &&Station| {
+    pub fn has_quorum(&self, now: Nanos) -> bool {
+        let there = |station: &&ReplicaId| {
             **station == self.me || self.peers.get(*station).is_some_and(|peer| peer.there(now))
         };
-        self.view.number > 0 && self.view.members.iter().filter(there).count() >= self.majority()
+        self.view.epoch > 0 && self.view.members.iter().filter(there).count() >= self.majority()
     }
 
     /// All stewards that are members or known to be there.
-    pub fn stewards(&self) -> Vec<SocketAddr> {
-        let there = self.peers.iter().filter(|(_, peer)| peer.there(self.now)).map(|(station, _)| station.at);
-        let members = self.view.members.iter().map(|station| station.at);
-        let all: BTreeSet<SocketAddr> = there.chain(members).chain([self.me.at]).collect();
+    pub fn replica_addresses(&self) -> Vec<SocketAddr> {
+        let there =
+            self.peers.iter().filter(|(_, peer)| peer.there(self.now)).map(|(station, _)| station.address);
+        let members = self.view.members.iter().map(|station| station.address);
+        let all: BTreeSet<SocketAddr> = there.chain(members).chain([self.me.address]).collect();
         all.into_iter().collect()
     }
 
     /// This steward, the members, and all others heard of late.
-    pub fn known(&self, now: Nanos) -> Vec<Known> {
-        let me = Known {
-            station: self.me,
+    pub fn peer_statuses(&self, now: Nanos) -> Vec<PeerStatus> {
+        let me = PeerStatus {
+            replica: self.me,
             member: self.is_member(&self.me),
             voter: self.voter,
-            view: self.view.number,
-            heard: Some(0),
+            epoch: self.view.epoch,
+            heard_ago: Some(0),
             leaving: self.leaving,
             zone: self.config.zone.clone(),
         };
         let others = self.peers.iter().filter(|(station, _)| **station != self.me);
-        let others = others.map(|(station, peer)| Known {
-            station: *station,
+        let others = others.map(|(station, peer)| PeerStatus {
+            replica: *station,
             member: self.is_member(station),
             voter: peer.voter,
-            view: peer.view,
-            heard: peer.heard.map(|heard| now.saturating_sub(heard)),
+            epoch: peer.view,
+            heard_ago: peer.heard.map(|heard| now.saturating_sub(heard)),
             leaving: peer.leaving,
             zone: peer.zone.clone(),
         });
-        let mut all: Vec<Known> = [me].into_iter().chain(others).collect();
-        all.sort_by_key(|known| known.station);
+        let mut all: Vec<PeerStatus> = [me].into_iter().chain(others).collect();
+        all.sort_by_key(|known| known.replica);
         all
     }
 
     /// All that the disk should hold, to write it anew.
-    pub fn records(&self) -> Vec<Record> {
-        let claims = self.claims.iter().map(|(key, kept)| Record::Claim(*key, kept.claim.clone()));
-        let sheet = self.sheet.held.iter().map(|sheet| Record::Sheet(sheet.clone()));
-        let papers = self.papers.from("").map(Record::Paper);
-        let versions = Record::VersionBallots(self.version_ballots());
-        let all = [Record::Ballots(self.ballots()), versions].into_iter();
+    pub fn log_records(&self) -> Vec<LogRecord> {
+        let claims = self.claims.iter().map(|(key, kept)| LogRecord::Lease(*key, kept.claim.clone()));
+        let sheet = self.sheet.held.iter().map(|sheet| LogRecord::Configuration(sheet.clone()));
+        let papers = self.papers.from("").map(LogRecord::Register);
+        let versions = LogRecord::RegisterAcceptors(self.version_ballots());
+        let all = [LogRecord::MembershipBallot(self.ballots()), versions].into_iter();
         let all = all.chain(sheet).chain(papers).chain(claims);
         all.chain(self.session_records()).collect()
     }
 
-    fn is_member(&self, station: &Station) -> bool {
+    fn is_member(&self, station: &ReplicaId) -> bool {
         self.view.members.binary_search(station).is_ok()
     }
 
@@ -612,65 +672,69 @@
         if self.mutant == 4 { half.max(1) } else { half + 1 }
     }
 
-    fn others(&self) -> impl Iterator<Item = Station> + use<> {
+    fn others(&self) -> impl Iterator<Item = ReplicaId> + use<> {
         let me = self.me;
         self.view.members.clone().into_iter().filter(move |station| *station != me)
     }
 
-    fn letter(&self, body: Body) -> Letter {
-        Letter { from: self.me, view: self.view.number, body }
+    fn letter(&self, body: MessageBody) -> Message {
+        Message { from: self.me, epoch: self.view.epoch, body }
     }
 
     /// Sends once all that was written is safe.
-    fn send(&self, at: SocketAddr, body: Body, out: &mut Vec<Act>) {
-        out.push(Act::Send(at, self.letter(body)));
+    fn send(&self, at: SocketAddr, body: MessageBody, out: &mut Vec<Effect>) {
+        out.push(Effect::SendAfterPersist(at, self.letter(body)));
     }
 
     /// Sends at once: only for what promises nothing.
-    fn now(&self, at: SocketAddr, body: Body, out: &mut Vec<Act>) {
-        out.push(Act::Now(at, self.letter(body)));
+    fn now(&self, at: SocketAddr, body: MessageBody, out: &mut Vec<Effect>) {
+        out.push(Effect::SendNow(at, self.letter(body)));
     }
 
-    fn answer(&mut self, call: u64, got: Got, out: &mut Vec<Act>) {
-        self.forget(call);
-        out.push(Act::Answer { call, got });
+    fn answer(&mut self, call: u64, got: CoreResponse, out: &mut Vec<Effect>) {
+        self.cancel_request(call);
+        out.push(Effect::Respond { call, response: got });
     }
 
-    fn beat(&self) -> Letter {
-        self.letter(Body::Beat {
+    fn beat(&self) -> Message {
+        self.letter(MessageBody::Heartbeat {
             voter: self.voter,
-            sheet: self.sheet.held_rank(),
-            safe: self.sheet.safe_rank,
+            configuration: self.sheet.held_rank(),
+            committed_configuration: self.sheet.safe_rank,
             leaving: self.leaving,
-            zone: if self.config.zones > 0 { self.config.zone.clone() } else { String::new() },
-            papers: self.papers.digest(),
+            zone: if self.config.tolerated_zone_losses > 0 {
+                self.config.zone.clone()
+            } else {
+                String::new()
+            },
+            registers_digest: self.papers.digest(),
         })
     }
 
     /// Members, seeds and all heard lately; oneself only where that counts.
     fn all_known(&self) -> BTreeSet<SocketAddr> {
-        let members = self.view.members.iter().map(|station| station.at);
-        let peers = self.peers.keys().map(|station| station.at);
+        let members = self.view.members.iter().map(|station| station.address);
+        let peers = self.peers.keys().map(|station| station.address);
         let mut all: BTreeSet<SocketAddr> = members.chain(peers).chain(self.seeds.iter().copied()).collect();
         if !self.voter {
-            all.remove(&self.me.at);
+            all.remove(&self.me.address);
         }
         all
     }
 
     /// Notes that another was heard, and sees to it that both get to the same view.
-    fn note(&mut self, now: Nanos, from: Station, view: u64, body: &Body, out: &mut Vec<Act>) {
+    fn note(&mut self, now: Nanos, from: ReplicaId, view: u64, body: &MessageBody, out: &mut Vec<Effect>) {
         if !self.peers.contains_key(&from) {
             if self.peers.len() >= MOST_PEERS {
                 return;
             }
             self.peers.insert(from, Peer::new(now));
         }
-        let mine = self.view.number;
+        let mine = self.view.epoch;
         let Some(peer) = self.peers.get_mut(&from) else { return };
         let missed = (peer.silence(now) > SILENT).then(|| peer.heard.unwrap_or(peer.since));
         peer.heard = Some(now.max(peer.heard.unwrap_or(0)));
-        if let Body::Beat { voter, leaving, zone, .. } = body {
+        if let MessageBody::Heartbeat { voter, leaving, zone, .. } = body {
             // A late beat of an earlier view says nothing.
             if view >= peer.view {
                 peer.voter = *voter || (peer.voter && view == peer.view);
@@ -684,13 +748,15 @@
         }
         let (tells, asks) = (
             view < mine && due(&mut peer.told, now, RARELY),
-            view > mine && !matches!(body, Body::Holds(_)) && due(&mut peer.asked, now, RARELY),
+            view > mine
+                && !matches!(body, MessageBody::MembershipAnnouncement(_))
+                && due(&mut peer.asked, now, RARELY),
         );
         if tells {
-            self.now(from.at, Body::Holds(self.view.clone()), out);
+            self.now(from.address, MessageBody::MembershipAnnouncement(self.view.clone()), out);
         }
         if asks {
-            out.push(Act::Send(from.at, self.beat()));
+            out.push(Effect::SendAfterPersist(from.address, self.beat()));
         }
         if let Some(since) = missed {
             self.tell_again(from, since);
@@ -698,10 +764,10 @@
     }
 }
 
-fn weight(outcome: &Outcome) -> usize {
+fn weight(outcome: &LeaseOutcome) -> usize {
     match outcome {
-        Outcome::Open | Outcome::Unknown => 0,
-        Outcome::Done(answer) => {
+        LeaseOutcome::Pending | LeaseOutcome::Indeterminate => 0,
+        LeaseOutcome::Completed(answer) => {
             answer.body.len()
                 + answer.headers.iter().map(|(name, value)| name.len() + value.len()).sum::<usize>()
         }
--- a/consensus/src/core/kept_answers.rs
+++ b/consensus/src/core/kept_answers.rs
@@ -14,27 +14,27 @@
 pub(super) struct Answers {
     bytes: usize,
     /// By the end of their time.
-    order: BTreeSet<(Nanos, Key)>,
+    order: BTreeSet<(Nanos, LeaseKey)>,
     dropped: u64,
     told: usize,
 }
 
-fn size(outcome: &Outcome) -> usize {
+fn size(outcome: &LeaseOutcome) -> usize {
     match outcome {
-        Outcome::Open | Outcome::Unknown => 0,
-        Outcome::Done(answer) => weight(outcome) + MORE + MORE_FIELD * answer.headers.len(),
+        LeaseOutcome::Pending | LeaseOutcome::Indeterminate => 0,
+        LeaseOutcome::Completed(answer) => weight(outcome) + MORE + MORE_FIELD * answer.headers.len(),
     }
 }
 
 impl Answers {
-    pub fn comes(&mut self, until: Nanos, key: Key, outcome: &Outcome) {
+    pub fn comes(&mut self, until: Nanos, key: LeaseKey, outcome: &LeaseOutcome) {
         if size(outcome) > 0 {
             self.bytes += size(outcome);
             self.order.insert((until, key));
         }
     }
 
-    pub fn goes(&mut self, until: Nanos, key: Key, outcome: &Outcome) {
+    pub fn goes(&mut self, until: Nanos, key: LeaseKey, outcome: &LeaseOutcome) {
         if size(outcome) > 0 {
             self.bytes = self.bytes.saturating_sub(size(outcome));
             self.order.remove(&(until, key));
@@ -44,31 +44,31 @@
 
 impl Core {
     /// The bytes that kept answers take, how many may be, and how many answers were dropped in this life.
-    pub fn answers(&self) -> (usize, usize, u64) {
-        (self.answers.bytes, self.config.most_bytes, self.answers.dropped)
+    pub fn response_cache_usage(&self) -> (usize, usize, u64) {
+        (self.answers.bytes, self.config.max_response_bytes, self.answers.dropped)
     }
 
     /// One that is too long by itself is not kept at all. Guards against one that would push out all others.
-    pub(super) fn fitting(&mut self, mut claim: Claim) -> Claim {
-        if size(&claim.outcome) > self.config.most_bytes {
-            claim.outcome = Outcome::Unknown;
+    pub(super) fn fitting(&mut self, mut claim: Lease) -> Lease {
+        if size(&claim.outcome) > self.config.max_response_bytes {
+            claim.outcome = LeaseOutcome::Indeterminate;
             self.answers.dropped += 1;
         }
         claim
     }
 
     /// Drops answers while they take more than they may.
-    pub(super) fn shed(&mut self, out: &mut Vec<Act>) {
-        while self.answers.bytes > self.config.most_bytes {
+    pub(super) fn shed(&mut self, out: &mut Vec<Effect>) {
+        while self.answers.bytes > self.config.max_response_bytes {
             let Some(&(_, key)) = self.answers.order.first() else { return };
             let Some(kept) = self.claims.get(&key) else { return };
             if self.mutant == 12 {
                 self.remove(key, out);
                 continue;
             }
-            let claim = Claim { outcome: Outcome::Unknown, ..kept.claim };
+            let claim = Lease { outcome: LeaseOutcome::Indeterminate, ..kept.claim };
             self.answers.dropped += 1;
-            out.push(Act::Write(Record::Claim(key, claim.clone())));
+            out.push(Effect::Persist(LogRecord::Lease(key, claim.clone())));
             self.put(key, claim);
         }
     }
@@ -77,7 +77,7 @@
     pub(super) fn remember(&mut self, now: Nanos, told: leases::Told) {
         self.answers.told += told.outcome().map_or(0, size);
         self.told.push_back((now, told));
-        let most = self.config.most_bytes / TOLD_PART;
+        let most = self.config.max_response_bytes / TOLD_PART;
         while let Some((at, first)) = self.told.front()
             && (self.told.len() > leases::MOST_TOLD
                 || self.answers.told > most
--- a/consensus/src/core/leases.rs
+++ b/consensus/src/core/leases.rs
@@ -16,23 +16,23 @@
 const MOST_FREED: usize = 20_000;
 const MOST_ASKERS: usize = 4_096;
 /// Nobody's token.
-const NOBODY: Token = 0;
+const NOBODY: LeaseToken = 0;
 
 #[derive(Clone, Debug)]
 pub(super) struct Kept {
-    pub claim: Claim,
+    pub claim: Lease,
     until: Nanos,
 }
 
 /// What the other members were told, for those that missed it.
 #[derive(Clone, Debug)]
 pub(super) enum Told {
-    Grant(Key, Token, u32),
-    Settle(Key, Token, Option<Outcome>),
+    Grant(LeaseKey, LeaseToken, u32),
+    Settle(LeaseKey, LeaseToken, Option<LeaseOutcome>),
 }
 
 impl Told {
-    pub fn outcome(&self) -> Option<&Outcome> {
+    pub fn outcome(&self) -> Option<&LeaseOutcome> {
         if let Told::Settle(_, _, outcome) = self { outcome.as_ref() } else { None }
     }
 }
@@ -40,17 +40,17 @@
 /// A call that gathers grants.
 #[derive(Clone, Debug)]
 pub(super) struct Asked {
-    pub key: Key,
-    token: Token,
+    pub key: LeaseKey,
+    token: LeaseToken,
     left_ms: u32,
     began: Nanos,
     wait_until: Nanos,
     pub timer: Nanos,
     /// Only as many as are needed were asked so far.
     few: bool,
-    yes: BTreeSet<Station>,
+    yes: BTreeSet<ReplicaId>,
     /// With the claim that is in the way, where there is one.
-    no: BTreeMap<Station, Option<Claim>>,
+    no: BTreeMap<ReplicaId, Option<Lease>>,
 }
 
 /// How long a call waits for another claim's outcome, whose request has so many ms left.
@@ -58,17 +58,17 @@
     (u64::from(left_ms) * MS / OUTCOME_WAIT_DIVISOR).min(MAX_OUTCOME_WAIT)
 }
 
-fn grade(outcome: &Outcome) -> u8 {
+fn grade(outcome: &LeaseOutcome) -> u8 {
     match outcome {
-        Outcome::Open => 0,
-        Outcome::Unknown => 1,
-        Outcome::Done(_) => 2,
+        LeaseOutcome::Pending => 0,
+        LeaseOutcome::Indeterminate => 1,
+        LeaseOutcome::Completed(_) => 2,
     }
 }
 
 impl Core {
     /// How many keys are open, of unknown outcome and done.
-    pub fn keys(&self) -> (usize, usize, usize) {
+    pub fn lease_counts(&self) -> (usize, usize, usize) {
         let mut count = [0; 3];
         for kept in self.claims.values() {
             if let Some(count) = count.get_mut(grade(&kept.claim.outcome) as usize) {
@@ -78,37 +78,37 @@
         (count[0], count[1], count[2])
     }
 
-    pub fn claim(&self, key: Key) -> Option<&Claim> {
+    pub fn lease(&self, key: LeaseKey) -> Option<&Lease> {
         self.claims.get(&key).map(|kept| &kept.claim)
     }
 
     /// For how long a claim is known here.
-    pub fn age(&self, key: Key) -> Option<Nanos> {
+    pub fn lease_age(&self, key: LeaseKey) -> Option<Nanos> {
         self.claims.get(&key).map(|kept| self.known_for(kept))
     }
 
     /// That of the open claim which is known for longest.
-    pub fn oldest_open(&self) -> Option<Nanos> {
-        let open = self.claims.values().filter(|kept| kept.claim.outcome == Outcome::Open);
+    pub fn oldest_pending_lease_age(&self) -> Option<Nanos> {
+        let open = self.claims.values().filter(|kept| kept.claim.outcome == LeaseOutcome::Pending);
         open.map(|kept| self.known_for(kept)).max()
     }
 
     fn known_for(&self, kept: &Kept) -> Nanos {
-        self.now.saturating_add(self.config.keep).saturating_sub(kept.until)
+        self.now.saturating_add(self.config.lease_ttl).saturating_sub(kept.until)
     }
 
     pub(super) fn claim_wanted(
         &mut self,
         now: Nanos,
         call: u64,
-        key: Key,
-        token: Token,
+        key: LeaseKey,
+        token: LeaseToken,
         left_ms: u32,
-        out: &mut Vec<Act>,
+        out: &mut Vec<Effect>,
     ) {
-        let full = self.claims.len() >= self.config.most_claims && !self.claims.contains_key(&key);
+        let full = self.claims.len() >= self.config.max_leases && !self.claims.contains_key(&key);
         if token == NOBODY || full || self.calls.len() - self.sheet_calls.len() >= MOST_CLAIM_CALLS {
-            out.push(Act::Answer { call, got: Got::Unsure });
+            out.push(Effect::Respond { call, response: CoreResponse::Unavailable });
             return;
         }
         let asked = Asked {
@@ -123,7 +123,7 @@
             no: BTreeMap::new(),
         };
         self.timers.insert((asked.timer, call));
-        self.calls.insert(call, Call::Claim(asked));
+        self.calls.insert(call, Call::Lease(asked));
         self.by_key.entry(key).or_default().push(call);
         self.judge(now, call, out);
         self.gather(call, out);
@@ -133,36 +133,36 @@
         &mut self,
         now: Nanos,
         call: u64,
-        key: Key,
-        token: Token,
-        outcome: Option<Outcome>,
-        out: &mut Vec<Act>,
+        key: LeaseKey,
+        token: LeaseToken,
+        outcome: Option<LeaseOutcome>,
+        out: &mut Vec<Effect>,
     ) {
         self.settle(now, key, token, outcome.clone(), out);
         self.settle_others(now, key, token, outcome);
-        out.push(Act::Answer { call, got: Got::Taken });
+        out.push(Effect::Respond { call, response: CoreResponse::Accepted });
     }
 
-    fn settle_others(&mut self, now: Nanos, key: Key, token: Token, outcome: Option<Outcome>) {
-        let mut others: Vec<Station> = self.others().collect();
-        if matches!(outcome, Some(Outcome::Done(_))) {
+    fn settle_others(&mut self, now: Nanos, key: LeaseKey, token: LeaseToken, outcome: Option<LeaseOutcome>) {
+        let mut others: Vec<ReplicaId> = self.others().collect();
+        if matches!(outcome, Some(LeaseOutcome::Completed(_))) {
             // An answer is kept by as many as it takes to outlive what may be lost, not by all: those nearest to the
             // key. Whoever is asked in its stead finds it there while gathering grants.
-            others.sort_by_key(|station| crate::placement::place(station.at, key));
+            others.sort_by_key(|station| crate::placement::place(station.address, key));
             others.truncate(self.view.members.len() / 2);
         }
         for station in others {
-            self.post.entry(station.at).or_default().settles.push((key, token, outcome.clone()));
+            self.post.entry(station.address).or_default().settles.push((key, token, outcome.clone()));
         }
         self.remember(now, Told::Settle(key, token, outcome));
     }
 
     /// One that was silent since then is back.
-    pub(super) fn tell_again(&mut self, to: Station, since: Nanos) {
+    pub(super) fn tell_again(&mut self, to: ReplicaId, since: Nanos) {
         if !self.is_member(&to) {
             return;
         }
-        let post = self.post.entry(to.at).or_default();
+        let post = self.post.entry(to.address).or_default();
         for (at, told) in self.told.iter().filter(|(at, _)| at.saturating_add(SILENT) >= since) {
             match told {
                 _ if at.saturating_add(TOLD_FOR) < self.now => {}
@@ -174,16 +174,16 @@
 
     /// Asks for grants, oneself first: at the beginning as many as are needed, those nearest to the key that are there,
     /// which will also keep its answer; later all that have not said yes.
-    fn gather(&mut self, call: u64, out: &mut Vec<Act>) {
-        let Some(Call::Claim(asked)) = self.calls.get(&call) else { return };
+    fn gather(&mut self, call: u64, out: &mut Vec<Effect>) {
+        let Some(Call::Lease(asked)) = self.calls.get(&call) else { return };
         let (key, token, left_ms) = (asked.key, asked.token, asked.left_ms);
-        let mut ask: Vec<Station> =
+        let mut ask: Vec<ReplicaId> =
             self.view.members.iter().filter(|station| !asked.yes.contains(station)).copied().collect();
         if asked.few {
-            let away = |station: &Station| self.peers.get(station).is_none_or(|peer| !peer.there(self.now));
+            let away = |station: &ReplicaId| self.peers.get(station).is_none_or(|peer| !peer.there(self.now));
             ask.sort_by_key(|station| {
                 let me = *station == self.me;
-                (!me || !self.voter, !me && away(station), crate::placement::place(station.at, key))
+                (!me || !self.voter, !me && away(station), crate::placement::place(station.address, key))
             });
             ask.truncate(self.majority());
         }
@@ -192,63 +192,80 @@
             if station == self.me {
                 self.vote(id, key, token, left_ms, self.me, out);
             } else {
-                self.post.entry(station.at).or_default().grants.push((id, key, token, left_ms));
+                self.post.entry(station.address).or_default().grants.push((id, key, token, left_ms));
             }
         }
     }
 
     /// Says whether this steward holds the key for the token; no word where it may not vote.
-    fn vote(&mut self, id: u64, key: Key, token: Token, left_ms: u32, to: Station, out: &mut Vec<Act>) {
+    fn vote(
+        &mut self,
+        id: u64,
+        key: LeaseKey,
+        token: LeaseToken,
+        left_ms: u32,
+        to: ReplicaId,
+        out: &mut Vec<Effect>,
+    ) {
         if !self.voter || token == NOBODY {
             return;
         }
         let grant = match self.claims.get(&key) {
-            _ if self.freed.contains_key(&token) => Grant::Freed,
-            Some(kept) if kept.claim.token == token && kept.claim.outcome == Outcome::Open => Grant::Yes,
+            _ if self.freed.contains_key(&token) => LeaseVote::TokenReleased,
+            Some(kept) if kept.claim.token == token && kept.claim.outcome == LeaseOutcome::Pending => {
+                LeaseVote::Granted
+            }
             Some(kept) => {
                 let claim = kept.claim.clone();
-                if claim.outcome == Outcome::Open && to != self.me && self.askers.len() < MOST_ASKERS {
-                    self.askers.insert((key, to.at));
+                if claim.outcome == LeaseOutcome::Pending && to != self.me && self.askers.len() < MOST_ASKERS
+                {
+                    self.askers.insert((key, to.address));
                 }
-                Grant::No(claim)
+                LeaseVote::Held(claim)
             }
-            None if self.claims.len() >= self.config.most_claims => return,
+            None if self.claims.len() >= self.config.max_leases => return,
             None => {
-                self.write(key, Claim { token, left_ms, outcome: Outcome::Open }, out);
-                Grant::Yes
+                self.write(key, Lease { token, time_left_ms: left_ms, outcome: LeaseOutcome::Pending }, out);
+                LeaseVote::Granted
             }
         };
-        self.post.entry(to.at).or_default().granted.push((id, grant));
+        self.post.entry(to.address).or_default().granted.push((id, grant));
     }
 
     pub(super) fn asked_grants(
         &mut self,
         _now: Nanos,
-        from: Station,
-        list: Vec<(u64, Key, Token, u32)>,
-        out: &mut Vec<Act>,
+        from: ReplicaId,
+        list: Vec<(u64, LeaseKey, LeaseToken, u32)>,
+        out: &mut Vec<Effect>,
     ) {
         for (id, key, token, left_ms) in list {
             self.vote(id, key, token, left_ms, from, out);
         }
     }
 
-    pub(super) fn granted(&mut self, now: Nanos, from: Station, list: Vec<(u64, Grant)>, out: &mut Vec<Act>) {
+    pub(super) fn granted(
+        &mut self,
+        now: Nanos,
+        from: ReplicaId,
+        list: Vec<(u64, LeaseVote)>,
+        out: &mut Vec<Effect>,
+    ) {
         for (id, grant) in list {
             let call = id ^ self.salt;
-            let Some(Call::Claim(asked)) = self.calls.get_mut(&call) else { continue };
-            let all = asked.few && grant != Grant::Yes;
+            let Some(Call::Lease(asked)) = self.calls.get_mut(&call) else { continue };
+            let all = asked.few && grant != LeaseVote::Granted;
             asked.few &= !all;
             match grant {
-                Grant::Yes => {
+                LeaseVote::Granted => {
                     asked.no.remove(&from);
                     asked.yes.insert(from);
                 }
-                Grant::No(claim) => {
+                LeaseVote::Held(claim) => {
                     asked.yes.remove(&from);
                     asked.no.insert(from, Some(claim));
                 }
-                Grant::Freed => {
+                LeaseVote::TokenReleased => {
                     asked.yes.remove(&from);
                     asked.no.insert(from, None);
                 }
@@ -261,32 +278,34 @@
     }
 
     /// Answers the call if it can be answered now.
-    fn judge(&mut self, now: Nanos, call: u64, out: &mut Vec<Act>) {
-        let Some(Call::Claim(asked)) = self.calls.get(&call) else { return };
+    fn judge(&mut self, now: Nanos, call: u64, out: &mut Vec<Effect>) {
+        let Some(Call::Lease(asked)) = self.calls.get(&call) else { return };
         let (key, token) = (asked.key, asked.token);
         let voters = self.view.members.len();
-        if let Some(kept) = self.claims.get(&key).filter(|kept| kept.claim.outcome != Outcome::Open) {
+        if let Some(kept) = self.claims.get(&key).filter(|kept| kept.claim.outcome != LeaseOutcome::Pending) {
             let outcome = kept.claim.outcome.clone();
-            self.answer(call, Got::Held(outcome), out);
+            self.answer(call, CoreResponse::LeaseHeld(outcome), out);
         } else if asked.yes.len() >= self.majority() && voters > 0 {
             if asked.yes.len() < voters {
                 let told = Told::Grant(key, token, asked.left_ms);
                 self.remember(now, told);
             }
-            self.answer(call, Got::Granted, out);
-        } else if let Some(claim) = asked.no.values().flatten().find(|claim| claim.outcome != Outcome::Open) {
+            self.answer(call, CoreResponse::LeaseGranted, out);
+        } else if let Some(claim) =
+            asked.no.values().flatten().find(|claim| claim.outcome != LeaseOutcome::Pending)
+        {
             let claim = claim.clone();
-            self.answer(call, Got::Held(claim.outcome.clone()), out);
+            self.answer(call, CoreResponse::LeaseHeld(claim.outcome.clone()), out);
             self.settle(now, key, claim.token, Some(claim.outcome), out);
         } else if voters > 0 && voters.saturating_sub(asked.no.len()) < self.majority() {
             let other = asked.no.values().any(|claim| claim.is_some());
             if !other {
-                self.answer(call, Got::Unsure, out);
+                self.answer(call, CoreResponse::Unavailable, out);
             } else if now >= asked.wait_until {
-                self.answer(call, Got::Held(Outcome::Open), out);
+                self.answer(call, CoreResponse::LeaseHeld(LeaseOutcome::Pending), out);
             }
         } else if now >= asked.began.saturating_add(GATHER) {
-            self.answer(call, Got::Unsure, out);
+            self.answer(call, CoreResponse::Unavailable, out);
             if self.mutant == 5 {
                 self.settle(now, key, token, None, out);
                 self.settle_others(now, key, token, None);
@@ -294,8 +313,8 @@
         }
     }
 
-    pub(super) fn claim_timer(&mut self, now: Nanos, call: u64, out: &mut Vec<Act>) {
-        let Some(Call::Claim(asked)) = self.calls.get_mut(&call) else { return };
+    pub(super) fn claim_timer(&mut self, now: Nanos, call: u64, out: &mut Vec<Effect>) {
+        let Some(Call::Lease(asked)) = self.calls.get_mut(&call) else { return };
         let ends =
             [asked.wait_until, asked.began.saturating_add(GATHER)].into_iter().filter(|end| *end > now);
         asked.timer = ends.min().unwrap_or(Nanos::MAX).min(now.saturating_add(AGAIN));
@@ -306,10 +325,10 @@
     }
 
     /// The view is another one, or this steward votes now: what was gathered does not count any more.
-    pub(super) fn claims_anew(&mut self, _now: Nanos, out: &mut Vec<Act>) {
+    pub(super) fn claims_anew(&mut self, _now: Nanos, out: &mut Vec<Effect>) {
         let calls: Vec<u64> = self.by_key.values().flatten().copied().collect();
         for call in calls {
-            if let Some(Call::Claim(asked)) = self.calls.get_mut(&call)
+            if let Some(Call::Lease(asked)) = self.calls.get_mut(&call)
                 && self.mutant != 1
             {
                 asked.yes.clear();
@@ -321,7 +340,7 @@
     }
 
     /// Takes out those that asked for a key.
-    fn askers_of(&mut self, key: Key) -> Vec<(Key, SocketAddr)> {
+    fn askers_of(&mut self, key: LeaseKey) -> Vec<(LeaseKey, SocketAddr)> {
         let first = SocketAddr::from(([0, 0, 0, 0], 0));
         let askers: Vec<_> =
             self.askers.range((key, first)..).take_while(|(of, _)| *of == key).copied().collect();
@@ -332,7 +351,7 @@
     }
 
     /// Those that asked for a key while its claim was open may have somebody waiting.
-    fn tell_askers(&mut self, key: Key, token: Token, outcome: &Outcome) {
+    fn tell_askers(&mut self, key: LeaseKey, token: LeaseToken, outcome: &LeaseOutcome) {
         for asker in self.askers_of(key) {
             self.post.entry(asker.1).or_default().settles.push((key, token, Some(outcome.clone())));
         }
@@ -342,16 +361,16 @@
     pub(super) fn settle(
         &mut self,
         now: Nanos,
-        key: Key,
-        token: Token,
-        outcome: Option<Outcome>,
-        out: &mut Vec<Act>,
+        key: LeaseKey,
+        token: LeaseToken,
+        outcome: Option<LeaseOutcome>,
+        out: &mut Vec<Effect>,
     ) {
         let held = self.claims.get(&key).map(|kept| (kept.claim.token, grade(&kept.claim.outcome)));
         let ours = held.filter(|(holder, _)| *holder == token || (self.mutant == 11 && outcome.is_none()));
         match (outcome, held) {
             _ if token == NOBODY => {}
-            (Some(Outcome::Open), _) => {}
+            (Some(LeaseOutcome::Pending), _) => {}
             (None, _) if ours.is_some_and(|(_, grade)| grade > 0) => {}
             (None, _) => {
                 self.free(token);
@@ -361,13 +380,13 @@
                 }
             }
             (Some(outcome), Some((_, before))) if grade(&outcome) > before => {
-                let left_ms = self.claims.get(&key).map_or(0, |kept| kept.claim.left_ms);
+                let left_ms = self.claims.get(&key).map_or(0, |kept| kept.claim.time_left_ms);
                 self.tell_askers(key, token, &outcome);
-                self.write(key, Claim { token, left_ms, outcome }, out);
+                self.write(key, Lease { token, time_left_ms: left_ms, outcome }, out);
                 self.wake(now, key, out);
             }
-            (Some(outcome), None) if self.claims.len() < self.config.most_claims => {
-                self.write(key, Claim { token, left_ms: 0, outcome }, out);
+            (Some(outcome), None) if self.claims.len() < self.config.max_leases => {
+                self.write(key, Lease { token, time_left_ms: 0, outcome }, out);
                 self.wake(now, key, out);
             }
             (Some(_), _) => {}
@@ -376,44 +395,48 @@
 
     /// Takes over what another voter holds. Two open claims of one key leave it nobody's: either may have been
     /// granted, so no third may be until both are known to be over.
-    pub(super) fn merge(&mut self, key: Key, claim: Claim, out: &mut Vec<Act>) {
-        let open = claim.outcome == Outcome::Open;
+    pub(super) fn merge(&mut self, key: LeaseKey, claim: Lease, out: &mut Vec<Effect>) {
+        let open = claim.outcome == LeaseOutcome::Pending;
         if open && self.freed.contains_key(&claim.token) {
             return;
         }
         match self.claims.get(&key).map(|kept| &kept.claim) {
             None => self.write(key, claim, out),
             Some(mine) if grade(&claim.outcome) > grade(&mine.outcome) => self.write(key, claim, out),
-            Some(mine) if open && mine.outcome == Outcome::Open && mine.token != claim.token => {
+            Some(mine) if open && mine.outcome == LeaseOutcome::Pending && mine.token != claim.token => {
                 if mine.token != NOBODY && self.mutant != 6 {
-                    let left_ms = claim.left_ms.max(mine.left_ms);
-                    self.write(key, Claim { token: NOBODY, left_ms, outcome: Outcome::Open }, out);
+                    let left_ms = claim.time_left_ms.max(mine.time_left_ms);
+                    self.write(
+                        key,
+                        Lease { token: NOBODY, time_left_ms: left_ms, outcome: LeaseOutcome::Pending },
+                        out,
+                    );
                 }
             }
             Some(_) => {}
         }
     }
 
-    fn wake(&mut self, now: Nanos, key: Key, out: &mut Vec<Act>) {
+    fn wake(&mut self, now: Nanos, key: LeaseKey, out: &mut Vec<Effect>) {
         for call in self.by_key.get(&key).cloned().unwrap_or_default() {
             self.judge(now, call, out);
-            if let Some(Call::Claim(asked)) = self.calls.get(&call) {
+            if let Some(Call::Lease(asked)) = self.calls.get(&call) {
                 let (token, left_ms) = (asked.token, asked.left_ms);
                 self.vote(call ^ self.salt, key, token, left_ms, self.me, out);
             }
         }
     }
 
-    fn write(&mut self, key: Key, claim: Claim, out: &mut Vec<Act>) {
+    fn write(&mut self, key: LeaseKey, claim: Lease, out: &mut Vec<Effect>) {
         let claim = self.fitting(claim);
-        out.push(Act::Write(Record::Claim(key, claim.clone())));
+        out.push(Effect::Persist(LogRecord::Lease(key, claim.clone())));
         self.put(key, claim);
         self.shed(out);
     }
 
     /// Keeps a claim, for as long as that is from when it was first known.
-    pub(super) fn put(&mut self, key: Key, claim: Claim) {
-        let mut until = self.now.saturating_add(self.config.keep);
+    pub(super) fn put(&mut self, key: LeaseKey, claim: Lease) {
+        let mut until = self.now.saturating_add(self.config.lease_ttl);
         if let Some(kept) = self.claims.get(&key) {
             self.expiry.remove(&(kept.until, key));
             self.answers.goes(kept.until, key, &kept.claim.outcome);
@@ -426,18 +449,18 @@
         self.claims.insert(key, Kept { claim, until });
     }
 
-    pub(super) fn remove(&mut self, key: Key, out: &mut Vec<Act>) {
+    pub(super) fn remove(&mut self, key: LeaseKey, out: &mut Vec<Effect>) {
         self.askers_of(key);
         if let Some(kept) = self.claims.remove(&key) {
             self.expiry.remove(&(kept.until, key));
             self.answers.goes(kept.until, key, &kept.claim.outcome);
-            out.push(Act::Write(Record::Free(key, kept.claim.token)));
+            out.push(Effect::Persist(LogRecord::LeaseReleased(key, kept.claim.token)));
         }
     }
 
     /// Grants for this token that come late are not to stick.
-    fn free(&mut self, token: Token) {
-        let until = self.now.saturating_add(self.config.keep);
+    fn free(&mut self, token: LeaseToken) {
+        let until = self.now.saturating_add(self.config.lease_ttl);
         if self.freed.insert(token, until).is_none() {
             self.freed_order.push_back((until, token));
         }
@@ -448,15 +471,15 @@
         }
     }
 
-    pub(super) fn drop_open(&mut self, out: &mut Vec<Act>) {
-        let open = self.claims.iter().filter(|(_, kept)| kept.claim.outcome == Outcome::Open);
-        let open: Vec<Key> = open.map(|(key, _)| *key).collect();
+    pub(super) fn drop_open(&mut self, out: &mut Vec<Effect>) {
+        let open = self.claims.iter().filter(|(_, kept)| kept.claim.outcome == LeaseOutcome::Pending);
+        let open: Vec<LeaseKey> = open.map(|(key, _)| *key).collect();
         for key in open {
             self.remove(key, out);
         }
     }
 
-    pub(super) fn expire(&mut self, now: Nanos, out: &mut Vec<Act>) {
+    pub(super) fn expire(&mut self, now: Nanos, out: &mut Vec<Effect>) {
         while let Some(&(until, key)) = self.expiry.first() {
             if until > now {
                 break;
--- a/consensus/src/core/membership.rs
+++ b/consensus/src/core/membership.rs
@@ -2,7 +2,7 @@
 //! never answer for a view that it has left, nor vote with a disk that does not hold what the last one held.
 
 use super::*;
-use crate::messages::{Entry, Session, VersionBallot};
+use crate::messages::{AcceptorState, SessionId, SessionRecord};
 
 /// How long a try to change the view has.
 const TRY: Nanos = 400 * MS;
@@ -13,13 +13,13 @@
 #[derive(Clone, Debug)]
 pub(super) struct Attempt {
     ballot: Ballot,
-    wish: View,
+    wish: Membership,
     /// It is to go back to the view before, by a majority of that one's members.
     undo: bool,
-    promises: BTreeMap<Station, Option<(Ballot, View)>>,
+    promises: BTreeMap<ReplicaId, Option<(Ballot, Membership)>>,
     /// What is voted on, once more than half have promised.
-    chosen: Option<View>,
-    accepts: BTreeSet<Station>,
+    chosen: Option<Membership>,
+    accepts: BTreeSet<ReplicaId>,
     until: Nanos,
 }
 
@@ -27,20 +27,20 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Place {
     /// Claims from this key on are still to come, and all papers.
-    Claims(Key),
+    Claims(LeaseKey),
     /// Papers from this name on.
-    Papers(Name),
+    Papers(RegisterName),
     All,
 }
 
 impl Place {
-    fn ask(&self, round: u64) -> Option<Body> {
+    fn ask(&self, round: u64) -> Option<MessageBody> {
         let (from, papers) = match self {
             Place::Claims(key) => (*key, None),
-            Place::Papers(name) => (Key::MAX, Some(name.clone())),
+            Place::Papers(name) => (LeaseKey::MAX, Some(name.clone())),
             Place::All => return None,
         };
-        Some(Body::WantState { from, round, papers })
+        Some(MessageBody::FetchSnapshot { from_key: from, catch_up_id: round, from_register: papers })
     }
 }
 
@@ -49,46 +49,46 @@
 pub(super) struct Catching {
     round: u64,
     /// How far each one's state is known.
-    sources: BTreeMap<Station, Place>,
+    sources: BTreeMap<ReplicaId, Place>,
     next_ask: Nanos,
     /// From then on one that left the view is asked as well: what it holds is whole, but may be outdated.
     ask_all: Nanos,
 }
 
 /// Part of what one holds: keys' claims, sessions, papers, and what it accepted for versions being decided.
-type Held = (Vec<(Key, Claim)>, Vec<(Session, Entry)>, Vec<Paper>, Vec<VersionBallot>);
+type Held = (Vec<(LeaseKey, Lease)>, Vec<(SessionId, SessionRecord)>, Vec<NamedRegister>, Vec<AcceptorState>);
 
 impl Core {
-    pub(super) fn ballots(&self) -> Ballots {
-        Ballots {
-            me: self.me,
-            view: self.view.clone(),
+    pub(super) fn ballots(&self) -> MembershipBallotState {
+        MembershipBallotState {
+            replica: self.me,
+            membership: self.view.clone(),
             voter: self.voter || self.left.is_some(),
             promised: self.promised,
             accepted: self.accepted.clone(),
-            told_new: self.told_new,
-            barred: self.barred,
+            served_snapshot: self.told_new,
+            barred_from_serving: self.barred,
         }
     }
 
-    pub(super) fn keep_ballots(&self, out: &mut Vec<Act>) {
-        out.push(Act::Write(Record::Ballots(self.ballots())));
+    pub(super) fn keep_ballots(&self, out: &mut Vec<Effect>) {
+        out.push(Effect::Persist(LogRecord::MembershipBallot(self.ballots())));
     }
 
     /// Takes up a view that was decided.
-    pub(super) fn adopt(&mut self, now: Nanos, view: View, out: &mut Vec<Act>) {
-        if view.number <= self.view.number {
+    pub(super) fn adopt(&mut self, now: Nanos, view: Membership, out: &mut Vec<Effect>) {
+        if view.epoch <= self.view.epoch {
             return;
         }
         // What was answered so far was answered in the old view, and says so.
         self.flush(out);
-        let next = view.number - 1 == self.view.number;
+        let next = view.epoch - 1 == self.view.epoch;
         self.view = view;
         self.view.members.sort();
         self.view.members.dedup();
         let member = self.is_member(&self.me);
-        let back = self.view.undone && next && self.left.is_some();
-        self.left = (self.voter && next && !member).then_some(self.view.number);
+        let back = self.view.rolled_back && next && self.left.is_some();
+        self.left = (self.voter && next && !member).then_some(self.view.epoch);
         self.voter = member && ((self.voter && next) || back || self.mutant == 2);
         (self.told_new, self.barred) = (false, false);
         self.promised = Ballot::default();
@@ -101,7 +101,7 @@
             self.drop_open(out);
         }
         self.keep_ballots(out);
-        out.push(Act::Log(format!("core: voter {}, view {:?}", self.voter, self.view)));
+        out.push(Effect::Log(format!("core: voter {}, view {:?}", self.voter, self.view)));
         self.enter(now, out);
         self.tell = true;
         self.claims_anew(now, out);
@@ -110,7 +110,7 @@
     }
 
     /// Begins to live in the view.
-    pub(super) fn enter(&mut self, now: Nanos, out: &mut Vec<Act>) {
+    pub(super) fn enter(&mut self, now: Nanos, out: &mut Vec<Effect>) {
         for station in self.others() {
             self.peers.entry(station).or_insert_with(|| Peer::new(now));
         }
@@ -129,7 +129,7 @@
     }
 
     /// Asks all others of the view for what they hold.
-    pub(super) fn catch_up(&mut self, now: Nanos, out: &mut Vec<Act>) {
+    pub(super) fn catch_up(&mut self, now: Nanos, out: &mut Vec<Effect>) {
         let Some(catching) = &mut self.catching else { return };
         if now < catching.next_ask {
             return;
@@ -143,13 +143,13 @@
             }
         }
         let round = catching.round;
-        let open: Vec<(Station, Body)> = catching
+        let open: Vec<(ReplicaId, MessageBody)> = catching
             .sources
             .iter()
             .filter_map(|(station, place)| place.ask(round).map(|ask| (*station, ask)))
             .collect();
         for (station, ask) in open {
-            self.now(station.at, ask, out);
+            self.now(station.address, ask, out);
         }
     }
 
@@ -157,13 +157,13 @@
     /// voted in the one before: any so many of them together hold all that was agreed in it.
     pub(super) fn want_state(
         &mut self,
-        from: Station,
-        place: Key,
+        from: ReplicaId,
+        place: LeaseKey,
         round: u64,
-        papers: Option<Name>,
-        out: &mut Vec<Act>,
+        papers: Option<RegisterName>,
+        out: &mut Vec<Effect>,
     ) {
-        if !self.voter && self.left != Some(self.view.number) && self.mutant != 9 {
+        if !self.voter && self.left != Some(self.view.epoch) && self.mutant != 9 {
             return;
         }
         if !self.may_tell(out) {
@@ -190,20 +190,29 @@
             None => self.papers.part(papers.as_deref().unwrap_or_default(), bytes),
             Some(_) => (Vec::new(), None),
         };
-        let state = Body::State { round, part, next, sheet, sessions, papers, next_paper, version_ballots };
-        self.send(from.at, state, out);
+        let state = MessageBody::SnapshotChunk {
+            catch_up_id: round,
+            leases: part,
+            next_key: next,
+            configuration: sheet,
+            sessions,
+            registers: papers,
+            next_register: next_paper,
+            acceptors: version_ballots,
+        };
+        self.send(from.address, state, out);
     }
 
     #[allow(clippy::too_many_arguments)]
     pub(super) fn state(
         &mut self,
         now: Nanos,
-        from: Station,
+        from: ReplicaId,
         round: u64,
         (part, sessions, papers, version_ballots): Held,
-        sheet: Option<Arc<Sheet>>,
-        next: (Option<Key>, Option<Name>),
-        out: &mut Vec<Act>,
+        sheet: Option<Arc<RegisterValue>>,
+        next: (Option<LeaseKey>, Option<RegisterName>),
+        out: &mut Vec<Effect>,
     ) {
         let enough = self.view.members.len() + 1 - self.majority().min(self.view.members.len());
         let Some(catching) = &mut self.catching else { return };
@@ -235,30 +244,32 @@
             self.hold(TIMETABLE, sheet, out);
         }
         self.merge_version_ballots(version_ballots, out);
-        for Paper { name, sheet } in papers.into_iter().take(if self.mutant == 15 { 0 } else { usize::MAX }) {
+        for NamedRegister { name, value: sheet } in
+            papers.into_iter().take(if self.mutant == 15 { 0 } else { usize::MAX })
+        {
             self.hold(&name, sheet, out);
         }
         if complete {
             self.catching = None;
             self.voter = true;
             self.keep_ballots(out);
-            out.push(Act::Log(format!("core: caught up in view {}", self.view.number)));
+            out.push(Effect::Log(format!("core: caught up in view {}", self.view.epoch)));
             self.tell_self(out);
             self.tell = true;
             self.claims_anew(now, out);
             self.sessions_anew(out);
             self.sheets_anew(now, out);
         } else if let Some(ask) = next.ask(round).filter(|_| further) {
-            self.now(from.at, ask, out);
+            self.now(from.address, ask, out);
         }
     }
 
     /// Whether this one could become a member.
-    pub(super) fn may_join(&self, station: &Station, peer: &Peer) -> bool {
+    pub(super) fn may_join(&self, station: &ReplicaId, peer: &Peer) -> bool {
         peer.there(self.now) && !peer.leaving && !self.is_member(station)
     }
 
-    fn is_leaving(&self, now: Nanos, member: &Station) -> bool {
+    fn is_leaving(&self, now: Nanos, member: &ReplicaId) -> bool {
         match self.peers.get(member) {
             _ if *member == self.me => self.leaving,
             Some(peer) => peer.leaving && peer.there(now),
@@ -267,43 +278,46 @@
     }
 
     /// Whether a member was silent for too long, or came back without its disk.
-    fn is_lost(&self, now: Nanos, member: &Station) -> bool {
+    fn is_lost(&self, now: Nanos, member: &ReplicaId) -> bool {
         if *member == self.me {
             return false;
         }
         let Some(peer) = self.peers.get(member) else { return true };
-        peer.silence(now) >= self.config.lost_after || self.is_replaced(now, member)
+        peer.silence(now) >= self.config.member_timeout || self.is_replaced(now, member)
     }
 
     /// Whether a member came back without its disk, and so is gone for good.
-    pub(super) fn is_replaced(&self, now: Nanos, member: &Station) -> bool {
+    pub(super) fn is_replaced(&self, now: Nanos, member: &ReplicaId) -> bool {
         let heard = self.peers.get(member).and_then(|peer| peer.heard);
-        let other_disk = |(station, other): (&Station, &Peer)| {
-            station.at == member.at && station.disk != member.disk && other.there(now) && other.heard > heard
+        let other_disk = |(station, other): (&ReplicaId, &Peer)| {
+            station.address == member.address
+                && station.disk_id != member.disk_id
+                && other.there(now)
+                && other.heard > heard
         };
         self.peers.iter().any(other_disk)
     }
 
-    pub(super) fn is_voter(&self, member: &Station) -> bool {
+    pub(super) fn is_voter(&self, member: &ReplicaId) -> bool {
         match self.peers.get(member) {
             _ if *member == self.me => self.voter,
-            Some(peer) => peer.view == self.view.number && peer.voter,
+            Some(peer) => peer.view == self.view.epoch && peer.voter,
             None => false,
         }
     }
 
     /// The view that should follow. Where it can wait it waits until all that stay vote, so that only one at a time
     /// has to catch up. For one that is lost it is enough that those that stay and are there can go on by themselves.
-    fn wish(&self, now: Nanos) -> Option<View> {
+    fn wish(&self, now: Nanos) -> Option<Membership> {
         let members = &self.view.members;
-        let joins: Vec<Station> = self
+        let joins: Vec<ReplicaId> = self
             .peers
             .iter()
             .filter(|(station, peer)| self.may_join(station, peer))
             .map(|(s, _)| *s)
             .collect();
-        let votes = |member: &&Station| self.is_voter(member);
-        let there = |member: &&Station| {
+        let votes = |member: &&ReplicaId| self.is_voter(member);
+        let there = |member: &&ReplicaId| {
             **member == self.me || self.peers.get(*member).is_some_and(|peer| peer.there(now))
         };
         for out in members.iter().filter(|_| members.len() > 1) {
@@ -314,13 +328,13 @@
             if !(lost && (whole || enough) || whole && self.is_leaving(now, out)) {
                 continue;
             }
-            let same_place = joins.iter().find(|station| station.at == out.at);
+            let same_place = joins.iter().find(|station| station.address == out.address);
             let others = joins.iter().filter(|station| self.fits(station, Some(out)));
             if let Some(joins) = same_place.or_else(|| self.best_spread(Some(out), others)) {
                 return Some(self.following(Some(out), *joins));
             }
         }
-        if members.len() < self.config.want {
+        if members.len() < self.config.target_members {
             let more = joins.iter().filter(|station| self.fits(station, None));
             let joins = self.best_spread(None, more).filter(|_| members.iter().all(|m| self.is_voter(m)));
             return joins.map(|joins| self.following(None, *joins));
@@ -329,22 +343,23 @@
     }
 
     /// Whether a view can hold this one in the place of another: no address stands in it twice.
-    pub(super) fn fits(&self, joins: &Station, out: Option<&Station>) -> bool {
-        self.view.members.iter().all(|member| member.at != joins.at || Some(member) == out)
+    pub(super) fn fits(&self, joins: &ReplicaId, out: Option<&ReplicaId>) -> bool {
+        self.view.members.iter().all(|member| member.address != joins.address || Some(member) == out)
     }
 
     /// The view that differs in one member.
-    fn following(&self, out: Option<&Station>, joins: Station) -> View {
+    fn following(&self, out: Option<&ReplicaId>, joins: ReplicaId) -> Membership {
         let members = &self.view.members;
-        let mut next: Vec<Station> = members.iter().filter(|member| Some(*member) != out).copied().collect();
+        let mut next: Vec<ReplicaId> =
+            members.iter().filter(|member| Some(*member) != out).copied().collect();
         next.push(joins);
         next.sort();
-        let (number, base) = (self.view.number.saturating_add(1), members.clone());
-        View { number, members: next, base, undone: false }
+        let (number, base) = (self.view.epoch.saturating_add(1), members.clone());
+        Membership { epoch: number, members: next, previous_members: base, rolled_back: false }
     }
 
     /// Tries to change the view where that is wished.
-    pub(super) fn propose(&mut self, now: Nanos, out: &mut Vec<Act>) {
+    pub(super) fn propose(&mut self, now: Nanos, out: &mut Vec<Effect>) {
         if self.attempt.as_ref().is_some_and(|attempt| now >= attempt.until) {
             self.attempt = None;
             self.back_off(now);
@@ -369,11 +384,11 @@
         }
         self.top_round = self.top_round.max(self.promised.round).saturating_add(1);
         let by = {
-            let mut name = self.me.at.to_string().into_bytes();
-            name.extend_from_slice(&self.me.disk.to_be_bytes());
+            let mut name = self.me.address.to_string().into_bytes();
+            name.extend_from_slice(&self.me.disk_id.to_be_bytes());
             xxhash_rust::xxh3::xxh3_64(&name)
         };
-        let ballot = Ballot { round: self.top_round, by };
+        let ballot = Ballot { round: self.top_round, proposer: by };
         if ballot <= self.promised {
             return;
         }
@@ -390,11 +405,11 @@
             until: now.saturating_add(TRY),
         });
         let (of, body) = match undo {
-            Some(_) => (&self.view.base, Body::Bar(ballot)),
-            None => (&self.view.members, Body::Prepare(ballot)),
+            Some(_) => (&self.view.previous_members, MessageBody::PrepareRollback(ballot)),
+            None => (&self.view.members, MessageBody::Prepare(ballot)),
         };
         for station in of.clone() {
-            self.send(station.at, body.clone(), out);
+            self.send(station.address, body.clone(), out);
         }
     }
 
@@ -403,28 +418,28 @@
         self.next_try = self.next_try.max(now.saturating_add(wait));
     }
 
-    pub(super) fn prepare(&mut self, from: Station, ballot: Ballot, out: &mut Vec<Act>) {
+    pub(super) fn prepare(&mut self, from: ReplicaId, ballot: Ballot, out: &mut Vec<Effect>) {
         if !self.voter {
             return;
         }
         if ballot < self.promised {
-            self.now(from.at, Body::Outbid(self.promised), out);
+            self.now(from.address, MessageBody::Preempted(self.promised), out);
             return;
         }
         if ballot > self.promised {
             self.promised = ballot;
             self.keep_ballots(out);
         }
-        self.send(from.at, Body::Promise { ballot, accepted: self.accepted.clone() }, out);
+        self.send(from.address, MessageBody::Promise { ballot, accepted: self.accepted.clone() }, out);
     }
 
     pub(super) fn promise(
         &mut self,
-        from: Station,
+        from: ReplicaId,
         ballot: Ballot,
-        accepted: Option<(Ballot, View)>,
+        accepted: Option<(Ballot, Membership)>,
         barred: bool,
-        out: &mut Vec<Act>,
+        out: &mut Vec<Effect>,
     ) {
         let Some(mut attempt) = self.attempt.take() else { return };
         if attempt.ballot == ballot && attempt.chosen.is_none() && attempt.undo == barred {
@@ -437,31 +452,37 @@
     }
 
     /// Whether these are enough for that try: more than half of the view, or of the one to go back to.
-    fn is_most<'a>(&self, attempt: &Attempt, of: impl Iterator<Item = &'a Station>) -> bool {
+    fn is_most<'a>(&self, attempt: &Attempt, of: impl Iterator<Item = &'a ReplicaId>) -> bool {
         if attempt.undo { self.most_of_base(of) } else { of.count() >= self.majority() }
     }
 
     /// Enough have promised: the highest view that any of them accepted binds.
-    fn choose(&self, attempt: &mut Attempt, out: &mut Vec<Act>) {
+    fn choose(&self, attempt: &mut Attempt, out: &mut Vec<Effect>) {
         let before = attempt.promises.values().flatten().max_by_key(|(ballot, _)| *ballot);
         let chosen = match before {
             Some((_, view)) if self.mutant != 8 => view.clone(),
             _ => attempt.wish.clone(),
         };
         attempt.chosen = Some(chosen.clone());
-        for station in if attempt.undo { &self.view.base } else { &self.view.members } {
-            self.send(station.at, Body::Accept(attempt.ballot, chosen.clone()), out);
+        for station in if attempt.undo { &self.view.previous_members } else { &self.view.members } {
+            self.send(station.address, MessageBody::Accept(attempt.ballot, chosen.clone()), out);
         }
     }
 
-    pub(super) fn accept(&mut self, from: Station, ballot: Ballot, view: View, out: &mut Vec<Act>) {
+    pub(super) fn accept(
+        &mut self,
+        from: ReplicaId,
+        ballot: Ballot,
+        view: Membership,
+        out: &mut Vec<Effect>,
+    ) {
         // One that left takes part where it has promised to go back.
         let takes_part = self.voter || self.barred;
-        if !takes_part || view.number.checked_sub(1) != Some(self.view.number) {
+        if !takes_part || view.epoch.checked_sub(1) != Some(self.view.epoch) {
             return;
         }
         if ballot < self.promised {
-            self.now(from.at, Body::Outbid(self.promised), out);
+            self.now(from.address, MessageBody::Preempted(self.promised), out);
             return;
         }
         if self.accepted.as_ref().is_none_or(|(earlier, _)| *earlier != ballot) || self.promised != ballot {
@@ -469,26 +490,26 @@
             self.accepted = Some((ballot, view));
             self.keep_ballots(out);
         }
-        self.send(from.at, Body::Accepted(ballot), out);
+        self.send(from.address, MessageBody::Accepted(ballot), out);
     }
 
-    pub(super) fn accepted(&mut self, now: Nanos, from: Station, ballot: Ballot, out: &mut Vec<Act>) {
+    pub(super) fn accepted(&mut self, now: Nanos, from: ReplicaId, ballot: Ballot, out: &mut Vec<Effect>) {
         let Some(mut attempt) = self.attempt.take() else { return };
         let chosen = attempt.chosen.clone().filter(|_| attempt.ballot == ballot);
         // To go back, only those count that are barred.
         if chosen.is_some() && (self.is_member(&from) || attempt.undo) {
             attempt.accepts.insert(from);
         }
-        let counts = |station: &&Station| !attempt.undo || attempt.promises.contains_key(station);
+        let counts = |station: &&ReplicaId| !attempt.undo || attempt.promises.contains_key(station);
         let decided = self.is_most(&attempt, attempt.accepts.iter().filter(counts));
         self.attempt = Some(attempt);
         let Some(view) = chosen.filter(|_| decided) else { return };
         let mut tell = self.all_known();
-        tell.extend(view.members.iter().map(|station| station.at));
-        tell.remove(&self.me.at);
+        tell.extend(view.members.iter().map(|station| station.address));
+        tell.remove(&self.me.address);
         self.adopt(now, view, out);
         for at in tell {
-            self.now(at, Body::Holds(self.view.clone()), out);
+            self.now(at, MessageBody::MembershipAnnouncement(self.view.clone()), out);
         }
     }
 
--- a/consensus/src/core/named_registers.rs
+++ b/consensus/src/core/named_registers.rs
@@ -19,14 +19,14 @@
 
 #[derive(Clone, Debug, Default)]
 pub(super) struct Papers {
-    by_name: BTreeMap<Name, registers::Register>,
+    by_name: BTreeMap<RegisterName, registers::Register>,
     digest: u128,
     bytes: usize,
     /// Goes up with all that is held or safe.
     changes: u64,
 }
 
-fn digest(name: &str, sheet: &Sheet) -> u128 {
+fn digest(name: &str, sheet: &RegisterValue) -> u128 {
     let mut bytes = Vec::with_capacity(name.len() + 16);
     bytes.extend_from_slice(&sheet.version.to_be_bytes());
     bytes.extend_from_slice(&sheet.digest.to_be_bytes());
@@ -35,10 +35,10 @@
 }
 
 impl Papers {
-    pub fn holding(papers: Vec<Paper>) -> Papers {
+    pub fn holding(papers: Vec<NamedRegister>) -> Papers {
         let mut all = Papers::default();
         for paper in papers {
-            if all.get(&paper.name).is_none_or(|held| held.held_rank() < paper.sheet.rank()) {
+            if all.get(&paper.name).is_none_or(|held| held.held_rank() < paper.value.rank()) {
                 all.take(paper);
             }
         }
@@ -55,8 +55,8 @@
     }
 
     /// Holds one that is newer than the one held.
-    pub fn take(&mut self, paper: Paper) {
-        let Paper { name, sheet } = paper;
+    pub fn take(&mut self, paper: NamedRegister) {
+        let NamedRegister { name, value: sheet } = paper;
         let new = digest(&name, &sheet);
         let register = self.by_name.entry(name.clone()).or_default();
         if let Some(was) = &register.held {
@@ -75,7 +75,7 @@
         grown
     }
 
-    fn fits(&self, name: &str, sheet: &Sheet, times: usize) -> bool {
+    fn fits(&self, name: &str, sheet: &RegisterValue, times: usize) -> bool {
         let held = self.by_name.get(name).and_then(|register| register.held.as_ref());
         let before = held.map_or(0, |held| held.bytes.len());
         (held.is_some() || self.by_name.len() < times * MOST_NAMES)
@@ -86,12 +86,12 @@
     }
 
     /// Whether it may be taken: there are not too many names, nor too many bytes.
-    pub fn has_room(&self, name: &str, sheet: &Sheet) -> bool {
+    pub fn has_room(&self, name: &str, sheet: &RegisterValue) -> bool {
         self.fits(name, sheet, 1)
     }
 
     /// A voter of this view holds that much. Names that are not known here are, from now on, up to a bound.
-    fn ranked(&mut self, voter: Station, name: &Name, rank: Rank) {
+    fn ranked(&mut self, voter: ReplicaId, name: &RegisterName, rank: Rank) {
         let room = self.by_name.len() < SLACK * MOST_NAMES && name.len() <= MOST_NAME;
         if room && rank > (0, 0) && !name.is_empty() {
             self.by_name.entry(name.clone()).or_default().ranked(voter, rank);
@@ -101,7 +101,7 @@
     }
 
     /// A voter of this view holds all that is held here.
-    fn ranked_all(&mut self, voter: Station) {
+    fn ranked_all(&mut self, voter: ReplicaId) {
         for register in self.by_name.values_mut() {
             let rank = register.held_rank();
             register.ranked(voter, rank);
@@ -113,27 +113,29 @@
     }
 
     /// Those held from a name on.
-    pub fn from(&self, name: &str) -> impl Iterator<Item = Paper> {
+    pub fn from(&self, name: &str) -> impl Iterator<Item = NamedRegister> {
         let range = self.by_name.range::<str, _>((Bound::Included(name), Bound::Unbounded));
-        range.filter_map(|(name, register)| Some(Paper { name: name.clone(), sheet: register.held.clone()? }))
+        range.filter_map(|(name, register)| {
+            Some(NamedRegister { name: name.clone(), value: register.held.clone()? })
+        })
     }
 
     /// The ranks of those held from a name on, as many as fit a letter, and from where there are more.
-    pub fn ranks(&self, name: &str) -> (Vec<(Name, Rank)>, Option<Name>) {
+    pub fn ranks(&self, name: &str) -> (Vec<(RegisterName, Rank)>, Option<RegisterName>) {
         let mut rest = self.from(name);
         let ranks =
-            rest.by_ref().take(MOST_IN_LETTER).map(|paper| (paper.name, paper.sheet.rank())).collect();
+            rest.by_ref().take(MOST_IN_LETTER).map(|paper| (paper.name, paper.value.rank())).collect();
         (ranks, rest.next().map(|paper| paper.name))
     }
 
     /// Those held from a name on, as many as fit a letter that has so many bytes already, and from where there are more.
-    pub fn part(&self, name: &str, mut bytes: usize) -> (Vec<Paper>, Option<Name>) {
+    pub fn part(&self, name: &str, mut bytes: usize) -> (Vec<NamedRegister>, Option<RegisterName>) {
         let mut part = Vec::new();
         for paper in self.from(name) {
             if part.len() >= MOST_IN_LETTER || bytes >= BYTES_IN_LETTER {
                 return (part, Some(paper.name));
             }
-            bytes += paper.sheet.bytes.len();
+            bytes += paper.value.bytes.len();
             part.push(paper);
         }
         (part, None)
@@ -142,26 +144,26 @@
 
 /// Of a paper, what a steward has of it.
 #[derive(Clone, Debug)]
-pub struct Stands {
-    pub name: Name,
+pub struct RegisterStatus {
+    pub name: RegisterName,
     /// The newest known to be on more than half of the voters' disks. Never goes back in a life.
-    pub safe: Option<Arc<Sheet>>,
+    pub committed: Option<Arc<RegisterValue>>,
     /// The newest that is held here, which may yet be lost.
-    pub held: Option<Arc<Sheet>>,
+    pub stored: Option<Arc<RegisterValue>>,
 }
 
 impl Core {
     /// All papers by name.
-    pub fn papers(&self) -> impl Iterator<Item = Stands> {
-        self.papers.by_name.iter().map(|(name, register)| Stands {
+    pub fn registers(&self) -> impl Iterator<Item = RegisterStatus> {
+        self.papers.by_name.iter().map(|(name, register)| RegisterStatus {
             name: name.clone(),
-            safe: register.safe.clone(),
-            held: register.held.clone(),
+            committed: register.safe.clone(),
+            stored: register.held.clone(),
         })
     }
 
     /// Goes up with every change of what `papers` tells.
-    pub fn papers_changes(&self) -> u64 {
+    pub fn register_changes(&self) -> u64 {
         self.papers.changes
     }
 
@@ -175,10 +177,10 @@
     pub(super) fn papers_there(
         &mut self,
         now: Nanos,
-        from: Station,
+        from: ReplicaId,
         counts: bool,
         digest: u128,
-        out: &mut Vec<Act>,
+        out: &mut Vec<Effect>,
     ) {
         if digest == 0 || from == self.me {
             return;
@@ -186,30 +188,34 @@
         let Some(peer) = self.peers.get_mut(&from) else { return };
         if digest != self.papers.digest {
             if due(&mut peer.listed, now, RARELY) {
-                self.now(from.at, Body::ListPapers(TIMETABLE.into()), out);
+                self.now(from.address, MessageBody::ListRegisters(TIMETABLE.into()), out);
             }
         } else if counts && peer.counted != digest {
             peer.counted = digest;
             self.papers.ranked_all(from);
-            let names: Vec<Name> = self.papers.by_name.keys().cloned().collect();
+            let names: Vec<RegisterName> = self.papers.by_name.keys().cloned().collect();
             names.iter().for_each(|name| self.recount(name, out));
         }
     }
 
-    pub(super) fn list_papers(&self, from: Station, place: &str, out: &mut Vec<Act>) {
+    pub(super) fn list_papers(&self, from: ReplicaId, place: &str, out: &mut Vec<Effect>) {
         let (ranks, next) = self.papers.ranks(place);
-        self.send(from.at, Body::PapersHeld { ask: 0, voter: self.voter, ranks, next }, out);
+        self.send(
+            from.address,
+            MessageBody::RegistersStored { read_id: 0, voter: self.voter, revisions: ranks, next },
+            out,
+        );
     }
 
     pub(super) fn papers_offered(
         &mut self,
-        from: Station,
+        from: ReplicaId,
         same: bool,
-        papers: Vec<Paper>,
-        out: &mut Vec<Act>,
+        papers: Vec<NamedRegister>,
+        out: &mut Vec<Effect>,
     ) {
-        let names: Vec<Name> = papers.iter().map(|paper| paper.name.clone()).collect();
-        for Paper { name, sheet } in papers {
+        let names: Vec<RegisterName> = papers.iter().map(|paper| paper.name.clone()).collect();
+        for NamedRegister { name, value: sheet } in papers {
             if self.papers.fits(&name, &sheet, SLACK) {
                 self.hold(&name, sheet, out);
             }
@@ -222,7 +228,7 @@
     }
 
     /// Some of what another was asked for has come, maybe not all: a letter holds only so much.
-    fn want_rest(&mut self, from: Station, came: &[Name], out: &mut Vec<Act>) {
+    fn want_rest(&mut self, from: ReplicaId, came: &[RegisterName], out: &mut Vec<Effect>) {
         let Some(peer) = self.peers.get_mut(&from) else { return };
         if !came.iter().any(|name| peer.wanted.contains_key(name)) {
             return;
@@ -230,49 +236,50 @@
         let papers = &self.papers;
         let here = |name: &str| papers.get(name).map_or((0, 0), registers::Register::held_rank);
         peer.wanted.retain(|name, rank| !came.contains(name) && here(name) < *rank);
-        let have: Vec<(Name, Rank)> = peer.wanted.keys().map(|name| (name.clone(), here(name))).collect();
+        let have: Vec<(RegisterName, Rank)> =
+            peer.wanted.keys().map(|name| (name.clone(), here(name))).collect();
         if !have.is_empty() {
-            self.now(from.at, Body::WantPapers { ask: 0, have }, out);
+            self.now(from.address, MessageBody::FetchRegisters { read_id: 0, known: have }, out);
         }
     }
 
     pub(super) fn want_papers(
         &self,
-        from: Station,
+        from: ReplicaId,
         same: bool,
         ask: u64,
-        have: Vec<(Name, Rank)>,
-        out: &mut Vec<Act>,
+        have: Vec<(RegisterName, Rank)>,
+        out: &mut Vec<Effect>,
     ) {
         let mut bytes = 0;
         let newer = have.iter().take(MOST_IN_LETTER).filter_map(|(name, rank)| {
             let sheet = self.papers.get(name)?.held.clone().filter(|sheet| sheet.rank() > *rank)?;
-            Some(Paper { name: name.clone(), sheet })
+            Some(NamedRegister { name: name.clone(), value: sheet })
         });
         // What does not fit is asked for again.
-        let fits = |paper: &Paper| {
+        let fits = |paper: &NamedRegister| {
             let before = bytes;
-            bytes += paper.sheet.bytes.len();
+            bytes += paper.value.bytes.len();
             before < BYTES_IN_LETTER
         };
-        let newer: Vec<Paper> = newer.take_while(fits).collect();
+        let newer: Vec<NamedRegister> = newer.take_while(fits).collect();
         if !newer.is_empty() {
-            self.now(from.at, Body::HoldPapers(newer), out);
+            self.now(from.address, MessageBody::StoreRegisters(newer), out);
         }
         if same && self.voter {
-            let names: Vec<Name> = have.into_iter().map(|(name, _)| name).collect();
+            let names: Vec<RegisterName> = have.into_iter().map(|(name, _)| name).collect();
             self.say_held(from, ask, &names, out);
         }
     }
 
-    fn say_held(&self, to: Station, ask: u64, names: &[Name], out: &mut Vec<Act>) {
-        let rank = |name: &Name| self.papers.get(name).map_or((0, 0), registers::Register::held_rank);
+    fn say_held(&self, to: ReplicaId, ask: u64, names: &[RegisterName], out: &mut Vec<Effect>) {
+        let rank = |name: &RegisterName| self.papers.get(name).map_or((0, 0), registers::Register::held_rank);
         let ranks = names.iter().take(MOST_IN_LETTER).map(|name| (name.clone(), rank(name))).collect();
-        let body = Body::PapersHeld { ask, voter: true, ranks, next: None };
+        let body = MessageBody::RegistersStored { read_id: ask, voter: true, revisions: ranks, next: None };
         if self.mutant == 18 {
-            self.now(to.at, body, out);
+            self.now(to.address, body, out);
         } else {
-            self.send(to.at, body, out);
+            self.send(to.address, body, out);
         }
     }
 
@@ -281,12 +288,12 @@
     pub(super) fn papers_held(
         &mut self,
         now: Nanos,
-        from: Station,
+        from: ReplicaId,
         counts: bool,
         ask: u64,
-        ranks: Vec<(Name, Rank)>,
-        next: Option<Name>,
-        out: &mut Vec<Act>,
+        ranks: Vec<(RegisterName, Rank)>,
+        next: Option<RegisterName>,
+        out: &mut Vec<Effect>,
     ) {
         let mut have = Vec::new();
         for (name, rank) in ranks.iter().take(MOST_IN_LETTER) {
@@ -308,13 +315,13 @@
             if let Some(peer) = self.peers.get_mut(&from) {
                 peer.wanted = wanted.collect();
             }
-            self.now(from.at, Body::WantPapers { ask: 0, have }, out);
+            self.now(from.address, MessageBody::FetchRegisters { read_id: 0, known: have }, out);
         }
         for (name, _) in ranks.iter().take(MOST_IN_LETTER) {
             self.recount(name, out);
         }
         if let Some(next) = next.filter(|next| ranks.last().is_some_and(|(last, _)| last < next)) {
-            self.now(from.at, Body::ListPapers(next), out);
+            self.now(from.address, MessageBody::ListRegisters(next), out);
         }
     }
 }
--- a/consensus/src/core/registers.rs
+++ b/consensus/src/core/registers.rs
@@ -16,19 +16,19 @@
 /// One line of sheets, the highest of which holds.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Register {
-    pub held: Option<Arc<Sheet>>,
+    pub held: Option<Arc<RegisterValue>>,
     /// Held before, not yet known to be outdated.
-    earlier: VecDeque<Arc<Sheet>>,
+    earlier: VecDeque<Arc<RegisterValue>>,
     /// Versions and digests that were held in this life, the oldest first.
     past: VecDeque<Rank>,
-    pub safe: Option<Arc<Sheet>>,
+    pub safe: Option<Arc<RegisterValue>>,
     pub safe_rank: Rank,
     /// What the voters of this view said in it.
-    ranks: BTreeMap<Station, Rank>,
+    ranks: BTreeMap<ReplicaId, Rank>,
 }
 
 impl Register {
-    pub fn holding(held: Option<Arc<Sheet>>) -> Register {
+    pub fn holding(held: Option<Arc<RegisterValue>>) -> Register {
         let past = held.iter().map(|sheet| sheet.rank()).collect();
         Register { held, past, ..Register::default() }
     }
@@ -48,7 +48,7 @@
     }
 
     /// Holds a sheet that is newer than the one held.
-    pub fn take(&mut self, sheet: Arc<Sheet>) {
+    pub fn take(&mut self, sheet: Arc<RegisterValue>) {
         self.past.push_back(sheet.rank());
         if self.past.len() > MAX_PAST {
             self.past.pop_front();
@@ -61,7 +61,7 @@
     }
 
     /// A voter of this view holds that much on its disk.
-    pub fn ranked(&mut self, voter: Station, rank: Rank) {
+    pub fn ranked(&mut self, voter: ReplicaId, rank: Rank) {
         let held = self.ranks.entry(voter).or_default();
         *held = rank.max(*held);
     }
@@ -102,41 +102,46 @@
 
 #[derive(Clone, Debug)]
 pub(super) struct Replacing {
-    pub name: Name,
-    pub sheet: Arc<Sheet>,
+    pub name: RegisterName,
+    pub sheet: Arc<RegisterValue>,
     until: Nanos,
     pub timer: Nanos,
 }
 
 #[derive(Clone, Debug)]
 pub(super) struct Reading {
-    pub name: Name,
+    pub name: RegisterName,
     until: Nanos,
     pub timer: Nanos,
     /// What the voters said since the read began.
-    answers: BTreeMap<Station, Rank>,
+    answers: BTreeMap<ReplicaId, Rank>,
 }
 
 /// The words for each kind of register.
-fn hold(name: &str, sheet: Arc<Sheet>) -> Body {
+fn hold(name: &str, sheet: Arc<RegisterValue>) -> MessageBody {
     match name {
-        TIMETABLE => Body::Hold(sheet),
-        name => Body::HoldPapers(vec![Paper { name: name.into(), sheet }]),
+        TIMETABLE => MessageBody::StoreConfiguration(sheet),
+        name => MessageBody::StoreRegisters(vec![NamedRegister { name: name.into(), value: sheet }]),
     }
 }
 
-fn want(name: &str, ask: u64, have: Rank) -> Body {
+fn want(name: &str, ask: u64, have: Rank) -> MessageBody {
     match name {
-        TIMETABLE => Body::WantSheet { ask, have },
-        name => Body::WantPapers { ask, have: vec![(name.into(), have)] },
+        TIMETABLE => MessageBody::FetchConfiguration { read_id: ask, known: have },
+        name => MessageBody::FetchRegisters { read_id: ask, known: vec![(name.into(), have)] },
     }
 }
 
 /// A voter says what it holds.
-fn held(name: &str, ask: u64, rank: Rank) -> Body {
+fn held(name: &str, ask: u64, rank: Rank) -> MessageBody {
     match name {
-        TIMETABLE => Body::Held { ask, rank },
-        name => Body::PapersHeld { ask, voter: true, ranks: vec![(name.into(), rank)], next: None },
+        TIMETABLE => MessageBody::ConfigurationStored { read_id: ask, revision: rank },
+        name => MessageBody::RegistersStored {
+            read_id: ask,
+            voter: true,
+            revisions: vec![(name.into(), rank)],
+            next: None,
+        },
     }
 }
 
@@ -150,22 +155,22 @@
     }
 
     /// Whether one more call on that register can wait; otherwise it is answered.
-    fn may_wait(&self, call: u64, name: &str, out: &mut Vec<Act>) -> bool {
+    fn may_wait(&self, call: u64, name: &str, out: &mut Vec<Effect>) -> bool {
         let of_name = |call: &&u64| self.name_of(**call).is_some_and(|of| **of == *name);
         let may = self.sheet_calls.len() < MOST_SHEET_CALLS
             && (name == TIMETABLE || self.sheet_calls.iter().filter(of_name).count() < MOST_CALLS_OF_NAME);
         if !may {
-            out.push(Act::Answer { call, got: Got::Unsure });
+            out.push(Effect::Respond { call, response: CoreResponse::Unavailable });
         }
         may
     }
 
     /// The register that a call is on.
-    fn name_of(&self, call: u64) -> Option<&Name> {
+    fn name_of(&self, call: u64) -> Option<&RegisterName> {
         match self.calls.get(&call)? {
             Call::Replace(replacing) => Some(&replacing.name),
             Call::Read(reading) => Some(&reading.name),
-            Call::Claim(_) | Call::Session(_) => None,
+            Call::Lease(_) | Call::Session(_) => None,
         }
     }
 
@@ -173,9 +178,9 @@
         &mut self,
         now: Nanos,
         call: u64,
-        name: Name,
-        sheet: Arc<Sheet>,
-        out: &mut Vec<Act>,
+        name: RegisterName,
+        sheet: Arc<RegisterValue>,
+        out: &mut Vec<Effect>,
     ) {
         if !self.may_wait(call, &name, out) {
             return;
@@ -192,7 +197,7 @@
         self.judge_sheets(&name, out);
     }
 
-    pub(super) fn read_wanted(&mut self, now: Nanos, call: u64, name: Name, out: &mut Vec<Act>) {
+    pub(super) fn read_wanted(&mut self, now: Nanos, call: u64, name: RegisterName, out: &mut Vec<Effect>) {
         if !self.may_wait(call, &name, out) {
             return;
         }
@@ -206,35 +211,35 @@
     }
 
     /// Holds a sheet, which was decided for its version, if it is newer than the one held.
-    pub(super) fn hold(&mut self, name: &str, sheet: Arc<Sheet>, out: &mut Vec<Act>) {
+    pub(super) fn hold(&mut self, name: &str, sheet: Arc<RegisterValue>, out: &mut Vec<Effect>) {
         let rank = sheet.rank();
         if rank <= self.held_rank(name) {
             return;
         }
         if name == TIMETABLE {
-            out.push(Act::Write(Record::Sheet(sheet.clone())));
+            out.push(Effect::Persist(LogRecord::Configuration(sheet.clone())));
             self.sheet.take(sheet);
         } else {
-            let paper = Paper { name: name.into(), sheet };
-            out.push(Act::Write(Record::Paper(paper.clone())));
+            let paper = NamedRegister { name: name.into(), value: sheet };
+            out.push(Effect::Persist(LogRecord::Register(paper.clone())));
             self.papers.take(paper);
             // Whoever it was sent to may have no vote, and others go by what the voters hold: they need not wait for the next
             // beat. The configuration's is told with the beat of whoever knows that it is safe.
             self.tell |= self.voter;
         }
         if self.voter {
-            self.send(self.me.at, held(name, 0, rank), out);
+            self.send(self.me.address, held(name, 0, rank), out);
         }
         self.version_held(name, rank.0);
     }
 
     /// Gives the sheet to the members that are not known to hold one as new.
-    pub(super) fn push(&mut self, now: Nanos, name: &str, out: &mut Vec<Act>) {
+    pub(super) fn push(&mut self, now: Nanos, name: &str, out: &mut Vec<Effect>) {
         let Some(register) = self.register(name) else { return };
         let Some(sheet) = register.held.clone() else { return };
         let rank = sheet.rank();
-        let holds = |station: &Station| register.ranks.get(station).is_some_and(|held| *held >= rank);
-        let behind: Vec<Station> = self.others().filter(|station| !holds(station)).collect();
+        let holds = |station: &ReplicaId| register.ranks.get(station).is_some_and(|held| *held >= rank);
+        let behind: Vec<ReplicaId> = self.others().filter(|station| !holds(station)).collect();
         for station in behind {
             let Some(peer) = self.peers.get_mut(&station) else { continue };
             let pushed = peer.pushed.get(name);
@@ -242,37 +247,50 @@
                 continue;
             }
             peer.pushed.insert(name.into(), (now, rank));
-            self.now(station.at, hold(name, sheet.clone()), out);
+            self.now(station.address, hold(name, sheet.clone()), out);
         }
     }
 
     /// Asks the voters that have not said yet what they hold.
-    fn ask(&self, call: u64, out: &mut Vec<Act>) {
+    fn ask(&self, call: u64, out: &mut Vec<Effect>) {
         let Some(Call::Read(reading)) = self.calls.get(&call) else { return };
         let (ask, have) = (call ^ self.salt, self.held_rank(&reading.name));
         for station in self.view.members.iter().filter(|station| !reading.answers.contains_key(station)) {
             if *station != self.me {
-                self.now(station.at, want(&reading.name, ask, have), out);
+                self.now(station.address, want(&reading.name, ask, have), out);
             } else if self.voter {
-                self.send(self.me.at, held(&reading.name, ask, have), out);
+                self.send(self.me.address, held(&reading.name, ask, have), out);
             }
         }
     }
 
-    pub(super) fn offered(&mut self, from: Station, same: bool, sheet: Arc<Sheet>, out: &mut Vec<Act>) {
+    pub(super) fn offered(
+        &mut self,
+        from: ReplicaId,
+        same: bool,
+        sheet: Arc<RegisterValue>,
+        out: &mut Vec<Effect>,
+    ) {
         self.hold(TIMETABLE, sheet, out);
         if same && self.voter && from != self.me {
-            self.send(from.at, held(TIMETABLE, 0, self.sheet.held_rank()), out);
+            self.send(from.address, held(TIMETABLE, 0, self.sheet.held_rank()), out);
         }
         self.judge_sheets(TIMETABLE, out);
     }
 
-    pub(super) fn want_sheet(&self, from: Station, same: bool, ask: u64, have: Rank, out: &mut Vec<Act>) {
+    pub(super) fn want_sheet(
+        &self,
+        from: ReplicaId,
+        same: bool,
+        ask: u64,
+        have: Rank,
+        out: &mut Vec<Effect>,
+    ) {
         if let Some(sheet) = self.sheet.held.as_ref().filter(|sheet| sheet.rank() > have) {
-            self.now(from.at, Body::Hold(sheet.clone()), out);
+            self.now(from.address, MessageBody::StoreConfiguration(sheet.clone()), out);
         }
         if same && self.voter {
-            self.send(from.at, held(TIMETABLE, ask, self.sheet.held_rank()), out);
+            self.send(from.address, held(TIMETABLE, ask, self.sheet.held_rank()), out);
         }
     }
 
@@ -280,11 +298,11 @@
     pub(super) fn held_there(
         &mut self,
         now: Nanos,
-        from: Station,
+        from: ReplicaId,
         member: bool,
         ask: u64,
         rank: Rank,
-        out: &mut Vec<Act>,
+        out: &mut Vec<Effect>,
     ) {
         if member || self.mutant == 37 {
             self.sheet.ranked(from, rank);
@@ -295,7 +313,7 @@
     }
 
     /// A voter of this view says what it holds of a register, maybe to a read of that very register.
-    pub(super) fn replied(&mut self, from: Station, name: &str, ask: u64, rank: Rank) {
+    pub(super) fn replied(&mut self, from: ReplicaId, name: &str, ask: u64, rank: Rank) {
         if let Some(Call::Read(reading)) = self.calls.get_mut(&(ask ^ self.salt))
             && ask != 0
             && *reading.name == *name
@@ -305,19 +323,19 @@
     }
 
     /// Another holds a configuration of that rank: fetches it if it is newer.
-    pub(super) fn look(&mut self, now: Nanos, from: Station, rank: Rank, out: &mut Vec<Act>) {
+    pub(super) fn look(&mut self, now: Nanos, from: ReplicaId, rank: Rank, out: &mut Vec<Effect>) {
         if rank > self.sheet.held_rank() && self.may_pull(now, from, TIMETABLE) {
             self.pull(from, TIMETABLE, out);
         }
     }
 
     /// Asks another for what it holds of a register, if that is newer.
-    pub(super) fn pull(&self, from: Station, name: &str, out: &mut Vec<Act>) {
-        self.now(from.at, want(name, 0, self.held_rank(name)), out);
+    pub(super) fn pull(&self, from: ReplicaId, name: &str, out: &mut Vec<Effect>) {
+        self.now(from.address, want(name, 0, self.held_rank(name)), out);
     }
 
     /// Whether another may be asked for the newest of a register; notes that it was.
-    pub(super) fn may_pull(&mut self, now: Nanos, from: Station, name: &str) -> bool {
+    pub(super) fn may_pull(&mut self, now: Nanos, from: ReplicaId, name: &str) -> bool {
         let Some(peer) = self.peers.get_mut(&from) else { return false };
         let mut last = peer.pulled.get(name).copied();
         let may = due(&mut last, now, RARELY);
@@ -328,7 +346,7 @@
     }
 
     /// What more than half of the voters hold may have grown.
-    pub(super) fn recount(&mut self, name: &str, out: &mut Vec<Act>) {
+    pub(super) fn recount(&mut self, name: &str, out: &mut Vec<Effect>) {
         let majority = self.majority();
         let grown = if name == TIMETABLE {
             self.sheet.recount(majority)
@@ -340,7 +358,7 @@
     }
 
     /// Answers the calls on a register that can be answered now.
-    pub(super) fn judge_sheets(&mut self, name: &str, out: &mut Vec<Act>) {
+    pub(super) fn judge_sheets(&mut self, name: &str, out: &mut Vec<Effect>) {
         let calls = self.sheet_calls.iter().copied();
         let calls: Vec<u64> =
             calls.filter(|call| self.name_of(*call).is_some_and(|of| **of == *name)).collect();
@@ -359,9 +377,9 @@
                     };
                     let safe = register.safe_rank.0 >= version && register.safe_rank != (0, 0);
                     if refused {
-                        self.answer(call, Got::Conflict, out);
+                        self.answer(call, CoreResponse::Conflict, out);
                     } else if safe || self.mutant == 10 {
-                        self.answer(call, Got::Taken, out);
+                        self.answer(call, CoreResponse::Accepted, out);
                     }
                 }
                 Some(Call::Read(reading))
@@ -370,10 +388,10 @@
                     let newest = reading.answers.values().copied().max().unwrap_or_default();
                     let safe = register.safe.as_ref().map_or((0, 0), |sheet| sheet.rank());
                     if safe >= newest {
-                        let got = Got::Newest(register.safe.clone());
+                        let got = CoreResponse::Register(register.safe.clone());
                         self.answer(call, got, out);
                     } else if self.mutant == 7 && register.held_rank() >= newest {
-                        let got = Got::Newest(register.held.clone());
+                        let got = CoreResponse::Register(register.held.clone());
                         self.answer(call, got, out);
                     } else {
                         self.push(self.now, name, out);
@@ -387,7 +405,7 @@
         }
     }
 
-    pub(super) fn sheet_timer(&mut self, now: Nanos, call: u64, out: &mut Vec<Act>) {
+    pub(super) fn sheet_timer(&mut self, now: Nanos, call: u64, out: &mut Vec<Effect>) {
         let again = now.saturating_add(AGAIN);
         let (name, timer, until) = match self.calls.get_mut(&call) {
             Some(Call::Replace(replacing)) => (replacing.name.clone(), &mut replacing.timer, replacing.until),
@@ -395,7 +413,7 @@
             _ => return,
         };
         if now >= until {
-            self.answer(call, Got::Unsure, out);
+            self.answer(call, CoreResponse::Unavailable, out);
             return;
         }
         *timer = again.min(until);
@@ -405,7 +423,7 @@
     }
 
     /// The view is another one: what was said in the last one does not count any more.
-    pub(super) fn sheets_anew(&mut self, now: Nanos, out: &mut Vec<Act>) {
+    pub(super) fn sheets_anew(&mut self, now: Nanos, out: &mut Vec<Effect>) {
         for call in self.sheet_calls.clone() {
             if let Some(Call::Read(reading)) = self.calls.get_mut(&call) {
                 reading.answers.clear();
@@ -413,7 +431,7 @@
             self.ask(call, out);
         }
         self.proposals_anew(now, out);
-        let names: BTreeSet<Name> =
+        let names: BTreeSet<RegisterName> =
             self.sheet_calls.iter().filter_map(|call| self.name_of(*call)).cloned().collect();
         for name in names {
             self.push(now, &name, out);
@@ -421,15 +439,16 @@
     }
 
     /// A voter counts itself, with what is safe on its disk.
-    pub(super) fn tell_self(&self, out: &mut Vec<Act>) {
-        self.send(self.me.at, held(TIMETABLE, 0, self.sheet.held_rank()), out);
-        let mut place: Option<Name> = Some(TIMETABLE.into());
+    pub(super) fn tell_self(&self, out: &mut Vec<Effect>) {
+        self.send(self.me.address, held(TIMETABLE, 0, self.sheet.held_rank()), out);
+        let mut place: Option<RegisterName> = Some(TIMETABLE.into());
         while let Some(name) = place {
             let (ranks, next) = self.papers.ranks(&name);
             place = next;
             if !ranks.is_empty() {
-                let list = Body::PapersHeld { ask: 0, voter: true, ranks, next: None };
-                self.send(self.me.at, list, out);
+                let list =
+                    MessageBody::RegistersStored { read_id: 0, voter: true, revisions: ranks, next: None };
+                self.send(self.me.address, list, out);
             }
         }
     }
--- a/consensus/src/core/rollback.rs
+++ b/consensus/src/core/rollback.rs
@@ -15,44 +15,49 @@
 impl Core {
     /// May take part in going back: it voted in the view before, and told nobody since.
     fn may_undo(&self) -> bool {
-        let voted = self.voter || self.left == Some(self.view.number);
-        voted && (!self.told_new || self.mutant == 13) && self.view.base.contains(&self.me)
+        let voted = self.voter || self.left == Some(self.view.epoch);
+        voted && (!self.told_new || self.mutant == 13) && self.view.previous_members.contains(&self.me)
     }
 
     /// Whether so many are more than half of the base.
-    pub(super) fn most_of_base<'a>(&self, of: impl Iterator<Item = &'a Station>) -> bool {
-        let base = &self.view.base;
+    pub(super) fn most_of_base<'a>(&self, of: impl Iterator<Item = &'a ReplicaId>) -> bool {
+        let base = &self.view.previous_members;
         !base.is_empty() && of.filter(|station| base.contains(station)).count() > base.len() / 2
     }
 
     /// The view to go back to, where nothing else is left: the new member is gone for good, it did not vote, and this
     /// view has too few that do.
-    pub(super) fn undoing(&self, now: Nanos) -> Option<View> {
+    pub(super) fn undoing(&self, now: Nanos) -> Option<Membership> {
         if !self.voter || !self.may_undo() {
             return None;
         }
         let members = &self.view.members;
-        let mut fresh = members.iter().filter(|member| !self.view.base.contains(member));
+        let mut fresh = members.iter().filter(|member| !self.view.previous_members.contains(member));
         let gone = fresh.all(|member| !self.is_voter(member) && self.is_replaced(now, member));
-        let there = |member: &&Station| {
+        let there = |member: &&ReplicaId| {
             **member == self.me || self.peers.get(*member).is_some_and(|peer| peer.there(now))
         };
         let able = members.iter().filter(|member| self.is_voter(member)).filter(there).count();
         let needed = gone && able < self.majority() || self.hasty;
-        if !needed || !self.most_of_base(self.view.base.iter().filter(there)) {
+        if !needed || !self.most_of_base(self.view.previous_members.iter().filter(there)) {
             return None;
         }
-        let number = self.view.number.saturating_add(1);
-        Some(View { number, members: self.view.base.clone(), base: Vec::new(), undone: true })
+        let number = self.view.epoch.saturating_add(1);
+        Some(Membership {
+            epoch: number,
+            members: self.view.previous_members.clone(),
+            previous_members: Vec::new(),
+            rolled_back: true,
+        })
     }
 
     /// Another wants to go back: promised like any ballot, by one that tells nobody any more.
-    pub(super) fn bar(&mut self, from: Station, ballot: Ballot, out: &mut Vec<Act>) {
+    pub(super) fn bar(&mut self, from: ReplicaId, ballot: Ballot, out: &mut Vec<Effect>) {
         if !self.may_undo() {
             return;
         }
         if ballot < self.promised {
-            self.now(from.at, Body::Outbid(self.promised), out);
+            self.now(from.address, MessageBody::Preempted(self.promised), out);
             return;
         }
         if ballot > self.promised || !self.barred {
@@ -60,11 +65,15 @@
             self.barred = true;
             self.keep_ballots(out);
         }
-        self.send(from.at, Body::Barred { ballot, accepted: self.accepted.clone() }, out);
+        self.send(
+            from.address,
+            MessageBody::RollbackPromise { ballot, accepted: self.accepted.clone() },
+            out,
+        );
     }
 
     /// Whether it may tell another what it holds; noted on disk before it does.
-    pub(super) fn may_tell(&mut self, out: &mut Vec<Act>) -> bool {
+    pub(super) fn may_tell(&mut self, out: &mut Vec<Effect>) -> bool {
         if self.barred && self.mutant != 14 {
             return false;
         }
