--- a/consensus/src/core/sessions.rs
+++ b/consensus/src/core/sessions.rs
@@ -10,7 +10,10 @@
 //! higher epoch than what was agreed since. Where it is told of two tokens at one epoch it gives that epoch to neither.
 
 use super::*;
-use crate::messages::{Agreed, Entry, Holder, Holding, Said, Session, Wish};
+use crate::messages::{
+    CommittedSession, SessionId, SessionMessage, SessionOwner, SessionOwnership, SessionRecord,
+    SessionRequest,
+};
 
 /// A session that nobody has used for so long is forgotten.
 pub const SESSION_IDLE: Nanos = 900_000 * MS;
@@ -19,13 +22,13 @@
 /// After so many tries that were outbid the next one waits a little.
 const AT_ONCE: u32 = 2;
 const MOST_CALLS: usize = 4_096;
-const NOBODY: Token = 0;
+const NOBODY: LeaseToken = 0;
 
 /// The records that this steward holds.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Sessions {
-    kept: BTreeMap<Session, (Entry, Nanos)>,
-    expiry: BTreeSet<(Nanos, Session)>,
+    kept: BTreeMap<SessionId, (SessionRecord, Nanos)>,
+    expiry: BTreeSet<(Nanos, SessionId)>,
     calls: BTreeSet<u64>,
     counts: SessionCounts,
 }
@@ -45,45 +48,55 @@
 /// A call that changes a session.
 #[derive(Clone, Debug)]
 pub(super) struct Changing {
-    session: Session,
-    wish: Wish,
+    session: SessionId,
+    wish: SessionRequest,
     began: Nanos,
     pub timer: Nanos,
     epoch: u64,
-    token: Token,
+    token: LeaseToken,
     /// The highest epoch that others were told to have.
     seen: u64,
     tries: u32,
-    heard: BTreeMap<Station, Option<Agreed>>,
+    heard: BTreeMap<ReplicaId, Option<CommittedSession>>,
     /// What is to be held, once more than half were heard.
-    change: Option<Agreed>,
-    held: BTreeSet<Station>,
-    outbid: BTreeSet<Station>,
+    change: Option<CommittedSession>,
+    held: BTreeSet<ReplicaId>,
+    outbid: BTreeSet<ReplicaId>,
     /// The change is one of the gate, of the tie.
     moves: bool,
     ties: bool,
 }
 
 /// What a wish makes of a holding; nothing where there is nothing to be changed or kept.
-fn changed(wish: &Wish, was: Option<&Holding>, epoch: u64) -> Option<Holding> {
+fn changed(wish: &SessionRequest, was: Option<&SessionOwnership>, epoch: u64) -> Option<SessionOwnership> {
     match wish {
-        Wish::Take { gate, above } => Some(match was {
-            Some(was) if was.holder.is_some_and(|holder| holder.gate == *gate && holder.since >= *above) => {
+        SessionRequest::Acquire { outbound_proxy: gate, above_term: above } => Some(match was {
+            Some(was)
+                if was
+                    .owner
+                    .is_some_and(|holder| holder.outbound_proxy == *gate && holder.since_term >= *above) =>
+            {
                 was.clone()
             }
-            was => Holding {
-                tie: was.and_then(|was| was.tie.clone()),
-                holder: Some(Holder { gate: *gate, since: epoch }),
-                before: was.and_then(|was| was.holder.or(was.before)),
+            was => SessionOwnership {
+                binding: was.and_then(|was| was.binding.clone()),
+                owner: Some(SessionOwner { outbound_proxy: *gate, since_term: epoch }),
+                previous_owner: was.and_then(|was| was.owner.or(was.previous_owner)),
             },
         }),
-        Wish::Tie { holder, was: id, tie } => was.map(|was| {
-            let ours = was.holder == Some(*holder);
-            let same = was.tie.as_ref().map(|tie| &tie.id) == id.as_ref();
-            Holding { tie: if ours && same { Some(tie.clone()) } else { was.tie.clone() }, ..was.clone() }
+        SessionRequest::Bind { owner: holder, current_upstream_id: id, binding: tie } => was.map(|was| {
+            let ours = was.owner == Some(*holder);
+            let same = was.binding.as_ref().map(|tie| &tie.upstream_id) == id.as_ref();
+            SessionOwnership {
+                binding: if ours && same { Some(tie.clone()) } else { was.binding.clone() },
+                ..was.clone()
+            }
+        }),
+        SessionRequest::Forget => was.map(|was| SessionOwnership {
+            previous_owner: was.owner.or(was.previous_owner),
+            ..SessionOwnership::default()
         }),
-        Wish::Drop => was.map(|was| Holding { before: was.holder.or(was.before), ..Holding::default() }),
-        Wish::Read | Wish::Renew(_) => was.cloned(),
+        SessionRequest::Read | SessionRequest::Renew(_) => was.cloned(),
     }
 }
 
@@ -96,24 +109,28 @@
         &mut self,
         now: Nanos,
         call: u64,
-        session: Session,
-        wish: Wish,
-        out: &mut Vec<Act>,
+        session: SessionId,
+        wish: SessionRequest,
+        out: &mut Vec<Effect>,
     ) {
-        if let Wish::Renew(_) = wish {
+        if let SessionRequest::Renew(_) = wish {
             for station in self.others() {
-                self.post.entry(station.at).or_default().session_asks.push(Said::Renew(session));
+                self.post
+                    .entry(station.address)
+                    .or_default()
+                    .session_asks
+                    .push(SessionMessage::Renew(session));
             }
             self.renewed(session);
-            let taken = self.sessions.kept.get(&session).and_then(|(entry, _)| entry.taken.clone());
-            out.push(Act::Answer { call, got: Got::Session(taken) });
+            let taken = self.sessions.kept.get(&session).and_then(|(entry, _)| entry.accepted.clone());
+            out.push(Effect::Respond { call, response: CoreResponse::Session(taken) });
             return;
         }
         if self.sessions.calls.len() >= MOST_CALLS {
-            out.push(Act::Answer { call, got: Got::Unsure });
+            out.push(Effect::Respond { call, response: CoreResponse::Unavailable });
             return;
         }
-        let seen = if let Wish::Take { above, .. } = &wish { *above } else { 0 };
+        let seen = if let SessionRequest::Acquire { above_term: above, .. } = &wish { *above } else { 0 };
         let timer = now.saturating_add(AGAIN);
         let changing = Changing {
             session,
@@ -142,10 +159,10 @@
     }
 
     /// Begins anew, at an epoch above all that is known, which nobody has used.
-    fn try_change(&mut self, call: u64, out: &mut Vec<Act>) {
+    fn try_change(&mut self, call: u64, out: &mut Vec<Effect>) {
         let token = self.chance.random_range(1..=u64::MAX);
         let Some(Call::Session(changing)) = self.calls.get_mut(&call) else { return };
-        let own = self.sessions.kept.get(&changing.session).map_or(0, |(entry, _)| entry.epoch);
+        let own = self.sessions.kept.get(&changing.session).map_or(0, |(entry, _)| entry.term);
         let last = changing.seen.max(own).max(changing.epoch);
         if last == u64::MAX {
             return; // Nobody gets so far; its time will be over.
@@ -159,13 +176,13 @@
         changing.change = None;
         let (session, epoch) = (changing.session, changing.epoch);
         let id = call ^ self.salt;
-        self.tell_all(Said::Ask { call: id, session, epoch, token }, out);
+        self.tell_all(SessionMessage::Prepare { call: id, session, term: epoch, token }, out);
     }
 
     /// To all of the view; oneself is asked at once.
-    fn tell_all(&mut self, said: Said, out: &mut Vec<Act>) {
+    fn tell_all(&mut self, said: SessionMessage, out: &mut Vec<Effect>) {
         for station in self.others() {
-            self.post.entry(station.at).or_default().session_asks.push(said.clone());
+            self.post.entry(station.address).or_default().session_asks.push(said.clone());
         }
         if self.is_member(&self.me) {
             self.asked_session(self.me, said, out);
@@ -176,63 +193,73 @@
     pub(super) fn said_of_sessions(
         &mut self,
         now: Nanos,
-        from: Station,
+        from: ReplicaId,
         (same, member): (bool, bool),
-        list: Vec<Said>,
-        out: &mut Vec<Act>,
+        list: Vec<SessionMessage>,
+        out: &mut Vec<Effect>,
     ) {
         for said in list {
             match said {
-                Said::Ask { .. } | Said::Hold { .. } if same => self.asked_session(from, said, out),
-                Said::Heard { call, epoch, taken } if member => {
+                SessionMessage::Prepare { .. } | SessionMessage::Accept { .. } if same => {
+                    self.asked_session(from, said, out)
+                }
+                SessionMessage::Promise { call, term: epoch, accepted: taken } if member => {
                     self.session_heard(call ^ self.salt, from, epoch, taken, out);
                 }
-                Said::Held { call, epoch } if member => {
+                SessionMessage::Accepted { call, term: epoch } if member => {
                     self.session_held(call ^ self.salt, from, epoch, out);
                 }
-                Said::Outbid { call, epoch } if member => {
+                SessionMessage::Preempted { call, term: epoch } if member => {
                     self.session_outbid(now, call ^ self.salt, from, epoch, out);
                 }
-                Said::Renew(session) => self.renewed(session),
+                SessionMessage::Renew(session) => self.renewed(session),
                 _ => {}
             }
         }
     }
 
     /// One asks to be promised an epoch, or to have a change held. No word where this one may not vote.
-    fn asked_session(&mut self, from: Station, said: Said, out: &mut Vec<Act>) {
+    fn asked_session(&mut self, from: ReplicaId, said: SessionMessage, out: &mut Vec<Effect>) {
         if !self.voter {
             return;
         }
         let (call, session, epoch, token, agreed) = match said {
-            Said::Ask { call, session, epoch, token } => (call, session, epoch, token, None),
-            Said::Hold { call, session, agreed } => (call, session, agreed.epoch, agreed.token, Some(agreed)),
+            SessionMessage::Prepare { call, session, term: epoch, token } => {
+                (call, session, epoch, token, None)
+            }
+            SessionMessage::Accept { call, session, change: agreed } => {
+                (call, session, agreed.term, agreed.token, Some(agreed))
+            }
             _ => return,
         };
         let known = self.sessions.kept.get(&session);
-        let last = known.map_or((0, NOBODY), |(entry, _)| (entry.epoch, entry.token));
+        let last = known.map_or((0, NOBODY), |(entry, _)| (entry.term, entry.token));
         let first = epoch > last.0
             || epoch == last.0 && (token == last.1 || self.mutant == 22)
             || self.mutant == 23 && agreed.is_some();
-        let taken = known.and_then(|(entry, _)| entry.taken.clone());
+        let taken = known.and_then(|(entry, _)| entry.accepted.clone());
         let reply = if !first || token == NOBODY {
-            Said::Outbid { call, epoch: last.0 }
+            SessionMessage::Preempted { call, term: last.0 }
         } else {
             let holds = agreed.is_some();
             let kept = agreed.or_else(|| taken.clone());
-            self.write_session(session, Entry { epoch, token, taken: kept }, out);
-            if holds { Said::Held { call, epoch } } else { Said::Heard { call, epoch, taken } }
+            self.write_session(session, SessionRecord { term: epoch, token, accepted: kept }, out);
+            if holds {
+                SessionMessage::Accepted { call, term: epoch }
+            } else {
+                SessionMessage::Promise { call, term: epoch, accepted: taken }
+            }
         };
-        self.post.entry(from.at).or_default().session_replies.push(reply);
+        self.post.entry(from.address).or_default().session_replies.push(reply);
     }
 
     fn session_heard(
         &mut self,
         call: u64,
-        from: Station,
+        from: ReplicaId,
         epoch: u64,
-        taken: Option<Agreed>,
-        out: &mut Vec<Act>,
+        taken: Option<CommittedSession>,
+        out: &mut Vec<Effect>,
     ) {
         let (most, mutant) = (self.majority(), self.mutant);
         let Some(Call::Session(changing)) = self.calls.get_mut(&call) else { return };
@@ -244,22 +271,22 @@
             return;
         }
         let told = changing.heard.values().flatten();
-        let last = if mutant == 24 { told.min_by_key(|a| a.epoch) } else { told.max_by_key(|a| a.epoch) };
-        let Some(holding) = changed(&changing.wish, last.map(|last| &last.holding), epoch) else {
-            self.answer(call, Got::Session(None), out);
+        let last = if mutant == 24 { told.min_by_key(|a| a.term) } else { told.max_by_key(|a| a.term) };
+        let Some(holding) = changed(&changing.wish, last.map(|last| &last.ownership), epoch) else {
+            self.answer(call, CoreResponse::Session(None), out);
             return;
         };
-        let was = last.map(|last| &last.holding);
-        changing.moves = was.is_some_and(|was| was.holder != holding.holder);
-        changing.ties = was.is_some_and(|was| was.tie != holding.tie);
-        let agreed = Agreed { epoch, token: changing.token, holding };
+        let was = last.map(|last| &last.ownership);
+        changing.moves = was.is_some_and(|was| was.owner != holding.owner);
+        changing.ties = was.is_some_and(|was| was.binding != holding.binding);
+        let agreed = CommittedSession { term: epoch, token: changing.token, ownership: holding };
         changing.change = Some(agreed.clone());
         changing.outbid.clear();
         let session = changing.session;
-        self.tell_all(Said::Hold { call: call ^ self.salt, session, agreed }, out);
+        self.tell_all(SessionMessage::Accept { call: call ^ self.salt, session, change: agreed }, out);
     }
 
-    fn session_held(&mut self, call: u64, from: Station, epoch: u64, out: &mut Vec<Act>) {
+    fn session_held(&mut self, call: u64, from: ReplicaId, epoch: u64, out: &mut Vec<Effect>) {
         let most = self.majority();
         let Some(Call::Session(changing)) = self.calls.get_mut(&call) else { return };
         if changing.epoch != epoch || changing.change.is_none() {
@@ -270,12 +297,12 @@
             let agreed = changing.change.take();
             self.sessions.counts.moves += u64::from(changing.moves);
             self.sessions.counts.ties += u64::from(changing.ties);
-            self.answer(call, Got::Session(agreed), out);
+            self.answer(call, CoreResponse::Session(agreed), out);
         }
     }
 
     /// So many were there first that more than half can't be had: it goes on above them, later where that is in vain.
-    fn session_outbid(&mut self, now: Nanos, call: u64, from: Station, epoch: u64, out: &mut Vec<Act>) {
+    fn session_outbid(&mut self, now: Nanos, call: u64, from: ReplicaId, epoch: u64, out: &mut Vec<Effect>) {
         let (most, voters) = (self.majority(), self.view.members.len());
         let wait = self.chance.random_range(2..40) * MS;
         let Some(Call::Session(changing)) = self.calls.get_mut(&call) else { return };
@@ -298,10 +325,10 @@
         }
     }
 
-    pub(super) fn session_timer(&mut self, now: Nanos, call: u64, out: &mut Vec<Act>) {
+    pub(super) fn session_timer(&mut self, now: Nanos, call: u64, out: &mut Vec<Effect>) {
         let Some(Call::Session(changing)) = self.calls.get_mut(&call) else { return };
         if now >= changing.began.saturating_add(GATHER) {
-            self.answer(call, Got::Unsure, out);
+            self.answer(call, CoreResponse::Unavailable, out);
             return;
         }
         changing.timer = now.saturating_add(AGAIN);
@@ -311,7 +338,7 @@
     }
 
     /// The view is another one, or this steward votes now: what was heard and held does not count any more.
-    pub(super) fn sessions_anew(&mut self, out: &mut Vec<Act>) {
+    pub(super) fn sessions_anew(&mut self, out: &mut Vec<Effect>) {
         for call in self.sessions.calls.clone() {
             self.try_change(call, out);
         }
@@ -322,7 +349,7 @@
         &self,
         from: u128,
         to: Option<u128>,
-    ) -> (Vec<(Session, Entry)>, Option<u128>) {
+    ) -> (Vec<(SessionId, SessionRecord)>, Option<u128>) {
         let mut part = Vec::new();
         for (session, (entry, _)) in self.sessions.kept.range(from..) {
             if to.is_some_and(|to| *session >= to) {
@@ -337,30 +364,35 @@
     }
 
     /// Takes over what another voter holds.
-    pub(super) fn merge_session(&mut self, session: Session, theirs: Entry, out: &mut Vec<Act>) {
-        if self.mutant == 25 || self.mutant == 40 && theirs.taken.is_none() {
+    pub(super) fn merge_session(&mut self, session: SessionId, theirs: SessionRecord, out: &mut Vec<Effect>) {
+        if self.mutant == 25 || self.mutant == 40 && theirs.accepted.is_none() {
             return;
         }
-        let mine = self.sessions.kept.get(&session).map_or_else(Entry::default, |(entry, _)| entry.clone());
-        let token = match theirs.epoch.cmp(&mine.epoch) {
+        let mine =
+            self.sessions.kept.get(&session).map_or_else(SessionRecord::default, |(entry, _)| entry.clone());
+        let token = match theirs.term.cmp(&mine.term) {
             std::cmp::Ordering::Greater => theirs.token,
             // Whoever had it asked in an earlier view, where its letters end: it is nobody's any more.
             std::cmp::Ordering::Equal if theirs.token != mine.token => NOBODY,
             _ => mine.token,
         };
-        let rank = |taken: &Option<Agreed>| taken.as_ref().map_or(0, |agreed| agreed.epoch);
-        let epoch = theirs.epoch.max(mine.epoch);
-        let taken = if rank(&theirs.taken) > rank(&mine.taken) { theirs.taken } else { mine.taken.clone() };
-        let merged = Entry { epoch, token, taken };
+        let rank = |taken: &Option<CommittedSession>| taken.as_ref().map_or(0, |agreed| agreed.term);
+        let epoch = theirs.term.max(mine.term);
+        let taken = if rank(&theirs.accepted) > rank(&mine.accepted) {
+            theirs.accepted
+        } else {
+            mine.accepted.clone()
+        };
+        let merged = SessionRecord { term: epoch, token, accepted: taken };
         if merged != mine {
             self.write_session(session, merged, out);
         }
     }
 
-    fn write_session(&mut self, session: Session, entry: Entry, out: &mut Vec<Act>) {
-        out.push(Act::Write(Record::Session(session, entry.clone())));
+    fn write_session(&mut self, session: SessionId, entry: SessionRecord, out: &mut Vec<Effect>) {
+        out.push(Effect::Persist(LogRecord::Session(session, entry.clone())));
         self.put_session(session, entry);
-        while self.sessions.kept.len() > self.config.most_claims {
+        while self.sessions.kept.len() > self.config.max_leases {
             let Some(&(until, oldest)) = self.sessions.expiry.first() else { return };
             self.sessions.counts.dropped += 1;
             self.drop_session(until, oldest, out);
@@ -368,7 +400,7 @@
     }
 
     /// Keeps it for as long as that is, from now.
-    pub(super) fn put_session(&mut self, session: Session, entry: Entry) {
+    pub(super) fn put_session(&mut self, session: SessionId, entry: SessionRecord) {
         let until = self.now.saturating_add(SESSION_IDLE);
         if let Some((_, before)) = self.sessions.kept.insert(session, (entry, until)) {
             self.sessions.expiry.remove(&(before, session));
@@ -376,21 +408,21 @@
         self.sessions.expiry.insert((until, session));
     }
 
-    fn renewed(&mut self, session: Session) {
+    fn renewed(&mut self, session: SessionId) {
         if let Some((entry, _)) = self.sessions.kept.get(&session) {
             let entry = entry.clone();
             self.put_session(session, entry);
         }
     }
 
-    fn drop_session(&mut self, until: Nanos, session: Session, out: &mut Vec<Act>) {
+    fn drop_session(&mut self, until: Nanos, session: SessionId, out: &mut Vec<Effect>) {
         self.sessions.expiry.remove(&(until, session));
         if self.sessions.kept.remove(&session).is_some() {
-            out.push(Act::Write(Record::SessionOver(session)));
+            out.push(Effect::Persist(LogRecord::SessionEnded(session)));
         }
     }
 
-    pub(super) fn expire_sessions(&mut self, now: Nanos, out: &mut Vec<Act>) {
+    pub(super) fn expire_sessions(&mut self, now: Nanos, out: &mut Vec<Effect>) {
         while let Some(&(until, session)) = self.sessions.expiry.first() {
             if until > now {
                 break;
@@ -399,7 +431,7 @@
         }
     }
 
-    pub(super) fn session_records(&self) -> impl Iterator<Item = Record> {
-        self.sessions.kept.iter().map(|(session, (entry, _))| Record::Session(*session, entry.clone()))
+    pub(super) fn session_records(&self) -> impl Iterator<Item = LogRecord> {
+        self.sessions.kept.iter().map(|(session, (entry, _))| LogRecord::Session(*session, entry.clone()))
     }
 }
--- a/consensus/src/core/version_ballots.rs
+++ b/consensus/src/core/version_ballots.rs
@@ -16,7 +16,7 @@
 //! never holds less than before, so no second content can find a majority.
 
 use super::*;
-use crate::messages::{ProposalNumber, VersionBallot, VersionMessage};
+use crate::messages::{AcceptorState, ProposalNumber, RegisterPaxosMessage};
 
 /// From one sending of a message that was not answered to the next.
 const RESEND: Nanos = 120 * MS;
@@ -32,11 +32,11 @@
 #[derive(Clone, Debug)]
 pub(super) struct Proposal {
     number: ProposalNumber,
-    sheet: Arc<Sheet>,
-    promises: BTreeMap<Station, Option<(ProposalNumber, Arc<Sheet>)>>,
+    sheet: Arc<RegisterValue>,
+    promises: BTreeMap<ReplicaId, Option<(ProposalNumber, Arc<RegisterValue>)>>,
     /// What a majority is asked to accept, once a majority has promised.
-    chosen: Option<Arc<Sheet>>,
-    accepts: BTreeSet<Station>,
+    chosen: Option<Arc<RegisterValue>>,
+    accepts: BTreeSet<ReplicaId>,
     /// Another has a higher ballot; the next try is due at `next_send`.
     outbid: bool,
     tries: u32,
@@ -45,9 +45,9 @@
 
 #[derive(Clone, Debug, Default)]
 pub(super) struct Versions {
-    proposals: BTreeMap<Name, Proposal>,
+    proposals: BTreeMap<RegisterName, Proposal>,
     /// What this replica promised and accepted, for versions above those held.
-    open: BTreeMap<(Name, u64), VersionBallot>,
+    open: BTreeMap<(RegisterName, u64), AcceptorState>,
     /// The highest round of any ballot seen.
     top_round: u64,
 }
@@ -64,33 +64,33 @@
         self.register(name).is_none_or(|register| register.is_newer(version))
     }
 
-    pub(super) fn load_version_ballots(&mut self, saved: Vec<VersionBallot>) {
+    pub(super) fn load_version_ballots(&mut self, saved: Vec<AcceptorState>) {
         for ballot in saved {
-            if self.is_newer(&ballot.name, ballot.version) {
+            if self.is_newer(&ballot.register, ballot.version) {
                 self.versions.top_round = self.versions.top_round.max(ballot.promised.ballot.round);
-                self.versions.open.insert((ballot.name.clone(), ballot.version), ballot);
+                self.versions.open.insert((ballot.register.clone(), ballot.version), ballot);
             }
         }
     }
 
-    pub(super) fn version_ballots(&self) -> Vec<VersionBallot> {
+    pub(super) fn version_ballots(&self) -> Vec<AcceptorState> {
         self.versions.open.values().cloned().collect()
     }
 
-    fn keep_version_ballots(&self, out: &mut Vec<Act>) {
-        out.push(Act::Write(Record::VersionBallots(self.version_ballots())));
+    fn keep_version_ballots(&self, out: &mut Vec<Effect>) {
+        out.push(Effect::Persist(LogRecord::RegisterAcceptors(self.version_ballots())));
     }
 
     /// What a new member has to be told of versions that may have been decided.
-    pub(super) fn accepted_versions(&self) -> Vec<VersionBallot> {
-        let accepted = |ballot: &&VersionBallot| ballot.accepted.is_some() && self.mutant != 32;
+    pub(super) fn accepted_versions(&self) -> Vec<AcceptorState> {
+        let accepted = |ballot: &&AcceptorState| ballot.accepted.is_some() && self.mutant != 32;
         self.versions.open.values().filter(accepted).cloned().collect()
     }
 
     /// Takes over what another accepted: of several, the one of the highest ballot may have been decided.
-    pub(super) fn merge_version_ballots(&mut self, told: Vec<VersionBallot>, out: &mut Vec<Act>) {
+    pub(super) fn merge_version_ballots(&mut self, told: Vec<AcceptorState>, out: &mut Vec<Effect>) {
         let mut changed = false;
-        for VersionBallot { name, version, accepted, .. } in told {
+        for AcceptorState { register: name, version, accepted, .. } in told {
             let Some((number, sheet)) = accepted else { continue };
             if !self.is_newer(&name, version) {
                 continue;
@@ -107,9 +107,9 @@
         }
     }
 
-    fn open_version(&mut self, name: &Name, version: u64) -> &mut VersionBallot {
-        self.versions.open.entry((name.clone(), version)).or_insert_with(|| VersionBallot {
-            name: name.clone(),
+    fn open_version(&mut self, name: &RegisterName, version: u64) -> &mut AcceptorState {
+        self.versions.open.entry((name.clone(), version)).or_insert_with(|| AcceptorState {
+            register: name.clone(),
             version,
             promised: ProposalNumber::default(),
             accepted: None,
@@ -127,7 +127,7 @@
 
     /// Proposes the highest version that a call waits for, unless a proposal for this register is under way: one that
     /// has begun is finished first, so that a row of ever higher versions can't keep all of them from being decided.
-    pub(super) fn propose_version(&mut self, now: Nanos, name: &Name, out: &mut Vec<Act>) {
+    pub(super) fn propose_version(&mut self, now: Nanos, name: &RegisterName, out: &mut Vec<Effect>) {
         if self.versions.proposals.contains_key(name) {
             return;
         }
@@ -152,23 +152,23 @@
     }
 
     fn proposal_epoch(&self) -> u64 {
-        if self.mutant == 39 { 0 } else { self.view.number }
+        if self.mutant == 39 { 0 } else { self.view.epoch }
     }
 
     pub(super) fn next_proposal(&self) -> Nanos {
         self.versions.proposals.values().map(|proposal| proposal.next_send).min().unwrap_or(Nanos::MAX)
     }
 
-    pub(super) fn drive_proposals(&mut self, now: Nanos, out: &mut Vec<Act>) {
+    pub(super) fn drive_proposals(&mut self, now: Nanos, out: &mut Vec<Effect>) {
         let due = self.versions.proposals.iter().filter(|(_, proposal)| proposal.next_send <= now);
-        let due: Vec<Name> = due.map(|(name, _)| name.clone()).collect();
+        let due: Vec<RegisterName> = due.map(|(name, _)| name.clone()).collect();
         for name in due {
             self.drive_proposal(now, &name, out);
         }
     }
 
     /// The membership is another one: what was answered in the last one does not count.
-    pub(super) fn proposals_anew(&mut self, now: Nanos, out: &mut Vec<Act>) {
+    pub(super) fn proposals_anew(&mut self, now: Nanos, out: &mut Vec<Effect>) {
         for proposal in self.versions.proposals.values_mut() {
             (proposal.outbid, proposal.next_send) = (true, now);
         }
@@ -176,7 +176,7 @@
     }
 
     /// Whether a call still waits for that version.
-    fn is_wanted(&self, name: &Name, version: u64) -> bool {
+    fn is_wanted(&self, name: &RegisterName, version: u64) -> bool {
         let wants = |call: &u64| {
             matches!(self.calls.get(call), Some(Call::Replace(replacing))
                 if replacing.name == *name && replacing.sheet.version == version)
@@ -185,7 +185,7 @@
     }
 
     /// Begins a ballot, or sends what was not answered again.
-    fn drive_proposal(&mut self, now: Nanos, name: &Name, out: &mut Vec<Act>) {
+    fn drive_proposal(&mut self, now: Nanos, name: &RegisterName, out: &mut Vec<Effect>) {
         let Some(mut proposal) = self.versions.proposals.remove(name) else { return };
         if !self.is_wanted(name, proposal.sheet.version) {
             self.propose_version(now, name, out);
@@ -194,7 +194,7 @@
         if proposal.outbid {
             self.versions.top_round = self.versions.top_round.saturating_add(1);
             let ballot =
-                Ballot { round: self.versions.top_round, by: self.chance.random_range(1..=u64::MAX) };
+                Ballot { round: self.versions.top_round, proposer: self.chance.random_range(1..=u64::MAX) };
             proposal.number = ProposalNumber { epoch: self.proposal_epoch(), ballot };
             proposal.outbid = false;
             proposal.chosen = None;
@@ -204,10 +204,12 @@
         proposal.next_send = now.saturating_add(RESEND);
         let (number, version) = (proposal.number, proposal.sheet.version);
         let message = match &proposal.chosen {
-            None => VersionMessage::Prepare { name: name.clone(), version, number },
-            Some(sheet) => VersionMessage::Accept { name: name.clone(), number, sheet: sheet.clone() },
+            None => RegisterPaxosMessage::Prepare { register: name.clone(), version, number },
+            Some(sheet) => {
+                RegisterPaxosMessage::Accept { register: name.clone(), number, value: sheet.clone() }
+            }
         };
-        let answered = |station: &Station| match &proposal.chosen {
+        let answered = |station: &ReplicaId| match &proposal.chosen {
             None => proposal.promises.contains_key(station),
             Some(_) => proposal.accepts.contains(station),
         };
@@ -217,41 +219,41 @@
             if *station == self.me {
                 self.send_version(*station, message.clone(), out);
             } else {
-                self.now(station.at, Body::Version(message.clone()), out);
+                self.now(station.address, MessageBody::RegisterPaxos(message.clone()), out);
             }
         }
         self.versions.proposals.insert(name.clone(), proposal);
     }
 
-    fn send_version(&self, to: Station, message: VersionMessage, out: &mut Vec<Act>) {
-        self.send(to.at, Body::Version(message), out);
+    fn send_version(&self, to: ReplicaId, message: RegisterPaxosMessage, out: &mut Vec<Effect>) {
+        self.send(to.address, MessageBody::RegisterPaxos(message), out);
     }
 
     pub(super) fn version_message(
         &mut self,
         now: Nanos,
-        from: Station,
+        from: ReplicaId,
         (same, member): (bool, bool),
-        message: VersionMessage,
-        out: &mut Vec<Act>,
+        message: RegisterPaxosMessage,
+        out: &mut Vec<Effect>,
     ) {
         match message {
-            VersionMessage::Prepare { name, version, number } if same => {
+            RegisterPaxosMessage::Prepare { register: name, version, number } if same => {
                 self.asked_version(from, name, version, number, None, out);
             }
-            VersionMessage::Accept { name, number, sheet } if same => {
+            RegisterPaxosMessage::Accept { register: name, number, value: sheet } if same => {
                 self.asked_version(from, name, sheet.version, number, Some(sheet), out);
             }
-            VersionMessage::Promise { name, version, number, accepted } if member => {
+            RegisterPaxosMessage::Promise { register: name, version, number, accepted } if member => {
                 self.version_promised(now, from, name, version, number, accepted, out);
             }
-            VersionMessage::Accepted { name, version, number } if member => {
+            RegisterPaxosMessage::Accepted { register: name, version, number } if member => {
                 self.version_accepted(now, from, name, version, number, out);
             }
-            VersionMessage::Outbid { name, version, number, promised } if member => {
+            RegisterPaxosMessage::Preempted { register: name, version, number, promised } if member => {
                 self.version_outbid(now, name, version, number, promised);
             }
-            VersionMessage::Superseded { name, version, digest, .. } if member => {
+            RegisterPaxosMessage::Superseded { register: name, version, digest, .. } if member => {
                 self.version_superseded(now, from, name, version, digest, out);
             }
             _ => {}
@@ -261,19 +263,19 @@
     /// A member is asked to promise a number, or to accept content under it. No word where this one may not vote.
     fn asked_version(
         &mut self,
-        from: Station,
-        name: Name,
+        from: ReplicaId,
+        name: RegisterName,
         version: u64,
         number: ProposalNumber,
-        sheet: Option<Arc<Sheet>>,
-        out: &mut Vec<Act>,
+        sheet: Option<Arc<RegisterValue>>,
+        out: &mut Vec<Effect>,
     ) {
         if !self.voter || name.len() > named_registers::MOST_NAME || number.epoch != self.proposal_epoch() {
             return;
         }
         if !self.is_newer(&name, version) && self.mutant != 34 {
             let digest = self.register(&name).and_then(|register| register.digest_of(version));
-            let superseded = VersionMessage::Superseded { name, version, number, digest };
+            let superseded = RegisterPaxosMessage::Superseded { register: name, version, number, digest };
             self.send_version(from, superseded, out);
             return;
         }
@@ -288,7 +290,8 @@
         let ignores_promises = self.mutant == 33;
         let open = self.open_version(&name, version);
         if number < open.promised && !ignores_promises {
-            let outbid = VersionMessage::Outbid { name, version, number, promised: open.promised };
+            let outbid =
+                RegisterPaxosMessage::Preempted { register: name, version, number, promised: open.promised };
             self.send_version(from, outbid, out);
             return;
         }
@@ -298,9 +301,14 @@
             Some(sheet) => {
                 changed |= open.accepted.as_ref().is_none_or(|(accepted, _)| *accepted != number);
                 open.accepted = Some((number, sheet));
-                VersionMessage::Accepted { name, version, number }
+                RegisterPaxosMessage::Accepted { register: name, version, number }
             }
-            None => VersionMessage::Promise { name, version, number, accepted: open.accepted.clone() },
+            None => RegisterPaxosMessage::Promise {
+                register: name,
+                version,
+                number,
+                accepted: open.accepted.clone(),
+            },
         };
         if changed {
             self.keep_version_ballots(out);
@@ -309,7 +317,12 @@
     }
 
     /// The proposal that an answer belongs to.
-    fn proposal_of(&mut self, name: &Name, version: u64, number: ProposalNumber) -> Option<&mut Proposal> {
+    fn proposal_of(
+        &mut self,
+        name: &RegisterName,
+        version: u64,
+        number: ProposalNumber,
+    ) -> Option<&mut Proposal> {
         let proposal = self.versions.proposals.get_mut(name)?;
         (proposal.sheet.version == version && proposal.number == number && !proposal.outbid)
             .then_some(proposal)
@@ -319,12 +332,12 @@
     fn version_promised(
         &mut self,
         now: Nanos,
-        from: Station,
-        name: Name,
+        from: ReplicaId,
+        name: RegisterName,
         version: u64,
         number: ProposalNumber,
-        accepted: Option<(ProposalNumber, Arc<Sheet>)>,
-        out: &mut Vec<Act>,
+        accepted: Option<(ProposalNumber, Arc<RegisterValue>)>,
+        out: &mut Vec<Effect>,
     ) {
         let (majority, forgets) = (self.majority(), self.mutant == 35);
         let Some(proposal) = self.proposal_of(&name, version, number) else { return };
@@ -341,11 +354,11 @@
     fn version_accepted(
         &mut self,
         now: Nanos,
-        from: Station,
-        name: Name,
+        from: ReplicaId,
+        name: RegisterName,
         version: u64,
         number: ProposalNumber,
-        out: &mut Vec<Act>,
+        out: &mut Vec<Effect>,
     ) {
         let majority = self.majority();
         let Some(proposal) = self.proposal_of(&name, version, number) else { return };
@@ -362,7 +375,7 @@
     fn version_outbid(
         &mut self,
         now: Nanos,
-        name: Name,
+        name: RegisterName,
         version: u64,
         number: ProposalNumber,
         promised: ProposalNumber,
@@ -380,11 +393,11 @@
     fn version_superseded(
         &mut self,
         now: Nanos,
-        from: Station,
-        name: Name,
+        from: ReplicaId,
+        name: RegisterName,
         version: u64,
         digest: Option<u64>,
-        out: &mut Vec<Act>,
+        out: &mut Vec<Effect>,
     ) {
         if let Some(decided) = digest {
             self.refuse_others(&name, version, decided, out);
@@ -395,14 +408,14 @@
     }
 
     /// Calls with other content under a version whose content is known are answered at once.
-    fn refuse_others(&mut self, name: &Name, version: u64, decided: u64, out: &mut Vec<Act>) {
+    fn refuse_others(&mut self, name: &RegisterName, version: u64, decided: u64, out: &mut Vec<Effect>) {
         let others = self.sheet_calls.iter().copied().filter(|call| {
             matches!(self.calls.get(call), Some(Call::Replace(replacing))
                 if replacing.name == *name && replacing.sheet.version == version
                     && replacing.sheet.digest != decided)
         });
         for call in others.collect::<Vec<u64>>() {
-            self.answer(call, Got::Conflict, out);
+            self.answer(call, CoreResponse::Conflict, out);
         }
     }
 }
--- a/consensus/src/messages.rs
+++ b/consensus/src/messages.rs
@@ -1,4 +1,7 @@
-//! The words that the mesh's processes say to each other and keep on disk. It owns their shapes and must never decide.
+//! Types that replicas of the control plane exchange with each other, with proxies and operators, and keep on disk.
+//!
+//! Everything here is encoded as CBOR by serde, by the names of fields and variants. Disks and processes of earlier
+//! versions hold the tags given by `serde(rename)`, so a tag never changes; `tests/frozen_forms.rs` holds them.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -7,419 +10,522 @@
 
 mod session;
 
-pub use session::*;
+pub use session::{
+    CommittedSession, SessionBinding, SessionId, SessionMessage, SessionOwner, SessionOwnership,
+    SessionRecord, SessionRequest,
+};
 
-/// A steward: where others reach it for calls between the system's own processes, and the life of its disk. The
-/// disk of a very first start is 0; one that came empty later has a number drawn by chance.
+/// A replica of the control plane: the address at which other replicas reach it, and the identity of its disk.
+///
+/// A replica that comes back with an empty disk is another replica, because it has forgotten what it promised.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Station {
-    pub at: SocketAddr,
-    pub disk: u64,
+pub struct ReplicaId {
+    #[serde(rename = "at")]
+    pub address: SocketAddr,
+    /// 0 for a disk of the very first start, otherwise drawn at random when the disk is found empty.
+    #[serde(rename = "disk")]
+    pub disk_id: u64,
 }
 
-/// Who votes in the core. Numbers only go up; two views of one number are never both decided.
+/// The replicas that vote, and the epoch in which they do.
+///
+/// Invariants: epochs only go up, and no two memberships with the same epoch are ever decided.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct View {
-    pub number: u64,
-    /// Sorted.
-    pub members: Vec<Station>,
-    /// The members of the view before, sorted, where this one can be undone.
-    #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub base: Vec<Station>,
-    /// It goes back to the members of the one before the last, all of whom vote at once.
-    #[serde(default, skip_serializing_if = "std::ops::Not::not")]
-    pub undone: bool,
+pub struct Membership {
+    #[serde(rename = "number")]
+    pub epoch: u64,
+    /// Sorted, without duplicates.
+    pub members: Vec<ReplicaId>,
+    /// The members of the previous epoch, sorted; empty if this epoch can't be rolled back.
+    #[serde(rename = "base", default, skip_serializing_if = "Vec::is_empty")]
+    pub previous_members: Vec<ReplicaId>,
+    /// This epoch restores the members of the epoch before the previous one. All of them may vote at once.
+    #[serde(rename = "undone", default, skip_serializing_if = "std::ops::Not::not")]
+    pub rolled_back: bool,
 }
 
-impl View {
-    /// One that follows none.
-    pub fn first(number: u64, mut members: Vec<Station>) -> View {
+impl Membership {
+    /// A membership without a predecessor.
+    pub fn initial(epoch: u64, mut members: Vec<ReplicaId>) -> Membership {
         members.sort();
         members.dedup();
-        View { number, members, base: Vec::new(), undone: false }
+        Membership { epoch, members, previous_members: Vec::new(), rolled_back: false }
     }
 }
 
-/// An operator's configuration as it was sent. Sheets are ordered by version, then by digest.
+/// The content of a register at one version, as an operator sent it. Values are ordered by version, then by digest.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Sheet {
+pub struct RegisterValue {
     pub version: u64,
+    /// XXH3 (64 bits) of `bytes`.
     pub digest: u64,
     #[serde(with = "serde_bytes")]
     pub bytes: Vec<u8>,
 }
 
-impl Sheet {
-    pub fn new(version: u64, bytes: Vec<u8>) -> Sheet {
-        Sheet { version, digest: xxhash_rust::xxh3::xxh3_64(&bytes), bytes }
+impl RegisterValue {
+    /// Computes the digest of `bytes`.
+    pub fn new(version: u64, bytes: Vec<u8>) -> RegisterValue {
+        RegisterValue { version, digest: xxhash_rust::xxh3::xxh3_64(&bytes), bytes }
     }
 
     pub fn rank(&self) -> (u64, u64) {
         (self.version, self.digest)
     }
 
-    /// Whether the bytes are those of the digest.
-    pub fn is_whole(&self) -> bool {
+    /// Whether the digest is that of the bytes.
+    pub fn is_intact(&self) -> bool {
         self.digest == xxhash_rust::xxh3::xxh3_64(&self.bytes)
     }
 }
 
-/// The name of a paper.
-pub type Name = Arc<str>;
+/// The name of a register; the operator's configuration is the register with the empty name.
+pub type RegisterName = Arc<str>;
 
-/// A named sheet. Each name has its own line of versions, and none waits for another.
+/// A register with its name and content. Each name has versions of its own.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Paper {
-    pub name: Name,
-    pub sheet: Arc<Sheet>,
+pub struct NamedRegister {
+    pub name: RegisterName,
+    #[serde(rename = "sheet")]
+    pub value: Arc<RegisterValue>,
 }
 
-/// A tracking key, hashed.
-pub type Key = u128;
+/// What a lease is taken on: the hashed idempotency key of a request.
+pub type LeaseKey = u128;
 
-/// One claim of a key. Whoever claims draws a new one for every req, and never uses one again that it freed. 0 is
-/// nobody's: a steward holds a key under it when two others told it of different claims and it cannot know better.
-pub type Token = u64;
+/// Identifies one lease on a key, and fences its holder. Drawn at random for each request and never used again after it
+/// was released. 0 belongs to nobody: a replica stores it for a key if two others reported different pending leases.
+pub type LeaseToken = u64;
 
-/// The answer of the one run of a key.
+/// The response of the one run of a request, kept for repeats of the request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Answer {
+pub struct StoredResponse {
     pub status: u16,
-    /// Names and values as the upstream gave them, hop fields left out.
+    /// Names and values as the upstream sent them, without hop-by-hop fields.
     pub headers: Vec<(String, String)>,
     #[serde(with = "serde_bytes")]
     pub body: Vec<u8>,
 }
 
-/// What came of a claim.
+/// What became of the request under a lease.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Outcome {
-    /// Its holder may have handed it to an upstream, and nothing more is known.
-    Open,
-    /// It may have run and nobody will ever know its answer.
-    Unknown,
-    /// It ran; this is what it answered.
-    Done(Arc<Answer>),
+pub enum LeaseOutcome {
+    /// The holder may have forwarded the request; nothing more is known.
+    #[serde(rename = "Open")]
+    Pending,
+    /// The request may have run, and its response will never be known.
+    #[serde(rename = "Unknown")]
+    Indeterminate,
+    /// The request ran and was answered by this response.
+    #[serde(rename = "Done")]
+    Completed(Arc<StoredResponse>),
 }
 
-/// What a steward holds of a key.
+/// The right to run the request of a key, as a replica stores it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Claim {
-    pub token: Token,
-    /// How long the req that claimed had left, in ms.
-    pub left_ms: u32,
-    pub outcome: Outcome,
+pub struct Lease {
+    pub token: LeaseToken,
+    /// Milliseconds that the request had left when the lease was requested.
+    #[serde(rename = "left_ms")]
+    pub time_left_ms: u32,
+    pub outcome: LeaseOutcome,
 }
 
-/// What goes to disk, in this order. All of it is safe once the write that held it has returned.
+/// A record of the replica's log. Records take effect in the order in which they are written.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Record {
-    /// The view that holds, and what was promised and accepted of the next one.
-    Ballots(Ballots),
-    Sheet(Arc<Sheet>),
-    Claim(Key, Claim),
-    Free(Key, Token),
-    Paper(Paper),
-    Session(Session, Entry),
-    SessionOver(Session),
-    /// All versions of registers that are being decided, in the place of those written before.
-    VersionBallots(Vec<VersionBallot>),
+pub enum LogRecord {
+    #[serde(rename = "Ballots")]
+    MembershipBallot(MembershipBallotState),
+    #[serde(rename = "Sheet")]
+    Configuration(Arc<RegisterValue>),
+    #[serde(rename = "Claim")]
+    Lease(LeaseKey, Lease),
+    #[serde(rename = "Free")]
+    LeaseReleased(LeaseKey, LeaseToken),
+    #[serde(rename = "Paper")]
+    Register(NamedRegister),
+    Session(SessionId, SessionRecord),
+    #[serde(rename = "SessionOver")]
+    SessionEnded(SessionId),
+    /// All undecided versions of registers; replaces those written before.
+    #[serde(rename = "VersionBallots")]
+    RegisterAcceptors(Vec<AcceptorState>),
 }
 
-/// A steward's part in deciding the view that follows the one it holds.
+/// A replica's state as an acceptor of the membership that follows its own.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Ballots {
-    pub me: Station,
-    pub view: View,
-    /// It has caught up in that view and may vote. Where it is no member: it voted until that view began.
+pub struct MembershipBallotState {
+    #[serde(rename = "me")]
+    pub replica: ReplicaId,
+    #[serde(rename = "view")]
+    pub membership: Membership,
+    /// The replica has caught up in this membership and may vote. If it is not a member: it voted until this epoch began.
     pub voter: bool,
     pub promised: Ballot,
-    pub accepted: Option<(Ballot, View)>,
-    /// It has told another in this view what it holds.
-    #[serde(default, skip_serializing_if = "std::ops::Not::not")]
-    pub told_new: bool,
-    /// It never will.
-    #[serde(default, skip_serializing_if = "std::ops::Not::not")]
-    pub barred: bool,
+    pub accepted: Option<(Ballot, Membership)>,
+    /// The replica has sent its snapshot to another one in this epoch.
+    #[serde(rename = "told_new", default, skip_serializing_if = "std::ops::Not::not")]
+    pub served_snapshot: bool,
+    /// The replica promised never to send its snapshot to another one in this epoch, so that the epoch can be rolled back.
+    #[serde(rename = "barred", default, skip_serializing_if = "std::ops::Not::not")]
+    pub barred_from_serving: bool,
 }
 
-/// A try to decide a view: higher ones win, and no two stewards use the same.
+/// The number of a proposal for a membership (Paxos). A higher one wins, and no two replicas use the same.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Ballot {
     pub round: u64,
-    pub by: u64,
+    /// Tells apart the proposals that replicas make in the same round.
+    #[serde(rename = "by")]
+    pub proposer: u64,
 }
 
-/// Numbers a proposal for a version of a register. One of a later epoch is higher than all of earlier ones, whatever
-/// their rounds: majorities of two epochs that are not next to each other need not meet, so a ballot of an earlier one may
-/// bind nobody in a later one.
+/// The number of a proposal for a version of a register.
+///
+/// A number of a later epoch is higher than all of earlier epochs, whatever their rounds: the quorums of two epochs that
+/// don't follow each other need not intersect, so that a ballot of the earlier one may bind nobody in the later one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ProposalNumber {
-    /// Of the membership in which it was begun.
+    /// The epoch in which the proposal was made.
     pub epoch: u64,
     pub ballot: Ballot,
 }
 
-/// What a replica has promised and accepted for one version of a register, above the version that it holds.
+/// A replica's state as an acceptor (Paxos) for one version of a register, above the version that it stores.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct VersionBallot {
-    /// The register; empty for the operator's configuration.
-    pub name: Name,
+pub struct AcceptorState {
+    /// Empty for the operator's configuration.
+    #[serde(rename = "name")]
+    pub register: RegisterName,
     pub version: u64,
     pub promised: ProposalNumber,
-    pub accepted: Option<(ProposalNumber, Arc<Sheet>)>,
+    pub accepted: Option<(ProposalNumber, Arc<RegisterValue>)>,
 }
 
-/// One message of the single-decree agreement on the content of one version of a register.
+/// A message of single-decree Paxos on the content of one version of a register.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum VersionMessage {
-    /// Asks for the promise to accept nothing below this ballot.
+pub enum RegisterPaxosMessage {
+    /// Asks for the promise to accept no proposal with a lower number.
     Prepare {
-        name: Name,
+        #[serde(rename = "name")]
+        register: RegisterName,
         version: u64,
         number: ProposalNumber,
     },
-    /// The promise, with what was accepted so far.
+    /// The promise, with what the sender accepted so far.
     Promise {
-        name: Name,
+        #[serde(rename = "name")]
+        register: RegisterName,
         version: u64,
         number: ProposalNumber,
-        accepted: Option<(ProposalNumber, Arc<Sheet>)>,
+        accepted: Option<(ProposalNumber, Arc<RegisterValue>)>,
     },
-    /// Asks for this content to be accepted.
+    /// Asks the receiver to accept this content.
     Accept {
-        name: Name,
+        #[serde(rename = "name")]
+        register: RegisterName,
         number: ProposalNumber,
-        sheet: Arc<Sheet>,
+        #[serde(rename = "sheet")]
+        value: Arc<RegisterValue>,
     },
     Accepted {
-        name: Name,
+        #[serde(rename = "name")]
+        register: RegisterName,
         version: u64,
         number: ProposalNumber,
     },
-    /// A higher ballot was promised.
-    Outbid {
-        name: Name,
+    /// The sender has promised a higher number.
+    #[serde(rename = "Outbid")]
+    Preempted {
+        #[serde(rename = "name")]
+        register: RegisterName,
         version: u64,
         number: ProposalNumber,
         promised: ProposalNumber,
     },
-    /// The sender holds this version or a later one, which was decided.
+    /// The sender stores this version or a later one, which was decided.
     Superseded {
-        name: Name,
+        #[serde(rename = "name")]
+        register: RegisterName,
         version: u64,
         number: ProposalNumber,
-        /// The digest of the content decided for that version, where the sender knows it.
+        /// The digest of the content decided for that version, if the sender knows it.
         digest: Option<u64>,
     },
 }
 
-/// What a disk held at the start.
+/// What a replica's disk held when the replica started.
 #[derive(Clone, Debug, Default)]
-pub struct Saved {
-    pub ballots: Option<Ballots>,
-    pub version_ballots: Vec<VersionBallot>,
-    pub sheet: Option<Arc<Sheet>>,
-    pub claims: Vec<(Key, Claim)>,
-    /// The highest of each name.
-    pub papers: Vec<Paper>,
-    pub sessions: Vec<(Session, Entry)>,
+pub struct PersistedState {
+    pub membership_ballot: Option<MembershipBallotState>,
+    pub acceptors: Vec<AcceptorState>,
+    pub configuration: Option<Arc<RegisterValue>>,
+    pub leases: Vec<(LeaseKey, Lease)>,
+    /// The highest version of each register.
+    pub registers: Vec<NamedRegister>,
+    pub sessions: Vec<(SessionId, SessionRecord)>,
 }
 
-/// What an attendant or an operator wants of the core.
+/// A request of a proxy or an operator to the replicated core.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub enum Want {
-    /// The right to run this key's req. Answered with `Granted`, or with what the first one's claim came to.
-    Claim {
-        key: Key,
-        token: Token,
-        left_ms: u32,
+pub enum CoreRequest {
+    /// Asks for the right to run the request of a key. Answered by `LeaseGranted`, or `LeaseHeld` with the outcome of the
+    /// lease that was granted first.
+    #[serde(rename = "Claim")]
+    AcquireLease {
+        key: LeaseKey,
+        token: LeaseToken,
+        #[serde(rename = "left_ms")]
+        time_left_ms: u32,
     },
-    /// The one that claimed tells what came of it. `None`: it has not run and never will under this token, to be told
-    /// as well after `Held` or `Unsure`. Any other only where the claim was granted: it is taken as proof of that.
-    Settle {
-        key: Key,
-        token: Token,
-        outcome: Option<Outcome>,
+    /// The holder reports the outcome. `None` releases the lease: the request has not run and never will under this token;
+    /// sent after `LeaseHeld` and `Unavailable` as well. Any other outcome is taken as proof that the lease was granted.
+    #[serde(rename = "Settle")]
+    CompleteLease {
+        key: LeaseKey,
+        token: LeaseToken,
+        outcome: Option<LeaseOutcome>,
     },
-    /// A configuration that was read and found valid.
-    Replace(Arc<Sheet>),
-    /// The newest configuration.
-    Read,
-    /// A paper that was read and found valid. `Full` where it is too long or there are too many.
-    Paper(Paper),
-    /// The newest paper of that name.
-    ReadPaper(Name),
-    Session(Session, Wish),
+    /// Replaces the configuration by one that was parsed and validated.
+    #[serde(rename = "Replace")]
+    ReplaceConfiguration(Arc<RegisterValue>),
+    #[serde(rename = "Read")]
+    ReadConfiguration,
+    /// Replaces a register by a document that was parsed and validated. Answered by `CapacityExceeded` if the document is
+    /// too long or there are too many.
+    #[serde(rename = "Paper")]
+    ReplaceRegister(NamedRegister),
+    #[serde(rename = "ReadPaper")]
+    ReadRegister(RegisterName),
+    Session(SessionId, SessionRequest),
 }
 
+/// The core's answer to a `CoreRequest`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Got {
-    /// Nobody else can hold this key; it is safe on more than half of the core's disks.
-    Granted,
-    /// Another claim holds it; `Open` when the wait for its outcome was over first.
-    Held(Outcome),
-    /// Settled, or taken: safe where that is promised.
-    Taken,
-    Newest(Option<Arc<Sheet>>),
-    /// Other content was decided under that version; this one is not and never will be in force.
+pub enum CoreResponse {
+    /// A quorum stores the lease on disk: no other token can be granted it.
+    #[serde(rename = "Granted")]
+    LeaseGranted,
+    /// Another token holds the lease; `Pending` if its outcome did not become known in time.
+    #[serde(rename = "Held")]
+    LeaseHeld(LeaseOutcome),
+    /// The outcome was noted, or the value was committed.
+    #[serde(rename = "Taken")]
+    Accepted,
+    /// The newest committed value of a register.
+    #[serde(rename = "Newest")]
+    Register(Option<Arc<RegisterValue>>),
+    /// Other content was decided under that version; this content is not and never will be in force.
     Conflict,
-    /// There is no room for it. It was not taken, and another steward may yet hold it if it was sent there.
-    Full,
-    /// What a session has come to; nothing where nobody has it.
-    Session(Option<Agreed>),
-    /// The core could not be had in time. A claim may or may not be held under the token.
-    Unsure,
+    /// There is no room for the document. It was not stored here; another replica may store it if it was sent there.
+    #[serde(rename = "Full")]
+    CapacityExceeded,
+    /// The committed state of a session; `None` if nobody owns it.
+    Session(Option<CommittedSession>),
+    /// No quorum answered in time. A lease may or may not be held under the token.
+    #[serde(rename = "Unsure")]
+    Unavailable,
 }
 
-/// What stewards say to each other. Every message goes with the sender's view number.
+/// A message between replicas.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Letter {
-    pub from: Station,
-    pub view: u64,
-    pub body: Body,
+pub struct Message {
+    pub from: ReplicaId,
+    /// The sender's epoch.
+    #[serde(rename = "view")]
+    pub epoch: u64,
+    pub body: MessageBody,
 }
 
+/// What a message between replicas says.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub enum Body {
-    /// Told all the time: the sender is there, whether it votes, what it holds, whether it is about to leave.
-    Beat {
+pub enum MessageBody {
+    /// Sent at intervals: the sender is up, and what it stores.
+    #[serde(rename = "Beat")]
+    Heartbeat {
         voter: bool,
-        sheet: (u64, u64),
-        safe: (u64, u64),
+        /// Revision of the configuration that the sender stores.
+        #[serde(rename = "sheet")]
+        configuration: (u64, u64),
+        /// Revision of the newest configuration that the sender knows to be committed.
+        #[serde(rename = "safe")]
+        committed_configuration: (u64, u64),
         leaving: bool,
-        /// Told where views are to be spread over zones.
+        /// Sent only if members are spread over zones.
         #[serde(default, skip_serializing_if = "String::is_empty")]
         zone: String,
-        /// Tells of all papers that the sender holds: the same number, the same papers. 0 where it holds none.
-        #[serde(default, skip_serializing_if = "none")]
-        papers: u128,
+        /// Digest of all named registers that the sender stores; 0 if it stores none.
+        #[serde(rename = "papers", default, skip_serializing_if = "is_zero")]
+        registers_digest: u128,
     },
-    /// The view that the sender holds.
-    Holds(View),
-    /// Ballots on the view that follows that of the letter.
+    /// The sender's membership.
+    #[serde(rename = "Holds")]
+    MembershipAnnouncement(Membership),
+    /// Paxos on the membership that follows the one of the message's epoch.
     Prepare(Ballot),
     Promise {
         ballot: Ballot,
-        accepted: Option<(Ballot, View)>,
+        accepted: Option<(Ballot, Membership)>,
     },
-    Accept(Ballot, View),
+    Accept(Ballot, Membership),
     Accepted(Ballot),
-    /// A ballot on going back to the members of the view before, and the promise of one that has told nobody in this
-    /// view what it holds, and won't.
-    Bar(Ballot),
-    Barred {
+    /// Like `Prepare`, to return to the previous members.
+    #[serde(rename = "Bar")]
+    PrepareRollback(Ballot),
+    /// Promise of a replica that has sent its snapshot to nobody in this epoch, and won't.
+    #[serde(rename = "Barred")]
+    RollbackPromise {
         ballot: Ballot,
-        accepted: Option<(Ballot, View)>,
+        accepted: Option<(Ballot, Membership)>,
     },
-    /// A higher ballot was promised.
-    Outbid(Ballot),
-    /// Claims of keys to be held, and how each of them went.
-    Grant(Vec<(u64, Key, Token, u32)>),
-    Granted(Vec<(u64, Grant)>),
-    Settle(Vec<(Key, Token, Option<Outcome>)>),
-    /// A configuration to be held.
-    Hold(Arc<Sheet>),
-    /// Asks for a configuration newer than the one of this rank. A voter also says what it holds, with that `ask`.
-    WantSheet {
-        ask: u64,
-        have: (u64, u64),
+    /// The sender has promised a higher ballot.
+    #[serde(rename = "Outbid")]
+    Preempted(Ballot),
+    /// Leases to be stored, each with the number of the call that wants it.
+    #[serde(rename = "Grant")]
+    RequestLeases(Vec<(u64, LeaseKey, LeaseToken, u32)>),
+    /// Votes on leases, by the number of the call.
+    #[serde(rename = "Granted")]
+    LeaseVotes(Vec<(u64, LeaseVote)>),
+    #[serde(rename = "Settle")]
+    CompleteLeases(Vec<(LeaseKey, LeaseToken, Option<LeaseOutcome>)>),
+    /// A configuration to be stored.
+    #[serde(rename = "Hold")]
+    StoreConfiguration(Arc<RegisterValue>),
+    /// Asks for a configuration newer than this revision. A voter also answers what it stores, with the same `read_id`.
+    #[serde(rename = "WantSheet")]
+    FetchConfiguration {
+        #[serde(rename = "ask")]
+        read_id: u64,
+        #[serde(rename = "have")]
+        known: (u64, u64),
     },
-    /// The rank of the one that a voter holds now, safe on disk. `ask` is 0 where nobody asked.
-    Held {
-        ask: u64,
-        rank: (u64, u64),
+    /// The revision that a voter stores, safe on disk. `read_id` is 0 if nobody asked.
+    #[serde(rename = "Held")]
+    ConfigurationStored {
+        #[serde(rename = "ask")]
+        read_id: u64,
+        #[serde(rename = "rank")]
+        revision: (u64, u64),
     },
-    /// One that is new in a view asks for all that is held, from a place on, and gets it in parts.
-    WantState {
-        from: u128,
-        round: u64,
-        /// It has been told all claims, and asks for the papers from this name on.
-        #[serde(default, skip_serializing_if = "Option::is_none")]
-        papers: Option<Name>,
+    /// A member that catches up asks for the next chunk of the receiver's state.
+    #[serde(rename = "WantState")]
+    FetchSnapshot {
+        #[serde(rename = "from")]
+        from_key: u128,
+        /// Tells apart the attempts of one replica to catch up.
+        #[serde(rename = "round")]
+        catch_up_id: u64,
+        /// Set once all leases have arrived: the register from which on registers are wanted.
+        #[serde(rename = "papers", default, skip_serializing_if = "Option::is_none")]
+        from_register: Option<RegisterName>,
     },
-    State {
-        round: u64,
-        part: Vec<(Key, Claim)>,
-        next: Option<u128>,
-        sheet: Option<Arc<Sheet>>,
+    #[serde(rename = "State")]
+    SnapshotChunk {
+        #[serde(rename = "round")]
+        catch_up_id: u64,
+        #[serde(rename = "part")]
+        leases: Vec<(LeaseKey, Lease)>,
+        /// The key from which on leases and sessions are still to be sent.
+        #[serde(rename = "next")]
+        next_key: Option<u128>,
+        #[serde(rename = "sheet")]
+        configuration: Option<Arc<RegisterValue>>,
         #[serde(default, skip_serializing_if = "Vec::is_empty")]
-        sessions: Vec<(Session, Entry)>,
-        #[serde(default, skip_serializing_if = "Vec::is_empty")]
-        papers: Vec<Paper>,
-        /// The name from which on papers are still to be told; told with and after the last part of the claims.
-        #[serde(default, skip_serializing_if = "Option::is_none")]
-        next_paper: Option<Name>,
-        /// What was accepted for versions that are being decided; told with the last part of the claims.
-        #[serde(default, skip_serializing_if = "Vec::is_empty")]
-        version_ballots: Vec<VersionBallot>,
+        sessions: Vec<(SessionId, SessionRecord)>,
+        #[serde(rename = "papers", default, skip_serializing_if = "Vec::is_empty")]
+        registers: Vec<NamedRegister>,
+        /// The name from which on registers are still to be sent; set with and after the last chunk of leases.
+        #[serde(rename = "next_paper", default, skip_serializing_if = "Option::is_none")]
+        next_register: Option<RegisterName>,
+        /// What the sender accepted for undecided versions; sent with the last chunk of leases.
+        #[serde(rename = "version_ballots", default, skip_serializing_if = "Vec::is_empty")]
+        acceptors: Vec<AcceptorState>,
     },
-    Sessions(Vec<Said>),
-    Version(VersionMessage),
-    /// Papers to be held.
-    HoldPapers(Vec<Paper>),
-    /// Asks for papers newer than these. A voter also says what it holds of these names, with that `ask`.
-    WantPapers {
-        ask: u64,
-        have: Vec<(Name, (u64, u64))>,
+    Sessions(Vec<SessionMessage>),
+    #[serde(rename = "Version")]
+    RegisterPaxos(RegisterPaxosMessage),
+    /// Registers to be stored.
+    #[serde(rename = "HoldPapers")]
+    StoreRegisters(Vec<NamedRegister>),
+    /// Asks for registers newer than these revisions. A voter also answers what it stores, with the same `read_id`.
+    #[serde(rename = "WantPapers")]
+    FetchRegisters {
+        #[serde(rename = "ask")]
+        read_id: u64,
+        #[serde(rename = "have")]
+        known: Vec<(RegisterName, (u64, u64))>,
     },
-    /// The ranks of those that the sender holds, safe on disk. `ask` is 0 where nobody asked.
-    PapersHeld {
-        ask: u64,
+    /// The revisions of registers that the sender stores, safe on disk. `read_id` is 0 if nobody asked.
+    #[serde(rename = "PapersHeld")]
+    RegistersStored {
+        #[serde(rename = "ask")]
+        read_id: u64,
         voter: bool,
-        ranks: Vec<(Name, (u64, u64))>,
-        /// There are more from this name on, where a list was asked for.
+        #[serde(rename = "ranks")]
+        revisions: Vec<(RegisterName, (u64, u64))>,
+        /// If a list was asked for: the name from which on there are more.
         #[serde(default, skip_serializing_if = "Option::is_none")]
-        next: Option<Name>,
+        next: Option<RegisterName>,
     },
-    /// Asks for the ranks of all papers from this name on, and gets as many as fit a letter.
-    ListPapers(Name),
+    /// Asks for the revisions of all registers from this name on, as many as fit in a message.
+    #[serde(rename = "ListPapers")]
+    ListRegisters(RegisterName),
 }
 
-impl Letter {
-    /// Whether all content in it is what its digests say. To be asked of whatever came from another process, before it
-    /// is heard: what is held is told on, and kept on disk under its digest.
-    pub fn is_whole(&self) -> bool {
-        let whole = |sheet: &Arc<Sheet>| sheet.is_whole();
-        let papers_whole = |papers: &[Paper]| papers.iter().all(|paper| whole(&paper.sheet));
+impl Message {
+    /// Whether every value in the message matches its digest. To be checked for each message from another process before
+    /// it is handled: values are stored under their digests and sent on.
+    pub fn is_intact(&self) -> bool {
+        let intact = |value: &Arc<RegisterValue>| value.is_intact();
+        let registers_intact =
+            |registers: &[NamedRegister]| registers.iter().all(|named| intact(&named.value));
         match &self.body {
-            Body::Hold(sheet) => whole(sheet),
-            Body::HoldPapers(papers) => papers_whole(papers),
-            Body::State { sheet, papers, version_ballots, .. } => {
-                let accepted = version_ballots.iter().filter_map(|ballot| ballot.accepted.as_ref());
-                sheet.iter().all(whole) && papers_whole(papers) && accepted.map(|(_, sheet)| sheet).all(whole)
+            MessageBody::StoreConfiguration(value) => intact(value),
+            MessageBody::StoreRegisters(registers) => registers_intact(registers),
+            MessageBody::SnapshotChunk { configuration, registers, acceptors, .. } => {
+                let accepted = acceptors.iter().filter_map(|acceptor| acceptor.accepted.as_ref());
+                configuration.iter().all(intact)
+                    && registers_intact(registers)
+                    && accepted.map(|(_, value)| value).all(intact)
             }
-            Body::Version(VersionMessage::Accept { sheet, .. }) => whole(sheet),
-            Body::Version(VersionMessage::Promise { accepted: Some((_, sheet)), .. }) => whole(sheet),
+            MessageBody::RegisterPaxos(RegisterPaxosMessage::Accept { value, .. }) => intact(value),
+            MessageBody::RegisterPaxos(RegisterPaxosMessage::Promise {
+                accepted: Some((_, value)), ..
+            }) => intact(value),
             _ => true,
         }
     }
 }
 
-fn none(papers: &u128) -> bool {
-    *papers == 0
+fn is_zero(digest: &u128) -> bool {
+    *digest == 0
 }
 
+/// A replica's vote on a lease.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Grant {
-    Yes,
-    /// Another token holds it.
-    No(Claim),
-    /// This token was freed; it is never to be used again.
-    Freed,
+pub enum LeaseVote {
+    #[serde(rename = "Yes")]
+    Granted,
+    /// Another token holds the lease.
+    #[serde(rename = "No")]
+    Held(Lease),
+    /// The token was released, and must never be used again.
+    #[serde(rename = "Freed")]
+    TokenReleased,
 }
 
-/// What is to be done, in the order given.
+/// Something that the caller of the core has to do, in the order given.
 #[derive(Clone, Debug)]
-pub enum Act {
-    Write(Record),
-    /// Once all that was to be written before it is safe on disk. May be to oneself.
-    Send(SocketAddr, Letter),
-    /// At once.
-    Now(SocketAddr, Letter),
-    Answer {
+pub enum Effect {
+    Persist(LogRecord),
+    /// Sends the message once all records persisted before are safe on disk. The receiver may be the replica itself.
+    SendAfterPersist(SocketAddr, Message),
+    SendNow(SocketAddr, Message),
+    /// Answers the request that was handed in under this number.
+    Respond {
         call: u64,
-        got: Got,
+        response: CoreResponse,
     },
     Log(String),
 }
--- a/consensus/src/messages/session.rs
+++ b/consensus/src/messages/session.rs
@@ -1,97 +1,144 @@
-//! The words of travelling sessions: what a record holds, what is wished of it, and what stewards say to each other
-//! about it. It owns their shapes and must never decide. With no route that names a session none of them is said.
+//! Types of travelling sessions: which outbound proxy owns a session and which upstream it is bound to, requests that
+//! change that, and messages between replicas about it.
 
 use std::net::SocketAddr;
 
 use serde::{Deserialize, Serialize};
 
-use super::Token;
+use super::LeaseToken;
 
-/// Who a session is: its service, the header's name and its value, hashed. The value itself is never told.
-pub type Session = u128;
+/// Identifies a session: a hash of its service, the header's name and the header's value. The value itself is never sent.
+pub type SessionId = u128;
 
-/// The upstream that a person's instance lives in.
+/// The upstream that a session's requests go to.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Tie {
-    /// The upstream's life.
-    pub id: String,
-    pub door: SocketAddr,
+pub struct SessionBinding {
+    /// The incarnation of the upstream.
+    #[serde(rename = "id")]
+    pub upstream_id: String,
+    #[serde(rename = "door")]
+    pub inbound_proxy: SocketAddr,
 }
 
-/// A gate, and the epoch at which it took the session.
+/// An outbound proxy, and the term in which it acquired the session.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Holder {
-    /// Where its attendant is reached by others.
-    pub gate: SocketAddr,
-    pub since: u64,
+pub struct SessionOwner {
+    /// The address at which other nodes reach the proxy.
+    #[serde(rename = "gate")]
+    pub outbound_proxy: SocketAddr,
+    #[serde(rename = "since")]
+    pub since_term: u64,
 }
 
-/// What a session has come to.
+/// Who owns a session, and what it is bound to.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Holding {
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub tie: Option<Tie>,
-    /// The gate that has it; none after an operator dropped it.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub holder: Option<Holder>,
-    /// The one that had it before.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub before: Option<Holder>,
+pub struct SessionOwnership {
+    #[serde(rename = "tie", default, skip_serializing_if = "Option::is_none")]
+    pub binding: Option<SessionBinding>,
+    /// `None` after an operator made the control plane forget the session.
+    #[serde(rename = "holder", default, skip_serializing_if = "Option::is_none")]
+    pub owner: Option<SessionOwner>,
+    #[serde(rename = "before", default, skip_serializing_if = "Option::is_none")]
+    pub previous_owner: Option<SessionOwner>,
 }
 
-/// A holding as it was agreed: epochs go up with each change, and at one epoch there is one token.
+/// A committed change of a session. Terms go up with each change; each term belongs to one token.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Agreed {
-    pub epoch: u64,
-    pub token: Token,
-    pub holding: Holding,
+pub struct CommittedSession {
+    #[serde(rename = "epoch")]
+    pub term: u64,
+    pub token: LeaseToken,
+    #[serde(rename = "holding")]
+    pub ownership: SessionOwnership,
 }
 
-/// What a steward holds of a session.
+/// What a replica stores of a session.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Entry {
-    /// Nothing of a lower epoch is taken any more, and at this one nothing of another token. Token 0 is nobody's.
-    pub epoch: u64,
-    pub token: Token,
-    /// Taken last, whether or not more than half did.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub taken: Option<Agreed>,
+pub struct SessionRecord {
+    /// The replica accepts nothing of a lower term, and in this term nothing of another token.
+    #[serde(rename = "epoch")]
+    pub term: u64,
+    /// 0 belongs to nobody.
+    pub token: LeaseToken,
+    /// The change accepted last, whether or not it was committed.
+    #[serde(rename = "taken", default, skip_serializing_if = "Option::is_none")]
+    pub accepted: Option<CommittedSession>,
 }
 
-/// What is wanted of a session.
+/// A request to change or read a session.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Wish {
-    /// The gate wants to have it, and keeps it if it has. `above`: doors know of a holder since that epoch.
-    Take {
-        gate: SocketAddr,
-        above: u64,
+pub enum SessionRequest {
+    /// The proxy wants to own the session, and keeps it if it already does.
+    #[serde(rename = "Take")]
+    Acquire {
+        #[serde(rename = "gate")]
+        outbound_proxy: SocketAddr,
+        /// Inbound proxies know of an owner since this term.
+        #[serde(rename = "above")]
+        above_term: u64,
     },
-    /// The holder wants it tied to another upstream, where it is tied to none or still to the one of that id.
-    Tie {
-        holder: Holder,
-        was: Option<String>,
-        tie: Tie,
+    /// The owner wants the session bound to another upstream, provided that it is still bound to the current one.
+    #[serde(rename = "Tie")]
+    Bind {
+        #[serde(rename = "holder")]
+        owner: SessionOwner,
+        /// Id of the upstream that the owner believes the session to be bound to, if any.
+        #[serde(rename = "was")]
+        current_upstream_id: Option<String>,
+        #[serde(rename = "tie")]
+        binding: SessionBinding,
     },
-    /// The holder has used it of late: answered with what the asked steward holds of it, which may be outdated.
-    Renew(Holder),
-    /// An operator reads it, or drops it: its next gate begins anew, under a later epoch.
+    /// The owner has used the session lately. Answered by what the asked replica stores, which may be outdated.
+    Renew(SessionOwner),
     Read,
-    Drop,
+    /// Removes owner and binding: the next proxy begins anew, in a later term.
+    #[serde(rename = "Drop")]
+    Forget,
 }
 
-/// What stewards say to each other. Asks go with the number of the call, and so do answers.
+/// A message between replicas about a session. Answers carry the `call` of the request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Said {
-    /// Takes nothing of a lower epoch from now on.
-    Ask { call: u64, session: Session, epoch: u64, token: Token },
-    /// It won't, and this is what it took last.
-    Heard { call: u64, epoch: u64, taken: Option<Agreed> },
-    /// To be held.
-    Hold { call: u64, session: Session, agreed: Agreed },
-    /// It is, safe on disk.
-    Held { call: u64, epoch: u64 },
-    /// A higher epoch, or another token at the same, was there first.
-    Outbid { call: u64, epoch: u64 },
-    /// It was used.
-    Renew(Session),
+pub enum SessionMessage {
+    /// Asks for the promise to accept nothing of a lower term.
+    #[serde(rename = "Ask")]
+    Prepare {
+        call: u64,
+        session: SessionId,
+        #[serde(rename = "epoch")]
+        term: u64,
+        token: LeaseToken,
+    },
+    /// The promise, with the change that the sender accepted last.
+    #[serde(rename = "Heard")]
+    Promise {
+        call: u64,
+        #[serde(rename = "epoch")]
+        term: u64,
+        #[serde(rename = "taken")]
+        accepted: Option<CommittedSession>,
+    },
+    /// Asks the receiver to store a change.
+    #[serde(rename = "Hold")]
+    Accept {
+        call: u64,
+        session: SessionId,
+        #[serde(rename = "agreed")]
+        change: CommittedSession,
+    },
+    /// The change is safe on the sender's disk.
+    #[serde(rename = "Held")]
+    Accepted {
+        call: u64,
+        #[serde(rename = "epoch")]
+        term: u64,
+    },
+    /// The sender has promised a higher term, or this term to another token.
+    #[serde(rename = "Outbid")]
+    Preempted {
+        call: u64,
+        #[serde(rename = "epoch")]
+        term: u64,
+    },
+    /// The session was used.
+    Renew(SessionId),
 }
--- a/consensus/tests/across_epochs.rs
+++ b/consensus/tests/across_epochs.rs
@@ -1,4 +1,4 @@
-//! Ballots on a version, and changes of a session, across a change of members: what one replica alone took in an earlier
+//! MembershipBallotState on a version, and changes of a session, across a change of members: what one replica alone took in an earlier
 //! epoch must never win over what was agreed in a later one, however it was numbered.
 
 mod stewards;
@@ -20,7 +20,7 @@
 }
 
 fn order(world: &mut World, node: usize, text: &str) -> u64 {
-    world.want(node, Want::Replace(Arc::new(Sheet::new(VERSION, text.into()))))
+    world.want(node, CoreRequest::ReplaceConfiguration(Arc::new(RegisterValue::new(VERSION, text.into()))))
 }
 
 /// Delivers what is allowed, drops all else, and lets 10 ms pass; only these run.
@@ -36,7 +36,7 @@
 }
 
 fn among(flying: &Flying, nodes: &[usize]) -> bool {
-    nodes.contains(&flying.to) && nodes.iter().any(|node| at(*node) == flying.letter.from.at)
+    nodes.contains(&flying.to) && nodes.iter().any(|node| at(*node) == flying.letter.from.address)
 }
 
 fn has_accepted(world: &World, node: usize) -> bool {
@@ -47,15 +47,16 @@
 /// One accepts its own content by a majority's promises and is cut off. The other that promised leaves, and tells the new
 /// member what it holds, which is nothing of that content. The new majority decides other content; then the one that
 /// was cut off comes back and asks the new member, who has accepted that content and does not hold it yet.
-fn comes_back(seed: u64, mutant: u8) -> (Option<Got>, Option<String>) {
+fn comes_back(seed: u64, mutant: u8) -> (Option<CoreResponse>, Option<String>) {
     let mut world = World::new(seed, 4, 3, 3, mutant);
     world.calm(300 * MS);
     let first = order(&mut world, CUT_OFF, "one");
     world.sync(CUT_OFF, usize::MAX);
     while !has_accepted(&world, CUT_OFF) {
         let both = [LEAVER, CUT_OFF];
-        let accept =
-            |flying: &Flying| matches!(flying.letter.body, Body::Version(VersionMessage::Accept { .. }));
+        let accept = |flying: &Flying| {
+            matches!(flying.letter.body, MessageBody::RegisterPaxos(RegisterPaxosMessage::Accept { .. }))
+        };
         world.bag.retain(|flying| among(flying, &both) && (flying.to == CUT_OFF || !accept(flying)));
         assert!(!world.bag.is_empty(), "it is promised");
         world.deliver(0);
@@ -67,20 +68,20 @@
     for _ in 0..100 {
         step(&mut world, &others, |flying| among(flying, &others));
     }
-    let view = core(&world, JOINER).view();
-    assert!(view.number == 2 && core(&world, JOINER).voter(), "{view:?}");
-    assert!(!view.members.iter().any(|member| member.at == at(LEAVER)), "{view:?}");
+    let view = core(&world, JOINER).membership();
+    assert!(view.epoch == 2 && core(&world, JOINER).is_voting(), "{view:?}");
+    assert!(!view.members.iter().any(|member| member.address == at(LEAVER)), "{view:?}");
     world.crash(LEAVER);
     order(&mut world, DECIDER, "two");
     let new = [DECIDER, JOINER];
-    while core(&world, DECIDER).held().is_none() {
+    while core(&world, DECIDER).stored_configuration().is_none() {
         world.bag.retain(|flying| among(flying, &new));
         assert!(!world.bag.is_empty(), "it is decided");
         world.deliver(0);
         new.iter().for_each(|node| world.sync(*node, usize::MAX));
     }
     world.bag.clear();
-    assert!(core(&world, JOINER).held().is_none() && has_accepted(&world, JOINER));
+    assert!(core(&world, JOINER).stored_configuration().is_none() && has_accepted(&world, JOINER));
     let back = [CUT_OFF, JOINER];
     for _ in 0..80 {
         step(&mut world, &back, |flying| among(flying, &back));
@@ -92,7 +93,7 @@
 #[test]
 fn what_was_accepted_in_an_earlier_epoch_does_not_win_over_a_later_decision() {
     for seed in 0..16 {
-        assert_eq!(comes_back(seed, 0), (Some(Got::Conflict), None), "seed {seed}");
+        assert_eq!(comes_back(seed, 0), (Some(CoreResponse::Conflict), None), "seed {seed}");
     }
 }
 
@@ -102,16 +103,18 @@
     assert!((0..16).any(|seed| comes_back(seed, mutant).1.is_some()));
 }
 
-const SESSION: Session = 7;
+const SESSION: SessionId = 7;
 
-fn take(gate: u16) -> Want {
+fn take(gate: u16) -> CoreRequest {
     let gate = std::net::SocketAddr::from(([127, 0, 0, 1], gate));
-    Want::Session(SESSION, Wish::Take { gate, above: 0 })
+    CoreRequest::Session(SESSION, SessionRequest::Acquire { outbound_proxy: gate, above_term: 0 })
 }
 
 fn agreed_gate(world: &World, call: u64) -> Option<u16> {
     match world.answers.get(&call) {
-        Some(Got::Session(Some(agreed))) => agreed.holding.holder.map(|holder| holder.gate.port()),
+        Some(CoreResponse::Session(Some(agreed))) => {
+            agreed.ownership.owner.map(|holder| holder.outbound_proxy.port())
+        }
         _ => None,
     }
 }
@@ -127,7 +130,9 @@
             let both = [LEAVER, CUT_OFF];
             both.iter().for_each(|node| world.sync(*node, usize::MAX));
             let held = |flying: &Flying| match &flying.letter.body {
-                Body::Sessions(list) => list.iter().any(|said| matches!(said, Said::Hold { .. })),
+                MessageBody::Sessions(list) => {
+                    list.iter().any(|said| matches!(said, SessionMessage::Accept { .. }))
+                }
                 _ => false,
             };
             world.bag.retain(|flying| among(flying, &both) && !held(flying));
@@ -140,7 +145,7 @@
     for _ in 0..100 {
         step(&mut world, &others, |flying| among(flying, &others));
     }
-    assert!(core(&world, JOINER).view().number == 2 && core(&world, JOINER).voter());
+    assert!(core(&world, JOINER).membership().epoch == 2 && core(&world, JOINER).is_voting());
     world.crash(LEAVER);
     let new = [DECIDER, JOINER];
     let call = world.want(DECIDER, take(8_003));
@@ -148,7 +153,7 @@
     assert_eq!(agreed_gate(&world, call), Some(8_003));
     let back = [CUT_OFF, JOINER];
     (0..100).for_each(|_| step(&mut world, &back, |flying| among(flying, &back)));
-    let call = world.want(CUT_OFF, Want::Session(SESSION, Wish::Read));
+    let call = world.want(CUT_OFF, CoreRequest::Session(SESSION, SessionRequest::Read));
     (0..50).for_each(|_| step(&mut world, &back, |flying| among(flying, &back)));
     agreed_gate(&world, call)
 }
--- a/consensus/tests/exhaustive.rs
+++ b/consensus/tests/exhaustive.rs
@@ -59,19 +59,25 @@
     broken: Option<String>,
 }
 
-fn matters(letter: &Letter, spreads: bool) -> bool {
-    let offers = matches!(letter.body, Body::Hold(_) | Body::Held { .. } | Body::WantSheet { .. });
-    matches!(letter.body, Body::Version(_) | Body::Holds(_)) || spreads && offers
+fn matters(letter: &Message, spreads: bool) -> bool {
+    let offers = matches!(
+        letter.body,
+        MessageBody::StoreConfiguration(_)
+            | MessageBody::ConfigurationStored { .. }
+            | MessageBody::FetchConfiguration { .. }
+    );
+    matches!(letter.body, MessageBody::RegisterPaxos(_) | MessageBody::MembershipAnnouncement(_))
+        || spreads && offers
 }
 
 fn epoch(world: &World, node: usize) -> u64 {
-    world.nodes[node].core.as_ref().map_or(0, |core| core.view().number)
+    world.nodes[node].core.as_ref().map_or(0, |core| core.membership().epoch)
 }
 
 /// Whether delivering it changes nothing and causes no message.
 fn is_inert(world: &World, letter: usize) -> bool {
     let (to, before) = (world.bag[letter].to, world.bag.len());
-    if world.bag[letter].letter.view > epoch(world, to) {
+    if world.bag[letter].letter.epoch > epoch(world, to) {
         return false;
     }
     let mut after = world.clone();
@@ -85,7 +91,7 @@
     loop {
         (0..world.nodes.len()).for_each(|node| world.sync(node, usize::MAX));
         world.bag.retain(|flying| matters(&flying.letter, spreads));
-        let own = world.bag.iter().position(|flying| flying.letter.from.at == at(flying.to));
+        let own = world.bag.iter().position(|flying| flying.letter.from.address == at(flying.to));
         match own {
             Some(own) => world.deliver(own),
             None => break,
@@ -135,7 +141,7 @@
         present.iter().for_each(|node| world.sync(*node, usize::MAX));
         while !world.bag.is_empty() {
             let (held_back, rest) = std::mem::take(&mut world.bag).into_iter().partition(|flying| {
-                Some(flying.to) == away || matches!(flying.letter.body, Body::Version(_))
+                Some(flying.to) == away || matches!(flying.letter.body, MessageBody::RegisterPaxos(_))
             });
             versions.extend::<Vec<_>>(held_back);
             world.bag = rest;
@@ -144,16 +150,19 @@
         }
         if present.iter().all(|node| epoch(world, *node) == CHANGED) {
             let joined = world.nodes.last().and_then(|node| node.core.as_ref());
-            if joined.is_some_and(|core| core.voter()) {
+            if joined.is_some_and(|core| core.is_voting()) {
                 break;
             }
         }
     }
     // What was under way in the last epoch is lost: in this one it counts for nothing.
-    versions.retain(|flying| flying.letter.view == CHANGED);
+    versions.retain(|flying| flying.letter.epoch == CHANGED);
     world.bag = versions;
     if let Some(node) = order_after {
-        world.want(node, Want::Replace(Arc::new(Sheet::new(VERSION, b"after".into()))));
+        world.want(
+            node,
+            CoreRequest::ReplaceConfiguration(Arc::new(RegisterValue::new(VERSION, b"after".into()))),
+        );
     }
 }
 
@@ -211,7 +220,10 @@
     world.calm(300 * MS);
     world.bag.clear();
     for (nth, node) in scope.orders.iter().enumerate() {
-        world.want(*node, Want::Replace(Arc::new(Sheet::new(VERSION, vec![nth as u8]))));
+        world.want(
+            *node,
+            CoreRequest::ReplaceConfiguration(Arc::new(RegisterValue::new(VERSION, vec![nth as u8]))),
+        );
     }
     settle(&mut world, scope.spreads);
     let mut seen = HashSet::from([state_of(&world, &scope.faults)]);
--- a/consensus/tests/search.rs
+++ b/consensus/tests/search.rs
@@ -31,7 +31,7 @@
     /// Papers that fill a letter by twos.
     bulky: bool,
     steps: usize,
-    keys: Key,
+    keys: LeaseKey,
     nodes: usize,
     voters: usize,
     /// How many voters there should be.
@@ -134,14 +134,14 @@
 }
 
 /// What a claimant has under way.
-struct Holder {
-    key: Key,
-    token: Token,
+struct SessionOwner {
+    key: LeaseKey,
+    token: LeaseToken,
     calls: Vec<u64>,
     over: bool,
 }
 
-fn step(world: &mut World, mood: &Mood, holders: &mut Vec<Holder>) {
+fn step(world: &mut World, mood: &Mood, holders: &mut Vec<SessionOwner>) {
     let nodes = world.nodes.len();
     let node = world.chance.random_range(0..nodes);
     let weights = [
@@ -217,9 +217,9 @@
         (Some(8), _) if world.up(node) => claimant(world, mood, node, holders),
         (Some(9), _) if world.up(node) => {
             let want = match world.chance.random_range(0..4) {
-                0 => Want::Replace(world.sheet()),
-                1 => Want::Replace(world.other_sheet()),
-                _ => Want::Read,
+                0 => CoreRequest::ReplaceConfiguration(world.sheet()),
+                1 => CoreRequest::ReplaceConfiguration(world.other_sheet()),
+                _ => CoreRequest::ReadConfiguration,
             };
             world.want(node, want);
         }
@@ -239,20 +239,20 @@
             // One name is stormed, the others change now and then.
             let name = ["m/a", "m/a", "m/a", "m/b", "t/a", "members"][world.chance.random_range(0..6)];
             if world.chance.random_range(0..5) < 2 {
-                world.want(node, Want::ReadPaper(name.into()));
+                world.want(node, CoreRequest::ReadRegister(name.into()));
             } else {
                 // Two may send the same version with texts that differ.
                 let floor = world.floors.get(name).map_or(0, |floor| floor.0);
                 let version = floor + world.chance.random_range(1..3);
                 let paper = world.paper(name, version);
-                world.want(node, Want::Paper(paper));
+                world.want(node, CoreRequest::ReplaceRegister(paper));
             }
         }
         _ => {}
     }
     // Beats are many; of too many letters the oldest ones are lost.
     if world.bag.len() > 120 {
-        let keep = |flying: &stewards::Flying| !matches!(flying.letter.body, Body::Beat { .. });
+        let keep = |flying: &stewards::Flying| !matches!(flying.letter.body, MessageBody::Heartbeat { .. });
         world.bag.retain(keep);
         let more = world.bag.len().saturating_sub(120);
         world.bag.drain(..more);
@@ -260,31 +260,32 @@
 }
 
 /// A new claim, one more try with the same token somewhere else, or word of what came of one.
-fn claimant(world: &mut World, mood: &Mood, node: usize, holders: &mut Vec<Holder>) {
+fn claimant(world: &mut World, mood: &Mood, node: usize, holders: &mut Vec<SessionOwner>) {
     let chosen = (!holders.is_empty()).then(|| world.chance.random_range(0..holders.len()));
     match (world.chance.random_range(0..8), chosen) {
         (0..3, _) | (_, None) => {
             let (key, token) = (world.chance.random_range(0..mood.keys), world.token());
             let left_ms = [100, 3000][world.chance.random_range(0..2)];
-            let call = world.want(node, Want::Claim { key, token, left_ms });
-            holders.push(Holder { key, token, calls: vec![call], over: false });
+            let call = world.want(node, CoreRequest::AcquireLease { key, token, time_left_ms: left_ms });
+            holders.push(SessionOwner { key, token, calls: vec![call], over: false });
         }
         (3, Some(one)) if !holders[one].over => {
             let (key, token) = (holders[one].key, holders[one].token);
-            let call = world.want(node, Want::Claim { key, token, left_ms: 1000 });
+            let call = world.want(node, CoreRequest::AcquireLease { key, token, time_left_ms: 1000 });
             holders[one].calls.push(call);
         }
         (4..6, Some(one)) => {
             let one = &mut holders[one];
             let (key, token) = (one.key, one.token);
-            let granted = one.calls.iter().any(|call| world.answers.get(call) == Some(&Got::Granted));
+            let granted =
+                one.calls.iter().any(|call| world.answers.get(call) == Some(&CoreResponse::LeaseGranted));
             let outcome = match world.chance.random_range(0..3) {
-                0 if granted && !world.freed.contains(&token) => Some(Outcome::Done(answer(token))),
-                1 if granted && !world.freed.contains(&token) => Some(Outcome::Unknown),
+                0 if granted && !world.freed.contains(&token) => Some(LeaseOutcome::Completed(answer(token))),
+                1 if granted && !world.freed.contains(&token) => Some(LeaseOutcome::Indeterminate),
                 _ => return,
             };
             one.over = true;
-            world.want(node, Want::Settle { key, token, outcome });
+            world.want(node, CoreRequest::CompleteLease { key, token, outcome });
         }
         (_, Some(one)) => {
             let one = &mut holders[one];
@@ -292,7 +293,7 @@
             // Told once or twice; never after it ran.
             if !one.over || world.freed.contains(&token) {
                 one.over = true;
-                world.want(node, Want::Settle { key, token, outcome: None });
+                world.want(node, CoreRequest::CompleteLease { key, token, outcome: None });
             }
         }
     }
@@ -303,9 +304,9 @@
     let mut chance = ChaCha8Rng::seed_from_u64(seed);
     let mood = Mood::dwell(on).unwrap_or_else(|| Mood::draw(&mut chance));
     let mut world = World::with(seed, mood.nodes, mood.voters, mood.want, mutant, |world| {
-        (world.hasty, world.config.zones) = (mood.hasty, mood.zones);
+        (world.hasty, world.config.tolerated_zone_losses) = (mood.hasty, mood.zones);
         if mood.answers > 0 {
-            world.config.most_bytes = ANSWER * mood.answers;
+            world.config.max_response_bytes = ANSWER * mood.answers;
         }
         world.bulk = if mood.bulky { 300 << 10 } else { 0 };
     });
@@ -338,33 +339,44 @@
     (0..nodes).for_each(|node| world.crash(node));
     world.calm(6_000 * MS);
     let floor = world.floor;
-    let read = world.want(seed as usize % nodes, Want::Read);
+    let read = world.want(seed as usize % nodes, CoreRequest::ReadConfiguration);
     let floors = world.floors.clone();
-    let papers: Vec<u64> = floors.keys().map(|name| world.want(0, Want::ReadPaper(name.clone()))).collect();
-    let granted: Vec<Key> = world.granted.keys().copied().collect();
+    let papers: Vec<u64> =
+        floors.keys().map(|name| world.want(0, CoreRequest::ReadRegister(name.clone()))).collect();
+    let granted: Vec<LeaseKey> = world.granted.keys().copied().collect();
     for key in granted {
         let token = world.token();
-        world.want(key as usize % nodes, Want::Claim { key, token, left_ms: 100 });
+        world.want(key as usize % nodes, CoreRequest::AcquireLease { key, token, time_left_ms: 100 });
     }
     world.calm(1_700 * MS);
     if world.broken.is_none() && !mood.reckless {
         let voters =
-            world.nodes.iter().filter(|node| node.core.as_ref().is_some_and(|core| core.voter())).count();
+            world.nodes.iter().filter(|node| node.core.as_ref().is_some_and(|core| core.is_voting())).count();
         let wrong = match world.answers.get(&read) {
-            Some(Got::Newest(sheet)) if sheet.as_ref().map_or((0, 0), |sheet| sheet.rank()) >= floor => None,
-            Some(Got::Newest(_)) => Some("what was safe is lost"),
+            Some(CoreResponse::Register(sheet))
+                if sheet.as_ref().map_or((0, 0), |sheet| sheet.rank()) >= floor =>
+            {
+                None
+            }
+            Some(CoreResponse::Register(_)) => Some("what was safe is lost"),
             _ => Some("no read when all is well"),
         };
         let got = papers.iter().zip(&floors).all(|(call, (_, floor))| match world.answers.get(call) {
-            Some(Got::Newest(sheet)) => sheet.as_ref().map_or((0, 0), |sheet| sheet.rank()) >= *floor,
+            Some(CoreResponse::Register(sheet)) => {
+                sheet.as_ref().map_or((0, 0), |sheet| sheet.rank()) >= *floor
+            }
             _ => false,
         });
         let wrong = wrong.or((!got).then_some("a paper is lost or can't be read when all is well"));
         // Whoever is there has come to hold the same, and knows all of it safe.
         let known = |node: &stewards::Node| {
             let core = node.core.as_ref()?;
-            let papers = core.papers().filter(|paper| paper.held.is_some());
-            Some(papers.map(|paper| (paper.name, paper.held == paper.safe, paper.held)).collect::<Vec<_>>())
+            let papers = core.registers().filter(|paper| paper.stored.is_some());
+            Some(
+                papers
+                    .map(|paper| (paper.name, paper.stored == paper.committed, paper.stored))
+                    .collect::<Vec<_>>(),
+            )
         };
         let first = known(&world.nodes[0]).unwrap_or_default();
         let same = world.nodes.iter().all(|node| known(node).as_ref() == Some(&first));
@@ -558,8 +570,8 @@
         let core = node.core.as_ref();
         println!(
             "{:?} voter {:?} {:?}",
-            core.map(|core| core.me()),
-            core.map(|core| core.voter()),
+            core.map(|core| core.replica()),
+            core.map(|core| core.is_voting()),
             node.disk.ballots
         );
     }
--- a/consensus/tests/sessions.rs
+++ b/consensus/tests/sessions.rs
@@ -15,12 +15,12 @@
     SocketAddr::from(([127, 0, 9, 1], 7_000 + number as u16))
 }
 
-fn tie(id: u64) -> Tie {
-    Tie { id: format!("i-{id}"), door: gate(99) }
+fn tie(id: u64) -> SessionBinding {
+    SessionBinding { upstream_id: format!("i-{id}"), inbound_proxy: gate(99) }
 }
 
-fn take(gate: SocketAddr) -> Wish {
-    Wish::Take { gate, above: 0 }
+fn take(gate: SocketAddr) -> SessionRequest {
+    SessionRequest::Acquire { outbound_proxy: gate, above_term: 0 }
 }
 
 /// How much of each mischief, in parts of 1000.
@@ -81,18 +81,22 @@
     }
 }
 
-fn wish(world: &mut World, mood: &Mood) -> (Session, Wish) {
+fn wish(world: &mut World, mood: &Mood) -> (SessionId, SessionRequest) {
     let session = world.chance.random_range(0..mood.sessions);
     let asker = gate(world.chance.random_range(0..3));
-    let last = world.people.last.get(&session).map(|agreed| agreed.holding.clone()).unwrap_or_default();
-    let wish = match (world.chance.random_range(0..20), last.holder) {
+    let last = world.people.last.get(&session).map(|agreed| agreed.ownership.clone()).unwrap_or_default();
+    let wish = match (world.chance.random_range(0..20), last.owner) {
         (0..10, _) | (_, None) => take(asker),
-        (10, _) if world.chance.random_range(0..4) == 0 => Wish::Drop,
-        (11..13, _) => Wish::Read,
-        (13, Some(holder)) => Wish::Renew(holder),
+        (10, _) if world.chance.random_range(0..4) == 0 => SessionRequest::Forget,
+        (11..13, _) => SessionRequest::Read,
+        (13, Some(holder)) => SessionRequest::Renew(holder),
         (_, Some(holder)) => {
             let id = world.token();
-            Wish::Tie { holder, was: last.tie.map(|tie| tie.id), tie: tie(id) }
+            SessionRequest::Bind {
+                owner: holder,
+                current_upstream_id: last.binding.map(|tie| tie.upstream_id),
+                binding: tie(id),
+            }
         }
     };
     (session, wish)
@@ -147,7 +151,7 @@
         }
         (Some(6), _) if world.up(node) => {
             let (session, wish) = wish(world, mood);
-            world.want(node, Want::Session(session, wish));
+            world.want(node, CoreRequest::Session(session, wish));
         }
         (Some(7), _) => {
             let count = if mood.slow_disks { world.chance.random_range(0..4) } else { usize::MAX };
@@ -163,7 +167,7 @@
         }
     }
     if world.bag.len() > 150 {
-        let keep = |flying: &stewards::Flying| !matches!(flying.letter.body, Body::Beat { .. });
+        let keep = |flying: &stewards::Flying| !matches!(flying.letter.body, MessageBody::Heartbeat { .. });
         world.bag.retain(keep);
         let more = world.bag.len().saturating_sub(150);
         world.bag.drain(..more);
@@ -186,10 +190,11 @@
     }
     world.calm(6_000 * MS);
     let calls: Vec<u64> = (0..mood.sessions)
-        .map(|session| world.want(seed as usize % mood.nodes, Want::Session(session, take(gate(7)))))
+        .map(|session| world.want(seed as usize % mood.nodes, CoreRequest::Session(session, take(gate(7)))))
         .collect();
     world.calm(1_200 * MS);
-    let all = calls.iter().all(|call| matches!(world.answers.get(call), Some(Got::Session(Some(_)))));
+    let all =
+        calls.iter().all(|call| matches!(world.answers.get(call), Some(CoreResponse::Session(Some(_)))));
     let wrong = (!all).then_some("a session is not had when all is well");
     let wrong = wrong.or((world.calls_of_the_living() > 0).then_some("a call was never answered"));
     if world.broken.is_none() {
@@ -245,15 +250,15 @@
     assert!(unseen.is_empty(), "{unseen:?}");
 }
 
-fn agreed(world: &World, call: u64) -> Agreed {
+fn agreed(world: &World, call: u64) -> CommittedSession {
     match world.answers.get(&call) {
-        Some(Got::Session(Some(agreed))) => agreed.clone(),
+        Some(CoreResponse::Session(Some(agreed))) => agreed.clone(),
         other => panic!("{other:?}"),
     }
 }
 
-fn asks(world: &mut World, node: usize, wish: Wish) -> Agreed {
-    let call = world.want(node, Want::Session(7, wish));
+fn asks(world: &mut World, node: usize, wish: SessionRequest) -> CommittedSession {
+    let call = world.want(node, CoreRequest::Session(7, wish));
     world.settle_down();
     agreed(world, call)
 }
@@ -262,21 +267,25 @@
 fn a_session_moves_with_its_tie_and_only_its_holder_ties_it() {
     let mut world = World::new(1, 3, 3, 3, 0);
     world.calm(300 * MS);
-    let first = asks(&mut world, 0, take(gate(1))).holding.holder.expect("a holder");
-    let tied = Wish::Tie { holder: first, was: None, tie: tie(5) };
+    let first = asks(&mut world, 0, take(gate(1))).ownership.owner.expect("a holder");
+    let tied = SessionRequest::Bind { owner: first, current_upstream_id: None, binding: tie(5) };
     asks(&mut world, 1, tied.clone());
     let kept = asks(&mut world, 2, take(gate(1)));
-    assert_eq!((kept.holding.holder, kept.holding.tie), (Some(first), Some(tie(5))));
+    assert_eq!((kept.ownership.owner, kept.ownership.binding), (Some(first), Some(tie(5))));
     let moved = asks(&mut world, 2, take(gate(2)));
-    assert_eq!((moved.holding.before, moved.holding.tie.clone()), (Some(first), Some(tie(5))));
-    assert!(moved.holding.holder.is_some_and(|holder| holder.since > first.since));
+    assert_eq!(
+        (moved.ownership.previous_owner, moved.ownership.binding.clone()),
+        (Some(first), Some(tie(5)))
+    );
+    assert!(moved.ownership.owner.is_some_and(|holder| holder.since_term > first.since_term));
     // The gate that had it ties it no more, however late it says so.
-    let late = Wish::Tie { holder: first, was: Some("i-5".into()), tie: tie(6) };
-    assert_eq!(asks(&mut world, 0, late).holding, moved.holding);
-    assert_eq!(asks(&mut world, 1, Wish::Drop).holding.holder, None);
+    let late =
+        SessionRequest::Bind { owner: first, current_upstream_id: Some("i-5".into()), binding: tie(6) };
+    assert_eq!(asks(&mut world, 0, late).ownership, moved.ownership);
+    assert_eq!(asks(&mut world, 1, SessionRequest::Forget).ownership.owner, None);
     let anew = asks(&mut world, 1, take(gate(1)));
-    assert_eq!((anew.holding.tie, anew.holding.before), (None, moved.holding.holder));
-    assert!(anew.epoch > moved.epoch);
+    assert_eq!((anew.ownership.binding, anew.ownership.previous_owner), (None, moved.ownership.owner));
+    assert!(anew.term > moved.term);
 }
 
 /// A session moves that two of three held, after one of these has lost its disk and with the other down.
@@ -288,12 +297,12 @@
     world.wipe(1);
     world.start(1, false);
     world.calm(4_000 * MS);
-    assert!(world.nodes[1].core.as_ref().is_some_and(|core| core.voter()));
+    assert!(world.nodes[1].core.as_ref().is_some_and(|core| core.is_voting()));
     world.crash(0);
-    let call = world.want(1, Want::Session(7, take(gate(2))));
+    let call = world.want(1, CoreRequest::Session(7, take(gate(2))));
     world.settle_down();
     if world.broken.is_none() {
-        assert_eq!(agreed(&world, call).holding.before, first.holding.holder);
+        assert_eq!(agreed(&world, call).ownership.previous_owner, first.ownership.owner);
     }
     world
 }
@@ -307,10 +316,10 @@
 
 #[test]
 fn a_session_is_forgotten_when_idle_and_the_oldest_go() {
-    let mut world = World::with(2, 3, 3, 3, 0, |world| world.config.most_claims = 20);
+    let mut world = World::with(2, 3, 3, 3, 0, |world| world.config.max_leases = 20);
     world.calm(300 * MS);
     for session in 100..150 {
-        world.want(0, Want::Session(session, take(gate(3))));
+        world.want(0, CoreRequest::Session(session, take(gate(3))));
         world.settle_down();
         world.now += MS;
     }
--- a/consensus/tests/stewards/mod.rs
+++ b/consensus/tests/stewards/mod.rs
@@ -25,52 +25,59 @@
     ["a", "a", "b", "c", "b", "c"].get(node).copied().unwrap_or("d")
 }
 
-pub fn answer(token: Token) -> Arc<Answer> {
-    Arc::new(Answer { status: 200, headers: Vec::new(), body: token.to_be_bytes().to_vec() })
+pub fn answer(token: LeaseToken) -> Arc<StoredResponse> {
+    Arc::new(StoredResponse { status: 200, headers: Vec::new(), body: token.to_be_bytes().to_vec() })
 }
 
 #[derive(Clone, Debug, Default)]
 pub struct Disk {
-    pub ballots: Option<Ballots>,
-    pub version_ballots: Vec<VersionBallot>,
-    pub sheet: Option<Arc<Sheet>>,
-    pub claims: BTreeMap<Key, Claim>,
-    pub papers: BTreeMap<Name, Arc<Sheet>>,
-    pub sessions: BTreeMap<Session, Entry>,
+    pub ballots: Option<MembershipBallotState>,
+    pub version_ballots: Vec<AcceptorState>,
+    pub sheet: Option<Arc<RegisterValue>>,
+    pub claims: BTreeMap<LeaseKey, Lease>,
+    pub papers: BTreeMap<RegisterName, Arc<RegisterValue>>,
+    pub sessions: BTreeMap<SessionId, SessionRecord>,
 }
 
 impl Disk {
-    fn write(&mut self, record: Record) {
+    fn write(&mut self, record: LogRecord) {
         match record {
-            Record::Ballots(ballots) => self.ballots = Some(ballots),
-            Record::VersionBallots(ballots) => self.version_ballots = ballots,
-            Record::Sheet(sheet) => self.sheet = Some(sheet),
-            Record::Claim(key, claim) => {
+            LogRecord::MembershipBallot(ballots) => self.ballots = Some(ballots),
+            LogRecord::RegisterAcceptors(ballots) => self.version_ballots = ballots,
+            LogRecord::Configuration(sheet) => self.sheet = Some(sheet),
+            LogRecord::Lease(key, claim) => {
                 self.claims.insert(key, claim);
             }
-            Record::Session(session, entry) => drop(self.sessions.insert(session, entry)),
-            Record::SessionOver(session) => drop(self.sessions.remove(&session)),
-            Record::Free(key, token) => {
+            LogRecord::Session(session, entry) => drop(self.sessions.insert(session, entry)),
+            LogRecord::SessionEnded(session) => drop(self.sessions.remove(&session)),
+            LogRecord::LeaseReleased(key, token) => {
                 if self.claims.get(&key).is_some_and(|claim| claim.token == token) {
                     self.claims.remove(&key);
                 }
             }
-            Record::Paper(paper) => {
-                self.papers.insert(paper.name, paper.sheet);
+            LogRecord::Register(paper) => {
+                self.papers.insert(paper.name, paper.value);
             }
         }
     }
 
-    fn saved(&self) -> Saved {
+    fn saved(&self) -> PersistedState {
         let claims = self.claims.iter().map(|(key, claim)| (*key, claim.clone())).collect();
         let sessions = self.sessions.iter().map(|(session, entry)| (*session, entry.clone())).collect();
         let papers = self
             .papers
             .iter()
-            .map(|(name, sheet)| Paper { name: name.clone(), sheet: sheet.clone() })
+            .map(|(name, sheet)| NamedRegister { name: name.clone(), value: sheet.clone() })
             .collect();
         let (ballots, version_ballots) = (self.ballots.clone(), self.version_ballots.clone());
-        Saved { ballots, version_ballots, sheet: self.sheet.clone(), claims, sessions, papers }
+        PersistedState {
+            membership_ballot: ballots,
+            acceptors: version_ballots,
+            configuration: self.sheet.clone(),
+            leases: claims,
+            sessions,
+            registers: papers,
+        }
     }
 }
 
@@ -79,11 +86,11 @@
     pub core: Option<Core>,
     pub disk: Disk,
     /// Not safe on disk yet, and what waits for it.
-    pub pending: VecDeque<Act>,
+    pub pending: VecDeque<Effect>,
     pub life: u64,
     view: u64,
     safe: (u64, u64),
-    safe_papers: BTreeMap<Name, (u64, u64)>,
+    safe_papers: BTreeMap<RegisterName, (u64, u64)>,
 }
 
 #[derive(Clone)]
@@ -91,18 +98,18 @@
     pub to: usize,
     /// Letters to oneself end with the life.
     pub life: Option<u64>,
-    pub letter: Letter,
+    pub letter: Message,
 }
 
 #[derive(Clone)]
 pub enum Asked {
-    Claim(Key, Token),
+    Lease(LeaseKey, LeaseToken),
     Settle,
     Replace((u64, u64)),
     Read { floor: (u64, u64) },
-    Paper(Name, (u64, u64)),
-    ReadPaper { name: Name, floor: (u64, u64) },
-    Session { session: Session, floor: Option<u64> },
+    Register(RegisterName, (u64, u64)),
+    ReadPaper { name: RegisterName, floor: (u64, u64) },
+    Session { session: SessionId, floor: Option<u64> },
 }
 
 #[derive(Clone)]
@@ -126,24 +133,24 @@
     seeds: Vec<SocketAddr>,
     /// By node, life and number.
     pub calls: BTreeMap<(usize, u64, u64), Asked>,
-    pub answers: BTreeMap<u64, Got>,
+    pub answers: BTreeMap<u64, CoreResponse>,
     next_call: u64,
-    pub next_token: Token,
+    pub next_token: LeaseToken,
     pub next_version: u64,
-    pub granted: BTreeMap<Key, BTreeSet<Token>>,
-    pub freed: BTreeSet<Token>,
-    pub done: BTreeSet<Token>,
+    pub granted: BTreeMap<LeaseKey, BTreeSet<LeaseToken>>,
+    pub freed: BTreeSet<LeaseToken>,
+    pub done: BTreeSet<LeaseToken>,
     pub sent: BTreeSet<(u64, u64)>,
     /// Every read that begins from now on finds at least this.
     pub floor: (u64, u64),
     /// The papers that were sent, and the rank that every read of a name finds from now on.
-    pub papers: BTreeSet<(Name, (u64, u64))>,
-    pub floors: BTreeMap<Name, (u64, u64)>,
+    pub papers: BTreeSet<(RegisterName, (u64, u64))>,
+    pub floors: BTreeMap<RegisterName, (u64, u64)>,
     /// The bytes of a paper.
     pub bulk: usize,
-    pub views: BTreeMap<u64, View>,
+    pub views: BTreeMap<u64, Membership>,
     /// The one content that was ever held of each version of a register.
-    pub decided: BTreeMap<(Name, u64), u64>,
+    pub decided: BTreeMap<(RegisterName, u64), u64>,
     pub people: people::People,
     pub broken: Option<String>,
     pub steps: u64,
@@ -190,12 +197,12 @@
             mutant,
             hasty: false,
             config: Config {
-                keep: 900_000 * MS,
-                lost_after: 1_500 * MS,
-                want,
-                most_claims: 10_000,
-                most_bytes: usize::MAX,
-                zones: 0,
+                lease_ttl: 900_000 * MS,
+                member_timeout: 1_500 * MS,
+                target_members: want,
+                max_leases: 10_000,
+                max_response_bytes: usize::MAX,
+                tolerated_zone_losses: 0,
                 zone: String::new(),
             },
             seeds: (0..voters).map(at).collect(),
@@ -237,9 +244,9 @@
     }
 
     /// Whether the view still has more than half without any one zone.
-    pub fn is_spread(&self, view: &View) -> bool {
+    pub fn is_spread(&self, view: &Membership) -> bool {
         let of = |name: &str| {
-            let zones = view.members.iter().map(|member| zone(usize::from(member.at.port() - 7000)));
+            let zones = view.members.iter().map(|member| zone(usize::from(member.address.port() - 7000)));
             zones.filter(|zone| *zone == name).count()
         };
         ["a", "b", "c"].iter().all(|name| 2 * (view.members.len() - of(name)) > view.members.len())
@@ -265,7 +272,7 @@
         let this = &mut self.nodes[node];
         let pending = std::mem::take(&mut this.pending);
         for act in pending.into_iter().take(written) {
-            if let Act::Write(record) = act {
+            if let Effect::Persist(record) = act {
                 this.disk.write(record);
             }
         }
@@ -280,16 +287,18 @@
 
     /// More than half must stay whole, and one that is new in a view counts as lost until it votes.
     pub fn may_wipe(&self, node: usize) -> bool {
-        let cores = self.nodes.iter().filter_map(|node| node.core.as_ref().map(|core| core.view().clone()));
-        let disks = self.nodes.iter().filter_map(|node| node.disk.ballots.as_ref().map(|b| b.view.clone()));
-        let Some(view) = cores.chain(disks).max_by_key(|view| view.number) else { return false };
-        let whole = |member: &Station| {
-            let node = self.nodes.iter().enumerate().find(|(node, _)| at(*node) == member.at);
+        let cores =
+            self.nodes.iter().filter_map(|node| node.core.as_ref().map(|core| core.membership().clone()));
+        let disks =
+            self.nodes.iter().filter_map(|node| node.disk.ballots.as_ref().map(|b| b.membership.clone()));
+        let Some(view) = cores.chain(disks).max_by_key(|view| view.epoch) else { return false };
+        let whole = |member: &ReplicaId| {
+            let node = self.nodes.iter().enumerate().find(|(node, _)| at(*node) == member.address);
             node.and_then(|(_, node)| node.disk.ballots.as_ref()).is_some_and(|ballots| {
-                ballots.me == *member && ballots.voter && ballots.view.number == view.number
+                ballots.replica == *member && ballots.voter && ballots.membership.epoch == view.epoch
             })
         };
-        let others = view.members.iter().filter(|member| member.at != at(node));
+        let others = view.members.iter().filter(|member| member.address != at(node));
         let lost = others.filter(|member| !whole(member)).count() + 1;
         2 * lost < view.members.len()
     }
@@ -298,15 +307,15 @@
     pub fn sync(&mut self, node: usize, count: usize) {
         for _ in 0..count {
             match self.nodes[node].pending.pop_front() {
-                Some(Act::Write(record)) => self.nodes[node].disk.write(record),
-                Some(Act::Send(to, letter)) => self.fly(node, to, letter),
+                Some(Effect::Persist(record)) => self.nodes[node].disk.write(record),
+                Some(Effect::SendAfterPersist(to, letter)) => self.fly(node, to, letter),
                 Some(_) => {}
                 None => break,
             }
         }
     }
 
-    fn fly(&mut self, from: usize, to: SocketAddr, letter: Letter) {
+    fn fly(&mut self, from: usize, to: SocketAddr, letter: Message) {
         let Some(to) = (0..self.nodes.len()).find(|node| at(*node) == to) else { return };
         let kind = kind(&letter.body);
         if self.scarce == Some(kind) && to != from && self.chance.random_range(0..8) > 0 {
@@ -315,14 +324,18 @@
         let life = (to == from).then_some(self.nodes[from].life);
         if kind == "beat" && self.chance.random_range(0..4) > 0 {
             // Beats are many, and a late one says little: most often the last one is lost.
-            let beat = |flying: &Flying| matches!(flying.letter.body, Body::Beat { .. });
+            let beat = |flying: &Flying| matches!(flying.letter.body, MessageBody::Heartbeat { .. });
             self.bag.retain(|other| other.to != to || other.letter.from != letter.from || !beat(other));
         }
         self.bag.push(Flying { to, life, letter });
     }
 
     pub fn deliver(&mut self, index: usize) {
-        if self.bag.get(index).is_none_or(|flying| self.cut.contains(&(flying.letter.from.at, flying.to))) {
+        if self
+            .bag
+            .get(index)
+            .is_none_or(|flying| self.cut.contains(&(flying.letter.from.address, flying.to)))
+        {
             return;
         }
         let late = self.bag.get(index).is_some_and(|flying| Some(kind(&flying.letter.body)) == self.slow);
@@ -336,7 +349,7 @@
         self.seen[LETTERS] += 1;
         let mut out = Vec::new();
         if let Some(core) = &mut self.nodes[to].core {
-            core.hear(self.now, letter, &mut out);
+            core.handle_message(self.now, letter, &mut out);
             core.flush(&mut out);
         }
         self.act(to, out);
@@ -350,36 +363,38 @@
         self.act(node, out);
     }
 
-    pub fn want(&mut self, node: usize, want: Want) -> u64 {
+    pub fn want(&mut self, node: usize, want: CoreRequest) -> u64 {
         let call = self.next_call;
         self.next_call += 1;
         let asked = match &want {
-            Want::Claim { key, token, .. } => Asked::Claim(*key, *token),
-            Want::Settle { token, outcome, .. } => {
+            CoreRequest::AcquireLease { key, token, .. } => Asked::Lease(*key, *token),
+            CoreRequest::CompleteLease { token, outcome, .. } => {
                 match outcome {
                     None => self.freed.insert(*token),
-                    Some(Outcome::Done(_)) => self.done.insert(*token),
+                    Some(LeaseOutcome::Completed(_)) => self.done.insert(*token),
                     _ => false,
                 };
                 Asked::Settle
             }
-            Want::Replace(sheet) => {
+            CoreRequest::ReplaceConfiguration(sheet) => {
                 self.sent.insert(sheet.rank());
                 Asked::Replace(sheet.rank())
             }
-            Want::Read => Asked::Read { floor: self.floor },
-            Want::Paper(paper) => {
-                self.papers.insert((paper.name.clone(), paper.sheet.rank()));
-                Asked::Paper(paper.name.clone(), paper.sheet.rank())
+            CoreRequest::ReadConfiguration => Asked::Read { floor: self.floor },
+            CoreRequest::ReplaceRegister(paper) => {
+                self.papers.insert((paper.name.clone(), paper.value.rank()));
+                Asked::Register(paper.name.clone(), paper.value.rank())
+            }
+            CoreRequest::ReadRegister(name) => {
+                Asked::ReadPaper { name: name.clone(), floor: self.floor_of(name) }
             }
-            Want::ReadPaper(name) => Asked::ReadPaper { name: name.clone(), floor: self.floor_of(name) },
-            Want::Session(session, wish) => self.people.asks(*session, wish),
+            CoreRequest::Session(session, wish) => self.people.asks(*session, wish),
         };
         let life = self.nodes[node].life;
         self.calls.insert((node, life, call), asked);
         let mut out = Vec::new();
         if let Some(core) = &mut self.nodes[node].core {
-            core.want(self.now, call, want, &mut out);
+            core.handle_request(self.now, call, want, &mut out);
             core.flush(&mut out);
         }
         self.act(node, out);
@@ -389,71 +404,73 @@
     pub fn leave(&mut self, node: usize) {
         let mut out = Vec::new();
         if let Some(core) = &mut self.nodes[node].core {
-            core.leaving(self.now, &mut out);
+            core.announce_departure(self.now, &mut out);
         }
         self.act(node, out);
     }
 
-    pub fn token(&mut self) -> Token {
+    pub fn token(&mut self) -> LeaseToken {
         self.next_token += 1;
         self.next_token
     }
 
-    pub fn sheet(&mut self) -> Arc<Sheet> {
+    pub fn sheet(&mut self) -> Arc<RegisterValue> {
         self.next_version += 1;
-        Arc::new(Sheet::new(self.next_version, vec![self.next_version as u8]))
+        Arc::new(RegisterValue::new(self.next_version, vec![self.next_version as u8]))
     }
 
     /// Another content under the version of the last one.
-    pub fn other_sheet(&mut self) -> Arc<Sheet> {
+    pub fn other_sheet(&mut self) -> Arc<RegisterValue> {
         let content = [self.next_version as u8, self.chance.random_range(1..4)];
-        Arc::new(Sheet::new(self.next_version, content.to_vec()))
+        Arc::new(RegisterValue::new(self.next_version, content.to_vec()))
     }
 
     /// The text of each tells its name, so that none is taken for another's.
-    pub fn paper(&mut self, name: &str, version: u64) -> Paper {
+    pub fn paper(&mut self, name: &str, version: u64) -> NamedRegister {
         let mut bytes = name.as_bytes().to_vec();
         bytes.resize(bytes.len() + self.bulk, 0);
         // Hashing that much would take most of a walk's time.
         let digest = self.chance.random_range(1..4);
-        Paper { name: name.into(), sheet: Arc::new(Sheet { version, digest, bytes }) }
+        NamedRegister { name: name.into(), value: Arc::new(RegisterValue { version, digest, bytes }) }
     }
 
     fn floor_of(&self, name: &str) -> (u64, u64) {
         self.floors.get(name).copied().unwrap_or_default()
     }
 
-    fn raise(&mut self, name: &Name, rank: (u64, u64)) {
+    fn raise(&mut self, name: &RegisterName, rank: (u64, u64)) {
         let floor = self.floors.entry(name.clone()).or_default();
         *floor = rank.max(*floor);
     }
 
     /// Whether more than half of the view that this node goes by have it on disk, or had until their disk was lost; or of
     /// one before, in which it was found safe: whoever joins is told of it.
-    fn is_on_most_disks(&self, node: usize, name: &Name, rank: (u64, u64)) -> bool {
-        let Some(number) = self.nodes[node].core.as_ref().map(|core| core.view().number) else { return true };
-        let sheet_of = |disk: &Disk, name: &Name| match &**name {
+    fn is_on_most_disks(&self, node: usize, name: &RegisterName, rank: (u64, u64)) -> bool {
+        let Some(number) = self.nodes[node].core.as_ref().map(|core| core.membership().epoch) else {
+            return true;
+        };
+        let sheet_of = |disk: &Disk, name: &RegisterName| match &**name {
             "" => disk.sheet.clone(),
             name => disk.papers.get(name).cloned(),
         };
-        let holds = |member: &&Station| {
-            let node = self.nodes.iter().enumerate().find(|(node, _)| at(*node) == member.at);
+        let holds = |member: &&ReplicaId| {
+            let node = self.nodes.iter().enumerate().find(|(node, _)| at(*node) == member.address);
             node.is_some_and(|(_, Node { disk, .. })| {
-                disk.ballots.as_ref().is_none_or(|ballots| ballots.me != **member)
+                disk.ballots.as_ref().is_none_or(|ballots| ballots.replica != **member)
                     || sheet_of(disk, name).is_some_and(|sheet| sheet.rank() >= rank)
             })
         };
-        let most = |view: &View| 2 * view.members.iter().filter(holds).count() > view.members.len();
+        let most = |view: &Membership| 2 * view.members.iter().filter(holds).count() > view.members.len();
         self.views.range(..=number).any(|(_, view)| most(view))
     }
 
-    fn act(&mut self, node: usize, out: Vec<Act>) {
+    fn act(&mut self, node: usize, out: Vec<Effect>) {
         self.look_at_held(node);
         for act in out {
             match act {
-                Act::Now(to, letter) => self.fly(node, to, letter),
-                Act::Answer { call, got } => self.answered(node, call, got),
-                Act::Log(_) => {}
+                Effect::SendNow(to, letter) => self.fly(node, to, letter),
+                Effect::Respond { call, response: got } => self.answered(node, call, got),
+                Effect::Log(_) => {}
                 act => {
                     let wrong = self.people.writes(&act);
                     wrong.into_iter().for_each(|wrong| self.broke(wrong));
@@ -468,14 +485,14 @@
         self.broken.get_or_insert(what);
     }
 
-    fn answered(&mut self, node: usize, call: u64, got: Got) {
+    fn answered(&mut self, node: usize, call: u64, got: CoreResponse) {
         let life = self.nodes[node].life;
         let Some(asked) = self.calls.remove(&(node, life, call)) else {
             return self.broke(format!("call {call} answered twice"));
         };
         self.answers.insert(call, got.clone());
         match (asked, got) {
-            (Asked::Claim(key, token), Got::Granted) => {
+            (Asked::Lease(key, token), CoreResponse::LeaseGranted) => {
                 self.seen[GRANTED] += 1;
                 if self.freed.contains(&token) {
                     return;
@@ -483,29 +500,29 @@
                 let freed = &self.freed;
                 let others = self.granted.entry(key).or_default();
                 others.insert(token);
-                let both: Vec<Token> =
+                let both: Vec<LeaseToken> =
                     others.iter().filter(|token| !freed.contains(token)).copied().collect();
                 if both.len() > 1 {
                     self.broke(format!("key {key} granted to {both:?}"));
                 }
             }
-            (Asked::Claim(..), Got::Held(outcome)) => {
+            (Asked::Lease(..), CoreResponse::LeaseHeld(outcome)) => {
                 self.seen[HELD] += 1;
-                if let Outcome::Done(answer) = outcome {
-                    let token = <[u8; 8]>::try_from(&answer.body[..]).map(Token::from_be_bytes);
+                if let LeaseOutcome::Completed(answer) = outcome {
+                    let token = <[u8; 8]>::try_from(&answer.body[..]).map(LeaseToken::from_be_bytes);
                     if !token.is_ok_and(|token| self.done.contains(&token)) {
                         self.broke("an answer that nobody gave".into());
                     }
                 }
             }
-            (Asked::Replace(rank), Got::Taken) => {
+            (Asked::Replace(rank), CoreResponse::Accepted) => {
                 self.seen[TAKEN] += 1;
                 self.confirmed(node, &"".into(), rank);
                 self.floor = self.floor.max(rank);
             }
-            (Asked::Replace(rank), Got::Conflict) => self.refused(&"".into(), rank),
-            (Asked::Paper(name, rank), Got::Conflict) => self.refused(&name, rank),
-            (Asked::Read { floor }, Got::Newest(sheet)) => {
+            (Asked::Replace(rank), CoreResponse::Conflict) => self.refused(&"".into(), rank),
+            (Asked::Register(name, rank), CoreResponse::Conflict) => self.refused(&name, rank),
+            (Asked::Read { floor }, CoreResponse::Register(sheet)) => {
                 self.seen[READ] += 1;
                 let rank = sheet.map_or((0, 0), |sheet| sheet.rank());
                 if rank < floor {
@@ -516,7 +533,7 @@
                 }
                 self.floor = self.floor.max(rank);
             }
-            (Asked::Paper(name, rank), Got::Taken) => {
+            (Asked::Register(name, rank), CoreResponse::Accepted) => {
                 self.seen[PAPERS] += 1;
                 self.confirmed(node, &name, rank);
                 self.raise(&name, rank);
@@ -524,7 +541,7 @@
                     self.broke(format!("{name} {rank:?} acknowledged by fewer than more than half"));
                 }
             }
-            (Asked::ReadPaper { name, floor }, Got::Newest(sheet)) => {
+            (Asked::ReadPaper { name, floor }, CoreResponse::Register(sheet)) => {
                 self.seen[PAPERS_READ] += 1;
                 let rank = sheet.as_ref().map_or((0, 0), |sheet| sheet.rank());
                 if rank < floor {
@@ -536,18 +553,19 @@
                 }
                 self.raise(&name, rank);
             }
-            (Asked::Settle, Got::Taken) | (Asked::Paper(..), Got::Full) => {}
-            (Asked::Session { session, floor }, Got::Session(agreed)) => {
+            (Asked::Settle, CoreResponse::Accepted)
+            | (Asked::Register(..), CoreResponse::CapacityExceeded) => {}
+            (Asked::Session { session, floor }, CoreResponse::Session(agreed)) => {
                 let wrong = self.people.answered(session, floor, agreed);
                 wrong.into_iter().for_each(|wrong| self.broke(wrong));
             }
-            (_, Got::Unsure) => self.seen[UNSURE] += 1,
+            (_, CoreResponse::Unavailable) => self.seen[UNSURE] += 1,
             (_, got) => self.broke(format!("{got:?} is no answer to that")),
         }
     }
 
     /// An order was confirmed: it is the content decided under its version, or a later version is on most disks.
-    fn confirmed(&mut self, node: usize, name: &Name, (version, digest): (u64, u64)) {
+    fn confirmed(&mut self, node: usize, name: &RegisterName, (version, digest): (u64, u64)) {
         let decided = self.decided.get(&(name.clone(), version)).copied();
         if decided == Some(digest) {
             return;
@@ -561,7 +579,7 @@
     }
 
     /// An order was refused: other content must have been decided under its version.
-    fn refused(&mut self, name: &Name, (version, digest): (u64, u64)) {
+    fn refused(&mut self, name: &RegisterName, (version, digest): (u64, u64)) {
         self.seen[REFUSED] += 1;
         if self.decided.get(&(name.clone(), version)).is_none_or(|decided| *decided == digest) {
             self.broke(format!("{name} r{version} refused, which was taken or may yet be"));
@@ -571,8 +589,8 @@
     /// Whatever a steward holds is the only content of its version.
     fn look_at_held(&mut self, node: usize) {
         let Some(core) = &self.nodes[node].core else { return };
-        let configuration = core.held().map(|sheet| ("".into(), sheet.rank()));
-        let papers = core.papers().filter_map(|paper| Some((paper.name, paper.held?.rank())));
+        let configuration = core.stored_configuration().map(|sheet| ("".into(), sheet.rank()));
+        let papers = core.registers().filter_map(|paper| Some((paper.name, paper.stored?.rank())));
         for (name, (version, digest)) in configuration.into_iter().chain(papers).collect::<Vec<_>>() {
             let decided = *self.decided.entry((name.clone(), version)).or_insert(digest);
             if decided != digest {
@@ -584,10 +602,10 @@
     /// What must hold of a steward at all times.
     fn look(&mut self, node: usize) {
         let Some(core) = &self.nodes[node].core else { return };
-        let rank = core.safe().map_or((0, 0), |sheet| sheet.rank());
-        let view = core.view().clone();
-        let safe = core.papers().filter_map(|paper| Some((paper.name, paper.safe?.rank())));
-        let safe: BTreeMap<Name, (u64, u64)> = safe.collect();
+        let rank = core.committed_configuration().map_or((0, 0), |sheet| sheet.rank());
+        let view = core.membership().clone();
+        let safe = core.registers().filter_map(|paper| Some((paper.name, paper.committed?.rank())));
+        let safe: BTreeMap<RegisterName, (u64, u64)> = safe.collect();
         if rank < self.nodes[node].safe {
             self.broke("safe went back".into());
         }
@@ -597,16 +615,16 @@
         self.nodes[node].safe = rank;
         // Whoever showed it as safe: a read that begins later finds it.
         self.floor = self.floor.max(rank);
-        if view.number > 0 {
-            let number = view.number;
-            if let Some(other) = self.views.get(&view.number) {
+        if view.epoch > 0 {
+            let number = view.epoch;
+            if let Some(other) = self.views.get(&view.epoch) {
                 if *other != view {
                     self.broke(format!("two views: {other:?} and {view:?}"));
                 }
             } else {
                 self.seen[VIEWS] += 1;
-                self.seen[UNDONE] += u64::from(view.undone);
-                self.views.insert(view.number, view);
+                self.seen[UNDONE] += u64::from(view.rolled_back);
+                self.views.insert(view.epoch, view);
             }
             let known = self.nodes[node].view;
             self.nodes[node].view = number;
@@ -634,7 +652,7 @@
         for other in (0..self.nodes.len()).filter(|other| *other != node) {
             if self.chance.random_range(0..4) > 0 {
                 self.cut.insert((at(node), other));
-                self.bag.retain(|flying| flying.letter.from.at != at(node) || flying.to != other);
+                self.bag.retain(|flying| flying.letter.from.address != at(node) || flying.to != other);
             }
         }
     }
@@ -694,23 +712,25 @@
     "hold", "held", "state", "version",
 ];
 
-fn kind(body: &Body) -> &'static str {
+fn kind(body: &MessageBody) -> &'static str {
     match body {
-        Body::Beat { .. } => "beat",
-        Body::Holds(_) => "holds",
-        Body::Prepare(_) | Body::Bar(_) => "prepare",
-        Body::Promise { .. } | Body::Barred { .. } => "promise",
-        Body::Accept(_, view) if view.undone => "back",
-        Body::Accept(..) => "accept",
-        Body::Accepted(_) | Body::Outbid(_) => "accepted",
-        Body::Grant(_) => "grant",
-        Body::Granted(_) => "granted",
-        Body::Settle(_) => "settle",
-        Body::Hold(_) | Body::HoldPapers(_) => "hold",
-        Body::Sessions(_) => "session",
-        Body::Version(_) => "version",
-        Body::Held { .. } | Body::WantSheet { .. } => "held",
-        Body::PapersHeld { .. } | Body::WantPapers { .. } | Body::ListPapers(_) => "held",
-        Body::WantState { .. } | Body::State { .. } => "state",
+        MessageBody::Heartbeat { .. } => "beat",
+        MessageBody::MembershipAnnouncement(_) => "holds",
+        MessageBody::Prepare(_) | MessageBody::PrepareRollback(_) => "prepare",
+        MessageBody::Promise { .. } | MessageBody::RollbackPromise { .. } => "promise",
+        MessageBody::Accept(_, view) if view.rolled_back => "back",
+        MessageBody::Accept(..) => "accept",
+        MessageBody::Accepted(_) | MessageBody::Preempted(_) => "accepted",
+        MessageBody::RequestLeases(_) => "grant",
+        MessageBody::LeaseVotes(_) => "granted",
+        MessageBody::CompleteLeases(_) => "settle",
+        MessageBody::StoreConfiguration(_) | MessageBody::StoreRegisters(_) => "hold",
+        MessageBody::Sessions(_) => "session",
+        MessageBody::RegisterPaxos(_) => "version",
+        MessageBody::ConfigurationStored { .. } | MessageBody::FetchConfiguration { .. } => "held",
+        MessageBody::RegistersStored { .. }
+        | MessageBody::FetchRegisters { .. }
+        | MessageBody::ListRegisters(_) => "held",
+        MessageBody::FetchSnapshot { .. } | MessageBody::SnapshotChunk { .. } => "state",
     }
 }
--- a/consensus/tests/worst_days.rs
+++ b/consensus/tests/worst_days.rs
@@ -32,7 +32,7 @@
     for _ in 0..200 {
         (0..world.nodes.len()).for_each(|node| world.sync(node, usize::MAX));
         let cut = world.cut.clone();
-        world.bag.retain(|flying| !cut.contains(&(flying.letter.from.at, flying.to)));
+        world.bag.retain(|flying| !cut.contains(&(flying.letter.from.address, flying.to)));
         if world.bag.is_empty() {
             return;
         }
@@ -79,8 +79,8 @@
     let mut world = World::new(seed, 4, 3, 3, mutant);
     go_on(&mut world, 600, |_| {});
     let mut came = Cutoff::default();
-    let mut calls: Vec<(u64, usize, Option<Arc<Sheet>>)> = Vec::new();
-    let operate = |world: &mut World, calls: &mut Vec<(u64, usize, Option<Arc<Sheet>>)>| {
+    let mut calls: Vec<(u64, usize, Option<Arc<RegisterValue>>)> = Vec::new();
+    let operate = |world: &mut World, calls: &mut Vec<(u64, usize, Option<Arc<RegisterValue>>)>| {
         let node = world.chance.random_range(0..4);
         if !world.up(node) {
             return;
@@ -93,7 +93,10 @@
             2 => again,
             _ => None,
         };
-        let call = world.want(node, sheet.clone().map_or(Want::Read, Want::Replace));
+        let call = world.want(
+            node,
+            sheet.clone().map_or(CoreRequest::ReadConfiguration, CoreRequest::ReplaceConfiguration),
+        );
         calls.push((call, node, sheet));
     };
     go_on(&mut world, 2_000, |world| operate(world, &mut calls));
@@ -107,10 +110,11 @@
     for (call, node, sheet) in &calls[from..] {
         let got = world.answers.get(call);
         match (away.contains(node), got, sheet) {
-            (true, Some(Got::Unsure), _) => came.unsure += 1,
-            (false, Some(Got::Taken), _) => came.taken_by_majority += 1,
+            (true, Some(CoreResponse::Unavailable), _) => came.unsure += 1,
+            (false, Some(CoreResponse::Accepted), _) => came.taken_by_majority += 1,
             // What is not above a version that was known as safe before the cut alters nothing, and may be said anywhere.
-            (true, Some(Got::Taken | Got::Conflict), Some(sheet)) if sheet.version <= known.0 => {}
+            (true, Some(CoreResponse::Accepted | CoreResponse::Conflict), Some(sheet))
+                if sheet.version <= known.0 => {}
             (true, Some(_), _) => came.well += 1,
             _ => {}
         }
@@ -118,7 +122,8 @@
     world.cut.clear();
     go_on(&mut world, 1_500, |_| {});
     let newest = world.floor;
-    let behind = (0..4).filter(|node| core(&world, *node).held().map(|held| held.rank()) < Some(newest));
+    let behind = (0..4)
+        .filter(|node| core(&world, *node).stored_configuration().map(|held| held.rank()) < Some(newest));
     let behind = behind.count();
     let broken = world.broken.or((behind > 0).then(|| format!("{behind} are behind after the cut")));
     (came, broken)
@@ -163,15 +168,18 @@
     let mut world = World::new(step as u64, 4, 3, 3, 0);
     go_on(&mut world, 600, |_| {});
     let (sheet, other) = (world.sheet(), world.sheet());
-    let order = world.want(0, Want::Replace(sheet));
-    let claim = world.want(2, Want::Claim { key: 7, token: 21, left_ms: 1_000 });
+    let order = world.want(0, CoreRequest::ReplaceConfiguration(sheet));
+    let claim = world.want(2, CoreRequest::AcquireLease { key: 7, token: 21, time_left_ms: 1_000 });
     go_on(&mut world, 300, |_| {});
-    assert_eq!((&world.answers[&order], &world.answers[&claim]), (&Got::Taken, &Got::Granted));
+    assert_eq!(
+        (&world.answers[&order], &world.answers[&claim]),
+        (&CoreResponse::Accepted, &CoreResponse::LeaseGranted)
+    );
     // The last order reaches two of three only.
     cut(&mut world, Cut::Both(if second == 0 { &[0] } else { &[2] }));
-    let late = world.want(1, Want::Replace(other));
+    let late = world.want(1, CoreRequest::ReplaceConfiguration(other));
     go_on(&mut world, 300, |_| {});
-    assert_eq!(world.answers[&late], Got::Taken);
+    assert_eq!(world.answers[&late], CoreResponse::Accepted);
     world.cut.clear();
     world.wipe(1);
     world.start(1, false);
@@ -207,16 +215,21 @@
     }
     let about = format!("step {step}, {second} is lost, with its disk: {wipe}");
     assert_eq!(world.broken, None, "{about}");
-    let (read, again) =
-        (world.want(3, Want::Read), world.want(0, Want::Claim { key: 7, token: 22, left_ms: 100 }));
+    let (read, again) = (
+        world.want(3, CoreRequest::ReadConfiguration),
+        world.want(0, CoreRequest::AcquireLease { key: 7, token: 22, time_left_ms: 100 }),
+    );
     let next = world.sheet();
     go_on(&mut world, 300, |_| {});
     let read = world.answers.get(&read);
-    assert!(matches!(read, Some(Got::Newest(Some(sheet))) if sheet.version == 3), "{about}: {read:?}");
-    assert_eq!(world.answers.get(&again), Some(&Got::Held(Outcome::Open)), "{about}");
-    let next = world.want(2, Want::Replace(next));
+    assert!(
+        matches!(read, Some(CoreResponse::Register(Some(sheet))) if sheet.version == 3),
+        "{about}: {read:?}"
+    );
+    assert_eq!(world.answers.get(&again), Some(&CoreResponse::LeaseHeld(LeaseOutcome::Pending)), "{about}");
+    let next = world.want(2, CoreRequest::ReplaceConfiguration(next));
     go_on(&mut world, 300, |_| {});
-    assert_eq!(world.answers.get(&next), Some(&Got::Taken), "{about}");
+    assert_eq!(world.answers.get(&next), Some(&CoreResponse::Accepted), "{about}");
     assert_eq!(world.broken, None, "{about}");
     letters
 }
@@ -244,10 +257,13 @@
     cut(&mut world, Cut::Both(&[0]));
     cut(&mut world, Cut::Both(&[3]));
     let sheet = world.sheet();
-    let order = world.want(1, Want::Replace(sheet));
-    let claim = world.want(2, Want::Claim { key: 7, token: 21, left_ms: 1_000 });
+    let order = world.want(1, CoreRequest::ReplaceConfiguration(sheet));
+    let claim = world.want(2, CoreRequest::AcquireLease { key: 7, token: 21, time_left_ms: 1_000 });
     go_on(&mut world, 300, |_| {});
-    assert_eq!((&world.answers[&order], &world.answers[&claim]), (&Got::Taken, &Got::Granted));
+    assert_eq!(
+        (&world.answers[&order], &world.answers[&claim]),
+        (&CoreResponse::Accepted, &CoreResponse::LeaseGranted)
+    );
     world.crash(0);
     world.wipe(1);
     world.cut.clear();
@@ -256,21 +272,21 @@
     go_on(&mut world, delay_ms, |_| {});
     world.leave(2);
     let mut waited = 0;
-    while !core(&world, 2).gone() && waited < 5_000 {
+    while !core(&world, 2).may_stop() && waited < 5_000 {
         go_on(&mut world, 50, |_| {});
         waited += 50;
     }
     world.wipe(2);
     go_on(&mut world, 6_000, |_| {});
-    let read = world.want(0, Want::Read);
-    let again = world.want(3, Want::Claim { key: 7, token: 22, left_ms: 100 });
+    let read = world.want(0, CoreRequest::ReadConfiguration);
+    let again = world.want(3, CoreRequest::AcquireLease { key: 7, token: 22, time_left_ms: 100 });
     let next = world.sheet();
-    let next = world.want(1, Want::Replace(next));
+    let next = world.want(1, CoreRequest::ReplaceConfiguration(next));
     go_on(&mut world, 3_500, |_| {});
     let [read, again, next] = [read, again, next].map(|call| world.answers.get(&call));
-    let well = matches!(read, Some(Got::Newest(Some(sheet))) if sheet.version >= 2)
-        && again == Some(&Got::Held(Outcome::Open))
-        && next == Some(&Got::Taken);
+    let well = matches!(read, Some(CoreResponse::Register(Some(sheet))) if sheet.version >= 2)
+        && again == Some(&CoreResponse::LeaseHeld(LeaseOutcome::Pending))
+        && next == Some(&CoreResponse::Accepted);
     let about = format!("left after {delay_ms} ms, waited {waited}: {read:?} {again:?} {next:?}");
     match world.broken {
         None if well => Ok(()),
@@ -299,9 +315,9 @@
     for nth in 0..changes {
         let sheet = world.sheet();
         let node = (nth % 2) as usize;
-        let call = world.want(node, Want::Replace(sheet.clone()));
+        let call = world.want(node, CoreRequest::ReplaceConfiguration(sheet.clone()));
         deliver_all(&mut world);
-        assert_eq!(world.answers.get(&call), Some(&Got::Taken), "change {nth}");
+        assert_eq!(world.answers.get(&call), Some(&CoreResponse::Accepted), "change {nth}");
         if nth % 97 == 96 {
             let node = 1 - node;
             world.crash(node);
@@ -311,8 +327,11 @@
         if nth % 10 == 0 {
             let name = format!("m/{}", nth % 70);
             let paper = world.paper(&name, nth + 1);
-            world.want(node, Want::Paper(paper));
-            world.want(node, Want::Claim { key: u128::from(nth), token: nth + 1, left_ms: 100 });
+            world.want(node, CoreRequest::ReplaceRegister(paper));
+            world.want(
+                node,
+                CoreRequest::AcquireLease { key: u128::from(nth), token: nth + 1, time_left_ms: 100 },
+            );
             deliver_all(&mut world);
         }
         world.now += 5 * MS;
@@ -321,8 +340,8 @@
     let held = |world: &World, node: usize| {
         let core = core(world, node);
         let papers: Vec<_> =
-            core.papers().filter_map(|paper| Some((paper.name, paper.held?.rank()))).collect();
-        (core.held().map(|held| held.rank()), papers)
+            core.registers().filter_map(|paper| Some((paper.name, paper.stored?.rank()))).collect();
+        (core.stored_configuration().map(|held| held.rank()), papers)
     };
     let newest = held(&world, 0);
     assert_eq!(held(&world, 1), newest);
@@ -333,7 +352,7 @@
         go_on(&mut world, 10, |_| {});
     }
     let took = (world.now - began) / MS;
-    assert!(core(&world, 2).voter() && world.broken.is_none(), "{:?}", world.broken);
+    assert!(core(&world, 2).is_voting() && world.broken.is_none(), "{:?}", world.broken);
     assert!(world.nodes[2].disk.version_ballots.is_empty());
     took
 }
--- a/emulator/src/mesh/audit.rs
+++ b/emulator/src/mesh/audit.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use ochreshed_consensus::messages::{Key, Token};
+use ochreshed_consensus::messages::{LeaseKey, LeaseToken};
 use ochreshed_mesh::parcels::Rank;
 
 use crate::Nanos;
@@ -14,7 +14,7 @@
 #[derive(Default)]
 pub struct Audit {
     /// By key, the tokens under which a req may have run.
-    granted: BTreeMap<Key, BTreeSet<Token>>,
+    granted: BTreeMap<LeaseKey, BTreeSet<LeaseToken>>,
     /// By attendant, of this life: the configuration in force, and the rows by the attendants they are about.
     sheets: BTreeMap<usize, Rank>,
     rows: BTreeMap<usize, Vec<(u64, u64)>>,
@@ -59,7 +59,7 @@
     }
 
     /// A gate was granted a key and lets the req run.
-    pub fn granted(&mut self, now: Nanos, key: Key, token: Token) {
+    pub fn granted(&mut self, now: Nanos, key: LeaseKey, token: LeaseToken) {
         self.seen[1] += 1;
         let tokens = self.granted.entry(key).or_default();
         tokens.insert(token);
@@ -70,7 +70,7 @@
     }
 
     /// A gate says that nothing ran under this token, and nothing will.
-    pub fn freed(&mut self, key: Key, token: Token) {
+    pub fn freed(&mut self, key: LeaseKey, token: LeaseToken) {
         if let Some(tokens) = self.granted.get_mut(&key) {
             tokens.remove(&token);
         }
--- a/emulator/src/mesh/count.rs
+++ b/emulator/src/mesh/count.rs
@@ -1,7 +1,7 @@
 //! What goes to whose account: messages, bytes, wake-ups and processor by cause, and each second's load of a machine.
 //! It owns the books and must never change what happens.
 
-use ochreshed_consensus::messages::{Body, Want};
+use ochreshed_consensus::messages::{CoreRequest, MessageBody};
 use ochreshed_mesh::calls::{Ask, NewsReply, Reply};
 use serde::Serialize;
 
@@ -44,15 +44,21 @@
             Ask::News(news) if news.steward => Cause::Spread,
             Ask::News(news) if news.row.is_some() || follows => Cause::Rows,
             Ask::News(_) => Cause::Asks,
-            Ask::Core(Want::Claim { .. } | Want::Settle { .. }) => Cause::Claims,
-            Ask::Core(_) | Ask::Sheet(_) | Ask::Papers(_) | Ask::Carried(_) => Cause::Configurations,
-            Ask::Letter(letter) => match letter.body {
-                Body::Beat { .. } => Cause::Beats,
-                Body::Grant(_) | Body::Granted(_) | Body::Settle(_) => Cause::Claims,
-                Body::Hold(_) | Body::WantSheet { .. } | Body::Held { .. } => Cause::Configurations,
-                Body::Version(_) => Cause::Configurations,
-                Body::HoldPapers(_) | Body::WantPapers { .. } => Cause::Configurations,
-                Body::PapersHeld { .. } | Body::ListPapers(_) => Cause::Configurations,
+            Ask::Core(CoreRequest::AcquireLease { .. } | CoreRequest::CompleteLease { .. }) => Cause::Claims,
+            Ask::Core(_) | Ask::Configuration(_) | Ask::Registers(_) | Ask::Carried(_) => {
+                Cause::Configurations
+            }
+            Ask::Message(letter) => match letter.body {
+                MessageBody::Heartbeat { .. } => Cause::Beats,
+                MessageBody::RequestLeases(_)
+                | MessageBody::LeaseVotes(_)
+                | MessageBody::CompleteLeases(_) => Cause::Claims,
+                MessageBody::StoreConfiguration(_)
+                | MessageBody::FetchConfiguration { .. }
+                | MessageBody::ConfigurationStored { .. } => Cause::Configurations,
+                MessageBody::RegisterPaxos(_) => Cause::Configurations,
+                MessageBody::StoreRegisters(_) | MessageBody::FetchRegisters { .. } => Cause::Configurations,
+                MessageBody::RegistersStored { .. } | MessageBody::ListRegisters(_) => Cause::Configurations,
                 _ => Cause::Views,
             },
         }
--- a/emulator/src/mesh/gate.rs
+++ b/emulator/src/mesh/gate.rs
@@ -6,7 +6,9 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use ochreshed_consensus::messages::{Answer, Got, Key, Outcome, Sheet, Token, Want};
+use ochreshed_consensus::messages::{
+    CoreRequest, CoreResponse, LeaseKey, LeaseOutcome, LeaseToken, RegisterValue, StoredResponse,
+};
 use ochreshed_mesh::calls::{Ask, NewsReply, Reply};
 use ochreshed_mesh::list::{Row, Stand};
 use ochreshed_mesh::news::{self, Asker, Known, Listing};
@@ -35,21 +37,21 @@
 
 enum Open {
     News { which: usize, steward: SocketAddr, row: (u64, u64) },
-    Sheet { steward: SocketAddr, rank: Rank, whole: bool },
+    Configuration { steward: SocketAddr, rank: Rank, whole: bool },
     Claim { claim: u64, steward: SocketAddr },
     Settle { claim: u64, steward: SocketAddr },
 }
 
 struct Claim {
-    key: Key,
-    token: Token,
+    key: LeaseKey,
+    token: LeaseToken,
     began: Nanos,
     order: Vec<SocketAddr>,
     asked: usize,
     out: usize,
     silent: Vec<SocketAddr>,
     over: bool,
-    outcome: Option<Outcome>,
+    outcome: Option<LeaseOutcome>,
     settles: usize,
 }
 
@@ -62,7 +64,7 @@
     listing: Listing,
     quiet: HashSet<SocketAddr>,
     known: Known,
-    sheet: Option<Arc<Sheet>>,
+    sheet: Option<Arc<RegisterValue>>,
     fetching: Rank,
     claims: BTreeMap<u64, Claim>,
     next_claim: u64,
@@ -209,7 +211,7 @@
                     self.ask(which, hand);
                 }
             }
-            (Some(Open::Sheet { steward, rank, whole }), Reply::Sheet(parcel)) => {
+            (Some(Open::Configuration { steward, rank, whole }), Reply::Configuration(parcel)) => {
                 self.parcel(
                     steward,
                     rank,
@@ -220,7 +222,7 @@
             }
             (Some(Open::Claim { claim, steward }), Reply::Core(got)) => self.got(claim, steward, got, hand),
             (Some(Open::Settle { claim, steward }), Reply::Core(got)) => {
-                self.settled(claim, steward, got == Got::Taken, hand);
+                self.settled(claim, steward, got == CoreResponse::Accepted, hand);
             }
             (open, _) => return open.is_some(),
         }
@@ -237,8 +239,8 @@
                 self.listing.silent(which);
                 hand.timer(news::PAUSE, Timer::Ask(which));
             }
-            Some(Open::Sheet { rank, .. }) => self.fetched(rank),
-            Some(Open::Claim { claim, steward }) => self.got(claim, steward, Got::Unsure, hand),
+            Some(Open::Configuration { rank, .. }) => self.fetched(rank),
+            Some(Open::Claim { claim, steward }) => self.got(claim, steward, CoreResponse::Unavailable, hand),
             Some(Open::Settle { claim, steward }) => self.settled(claim, steward, false, hand),
             None => {}
         }
@@ -278,12 +280,19 @@
 
     fn fetch(&mut self, steward: SocketAddr, rank: Rank, whole: bool, hand: &mut Hand) {
         let have = self.sheet.as_ref().filter(|_| !whole).map_or((0, 0), |sheet| sheet.rank());
-        let id = hand.ask(steward, Ask::Sheet(have), false);
-        self.open.insert(id, Open::Sheet { steward, rank, whole });
+        let id = hand.ask(steward, Ask::Configuration(have), false);
+        self.open.insert(id, Open::Configuration { steward, rank, whole });
         hand.timer(FETCH, Timer::Late(id));
     }
 
-    fn parcel(&mut self, at: SocketAddr, rank: Rank, whole: bool, sheet: Option<Sheet>, hand: &mut Hand) {
+    fn parcel(
+        &mut self,
+        at: SocketAddr,
+        rank: Rank,
+        whole: bool,
+        sheet: Option<RegisterValue>,
+        hand: &mut Hand,
+    ) {
         match sheet {
             Some(sheet) => {
                 if self.sheet.as_ref().is_none_or(|here| here.rank() < sheet.rank()) {
@@ -303,7 +312,7 @@
         }
     }
 
-    pub fn claim(&mut self, key: Key, token: Token, hand: &mut Hand) {
+    pub fn claim(&mut self, key: LeaseKey, token: LeaseToken, hand: &mut Hand) {
         self.next_claim += 1;
         let claim = Claim {
             key,
@@ -324,7 +333,7 @@
     fn claim_next(&mut self, number: u64, hand: &mut Hand) {
         let Some(claim) = self.claims.get_mut(&number).filter(|claim| !claim.over) else { return };
         if hand.now >= claim.began + CLAIM {
-            self.decided(number, Got::Unsure, hand);
+            self.decided(number, CoreResponse::Unavailable, hand);
             return;
         }
         if let Some(steward) = claim.order.get(claim.asked).copied() {
@@ -332,25 +341,25 @@
             claim.out += 1;
             claim.silent.push(steward);
             let (key, token) = (claim.key, claim.token);
-            let ask = Ask::Core(Want::Claim { key, token, left_ms: (CLAIM / MS) as u32 });
+            let ask = Ask::Core(CoreRequest::AcquireLease { key, token, time_left_ms: (CLAIM / MS) as u32 });
             let id = hand.ask(steward, ask, false);
             self.open.insert(id, Open::Claim { claim: number, steward });
             hand.timer(CLAIM, Timer::Late(id));
         } else if claim.out == 0 {
-            self.decided(number, Got::Unsure, hand);
+            self.decided(number, CoreResponse::Unavailable, hand);
             return;
         }
         hand.timer(HEDGE, Timer::Hedge(number));
     }
 
-    fn got(&mut self, number: u64, steward: SocketAddr, got: Got, hand: &mut Hand) {
+    fn got(&mut self, number: u64, steward: SocketAddr, got: CoreResponse, hand: &mut Hand) {
         let Some(claim) = self.claims.get_mut(&number) else { return };
         claim.out = claim.out.saturating_sub(1);
         if claim.over {
             return;
         }
         claim.silent.retain(|silent| *silent != steward);
-        if got == Got::Unsure {
+        if got == CoreResponse::Unavailable {
             self.known.failed(hand.now, steward);
             if claim.out == 0 {
                 self.claim_next(number, hand);
@@ -363,14 +372,14 @@
         self.decided(number, got, hand);
     }
 
-    fn decided(&mut self, number: u64, got: Got, hand: &mut Hand) {
+    fn decided(&mut self, number: u64, got: CoreResponse, hand: &mut Hand) {
         let Some(claim) = self.claims.get_mut(&number) else { return };
         claim.over = true;
-        if got == Got::Granted {
+        if got == CoreResponse::LeaseGranted {
             hand.note(Note::Granted(claim.key, claim.token, hand.now - claim.began, number));
             return;
         }
-        if got == Got::Unsure {
+        if got == CoreResponse::Unavailable {
             hand.note(Note::Unsure);
         }
         hand.note(Note::Freed(claim.key, claim.token));
@@ -381,7 +390,11 @@
     pub fn ran(&mut self, number: u64, hand: &mut Hand) {
         let body = vec![7; self.answer];
         if let Some(claim) = self.claims.get_mut(&number) {
-            claim.outcome = Some(Outcome::Done(Arc::new(Answer { status: 200, headers: Vec::new(), body })));
+            claim.outcome = Some(LeaseOutcome::Completed(Arc::new(StoredResponse {
+                status: 200,
+                headers: Vec::new(),
+                body,
+            })));
         }
         self.settle(number, hand);
     }
@@ -396,7 +409,7 @@
         let steward = order[claim.settles % order.len()];
         claim.settles += 1;
         let (key, token, outcome) = (claim.key, claim.token, claim.outcome.clone());
-        let id = hand.ask(steward, Ask::Core(Want::Settle { key, token, outcome }), false);
+        let id = hand.ask(steward, Ask::Core(CoreRequest::CompleteLease { key, token, outcome }), false);
         self.open.insert(id, Open::Settle { claim: number, steward });
         hand.timer(SETTLE, Timer::Late(id));
     }
--- a/emulator/src/mesh/hand.rs
+++ b/emulator/src/mesh/hand.rs
@@ -3,7 +3,7 @@
 
 use std::net::SocketAddr;
 
-use ochreshed_consensus::messages::{Key, Letter, Token};
+use ochreshed_consensus::messages::{LeaseKey, LeaseToken, Message};
 use ochreshed_mesh::calls::{Ask, Reply};
 use ochreshed_mesh::parcels::Rank;
 
@@ -57,8 +57,8 @@
     Quiet,
     Draining((u64, u64)),
     /// After so long, to the claim of that number.
-    Granted(Key, Token, Nanos, u64),
-    Freed(Key, Token),
+    Granted(LeaseKey, LeaseToken, Nanos, u64),
+    Freed(LeaseKey, LeaseToken),
     /// A claim got no answer that counts.
     Unsure,
 }
@@ -99,8 +99,8 @@
         self.ids
     }
 
-    pub fn post(&mut self, to: SocketAddr, letter: Letter) {
-        self.out.push(Out::Ask { to, id: 0, ask: Box::new(Ask::Letter(letter)), follows: false });
+    pub fn post(&mut self, to: SocketAddr, letter: Message) {
+        self.out.push(Out::Ask { to, id: 0, ask: Box::new(Ask::Message(letter)), follows: false });
     }
 
     pub fn reply(&mut self, to: usize, id: u64, reply: Reply, ask: Cause) {
--- a/emulator/src/mesh/steward.rs
+++ b/emulator/src/mesh/steward.rs
@@ -21,32 +21,32 @@
 const READERS: usize = 8;
 
 /// No member is played, so that nobody writes or asks for one.
-const NO_PAPERS: (u64, &[Paper]) = (0, &[]);
+const NO_PAPERS: (u64, &[NamedRegister]) = (0, &[]);
 
 /// What the disk holds, synced.
 #[derive(Clone, Default)]
 pub struct Kept {
-    ballots: Option<Ballots>,
-    version_ballots: Vec<VersionBallot>,
-    sheet: Option<Arc<Sheet>>,
-    claims: BTreeMap<Key, Claim>,
-    papers: BTreeMap<Name, Arc<Sheet>>,
-    sessions: BTreeMap<Session, Entry>,
+    ballots: Option<MembershipBallotState>,
+    version_ballots: Vec<AcceptorState>,
+    sheet: Option<Arc<RegisterValue>>,
+    claims: BTreeMap<LeaseKey, Lease>,
+    papers: BTreeMap<RegisterName, Arc<RegisterValue>>,
+    sessions: BTreeMap<SessionId, SessionRecord>,
 }
 
 impl Kept {
-    fn write(&mut self, record: Record) {
+    fn write(&mut self, record: LogRecord) {
         match record {
-            Record::Ballots(ballots) => self.ballots = Some(ballots),
-            Record::Sheet(sheet) => self.sheet = Some(sheet),
-            Record::Claim(key, claim) => {
+            LogRecord::MembershipBallot(ballots) => self.ballots = Some(ballots),
+            LogRecord::Configuration(sheet) => self.sheet = Some(sheet),
+            LogRecord::Lease(key, claim) => {
                 self.claims.insert(key, claim);
             }
-            Record::Paper(paper) => drop(self.papers.insert(paper.name, paper.sheet)),
-            Record::Session(session, entry) => drop(self.sessions.insert(session, entry)),
-            Record::SessionOver(session) => drop(self.sessions.remove(&session)),
-            Record::VersionBallots(ballots) => self.version_ballots = ballots,
-            Record::Free(key, token) => {
+            LogRecord::Register(paper) => drop(self.papers.insert(paper.name, paper.value)),
+            LogRecord::Session(session, entry) => drop(self.sessions.insert(session, entry)),
+            LogRecord::SessionEnded(session) => drop(self.sessions.remove(&session)),
+            LogRecord::RegisterAcceptors(ballots) => self.version_ballots = ballots,
+            LogRecord::LeaseReleased(key, token) => {
                 if self.claims.get(&key).is_some_and(|claim| claim.token == token) {
                     self.claims.remove(&key);
                 }
@@ -54,20 +54,30 @@
         }
     }
 
-    fn saved(&self) -> Saved {
+    fn saved(&self) -> PersistedState {
         let claims = self.claims.iter().map(|(key, claim)| (*key, claim.clone())).collect();
         let sessions = self.sessions.iter().map(|(session, entry)| (*session, entry.clone())).collect();
-        let paper = |(name, sheet): (&Name, &Arc<Sheet>)| Paper { name: name.clone(), sheet: sheet.clone() };
+        let paper = |(name, sheet): (&RegisterName, &Arc<RegisterValue>)| NamedRegister {
+            name: name.clone(),
+            value: sheet.clone(),
+        };
         let papers = self.papers.iter().map(paper).collect();
         let (ballots, version_ballots) = (self.ballots.clone(), self.version_ballots.clone());
-        Saved { ballots, version_ballots, sheet: self.sheet.clone(), claims, papers, sessions }
+        PersistedState {
+            membership_ballot: ballots,
+            acceptors: version_ballots,
+            configuration: self.sheet.clone(),
+            leases: claims,
+            registers: papers,
+            sessions,
+        }
     }
 }
 
 #[derive(Default)]
 struct Batch {
-    records: Vec<Record>,
-    sends: Vec<(SocketAddr, Letter)>,
+    records: Vec<LogRecord>,
+    sends: Vec<(SocketAddr, Message)>,
 }
 
 /// An ask of an attendant or of another steward that waits for news.
@@ -106,7 +116,7 @@
     /// Given to the disk; the first `writing` of them are under way.
     batches: VecDeque<Batch>,
     writing: usize,
-    safe: Option<Arc<Sheet>>,
+    safe: Option<Arc<RegisterValue>>,
     stewards: Vec<SocketAddr>,
     settled: bool,
     readers: BTreeMap<u64, Reader>,
@@ -169,17 +179,17 @@
 
     pub fn ask(&mut self, from: usize, id: u64, ask: Ask, cause: Cause, hand: &mut Hand) {
         match ask {
-            Ask::Letter(letter) => {
+            Ask::Message(letter) => {
                 let mut acts = Vec::new();
-                self.core.hear(hand.now, letter, &mut acts);
+                self.core.handle_message(hand.now, letter, &mut acts);
                 self.work(acts, hand);
             }
             Ask::Core(want) => self.want(want, Call::Of(from, id), hand),
-            Ask::Sheet(have) => {
+            Ask::Configuration(have) => {
                 let parcel = self.parcels.newest(have);
-                hand.reply(from, id, Reply::Sheet(parcel), Cause::Configurations);
+                hand.reply(from, id, Reply::Configuration(parcel), Cause::Configurations);
             }
-            Ask::Papers(_) | Ask::Carried(_) => {}
+            Ask::Registers(_) | Ask::Carried(_) => {}
             Ask::News(ask) => {
                 let safe = self.safe.as_ref().map(|sheet| sheet.rank());
                 let stand =
@@ -204,19 +214,19 @@
     }
 
     /// For an operator: `Replace` or `Read`.
-    pub fn operator(&mut self, want: Want, floor: (u64, u64), hand: &mut Hand) {
+    pub fn operator(&mut self, want: CoreRequest, floor: (u64, u64), hand: &mut Hand) {
         let call = match &want {
-            Want::Replace(sheet) => Call::Replace(sheet.version, sheet.digest),
+            CoreRequest::ReplaceConfiguration(sheet) => Call::Replace(sheet.version, sheet.digest),
             _ => Call::Read(floor),
         };
         self.want(want, call, hand);
     }
 
-    fn want(&mut self, want: Want, call: Call, hand: &mut Hand) {
+    fn want(&mut self, want: CoreRequest, call: Call, hand: &mut Hand) {
         self.next_call += 1;
         self.calls.insert(self.next_call, call);
         let mut acts = Vec::new();
-        self.core.want(hand.now, self.next_call, want, &mut acts);
+        self.core.handle_request(hand.now, self.next_call, want, &mut acts);
         self.work(acts, hand);
     }
 
@@ -338,7 +348,7 @@
     }
 
     /// One round of the core's work.
-    fn work(&mut self, mut acts: Vec<Act>, hand: &mut Hand) {
+    fn work(&mut self, mut acts: Vec<Effect>, hand: &mut Hand) {
         let ticks = hand.now >= self.wake;
         if ticks {
             self.wake = self.core.tick(hand.now, &mut acts);
@@ -349,15 +359,15 @@
         self.publish(ticks, hand);
     }
 
-    fn carry_out(&mut self, acts: Vec<Act>, hand: &mut Hand) {
+    fn carry_out(&mut self, acts: Vec<Effect>, hand: &mut Hand) {
         let mut batch = Batch::default();
         for act in acts {
             match act {
-                Act::Write(record) => batch.records.push(record),
-                Act::Send(to, letter) => batch.sends.push((to, letter)),
-                Act::Now(to, letter) => hand.post(to, letter),
-                Act::Answer { call, got } => self.answer(call, got, hand),
-                Act::Log(_) => {}
+                Effect::Persist(record) => batch.records.push(record),
+                Effect::SendAfterPersist(to, letter) => batch.sends.push((to, letter)),
+                Effect::SendNow(to, letter) => hand.post(to, letter),
+                Effect::Respond { call, response: got } => self.answer(call, got, hand),
+                Effect::Log(_) => {}
             }
         }
         if batch.records.is_empty() && self.batches.is_empty() {
@@ -385,23 +395,23 @@
         }
     }
 
-    fn send(&mut self, sends: Vec<(SocketAddr, Letter)>, out: &mut Vec<Act>, hand: &mut Hand) {
+    fn send(&mut self, sends: Vec<(SocketAddr, Message)>, out: &mut Vec<Effect>, hand: &mut Hand) {
         for (to, letter) in sends {
             if to == self.at {
-                self.core.hear(hand.now, letter, out);
+                self.core.handle_message(hand.now, letter, out);
             } else {
                 hand.post(to, letter);
             }
         }
     }
 
-    fn answer(&mut self, call: u64, got: Got, hand: &mut Hand) {
+    fn answer(&mut self, call: u64, got: CoreResponse, hand: &mut Hand) {
         match (self.calls.remove(&call), got) {
             (Some(Call::Of(to, id)), got) => hand.reply(to, id, Reply::Core(got), Cause::Claims),
             (Some(Call::Replace(version, digest)), got) => {
-                hand.note(Note::Replaced((version, digest), got == Got::Taken));
+                hand.note(Note::Replaced((version, digest), got == CoreResponse::Accepted));
             }
-            (Some(Call::Read(floor)), Got::Newest(sheet)) => {
+            (Some(Call::Read(floor)), CoreResponse::Register(sheet)) => {
                 hand.note(Note::Read { floor, found: sheet.map_or((0, 0), |sheet| sheet.rank()) });
             }
             _ => {}
@@ -409,16 +419,16 @@
     }
 
     fn publish(&mut self, ticks: bool, hand: &mut Hand) {
-        let safe = self.core.safe().or(self.core.held());
-        let rank = |sheet: Option<&Arc<Sheet>>| sheet.map(|sheet| sheet.rank());
+        let safe = self.core.committed_configuration().or(self.core.stored_configuration());
+        let rank = |sheet: Option<&Arc<RegisterValue>>| sheet.map(|sheet| sheet.rank());
         let news = rank(self.safe.as_ref()) != rank(safe);
         if !news && !ticks {
             return;
         }
         self.safe = safe.cloned();
         safe.into_iter().for_each(|safe| self.parcels.note(safe));
-        self.settled = self.core.settled(hand.now);
-        let stewards = self.core.stewards();
+        self.settled = self.core.has_quorum(hand.now);
+        let stewards = self.core.replica_addresses();
         if news || self.stewards != stewards {
             self.stewards = stewards;
             self.change(hand);
--- a/emulator/src/mesh/world.rs
+++ b/emulator/src/mesh/world.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 
 use ochreshed_consensus::core::Config;
-use ochreshed_consensus::messages::{Key, Sheet, Token, Want};
+use ochreshed_consensus::messages::{CoreRequest, LeaseKey, LeaseToken, RegisterValue};
 use ochreshed_mesh::calls::{Ask, Frame, Reply, encode};
 
 use super::audit::Audit;
@@ -59,7 +59,7 @@
     Trouble(usize, usize),
     Over(usize),
     Start(usize),
-    Sheet,
+    Configuration,
     Send(u64),
     Read,
     Claim(usize),
@@ -98,8 +98,8 @@
     ids: u64,
     net: Stream,
     load: Stream,
-    keys: VecDeque<Key>,
-    sheets: Vec<Arc<Sheet>>,
+    keys: VecDeque<LeaseKey>,
+    sheets: Vec<Arc<RegisterValue>>,
     audit: Audit,
     watch: Watch,
     handled: u64,
@@ -182,7 +182,7 @@
             let after = (world.load.part() * spread as f64) as Nanos;
             world.events.after(after, Event::Start(number));
         }
-        world.events.after(S, Event::Sheet);
+        world.events.after(S, Event::Configuration);
         world.events.after(READS, Event::Read);
         world.events.after(of.warm(), Event::Count);
         for gate in of.stewards..world.nodes.len() {
@@ -260,29 +260,29 @@
                 self.nodes[range].iter_mut().for_each(|node| node.cut = false);
             }
             Event::Start(node) => self.start(node),
-            Event::Sheet => {
+            Event::Configuration => {
                 let version = self.sheets.len() as u64 + 1;
-                self.sheets.push(Arc::new(Sheet::new(version, text(self.of.sheets.bytes, version))));
+                self.sheets.push(Arc::new(RegisterValue::new(version, text(self.of.sheets.bytes, version))));
                 let alive = self.alive();
                 self.watch.begin(now, Kind::Configuration, 0, (version, 0), alive);
                 self.events.after(0, Event::Send(version));
-                self.events.after(self.of.sheets.every, Event::Sheet);
+                self.events.after(self.of.sheets.every, Event::Configuration);
             }
             Event::Send(version) => {
                 let sheet = self.sheets[version as usize - 1].clone();
                 if self.audit.floor() < sheet.rank() {
                     self.events.after(OPERATOR, Event::Send(version));
-                    self.operate(Want::Replace(sheet));
+                    self.operate(CoreRequest::ReplaceConfiguration(sheet));
                 }
             }
             Event::Read => {
                 self.events.after(READS, Event::Read);
-                self.operate(Want::Read);
+                self.operate(CoreRequest::ReadConfiguration);
             }
             Event::Claim(node) => {
                 self.again(0, Event::Claim(node));
                 let key = self.key();
-                let token = self.load.below(usize::MAX >> 2) as Token + 1;
+                let token = self.load.below(usize::MAX >> 2) as LeaseToken + 1;
                 self.claims[0] += 1;
                 self.with(node, |process, hand| {
                     if let Process::Gate(gate) = process {
@@ -301,11 +301,11 @@
         }
     }
 
-    fn key(&mut self) -> Key {
+    fn key(&mut self) -> LeaseKey {
         if !self.keys.is_empty() && self.load.happens(self.of.claims.repeats) {
             return self.keys[self.load.below(self.keys.len())];
         }
-        let key = (self.load.below(usize::MAX) as Key) << 64 | self.load.below(usize::MAX) as Key;
+        let key = (self.load.below(usize::MAX) as LeaseKey) << 64 | self.load.below(usize::MAX) as LeaseKey;
         self.keys.push_back(key);
         if self.keys.len() > KEYS {
             self.keys.pop_front();
@@ -313,7 +313,7 @@
         key
     }
 
-    fn operate(&mut self, want: Want) {
+    fn operate(&mut self, want: CoreRequest) {
         let steward = self.load.below(self.of.stewards);
         let floor = self.audit.floor();
         self.with(steward, |process, hand| {
@@ -334,12 +334,12 @@
             let seed = self.load.below(usize::MAX) as u64;
             let voters = 2 * self.of.tolerate + 1;
             let config = Config {
-                keep: KEEP,
-                lost_after: LOST,
-                want: voters,
-                most_claims: CLAIMS,
-                most_bytes: ANSWERS,
-                zones: 0,
+                lease_ttl: KEEP,
+                member_timeout: LOST,
+                target_members: voters,
+                max_leases: CLAIMS,
+                max_response_bytes: ANSWERS,
+                tolerated_zone_losses: 0,
                 zone: String::new(),
             };
             // The first ones begin as the first view; others are spares that it takes in.
--- a/mesh/src/calls.rs
+++ b/mesh/src/calls.rs
@@ -10,7 +10,7 @@
 use crate::fared::Faring;
 use crate::list::{Mark, Row};
 use crate::parcels::{Parcel, Rank};
-use ochreshed_consensus::messages::{Got, Letter, Name, Paper, Want};
+use ochreshed_consensus::messages::{CoreRequest, CoreResponse, Message, NamedRegister, RegisterName};
 
 /// No frame is larger than this, in bytes.
 pub const MOST_FRAME: usize = 40 << 20;
@@ -18,23 +18,28 @@
 #[derive(Debug, Serialize, Deserialize)]
 pub enum Ask {
     News(NewsAsk),
-    Core(Want),
-    Letter(Letter),
+    Core(CoreRequest),
+    #[serde(rename = "Letter")]
+    Message(Message),
     /// The newest configuration, from one that has the one of this rank.
-    Sheet(Rank),
-    /// Papers of these names that are newer than these.
-    Papers(Vec<(Name, Rank)>),
+    #[serde(rename = "Sheet")]
+    Configuration(Rank),
+    /// Registers of these names that are newer than these.
+    #[serde(rename = "Papers")]
+    Registers(Vec<(RegisterName, Rank)>),
     /// Which nodes told that they have which edition of a member's routes in force.
-    Carried(Name),
+    Carried(RegisterName),
 }
 
 #[derive(Debug, Serialize, Deserialize)]
 pub enum Reply {
     News(Box<NewsReply>),
-    Core(Got),
-    Sheet(Option<Arc<Parcel>>),
+    Core(CoreResponse),
+    #[serde(rename = "Sheet")]
+    Configuration(Option<Arc<Parcel>>),
     /// As many as go in one reply, and at least one if there are any.
-    Papers(Vec<Paper>),
+    #[serde(rename = "Papers")]
+    Registers(Vec<NamedRegister>),
     /// Doors, the edition there, and whether it is on trial.
     Carried(Vec<(SocketAddr, u64, bool)>),
 }
@@ -97,7 +102,7 @@
     pub told: Option<Box<Told>>,
     /// The number of all papers that are safe, and their ranks, where it is another than the asker's.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub papers: Option<(u64, Vec<(Name, Rank)>)>,
+    pub papers: Option<(u64, Vec<(RegisterName, Rank)>)>,
     /// What of those reports goes beside them, where there is any.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub members: Vec<(SocketAddr, Faring)>,
@@ -108,7 +113,7 @@
 }
 
 /// The editions of members' routes in force at an attendant, and whether they are on trial there.
-pub type Carried = Vec<(Name, u64, bool)>;
+pub type Carried = Vec<(RegisterName, u64, bool)>;
 
 /// Reports by door with their ages in ms, and a steward's own time to full service in ms.
 pub type Told = (Vec<(SocketAddr, u32, Report)>, Option<u32>);
@@ -139,12 +144,25 @@
     /// Guards against letters that an older program doesn't read, or that cost more though no paper is held.
     #[test]
     fn without_papers_letters_are_as_they_were() {
-        use ochreshed_consensus::messages::{Body, Claim, Key, Sheet};
+        use ochreshed_consensus::messages::{Lease, LeaseKey, MessageBody, RegisterValue};
         #[derive(Debug, Serialize, Deserialize)]
         enum Older {
-            Beat { voter: bool, sheet: Rank, safe: Rank, leaving: bool },
-            WantState { from: u128, round: u64 },
-            State { round: u64, part: Vec<(Key, Claim)>, next: Option<u128>, sheet: Option<Arc<Sheet>> },
+            Beat {
+                voter: bool,
+                sheet: Rank,
+                safe: Rank,
+                leaving: bool,
+            },
+            WantState {
+                from: u128,
+                round: u64,
+            },
+            State {
+                round: u64,
+                part: Vec<(LeaseKey, Lease)>,
+                next: Option<u128>,
+                sheet: Option<Arc<RegisterValue>>,
+            },
         }
         let rank = (3, u64::MAX);
         let older = [
@@ -154,23 +172,30 @@
         ];
         let zone = String::new();
         let newer = [
-            Body::Beat { voter: true, sheet: rank, safe: rank, leaving: false, zone, papers: 0 },
-            Body::WantState { from: u128::MAX, round: 7, papers: None },
-            Body::State {
-                round: 7,
-                part: Vec::new(),
-                next: Some(9),
-                sheet: None,
+            MessageBody::Heartbeat {
+                voter: true,
+                configuration: rank,
+                committed_configuration: rank,
+                leaving: false,
+                zone,
+                registers_digest: 0,
+            },
+            MessageBody::FetchSnapshot { from_key: u128::MAX, catch_up_id: 7, from_register: None },
+            MessageBody::SnapshotChunk {
+                catch_up_id: 7,
+                leases: Vec::new(),
+                next_key: Some(9),
+                configuration: None,
                 sessions: Vec::new(),
-                papers: Vec::new(),
-                next_paper: None,
-                version_ballots: Vec::new(),
+                registers: Vec::new(),
+                next_register: None,
+                acceptors: Vec::new(),
             },
         ];
         for (older, newer) in older.iter().zip(&newer) {
             let bytes = encode(older).expect("a frame");
             assert_eq!(encode(newer).as_ref(), Some(&bytes));
-            let read: Body = ciborium::from_reader(&bytes[4..]).expect("read");
+            let read: MessageBody = ciborium::from_reader(&bytes[4..]).expect("read");
             assert_eq!(encode(&read), Some(bytes));
         }
     }
--- a/mesh/src/news.rs
+++ b/mesh/src/news.rs
@@ -10,7 +10,7 @@
 use crate::calls::{Carried, NewsAsk, NewsReply};
 use crate::list::{Mark, Row, place, watchers};
 use crate::parcels::Rank;
-use ochreshed_consensus::messages::Key;
+use ochreshed_consensus::messages::LeaseKey;
 
 const MS: Nanos = 1_000_000;
 /// An ask is answered after so long though there is no news, and given up so much later.
@@ -218,7 +218,7 @@
     }
 
     /// In the order in which a key's duty falls to them: by key, those that gave no reply last.
-    pub fn by_key(&self, now: Nanos, key: Key) -> Vec<SocketAddr> {
+    pub fn by_key(&self, now: Nanos, key: LeaseKey) -> Vec<SocketAddr> {
         let place_of = |(at, aside): &(SocketAddr, Option<Nanos>)| {
             (aside.is_some_and(|until| until > now), place(*at, key), *at)
         };
--- a/mesh/src/office.rs
+++ b/mesh/src/office.rs
@@ -9,7 +9,7 @@
 use crate::calls::{NewsAsk, NewsReply, Told};
 use crate::list::{Mark, Row, Table};
 use crate::parcels::Rank;
-use ochreshed_consensus::messages::Paper;
+use ochreshed_consensus::messages::NamedRegister;
 
 const MS: Nanos = 1_000_000;
 /// An attendant of whom nothing was heard for so long is quiet.
@@ -39,7 +39,7 @@
     pub stewards: &'a [SocketAddr],
     pub settled: bool,
     /// The papers that are safe, and their number.
-    pub papers: (u64, &'a [Paper]),
+    pub papers: (u64, &'a [NamedRegister]),
 }
 
 /// An ask that waits for news.
@@ -140,7 +140,7 @@
         let quiet = !waiting.steward && self.quiet.0 != waiting.quiet;
         let papers = waiting.lacks_papers(stand).then(|| {
             let (number, papers) = stand.papers;
-            (number, papers.iter().map(|paper| (paper.name.clone(), paper.sheet.rank())).collect())
+            (number, papers.iter().map(|paper| (paper.name.clone(), paper.value.rank())).collect())
         });
         NewsReply {
             mark: self.table.mark(),
--- a/mesh/src/parcels.rs
+++ b/mesh/src/parcels.rs
@@ -13,7 +13,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::delta::{self, Piece};
-use ochreshed_consensus::messages::Sheet;
+use ochreshed_consensus::messages::RegisterValue;
 
 /// So many older ones are kept, of so many bytes together at most.
 const KEPT: usize = 4;
@@ -58,7 +58,7 @@
 }
 
 impl Parcel {
-    fn pack(sheet: &Sheet, from: Option<&Sheet>) -> Option<Parcel> {
+    fn pack(sheet: &RegisterValue, from: Option<&RegisterValue>) -> Option<Parcel> {
         let pieces = match from {
             Some(from) => delta::between(&from.bytes, &sheet.bytes),
             None => vec![Piece::New(sheet.bytes.clone())],
@@ -67,12 +67,12 @@
         ciborium::into_writer(&pieces, &mut plain).ok()?;
         let mut packer = DeflateEncoder::new(Vec::new(), Compression::fast());
         packer.write_all(&plain).ok()?;
-        let from = from.map_or((0, 0), Sheet::rank);
+        let from = from.map_or((0, 0), RegisterValue::rank);
         Some(Parcel { rank: sheet.rank(), from, packed: packer.finish().ok()? })
     }
 
     /// The configuration that it holds, made out of the one that is here.
-    pub fn open(&self, here: Option<&Sheet>) -> Result<Sheet, ParcelError> {
+    pub fn open(&self, here: Option<&RegisterValue>) -> Result<RegisterValue, ParcelError> {
         let old = match here {
             _ if self.from == (0, 0) => &[][..],
             Some(here) if here.rank() == self.from => &here.bytes,
@@ -83,7 +83,7 @@
         read.map_err(|_| ParcelError::Spoilt)?;
         let pieces: Vec<Piece> = ciborium::from_reader(&plain[..]).map_err(|_| ParcelError::Spoilt)?;
         let bytes = delta::apply(old, &pieces, self.rank.1).ok_or(ParcelError::Spoilt)?;
-        Ok(Sheet { version: self.rank.0, digest: self.rank.1, bytes })
+        Ok(RegisterValue { version: self.rank.0, digest: self.rank.1, bytes })
     }
 }
 
@@ -94,20 +94,21 @@
 #[derive(Default)]
 struct Kept {
     /// The newest last.
-    sheets: VecDeque<Arc<Sheet>>,
+    sheets: VecDeque<Arc<RegisterValue>>,
     packed: VecDeque<Arc<Parcel>>,
 }
 
 impl Parcels {
     /// This one is safe now.
-    pub fn note(&self, sheet: &Arc<Sheet>) {
+    pub fn note(&self, sheet: &Arc<RegisterValue>) {
         let mut kept = held(&self.0);
         if kept.sheets.back().is_some_and(|last| last.rank() >= sheet.rank()) {
             return;
         }
         kept.sheets.push_back(sheet.clone());
-        let bytes =
-            |sheets: &VecDeque<Arc<Sheet>>| sheets.iter().map(|sheet| sheet.bytes.len()).sum::<usize>();
+        let bytes = |sheets: &VecDeque<Arc<RegisterValue>>| {
+            sheets.iter().map(|sheet| sheet.bytes.len()).sum::<usize>()
+        };
         while kept.sheets.len() > 1 && (kept.sheets.len() > KEPT || bytes(&kept.sheets) > KEPT_BYTES) {
             kept.sheets.pop_front();
         }
@@ -142,16 +143,17 @@
 mod tests {
     use super::*;
 
-    fn sheet(version: u64, routes: usize) -> Arc<Sheet> {
+    fn sheet(version: u64, routes: usize) -> Arc<RegisterValue> {
         let text: String =
             (0..routes).map(|at| format!(r#"{{"route":"r-{at}","version":{}}},"#, at % 9)).collect();
-        Arc::new(Sheet::new(version, format!("r{version} {text}").into_bytes()))
+        Arc::new(RegisterValue::new(version, format!("r{version} {text}").into_bytes()))
     }
 
     #[test]
     fn each_gets_what_differs_from_what_it_has_and_opens_it_to_the_same() {
         let parcels = Parcels::default();
-        let all: Vec<Arc<Sheet>> = (1..8).map(|version| sheet(version, 500 + version as usize)).collect();
+        let all: Vec<Arc<RegisterValue>> =
+            (1..8).map(|version| sheet(version, 500 + version as usize)).collect();
         all.iter().for_each(|sheet| parcels.note(sheet));
         let newest = all.last().expect("one");
         assert!(parcels.newest(newest.rank()).is_none());
--- a/mesh/tests/frozen_forms.rs
+++ b/mesh/tests/frozen_forms.rs
@@ -11,7 +11,9 @@
 use std::sync::Arc;
 
 use frozen::{FrozenForms, writes_fixtures};
-use ochreshed_consensus::messages::{Ballot, Body, Got, Letter, Paper, Sheet, Station, Want};
+use ochreshed_consensus::messages::{
+    Ballot, CoreRequest, CoreResponse, Message, MessageBody, NamedRegister, RegisterValue, ReplicaId,
+};
 use ochreshed_mesh::budget::{Figures, Report};
 use ochreshed_mesh::calls::{Ask, Frame, NewsAsk, NewsReply, Reply, encode};
 use ochreshed_mesh::delta::Piece;
@@ -64,8 +66,8 @@
     Parcel { rank: RANK, from: (11, 3), packed: vec![0, 1, 255] }
 }
 
-fn named() -> Paper {
-    Paper { name: "members".into(), sheet: Arc::new(Sheet::new(3, b"{}".to_vec())) }
+fn named() -> NamedRegister {
+    NamedRegister { name: "members".into(), value: Arc::new(RegisterValue::new(3, b"{}".to_vec())) }
 }
 
 fn watch_request_all() -> NewsAsk {
@@ -137,15 +139,15 @@
 }
 
 fn requests() -> Vec<(&'static str, Ask)> {
-    let body = Body::Prepare(Ballot { round: 1, by: 2 });
-    let letter = Letter { from: Station { at: address(1), disk: 0 }, view: 1, body };
+    let body = MessageBody::Prepare(Ballot { round: 1, proposer: 2 });
+    let letter = Message { from: ReplicaId { address: address(1), disk_id: 0 }, epoch: 1, body };
     vec![
         ("news_all", Ask::News(watch_request_all())),
         ("news_least", Ask::News(watch_request_least())),
-        ("core", Ask::Core(Want::Read)),
-        ("letter", Ask::Letter(letter)),
-        ("sheet", Ask::Sheet(RANK)),
-        ("papers", Ask::Papers(vec![("members".into(), RANK)])),
+        ("core", Ask::Core(CoreRequest::ReadConfiguration)),
+        ("letter", Ask::Message(letter)),
+        ("sheet", Ask::Configuration(RANK)),
+        ("papers", Ask::Registers(vec![("members".into(), RANK)])),
         ("carried", Ask::Carried("m/banco-norte".into())),
     ]
 }
@@ -154,10 +156,10 @@
     vec![
         ("news_all", Reply::News(Box::new(watch_response_all()))),
         ("news_least", Reply::News(Box::new(watch_response_least()))),
-        ("core", Reply::Core(Got::Granted)),
-        ("sheet", Reply::Sheet(Some(Arc::new(update())))),
-        ("sheet_none", Reply::Sheet(None)),
-        ("papers", Reply::Papers(vec![named()])),
+        ("core", Reply::Core(CoreResponse::LeaseGranted)),
+        ("sheet", Reply::Configuration(Some(Arc::new(update())))),
+        ("sheet_none", Reply::Configuration(None)),
+        ("papers", Reply::Registers(vec![named()])),
         ("carried", Reply::Carried(vec![(address(8), 4, true)])),
     ]
 }
@@ -165,10 +167,19 @@
 /// The compiler refuses these where a variant is new: it wants a sample above.
 fn has_sample(request: &Ask, response: &Reply) -> bool {
     match request {
-        Ask::News(_) | Ask::Core(_) | Ask::Letter(_) | Ask::Sheet(_) | Ask::Papers(_) | Ask::Carried(_) => {}
+        Ask::News(_)
+        | Ask::Core(_)
+        | Ask::Message(_)
+        | Ask::Configuration(_)
+        | Ask::Registers(_)
+        | Ask::Carried(_) => {}
     }
     match response {
-        Reply::News(_) | Reply::Core(_) | Reply::Sheet(_) | Reply::Papers(_) | Reply::Carried(_) => true,
+        Reply::News(_)
+        | Reply::Core(_)
+        | Reply::Configuration(_)
+        | Reply::Registers(_)
+        | Reply::Carried(_) => true,
     }
 }
 
@@ -184,15 +195,15 @@
     for (name, response) in responses() {
         forms.assert_encodes_as(&format!("reply_{name}"), &response);
     }
-    forms.assert_encodes_as("frame_ask", &Frame { id: 9_000, say: Ask::Sheet(RANK) });
-    forms.assert_encodes_as("frame_reply", &Frame { id: 0, say: Reply::Sheet(None) });
+    forms.assert_encodes_as("frame_ask", &Frame { id: 9_000, say: Ask::Configuration(RANK) });
+    forms.assert_encodes_as("frame_reply", &Frame { id: 0, say: Reply::Configuration(None) });
     forms.finish();
 }
 
 /// A frame is its length in four bytes, the highest first, and CBOR.
 #[test]
 fn a_frame_has_its_length_before_it() {
-    let frame = Frame { id: 9_000, say: Ask::Sheet(RANK) };
+    let frame = Frame { id: 9_000, say: Ask::Configuration(RANK) };
     let mut bytes = Vec::new();
     ciborium::into_writer(&frame, &mut bytes).expect("written");
     let mut expected = (bytes.len() as u32).to_be_bytes().to_vec();
@@ -223,14 +234,14 @@
     let text = |version: u64| {
         let routes: String =
             (0..60).map(|at| format!("{{\"route\":\"r-{at}\",\"v\":{}}},", at * version)).collect();
-        Arc::new(Sheet::new(version, routes.into_bytes()))
+        Arc::new(RegisterValue::new(version, routes.into_bytes()))
     };
     let (old, new) = (text(1), text(2));
     let updates = Parcels::default();
     updates.note(&old);
     updates.note(&new);
     for (name, here) in [("parcel_whole", None), ("parcel_delta", Some(&*old))] {
-        let written = updates.newest(here.map_or((0, 0), Sheet::rank)).expect("a parcel");
+        let written = updates.newest(here.map_or((0, 0), RegisterValue::rank)).expect("a parcel");
         // Another version of the compressor may write other bytes, so these are read and not compared.
         let read = forms.read_fixture(name, &*written);
         assert_eq!((read.rank, read.from), (written.rank, written.from));
--- a/storage/src/frame.rs
+++ b/storage/src/frame.rs
@@ -1,7 +1,7 @@
 //! Frames: a length, a checksum over segment, length and bytes, and the bytes. It must never take a frame for whole that
 //! is not, nor one of another segment.
 
-use ochreshed_consensus::messages::Record;
+use ochreshed_consensus::messages::LogRecord;
 
 use crate::error::StoreError;
 
@@ -44,7 +44,7 @@
 }
 
 /// All records of a frame with their sizes, if they are ours to read.
-pub(crate) fn records(mut payload: &[u8]) -> Option<Vec<(Record, usize)>> {
+pub(crate) fn records(mut payload: &[u8]) -> Option<Vec<(LogRecord, usize)>> {
     let (mut all, mut buffer) = (Vec::new(), [0; READ_BUFFER]);
     while !payload.is_empty() {
         let before = payload.len();
--- a/storage/src/store.rs
+++ b/storage/src/store.rs
@@ -35,7 +35,8 @@
 use std::sync::Arc;
 
 use ochreshed_consensus::messages::{
-    Ballots, Claim, Entry, Key, Paper, Record, Saved, Session, Sheet, Token, VersionBallot,
+    AcceptorState, Lease, LeaseKey, LeaseToken, LogRecord, MembershipBallotState, NamedRegister,
+    PersistedState, RegisterValue, SessionId, SessionRecord,
 };
 
 use crate::error::StoreError;
@@ -62,15 +63,15 @@
     Kept(Box<Store>),
 }
 
-fn of_session(record: &Record) -> bool {
-    matches!(record, Record::Session(..) | Record::SessionOver(_))
+fn of_session(record: &LogRecord) -> bool {
+    matches!(record, LogRecord::Session(..) | LogRecord::SessionEnded(_))
 }
 
 pub struct Store {
     files: Box<dyn Files + Send>,
     limits: Limits,
     segments: BTreeMap<u32, Segment>,
-    live: HashMap<Key, Place>,
+    live: HashMap<LeaseKey, Place>,
     live_bytes: u64,
     /// The segment that is appended to.
     tail: Option<u32>,
@@ -86,8 +87,8 @@
     newest: usize,
     count: u64,
     /// What it holds.
-    ballots: Option<Ballots>,
-    version_ballots: Vec<VersionBallot>,
+    ballots: Option<MembershipBallotState>,
+    version_ballots: Vec<AcceptorState>,
     /// Those on disk with their lengths, by folder and what their names begin with.
     sheets: BTreeMap<String, Shelf>,
     /// The folder of papers is there.
@@ -100,7 +101,7 @@
 impl Store {
     /// Opens the folder, which is made if there is none, and reads what is whole. All of what it tells is safe. An
     /// error means that the disk can't be read or synced now: it may hold more than can be seen.
-    pub fn open(dir: &Path) -> Result<(Store, Saved), StoreError> {
+    pub fn open(dir: &Path) -> Result<(Store, PersistedState), StoreError> {
         let folder = |root: PathBuf| Box::new(Folder::new(root));
         let (mut store, mut saved) = Store::start(folder(dir.to_owned()), LIMITS)?;
         let sessions = dir.join(SESSIONS);
@@ -130,38 +131,39 @@
 
     /// All of these are safe on disk once this is well. Otherwise none, some or all may be, and the caller writes them
     /// again; writing a record twice does no harm. Claims go first, ballots last: who is said to have caught up has.
-    pub fn write(&mut self, records: &[Record]) -> Result<(), StoreError> {
-        if records.iter().any(|record| matches!(record, Record::Claim(..) | Record::Free(..))) {
+    pub fn write(&mut self, records: &[LogRecord]) -> Result<(), StoreError> {
+        if records.iter().any(|record| matches!(record, LogRecord::Lease(..) | LogRecord::LeaseReleased(..)))
+        {
             self.append(records)?;
         }
-        let sessions: Vec<Record> = records.iter().filter(|record| of_session(record)).cloned().collect();
+        let sessions: Vec<LogRecord> = records.iter().filter(|record| of_session(record)).cloned().collect();
         if !sessions.is_empty() {
             self.log_of_sessions()?.append(&sessions)?;
         }
         let sheets = records.iter().filter_map(|record| match record {
-            Record::Sheet(sheet) => Some(sheet),
+            LogRecord::Configuration(sheet) => Some(sheet),
             _ => None,
         });
         if let Some(sheet) = sheets.max_by_key(|sheet| sheet.rank()) {
             self.keep_sheet(&shelf_of_timetable(), sheet)?;
         }
-        let mut papers: BTreeMap<&str, &Sheet> = BTreeMap::new();
+        let mut papers: BTreeMap<&str, &RegisterValue> = BTreeMap::new();
         for record in records {
-            if let Record::Paper(paper) = record
-                && papers.get(&*paper.name).is_none_or(|sheet| sheet.rank() < paper.sheet.rank())
+            if let LogRecord::Register(paper) = record
+                && papers.get(&*paper.name).is_none_or(|sheet| sheet.rank() < paper.value.rank())
             {
-                papers.insert(&paper.name, &paper.sheet);
+                papers.insert(&paper.name, &paper.value);
             }
         }
         for (name, sheet) in papers {
             self.keep_sheet(&shelf_of(name), sheet)?;
         }
         let ballots = records.iter().rev().find_map(|record| match record {
-            Record::Ballots(ballots) => Some(ballots.clone()),
+            LogRecord::MembershipBallot(ballots) => Some(ballots.clone()),
             _ => None,
         });
         let version_ballots = records.iter().rev().find_map(|record| match record {
-            Record::VersionBallots(ballots) => Some(ballots.clone()),
+            LogRecord::RegisterAcceptors(ballots) => Some(ballots.clone()),
             _ => None,
         });
         if ballots.is_none() && version_ballots.is_none() {
@@ -183,7 +185,7 @@
         &self.found
     }
 
-    fn start(files: Box<dyn Files + Send>, limits: Limits) -> Result<(Store, Saved), StoreError> {
+    fn start(files: Box<dyn Files + Send>, limits: Limits) -> Result<(Store, PersistedState), StoreError> {
         let mut store = Store {
             files,
             limits,
@@ -213,7 +215,14 @@
         let sheet = store.read_sheets(TIMETABLE)?.into_values().next();
         let (claims, sessions) = store.read_claims()?;
         let papers = store.read_papers()?;
-        let saved = Saved { ballots, version_ballots, sheet, claims, sessions, papers };
+        let saved = PersistedState {
+            membership_ballot: ballots,
+            acceptors: version_ballots,
+            configuration: sheet,
+            leases: claims,
+            sessions,
+            registers: papers,
+        };
         // Names may be newer than what lasts: a process that was killed left them so.
         for folder in [ROOT, CLAIMS, TIMETABLE].into_iter().chain(store.has_papers.then_some(PAPERS)) {
             store.sync_folder(folder)?;
--- a/storage/src/store/ballots.rs
+++ b/storage/src/store/ballots.rs
@@ -9,7 +9,7 @@
     pub(super) fn read_ballots(&mut self) -> Result<(), StoreError> {
         let listed = self.list(ROOT)?;
         self.tidy(ROOT, &listed);
-        let mut best: Option<(Ballots, Vec<VersionBallot>)> = None;
+        let mut best: Option<(MembershipBallotState, Vec<AcceptorState>)> = None;
         for (i, slot) in SLOTS.iter().enumerate() {
             let Some((_, len)) = listed.iter().find(|(name, _)| name == slot) else { continue };
             self.slots[i] = *len;
@@ -40,8 +40,8 @@
 
     pub(super) fn keep_ballots(
         &mut self,
-        ballots: Ballots,
-        versions: Vec<VersionBallot>,
+        ballots: MembershipBallotState,
+        versions: Vec<AcceptorState>,
     ) -> Result<(), StoreError> {
         let count = self.count.saturating_add(1);
         let mut bytes = vec![0; HEAD];
@@ -68,7 +68,7 @@
 }
 
 /// The count and what a slot holds; programs before the ballots on versions wrote none of them.
-fn ballots_of(payload: &[u8]) -> Option<(u64, Ballots, Vec<VersionBallot>)> {
+fn ballots_of(payload: &[u8]) -> Option<(u64, MembershipBallotState, Vec<AcceptorState>)> {
     let older = || {
         let (count, ballots) = ciborium::from_reader(payload).ok()?;
         Some((count, ballots, Vec::new()))
