--- a/storage/src/store/lease_log.rs
+++ b/storage/src/store/lease_log.rs
@@ -8,7 +8,7 @@
 /// Names of more digits are none of ours: numbers never come near it.
 const MOST_NUMBER: u32 = 999_999_999;
 /// A session's last record is the one that holds, whoever had it written.
-const ANY: Token = 0;
+const ANY: LeaseToken = 0;
 
 /// When segments end and when the live claims of the oldest move on.
 #[derive(Clone, Copy)]
@@ -39,7 +39,7 @@
 /// Where the live claim of a key stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Place {
-    pub(crate) token: Token,
+    pub(crate) token: LeaseToken,
     pub(crate) segment: u32,
     /// Its frame.
     pub(crate) at: u32,
@@ -48,11 +48,11 @@
 
 /// What a record that is safe changes.
 pub(super) enum Mark {
-    Claim(Key, Place),
-    Free(Key, Token),
+    Put(LeaseKey, Place),
+    Free(LeaseKey, LeaseToken),
 }
 
-pub(super) type Logged = (Vec<(Key, Claim)>, Vec<(Session, Entry)>);
+pub(super) type Logged = (Vec<(LeaseKey, Lease)>, Vec<(SessionId, SessionRecord)>);
 
 impl Store {
     pub(super) fn segment_bytes(&self) -> u64 {
@@ -80,14 +80,14 @@
                     let Some(mark) = mark(&record, number, at, size) else { continue };
                     self.apply(mark);
                     match record {
-                        Record::Claim(key, claim) => {
+                        LogRecord::Lease(key, claim) => {
                             claims.insert(key, claim);
                         }
-                        Record::Free(key, _) if !self.live.contains_key(&key) => {
+                        LogRecord::LeaseReleased(key, _) if !self.live.contains_key(&key) => {
                             claims.remove(&key);
                         }
-                        Record::Session(session, entry) => drop(sessions.insert(session, entry)),
-                        Record::SessionOver(session) => drop(sessions.remove(&session)),
+                        LogRecord::Session(session, entry) => drop(sessions.insert(session, entry)),
+                        LogRecord::SessionEnded(session) => drop(sessions.remove(&session)),
                         _ => {}
                     }
                 }
@@ -100,12 +100,12 @@
                 self.found.push(format!("{name}: {at} of {} bytes are whole", bytes.len()));
             }
         }
-        let mut claims: Vec<(Key, Claim)> = claims.into_iter().collect();
+        let mut claims: Vec<(LeaseKey, Lease)> = claims.into_iter().collect();
         claims.sort_unstable_by_key(|(key, _)| *key);
         Ok((claims, sessions.into_iter().collect()))
     }
 
-    pub(super) fn append(&mut self, records: &[Record]) -> Result<(), StoreError> {
+    pub(super) fn append(&mut self, records: &[LogRecord]) -> Result<(), StoreError> {
         let room = |number| self.segments.get(&number).filter(|segment| segment.whole < self.limits.segment);
         let (number, from, fresh) = match self.tail.and_then(|number| Some((number, room(number)?.whole))) {
             Some((number, whole)) => (number, whole, false),
@@ -158,7 +158,7 @@
 
     pub(super) fn apply(&mut self, mark: Mark) {
         let gone = match mark {
-            Mark::Claim(key, place) => {
+            Mark::Put(key, place) => {
                 self.live_bytes += u64::from(place.size);
                 if let Some(segment) = self.segments.get_mut(&place.segment) {
                     segment.live += 1;
@@ -180,7 +180,7 @@
 
     /// Live claims of the oldest segment that are to be written once more, ahead of what is new, and how far they have
     /// moved on then. None when there is no need.
-    pub(super) fn movable(&mut self, tail: u32) -> (Vec<Record>, u64) {
+    pub(super) fn movable(&mut self, tail: u32) -> (Vec<LogRecord>, u64) {
         let (all, live) = (self.segment_bytes(), self.live_bytes);
         let need = all > self.limits.some && all / 4 > live
             || all > self.limits.many && all / 2 > live
@@ -210,10 +210,10 @@
             let here = from + at as u64;
             moving.extend(records.into_iter().map(|(record, _)| record).filter(|record| {
                 match record {
-                    Record::Claim(key, claim) => self.live.get(key).is_some_and(|place| {
+                    LogRecord::Lease(key, claim) => self.live.get(key).is_some_and(|place| {
                         place.segment == number && u64::from(place.at) == here && place.token == claim.token
                     }),
-                    Record::Session(session, _) => self
+                    LogRecord::Session(session, _) => self
                         .live
                         .get(session)
                         .is_some_and(|place| place.segment == number && u64::from(place.at) == here),
@@ -261,16 +261,18 @@
     fn new<'a>(
         number: u32,
         from: u64,
-        records: impl Iterator<Item = &'a Record>,
+        records: impl Iterator<Item = &'a LogRecord>,
         sessions: bool,
     ) -> Result<Batch, StoreError> {
         let mut batch = Batch { bytes: Vec::new(), marks: Vec::new() };
         let mut start = None;
         for record in records {
             let (key, token) = match record {
-                Record::Claim(key, claim) => (*key, claim.token),
-                Record::Free(key, token) => (*key, *token),
-                Record::Session(session, _) | Record::SessionOver(session) if sessions => (*session, ANY),
+                LogRecord::Lease(key, claim) => (*key, claim.token),
+                LogRecord::LeaseReleased(key, token) => (*key, *token),
+                LogRecord::Session(session, _) | LogRecord::SessionEnded(session) if sessions => {
+                    (*session, ANY)
+                }
                 _ => continue,
             };
             let at = *start.get_or_insert_with(|| {
@@ -283,8 +285,8 @@
             let size = u32::try_from(batch.bytes.len() - before).map_err(|_| StoreError::TooLong)?;
             let place = u32::try_from(from + at as u64).map_err(|_| StoreError::TooLong)?;
             batch.marks.push(match record {
-                Record::Claim(..) | Record::Session(..) => {
-                    Mark::Claim(key, Place { token, segment: number, at: place, size })
+                LogRecord::Lease(..) | LogRecord::Session(..) => {
+                    Mark::Put(key, Place { token, segment: number, at: place, size })
                 }
                 _ => Mark::Free(key, token),
             });
@@ -300,19 +302,22 @@
     }
 }
 
-fn mark(record: &Record, segment: u32, at: usize, size: usize) -> Option<Mark> {
+fn mark(record: &LogRecord, segment: u32, at: usize, size: usize) -> Option<Mark> {
     match record {
-        Record::Claim(key, claim) => {
+        LogRecord::Lease(key, claim) => {
             let (at, size) = (u32::try_from(at).ok()?, u32::try_from(size).ok()?);
-            Some(Mark::Claim(*key, Place { token: claim.token, segment, at, size }))
+            Some(Mark::Put(*key, Place { token: claim.token, segment, at, size }))
         }
-        Record::Session(session, _) => {
+        LogRecord::Session(session, _) => {
             let (at, size) = (u32::try_from(at).ok()?, u32::try_from(size).ok()?);
-            Some(Mark::Claim(*session, Place { token: ANY, segment, at, size }))
+            Some(Mark::Put(*session, Place { token: ANY, segment, at, size }))
         }
-        Record::Free(key, token) => Some(Mark::Free(*key, *token)),
-        Record::SessionOver(session) => Some(Mark::Free(*session, ANY)),
-        Record::Ballots(_) | Record::Sheet(_) | Record::Paper(_) | Record::VersionBallots(_) => None,
+        LogRecord::LeaseReleased(key, token) => Some(Mark::Free(*key, *token)),
+        LogRecord::SessionEnded(session) => Some(Mark::Free(*session, ANY)),
+        LogRecord::MembershipBallot(_)
+        | LogRecord::Configuration(_)
+        | LogRecord::Register(_)
+        | LogRecord::RegisterAcceptors(_) => None,
     }
 }
 
--- a/storage/src/store/registers.rs
+++ b/storage/src/store/registers.rs
@@ -15,7 +15,10 @@
     }
 
     /// The highest whole one of each shelf in a folder.
-    pub(super) fn read_sheets(&mut self, folder: &str) -> Result<BTreeMap<String, Arc<Sheet>>, StoreError> {
+    pub(super) fn read_sheets(
+        &mut self,
+        folder: &str,
+    ) -> Result<BTreeMap<String, Arc<RegisterValue>>, StoreError> {
         let listed = self.list(folder)?;
         self.tidy(folder, &listed);
         let mut shelves: BTreeMap<String, Shelf> = BTreeMap::new();
@@ -28,7 +31,7 @@
         for (shelf, mut sheets) in shelves {
             while let Some((&(version, digest), &len)) = sheets.last_key_value() {
                 let name = sheet_name(&shelf, (version, digest));
-                let sheet = Sheet::new(version, self.read(&name)?);
+                let sheet = RegisterValue::new(version, self.read(&name)?);
                 if sheet.digest == digest {
                     best.insert(shelf.clone(), Arc::new(sheet));
                     break;
@@ -41,7 +44,7 @@
         Ok(best)
     }
 
-    pub(super) fn read_papers(&mut self) -> Result<Vec<Paper>, StoreError> {
+    pub(super) fn read_papers(&mut self) -> Result<Vec<NamedRegister>, StoreError> {
         // No other folder is looked for by its absence: this one is made with the first paper.
         self.has_papers = match self.files.list(PAPERS) {
             Ok(_) => true,
@@ -51,11 +54,11 @@
         let sheets = self.read_sheets(PAPERS)?;
         Ok(sheets
             .into_iter()
-            .filter_map(|(shelf, sheet)| Some(Paper { name: name_of(&shelf)?.into(), sheet }))
+            .filter_map(|(shelf, sheet)| Some(NamedRegister { name: name_of(&shelf)?.into(), value: sheet }))
             .collect())
     }
 
-    pub(super) fn keep_sheet(&mut self, shelf: &str, sheet: &Sheet) -> Result<(), StoreError> {
+    pub(super) fn keep_sheet(&mut self, shelf: &str, sheet: &RegisterValue) -> Result<(), StoreError> {
         // A higher one, or this, is safe.
         let newest = self.sheets.get(shelf).and_then(|sheets| sheets.last_key_value());
         if newest.is_some_and(|(rank, _)| *rank >= sheet.rank()) {
@@ -139,7 +142,7 @@
 }
 
 /// The versions of a paper that this steward's folder has, the newest first, and the bytes of each.
-pub fn history(dir: &Path, paper: &str) -> io::Result<Vec<Sheet>> {
+pub fn history(dir: &Path, paper: &str) -> io::Result<Vec<RegisterValue>> {
     let shelf = shelf_of(paper);
     let mut all = Vec::new();
     for entry in fs::read_dir(dir.join(PAPERS))? {
@@ -147,7 +150,7 @@
         let Some((of, (version, digest))) = rank_of(&format!("{PAPERS}/{name}")) else { continue };
         if of == shelf {
             // One that is removed meanwhile is not missed.
-            let read = fs::read(dir.join(PAPERS).join(&name)).map(|bytes| Sheet::new(version, bytes));
+            let read = fs::read(dir.join(PAPERS).join(&name)).map(|bytes| RegisterValue::new(version, bytes));
             all.extend(read.ok().filter(|sheet| sheet.digest == digest));
         }
     }
--- a/storage/src/store/tests.rs
+++ b/storage/src/store/tests.rs
@@ -4,7 +4,9 @@
 use std::ops::Range;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-use ochreshed_consensus::messages::{Answer, Ballot, Outcome, ProposalNumber, Station, VersionBallot, View};
+use ochreshed_consensus::messages::{
+    AcceptorState, Ballot, LeaseOutcome, Membership, ProposalNumber, ReplicaId, StoredResponse,
+};
 
 use super::ballots::SLOTS;
 use super::lease_log::segment_name;
@@ -134,7 +136,7 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn open(&self) -> Result<(Store, Saved), StoreError> {
+    fn open(&self) -> Result<(Store, PersistedState), StoreError> {
         Store::start(Box::new(self.clone()), SMALL)
     }
 
@@ -349,82 +351,98 @@
 
 const SMALL: Limits = Limits { segment: 600, some: 1_200, many: 5_000, segments: 8, step: 300 };
 
-fn ballots(round: u64) -> Ballots {
-    let me = Station { at: SocketAddr::from(([10, 0, 0, 1], 4_000)), disk: 7 };
-    let view = View { number: round, members: vec![me; round as usize % 4], base: vec![me], undone: true };
-    let promised = Ballot { round, by: 3 };
+fn ballots(round: u64) -> MembershipBallotState {
+    let me = ReplicaId { address: SocketAddr::from(([10, 0, 0, 1], 4_000)), disk_id: 7 };
+    let view = Membership {
+        epoch: round,
+        members: vec![me; round as usize % 4],
+        previous_members: vec![me],
+        rolled_back: true,
+    };
+    let promised = Ballot { round, proposer: 3 };
     let accepted = Some((promised, view.clone()));
-    Ballots { me, view, voter: true, promised, accepted, told_new: true, barred: round.is_multiple_of(2) }
+    MembershipBallotState {
+        replica: me,
+        membership: view,
+        voter: true,
+        promised,
+        accepted,
+        served_snapshot: true,
+        barred_from_serving: round.is_multiple_of(2),
+    }
 }
 
-fn version_ballots(turn: u64) -> Record {
-    let promised = ProposalNumber { epoch: turn / 2, ballot: Ballot { round: turn, by: 9 } };
-    let sheet = Arc::new(Sheet::new(turn, vec![turn as u8; 40]));
+fn version_ballots(turn: u64) -> LogRecord {
+    let promised = ProposalNumber { epoch: turn / 2, ballot: Ballot { round: turn, proposer: 9 } };
+    let sheet = Arc::new(RegisterValue::new(turn, vec![turn as u8; 40]));
     let accepted = turn.is_multiple_of(2).then_some((promised, sheet));
-    let one = VersionBallot { name: "m/a".into(), version: turn, promised, accepted };
-    Record::VersionBallots(vec![one; turn as usize % 3])
+    let one = AcceptorState { register: "m/a".into(), version: turn, promised, accepted };
+    LogRecord::RegisterAcceptors(vec![one; turn as usize % 3])
 }
 
-fn sheet(version: u64) -> Record {
-    Record::Sheet(Arc::new(Sheet::new(version, format!("{{\"version\":{version}}}").into_bytes())))
+fn sheet(version: u64) -> LogRecord {
+    LogRecord::Configuration(Arc::new(RegisterValue::new(
+        version,
+        format!("{{\"version\":{version}}}").into_bytes(),
+    )))
 }
 
-fn paper(name: &str, version: u64) -> Record {
-    let sheet = Arc::new(Sheet::new(version, format!("{name} {version}").into_bytes()));
-    Record::Paper(Paper { name: name.into(), sheet })
+fn paper(name: &str, version: u64) -> LogRecord {
+    let sheet = Arc::new(RegisterValue::new(version, format!("{name} {version}").into_bytes()));
+    LogRecord::Register(NamedRegister { name: name.into(), value: sheet })
 }
 
-fn claim(token: Token, body: Option<usize>) -> Claim {
-    let answer = |long| Answer {
+fn claim(token: LeaseToken, body: Option<usize>) -> Lease {
+    let answer = |long| StoredResponse {
         status: 200,
         headers: vec![("content-type".to_owned(), "text/plain".to_owned())],
         body: vec![token as u8; long],
     };
-    let outcome = body.map_or(Outcome::Open, |long| Outcome::Done(Arc::new(answer(long))));
-    Claim { token, left_ms: 1_500, outcome }
+    let outcome = body.map_or(LeaseOutcome::Pending, |long| LeaseOutcome::Completed(Arc::new(answer(long))));
+    Lease { token, time_left_ms: 1_500, outcome }
 }
 
 /// What a disk should hold.
 #[derive(Clone, Default, Debug, PartialEq)]
 struct Held {
-    ballots: Option<Ballots>,
-    version_ballots: Vec<VersionBallot>,
-    sheet: Option<Arc<Sheet>>,
-    claims: BTreeMap<Key, Claim>,
-    papers: BTreeMap<String, Arc<Sheet>>,
+    ballots: Option<MembershipBallotState>,
+    version_ballots: Vec<AcceptorState>,
+    sheet: Option<Arc<RegisterValue>>,
+    claims: BTreeMap<LeaseKey, Lease>,
+    papers: BTreeMap<String, Arc<RegisterValue>>,
 }
 
 impl Held {
-    fn of(saved: &Saved) -> Held {
-        let claims = saved.claims.iter().cloned().collect();
-        let papers = saved.papers.iter().map(|paper| (paper.name.to_string(), paper.sheet.clone()));
-        let (ballots, sheet) = (saved.ballots.clone(), saved.sheet.clone());
-        let version_ballots = saved.version_ballots.clone();
+    fn of(saved: &PersistedState) -> Held {
+        let claims = saved.leases.iter().cloned().collect();
+        let papers = saved.registers.iter().map(|paper| (paper.name.to_string(), paper.value.clone()));
+        let (ballots, sheet) = (saved.membership_ballot.clone(), saved.configuration.clone());
+        let version_ballots = saved.acceptors.clone();
         Held { ballots, version_ballots, sheet, claims, papers: papers.collect() }
     }
 
-    fn take(&mut self, record: &Record) {
+    fn take(&mut self, record: &LogRecord) {
         match record {
-            Record::Ballots(ballots) => self.ballots = Some(ballots.clone()),
-            Record::Sheet(sheet) => self.sheet = Some(Arc::clone(sheet)),
-            Record::Claim(key, claim) => {
+            LogRecord::MembershipBallot(ballots) => self.ballots = Some(ballots.clone()),
+            LogRecord::Configuration(sheet) => self.sheet = Some(Arc::clone(sheet)),
+            LogRecord::Lease(key, claim) => {
                 self.claims.insert(*key, claim.clone());
             }
-            Record::Free(key, token) => {
+            LogRecord::LeaseReleased(key, token) => {
                 if self.claims.get(key).is_some_and(|claim| claim.token == *token) {
                     self.claims.remove(key);
                 }
             }
-            Record::Paper(paper) => {
-                self.papers.insert(paper.name.to_string(), paper.sheet.clone());
+            LogRecord::Register(paper) => {
+                self.papers.insert(paper.name.to_string(), paper.value.clone());
             }
-            Record::VersionBallots(ballots) => self.version_ballots = ballots.clone(),
-            Record::Session(..) | Record::SessionOver(_) => {}
+            LogRecord::RegisterAcceptors(ballots) => self.version_ballots = ballots.clone(),
+            LogRecord::Session(..) | LogRecord::SessionEnded(_) => {}
         }
     }
 
     /// It holds what is safe; of the rest, each thing is as it was or as one of the later records left it.
-    fn check(&self, safe: &Held, maybe: &[Record], about: &str) {
+    fn check(&self, safe: &Held, maybe: &[LogRecord], about: &str) {
         let mut steps = vec![safe.clone()];
         for record in maybe {
             let mut step = steps[steps.len() - 1].clone();
@@ -452,9 +470,9 @@
     sim: Sim,
     store: Option<Store>,
     dice: Dice,
-    token: Token,
+    token: LeaseToken,
     safe: Held,
-    maybe: Vec<Record>,
+    maybe: Vec<LogRecord>,
 }
 
 impl Work {
@@ -464,7 +482,7 @@
     }
 
     /// What comes next does not hang on the disk, so that every run of a script is the same up to its end.
-    fn batch(&mut self, turn: u64, held: &mut Held) -> Vec<Record> {
+    fn batch(&mut self, turn: u64, held: &mut Held) -> Vec<LogRecord> {
         let mut records = Vec::new();
         for _ in 0..1 + self.dice.roll(4) {
             let key = u128::from(self.dice.roll(14)) << 64 | 1;
@@ -473,11 +491,11 @@
             let lasting = key >> 64 < 4 && self.dice.roll(12) > 0;
             let record = match held.claims.get(&key) {
                 Some(_) if lasting => continue,
-                Some(old) if what < 3 => Record::Free(key, old.token),
-                Some(old) if what == 3 => Record::Claim(key, claim(old.token, Some(long))),
+                Some(old) if what < 3 => LogRecord::LeaseReleased(key, old.token),
+                Some(old) if what == 3 => LogRecord::Lease(key, claim(old.token, Some(long))),
                 _ => {
                     self.token += 1;
-                    Record::Claim(key, claim(self.token, (what == 0).then_some(long)))
+                    LogRecord::Lease(key, claim(self.token, (what == 0).then_some(long)))
                 }
             };
             held.take(&record);
@@ -490,12 +508,13 @@
             records.insert(0, paper(if turn.is_multiple_of(2) { "m/a" } else { "w/A_" }, turn));
         }
         if turn % 5 == 1 {
-            records.push(Record::Ballots(ballots(turn)));
+            records.push(LogRecord::MembershipBallot(ballots(turn)));
         }
         if turn % 5 == 4 {
             records.push(version_ballots(turn));
         }
-        let sheets = |record: &&Record| matches!(record, Record::Sheet(_) | Record::Paper(_));
+        let sheets =
+            |record: &&LogRecord| matches!(record, LogRecord::Configuration(_) | LogRecord::Register(_));
         records.iter().filter(sheets).for_each(|record| held.take(record));
         records
     }
@@ -523,7 +542,7 @@
         Ok(())
     }
 
-    fn go(&mut self, batch: &[Record]) -> Result<(), StoreError> {
+    fn go(&mut self, batch: &[LogRecord]) -> Result<(), StoreError> {
         if self.store.is_none() {
             let (store, saved) = self.sim.open()?;
             Held::of(&saved).check(&self.safe, &self.maybe, "after a kill");
@@ -568,7 +587,11 @@
             sim.back(false);
             let (mut store, told) = reopen(&sim);
             told.check(&held, &work.maybe, &about);
-            let more = [Record::Claim(99, claim(9_999, Some(30))), Record::Ballots(ballots(900)), sheet(900)];
+            let more = [
+                LogRecord::Lease(99, claim(9_999, Some(30))),
+                LogRecord::MembershipBallot(ballots(900)),
+                sheet(900),
+            ];
             store.write(&more).expect("no trouble");
             let mut held = told;
             more.iter().for_each(|record| held.take(record));
@@ -605,7 +628,7 @@
         let mut held = Held::default();
         let mut failed = None;
         for i in 0..100 {
-            let records = [Record::Claim(i, claim(i as u64, Some(20))), sheet(i as u64)];
+            let records = [LogRecord::Lease(i, claim(i as u64, Some(20))), sheet(i as u64)];
             if store.write(&records).is_err() {
                 failed = Some(records);
                 break;
@@ -673,7 +696,7 @@
     let (mut store, _) = reopen(&sim);
     for round in 1..4 {
         store
-            .write(&[Record::Ballots(ballots(round)), Record::Claim(1, claim(round, None))])
+            .write(&[LogRecord::MembershipBallot(ballots(round)), LogRecord::Lease(1, claim(round, None))])
             .expect("written");
     }
     for slot in SLOTS {
@@ -682,7 +705,7 @@
     let (mut store, told) = reopen(&sim);
     assert_eq!((told.ballots, told.claims.len()), (None, 1));
     assert_eq!(store.found().len(), 4, "{:?}", store.found());
-    store.write(&[Record::Ballots(ballots(9))]).expect("written");
+    store.write(&[LogRecord::MembershipBallot(ballots(9))]).expect("written");
     sim.back(false);
     assert_eq!(reopen(&sim).1.ballots, Some(ballots(9)));
 }
@@ -692,30 +715,34 @@
 fn a_segment_rots() {
     let sim = Sim::new(0, u64::MAX, 0..0);
     let (mut store, _) = reopen(&sim);
-    store.write(&[Record::Claim(1, claim(1, Some(200)))]).expect("written");
-    store.write(&[Record::Claim(2, claim(2, Some(200)))]).expect("written");
+    store.write(&[LogRecord::Lease(1, claim(1, Some(200)))]).expect("written");
+    store.write(&[LogRecord::Lease(2, claim(2, Some(200)))]).expect("written");
     sim.clone().write(&segment_name(1), 400, b"rot").expect("written");
     for token in 3..200 {
-        store.write(&[Record::Claim(3, claim(token, Some(40)))]).expect("written");
+        store.write(&[LogRecord::Lease(3, claim(token, Some(40)))]).expect("written");
     }
     assert!(store.found()[0].starts_with("claims/000001"), "{:?}", store.found());
     let (_, told) = reopen(&sim);
-    assert_eq!(told.claims.keys().copied().collect::<Vec<Key>>(), [1, 3]);
+    assert_eq!(told.claims.keys().copied().collect::<Vec<LeaseKey>>(), [1, 3]);
 }
 
 /// What comes in the very write that moves a claim comes after it, and the latest of a segment is what moves.
 #[test]
 fn a_claim_that_moves() {
     for turn in 0..24 {
-        for last in [Record::Free(1, 1), Record::Claim(1, claim(1, Some(7))), Record::Free(1, 2)] {
+        for last in [
+            LogRecord::LeaseReleased(1, 1),
+            LogRecord::Lease(1, claim(1, Some(7))),
+            LogRecord::LeaseReleased(1, 2),
+        ] {
             let sim = Sim::new(0, u64::MAX, 0..0);
             let (mut store, _) = reopen(&sim);
             let mut held = Held::default();
-            let first = [Record::Claim(1, claim(1, None))];
-            let then = [Record::Claim(2, claim(0, Some(250)))];
-            let done = [Record::Claim(1, claim(1, Some(3)))];
+            let first = [LogRecord::Lease(1, claim(1, None))];
+            let then = [LogRecord::Lease(2, claim(0, Some(250)))];
+            let done = [LogRecord::Lease(1, claim(1, Some(3)))];
             let churn = (0..24).map(|i| {
-                let more = Record::Claim(2, claim(i, Some(60)));
+                let more = LogRecord::Lease(2, claim(i, Some(60)));
                 if i == turn { [more, last.clone()].to_vec() } else { [more].to_vec() }
             });
             for records in [first.to_vec(), then.to_vec(), done.to_vec()].into_iter().chain(churn) {
@@ -733,9 +760,11 @@
 fn the_hot_path() {
     let sim = Sim::new(0, u64::MAX, 0..0);
     let (mut store, _) = Store::start(Box::new(sim.clone()), LIMITS).expect("opens");
-    store.write(&[Record::Claim(0, claim(0, None)), Record::Ballots(ballots(1))]).expect("written");
-    store.write(&[Record::Ballots(ballots(2))]).expect("written");
-    let open = |key: u128| Record::Claim(key << 100 | key, claim(u64::MAX - key as u64, None));
+    store
+        .write(&[LogRecord::Lease(0, claim(0, None)), LogRecord::MembershipBallot(ballots(1))])
+        .expect("written");
+    store.write(&[LogRecord::MembershipBallot(ballots(2))]).expect("written");
+    let open = |key: u128| LogRecord::Lease(key << 100 | key, claim(u64::MAX - key as u64, None));
     let counted = || {
         let disk = sim.get();
         (disk.calls, disk.syncs)
@@ -744,10 +773,10 @@
     store.write(&[open(3)]).expect("written");
     assert_eq!(counted(), (calls + 2, syncs + 1));
     assert_eq!(store.bytes() - bytes, 71);
-    store.write(&(4..104).map(open).collect::<Vec<Record>>()).expect("written");
+    store.write(&(4..104).map(open).collect::<Vec<LogRecord>>()).expect("written");
     assert_eq!(counted().1, syncs + 2);
     assert_eq!((store.bytes() - bytes - 71) / 100, 63);
-    store.write(&[Record::Ballots(ballots(3))]).expect("written");
+    store.write(&[LogRecord::MembershipBallot(ballots(3))]).expect("written");
     assert_eq!(counted().1, syncs + 3);
 
     let (mut store, _) = reopen(&Sim::new(0, u64::MAX, 0..0));
@@ -755,7 +784,7 @@
     for token in 0..3_000 {
         // One in a hundred stays for long.
         let key = u128::from(if token % 100 == 0 { token % 500 } else { token % 7 + 1_000 });
-        let record = Record::Claim(key, claim(token, Some(50)));
+        let record = LogRecord::Lease(key, claim(token, Some(50)));
         held.take(&record);
         store.write(&[record]).expect("written");
         most = most.max(store.bytes());
@@ -775,20 +804,26 @@
     assert_eq!(Held::of(&saved), Held::default());
     let mut held = Held::default();
     let mut long = claim(2, Some(300_000));
-    if let Outcome::Done(answer) = &mut long.outcome {
+    if let LeaseOutcome::Completed(answer) = &mut long.outcome {
         Arc::make_mut(answer).headers.push(("x".repeat(9_000), "y".repeat(70_000)));
     }
-    let mut records = vec![Record::Claim(u128::MAX, long), Record::Ballots(ballots(1))];
-    records.extend((0..3_000).map(|key| Record::Claim(key, claim(key as u64, Some(9)))));
+    let mut records = vec![LogRecord::Lease(u128::MAX, long), LogRecord::MembershipBallot(ballots(1))];
+    records.extend((0..3_000).map(|key| LogRecord::Lease(key, claim(key as u64, Some(9)))));
     records.extend((1..9).map(sheet));
     for record in &records {
         held.take(record);
     }
     store.write(&records).expect("written");
     store
-        .write(&[Record::Claim(7, Claim { token: 9, left_ms: 0, outcome: Outcome::Unknown })])
+        .write(&[LogRecord::Lease(
+            7,
+            Lease { token: 9, time_left_ms: 0, outcome: LeaseOutcome::Indeterminate },
+        )])
         .expect("written");
-    held.take(&Record::Claim(7, Claim { token: 9, left_ms: 0, outcome: Outcome::Unknown }));
+    held.take(&LogRecord::Lease(
+        7,
+        Lease { token: 9, time_left_ms: 0, outcome: LeaseOutcome::Indeterminate },
+    ));
     for version in 9..20 {
         store.write(&[sheet(version)]).expect("written");
         held.take(&sheet(version));
@@ -821,7 +856,7 @@
     let (mut store, saved) = Store::open(&dir).expect("opens");
     assert_eq!(Held::of(&saved), held);
     assert_eq!(store.found().len(), 3, "{:?}", store.found());
-    store.write(&[Record::Free(7, 9)]).expect("written");
+    store.write(&[LogRecord::LeaseReleased(7, 9)]).expect("written");
     assert!(dir.join("claims/000010").exists());
     fs::remove_dir_all(&dir).expect("removed");
 }
@@ -831,23 +866,23 @@
 fn sessions_have_a_log_of_their_own() {
     let dir = std::env::temp_dir().join(format!("ochreshed-sessions-{}", std::process::id()));
     let _ = fs::remove_dir_all(&dir);
-    let entry = |epoch| Entry { epoch, token: epoch, taken: None };
+    let entry = |epoch| SessionRecord { term: epoch, token: epoch, accepted: None };
     let (mut store, _) = Store::open(&dir).expect("opens");
-    store.write(&[Record::Claim(1, claim(1, None))]).expect("written");
+    store.write(&[LogRecord::Lease(1, claim(1, None))]).expect("written");
     assert!(!dir.join(SESSIONS).exists());
     let before = store.bytes();
-    let records: Vec<Record> = (1..4_000).map(|i| Record::Session(i % 5, entry(i as u64))).collect();
+    let records: Vec<LogRecord> = (1..4_000).map(|i| LogRecord::Session(i % 5, entry(i as u64))).collect();
     for some in records.chunks(3) {
         store.write(some).expect("written");
     }
-    store.write(&[Record::SessionOver(2), Record::Claim(2, claim(2, None))]).expect("written");
+    store.write(&[LogRecord::SessionEnded(2), LogRecord::Lease(2, claim(2, None))]).expect("written");
     println!("{} bytes for {} records of sessions", store.bytes() - before, records.len());
     drop(store);
     let (_, saved) = Store::open(&dir).expect("opens");
-    let held: Vec<(Session, u64)> = saved.sessions.iter().map(|(id, entry)| (*id, entry.epoch)).collect();
+    let held: Vec<(SessionId, u64)> = saved.sessions.iter().map(|(id, entry)| (*id, entry.term)).collect();
     assert_eq!(held, [(0, 3_995), (1, 3_996), (3, 3_998), (4, 3_999)]);
-    assert_eq!(saved.claims.len(), 2);
+    assert_eq!(saved.leases.len(), 2);
     let (_, alone) = Store::start(Box::new(Folder::new(dir.clone())), LIMITS).expect("opens");
-    assert_eq!((alone.claims.len(), alone.sessions.len()), (2, 0));
+    assert_eq!((alone.leases.len(), alone.sessions.len()), (2, 0));
     fs::remove_dir_all(&dir).expect("removed");
 }
--- a/storage/tests/frozen_data_dir.rs
+++ b/storage/tests/frozen_data_dir.rs
@@ -8,8 +8,9 @@
 use std::sync::Arc;
 
 use ochreshed_consensus::messages::{
-    Agreed, Answer, Ballot, Ballots, Claim, Entry, Holder, Holding, Outcome, Paper, ProposalNumber, Record,
-    Sheet, Station, Tie, VersionBallot, View,
+    AcceptorState, Ballot, CommittedSession, Lease, LeaseOutcome, LogRecord, Membership,
+    MembershipBallotState, NamedRegister, ProposalNumber, RegisterValue, ReplicaId, SessionBinding,
+    SessionOwner, SessionOwnership, SessionRecord, StoredResponse,
 };
 use ochreshed_storage::{Store, history};
 
@@ -35,100 +36,119 @@
     SocketAddr::from(([10, 1, 0, last], 8_300))
 }
 
-fn replica(last: u8) -> Station {
-    Station { at: address(last), disk: u64::from(last) << 40 }
+fn replica(last: u8) -> ReplicaId {
+    ReplicaId { address: address(last), disk_id: u64::from(last) << 40 }
 }
 
-fn membership(epoch: u64) -> View {
-    View { number: epoch, members: vec![replica(1), replica(2)], base: vec![replica(3)], undone: true }
+fn membership(epoch: u64) -> Membership {
+    Membership {
+        epoch: epoch,
+        members: vec![replica(1), replica(2)],
+        previous_members: vec![replica(3)],
+        rolled_back: true,
+    }
 }
 
-fn membership_ballots(epoch: u64) -> Ballots {
-    Ballots {
-        me: replica(1),
-        view: membership(epoch),
+fn membership_ballots(epoch: u64) -> MembershipBallotState {
+    MembershipBallotState {
+        replica: replica(1),
+        membership: membership(epoch),
         voter: true,
-        promised: Ballot { round: 9, by: 2 },
-        accepted: Some((Ballot { round: 8, by: 1 }, membership(epoch + 1))),
-        told_new: true,
-        barred: true,
+        promised: Ballot { round: 9, proposer: 2 },
+        accepted: Some((Ballot { round: 8, proposer: 1 }, membership(epoch + 1))),
+        served_snapshot: true,
+        barred_from_serving: true,
     }
 }
 
-fn version_ballots() -> Vec<VersionBallot> {
-    let number = |round| ProposalNumber { epoch: 7, ballot: Ballot { round, by: 3 } };
-    let accepted =
-        |version, text: &str| Some((number(4), Arc::new(Sheet::new(version, text.as_bytes().to_vec()))));
+fn version_ballots() -> Vec<AcceptorState> {
+    let number = |round| ProposalNumber { epoch: 7, ballot: Ballot { round, proposer: 3 } };
+    let accepted = |version, text: &str| {
+        Some((number(4), Arc::new(RegisterValue::new(version, text.as_bytes().to_vec()))))
+    };
     vec![
-        VersionBallot {
-            name: "".into(),
+        AcceptorState {
+            register: "".into(),
             version: 8,
             promised: number(5),
             accepted: accepted(8, "{\"edition\":\"r8\"}"),
         },
-        VersionBallot {
-            name: "members".into(),
+        AcceptorState {
+            register: "members".into(),
             version: 3,
             promised: number(4),
             accepted: accepted(3, "{\"edition\":\"r3\",\"members\":[]}"),
         },
-        VersionBallot { name: "m/banco-norte".into(), version: 2, promised: number(6), accepted: None },
+        AcceptorState { register: "m/banco-norte".into(), version: 2, promised: number(6), accepted: None },
     ]
 }
 
-fn configuration(version: u64) -> Arc<Sheet> {
-    Arc::new(Sheet::new(version, format!("{{\"edition\":\"r{version}\",\"consignments\":[]}}").into_bytes()))
+fn configuration(version: u64) -> Arc<RegisterValue> {
+    Arc::new(RegisterValue::new(
+        version,
+        format!("{{\"edition\":\"r{version}\",\"consignments\":[]}}").into_bytes(),
+    ))
 }
 
-fn named(name: &str, version: u64) -> Paper {
+fn named(name: &str, version: u64) -> NamedRegister {
     let bytes = format!("{{\"edition\":\"r{version}\",\"of\":\"{name}\"}}").into_bytes();
-    Paper { name: name.into(), sheet: Arc::new(Sheet::new(version, bytes)) }
+    NamedRegister { name: name.into(), value: Arc::new(RegisterValue::new(version, bytes)) }
 }
 
-fn lease(token: u64, outcome: Outcome) -> Claim {
-    Claim { token, left_ms: 70_000, outcome }
+fn lease(token: u64, outcome: LeaseOutcome) -> Lease {
+    Lease { token, time_left_ms: 70_000, outcome }
 }
 
-fn completed() -> Outcome {
+fn completed() -> LeaseOutcome {
     let headers = vec![("content-type".into(), "text/plain".into())];
-    Outcome::Done(Arc::new(Answer { status: 201, headers, body: vec![0, 1, 255] }))
+    LeaseOutcome::Completed(Arc::new(StoredResponse { status: 201, headers, body: vec![0, 1, 255] }))
 }
 
-fn session_record(epoch: u64) -> Entry {
-    let owner = |last| Some(Holder { gate: address(last), since: epoch });
-    let tie = Some(Tie { id: "life-1".into(), door: address(8) });
-    let holding = Holding { tie, holder: owner(5), before: owner(6) };
-    Entry { epoch, token: 78, taken: Some(Agreed { epoch, token: 77, holding }) }
+fn session_record(epoch: u64) -> SessionRecord {
+    let owner = |last| Some(SessionOwner { outbound_proxy: address(last), since_term: epoch });
+    let tie = Some(SessionBinding { upstream_id: "life-1".into(), inbound_proxy: address(8) });
+    let holding = SessionOwnership { binding: tie, owner: owner(5), previous_owner: owner(6) };
+    SessionRecord {
+        term: epoch,
+        token: 78,
+        accepted: Some(CommittedSession { term: epoch, token: 77, ownership: holding }),
+    }
 }
 
 /// The records of each write. The folder is opened anew for each list of writes, which begins new segments.
-fn writes() -> [Vec<Vec<Record>>; 2] {
-    let mut first: Vec<Vec<Record>> =
-        (1..=6).map(|version| vec![Record::Sheet(configuration(version))]).collect();
+fn writes() -> [Vec<Vec<LogRecord>>; 2] {
+    let mut first: Vec<Vec<LogRecord>> =
+        (1..=6).map(|version| vec![LogRecord::Configuration(configuration(version))]).collect();
     first.extend([
-        vec![Record::Ballots(membership_ballots(6)), Record::Paper(named("members", 1))],
+        vec![LogRecord::MembershipBallot(membership_ballots(6)), LogRecord::Register(named("members", 1))],
         vec![
-            Record::Claim(1, lease(11, Outcome::Open)),
-            Record::Claim(2, lease(12, Outcome::Open)),
-            Record::Claim(u128::MAX, lease(13, Outcome::Open)),
-            Record::Claim(4, lease(14, Outcome::Open)),
+            LogRecord::Lease(1, lease(11, LeaseOutcome::Pending)),
+            LogRecord::Lease(2, lease(12, LeaseOutcome::Pending)),
+            LogRecord::Lease(u128::MAX, lease(13, LeaseOutcome::Pending)),
+            LogRecord::Lease(4, lease(14, LeaseOutcome::Pending)),
         ],
         vec![
-            Record::Session(1 << 100, session_record(3)),
-            Record::Session(2, session_record(1)),
-            Record::Session(3, Entry { epoch: 5, token: 0, taken: None }),
+            LogRecord::Session(1 << 100, session_record(3)),
+            LogRecord::Session(2, session_record(1)),
+            LogRecord::Session(3, SessionRecord { term: 5, token: 0, accepted: None }),
         ],
-        vec![Record::Sheet(configuration(2)), Record::Paper(named("m/banco-norte", 1))],
-        vec![Record::Claim(2, lease(12, completed()))],
+        vec![LogRecord::Configuration(configuration(2)), LogRecord::Register(named("m/banco-norte", 1))],
+        vec![LogRecord::Lease(2, lease(12, completed()))],
     ]);
-    let mut second: Vec<Vec<Record>> =
-        (2..=7).map(|version| vec![Record::Sheet(configuration(version))]).collect();
+    let mut second: Vec<Vec<LogRecord>> =
+        (2..=7).map(|version| vec![LogRecord::Configuration(configuration(version))]).collect();
     second.extend([
-        vec![Record::Paper(named("members", 2))],
-        vec![Record::Claim(u128::MAX, lease(13, Outcome::Unknown)), Record::Free(4, 14)],
-        vec![Record::SessionOver(2), Record::Session(1 << 100, session_record(4))],
-        vec![Record::Claim(5, lease(15, Outcome::Open))],
-        vec![Record::VersionBallots(version_ballots()), Record::Ballots(membership_ballots(7))],
+        vec![LogRecord::Register(named("members", 2))],
+        vec![
+            LogRecord::Lease(u128::MAX, lease(13, LeaseOutcome::Indeterminate)),
+            LogRecord::LeaseReleased(4, 14),
+        ],
+        vec![LogRecord::SessionEnded(2), LogRecord::Session(1 << 100, session_record(4))],
+        vec![LogRecord::Lease(5, lease(15, LeaseOutcome::Pending))],
+        vec![
+            LogRecord::RegisterAcceptors(version_ballots()),
+            LogRecord::MembershipBallot(membership_ballots(7)),
+        ],
     ]);
     [first, second]
 }
@@ -208,23 +228,23 @@
     let folder = TempFolder::copy_of_fixture("frozen-read");
     let (store, saved) = Store::open(&folder.0).expect("opens");
     assert!(store.found().is_empty(), "{:?}", store.found());
-    assert_eq!(saved.ballots, Some(membership_ballots(7)));
-    assert_eq!(saved.version_ballots, version_ballots());
-    assert_eq!(saved.sheet, Some(configuration(7)));
+    assert_eq!(saved.membership_ballot, Some(membership_ballots(7)));
+    assert_eq!(saved.acceptors, version_ballots());
+    assert_eq!(saved.configuration, Some(configuration(7)));
     let leases = [
-        (1, lease(11, Outcome::Open)),
+        (1, lease(11, LeaseOutcome::Pending)),
         (2, lease(12, completed())),
-        (5, lease(15, Outcome::Open)),
-        (u128::MAX, lease(13, Outcome::Unknown)),
+        (5, lease(15, LeaseOutcome::Pending)),
+        (u128::MAX, lease(13, LeaseOutcome::Indeterminate)),
     ];
-    assert_eq!(saved.claims, leases);
-    let mut papers = saved.papers;
+    assert_eq!(saved.leases, leases);
+    let mut papers = saved.registers;
     papers.sort_by(|a, b| a.name.cmp(&b.name));
     assert_eq!(papers, [named("m/banco-norte", 1), named("members", 2)]);
-    let sessions = [(3, Entry { epoch: 5, token: 0, taken: None }), (1 << 100, session_record(4))];
+    let sessions = [(3, SessionRecord { term: 5, token: 0, accepted: None }), (1 << 100, session_record(4))];
     assert_eq!(saved.sessions, sessions);
-    let versions: Vec<Sheet> = history(&folder.0, "members").expect("read");
-    assert_eq!(versions, [2, 1].map(|version| Sheet::clone(&named("members", version).sheet)));
+    let versions: Vec<RegisterValue> = history(&folder.0, "members").expect("read");
+    assert_eq!(versions, [2, 1].map(|version| RegisterValue::clone(&named("members", version).value)));
     // Reading writes the ballots once more and changes no name.
     assert_eq!(names(&files_of(&folder.0)), FILES);
 }
@@ -237,8 +257,8 @@
         fs::remove_file(folder.0.join(gone)).expect("removed");
         let (_, saved) = Store::open(&folder.0).expect("opens");
         let expected = if kept == NEWEST_SLOT { (7, version_ballots()) } else { (6, Vec::new()) };
-        assert_eq!(saved.ballots, Some(membership_ballots(expected.0)), "{kept}");
-        assert_eq!(saved.version_ballots, expected.1, "{kept}");
+        assert_eq!(saved.membership_ballot, Some(membership_ballots(expected.0)), "{kept}");
+        assert_eq!(saved.acceptors, expected.1, "{kept}");
     }
 }
 
