--- a/balancer/src/mesh/attendant.rs
+++ b/balancer/src/mesh/attendant.rs
@@ -15,6 +15,7 @@
 use hyper::Response;
 use hyper::header::HeaderValue;
 use ochreshed::{Name, Nanos};
+use ochreshed_consensus::messages::Revision;
 use ochreshed_consensus::messages::{NamedRegister, RegisterValue};
 use ochreshed_mesh::budget::{Figures, MOST_SERVICES, Report, Spending};
 use ochreshed_mesh::calls::Carried;
@@ -22,7 +23,6 @@
 use ochreshed_mesh::fared::{Edition, Fared, Fares};
 use ochreshed_mesh::list::Row;
 use ochreshed_mesh::news::Listing;
-use ochreshed_mesh::parcels::Rank;
 use ochreshed_mesh::shares::{self, Shares};
 use ochreshed_mesh::timetable::{Route, Timetable};
 use rand::{Rng, SeedableRng};
@@ -118,7 +118,7 @@
     /// The platform's configuration and the papers on members: what is in force is laid out of them.
     bases: Mutex<(Option<Timetable>, Docs)>,
     /// The configuration in force as it was sent, and the rank of the one that is being fetched.
-    sheet: Mutex<(Option<Arc<RegisterValue>>, Rank)>,
+    sheet: Mutex<(Option<Arc<RegisterValue>>, Revision)>,
     rows: Mutex<Listing>,
     /// Doors whose attendants no watcher that replies has heard of late.
     quiet: ArcSwap<HashSet<SocketAddr>>,
@@ -212,9 +212,9 @@
     }
 
     /// Of the configuration that is here, or on its way.
-    pub fn sheet_rank(&self) -> Rank {
+    pub fn sheet_rank(&self) -> Revision {
         let sheet = held(&self.sheet);
-        sheet.0.as_ref().map_or((0, 0), |sheet| sheet.rank()).max(sheet.1)
+        sheet.0.as_ref().map_or(Revision::NONE, |sheet| sheet.revision()).max(sheet.1)
     }
 
     /// The configuration that is here.
@@ -223,7 +223,7 @@
     }
 
     /// Whether the configuration of this rank is to be fetched now: it is later, and nobody fetches it.
-    pub fn to_fetch(&self, rank: Rank) -> bool {
+    pub fn to_fetch(&self, rank: Revision) -> bool {
         let later = rank > self.sheet_rank();
         if later {
             held(&self.sheet).1 = rank;
@@ -232,10 +232,10 @@
     }
 
     /// What was being fetched has come, or won't.
-    pub fn fetched(&self, rank: Rank) {
+    pub fn fetched(&self, rank: Revision) {
         let mut sheet = held(&self.sheet);
         if sheet.1 == rank {
-            sheet.1 = (0, 0);
+            sheet.1 = Revision::NONE;
         }
     }
 
@@ -392,7 +392,7 @@
     /// Takes a configuration, if it is a later one. One that can't be read here is not asked for again.
     pub fn take_sheet(&self, sheet: RegisterValue) {
         let mut here = held(&self.sheet);
-        if here.0.as_ref().is_some_and(|here| here.rank() >= sheet.rank()) {
+        if here.0.as_ref().is_some_and(|here| here.revision() >= sheet.revision()) {
             return;
         }
         match Timetable::read(&sheet.bytes) {
@@ -406,7 +406,7 @@
             // The core checks by the same reader; this is a build that differs.
             Err(why) => {
                 log::error!("timetable r{} is refused here: {}", sheet.version, why[0]);
-                here.1 = (sheet.version, u64::MAX);
+                here.1 = Revision::new(sheet.version, u64::MAX);
             }
         }
     }
@@ -431,7 +431,7 @@
     }
 
     /// Those of the papers told that are not here, with the ranks of what is.
-    pub fn papers_wanted(&self, told: &[(Name, Rank)]) -> Vec<(Name, Rank)> {
+    pub fn papers_wanted(&self, told: &[(Name, Revision)]) -> Vec<(Name, Revision)> {
         let bases = held(&self.bases);
         let here = told.iter().map(|(name, rank)| (name, bases.1.rank(name), rank));
         here.filter(|(_, here, rank)| here < rank).map(|(name, here, _)| (name.clone(), here)).collect()
--- a/balancer/src/mesh/docs.rs
+++ b/balancer/src/mesh/docs.rs
@@ -7,10 +7,10 @@
 use std::sync::Arc;
 
 use ochreshed::Name;
+use ochreshed_consensus::messages::Revision;
 use ochreshed_consensus::messages::{NamedRegister, RegisterValue};
 use ochreshed_mesh::lay::{self, Laid};
 use ochreshed_mesh::members::{MemberDoc, Register};
-use ochreshed_mesh::parcels::Rank;
 use ochreshed_mesh::timetable::Timetable;
 
 /// The register's name; a member's documents are named by a letter and the member.
@@ -57,7 +57,7 @@
 
 #[derive(Clone, Debug, Default)]
 pub struct Docs {
-    ranks: BTreeMap<Name, Rank>,
+    ranks: BTreeMap<Name, Revision>,
     pub register: Arc<Register>,
     pub own: BTreeMap<Name, Own>,
 }
@@ -65,10 +65,10 @@
 impl Docs {
     /// Takes a paper, if it is a later one; says whether it was. One that can't be read here is not asked for again.
     pub fn take(&mut self, name: &Name, sheet: &RegisterValue) -> bool {
-        if self.rank(name) >= sheet.rank() {
+        if self.rank(name) >= sheet.revision() {
             return false;
         }
-        self.ranks.insert(name.clone(), sheet.rank());
+        self.ranks.insert(name.clone(), sheet.revision());
         let refused = |why: String| log::error!("paper {name} r{} is refused here: {why}", sheet.version);
         let doc = || match MemberDoc::read(&sheet.bytes) {
             Ok(doc) => Some(Arc::new(doc)),
@@ -101,7 +101,7 @@
         true
     }
 
-    pub fn rank(&self, name: &str) -> Rank {
+    pub fn rank(&self, name: &str) -> Revision {
         self.ranks.get(name).copied().unwrap_or_default()
     }
 
@@ -130,8 +130,8 @@
     }
 }
 
-pub fn number<'n>(ranks: impl Iterator<Item = (&'n str, Rank)>) -> u64 {
-    let of = |(name, (version, digest)): (&str, Rank)| {
+pub fn number<'n>(ranks: impl Iterator<Item = (&'n str, Revision)>) -> u64 {
+    let of = |(name, Revision { version, digest }): (&str, Revision)| {
         let bytes = [&version.to_be_bytes(), &digest.to_be_bytes(), name.as_bytes()].concat();
         xxhash_rust::xxh3::xxh3_64(&bytes)
     };
@@ -141,13 +141,13 @@
 /// Those of these papers that another has not, as many as go in one answer, and at least one.
 pub fn newer<'p>(
     papers: impl Iterator<Item = &'p NamedRegister>,
-    have: &[(Name, Rank)],
+    have: &[(Name, Revision)],
     most: usize,
 ) -> Vec<NamedRegister> {
-    let have: BTreeMap<&str, Rank> = have.iter().map(|(name, rank)| (&**name, *rank)).collect();
+    let have: BTreeMap<&str, Revision> = have.iter().map(|(name, rank)| (&**name, *rank)).collect();
     let mut bytes = 0;
     papers
-        .filter(|paper| have.get(&*paper.name).is_some_and(|rank| *rank < paper.value.rank()))
+        .filter(|paper| have.get(&*paper.name).is_some_and(|rank| *rank < paper.value.revision()))
         .take_while(|paper| {
             let before = bytes;
             bytes += paper.value.bytes.len();
--- a/balancer/src/mesh/members.rs
+++ b/balancer/src/mesh/members.rs
@@ -377,7 +377,7 @@
             "edition": format!("r{}", sheet.version),
             "digest": format!("{:016x}", sheet.digest),
             "bytes": sheet.bytes.len(),
-            "in_force": sheet.rank() == now,
+            "in_force": sheet.revision() == now,
         })
     });
     Ok(json!({"versions": versions.collect::<Vec<_>>()}).to_string())
--- a/balancer/src/mesh/news.rs
+++ b/balancer/src/mesh/news.rs
@@ -7,8 +7,8 @@
 use std::time::Duration;
 
 use ochreshed::Name;
+use ochreshed_consensus::messages::Revision;
 use ochreshed_mesh::news::{self, Asker};
-use ochreshed_mesh::parcels::Rank;
 use tokio::time::sleep;
 
 use super::attendant::Branch;
@@ -95,7 +95,7 @@
 }
 
 /// Gets the papers that are newer there, until none is; whether that was to be had.
-async fn fetch_papers(branch: &Arc<Branch>, steward: SocketAddr, ranks: Vec<(Name, Rank)>) -> bool {
+async fn fetch_papers(branch: &Arc<Branch>, steward: SocketAddr, ranks: Vec<(Name, Revision)>) -> bool {
     loop {
         let wanted = branch.papers_wanted(&ranks);
         if wanted.is_empty() {
@@ -111,10 +111,10 @@
 
 /// Gets a configuration from the steward that told of it: what differs from the one that is here, and whole where that
 /// does not open. If it fails, the next news tells of it again.
-async fn fetch(branch: Arc<Branch>, steward: SocketAddr, rank: Rank) {
+async fn fetch(branch: Arc<Branch>, steward: SocketAddr, rank: Revision) {
     let here = branch.sheet();
     for from in [here.as_deref(), None] {
-        let have = from.map_or((0, 0), |from| from.rank());
+        let have = from.map_or(Revision::NONE, |from| from.revision());
         let reply = branch.callers.to(steward).call(Ask::Configuration(have), FETCH).await;
         let Ok(Reply::Configuration(Some(parcel))) = reply else { break };
         match parcel.open(from) {
@@ -122,7 +122,7 @@
                 branch.take_sheet(sheet);
                 break;
             }
-            Err(why) => log::warn!("timetable r{}: what differs {why}", rank.0),
+            Err(why) => log::warn!("timetable r{}: what differs {why}", rank.version),
         }
     }
     branch.fetched(rank);
--- a/balancer/src/mesh/pages.rs
+++ b/balancer/src/mesh/pages.rs
@@ -9,7 +9,7 @@
 
 use ochreshed::{Name, Nanos};
 use ochreshed_consensus::core::{Core, PeerStatus, SessionCounts};
-use ochreshed_consensus::messages::{Lease, LeaseKey, LeaseOutcome};
+use ochreshed_consensus::messages::{Lease, LeaseKey, LeaseOutcome, Revision};
 use ochreshed_mesh::fared::{Edition, Fared};
 use ochreshed_mesh::health::Ill;
 use ochreshed_mesh::list::{Row, Stand, Table};
@@ -176,7 +176,7 @@
     pub view: u64,
     pub settled: bool,
     /// The newest version that is safe, and its digest.
-    pub safe: Option<(u64, u64)>,
+    pub safe: Option<Revision>,
     pub stewards: Vec<PeerStatus>,
     /// Open, unknown, done.
     pub keys: (usize, usize, usize),
@@ -194,7 +194,7 @@
         Seen {
             view: core.membership().epoch,
             settled: core.has_quorum(now),
-            safe: core.committed_configuration().map(|sheet| sheet.rank()),
+            safe: core.committed_configuration().map(|sheet| sheet.revision()),
             stewards: core.peer_statuses(now),
             keys: core.lease_counts(),
             answers: core.response_cache_usage(),
@@ -209,7 +209,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Version {
     /// Version and digest.
-    pub rank: (u64, u64),
+    pub rank: Revision,
     pub bytes: u64,
     /// By the time of day of this machine.
     pub written_ms: u64,
@@ -235,13 +235,13 @@
 }
 
 /// Of `r12-00ff....json`.
-fn rank_of(name: &str) -> Option<(u64, u64)> {
+fn rank_of(name: &str) -> Option<Revision> {
     let (version, digest) = name.strip_prefix('r')?.strip_suffix(".json")?.split_once('-')?;
     let digits = |text: &str| text.bytes().all(|byte| byte.is_ascii_hexdigit());
     if !digits(version) || !digits(digest) {
         return None;
     }
-    Some((version.parse().ok()?, u64::from_str_radix(digest, 16).ok()?))
+    Some(Revision::new(version.parse().ok()?, u64::from_str_radix(digest, 16).ok()?))
 }
 
 /// What an answer is made of.
@@ -462,8 +462,8 @@
         }
         Call::History => {
             let kept = |version: &Version| Kept {
-                edition: format!("r{}", version.rank.0),
-                digest: format!("{:016x}", version.rank.1),
+                edition: format!("r{}", version.rank.version),
+                digest: format!("{:016x}", version.rank.digest),
                 bytes: version.bytes,
                 written_ms: version.written_ms,
                 in_force: facts.seen.safe == Some(version.rank),
@@ -665,7 +665,7 @@
             seen: Seen {
                 view: 3,
                 settled: true,
-                safe: Some((7, 0xff)),
+                safe: Some(Revision::new(7, 0xff)),
                 stewards: vec![known(13, true, Some(0)), known(14, false, None)],
                 keys: (2, 1, 40),
                 answers: (12_040, 51_200_000, 3),
@@ -675,8 +675,8 @@
             },
             rows: rows.map(|row| Attendant { row, heard_ms: 120, quiet: false }).to_vec(),
             versions: vec![
-                Version { rank: (7, 0xff), bytes: 812, written_ms: 1_700_000_000_000 },
-                Version { rank: (5, 1), bytes: 800, written_ms: 1_600_000_000_000 },
+                Version { rank: Revision::new(7, 0xff), bytes: 812, written_ms: 1_700_000_000_000 },
+                Version { rank: Revision::new(5, 1), bytes: 800, written_ms: 1_600_000_000_000 },
             ],
             gathered: gathered(),
             bounds: Bounds::default(),
@@ -827,7 +827,7 @@
         }
         let ranks: Vec<_> = history(&folder).expect("read").iter().map(|version| version.rank).collect();
         std::fs::remove_dir_all(&folder).expect("removed");
-        assert_eq!(ranks, [(12, 0xff), (7, 1)]);
+        assert_eq!(ranks, [Revision::new(12, 0xff), Revision::new(7, 1)]);
         assert!(history(&folder).is_err());
     }
 }
--- a/balancer/src/mesh/steward.rs
+++ b/balancer/src/mesh/steward.rs
@@ -14,13 +14,14 @@
 use hyper::Response;
 use ochreshed::{Name, Nanos};
 use ochreshed_consensus::core::{Config, Core};
+use ochreshed_consensus::messages::Revision;
 use ochreshed_consensus::messages::{
     CoreRequest, CoreResponse, Effect, LeaseKey, LogRecord, Membership, Message, NamedRegister, RegisterValue,
 };
 use ochreshed_mesh::budget::{Report, Reports};
 use ochreshed_mesh::list::Mark;
 use ochreshed_mesh::office;
-use ochreshed_mesh::parcels::{Parcel, Parcels, Rank};
+use ochreshed_mesh::parcels::{Parcel, Parcels};
 use ochreshed_mesh::timetable::Timetable;
 use ochreshed_storage::{Store, StoreError};
 use tokio::net::TcpListener;
@@ -88,7 +89,7 @@
 
 impl Stand {
     fn told(&self) -> office::Stand<'_> {
-        let safe = self.safe.as_ref().map(|sheet| sheet.rank());
+        let safe = self.safe.as_ref().map(|sheet| sheet.revision());
         let papers = (self.papers.number, &*self.papers.all);
         office::Stand { safe, stewards: &self.stewards, settled: self.settled, papers }
     }
@@ -194,7 +195,7 @@
     }
 
     /// The newest configuration, packed for who has that one. One is packed at a time: many ask for the same.
-    async fn parcel(self: &Arc<Self>, have: Rank) -> Option<Arc<Parcel>> {
+    async fn parcel(self: &Arc<Self>, have: Revision) -> Option<Arc<Parcel>> {
         let _one = self.packing.lock().await;
         let office = self.clone();
         tokio::task::spawn_blocking(move || office.parcels.newest(have)).await.ok()?
@@ -288,7 +289,7 @@
             .gauge(
                 "configuration_version",
                 "Newest that a majority holds",
-                seen.safe.map_or(0, |safe| safe.0) as f64,
+                seen.safe.map_or(0, |safe| safe.version) as f64,
             )
             .gauge("leases_open", "Keys at work", open as f64)
             .gauge("leases_unknown", "Keys of unknown outcome", unknown as f64)
@@ -495,7 +496,7 @@
     tokio::spawn(members::duty(office.clone()));
     let mut end = signal(SignalKind::terminate()).map_err(Failed::Signals)?;
     let disk = disk(store, events.clone(), office.written.clone());
-    let found = core.registers().filter_map(|paper| Some((paper.name, paper.stored?.rank()))).collect();
+    let found = core.registers().filter_map(|paper| Some((paper.name, paper.stored?.revision()))).collect();
     let (office_of, calls) = (office.clone(), HashMap::new());
     let work = Work { office: office_of, core, disk, calls, next: 1, found, unsafe_writes: 0 };
     let work = tokio::spawn(async move { work.go(&mut coming, out).await });
@@ -586,7 +587,7 @@
     calls: HashMap<u64, oneshot::Sender<CoreResponse>>,
     next: u64,
     /// The papers that this disk held at the start: better than none until it is known which are safe.
-    found: HashMap<Name, Rank>,
+    found: HashMap<Name, Revision>,
     /// Batches that the disk has not brought back.
     unsafe_writes: usize,
 }
@@ -699,7 +700,7 @@
         // After a start the newest one held here is better than none: who else holds it is known once more than half are
         // heard. Guards against attendants that come back before the core and have nothing to go by.
         let safe = self.core.committed_configuration().or(self.core.stored_configuration());
-        let same = was.safe.as_ref().map(|sheet| sheet.rank()) == safe.map(|sheet| sheet.rank())
+        let same = was.safe.as_ref().map(|sheet| sheet.revision()) == safe.map(|sheet| sheet.revision())
             && was.view.as_ref() == Some(self.core.membership())
             && was.voter == self.core.is_voting()
             && was.papers.changes == self.core.register_changes();
@@ -718,7 +719,7 @@
         let papers = self.papers(&was.papers);
         let news = was.papers.number != papers.number
             || was.stewards != stewards
-            || was.safe.as_ref().map(|sheet| sheet.rank()) != safe.map(|s| s.rank());
+            || was.safe.as_ref().map(|sheet| sheet.revision()) != safe.map(|s| s.revision());
         safe.into_iter().for_each(|safe| self.office.parcels.note(safe));
         self.office.stand.store(Arc::new(Stand {
             safe: safe.cloned(),
@@ -744,11 +745,11 @@
             return was.clone();
         }
         let all = self.core.registers().filter_map(|paper| {
-            let found = paper.stored.filter(|held| self.found.get(&paper.name) == Some(&held.rank()));
+            let found = paper.stored.filter(|held| self.found.get(&paper.name) == Some(&held.revision()));
             Some(NamedRegister { name: paper.name, value: paper.committed.or(found)? })
         });
         let all: Vec<NamedRegister> = all.collect();
-        let number = docs::number(all.iter().map(|paper| (&*paper.name, paper.value.rank())));
+        let number = docs::number(all.iter().map(|paper| (&*paper.name, paper.value.revision())));
         Arc::new(Safe { all, number, changes })
     }
 }
--- a/consensus/src/core.rs
+++ b/consensus/src/core.rs
@@ -20,7 +20,7 @@
 use crate::messages::{
     Ballot, CoreRequest, CoreResponse, Effect, Lease, LeaseKey, LeaseOutcome, LeaseToken, LeaseVote,
     LogRecord, Membership, MembershipBallotState, Message, MessageBody, NamedRegister, PersistedState,
-    RegisterName, RegisterValue, ReplicaId, SessionMessage,
+    RegisterName, RegisterValue, ReplicaId, Revision, SessionMessage,
 };
 
 mod kept_answers;
@@ -61,8 +61,6 @@
 const MOST_IN_LETTER: usize = 256;
 const BYTES_IN_LETTER: usize = 512 * 1024;
 
-type Rank = (u64, u64);
-
 /// The register without a name.
 const TIMETABLE: &str = "";
 
@@ -98,12 +96,12 @@
     told: Option<Nanos>,
     asked: Option<Nanos>,
     pulled: BTreeMap<RegisterName, Nanos>,
-    pushed: BTreeMap<RegisterName, (Nanos, Rank)>,
+    pushed: BTreeMap<RegisterName, (Nanos, Revision)>,
     /// When it was last asked which papers it holds, and all of ours that it was last found to hold as well.
     listed: Option<Nanos>,
     counted: u128,
     /// Papers that it was asked for, as many as go in a letter.
-    wanted: BTreeMap<RegisterName, Rank>,
+    wanted: BTreeMap<RegisterName, Revision>,
 }
 
 impl Peer {
@@ -699,8 +697,8 @@
     fn beat(&self) -> Message {
         self.letter(MessageBody::Heartbeat {
             voter: self.voter,
-            configuration: self.sheet.held_rank(),
-            committed_configuration: self.sheet.safe_rank,
+            configuration: self.sheet.held_revision(),
+            committed_configuration: self.sheet.safe_revision,
             leaving: self.leaving,
             zone: if self.config.tolerated_zone_losses > 0 {
                 self.config.zone.clone()
--- a/consensus/src/core/named_registers.rs
+++ b/consensus/src/core/named_registers.rs
@@ -38,7 +38,7 @@
     pub fn holding(papers: Vec<NamedRegister>) -> Papers {
         let mut all = Papers::default();
         for paper in papers {
-            if all.get(&paper.name).is_none_or(|held| held.held_rank() < paper.value.rank()) {
+            if all.get(&paper.name).is_none_or(|held| held.held_revision() < paper.value.revision()) {
                 all.take(paper);
             }
         }
@@ -91,9 +91,9 @@
     }
 
     /// A voter of this view holds that much. Names that are not known here are, from now on, up to a bound.
-    fn ranked(&mut self, voter: ReplicaId, name: &RegisterName, rank: Rank) {
+    fn ranked(&mut self, voter: ReplicaId, name: &RegisterName, rank: Revision) {
         let room = self.by_name.len() < SLACK * MOST_NAMES && name.len() <= MOST_NAME;
-        if room && rank > (0, 0) && !name.is_empty() {
+        if room && rank > Revision::NONE && !name.is_empty() {
             self.by_name.entry(name.clone()).or_default().ranked(voter, rank);
         } else if let Some(register) = self.by_name.get_mut(name) {
             register.ranked(voter, rank);
@@ -103,7 +103,7 @@
     /// A voter of this view holds all that is held here.
     fn ranked_all(&mut self, voter: ReplicaId) {
         for register in self.by_name.values_mut() {
-            let rank = register.held_rank();
+            let rank = register.held_revision();
             register.ranked(voter, rank);
         }
     }
@@ -121,10 +121,10 @@
     }
 
     /// The ranks of those held from a name on, as many as fit a letter, and from where there are more.
-    pub fn ranks(&self, name: &str) -> (Vec<(RegisterName, Rank)>, Option<RegisterName>) {
+    pub fn ranks(&self, name: &str) -> (Vec<(RegisterName, Revision)>, Option<RegisterName>) {
         let mut rest = self.from(name);
         let ranks =
-            rest.by_ref().take(MOST_IN_LETTER).map(|paper| (paper.name, paper.value.rank())).collect();
+            rest.by_ref().take(MOST_IN_LETTER).map(|paper| (paper.name, paper.value.revision())).collect();
         (ranks, rest.next().map(|paper| paper.name))
     }
 
@@ -234,9 +234,9 @@
             return;
         }
         let papers = &self.papers;
-        let here = |name: &str| papers.get(name).map_or((0, 0), registers::Register::held_rank);
+        let here = |name: &str| papers.get(name).map_or(Revision::NONE, registers::Register::held_revision);
         peer.wanted.retain(|name, rank| !came.contains(name) && here(name) < *rank);
-        let have: Vec<(RegisterName, Rank)> =
+        let have: Vec<(RegisterName, Revision)> =
             peer.wanted.keys().map(|name| (name.clone(), here(name))).collect();
         if !have.is_empty() {
             self.now(from.address, MessageBody::FetchRegisters { read_id: 0, known: have }, out);
@@ -248,12 +248,12 @@
         from: ReplicaId,
         same: bool,
         ask: u64,
-        have: Vec<(RegisterName, Rank)>,
+        have: Vec<(RegisterName, Revision)>,
         out: &mut Vec<Effect>,
     ) {
         let mut bytes = 0;
         let newer = have.iter().take(MOST_IN_LETTER).filter_map(|(name, rank)| {
-            let sheet = self.papers.get(name)?.held.clone().filter(|sheet| sheet.rank() > *rank)?;
+            let sheet = self.papers.get(name)?.held.clone().filter(|sheet| sheet.revision() > *rank)?;
             Some(NamedRegister { name: name.clone(), value: sheet })
         });
         // What does not fit is asked for again.
@@ -273,7 +273,9 @@
     }
 
     fn say_held(&self, to: ReplicaId, ask: u64, names: &[RegisterName], out: &mut Vec<Effect>) {
-        let rank = |name: &RegisterName| self.papers.get(name).map_or((0, 0), registers::Register::held_rank);
+        let rank = |name: &RegisterName| {
+            self.papers.get(name).map_or(Revision::NONE, registers::Register::held_revision)
+        };
         let ranks = names.iter().take(MOST_IN_LETTER).map(|name| (name.clone(), rank(name))).collect();
         let body = MessageBody::RegistersStored { read_id: ask, voter: true, revisions: ranks, next: None };
         if self.mutant == 18 {
@@ -291,7 +293,7 @@
         from: ReplicaId,
         counts: bool,
         ask: u64,
-        ranks: Vec<(RegisterName, Rank)>,
+        ranks: Vec<(RegisterName, Revision)>,
         next: Option<RegisterName>,
         out: &mut Vec<Effect>,
     ) {
@@ -304,7 +306,7 @@
                     self.papers.ranked_all(from);
                 }
             }
-            let here = self.papers.get(name).map_or((0, 0), registers::Register::held_rank);
+            let here = self.papers.get(name).map_or(Revision::NONE, registers::Register::held_revision);
             if *rank > here && name.len() <= MOST_NAME && self.may_pull(now, from, name) {
                 have.push((name.clone(), here));
             }
--- a/consensus/src/core/registers.rs
+++ b/consensus/src/core/registers.rs
@@ -20,22 +20,22 @@
     /// Held before, not yet known to be outdated.
     earlier: VecDeque<Arc<RegisterValue>>,
     /// Versions and digests that were held in this life, the oldest first.
-    past: VecDeque<Rank>,
+    past: VecDeque<Revision>,
     pub safe: Option<Arc<RegisterValue>>,
-    pub safe_rank: Rank,
+    pub safe_revision: Revision,
     /// What the voters of this view said in it.
-    ranks: BTreeMap<ReplicaId, Rank>,
+    ranks: BTreeMap<ReplicaId, Revision>,
 }
 
 impl Register {
     pub fn holding(held: Option<Arc<RegisterValue>>) -> Register {
-        let past = held.iter().map(|sheet| sheet.rank()).collect();
+        let past = held.iter().map(|sheet| sheet.revision()).collect();
         Register { held, past, ..Register::default() }
     }
 
     /// The digest of the content decided for a version, where it was held here.
     pub fn digest_of(&self, version: u64) -> Option<u64> {
-        self.past.iter().rev().find(|(held, _)| *held == version).map(|(_, digest)| *digest)
+        self.past.iter().rev().find(|past| past.version == version).map(|past| past.digest)
     }
 
     /// Whether a version is above the one held.
@@ -43,13 +43,13 @@
         self.held.as_ref().is_none_or(|held| version > held.version)
     }
 
-    pub fn held_rank(&self) -> Rank {
-        self.held.as_ref().map_or((0, 0), |sheet| sheet.rank())
+    pub fn held_revision(&self) -> Revision {
+        self.held.as_ref().map_or(Revision::NONE, |sheet| sheet.revision())
     }
 
     /// Holds a sheet that is newer than the one held.
     pub fn take(&mut self, sheet: Arc<RegisterValue>) {
-        self.past.push_back(sheet.rank());
+        self.past.push_back(sheet.revision());
         if self.past.len() > MAX_PAST {
             self.past.pop_front();
         }
@@ -61,7 +61,7 @@
     }
 
     /// A voter of this view holds that much on its disk.
-    pub fn ranked(&mut self, voter: ReplicaId, rank: Rank) {
+    pub fn ranked(&mut self, voter: ReplicaId, rank: Revision) {
         let held = self.ranks.entry(voter).or_default();
         *held = rank.max(*held);
     }
@@ -71,16 +71,16 @@
         self.ranks.clear();
     }
 
-    pub fn told_safe(&mut self, rank: Rank) {
-        self.safe_rank = rank.max(self.safe_rank);
+    pub fn told_safe(&mut self, rank: Revision) {
+        self.safe_revision = rank.max(self.safe_revision);
         self.choose_safe();
     }
 
     /// What more than half of the voters hold may have grown; says whether it did.
     pub fn recount(&mut self, majority: usize) -> bool {
-        let mut ranks: Vec<Rank> = self.ranks.values().copied().collect();
+        let mut ranks: Vec<Revision> = self.ranks.values().copied().collect();
         ranks.sort_unstable_by(|a, b| b.cmp(a));
-        let grown = ranks.get(majority - 1).is_some_and(|rank| *rank > self.safe_rank);
+        let grown = ranks.get(majority - 1).is_some_and(|rank| *rank > self.safe_revision);
         if grown {
             self.told_safe(ranks[majority - 1]);
         }
@@ -88,14 +88,14 @@
     }
 
     fn choose_safe(&mut self) {
-        let rank = self.safe_rank;
-        let fits = self.earlier.iter().chain(&self.held).filter(|sheet| sheet.rank() <= rank);
-        if let Some(sheet) = fits.max_by_key(|sheet| sheet.rank())
-            && self.safe.as_ref().is_none_or(|safe| safe.rank() < sheet.rank())
+        let rank = self.safe_revision;
+        let fits = self.earlier.iter().chain(&self.held).filter(|sheet| sheet.revision() <= rank);
+        if let Some(sheet) = fits.max_by_key(|sheet| sheet.revision())
+            && self.safe.as_ref().is_none_or(|safe| safe.revision() < sheet.revision())
         {
             self.safe = Some(sheet.clone());
-            let rank = sheet.rank();
-            self.earlier.retain(|sheet| sheet.rank() > rank);
+            let rank = sheet.revision();
+            self.earlier.retain(|sheet| sheet.revision() > rank);
         }
     }
 }
@@ -114,7 +114,7 @@
     until: Nanos,
     pub timer: Nanos,
     /// What the voters said since the read began.
-    answers: BTreeMap<ReplicaId, Rank>,
+    answers: BTreeMap<ReplicaId, Revision>,
 }
 
 /// The words for each kind of register.
@@ -125,7 +125,7 @@
     }
 }
 
-fn want(name: &str, ask: u64, have: Rank) -> MessageBody {
+fn want(name: &str, ask: u64, have: Revision) -> MessageBody {
     match name {
         TIMETABLE => MessageBody::FetchConfiguration { read_id: ask, known: have },
         name => MessageBody::FetchRegisters { read_id: ask, known: vec![(name.into(), have)] },
@@ -133,7 +133,7 @@
 }
 
 /// A voter says what it holds.
-fn held(name: &str, ask: u64, rank: Rank) -> MessageBody {
+fn held(name: &str, ask: u64, rank: Revision) -> MessageBody {
     match name {
         TIMETABLE => MessageBody::ConfigurationStored { read_id: ask, revision: rank },
         name => MessageBody::RegistersStored {
@@ -150,8 +150,8 @@
         if name == TIMETABLE { Some(&self.sheet) } else { self.papers.get(name) }
     }
 
-    fn held_rank(&self, name: &str) -> Rank {
-        self.register(name).map_or((0, 0), Register::held_rank)
+    fn held_revision(&self, name: &str) -> Revision {
+        self.register(name).map_or(Revision::NONE, Register::held_revision)
     }
 
     /// Whether one more call on that register can wait; otherwise it is answered.
@@ -212,8 +212,8 @@
 
     /// Holds a sheet, which was decided for its version, if it is newer than the one held.
     pub(super) fn hold(&mut self, name: &str, sheet: Arc<RegisterValue>, out: &mut Vec<Effect>) {
-        let rank = sheet.rank();
-        if rank <= self.held_rank(name) {
+        let rank = sheet.revision();
+        if rank <= self.held_revision(name) {
             return;
         }
         if name == TIMETABLE {
@@ -230,14 +230,14 @@
         if self.voter {
             self.send(self.me.address, held(name, 0, rank), out);
         }
-        self.version_held(name, rank.0);
+        self.version_held(name, rank.version);
     }
 
     /// Gives the sheet to the members that are not known to hold one as new.
     pub(super) fn push(&mut self, now: Nanos, name: &str, out: &mut Vec<Effect>) {
         let Some(register) = self.register(name) else { return };
         let Some(sheet) = register.held.clone() else { return };
-        let rank = sheet.rank();
+        let rank = sheet.revision();
         let holds = |station: &ReplicaId| register.ranks.get(station).is_some_and(|held| *held >= rank);
         let behind: Vec<ReplicaId> = self.others().filter(|station| !holds(station)).collect();
         for station in behind {
@@ -254,7 +254,7 @@
     /// Asks the voters that have not said yet what they hold.
     fn ask(&self, call: u64, out: &mut Vec<Effect>) {
         let Some(Call::Read(reading)) = self.calls.get(&call) else { return };
-        let (ask, have) = (call ^ self.salt, self.held_rank(&reading.name));
+        let (ask, have) = (call ^ self.salt, self.held_revision(&reading.name));
         for station in self.view.members.iter().filter(|station| !reading.answers.contains_key(station)) {
             if *station != self.me {
                 self.now(station.address, want(&reading.name, ask, have), out);
@@ -273,7 +273,7 @@
     ) {
         self.hold(TIMETABLE, sheet, out);
         if same && self.voter && from != self.me {
-            self.send(from.address, held(TIMETABLE, 0, self.sheet.held_rank()), out);
+            self.send(from.address, held(TIMETABLE, 0, self.sheet.held_revision()), out);
         }
         self.judge_sheets(TIMETABLE, out);
     }
@@ -283,14 +283,14 @@
         from: ReplicaId,
         same: bool,
         ask: u64,
-        have: Rank,
+        have: Revision,
         out: &mut Vec<Effect>,
     ) {
-        if let Some(sheet) = self.sheet.held.as_ref().filter(|sheet| sheet.rank() > have) {
+        if let Some(sheet) = self.sheet.held.as_ref().filter(|sheet| sheet.revision() > have) {
             self.now(from.address, MessageBody::StoreConfiguration(sheet.clone()), out);
         }
         if same && self.voter {
-            self.send(from.address, held(TIMETABLE, ask, self.sheet.held_rank()), out);
+            self.send(from.address, held(TIMETABLE, ask, self.sheet.held_revision()), out);
         }
     }
 
@@ -301,7 +301,7 @@
         from: ReplicaId,
         member: bool,
         ask: u64,
-        rank: Rank,
+        rank: Revision,
         out: &mut Vec<Effect>,
     ) {
         if member || self.mutant == 37 {
@@ -313,7 +313,7 @@
     }
 
     /// A voter of this view says what it holds of a register, maybe to a read of that very register.
-    pub(super) fn replied(&mut self, from: ReplicaId, name: &str, ask: u64, rank: Rank) {
+    pub(super) fn replied(&mut self, from: ReplicaId, name: &str, ask: u64, rank: Revision) {
         if let Some(Call::Read(reading)) = self.calls.get_mut(&(ask ^ self.salt))
             && ask != 0
             && *reading.name == *name
@@ -323,15 +323,15 @@
     }
 
     /// Another holds a configuration of that rank: fetches it if it is newer.
-    pub(super) fn look(&mut self, now: Nanos, from: ReplicaId, rank: Rank, out: &mut Vec<Effect>) {
-        if rank > self.sheet.held_rank() && self.may_pull(now, from, TIMETABLE) {
+    pub(super) fn look(&mut self, now: Nanos, from: ReplicaId, rank: Revision, out: &mut Vec<Effect>) {
+        if rank > self.sheet.held_revision() && self.may_pull(now, from, TIMETABLE) {
             self.pull(from, TIMETABLE, out);
         }
     }
 
     /// Asks another for what it holds of a register, if that is newer.
     pub(super) fn pull(&self, from: ReplicaId, name: &str, out: &mut Vec<Effect>) {
-        self.now(from.address, want(name, 0, self.held_rank(name)), out);
+        self.now(from.address, want(name, 0, self.held_revision(name)), out);
     }
 
     /// Whether another may be asked for the newest of a register; notes that it was.
@@ -367,15 +367,17 @@
             let register = self.register(name).unwrap_or(&empty);
             match self.calls.get(&call) {
                 Some(Call::Replace(replacing)) => {
-                    let (version, digest) = replacing.sheet.rank();
-                    let told = Some(register.safe_rank).filter(|safe| safe.0 == version && safe.1 != 0);
-                    let decided = register.digest_of(version).or(told.map(|safe| safe.1));
+                    let Revision { version, digest } = replacing.sheet.revision();
+                    let told = Some(register.safe_revision)
+                        .filter(|safe| safe.version == version && safe.digest != 0);
+                    let decided = register.digest_of(version).or(told.map(|safe| safe.digest));
                     let refused = if self.mutant == 31 {
                         decided.is_some()
                     } else {
                         decided.is_some_and(|other| other != digest) && self.mutant != 30
                     };
-                    let safe = register.safe_rank.0 >= version && register.safe_rank != (0, 0);
+                    let safe =
+                        register.safe_revision.version >= version && register.safe_revision != Revision::NONE;
                     if refused {
                         self.answer(call, CoreResponse::Conflict, out);
                     } else if safe || self.mutant == 10 {
@@ -386,11 +388,11 @@
                     if reading.answers.len() >= self.majority() || self.mutant == 36 =>
                 {
                     let newest = reading.answers.values().copied().max().unwrap_or_default();
-                    let safe = register.safe.as_ref().map_or((0, 0), |sheet| sheet.rank());
+                    let safe = register.safe.as_ref().map_or(Revision::NONE, |sheet| sheet.revision());
                     if safe >= newest {
                         let got = CoreResponse::Register(register.safe.clone());
                         self.answer(call, got, out);
-                    } else if self.mutant == 7 && register.held_rank() >= newest {
+                    } else if self.mutant == 7 && register.held_revision() >= newest {
                         let got = CoreResponse::Register(register.held.clone());
                         self.answer(call, got, out);
                     } else {
@@ -440,7 +442,7 @@
 
     /// A voter counts itself, with what is safe on its disk.
     pub(super) fn tell_self(&self, out: &mut Vec<Effect>) {
-        self.send(self.me.address, held(TIMETABLE, 0, self.sheet.held_rank()), out);
+        self.send(self.me.address, held(TIMETABLE, 0, self.sheet.held_revision()), out);
         let mut place: Option<RegisterName> = Some(TIMETABLE.into());
         while let Some(name) = place {
             let (ranks, next) = self.papers.ranks(&name);
--- a/consensus/src/messages.rs
+++ b/consensus/src/messages.rs
@@ -53,7 +53,39 @@
     }
 }
 
-/// The content of a register at one version, as an operator sent it. Values are ordered by version, then by digest.
+/// The version of a register together with the digest of its content. Ordered by version, then by digest.
+///
+/// At most one digest is ever decided for a version; digests only tell apart what was sent under one number.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[serde(from = "(u64, u64)", into = "(u64, u64)")]
+pub struct Revision {
+    pub version: u64,
+    pub digest: u64,
+}
+
+impl Revision {
+    /// The revision of a register that has no value yet.
+    pub const NONE: Revision = Revision { version: 0, digest: 0 };
+
+    #[must_use]
+    pub const fn new(version: u64, digest: u64) -> Revision {
+        Revision { version, digest }
+    }
+}
+
+impl From<(u64, u64)> for Revision {
+    fn from((version, digest): (u64, u64)) -> Revision {
+        Revision { version, digest }
+    }
+}
+
+impl From<Revision> for (u64, u64) {
+    fn from(revision: Revision) -> (u64, u64) {
+        (revision.version, revision.digest)
+    }
+}
+
+/// The content of a register at one version, as an operator sent it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RegisterValue {
     pub version: u64,
@@ -69,8 +101,9 @@
         RegisterValue { version, digest: xxhash_rust::xxh3::xxh3_64(&bytes), bytes }
     }
 
-    pub fn rank(&self) -> (u64, u64) {
-        (self.version, self.digest)
+    #[must_use]
+    pub fn revision(&self) -> Revision {
+        Revision { version: self.version, digest: self.digest }
     }
 
     /// Whether the digest is that of the bytes.
@@ -346,10 +379,10 @@
         voter: bool,
         /// Revision of the configuration that the sender stores.
         #[serde(rename = "sheet")]
-        configuration: (u64, u64),
+        configuration: Revision,
         /// Revision of the newest configuration that the sender knows to be committed.
         #[serde(rename = "safe")]
-        committed_configuration: (u64, u64),
+        committed_configuration: Revision,
         leaving: bool,
         /// Sent only if members are spread over zones.
         #[serde(default, skip_serializing_if = "String::is_empty")]
@@ -398,7 +431,7 @@
         #[serde(rename = "ask")]
         read_id: u64,
         #[serde(rename = "have")]
-        known: (u64, u64),
+        known: Revision,
     },
     /// The revision that a voter stores, safe on disk. `read_id` is 0 if nobody asked.
     #[serde(rename = "Held")]
@@ -406,7 +439,7 @@
         #[serde(rename = "ask")]
         read_id: u64,
         #[serde(rename = "rank")]
-        revision: (u64, u64),
+        revision: Revision,
     },
     /// A member that catches up asks for the next chunk of the receiver's state.
     #[serde(rename = "WantState")]
@@ -454,7 +487,7 @@
         #[serde(rename = "ask")]
         read_id: u64,
         #[serde(rename = "have")]
-        known: Vec<(RegisterName, (u64, u64))>,
+        known: Vec<(RegisterName, Revision)>,
     },
     /// The revisions of registers that the sender stores, safe on disk. `read_id` is 0 if nobody asked.
     #[serde(rename = "PapersHeld")]
@@ -463,7 +496,7 @@
         read_id: u64,
         voter: bool,
         #[serde(rename = "ranks")]
-        revisions: Vec<(RegisterName, (u64, u64))>,
+        revisions: Vec<(RegisterName, Revision)>,
         /// If a list was asked for: the name from which on there are more.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         next: Option<RegisterName>,
--- a/consensus/tests/agree.rs
+++ b/consensus/tests/agree.rs
@@ -259,9 +259,9 @@
         .collect();
     world.calm(800 * MS);
     assert!(calls.iter().all(|call| world.answers[call] == CoreResponse::Accepted));
-    let newest = core(&world, 0).committed_configuration().unwrap().rank();
-    assert!((0..3).all(|node| core(&world, node).committed_configuration().unwrap().rank() == newest));
-    assert_eq!(newest.0, world.next_version);
+    let newest = core(&world, 0).committed_configuration().unwrap().revision();
+    assert!((0..3).all(|node| core(&world, node).committed_configuration().unwrap().revision() == newest));
+    assert_eq!(newest.version, world.next_version);
 }
 
 #[test]
@@ -405,7 +405,7 @@
         let all = core(world, node)
             .registers()
             .filter(|paper| paper.stored.is_some() && paper.stored == paper.committed);
-        all.map(|paper| (paper.name, paper.stored.expect("held").rank())).collect::<Vec<_>>()
+        all.map(|paper| (paper.name, paper.stored.expect("held").revision())).collect::<Vec<_>>()
     };
     let all = holds(&world, 0);
     assert_eq!(all.len(), 40);
@@ -443,8 +443,9 @@
         world.settle_down();
         assert_eq!(world.answers[&call], CoreResponse::Accepted);
         for node in 0..4 {
-            let safe = core(&world, node).registers().find_map(|of| of.committed).map(|sheet| sheet.rank());
-            assert_eq!(safe, Some(paper.value.rank()), "{node}");
+            let safe =
+                core(&world, node).registers().find_map(|of| of.committed).map(|sheet| sheet.revision());
+            assert_eq!(safe, Some(paper.value.revision()), "{node}");
         }
     }
 }
@@ -471,7 +472,7 @@
     world.crash(0);
     for n in world.nodes[0].disk.papers.len()..MOST_NAMES {
         let paper = world.paper(&format!("t/{n}"), 1);
-        world.papers.insert((paper.name.clone(), paper.value.rank()));
+        world.papers.insert((paper.name.clone(), paper.value.revision()));
         world.nodes[0].disk.papers.insert(paper.name, paper.value);
     }
     world.start(0, false);
@@ -825,8 +826,8 @@
         17 => MessageBody::RollbackPromise { ballot: ballot(c), accepted: Some((ballot(c), view(c))) },
         0 => MessageBody::Heartbeat {
             voter: c.random(),
-            configuration: rank,
-            committed_configuration: (number(c), number(c)),
+            configuration: rank.into(),
+            committed_configuration: Revision::new(number(c), number(c)),
             leaving: c.random(),
             zone: "z".into(),
             registers_digest: u128::from(number(c)),
@@ -844,8 +845,8 @@
         ]),
         9 => MessageBody::CompleteLeases(vec![(key(c), number(c), c.random::<bool>().then(|| outcome(c)))]),
         10 => MessageBody::StoreConfiguration(sheet),
-        11 => MessageBody::FetchConfiguration { read_id: number(c), known: rank },
-        12 => MessageBody::ConfigurationStored { read_id: number(c), revision: rank },
+        11 => MessageBody::FetchConfiguration { read_id: number(c), known: rank.into() },
+        12 => MessageBody::ConfigurationStored { read_id: number(c), revision: rank.into() },
         13 => MessageBody::FetchSnapshot {
             from_key: key(c),
             catch_up_id: number(c),
@@ -855,12 +856,12 @@
         18 => MessageBody::StoreRegisters(vec![paper]),
         19 => MessageBody::FetchRegisters {
             read_id: number(c),
-            known: vec![("m/a".into(), rank), ("".into(), rank)],
+            known: vec![("m/a".into(), rank.into()), ("".into(), rank.into())],
         },
         20 => MessageBody::RegistersStored {
             read_id: number(c),
             voter: c.random(),
-            revisions: vec![("m/b".into(), rank), ("".into(), rank)],
+            revisions: vec![("m/b".into(), rank.into()), ("".into(), rank.into())],
             next: c.random::<bool>().then(|| "x".into()),
         },
         21 => MessageBody::ListRegisters("m/".into()),
--- a/consensus/tests/frozen_forms.rs
+++ b/consensus/tests/frozen_forms.rs
@@ -10,7 +10,7 @@
 use ochreshed_consensus::messages::{
     AcceptorState, Ballot, CommittedSession, CoreRequest, CoreResponse, Lease, LeaseOutcome, LeaseVote,
     LogRecord, Membership, MembershipBallotState, Message, MessageBody, NamedRegister, ProposalNumber,
-    RegisterPaxosMessage, RegisterValue, ReplicaId, SessionBinding, SessionMessage, SessionOwner,
+    RegisterPaxosMessage, RegisterValue, ReplicaId, Revision, SessionBinding, SessionMessage, SessionOwner,
     SessionOwnership, SessionRecord, SessionRequest, StoredResponse,
 };
 
@@ -87,7 +87,7 @@
 
 const KEY: u128 = u128::MAX - 1;
 const SESSION: u128 = 1 << 100;
-const RANK: (u64, u64) = (12, u64::MAX);
+const RANK: Revision = Revision::new(12, u64::MAX);
 
 #[test]
 fn sample_membership_and_registers() {
@@ -306,7 +306,7 @@
     let beat = |zone: &str, papers| MessageBody::Heartbeat {
         voter: true,
         configuration: RANK,
-        committed_configuration: (11, 1),
+        committed_configuration: Revision::new(11, 1),
         leaving: true,
         zone: zone.into(),
         registers_digest: papers,
--- a/consensus/tests/search.rs
+++ b/consensus/tests/search.rs
@@ -242,7 +242,7 @@
                 world.want(node, CoreRequest::ReadRegister(name.into()));
             } else {
                 // Two may send the same version with texts that differ.
-                let floor = world.floors.get(name).map_or(0, |floor| floor.0);
+                let floor = world.floors.get(name).map_or(0, |floor| floor.version);
                 let version = floor + world.chance.random_range(1..3);
                 let paper = world.paper(name, version);
                 world.want(node, CoreRequest::ReplaceRegister(paper));
@@ -354,7 +354,7 @@
             world.nodes.iter().filter(|node| node.core.as_ref().is_some_and(|core| core.is_voting())).count();
         let wrong = match world.answers.get(&read) {
             Some(CoreResponse::Register(sheet))
-                if sheet.as_ref().map_or((0, 0), |sheet| sheet.rank()) >= floor =>
+                if sheet.as_ref().map_or(Revision::NONE, |sheet| sheet.revision()) >= floor =>
             {
                 None
             }
@@ -363,7 +363,7 @@
         };
         let got = papers.iter().zip(&floors).all(|(call, (_, floor))| match world.answers.get(call) {
             Some(CoreResponse::Register(sheet)) => {
-                sheet.as_ref().map_or((0, 0), |sheet| sheet.rank()) >= *floor
+                sheet.as_ref().map_or(Revision::NONE, |sheet| sheet.revision()) >= *floor
             }
             _ => false,
         });
--- a/consensus/tests/stewards/mod.rs
+++ b/consensus/tests/stewards/mod.rs
@@ -89,8 +89,8 @@
     pub pending: VecDeque<Effect>,
     pub life: u64,
     view: u64,
-    safe: (u64, u64),
-    safe_papers: BTreeMap<RegisterName, (u64, u64)>,
+    safe: Revision,
+    safe_papers: BTreeMap<RegisterName, Revision>,
 }
 
 #[derive(Clone)]
@@ -105,10 +105,10 @@
 pub enum Asked {
     Lease(LeaseKey, LeaseToken),
     Settle,
-    Replace((u64, u64)),
-    Read { floor: (u64, u64) },
-    Register(RegisterName, (u64, u64)),
-    ReadPaper { name: RegisterName, floor: (u64, u64) },
+    Replace(Revision),
+    Read { floor: Revision },
+    Register(RegisterName, Revision),
+    ReadPaper { name: RegisterName, floor: Revision },
     Session { session: SessionId, floor: Option<u64> },
 }
 
@@ -140,12 +140,12 @@
     pub granted: BTreeMap<LeaseKey, BTreeSet<LeaseToken>>,
     pub freed: BTreeSet<LeaseToken>,
     pub done: BTreeSet<LeaseToken>,
-    pub sent: BTreeSet<(u64, u64)>,
+    pub sent: BTreeSet<Revision>,
     /// Every read that begins from now on finds at least this.
-    pub floor: (u64, u64),
+    pub floor: Revision,
     /// The papers that were sent, and the rank that every read of a name finds from now on.
-    pub papers: BTreeSet<(RegisterName, (u64, u64))>,
-    pub floors: BTreeMap<RegisterName, (u64, u64)>,
+    pub papers: BTreeSet<(RegisterName, Revision)>,
+    pub floors: BTreeMap<RegisterName, Revision>,
     /// The bytes of a paper.
     pub bulk: usize,
     pub views: BTreeMap<u64, Membership>,
@@ -215,7 +215,7 @@
             freed: BTreeSet::new(),
             done: BTreeSet::new(),
             sent: BTreeSet::new(),
-            floor: (0, 0),
+            floor: Revision::NONE,
             papers: BTreeSet::new(),
             floors: BTreeMap::new(),
             bulk: 0,
@@ -234,7 +234,7 @@
                 pending: VecDeque::new(),
                 life: 0,
                 view: 0,
-                safe: (0, 0),
+                safe: Revision::NONE,
                 safe_papers: BTreeMap::new(),
             });
             world.start(node, true);
@@ -261,7 +261,7 @@
         (core.mutant, core.hasty) = (self.mutant, self.hasty);
         self.nodes[node].core = Some(core);
         self.nodes[node].life += 1;
-        self.nodes[node].safe = (0, 0);
+        self.nodes[node].safe = Revision::NONE;
         self.nodes[node].safe_papers.clear();
         self.act(node, out);
     }
@@ -377,13 +377,13 @@
                 Asked::Settle
             }
             CoreRequest::ReplaceConfiguration(sheet) => {
-                self.sent.insert(sheet.rank());
-                Asked::Replace(sheet.rank())
+                self.sent.insert(sheet.revision());
+                Asked::Replace(sheet.revision())
             }
             CoreRequest::ReadConfiguration => Asked::Read { floor: self.floor },
             CoreRequest::ReplaceRegister(paper) => {
-                self.papers.insert((paper.name.clone(), paper.value.rank()));
-                Asked::Register(paper.name.clone(), paper.value.rank())
+                self.papers.insert((paper.name.clone(), paper.value.revision()));
+                Asked::Register(paper.name.clone(), paper.value.revision())
             }
             CoreRequest::ReadRegister(name) => {
                 Asked::ReadPaper { name: name.clone(), floor: self.floor_of(name) }
@@ -434,18 +434,18 @@
         NamedRegister { name: name.into(), value: Arc::new(RegisterValue { version, digest, bytes }) }
     }
 
-    fn floor_of(&self, name: &str) -> (u64, u64) {
+    fn floor_of(&self, name: &str) -> Revision {
         self.floors.get(name).copied().unwrap_or_default()
     }
 
-    fn raise(&mut self, name: &RegisterName, rank: (u64, u64)) {
+    fn raise(&mut self, name: &RegisterName, rank: Revision) {
         let floor = self.floors.entry(name.clone()).or_default();
         *floor = rank.max(*floor);
     }
 
     /// Whether more than half of the view that this node goes by have it on disk, or had until their disk was lost; or of
     /// one before, in which it was found safe: whoever joins is told of it.
-    fn is_on_most_disks(&self, node: usize, name: &RegisterName, rank: (u64, u64)) -> bool {
+    fn is_on_most_disks(&self, node: usize, name: &RegisterName, rank: Revision) -> bool {
         let Some(number) = self.nodes[node].core.as_ref().map(|core| core.membership().epoch) else {
             return true;
         };
@@ -457,7 +457,7 @@
             let node = self.nodes.iter().enumerate().find(|(node, _)| at(*node) == member.address);
             node.is_some_and(|(_, Node { disk, .. })| {
                 disk.ballots.as_ref().is_none_or(|ballots| ballots.replica != **member)
-                    || sheet_of(disk, name).is_some_and(|sheet| sheet.rank() >= rank)
+                    || sheet_of(disk, name).is_some_and(|sheet| sheet.revision() >= rank)
             })
         };
         let most = |view: &Membership| 2 * view.members.iter().filter(holds).count() > view.members.len();
@@ -524,11 +524,11 @@
             (Asked::Register(name, rank), CoreResponse::Conflict) => self.refused(&name, rank),
             (Asked::Read { floor }, CoreResponse::Register(sheet)) => {
                 self.seen[READ] += 1;
-                let rank = sheet.map_or((0, 0), |sheet| sheet.rank());
+                let rank = sheet.map_or(Revision::NONE, |sheet| sheet.revision());
                 if rank < floor {
                     self.broke(format!("read {rank:?} where {floor:?} was known before it began"));
                 }
-                if rank != (0, 0) && !self.sent.contains(&rank) {
+                if rank != Revision::NONE && !self.sent.contains(&rank) {
                     self.broke(format!("read {rank:?}, which nobody sent"));
                 }
                 self.floor = self.floor.max(rank);
@@ -543,12 +543,12 @@
             }
             (Asked::ReadPaper { name, floor }, CoreResponse::Register(sheet)) => {
                 self.seen[PAPERS_READ] += 1;
-                let rank = sheet.as_ref().map_or((0, 0), |sheet| sheet.rank());
+                let rank = sheet.as_ref().map_or(Revision::NONE, |sheet| sheet.revision());
                 if rank < floor {
                     self.broke(format!("read {name} {rank:?} where {floor:?} was known before it began"));
                 }
                 let own = sheet.is_none_or(|sheet| sheet.bytes.starts_with(name.as_bytes()));
-                if rank != (0, 0) && !(own && self.papers.contains(&(name.clone(), rank))) {
+                if rank != Revision::NONE && !(own && self.papers.contains(&(name.clone(), rank))) {
                     self.broke(format!("read {name} {rank:?}, which nobody sent under that name"));
                 }
                 self.raise(&name, rank);
@@ -565,21 +565,21 @@
     }
 
     /// An order was confirmed: it is the content decided under its version, or a later version is on most disks.
-    fn confirmed(&mut self, node: usize, name: &RegisterName, (version, digest): (u64, u64)) {
+    fn confirmed(&mut self, node: usize, name: &RegisterName, Revision { version, digest }: Revision) {
         let decided = self.decided.get(&(name.clone(), version)).copied();
         if decided == Some(digest) {
             return;
         }
         let of_name = (name.clone(), version + 1)..=(name.clone(), u64::MAX);
-        let later: Vec<(u64, u64)> =
-            self.decided.range(of_name).map(|((_, later), digest)| (*later, *digest)).collect();
+        let later: Vec<Revision> =
+            self.decided.range(of_name).map(|((_, later), digest)| Revision::new(*later, *digest)).collect();
         if !later.into_iter().any(|rank| self.is_on_most_disks(node, name, rank)) {
             self.broke(format!("{name} r{version} confirmed, where {decided:?} was decided"));
         }
     }
 
     /// An order was refused: other content must have been decided under its version.
-    fn refused(&mut self, name: &RegisterName, (version, digest): (u64, u64)) {
+    fn refused(&mut self, name: &RegisterName, Revision { version, digest }: Revision) {
         self.seen[REFUSED] += 1;
         if self.decided.get(&(name.clone(), version)).is_none_or(|decided| *decided == digest) {
             self.broke(format!("{name} r{version} refused, which was taken or may yet be"));
@@ -589,9 +589,11 @@
     /// Whatever a steward holds is the only content of its version.
     fn look_at_held(&mut self, node: usize) {
         let Some(core) = &self.nodes[node].core else { return };
-        let configuration = core.stored_configuration().map(|sheet| ("".into(), sheet.rank()));
-        let papers = core.registers().filter_map(|paper| Some((paper.name, paper.stored?.rank())));
-        for (name, (version, digest)) in configuration.into_iter().chain(papers).collect::<Vec<_>>() {
+        let configuration = core.stored_configuration().map(|sheet| ("".into(), sheet.revision()));
+        let papers = core.registers().filter_map(|paper| Some((paper.name, paper.stored?.revision())));
+        for (name, Revision { version, digest }) in
+            configuration.into_iter().chain(papers).collect::<Vec<_>>()
+        {
             let decided = *self.decided.entry((name.clone(), version)).or_insert(digest);
             if decided != digest {
                 self.broke(format!("{name} r{version}: two contents are held"));
@@ -602,14 +604,14 @@
     /// What must hold of a steward at all times.
     fn look(&mut self, node: usize) {
         let Some(core) = &self.nodes[node].core else { return };
-        let rank = core.committed_configuration().map_or((0, 0), |sheet| sheet.rank());
+        let rank = core.committed_configuration().map_or(Revision::NONE, |sheet| sheet.revision());
         let view = core.membership().clone();
-        let safe = core.registers().filter_map(|paper| Some((paper.name, paper.committed?.rank())));
-        let safe: BTreeMap<RegisterName, (u64, u64)> = safe.collect();
+        let safe = core.registers().filter_map(|paper| Some((paper.name, paper.committed?.revision())));
+        let safe: BTreeMap<RegisterName, Revision> = safe.collect();
         if rank < self.nodes[node].safe {
             self.broke("safe went back".into());
         }
-        if rank != (0, 0) && !self.sent.contains(&rank) {
+        if rank != Revision::NONE && !self.sent.contains(&rank) {
             self.broke("safe is a sheet that nobody sent".into());
         }
         self.nodes[node].safe = rank;
--- a/consensus/tests/worst_days.rs
+++ b/consensus/tests/worst_days.rs
@@ -114,7 +114,7 @@
             (false, Some(CoreResponse::Accepted), _) => came.taken_by_majority += 1,
             // What is not above a version that was known as safe before the cut alters nothing, and may be said anywhere.
             (true, Some(CoreResponse::Accepted | CoreResponse::Conflict), Some(sheet))
-                if sheet.version <= known.0 => {}
+                if sheet.version <= known.version => {}
             (true, Some(_), _) => came.well += 1,
             _ => {}
         }
@@ -123,7 +123,7 @@
     go_on(&mut world, 1_500, |_| {});
     let newest = world.floor;
     let behind = (0..4)
-        .filter(|node| core(&world, *node).stored_configuration().map(|held| held.rank()) < Some(newest));
+        .filter(|node| core(&world, *node).stored_configuration().map(|held| held.revision()) < Some(newest));
     let behind = behind.count();
     let broken = world.broken.or((behind > 0).then(|| format!("{behind} are behind after the cut")));
     (came, broken)
@@ -340,8 +340,8 @@
     let held = |world: &World, node: usize| {
         let core = core(world, node);
         let papers: Vec<_> =
-            core.registers().filter_map(|paper| Some((paper.name, paper.stored?.rank()))).collect();
-        (core.stored_configuration().map(|held| held.rank()), papers)
+            core.registers().filter_map(|paper| Some((paper.name, paper.stored?.revision()))).collect();
+        (core.stored_configuration().map(|held| held.revision()), papers)
     };
     let newest = held(&world, 0);
     assert_eq!(held(&world, 1), newest);
--- a/emulator/src/mesh/audit.rs
+++ b/emulator/src/mesh/audit.rs
@@ -3,8 +3,8 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
+use ochreshed_consensus::messages::Revision;
 use ochreshed_consensus::messages::{LeaseKey, LeaseToken};
-use ochreshed_mesh::parcels::Rank;
 
 use crate::Nanos;
 
@@ -16,10 +16,10 @@
     /// By key, the tokens under which a req may have run.
     granted: BTreeMap<LeaseKey, BTreeSet<LeaseToken>>,
     /// By attendant, of this life: the configuration in force, and the rows by the attendants they are about.
-    sheets: BTreeMap<usize, Rank>,
+    sheets: BTreeMap<usize, Revision>,
     rows: BTreeMap<usize, Vec<(u64, u64)>>,
     /// Acknowledged to an operator.
-    floor: Rank,
+    floor: Revision,
     pub breaches: Vec<String>,
     /// Looks at rows, grants and reads: what was there to be broken.
     pub seen: [u64; 3],
@@ -38,10 +38,13 @@
         self.rows.remove(&gate);
     }
 
-    pub fn sheet(&mut self, now: Nanos, gate: usize, rank: Rank) {
+    pub fn sheet(&mut self, now: Nanos, gate: usize, rank: Revision) {
         let was = self.sheets.insert(gate, rank).unwrap_or_default();
         if was > rank {
-            self.breach(now, format!("attendant {gate} went back from r{} to r{}", was.0, rank.0));
+            self.breach(
+                now,
+                format!("attendant {gate} went back from r{} to r{}", was.version, rank.version),
+            );
         }
     }
 
@@ -77,19 +80,22 @@
     }
 
     /// A configuration was acknowledged.
-    pub fn acknowledged(&mut self, rank: Rank) {
+    pub fn acknowledged(&mut self, rank: Revision) {
         self.floor = self.floor.max(rank);
     }
 
-    pub fn floor(&self) -> Rank {
+    pub fn floor(&self) -> Revision {
         self.floor
     }
 
     /// A read that began when `floor` was acknowledged found this.
-    pub fn read(&mut self, now: Nanos, floor: Rank, found: Rank) {
+    pub fn read(&mut self, now: Nanos, floor: Revision, found: Revision) {
         self.seen[2] += 1;
         if found < floor {
-            self.breach(now, format!("r{} was acknowledged, and a read found r{}", floor.0, found.0));
+            self.breach(
+                now,
+                format!("r{} was acknowledged, and a read found r{}", floor.version, found.version),
+            );
         }
     }
 }
--- a/emulator/src/mesh/gate.rs
+++ b/emulator/src/mesh/gate.rs
@@ -6,13 +6,13 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
+use ochreshed_consensus::messages::Revision;
 use ochreshed_consensus::messages::{
     CoreRequest, CoreResponse, LeaseKey, LeaseOutcome, LeaseToken, RegisterValue, StoredResponse,
 };
 use ochreshed_mesh::calls::{Ask, NewsReply, Reply};
 use ochreshed_mesh::list::{Row, Stand};
 use ochreshed_mesh::news::{self, Asker, Known, Listing};
-use ochreshed_mesh::parcels::Rank;
 
 use super::count::{Cause, is_news};
 use super::hand::{Hand, Note, Step, Timer};
@@ -37,7 +37,7 @@
 
 enum Open {
     News { which: usize, steward: SocketAddr, row: (u64, u64) },
-    Configuration { steward: SocketAddr, rank: Rank, whole: bool },
+    Configuration { steward: SocketAddr, rank: Revision, whole: bool },
     Claim { claim: u64, steward: SocketAddr },
     Settle { claim: u64, steward: SocketAddr },
 }
@@ -65,7 +65,7 @@
     quiet: HashSet<SocketAddr>,
     known: Known,
     sheet: Option<Arc<RegisterValue>>,
-    fetching: Rank,
+    fetching: Revision,
     claims: BTreeMap<u64, Claim>,
     next_claim: u64,
     answer: usize,
@@ -112,7 +112,7 @@
             quiet: HashSet::new(),
             known,
             sheet: None,
-            fetching: (0, 0),
+            fetching: Revision::NONE,
             claims: BTreeMap::new(),
             next_claim: 0,
             answer,
@@ -180,8 +180,8 @@
         }
     }
 
-    fn sheet_rank(&self) -> Rank {
-        self.sheet.as_ref().map_or((0, 0), |sheet| sheet.rank()).max(self.fetching)
+    fn sheet_rank(&self) -> Revision {
+        self.sheet.as_ref().map_or(Revision::NONE, |sheet| sheet.revision()).max(self.fetching)
     }
 
     fn ask(&mut self, which: usize, hand: &mut Hand) {
@@ -278,8 +278,8 @@
         }
     }
 
-    fn fetch(&mut self, steward: SocketAddr, rank: Rank, whole: bool, hand: &mut Hand) {
-        let have = self.sheet.as_ref().filter(|_| !whole).map_or((0, 0), |sheet| sheet.rank());
+    fn fetch(&mut self, steward: SocketAddr, rank: Revision, whole: bool, hand: &mut Hand) {
+        let have = self.sheet.as_ref().filter(|_| !whole).map_or(Revision::NONE, |sheet| sheet.revision());
         let id = hand.ask(steward, Ask::Configuration(have), false);
         self.open.insert(id, Open::Configuration { steward, rank, whole });
         hand.timer(FETCH, Timer::Late(id));
@@ -288,15 +288,15 @@
     fn parcel(
         &mut self,
         at: SocketAddr,
-        rank: Rank,
+        rank: Revision,
         whole: bool,
         sheet: Option<RegisterValue>,
         hand: &mut Hand,
     ) {
         match sheet {
             Some(sheet) => {
-                if self.sheet.as_ref().is_none_or(|here| here.rank() < sheet.rank()) {
-                    hand.note(Note::InForce(sheet.rank()));
+                if self.sheet.as_ref().is_none_or(|here| here.revision() < sheet.revision()) {
+                    hand.note(Note::InForce(sheet.revision()));
                     self.sheet = Some(Arc::new(sheet));
                 }
                 self.fetched(rank);
@@ -306,9 +306,9 @@
         }
     }
 
-    fn fetched(&mut self, rank: Rank) {
+    fn fetched(&mut self, rank: Revision) {
         if self.fetching == rank {
-            self.fetching = (0, 0);
+            self.fetching = Revision::NONE;
         }
     }
 
--- a/emulator/src/mesh/hand.rs
+++ b/emulator/src/mesh/hand.rs
@@ -3,9 +3,9 @@
 
 use std::net::SocketAddr;
 
+use ochreshed_consensus::messages::Revision;
 use ochreshed_consensus::messages::{LeaseKey, LeaseToken, Message};
 use ochreshed_mesh::calls::{Ask, Reply};
-use ochreshed_mesh::parcels::Rank;
 
 use super::count::Cause;
 use crate::Nanos;
@@ -45,12 +45,12 @@
 /// What the world is told for its books.
 #[derive(Clone, Debug)]
 pub enum Note {
-    Replaced(Rank, bool),
+    Replaced(Revision, bool),
     Read {
-        floor: Rank,
-        found: Rank,
+        floor: Revision,
+        found: Revision,
     },
-    InForce(Rank),
+    InForce(Revision),
     /// Of whose row this attendant now has this rank.
     Row(SocketAddr, (u64, u64)),
     /// Whom this attendant holds for quiet may have changed.
--- a/emulator/src/mesh/steward.rs
+++ b/emulator/src/mesh/steward.rs
@@ -93,7 +93,7 @@
 enum Call {
     Of(usize, u64),
     Replace(u64, u64),
-    Read((u64, u64)),
+    Read(Revision),
 }
 
 /// What one is before its start.
@@ -173,7 +173,7 @@
     }
 
     fn stand(&self) -> Stand<'_> {
-        let safe = self.safe.as_ref().map(|sheet| sheet.rank());
+        let safe = self.safe.as_ref().map(|sheet| sheet.revision());
         Stand { safe, stewards: &self.stewards, settled: self.settled, papers: NO_PAPERS }
     }
 
@@ -191,7 +191,7 @@
             }
             Ask::Registers(_) | Ask::Carried(_) => {}
             Ask::News(ask) => {
-                let safe = self.safe.as_ref().map(|sheet| sheet.rank());
+                let safe = self.safe.as_ref().map(|sheet| sheet.revision());
                 let stand =
                     Stand { safe, stewards: &self.stewards, settled: self.settled, papers: NO_PAPERS };
                 let (waiting, news) = self.office.came(hand.now, &ask, stand);
@@ -214,7 +214,7 @@
     }
 
     /// For an operator: `Replace` or `Read`.
-    pub fn operator(&mut self, want: CoreRequest, floor: (u64, u64), hand: &mut Hand) {
+    pub fn operator(&mut self, want: CoreRequest, floor: Revision, hand: &mut Hand) {
         let call = match &want {
             CoreRequest::ReplaceConfiguration(sheet) => Call::Replace(sheet.version, sheet.digest),
             _ => Call::Read(floor),
@@ -409,10 +409,13 @@
         match (self.calls.remove(&call), got) {
             (Some(Call::Of(to, id)), got) => hand.reply(to, id, Reply::Core(got), Cause::Claims),
             (Some(Call::Replace(version, digest)), got) => {
-                hand.note(Note::Replaced((version, digest), got == CoreResponse::Accepted));
+                hand.note(Note::Replaced(Revision::new(version, digest), got == CoreResponse::Accepted));
             }
             (Some(Call::Read(floor)), CoreResponse::Register(sheet)) => {
-                hand.note(Note::Read { floor, found: sheet.map_or((0, 0), |sheet| sheet.rank()) });
+                hand.note(Note::Read {
+                    floor,
+                    found: sheet.map_or(Revision::NONE, |sheet| sheet.revision()),
+                });
             }
             _ => {}
         }
@@ -420,7 +423,7 @@
 
     fn publish(&mut self, ticks: bool, hand: &mut Hand) {
         let safe = self.core.committed_configuration().or(self.core.stored_configuration());
-        let rank = |sheet: Option<&Arc<RegisterValue>>| sheet.map(|sheet| sheet.rank());
+        let rank = |sheet: Option<&Arc<RegisterValue>>| sheet.map(|sheet| sheet.revision());
         let news = rank(self.safe.as_ref()) != rank(safe);
         if !news && !ticks {
             return;
--- a/emulator/src/mesh/world.rs
+++ b/emulator/src/mesh/world.rs
@@ -270,7 +270,7 @@
             }
             Event::Send(version) => {
                 let sheet = self.sheets[version as usize - 1].clone();
-                if self.audit.floor() < sheet.rank() {
+                if self.audit.floor() < sheet.revision() {
                     self.events.after(OPERATOR, Event::Send(version));
                     self.operate(CoreRequest::ReplaceConfiguration(sheet));
                 }
@@ -605,7 +605,7 @@
             Note::Read { floor, found } => self.audit.read(now, floor, found),
             Note::InForce(rank) => {
                 self.audit.sheet(now, node, rank);
-                self.watch.told(now, Kind::Configuration, 0, node, (rank.0, 0));
+                self.watch.told(now, Kind::Configuration, 0, node, (rank.version, 0));
             }
             Note::Row(door, rank) => {
                 if let Some(about) = self.node_at(door) {
--- a/mesh/src/calls.rs
+++ b/mesh/src/calls.rs
@@ -9,7 +9,8 @@
 use crate::budget::Report;
 use crate::fared::Faring;
 use crate::list::{Mark, Row};
-use crate::parcels::{Parcel, Rank};
+use crate::parcels::Parcel;
+use ochreshed_consensus::messages::Revision;
 use ochreshed_consensus::messages::{CoreRequest, CoreResponse, Message, NamedRegister, RegisterName};
 
 /// No frame is larger than this, in bytes.
@@ -23,10 +24,10 @@
     Message(Message),
     /// The newest configuration, from one that has the one of this rank.
     #[serde(rename = "Sheet")]
-    Configuration(Rank),
+    Configuration(Revision),
     /// Registers of these names that are newer than these.
     #[serde(rename = "Papers")]
-    Registers(Vec<(RegisterName, Rank)>),
+    Registers(Vec<(RegisterName, Revision)>),
     /// Which nodes told that they have which edition of a member's routes in force.
     Carried(RegisterName),
 }
@@ -53,7 +54,7 @@
     pub door: Option<SocketAddr>,
     pub mark: Mark,
     /// Of the configuration that it has or has just asked for.
-    pub sheet: Rank,
+    pub sheet: Revision,
     /// The number of the quiet ones that the asker has.
     pub quiet: u64,
     /// Answered after so long though there is no news.
@@ -83,7 +84,7 @@
     pub mark: Mark,
     pub rows: Vec<Row>,
     /// Of the newest configuration that is safe, if the asker has an older one.
-    pub sheet: Option<Rank>,
+    pub sheet: Option<Revision>,
     pub stewards: Vec<SocketAddr>,
     /// Told when they have changed.
     pub quiet: Option<(u64, Vec<SocketAddr>)>,
@@ -102,7 +103,7 @@
     pub told: Option<Box<Told>>,
     /// The number of all papers that are safe, and their ranks, where it is another than the asker's.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub papers: Option<(u64, Vec<(RegisterName, Rank)>)>,
+    pub papers: Option<(u64, Vec<(RegisterName, Revision)>)>,
     /// What of those reports goes beside them, where there is any.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub members: Vec<(SocketAddr, Faring)>,
@@ -149,8 +150,8 @@
         enum Older {
             Beat {
                 voter: bool,
-                sheet: Rank,
-                safe: Rank,
+                sheet: Revision,
+                safe: Revision,
                 leaving: bool,
             },
             WantState {
@@ -164,7 +165,7 @@
                 sheet: Option<Arc<RegisterValue>>,
             },
         }
-        let rank = (3, u64::MAX);
+        let rank = Revision::new(3, u64::MAX);
         let older = [
             Older::Beat { voter: true, sheet: rank, safe: rank, leaving: false },
             Older::WantState { from: u128::MAX, round: 7 },
@@ -210,7 +211,7 @@
                 row: None,
                 door: Some(door),
                 mark,
-                sheet: (12, u64::MAX),
+                sheet: Revision::new(12, u64::MAX),
                 quiet: 3,
                 hold_ms: 500,
                 steward: false,
@@ -246,7 +247,7 @@
             row: None,
             door: None,
             mark: Mark::default(),
-            sheet: (1, 1),
+            sheet: Revision::new(1, 1),
             quiet: 0,
             hold_ms: 1,
             steward: false,
--- a/mesh/src/news.rs
+++ b/mesh/src/news.rs
@@ -9,8 +9,8 @@
 
 use crate::calls::{Carried, NewsAsk, NewsReply};
 use crate::list::{Mark, Row, place, watchers};
-use crate::parcels::Rank;
 use ochreshed_consensus::messages::LeaseKey;
+use ochreshed_consensus::messages::Revision;
 
 const MS: Nanos = 1_000_000;
 /// An ask is answered after so long though there is no news, and given up so much later.
@@ -60,7 +60,7 @@
     }
 
     /// The ask to that steward: the row and the editions where it may not have them, and the versions it told.
-    pub fn ask(&mut self, steward: SocketAddr, row: Row, sheet: Rank, carried: Carried) -> NewsAsk {
+    pub fn ask(&mut self, steward: SocketAddr, row: Row, sheet: Revision, carried: Carried) -> NewsAsk {
         let known = self.heard.entry(steward).or_default();
         known.out = carried;
         NewsAsk {
--- a/mesh/src/office.rs
+++ b/mesh/src/office.rs
@@ -8,8 +8,8 @@
 
 use crate::calls::{NewsAsk, NewsReply, Told};
 use crate::list::{Mark, Row, Table};
-use crate::parcels::Rank;
 use ochreshed_consensus::messages::NamedRegister;
+use ochreshed_consensus::messages::Revision;
 
 const MS: Nanos = 1_000_000;
 /// An attendant of whom nothing was heard for so long is quiet.
@@ -35,7 +35,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Stand<'a> {
     /// Of the newest configuration that is safe.
-    pub safe: Option<Rank>,
+    pub safe: Option<Revision>,
     pub stewards: &'a [SocketAddr],
     pub settled: bool,
     /// The papers that are safe, and their number.
@@ -45,7 +45,7 @@
 /// An ask that waits for news.
 pub struct Waiting {
     mark: Mark,
-    sheet: Rank,
+    sheet: Revision,
     quiet: u64,
     papers: u64,
     steward: bool,
@@ -140,7 +140,7 @@
         let quiet = !waiting.steward && self.quiet.0 != waiting.quiet;
         let papers = waiting.lacks_papers(stand).then(|| {
             let (number, papers) = stand.papers;
-            (number, papers.iter().map(|paper| (paper.name.clone(), paper.value.rank())).collect())
+            (number, papers.iter().map(|paper| (paper.name.clone(), paper.value.revision())).collect())
         });
         NewsReply {
             mark: self.table.mark(),
@@ -196,7 +196,7 @@
         row: None,
         door: None,
         mark,
-        sheet: (u64::MAX, 0),
+        sheet: Revision::new(u64::MAX, 0),
         quiet: u64::MAX,
         hold_ms: (HOLD / MS) as u32,
         steward: true,
--- a/mesh/src/parcels.rs
+++ b/mesh/src/parcels.rs
@@ -13,7 +13,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::delta::{self, Piece};
-use ochreshed_consensus::messages::RegisterValue;
+use ochreshed_consensus::messages::{RegisterValue, Revision};
 
 /// So many older ones are kept, of so many bytes together at most.
 const KEPT: usize = 4;
@@ -23,9 +23,6 @@
 /// An opened one has no more bytes than this.
 const MOST: u64 = 64 << 20;
 
-/// A configuration's version and digest.
-pub type Rank = (u64, u64);
-
 fn held<T>(lock: &Mutex<T>) -> MutexGuard<'_, T> {
     lock.lock().unwrap_or_else(PoisonError::into_inner)
 }
@@ -33,9 +30,9 @@
 /// A configuration, or what differs between it and an older one.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Parcel {
-    pub rank: Rank,
-    /// The one it goes out from; (0, 0) where it is whole.
-    pub from: Rank,
+    pub rank: Revision,
+    /// The one it goes out from; Revision::NONE where it is whole.
+    pub from: Revision,
     #[serde(with = "serde_bytes")]
     pub packed: Vec<u8>,
 }
@@ -67,23 +64,23 @@
         ciborium::into_writer(&pieces, &mut plain).ok()?;
         let mut packer = DeflateEncoder::new(Vec::new(), Compression::fast());
         packer.write_all(&plain).ok()?;
-        let from = from.map_or((0, 0), RegisterValue::rank);
-        Some(Parcel { rank: sheet.rank(), from, packed: packer.finish().ok()? })
+        let from = from.map_or(Revision::NONE, RegisterValue::revision);
+        Some(Parcel { rank: sheet.revision(), from, packed: packer.finish().ok()? })
     }
 
     /// The configuration that it holds, made out of the one that is here.
     pub fn open(&self, here: Option<&RegisterValue>) -> Result<RegisterValue, ParcelError> {
         let old = match here {
-            _ if self.from == (0, 0) => &[][..],
-            Some(here) if here.rank() == self.from => &here.bytes,
+            _ if self.from == Revision::NONE => &[][..],
+            Some(here) if here.revision() == self.from => &here.bytes,
             _ => return Err(ParcelError::Other),
         };
         let mut plain = Vec::new();
         let read = DeflateDecoder::new(&self.packed[..]).take(MOST).read_to_end(&mut plain);
         read.map_err(|_| ParcelError::Spoilt)?;
         let pieces: Vec<Piece> = ciborium::from_reader(&plain[..]).map_err(|_| ParcelError::Spoilt)?;
-        let bytes = delta::apply(old, &pieces, self.rank.1).ok_or(ParcelError::Spoilt)?;
-        Ok(RegisterValue { version: self.rank.0, digest: self.rank.1, bytes })
+        let bytes = delta::apply(old, &pieces, self.rank.digest).ok_or(ParcelError::Spoilt)?;
+        Ok(RegisterValue { version: self.rank.version, digest: self.rank.digest, bytes })
     }
 }
 
@@ -102,7 +99,7 @@
     /// This one is safe now.
     pub fn note(&self, sheet: &Arc<RegisterValue>) {
         let mut kept = held(&self.0);
-        if kept.sheets.back().is_some_and(|last| last.rank() >= sheet.rank()) {
+        if kept.sheets.back().is_some_and(|last| last.revision() >= sheet.revision()) {
             return;
         }
         kept.sheets.push_back(sheet.clone());
@@ -112,19 +109,19 @@
         while kept.sheets.len() > 1 && (kept.sheets.len() > KEPT || bytes(&kept.sheets) > KEPT_BYTES) {
             kept.sheets.pop_front();
         }
-        let newest = sheet.rank();
+        let newest = sheet.revision();
         kept.packed.retain(|parcel| parcel.rank == newest);
     }
 
     /// The newest one, for who has that one; nothing when it has the newest. Takes time where nobody had asked so before.
-    pub fn newest(&self, have: Rank) -> Option<Arc<Parcel>> {
+    pub fn newest(&self, have: Revision) -> Option<Arc<Parcel>> {
         let (sheet, from) = {
             let kept = held(&self.0);
-            let sheet = kept.sheets.back().filter(|sheet| sheet.rank() > have)?.clone();
-            let from = kept.sheets.iter().find(|sheet| sheet.rank() == have).cloned();
-            let out_from = from.as_ref().map_or((0, 0), |from| from.rank());
+            let sheet = kept.sheets.back().filter(|sheet| sheet.revision() > have)?.clone();
+            let from = kept.sheets.iter().find(|sheet| sheet.revision() == have).cloned();
+            let out_from = from.as_ref().map_or(Revision::NONE, |from| from.revision());
             let ready = kept.packed.iter().find(|parcel| parcel.from == out_from);
-            if let Some(ready) = ready.filter(|ready| ready.rank == sheet.rank()) {
+            if let Some(ready) = ready.filter(|ready| ready.rank == sheet.revision()) {
                 return Some(ready.clone());
             }
             (sheet, from)
@@ -156,21 +153,21 @@
             (1..8).map(|version| sheet(version, 500 + version as usize)).collect();
         all.iter().for_each(|sheet| parcels.note(sheet));
         let newest = all.last().expect("one");
-        assert!(parcels.newest(newest.rank()).is_none());
+        assert!(parcels.newest(newest.revision()).is_none());
         // Whoever has one that is no longer kept, or none, gets it whole.
         for (have, whole) in
             [(None, true), (Some(&all[0]), true), (Some(&all[4]), false), (Some(&all[5]), false)]
         {
-            let rank = have.map_or((0, 0), |have| have.rank());
+            let rank = have.map_or(Revision::NONE, |have| have.revision());
             let parcel = parcels.newest(rank).expect("a parcel");
-            assert_eq!(parcel.from == (0, 0), whole);
+            assert_eq!(parcel.from == Revision::NONE, whole);
             assert!(whole || parcel.packed.len() < 300, "{} bytes", parcel.packed.len());
             assert_eq!(parcel.open(have.map(|have| &**have)).as_ref(), Ok(&**newest));
         }
-        let parcel = parcels.newest(all[5].rank()).expect("a parcel");
+        let parcel = parcels.newest(all[5].revision()).expect("a parcel");
         assert_eq!(parcel.open(Some(&all[4])), Err(ParcelError::Other));
         let mut spoilt = (*parcel).clone();
-        spoilt.rank.1 ^= 1;
+        spoilt.rank.digest ^= 1;
         assert_eq!(spoilt.open(Some(&all[5])), Err(ParcelError::Spoilt));
         spoilt.packed.truncate(5);
         assert_eq!(spoilt.open(Some(&all[5])), Err(ParcelError::Spoilt));
--- a/mesh/tests/frozen_forms.rs
+++ b/mesh/tests/frozen_forms.rs
@@ -13,6 +13,7 @@
 use frozen::{FrozenForms, writes_fixtures};
 use ochreshed_consensus::messages::{
     Ballot, CoreRequest, CoreResponse, Message, MessageBody, NamedRegister, RegisterValue, ReplicaId,
+    Revision,
 };
 use ochreshed_mesh::budget::{Figures, Report};
 use ochreshed_mesh::calls::{Ask, Frame, NewsAsk, NewsReply, Reply, encode};
@@ -24,7 +25,7 @@
 use ochreshed_mesh::parcels::{Parcel, Parcels};
 use ochreshed_mesh::timetable::{Refusal, Timetable};
 
-const RANK: (u64, u64) = (12, u64::MAX);
+const RANK: Revision = Revision::new(12, u64::MAX);
 
 fn address(last: u8) -> SocketAddr {
     SocketAddr::from(([10, 1, 0, last], 8_300))
@@ -63,7 +64,7 @@
 }
 
 fn update() -> Parcel {
-    Parcel { rank: RANK, from: (11, 3), packed: vec![0, 1, 255] }
+    Parcel { rank: RANK, from: Revision::new(11, 3), packed: vec![0, 1, 255] }
 }
 
 fn named() -> NamedRegister {
@@ -92,7 +93,7 @@
         row: None,
         door: None,
         mark: Mark::default(),
-        sheet: (0, 0),
+        sheet: Revision::NONE,
         quiet: 0,
         hold_ms: 0,
         steward: false,
@@ -241,7 +242,7 @@
     updates.note(&old);
     updates.note(&new);
     for (name, here) in [("parcel_whole", None), ("parcel_delta", Some(&*old))] {
-        let written = updates.newest(here.map_or((0, 0), RegisterValue::rank)).expect("a parcel");
+        let written = updates.newest(here.map_or(Revision::NONE, RegisterValue::revision)).expect("a parcel");
         // Another version of the compressor may write other bytes, so these are read and not compared.
         let read = forms.read_fixture(name, &*written);
         assert_eq!((read.rank, read.from), (written.rank, written.from));
--- a/mesh/tests/office.rs
+++ b/mesh/tests/office.rs
@@ -3,6 +3,7 @@
 
 use std::net::SocketAddr;
 
+use ochreshed_consensus::messages::Revision;
 use ochreshed_mesh::calls::NewsAsk;
 use ochreshed_mesh::list::{Row, Stand as Up};
 use ochreshed_mesh::news::Asker;
@@ -42,7 +43,7 @@
         let mut asker = Asker::new(0, 2);
         let reader = row(0, 1);
         let mut ask = |office: &mut Office, now: u64| -> (NewsAsk, Option<u64>) {
-            let ask = asker.ask(steward, reader.clone(), (1, 1), Vec::new());
+            let ask = asker.ask(steward, reader.clone(), Revision::new(1, 1), Vec::new());
             let (waiting, _) = office.came(now, &ask, stand(None));
             let due = office.due(&waiting, stand(None));
             if due.is_some_and(|due| due <= now) {
@@ -59,7 +60,7 @@
         assert!(office.table.take(3 * MS, &row(5, 2), 0));
         assert_eq!(office.due(&waiting, stand(None)), Some((2 + pace) * MS));
         // A newer configuration does not wait, nor does the wish that it be drained itself.
-        assert_eq!(office.due(&waiting, stand(Some((2, 0)))), Some(2 * MS));
+        assert_eq!(office.due(&waiting, stand(Some(Revision::new(2, 0)))), Some(2 * MS));
         assert!(office.table.drain(reader.door, "i-0"));
         assert_eq!(office.due(&waiting, stand(None)), Some(2 * MS));
     }
--- a/storage/src/store.rs
+++ b/storage/src/store.rs
@@ -144,13 +144,13 @@
             LogRecord::Configuration(sheet) => Some(sheet),
             _ => None,
         });
-        if let Some(sheet) = sheets.max_by_key(|sheet| sheet.rank()) {
+        if let Some(sheet) = sheets.max_by_key(|sheet| sheet.revision()) {
             self.keep_sheet(&shelf_of_timetable(), sheet)?;
         }
         let mut papers: BTreeMap<&str, &RegisterValue> = BTreeMap::new();
         for record in records {
             if let LogRecord::Register(paper) = record
-                && papers.get(&*paper.name).is_none_or(|sheet| sheet.rank() < paper.value.rank())
+                && papers.get(&*paper.name).is_none_or(|sheet| sheet.revision() < paper.value.revision())
             {
                 papers.insert(&paper.name, &paper.value);
             }
--- a/storage/src/store/registers.rs
+++ b/storage/src/store/registers.rs
@@ -2,12 +2,13 @@
 //! for whole whose bytes do not fit the digest in its name.
 
 use super::*;
+use ochreshed_consensus::messages::Revision;
 
 pub(super) const NEW: &str = ".new";
 pub(super) const SHEETS: usize = 5;
 
 /// The sheets of one register that are on disk, with their lengths.
-pub(super) type Shelf = BTreeMap<(u64, u64), u64>;
+pub(super) type Shelf = BTreeMap<Revision, u64>;
 
 impl Store {
     pub(super) fn sheet_bytes(&self) -> u64 {
@@ -29,15 +30,15 @@
         }
         let mut best = BTreeMap::new();
         for (shelf, mut sheets) in shelves {
-            while let Some((&(version, digest), &len)) = sheets.last_key_value() {
-                let name = sheet_name(&shelf, (version, digest));
+            while let Some((&Revision { version, digest }, &len)) = sheets.last_key_value() {
+                let name = sheet_name(&shelf, Revision::new(version, digest));
                 let sheet = RegisterValue::new(version, self.read(&name)?);
                 if sheet.digest == digest {
                     best.insert(shelf.clone(), Arc::new(sheet));
                     break;
                 }
                 self.put_aside(&name, len);
-                sheets.remove(&(version, digest));
+                sheets.remove(&Revision::new(version, digest));
             }
             self.sheets.insert(shelf, sheets);
         }
@@ -61,7 +62,7 @@
     pub(super) fn keep_sheet(&mut self, shelf: &str, sheet: &RegisterValue) -> Result<(), StoreError> {
         // A higher one, or this, is safe.
         let newest = self.sheets.get(shelf).and_then(|sheets| sheets.last_key_value());
-        if newest.is_some_and(|(rank, _)| *rank >= sheet.rank()) {
+        if newest.is_some_and(|(rank, _)| *rank >= sheet.revision()) {
             return Ok(());
         }
         let folder = shelf.split('/').next().unwrap_or_default();
@@ -70,7 +71,7 @@
             self.sync_folder(ROOT)?;
             self.has_papers = true;
         }
-        let name = sheet_name(shelf, sheet.rank());
+        let name = sheet_name(shelf, sheet.revision());
         let new = format!("{name}{NEW}");
         if let Err(why) = self.write_new(&new, &sheet.bytes) {
             // A full disk is not filled further.
@@ -80,7 +81,7 @@
         self.files.rename(&new, &name).map_err(|why| StoreError::Name(name.clone(), why))?;
         self.sync_folder(folder)?;
         let sheets = self.sheets.entry(shelf.to_owned()).or_default();
-        sheets.insert(sheet.rank(), sheet.bytes.len() as u64);
+        sheets.insert(sheet.revision(), sheet.bytes.len() as u64);
         while sheets.len() > SHEETS {
             let Some((rank, _)) = sheets.pop_first() else { break };
             // If it stays or comes back it is removed later: it is never the highest.
@@ -126,17 +127,17 @@
     String::from_utf8(bytes).ok().filter(|name| shelf_of(name) == *shelf)
 }
 
-pub(super) fn sheet_name(shelf: &str, (version, digest): (u64, u64)) -> String {
+pub(super) fn sheet_name(shelf: &str, Revision { version, digest }: Revision) -> String {
     format!("{shelf}r{version}-{digest:016x}.json")
 }
 
 /// The shelf and rank of a file, by its name.
-pub(super) fn rank_of(name: &str) -> Option<(String, (u64, u64))> {
+pub(super) fn rank_of(name: &str) -> Option<(String, Revision)> {
     let (folder, file) = name.split_once('/')?;
     let start = if folder == PAPERS { file.find('.')? + 1 } else { 0 };
     let (shelf, tail) = name.split_at(folder.len() + 1 + start);
     let (version, digest) = tail.strip_prefix('r')?.strip_suffix(".json")?.split_once('-')?;
-    let rank = (version.parse().ok()?, u64::from_str_radix(digest, 16).ok()?);
+    let rank = Revision::new(version.parse().ok()?, u64::from_str_radix(digest, 16).ok()?);
     let ours = folder != PAPERS || name_of(shelf).is_some();
     (ours && sheet_name(shelf, rank) == name).then(|| (shelf.to_owned(), rank))
 }
@@ -147,13 +148,13 @@
     let mut all = Vec::new();
     for entry in fs::read_dir(dir.join(PAPERS))? {
         let Ok(name) = entry?.file_name().into_string() else { continue };
-        let Some((of, (version, digest))) = rank_of(&format!("{PAPERS}/{name}")) else { continue };
+        let Some((of, Revision { version, digest })) = rank_of(&format!("{PAPERS}/{name}")) else { continue };
         if of == shelf {
             // One that is removed meanwhile is not missed.
             let read = fs::read(dir.join(PAPERS).join(&name)).map(|bytes| RegisterValue::new(version, bytes));
             all.extend(read.ok().filter(|sheet| sheet.digest == digest));
         }
     }
-    all.sort_by_key(|sheet| std::cmp::Reverse(sheet.rank()));
+    all.sort_by_key(|sheet| std::cmp::Reverse(sheet.revision()));
     Ok(all)
 }
--- a/storage/src/store/tests.rs
+++ b/storage/src/store/tests.rs
@@ -828,7 +828,7 @@
         store.write(&[sheet(version)]).expect("written");
         held.take(&sheet(version));
     }
-    let rank = held.sheet.as_ref().map(|sheet| sheet.rank()).unwrap_or_default();
+    let rank = held.sheet.as_ref().map(|sheet| sheet.revision()).unwrap_or_default();
     assert_eq!(fs::read(dir.join(sheet_name("timetable/", rank))).expect("there"), b"{\"version\":19}");
     assert_eq!(fs::read_dir(dir.join(TIMETABLE)).expect("there").count(), SHEETS);
     assert!(!dir.join(PAPERS).exists(), "nobody named a member");
--- a/storage/tests/frozen_data_dir.rs
+++ b/storage/tests/frozen_data_dir.rs
@@ -42,7 +42,7 @@
 
 fn membership(epoch: u64) -> Membership {
     Membership {
-        epoch: epoch,
+        epoch,
         members: vec![replica(1), replica(2)],
         previous_members: vec![replica(3)],
         rolled_back: true,
