--- a/balancer/src/mesh/attendant.rs
+++ b/balancer/src/mesh/attendant.rs
@@ -17,14 +17,14 @@
 use ochreshed::{Name, Nanos};
 use ochreshed_consensus::messages::Revision;
 use ochreshed_consensus::messages::{NamedRegister, RegisterValue};
-use ochreshed_mesh::budget::{Figures, MOST_SERVICES, Report, Spending};
-use ochreshed_mesh::calls::Carried;
-use ochreshed_mesh::claim_breaker::ClaimBreaker;
-use ochreshed_mesh::fared::{Edition, Fared, Fares};
-use ochreshed_mesh::list::Row;
-use ochreshed_mesh::news::Listing;
-use ochreshed_mesh::shares::{self, Shares};
-use ochreshed_mesh::timetable::{Route, Timetable};
+use ochreshed_mesh::configuration::{Configuration, Route};
+use ochreshed_mesh::endpoints::EndpointRecord;
+use ochreshed_mesh::internal_rpc::AppliedEditions;
+use ochreshed_mesh::lease_circuit_breaker::LeaseCircuitBreaker;
+use ochreshed_mesh::outcome_counts::{OutcomeCounter, OutcomeCounts, RouteEdition};
+use ochreshed_mesh::retry_budget::{AttemptCounts, BudgetReport, MOST_SERVICES, ServiceAttempts};
+use ochreshed_mesh::retry_shares::{self, RetryShares};
+use ochreshed_mesh::watch_client::EndpointView;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use tokio::net::TcpListener;
@@ -74,32 +74,32 @@
 
 /// A configuration as this machine goes by it.
 pub struct InForce {
-    timetable: Timetable,
+    timetable: Configuration,
     plans: BTreeMap<Seat, Plan>,
-    shares: Arc<Shares>,
+    shares: Arc<RetryShares>,
     /// The edition in force here of each member's routes, and whether it is on trial.
     editions: BTreeMap<Name, (u64, bool)>,
 }
 
 impl InForce {
-    pub fn new(timetable: Timetable, editions: BTreeMap<Name, (u64, bool)>) -> InForce {
+    pub fn new(timetable: Configuration, editions: BTreeMap<Name, (u64, bool)>) -> InForce {
         let plans = Plan::all(&timetable).into_iter().map(|plan| (plan.seat(), plan)).collect();
-        let shares = Arc::new(shares::of(&timetable));
+        let shares = Arc::new(retry_shares::of(&timetable));
         InForce { timetable, plans, shares, editions }
     }
 
     /// Whose route it is, and the edition of it that is in force.
-    pub fn edition(&self, route: &Route) -> Option<Edition> {
+    pub fn edition(&self, route: &Route) -> Option<RouteEdition> {
         let member = route.share.as_ref()?.member.clone();
         let (number, trial) = self.editions.get(&member).copied().unwrap_or_default();
-        Some(Edition { member, number, trial })
+        Some(RouteEdition { member, version: number, canary: trial })
     }
 }
 
 impl std::ops::Deref for InForce {
-    type Target = Timetable;
+    type Target = Configuration;
 
-    fn deref(&self) -> &Timetable {
+    fn deref(&self) -> &Configuration {
         &self.timetable
     }
 }
@@ -112,19 +112,19 @@
     pub clock: Clock,
     pub callers: Arc<Callers>,
     /// How long claims of keys are waited for.
-    pub claims: Mutex<ClaimBreaker>,
+    pub claims: Mutex<LeaseCircuitBreaker>,
     pub stewards: Arc<Stewards>,
     pub timetable: ArcSwapOption<InForce>,
     /// The platform's configuration and the papers on members: what is in force is laid out of them.
-    bases: Mutex<(Option<Timetable>, Docs)>,
+    bases: Mutex<(Option<Configuration>, Docs)>,
     /// The configuration in force as it was sent, and the rank of the one that is being fetched.
     sheet: Mutex<(Option<Arc<RegisterValue>>, Revision)>,
-    rows: Mutex<Listing>,
+    rows: Mutex<EndpointView>,
     /// Doors whose attendants no watcher that replies has heard of late.
     quiet: ArcSwap<HashSet<SocketAddr>>,
     seats: Mutex<Seats>,
     /// How the reqs on members' routes fared here.
-    fares: Mutex<Fares>,
+    fares: Mutex<OutcomeCounter>,
     /// The most time that a client had left, by route, and when that was.
     lefts: Mutex<HashMap<OneRoute, (u64, Nanos)>>,
     lines: Mutex<HashMap<SocketAddr, Arc<Line>>>,
@@ -175,7 +175,7 @@
             rows: Mutex::default(),
             quiet: ArcSwap::default(),
             seats: Mutex::default(),
-            fares: Mutex::new(Fares::over(settings.bounds.retry_window.as_nanos() as Nanos)),
+            fares: Mutex::new(OutcomeCounter::over(settings.bounds.retry_window.as_nanos() as Nanos)),
             lefts: Mutex::default(),
             lines: Mutex::default(),
             room: Arc::new(Semaphore::new(sockets / 4)),
@@ -323,17 +323,17 @@
         if let Some(desk) = seats.desk(&seat) {
             return Some(desk);
         }
-        let desk = self.make(&rows, rows.gates(), None, timetable.plans.get(&seat)?);
+        let desk = self.make(&rows, rows.client_proxies(), None, timetable.plans.get(&seat)?);
         seats.add(seat, desk.clone());
         seats.divide(self.clock.now(), &timetable.shares);
         Some(desk)
     }
 
     /// The desk of a plan; the one that was, where it was told the same.
-    fn make(&self, rows: &Listing, gates: usize, was: Option<Arc<Desk>>, plan: &Plan) -> Arc<Desk> {
+    fn make(&self, rows: &EndpointView, gates: usize, was: Option<Arc<Desk>>, plan: &Plan) -> Arc<Desk> {
         let settings = self.settings.load();
-        let of = || rows.rows().filter(|(row, _)| *row.line == *plan.line);
-        let calls = of().any(|(row, _)| row.calls);
+        let of = || rows.records().filter(|(row, _)| *row.service == *plan.line);
+        let calls = of().any(|(row, _)| row.calls_services);
         let told = (plan.line.clone(), Told::new(plan, gates, calls, &settings.bounds));
         let window = settings.bounds.retry_window.as_nanos() as Nanos;
         let desk = Desk::of(was, told, self.clock, || self.draw(), window);
@@ -342,19 +342,21 @@
     }
 
     /// Counts how reqs on a member's routes fared.
-    pub fn fared(&self, of: &Edition, fared: Fared) {
+    pub fn fared(&self, of: &RouteEdition, fared: OutcomeCounts) {
         held(&self.fares).add(self.clock.now(), of, fared);
     }
 
     /// What is told of this machine: what of each service was sent and sent again of late, where anything was.
-    pub fn report(&self) -> Report {
+    pub fn report(&self) -> BudgetReport {
         let sums = held(&self.seats).figures();
-        let mut all: Spending =
-            sums.into_iter().filter(|(_, figures)| *figures != Figures::default()).collect();
-        all.sort_by_key(|(name, figures)| (std::cmp::Reverse((figures.again, figures.first)), name.clone()));
+        let mut all: ServiceAttempts =
+            sums.into_iter().filter(|(_, figures)| *figures != AttemptCounts::default()).collect();
+        all.sort_by_key(|(name, figures)| {
+            (std::cmp::Reverse((figures.retried, figures.first)), name.clone())
+        });
         all.truncate(MOST_SERVICES);
-        let members = held(&self.fares).tell(self.clock.now());
-        Report { spending: all, full_ms: self.full.get().copied(), members }
+        let members = held(&self.fares).counts(self.clock.now());
+        BudgetReport { services: all, recovery_ms: self.full.get().copied(), outcomes: members }
     }
 
     /// How much of its time a client had used up before this try: the most that was left on this route of late, less
@@ -395,7 +397,7 @@
         if here.0.as_ref().is_some_and(|here| here.revision() >= sheet.revision()) {
             return;
         }
-        match Timetable::read(&sheet.bytes) {
+        match Configuration::read(&sheet.bytes) {
             Ok(timetable) => {
                 log::info!("timetable r{} in force, {} routes", sheet.version, timetable.routes().count());
                 held(&self.bases).0 = Some(timetable);
@@ -416,7 +418,7 @@
         let bases = held(&self.bases);
         let (Some(base), docs) = &*bases else { return };
         let (laid, editions) = docs.laid(base, self.door_at);
-        for trim in laid.trims.iter().take(MOST_TRIMS) {
+        for trim in laid.violations.iter().take(MOST_TRIMS) {
             log::warn!("trimmed: {trim}");
         }
         let before = self.timetable.load();
@@ -425,7 +427,7 @@
         for (member, (edition, trial)) in fresh.take(MOST_TRIMS) {
             log::info!("member {member} r{edition} in force{}", if *trial { ", on trial" } else { "" });
         }
-        self.timetable.store(Some(Arc::new(InForce::new(laid.timetable, editions))));
+        self.timetable.store(Some(Arc::new(InForce::new(laid.configuration, editions))));
         drop(bases);
         self.seat();
     }
@@ -450,23 +452,23 @@
     }
 
     /// The editions of members' routes that are in force here, and whether they are on trial.
-    pub fn carried(&self) -> Carried {
+    pub fn carried(&self) -> AppliedEditions {
         let timetable = self.timetable.load();
         let editions = timetable.iter().flat_map(|timetable| &timetable.editions);
         editions.map(|(member, (edition, trial))| (member.clone(), *edition, *trial)).collect()
     }
 
-    pub fn take_rows(&self, which: usize, rows: Vec<Row>, quiet: HashSet<SocketAddr>) {
+    pub fn take_rows(&self, which: usize, rows: Vec<EndpointRecord>, quiet: HashSet<SocketAddr>) {
         for row in &rows {
-            if row.door != self.door_at || row.id.is_empty() {
+            if row.inbound_proxy != self.door_at || row.upstream_id.is_empty() {
                 continue;
             }
-            self.door.heard_of_before(&row.id, row.stand);
+            self.door.heard_of_before(&row.upstream_id, row.state);
             if !self.door.knows() {
-                tokio::spawn(self.door.clone().find_again(row.clone(), self.health_of(&row.line)));
+                tokio::spawn(self.door.clone().find_again(row.clone(), self.health_of(&row.service)));
             }
         }
-        let changed = held(&self.rows).take(self.clock.now(), which, rows, quiet);
+        let changed = held(&self.rows).merge(self.clock.now(), which, rows, quiet);
         if changed {
             self.seat();
         }
@@ -480,15 +482,15 @@
 
     /// A watcher gives no reply: what it held for quiet counts no more.
     pub fn silent(&self, which: usize) {
-        held(&self.rows).silent(which);
+        held(&self.rows).watch_lost(which);
     }
 
     /// Brings the desks in line with the configuration and the list.
     fn seat(&self) {
         let Some(timetable) = self.timetable.load_full() else { return };
         let rows = held(&self.rows);
-        self.quiet.store(Arc::new(rows.quiet()));
-        let (gates, mut seats) = (rows.gates(), held(&self.seats));
+        self.quiet.store(Arc::new(rows.suspects()));
+        let (gates, mut seats) = (rows.client_proxies(), held(&self.seats));
         seats.renew(&timetable.plans, |was, plan| self.make(&rows, gates, was, plan));
         seats.divide(self.clock.now(), &timetable.shares);
         drop(seats);
@@ -517,7 +519,7 @@
         let age = |since: &AtomicU64| now.saturating_sub(since.load(Relaxed)) as f64 / 1e9;
         let version = self.timetable.load().as_ref().map_or(0, |timetable| timetable.version);
         let sums = held(&self.seats).figures();
-        let sum = |of: fn(&Figures) -> u32| sums.values().map(|figures| f64::from(of(figures))).sum();
+        let sum = |of: fn(&AttemptCounts) -> u32| sums.values().map(|figures| f64::from(of(figures))).sum();
         let sessions = self.door.sessions.counts();
         metrics::Figures::of("attendant")
             .gauge("ready", "1 while it is ready", f64::from(u8::from(self.ready())))
@@ -533,8 +535,8 @@
             .gauge("requests_inside", "Requests in hand", self.inside.load(Relaxed) as f64)
             .gauge("upstream_load", "Requests at the upstream or waiting there", self.door.load() as f64)
             .gauge("window_first_sends", "First sends in the budget's window", sum(|of| of.first))
-            .gauge("window_retries", "Sent again in the budget's window", sum(|of| of.again))
-            .gauge("window_retries_refused", "Not sent again for want of budget", sum(|of| of.refused))
+            .gauge("window_retries", "Sent again in the budget's window", sum(|of| of.retried))
+            .gauge("window_retries_refused", "Not sent again for want of budget", sum(|of| of.denied))
             .gauge("sessions", "Sessions held", sessions.held as f64)
             .counter("sessions_moved", "Sessions that came from another gate", sessions.moves)
             .counter("requests", "Requests answered", self.served.load(Relaxed))
--- a/balancer/src/mesh/carry.rs
+++ b/balancer/src/mesh/carry.rs
@@ -16,8 +16,8 @@
 use hyper::header::{CONNECTION, CONTENT_LENGTH, HeaderMap};
 use hyper::http::response::Parts;
 use ochreshed::Nanos;
-use ochreshed_mesh::idle;
-use ochreshed_mesh::pace::Pace;
+use ochreshed_mesh::idle_limit;
+use ochreshed_mesh::large_response_pacer::LargeResponsePacer;
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 use tokio::time::{Sleep, sleep_until, timeout, timeout_at};
 
@@ -68,7 +68,7 @@
     clock: Clock,
     idle: Mutex<Vec<Idle>>,
     /// How long one may have been idle that is used again, by what was lost.
-    keeps: Mutex<idle::Idle>,
+    keeps: Mutex<idle_limit::IdleLimit>,
     room: Arc<Semaphore>,
     /// Bytes of long answers that may be read ahead of who takes them, for all lines that share it.
     ahead: Option<Arc<Semaphore>>,
@@ -77,7 +77,7 @@
 impl Line {
     /// `room` bounds the connections of all lines that share it.
     pub fn new(to: SocketAddr, clock: Clock, room: Arc<Semaphore>) -> Line {
-        let keeps = Mutex::new(idle::Idle::new(Nanos::MAX));
+        let keeps = Mutex::new(idle_limit::IdleLimit::new(Nanos::MAX));
         Line { to, clock, idle: Mutex::default(), keeps, room, ahead: None }
     }
 
@@ -89,7 +89,7 @@
 
     /// It leads to the same machine.
     pub fn near(self) -> Line {
-        Line { keeps: Mutex::new(idle::Idle::new(NEAR_IDLE)), ..self }
+        Line { keeps: Mutex::new(idle_limit::IdleLimit::new(NEAR_IDLE)), ..self }
     }
 
     pub fn to(&self) -> SocketAddr {
@@ -317,7 +317,7 @@
 
 /// What all large answers of a machine share: the pace, and who may go.
 pub struct Lane {
-    pace: Mutex<Pace>,
+    pace: Mutex<LargeResponsePacer>,
     /// A few go at a time, in the order in which they came: each of many would be late.
     turns: Arc<Semaphore>,
     clock: Clock,
@@ -326,10 +326,10 @@
 impl Lane {
     pub fn new(link_mbps: f64, clock: Clock) -> Arc<Lane> {
         let turns = Arc::new(Semaphore::new(AT_ONCE));
-        Arc::new(Lane { pace: Mutex::new(Pace::new(link_mbps)), turns, clock })
+        Arc::new(Lane { pace: Mutex::new(LargeResponsePacer::new(link_mbps)), turns, clock })
     }
 
-    pub fn pace(&self) -> MutexGuard<'_, Pace> {
+    pub fn pace(&self) -> MutexGuard<'_, LargeResponsePacer> {
         held(&self.pace)
     }
 }
--- a/balancer/src/mesh/client.rs
+++ b/balancer/src/mesh/client.rs
@@ -9,7 +9,7 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-use ochreshed_mesh::timetable::{Refusal, Timetable, differences};
+use ochreshed_mesh::configuration::{Configuration, Refusal, differences};
 use serde_json::Value;
 
 use members::Key;
@@ -260,7 +260,7 @@
 
 const TIMETABLE: Paper = Paper {
     check: |bytes| {
-        Timetable::read(bytes).map(|read| (read.version, format!("{} routes", read.routes().count())))
+        Configuration::read(bytes).map(|read| (read.version, format!("{} routes", read.routes().count())))
     },
     name: "timetable",
     replace: "timetable.replace",
@@ -296,9 +296,9 @@
 }
 
 fn diff(at: &[SocketAddr], json: bool, file: &Path) -> Result<String, String> {
-    let new = checked(file, Timetable::read(&bytes(file)?))?;
+    let new = checked(file, Configuration::read(&bytes(file)?))?;
     let (at, held) = call(at, TIMETABLE.read, None)?;
-    let old = known(at, TIMETABLE.name, Timetable::read(&held))?;
+    let old = known(at, TIMETABLE.name, Configuration::read(&held))?;
     Ok(differing(json, (old.version, new.version), differences(&old, &new)))
 }
 
--- a/balancer/src/mesh/client/members.rs
+++ b/balancer/src/mesh/client/members.rs
@@ -18,8 +18,8 @@
 use std::process::ExitCode;
 use std::sync::Arc;
 
-use ochreshed_mesh::members::{self, MemberDoc};
-use ochreshed_mesh::timetable::{Route, by_place};
+use ochreshed_mesh::configuration::{Route, by_place};
+use ochreshed_mesh::members::{self, MemberDocument};
 use serde_json::Value;
 
 use super::super::line::{Own, Register};
@@ -35,7 +35,7 @@
 
 const REGISTER: Paper = Paper {
     check: |bytes| {
-        let read = members::Register::read(bytes);
+        let read = members::MemberRegister::read(bytes);
         read.map(|read| (read.version, format!("{} members", read.members().count())))
     },
     name: "register",
@@ -70,9 +70,9 @@
         Register::Read => text(call(at, REGISTER.read, None)?.1)?,
         Register::Replace(file) => return replace(at, json, &file, &REGISTER),
         Register::Diff(file) => {
-            let new = checked(&file, members::Register::read(&bytes(&file)?))?;
+            let new = checked(&file, members::MemberRegister::read(&bytes(&file)?))?;
             let (at, held) = call(at, REGISTER.read, None)?;
-            let old = known(at, REGISTER.name, members::Register::read(&held))?;
+            let old = known(at, REGISTER.name, members::MemberRegister::read(&held))?;
             differing(json, (old.version, new.version), members::differences(&old, &new))
         }
     };
@@ -106,7 +106,7 @@
         Own::Read => ask("read")?,
         Own::Plan(file) => {
             let sent = bytes(&file)?;
-            checked(&file, MemberDoc::read(&sent))?;
+            checked(&file, MemberDocument::read(&sent))?;
             let answer = text(asked("plan", &sent)?.1)?;
             let forbidden = !rows(&value(&answer)?, "forbidden").is_empty();
             print(&shown(answer, plan)?)?;
@@ -114,13 +114,13 @@
         }
         Own::Replace(file) => {
             let sent = bytes(&file)?;
-            checked(&file, MemberDoc::read(&sent))?;
+            checked(&file, MemberDocument::read(&sent))?;
             shown(change("replace", &sent)?, taken)?
         }
         Own::Diff(file) => {
-            let new = checked(&file, MemberDoc::read(&bytes(&file)?))?;
+            let new = checked(&file, MemberDocument::read(&bytes(&file)?))?;
             let (at, held) = asked("read", &[])?;
-            let old = known(at, "document", MemberDoc::read(&held))?;
+            let old = known(at, "document", MemberDocument::read(&held))?;
             differing(json, (old.version, new.version), apart(&old, &new))
         }
         Own::Status => shown(ask("status")?, status)?,
@@ -133,14 +133,14 @@
     Ok(ExitCode::SUCCESS)
 }
 
-fn apart(old: &MemberDoc, new: &MemberDoc) -> Vec<String> {
+fn apart(old: &MemberDocument, new: &MemberDocument) -> Vec<String> {
     let mut lines = Vec::new();
-    let trial = |doc: &MemberDoc| doc.trial.map_or("none".to_owned(), |share| share.to_string());
+    let trial = |doc: &MemberDocument| doc.canary_share.map_or("none".to_owned(), |share| share.to_string());
     let (before, after) = (trial(old), trial(new));
     if before != after {
         lines.push(format!("trial from {before} to {after}"));
     }
-    let routes = |doc: &MemberDoc| -> Vec<Arc<Route>> { doc.routes.clone() };
+    let routes = |doc: &MemberDocument| -> Vec<Arc<Route>> { doc.routes.clone() };
     lines.extend(by_place(routes(old).iter(), routes(new).iter()));
     lines
 }
--- a/balancer/src/mesh/desk.rs
+++ b/balancer/src/mesh/desk.rs
@@ -7,10 +7,10 @@
 
 use ochreshed::{Balancer, Facts, How, Listed, Name, Nanos, Outcome, Req, State, Value};
 use ochreshed_hands::{Act, End, Hands};
-use ochreshed_mesh::budget::{Figures, Spent, Tally, Terms};
-use ochreshed_mesh::list::{Row, Stand};
-use ochreshed_mesh::shares::Pool;
-use ochreshed_mesh::timetable::{Kind, Route, Timetable};
+use ochreshed_mesh::configuration::{Configuration, RepeatPolicy, Route};
+use ochreshed_mesh::endpoints::{EndpointRecord, UpstreamState};
+use ochreshed_mesh::retry_budget::{AttemptCounts, RequestAttempts, RetryAccount, RetryLimits};
+use ochreshed_mesh::retry_shares::RetryPool;
 use tokio::sync::{Notify, mpsc};
 use tokio::time::sleep_until;
 
@@ -43,7 +43,7 @@
 /// Where the reqs of a route go for a service.
 pub fn seat(line: &Name, route: &Route) -> Seat {
     let member = route.share.as_ref().map(|share| share.member.clone());
-    (line.clone(), route.kind == Kind::OutboundPost, member)
+    (line.clone(), route.kind == RepeatPolicy::OutboundPost, member)
 }
 
 /// What a configuration tells of the reqs for one service, those with large answers and those of each member apart.
@@ -65,7 +65,7 @@
     }
 
     /// For all services to which any route goes.
-    pub fn all(timetable: &Timetable) -> Vec<Plan> {
+    pub fn all(timetable: &Configuration) -> Vec<Plan> {
         let mut plans: BTreeMap<Seat, Plan> = BTreeMap::new();
         for route in timetable.routes() {
             for (line, _) in &route.lines {
@@ -118,10 +118,15 @@
     }
 
     /// The same bounds as the module reads out of its facts, for the counts that are told.
-    fn terms(&self) -> Terms {
+    fn terms(&self) -> RetryLimits {
         let (part, slack) = self.allowance;
         let floor = (slack / self.gates.max(1) as f64).min(1.0);
-        Terms { tries: self.plan.tries, last_tier: !self.calls, part: part.clamp(0.0, 0.1), floor }
+        RetryLimits {
+            max_attempts: self.plan.tries,
+            last_tier: !self.calls,
+            ratio: part.clamp(0.0, 0.1),
+            floor,
+        }
     }
 
     fn repeatable(&self, shape: &str) -> bool {
@@ -176,9 +181,9 @@
     wake: Nanos,
     listed: HashMap<Name, Listed>,
     places: HashMap<Name, Place>,
-    spent: Spent,
+    spent: RetryAccount,
     /// Where the service's allowance is divided among members and the platform.
-    pool: Option<Arc<Mutex<Pool>>>,
+    pool: Option<Arc<Mutex<RetryPool>>>,
 }
 
 pub struct Desk {
@@ -195,7 +200,7 @@
     pub id: u64,
     pub steps: mpsc::UnboundedReceiver<Step>,
     over: bool,
-    tally: Tally,
+    tally: RequestAttempts,
 }
 
 impl Desk {
@@ -211,13 +216,13 @@
         let terms = told.terms();
         let spent = match was {
             Some(desk) if desk.told == told => return desk,
-            Some(desk) => held(&desk.inner).spent.anew(window, terms),
-            None => Spent::new(window, terms),
+            Some(desk) => held(&desk.inner).spent.restart(window, terms),
+            None => RetryAccount::new(window, terms),
         };
         Desk::new(line, told, clock, seed(), spent)
     }
 
-    fn new(line: Name, told: Told, clock: Clock, seed: u64, spent: Spent) -> Arc<Desk> {
+    fn new(line: Name, told: Told, clock: Clock, seed: u64, spent: RetryAccount) -> Arc<Desk> {
         let now = clock.now();
         let hands = Hands::new(Balancer::new(now, seed, told.facts()));
         let inner = Inner {
@@ -253,13 +258,13 @@
     }
 
     /// From now on its part of an allowance that is divided is all it may send again; none: its own as it was told.
-    pub fn draw_on(&self, pool: Option<&Arc<Mutex<Pool>>>) {
+    pub fn draw_on(&self, pool: Option<&Arc<Mutex<RetryPool>>>) {
         let mut inner = held(&self.inner);
         match pool {
             Some(pool) => held(pool).join(self.told.plan.member.as_ref(), &inner.spent),
             None if inner.pool.is_none() => return,
             None => {
-                let Terms { part, floor, .. } = self.told.terms();
+                let RetryLimits { ratio: part, floor, .. } = self.told.terms();
                 inner.hands.allow(part, floor);
                 inner.spent.allow(part, floor);
             }
@@ -270,15 +275,15 @@
     /// Tells the module what it may send again now, where that is divided.
     fn allow(&self, inner: &mut Inner, now: Nanos) {
         let Some(pool) = &inner.pool else { return };
-        let Terms { part, floor, .. } = self.told.terms();
+        let RetryLimits { ratio: part, floor, .. } = self.told.terms();
         let left = held(pool).left(now, self.told.plan.member.as_ref(), (part, floor));
         // The module goes by what it has sent again itself since it last learnt anew.
-        let floor = left + f64::from(inner.spent.of_module(now).again);
+        let floor = left + f64::from(inner.spent.policy_counts(now).retried);
         inner.hands.allow(0.0, floor);
         inner.spent.allow(0.0, floor);
     }
 
-    fn count(&self, inner: &Inner, now: Nanos, figures: Figures) {
+    fn count(&self, inner: &Inner, now: Nanos, figures: AttemptCounts) {
         if let Some(pool) = &inner.pool {
             held(pool).count(now, self.told.plan.member.as_ref(), figures);
         }
@@ -329,10 +334,10 @@
         let (steps, got) = mpsc::unbounded_channel();
         inner.steps.insert(id, steps);
         let now = self.clock.now();
-        let tally = Tally::new(self.told.repeatable(&req.rule_set), req.ends);
+        let tally = RequestAttempts::new(self.told.repeatable(&req.rule_set), req.ends);
         if req.again {
-            inner.spent.called_again(now);
-            self.count(&inner, now, Figures { again: 1, ..Figures::default() });
+            inner.spent.nested_call_retried(now);
+            self.count(&inner, now, AttemptCounts { retried: 1, ..AttemptCounts::default() });
         }
         self.allow(&mut inner, now);
         inner.hands.take(now, req);
@@ -341,7 +346,7 @@
     }
 
     /// What of this service was sent, sent again and refused for want of allowance in the budget's window.
-    pub fn figures(&self) -> Figures {
+    pub fn figures(&self) -> AttemptCounts {
         held(&self.inner).spent.figures(self.clock.now())
     }
 
@@ -357,35 +362,38 @@
     /// Tells the module the list as it is now.
     pub fn list<'a>(
         &self,
-        rows: impl Iterator<Item = &'a (Row, Nanos)>,
+        rows: impl Iterator<Item = &'a (EndpointRecord, Nanos)>,
         quiet: &HashSet<SocketAddr>,
         zone: &str,
     ) {
         let mut inner = held(&self.inner);
         let now = self.clock.now();
-        let rows: Vec<&(Row, Nanos)> = rows.filter(|(row, _)| !row.id.is_empty()).collect();
-        let takes = |row: &Row| row.serving && row.stand == Stand::Open && !quiet.contains(&row.door);
+        let rows: Vec<&(EndpointRecord, Nanos)> =
+            rows.filter(|(row, _)| !row.upstream_id.is_empty()).collect();
+        let takes = |row: &EndpointRecord| {
+            row.accepts_clients && row.state == UpstreamState::Serving && !quiet.contains(&row.inbound_proxy)
+        };
         let near = rows.iter().any(|(row, _)| row.zone == zone && takes(row));
         let mut fresh = HashMap::new();
-        let wanted = |row: &Row| !(self.told.plan.large && near) || row.zone == zone;
+        let wanted = |row: &EndpointRecord| !(self.told.plan.large && near) || row.zone == zone;
         for (row, told) in rows.into_iter().filter(|(row, _)| wanted(row)) {
             let state = if takes(row) {
                 State::Up
-            } else if row.stand == Stand::None || !row.serving {
+            } else if row.state == UpstreamState::Absent || !row.accepts_clients {
                 State::Gone
             } else {
                 State::Draining
             };
-            let srv: Name = row.id.as_str().into();
+            let srv: Name = row.upstream_id.as_str().into();
             let was = inner.listed.get(&srv);
             let came_up = was.and_then(|was| was.came_up);
-            let warm_at = told + row.cold_ms * MS;
+            let warm_at = told + row.warming_up_ms * MS;
             let came_up = came_up.or((warm_at > now).then(|| warm_at.saturating_sub(COLD)));
             let far = near && row.zone != zone;
-            let weight = f64::from(row.slots.max(1)) * if far { FAR } else { 1.0 };
+            let weight = f64::from(row.concurrency_limit.max(1)) * if far { FAR } else { 1.0 };
             let site: Name = row.zone.as_str().into();
             let listed = Listed { srv: srv.clone(), state, came_up, weight, site: site.clone(), cell: 0 };
-            fresh.insert(srv.clone(), (listed, Place { door: row.door, id: srv, zone: site }));
+            fresh.insert(srv.clone(), (listed, Place { door: row.inbound_proxy, id: srv, zone: site }));
         }
         let same = |(srv, (listed, place)): (&Name, &(Listed, Place))| {
             let was = inner.listed.get(srv).map(|was| (was.state, was.weight, was.came_up, &was.site));
@@ -413,9 +421,9 @@
 
 impl Turn {
     /// A dispatch goes on its way. What was counted for it.
-    pub fn goes(&self) -> Figures {
+    pub fn goes(&self) -> AttemptCounts {
         let (mut inner, now) = (held(&self.desk.inner), self.desk.clock.now());
-        let counted = inner.spent.goes(now, &self.tally);
+        let counted = inner.spent.attempt_started(now, &self.tally);
         self.desk.count(&inner, now, counted);
         counted
     }
@@ -432,9 +440,9 @@
     }
 
     /// The module has given the req up. What was counted for that.
-    pub fn end(&mut self) -> Figures {
+    pub fn end(&mut self) -> AttemptCounts {
         self.over = true;
-        held(&self.desk.inner).spent.given_up(self.desk.clock.now(), &self.tally)
+        held(&self.desk.inner).spent.request_given_up(self.desk.clock.now(), &self.tally)
     }
 }
 
--- a/balancer/src/mesh/desk_tests.rs
+++ b/balancer/src/mesh/desk_tests.rs
@@ -5,10 +5,10 @@
 use std::sync::{Arc, Mutex};
 
 use ochreshed::{How, Nanos, Req};
-use ochreshed_mesh::budget::Figures;
-use ochreshed_mesh::list::{Row, Stand};
-use ochreshed_mesh::shares::Pool;
-use ochreshed_mesh::timetable::{Share, Timetable};
+use ochreshed_mesh::configuration::{Configuration, Share};
+use ochreshed_mesh::endpoints::{EndpointRecord, UpstreamState};
+use ochreshed_mesh::retry_budget::AttemptCounts;
+use ochreshed_mesh::retry_shares::RetryPool;
 
 use super::desk::{Desk, Plan, Step, Told, Turn};
 use super::settings::Bounds;
@@ -23,7 +23,7 @@
         "route_kind":"resendable","deadline_ms":20000,"target_ms":10000,"post_class":1,"line":"a","tries":2}}"#;
     let line = r#"{"category":"mail_lines","label":{"name":"a"},"manifest":{"health":"/h","berth_cap":9}}"#;
     let text = format!(r#"{{"edition":"r1","consignments":[{route},{line}]}}"#);
-    let timetable = Timetable::read(text.as_bytes()).expect("a timetable");
+    let timetable = Configuration::read(text.as_bytes()).expect("a timetable");
     Told::new(&Plan::all(&timetable)[0], gates, calls, &Bounds::default())
 }
 
@@ -31,21 +31,21 @@
     Desk::of(was, ("a".into(), told), Clock::new(), || 7, 10_000 * MS)
 }
 
-fn row(host: u8, zone: &str, stand: Stand) -> Row {
-    Row {
-        door: door(host),
-        life: 1,
-        number: 1,
+fn row(host: u8, zone: &str, stand: UpstreamState) -> EndpointRecord {
+    EndpointRecord {
+        inbound_proxy: door(host),
+        incarnation: 1,
+        sequence: 1,
         zone: zone.into(),
-        line: "a".into(),
-        id: format!("i-{host}"),
-        edition: "v1".into(),
-        stand,
-        slots: 6,
-        cold_ms: 0,
-        calls: false,
-        serving: true,
-        ill: Default::default(),
+        service: "a".into(),
+        upstream_id: format!("i-{host}"),
+        software_version: "v1".into(),
+        state: stand,
+        concurrency_limit: 6,
+        warming_up_ms: 0,
+        calls_services: false,
+        accepts_clients: true,
+        health: Default::default(),
     }
 }
 
@@ -53,8 +53,8 @@
     SocketAddr::from(([10, 1, 0, host], 8300))
 }
 
-fn list(desk: &Desk, rows: &[Row], quiet: &[u8]) {
-    let rows: Vec<(Row, Nanos)> = rows.iter().map(|row| (row.clone(), 1)).collect();
+fn list(desk: &Desk, rows: &[EndpointRecord], quiet: &[u8]) {
+    let rows: Vec<(EndpointRecord, Nanos)> = rows.iter().map(|row| (row.clone(), 1)).collect();
     let quiet: HashSet<SocketAddr> = quiet.iter().map(|host| door(*host)).collect();
     desk.list(rows.iter(), &quiet, "a");
 }
@@ -92,18 +92,18 @@
 #[tokio::test]
 async fn the_module_sends_only_to_those_that_take_reqs() {
     let desk = desk(None, told(4, false));
-    let mut leaving = row(3, "a", Stand::Open);
-    leaving.serving = false;
-    let mut none = row(6, "a", Stand::None);
-    none.id = String::new();
+    let mut leaving = row(3, "a", UpstreamState::Serving);
+    leaving.accepts_clients = false;
+    let mut none = row(6, "a", UpstreamState::Absent);
+    none.upstream_id = String::new();
     let rows = [
-        row(1, "a", Stand::Open),
-        row(2, "a", Stand::Closing),
+        row(1, "a", UpstreamState::Serving),
+        row(2, "a", UpstreamState::Draining),
         leaving,
-        row(4, "a", Stand::Open),
-        row(5, "b", Stand::Open),
+        row(4, "a", UpstreamState::Serving),
+        row(5, "b", UpstreamState::Serving),
         none,
-        row(7, "a", Stand::None),
+        row(7, "a", UpstreamState::Absent),
     ];
     let sent = async |quiet: &[u8]| {
         list(&desk, &rows, quiet);
@@ -132,7 +132,7 @@
 #[tokio::test]
 async fn one_that_is_turned_away_goes_to_others_at_no_cost() {
     let desk = desk(None, told(4, false));
-    list(&desk, &[1, 2, 3].map(|host| row(host, "a", Stand::Open)), &[]);
+    list(&desk, &[1, 2, 3].map(|host| row(host, "a", UpstreamState::Serving)), &[]);
     for _ in 0..20 {
         let mut turn = take(&desk, false);
         let mut to = BTreeSet::new();
@@ -142,14 +142,14 @@
         }
         assert!(to.len() >= 2, "{to:?}");
     }
-    assert_eq!(desk.figures(), Figures { first: 20, again: 0, refused: 0 });
+    assert_eq!(desk.figures(), AttemptCounts { first: 20, retried: 0, denied: 0 });
 }
 
 /// Guards against a member's desk that adds to what a service's reqs may be sent again, or takes others' part of it;
 /// that holds however often its module begins anew.
 #[tokio::test]
 async fn desks_of_one_service_have_what_one_would_have() {
-    let rows = [1, 2].map(|host| row(host, "a", Stand::Open));
+    let rows = [1, 2].map(|host| row(host, "a", UpstreamState::Serving));
     let member = |tries| {
         let mut told = told(1, false);
         told.of_member("norte".into(), tries);
@@ -157,7 +157,7 @@
     };
     let share = Share { member: "norte".into(), retry: 0.25, slots: 0.5 };
     let shares = Arc::new([(share.member.clone(), Arc::new(share))].into());
-    let pool = Arc::new(Mutex::new(Pool::default()));
+    let pool = Arc::new(Mutex::new(RetryPool::default()));
     held(&pool).divide(1, &shares);
     let draws = |desk: Arc<Desk>| {
         list(&desk, &rows, &[]);
@@ -184,7 +184,7 @@
         fails(&norte).await;
     }
     // A quarter of a tenth of a hundred, and of one.
-    assert_eq!(norte.figures(), Figures { first: 100, again: 2, refused: 98 });
+    assert_eq!(norte.figures(), AttemptCounts { first: 100, retried: 2, denied: 98 });
     // The platform has the rest of it, and of what it sends itself.
     let mut again = 0;
     for _ in 0..30 {
@@ -200,7 +200,7 @@
 /// from what the module goes by.
 #[tokio::test]
 async fn calls_of_runs_sent_again_use_up_the_allowance() {
-    let rows = [1, 2].map(|host| row(host, "a", Stand::Open));
+    let rows = [1, 2].map(|host| row(host, "a", UpstreamState::Serving));
     let fails = async |desk: &Arc<Desk>| {
         let mut turn = take(desk, false);
         let (number, _) = goes(&mut turn).await.expect("sent");
@@ -212,7 +212,7 @@
     list(&fresh, &rows, &[]);
     assert!(fails(&fresh).await);
     assert!(!fails(&fresh).await);
-    assert_eq!(fresh.figures(), Figures { first: 2, again: 1, refused: 1 });
+    assert_eq!(fresh.figures(), AttemptCounts { first: 2, retried: 1, denied: 1 });
     // A call of a run that was sent again has taken that.
     let called = desk(None, told(1, false));
     list(&called, &rows, &[]);
@@ -220,7 +220,7 @@
     let (number, _) = goes(&mut call).await.expect("sent");
     call.ended(number, How::Done, MS, true, None);
     assert!(!fails(&called).await);
-    assert_eq!(called.figures(), Figures { first: 2, again: 1, refused: 1 });
+    assert_eq!(called.figures(), AttemptCounts { first: 2, retried: 1, denied: 1 });
     // Where it calls others itself its errors are not ours to send again, whatever is allowed.
     let middle = desk(Some(called), told(1, true));
     list(&middle, &rows, &[]);
@@ -229,5 +229,5 @@
     turn.ended(number, How::Error, MS, false, None);
     assert_eq!(goes(&mut turn).await, None);
     // What was counted before the module began anew is still told.
-    assert_eq!(middle.figures(), Figures { first: 3, again: 1, refused: 1 });
+    assert_eq!(middle.figures(), AttemptCounts { first: 3, retried: 1, denied: 1 });
 }
--- a/balancer/src/mesh/docs.rs
+++ b/balancer/src/mesh/docs.rs
@@ -9,9 +9,9 @@
 use ochreshed::Name;
 use ochreshed_consensus::messages::Revision;
 use ochreshed_consensus::messages::{NamedRegister, RegisterValue};
-use ochreshed_mesh::lay::{self, Laid};
-use ochreshed_mesh::members::{MemberDoc, Register};
-use ochreshed_mesh::timetable::Timetable;
+use ochreshed_mesh::configuration::Configuration;
+use ochreshed_mesh::members::{MemberDocument, MemberRegister};
+use ochreshed_mesh::overlay::{self, EffectiveConfiguration};
 
 /// The register's name; a member's documents are named by a letter and the member.
 pub const REGISTER: &str = "members";
@@ -34,14 +34,14 @@
 /// What one member has.
 #[derive(Clone, Debug, Default)]
 pub struct Own {
-    pub settled: Option<Arc<MemberDoc>>,
-    pub trial: Option<Arc<MemberDoc>>,
+    pub settled: Option<Arc<MemberDocument>>,
+    pub trial: Option<Arc<MemberDocument>>,
     pub withdrawn: Option<u64>,
 }
 
 impl Own {
     /// The trial that runs, if one does.
-    pub fn running(&self) -> Option<&Arc<MemberDoc>> {
+    pub fn running(&self) -> Option<&Arc<MemberDocument>> {
         self.trial.as_ref().filter(|trial| {
             let edition = Some(trial.version);
             edition > self.settled.as_ref().map(|settled| settled.version) && edition > self.withdrawn
@@ -50,7 +50,7 @@
 
     /// No edition above this was ever taken.
     pub fn highest(&self) -> u64 {
-        let of = |doc: &Option<Arc<MemberDoc>>| doc.as_ref().map_or(0, |doc| doc.version);
+        let of = |doc: &Option<Arc<MemberDocument>>| doc.as_ref().map_or(0, |doc| doc.version);
         of(&self.settled).max(of(&self.trial)).max(self.withdrawn.unwrap_or(0))
     }
 }
@@ -58,7 +58,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Docs {
     ranks: BTreeMap<Name, Revision>,
-    pub register: Arc<Register>,
+    pub register: Arc<MemberRegister>,
     pub own: BTreeMap<Name, Own>,
 }
 
@@ -70,7 +70,7 @@
         }
         self.ranks.insert(name.clone(), sheet.revision());
         let refused = |why: String| log::error!("paper {name} r{} is refused here: {why}", sheet.version);
-        let doc = || match MemberDoc::read(&sheet.bytes) {
+        let doc = || match MemberDocument::read(&sheet.bytes) {
             Ok(doc) => Some(Arc::new(doc)),
             // The core checks by the same reader; this is a build that differs.
             Err(why) => {
@@ -79,7 +79,7 @@
             }
         };
         match name.split_once('/') {
-            None if **name == *REGISTER => match Register::read(&sheet.bytes) {
+            None if **name == *REGISTER => match MemberRegister::read(&sheet.bytes) {
                 Ok(register) => self.register = Arc::new(register),
                 Err(why) => refused(why[0].to_string()),
             },
@@ -111,20 +111,20 @@
     }
 
     /// What is in force at the node with this door, and which editions that are.
-    pub fn laid(&self, base: &Timetable, door: SocketAddr) -> (Laid, Editions) {
-        let (mut docs, mut editions) = (lay::Docs::new(), Editions::new());
+    pub fn laid(&self, base: &Configuration, door: SocketAddr) -> (EffectiveConfiguration, Editions) {
+        let (mut docs, mut editions) = (overlay::MemberDocuments::new(), Editions::new());
         for (member, own) in &self.own {
             let (settled, trial) = (own.settled.as_ref(), own.trial.as_ref());
-            let Some(doc) = lay::in_force(door, member, settled, trial, own.withdrawn) else { continue };
+            let Some(doc) = overlay::in_force(door, member, settled, trial, own.withdrawn) else { continue };
             let tries = settled.is_none_or(|settled| settled.version < doc.version);
             editions.insert(member.clone(), (doc.version, tries));
             docs.insert(member.clone(), doc.clone());
         }
-        (lay::lay(base, &self.register, &docs), editions)
+        (overlay::overlay(base, &self.register, &docs), editions)
     }
 
     /// The settled documents of all members.
-    pub fn settled(&self) -> lay::Docs {
+    pub fn settled(&self) -> overlay::MemberDocuments {
         let doc = |(member, own): (&Name, &Own)| Some((member.clone(), own.settled.clone()?));
         self.own.iter().filter_map(doc).collect()
     }
--- a/balancer/src/mesh/door.rs
+++ b/balancer/src/mesh/door.rs
@@ -15,11 +15,11 @@
 use hyper::{Response, StatusCode};
 use jzon::JsonValue as Json;
 use ochreshed::Nanos;
-use ochreshed_mesh::health::{Health, Ran, Sort};
-use ochreshed_mesh::list::{Row, Stand};
-use ochreshed_mesh::shares::Shares;
-use ochreshed_mesh::slots::{Asker, Part, Slots, Way};
-use ochreshed_mesh::timetable::Name;
+use ochreshed_mesh::admission::{Admission, AdmissionQueue, AdmissionRequest, MemberShare};
+use ochreshed_mesh::configuration::Name;
+use ochreshed_mesh::endpoints::{EndpointRecord, UpstreamState};
+use ochreshed_mesh::outlier_detection::{OutlierDetector, RequestClass, RunOutcome};
+use ochreshed_mesh::retry_shares::RetryShares;
 use tokio::sync::{Semaphore, oneshot};
 use tokio::time::timeout_at;
 
@@ -107,7 +107,7 @@
     zone: String,
     edition: String,
     slots: u32,
-    stand: Stand,
+    stand: UpstreamState,
     number: u64,
     cold_ms: u64,
     told: Nanos,
@@ -166,11 +166,11 @@
     /// Reqs that wait for a slot or are in one.
     inside: AtomicUsize,
     /// Those at the upstream now, and who waits to be one of them.
-    slots: Mutex<Slots<Waits>>,
+    slots: Mutex<AdmissionQueue<Waits>>,
     /// How the upstream does, by how its runs end.
-    health: Mutex<Health>,
+    health: Mutex<OutlierDetector>,
     /// What members may have of the slots, by the configuration in force here.
-    shares: ArcSwap<Shares>,
+    shares: ArcSwap<RetryShares>,
     /// Where large answers to other machines go, and the mean size of one.
     lane: Arc<Lane>,
     large: Mutex<f64>,
@@ -230,7 +230,7 @@
 struct Run(Arc<Door>, u64);
 
 impl Run {
-    fn ended(self, ran: Ran) {
+    fn ended(self, ran: RunOutcome) {
         let now = self.0.clock.now();
         held(&self.0.health).end(now, self.1, ran);
         self.0.look(now);
@@ -239,7 +239,7 @@
 
 impl Drop for Run {
     fn drop(&mut self) {
-        held(&self.0.health).end(self.0.clock.now(), self.1, Ran::Nothing);
+        held(&self.0.health).end(self.0.clock.now(), self.1, RunOutcome::Abandoned);
     }
 }
 
@@ -282,38 +282,38 @@
     }
 
     /// The row that tells of this place.
-    pub fn row(&self) -> Row {
+    pub fn row(&self) -> EndpointRecord {
         let state = held(&self.state);
-        let mut row = Row {
-            door: self.at,
-            life: state.life,
-            number: state.number,
+        let mut row = EndpointRecord {
+            inbound_proxy: self.at,
+            incarnation: state.life,
+            sequence: state.number,
             zone: self.zone.clone(),
-            line: String::new(),
-            id: String::new(),
-            edition: String::new(),
-            stand: Stand::None,
-            slots: 0,
-            cold_ms: 0,
-            calls: self.calls.load(Relaxed),
-            serving: self.serving.load(Relaxed),
-            ill: held(&self.health).ill(),
+            service: String::new(),
+            upstream_id: String::new(),
+            software_version: String::new(),
+            state: UpstreamState::Absent,
+            concurrency_limit: 0,
+            warming_up_ms: 0,
+            calls_services: self.calls.load(Relaxed),
+            accepts_clients: self.serving.load(Relaxed),
+            health: held(&self.health).health(),
         };
         if let Some(upstream) = &state.upstream {
-            row.line = upstream.line.clone();
-            row.id = upstream.id.clone();
-            row.edition = upstream.edition.clone();
-            row.stand = upstream.stand;
-            row.slots = upstream.slots;
+            row.service = upstream.line.clone();
+            row.upstream_id = upstream.id.clone();
+            row.software_version = upstream.edition.clone();
+            row.state = upstream.stand;
+            row.concurrency_limit = upstream.slots;
             let since = (self.clock.now() - upstream.told) / MS;
-            row.cold_ms = upstream.cold_ms.saturating_sub(since);
+            row.warming_up_ms = upstream.cold_ms.saturating_sub(since);
         }
         row
     }
 
     /// Whether the upstream beside it has ended in order.
     pub fn signed_off(&self) -> bool {
-        held(&self.state).upstream.as_ref().is_some_and(|upstream| upstream.stand == Stand::None)
+        held(&self.state).upstream.as_ref().is_some_and(|upstream| upstream.stand == UpstreamState::Absent)
     }
 
     pub fn knows(&self) -> bool {
@@ -322,8 +322,8 @@
 
     /// After a start: the row that others still hold of this place tells of an upstream, and one probe tells whether it
     /// still stands. Guards against a door that knows nothing until the next beat.
-    pub async fn find_again(self: Arc<Self>, row: Row, health: String) {
-        let Some(app) = self.app.filter(|_| row.stand != Stand::None) else { return };
+    pub async fn find_again(self: Arc<Self>, row: EndpointRecord, health: String) {
+        let Some(app) = self.app.filter(|_| row.state != UpstreamState::Absent) else { return };
         let line = self.line_to(app);
         let mut head = hyper::Request::new(());
         match health.parse() {
@@ -340,22 +340,22 @@
         };
         // What a health page says of its upstream may be wrong, and a life that closes never opens again. Only the next
         // beat tells.
-        if field(&head.headers, &DELIVERED_BY) != row.id || !head.status.is_success() {
+        if field(&head.headers, &DELIVERED_BY) != row.upstream_id || !head.status.is_success() {
             return;
         }
         let now = self.clock.now();
         let mut state = held(&self.state);
-        if state.upstream.is_some() || state.past.contains(&row.id) {
+        if state.upstream.is_some() || state.past.contains(&row.upstream_id) {
             return;
         }
-        let (stand, closing) = (row.stand, row.stand == Stand::Closing);
-        log::info!("upstream {} of {}: found again, {stand:?}", row.id, row.line);
+        let (stand, closing) = (row.state, row.state == UpstreamState::Draining);
+        log::info!("upstream {} of {}: found again, {stand:?}", row.upstream_id, row.service);
         state.upstream = Some(Upstream {
-            id: row.id,
-            line: row.line,
+            id: row.upstream_id,
+            line: row.service,
             zone: row.zone,
-            edition: row.edition,
-            slots: row.slots,
+            edition: row.software_version,
+            slots: row.concurrency_limit,
             stand,
             number: 0,
             cold_ms: 0,
@@ -363,24 +363,24 @@
             closing_since: closing.then_some(now),
             to: line,
         });
-        held(&self.slots).set(row.slots);
+        held(&self.slots).set(row.concurrency_limit);
         drop(state);
         self.touch();
     }
 
     /// What others hold of this place from an earlier life of this process: a life of the upstream that was closing or
     /// gone then is so now, whatever a beat that came late has told since. The acknowledgement of its drain binds.
-    pub fn heard_of_before(&self, id: &str, stand: Stand) {
+    pub fn heard_of_before(&self, id: &str, stand: UpstreamState) {
         let mut state = held(&self.state);
-        if stand == Stand::Open || id.is_empty() {
+        if stand == UpstreamState::Serving || id.is_empty() {
             return;
         }
-        if stand == Stand::None {
+        if stand == UpstreamState::Absent {
             state.end_life(id);
         }
         let over = self.clock.now().saturating_sub(self.drain.as_nanos() as Nanos);
         let Some(upstream) = &mut state.upstream else { return };
-        if upstream.id != id || upstream.stand != Stand::Open {
+        if upstream.id != id || upstream.stand != UpstreamState::Serving {
             return;
         }
         (upstream.stand, upstream.closing_since) = (stand, Some(over));
@@ -463,7 +463,11 @@
             return Err("no line");
         }
         let number = status["postmark_seq"].as_u64().unwrap_or(0);
-        let stand = if status["state"].as_str() == Some("closing") { Stand::Closing } else { Stand::Open };
+        let stand = if status["state"].as_str() == Some("closing") {
+            UpstreamState::Draining
+        } else {
+            UpstreamState::Serving
+        };
         let cold_ms = status["cold_left_ms"].as_f64().unwrap_or(0.0).clamp(0.0, 600_000.0) as u64;
         let slots = notice["pigeonholes"].as_u32().unwrap_or(1).clamp(1, 100_000);
         let (zone, edition) = (word(notice, "zone"), word(notice, "edition"));
@@ -490,8 +494,8 @@
             None => (self.line_to(address), None),
         };
         // Once closing, it does not open again in one life.
-        let stand = if closing_since.is_some() { Stand::Closing } else { stand };
-        let closing_since = closing_since.or((stand == Stand::Closing).then_some(now));
+        let stand = if closing_since.is_some() { UpstreamState::Draining } else { stand };
+        let closing_since = closing_since.or((stand == UpstreamState::Draining).then_some(now));
         let same = was.as_ref().is_some_and(|was| {
             was.id == of
                 && was.stand == stand
@@ -515,7 +519,7 @@
         state.upstream = Some(upstream);
         drop(state);
         if was.is_none_or(|was| was.id != of) {
-            held(&self.health).anew();
+            held(&self.health).reset();
         }
         if !same {
             let mut all = held(&self.slots);
@@ -537,10 +541,10 @@
         let mut state = held(&self.state);
         state.end_life(of);
         let Some(upstream) = &mut state.upstream else { return };
-        if upstream.id != of || upstream.stand == Stand::None {
+        if upstream.id != of || upstream.stand == UpstreamState::Absent {
             return;
         }
-        upstream.stand = Stand::None;
+        upstream.stand = UpstreamState::Absent;
         upstream.to.shut();
         log::info!("upstream {of}: signed off");
         drop(state);
@@ -552,9 +556,9 @@
         let mut state = held(&self.state);
         if let Some(upstream) = &mut state.upstream
             && upstream.id == id
-            && upstream.stand == Stand::Open
+            && upstream.stand == UpstreamState::Serving
         {
-            upstream.stand = Stand::Closing;
+            upstream.stand = UpstreamState::Draining;
             upstream.closing_since = Some(self.clock.now());
             log::info!("upstream {id}: drained by an operator");
             drop(state);
@@ -589,15 +593,15 @@
     }
 
     /// The configuration in force here tells what members may have of the slots.
-    pub fn know_shares(&self, shares: &Arc<Shares>) {
+    pub fn know_shares(&self, shares: &Arc<RetryShares>) {
         self.shares.store(shares.clone());
     }
 
     /// What a member may have here: the word of the configuration in force on this machine, else of the gate's. Guards
     /// against gates that are cut off and don't know yet that the platform gave it less.
-    fn part(&self, told: Part) -> Part {
+    fn part(&self, told: MemberShare) -> MemberShare {
         let share = self.shares.load().get(&told.member).map(|share| share.slots);
-        Part { share: share.unwrap_or(told.share), ..told }
+        MemberShare { share: share.unwrap_or(told.share), ..told }
     }
 
     /// How many reqs are inside.
@@ -612,7 +616,11 @@
     }
 
     /// Gives free places to those that wait, to be sent to them once the lock is free.
-    fn hand_on(self: &Arc<Self>, slots: &mut Slots<Waits>, now: Nanos) -> Vec<(oneshot::Sender<Slot>, Slot)> {
+    fn hand_on(
+        self: &Arc<Self>,
+        slots: &mut AdmissionQueue<Waits>,
+        now: Nanos,
+    ) -> Vec<(oneshot::Sender<Slot>, Slot)> {
         let mut handed = Vec::new();
         slots.forget(|(waiting, _)| waiting.is_closed());
         while let Some((waiting, member)) = slots.next(now) {
@@ -645,15 +653,21 @@
         let member = part.as_ref().map(|part| part.member.clone());
         let waits = {
             let mut wait = None;
-            let asker = Asker { call, turned, tied, aim, until };
+            let asker = AdmissionRequest {
+                is_nested: call,
+                rejections: turned,
+                has_affinity: tied,
+                target: aim,
+                deadline: until,
+            };
             let way = held(&self.slots).ask_of(now, &asker, part.as_ref(), || {
                 let (send, waits) = oneshot::channel();
                 wait = Some(waits);
                 (send, member.clone())
             });
             match (way, wait) {
-                (Way::In, _) => Ok(Slot(self.clone(), 0, member)),
-                (Way::Waits(last), Some(wait)) => Err((last, wait)),
+                (Admission::Admitted, _) => Ok(Slot(self.clone(), 0, member)),
+                (Admission::Queued(last), Some(wait)) => Err((last, wait)),
                 _ => return End::Turned,
             }
         };
@@ -691,16 +705,16 @@
         // An answer that names another req belongs to that one.
         let ours = |head: &Parts| head.headers.get(&ID) == id.as_ref();
         slot.1 = self.clock.now();
-        let run = self.begins(slot.1, Sort { member: slot.2.clone(), call, large });
+        let run = self.begins(slot.1, RequestClass { member: slot.2.clone(), call, large });
         let answer = to.exchange(message, &fields, until, Some(Box::new(slot)), ours).await;
         let (mut head, flow) = match answer {
             Ok(answer) => answer,
             Err(fail) => {
                 let (ran, end) = match fail {
-                    Fail::NoConnection => (Ran::NoConnection, End::Unreachable),
-                    Fail::NotSent => (Ran::Nothing, End::Unsent),
-                    Fail::Reset => (Ran::Failed, End::Reset),
-                    Fail::Late => (Ran::Nothing, End::Late),
+                    Fail::NoConnection => (RunOutcome::NoConnection, End::Unreachable),
+                    Fail::NotSent => (RunOutcome::Abandoned, End::Unsent),
+                    Fail::Reset => (RunOutcome::Failed, End::Reset),
+                    Fail::Late => (RunOutcome::Abandoned, End::Late),
                 };
                 run.ended(ran);
                 return end;
@@ -711,20 +725,20 @@
             return End::Gone;
         }
         if head.headers.contains_key(&NOT_RUN) {
-            run.ended(Ran::Failed);
+            run.ended(RunOutcome::Failed);
             return End::Full;
         }
         let stamped = head.headers.contains_key(&STAMP);
         let coded = head.headers.contains_key(CONTENT_ENCODING);
         if coded || (head.status.is_success() && !stamped) {
-            run.ended(Ran::Failed);
+            run.ended(RunOutcome::Failed);
             return End::Reset;
         }
         run.ended(match head.status {
             // At its deadline a run has failed for want of time.
-            StatusCode::GATEWAY_TIMEOUT => Ran::Nothing,
-            status if status.is_server_error() => Ran::Failed,
-            _ => Ran::Well,
+            StatusCode::GATEWAY_TIMEOUT => RunOutcome::Abandoned,
+            status if status.is_server_error() => RunOutcome::Failed,
+            _ => RunOutcome::Succeeded,
         });
         if large && let Some(size) = flow.size_hint().exact() {
             let mut mean = held(&self.large);
@@ -736,7 +750,7 @@
         End::Ran(head, flow.holding(inside))
     }
 
-    fn begins(self: &Arc<Self>, now: Nanos, sort: Sort) -> Run {
+    fn begins(self: &Arc<Self>, now: Nanos, sort: RequestClass) -> Run {
         let run = held(&self.health).begin(now, sort);
         self.look(now);
         Run(self.clone(), run)
@@ -745,11 +759,15 @@
     /// Tells how the upstream does where that has changed.
     fn look(&self, now: Nanos) {
         let mut health = held(&self.health);
-        let (was, ill) = (health.ill(), health.look(now));
+        let (was, ill) = (health.health(), health.update(now));
         drop(health);
         if was != ill {
             let name = self.line().unwrap_or_default();
-            log::info!("upstream of {name}: fails at level {}, slow at level {}", ill.fails, ill.slow);
+            log::info!(
+                "upstream of {name}: fails at level {}, slow at level {}",
+                ill.failure_level,
+                ill.latency_level
+            );
             self.touch();
         }
     }
@@ -785,7 +803,7 @@
         let upstream = state.upstream.as_ref()?;
         let over = |since: Nanos| self.clock.now() > since + (self.drain / DRAIN_PART).as_nanos() as Nanos;
         let takes = upstream.id == meant
-            && upstream.stand != Stand::None
+            && upstream.stand != UpstreamState::Absent
             && !upstream.closing_since.is_some_and(over);
         takes.then(|| upstream.to.clone())
     }
--- a/balancer/src/mesh/door_tests.rs
+++ b/balancer/src/mesh/door_tests.rs
@@ -1,7 +1,7 @@
 //! The door by itself, on loopback, before stand-in upstreams that answer when the test lets them, lie about their health
 //! or forget connections: who is let through, and what is told of one that was not answered.
 
-use ochreshed_mesh::timetable::Share;
+use ochreshed_mesh::configuration::Share;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
 
@@ -42,7 +42,7 @@
     id: &str,
     (turned, late_ms): (u32, u64),
     pass: Option<Pass>,
-    part: Option<Part>,
+    part: Option<MemberShare>,
 ) -> tokio::task::JoinHandle<&'static str> {
     let mut head = hyper::Request::new(());
     head.headers_mut().insert(ID, HeaderValue::try_from(id).expect("an id"));
@@ -159,7 +159,7 @@
 #[tokio::test]
 async fn a_members_reqs_hold_their_part_of_the_slots_as_the_door_knows_it() {
     let (door, upstream) = door(4).await;
-    let part = |share| Some(Part { member: "norte".into(), share });
+    let part = |share| Some(MemberShare { member: "norte".into(), share });
     let mut hang = Vec::new();
     let mut runs = Vec::new();
     for id in ["a", "b"] {
@@ -230,17 +230,17 @@
         }
     };
     ran(40, &|_| "200 OK").await;
-    let number = door.row().number;
-    assert!(door.row().ill.is_well());
+    let number = door.row().sequence;
+    assert!(door.row().health.is_healthy());
     ran(24, &|nth| ["500 Broken", "200 OK"][nth % 2]).await;
     let row = door.row();
-    assert!(row.ill.fails >= 1 && row.number > number, "{row:?}");
+    assert!(row.health.failure_level >= 1 && row.sequence > number, "{row:?}");
     // Beats say that it is well, and count for nothing here.
     let app = upstream.local_addr().expect("its address");
     beat(&door, app, "i-1", 2, 2, "open_for_post");
-    assert_eq!(door.row().ill, row.ill);
+    assert_eq!(door.row().health, row.health);
     beat(&door, app, "i-2", 1, 2, "open_for_post");
-    assert!(door.row().ill.is_well());
+    assert!(door.row().health.is_healthy());
 }
 
 #[tokio::test]
@@ -252,7 +252,7 @@
     // A late beat of the life before brings nothing back.
     beat(&door, app, "i-1", 9, 2, "open_for_post");
     assert_eq!(knock(&door, "a", 0, 10_000).await.expect("no panic"), "gone");
-    assert_eq!(door.row().id, "i-2");
+    assert_eq!(door.row().upstream_id, "i-2");
 }
 
 /// Guards against an upstream that signs off without a word of closing, whose last beat comes seconds late: to this
@@ -270,19 +270,19 @@
     beat(&door, app, "i-1", 9, 2, "open_for_post");
     assert_eq!(knock(&door, "a", 0, 10_000).await.expect("no panic"), "gone");
     // Signed off, or closing, at an earlier life of this process, as others tell; before that beat or after it.
-    for stand in [Stand::None, Stand::Closing] {
+    for stand in [UpstreamState::Absent, UpstreamState::Draining] {
         let (door, _, app) = silent_door().await;
         beat(&door, app, "i-1", 9, 2, "open_for_post");
-        assert_eq!(door.row().stand, Stand::Open);
+        assert_eq!(door.row().state, UpstreamState::Serving);
         door.heard_of_before("i-1", stand);
         beat(&door, app, "i-1", 10, 2, "open_for_post");
         assert_eq!(knock(&door, "a", 0, 10_000).await.expect("no panic"), "gone", "{stand:?}");
         // Another life is not meant.
         beat(&door, app, "i-2", 1, 2, "open_for_post");
-        assert_eq!(door.row().stand, Stand::Open);
+        assert_eq!(door.row().state, UpstreamState::Serving);
     }
     let (door, _, app) = silent_door().await;
-    door.heard_of_before("i-1", Stand::None);
+    door.heard_of_before("i-1", UpstreamState::Absent);
     beat(&door, app, "i-1", 9, 2, "open_for_post");
     assert_eq!(knock(&door, "a", 0, 10_000).await.expect("no panic"), "gone");
 }
@@ -292,8 +292,8 @@
     let (door, upstream) = door(2).await;
     let run = knock(&door, "f00", 0, 10_000);
     let at_upstream = next(&upstream).await;
-    assert_eq!((door.saw(b"f00"), door.saw(b"f001.2"), door.row().calls), (None, None, false));
-    assert_eq!((door.saw(b"f00.2"), door.row().calls), (Some(false), true));
+    assert_eq!((door.saw(b"f00"), door.saw(b"f001.2"), door.row().calls_services), (None, None, false));
+    assert_eq!((door.saw(b"f00.2"), door.row().calls_services), (Some(false), true));
     answer(at_upstream).await;
     assert_eq!(run.await.expect("no panic"), "ran");
     assert_eq!(door.saw(b"f00.3"), None);
@@ -304,26 +304,36 @@
 #[tokio::test]
 async fn what_a_health_page_says_wrongly_lasts_until_the_next_beat() {
     let cases = [
-        ("200 OK", "i-1", Stand::Open, Stand::Open),
-        ("200 OK", "i-1", Stand::Closing, Stand::Closing),
-        ("200 OK", "i-0", Stand::Open, Stand::None),
-        ("500 Broken", "i-1", Stand::Open, Stand::None),
-        ("503 Not now", "i-1", Stand::Open, Stand::None),
+        ("200 OK", "i-1", UpstreamState::Serving, UpstreamState::Serving),
+        ("200 OK", "i-1", UpstreamState::Draining, UpstreamState::Draining),
+        ("200 OK", "i-0", UpstreamState::Serving, UpstreamState::Absent),
+        ("500 Broken", "i-1", UpstreamState::Serving, UpstreamState::Absent),
+        ("503 Not now", "i-1", UpstreamState::Serving, UpstreamState::Absent),
     ];
     for (status, by, stand, found) in cases {
         let (door, upstream, app) = silent_door().await;
-        let row = Row { line: "x".into(), id: "i-1".into(), stand, slots: 1, ..door.row() };
+        let row = EndpointRecord {
+            service: "x".into(),
+            upstream_id: "i-1".into(),
+            state: stand,
+            concurrency_limit: 1,
+            ..door.row()
+        };
         let finds = tokio::spawn(door.clone().find_again(row, "/health".into()));
         let (mut stream, _) = upstream.accept().await.expect("a probe");
         let head = format!("HTTP/1.1 {status}\r\nochreshed-delivered-by: {by}\r\nconnection: close");
         let answer = format!("{head}\r\ncontent-length: 0\r\n\r\n");
         stream.write_all(answer.as_bytes()).await.expect("written");
         finds.await.expect("no panic");
-        assert_eq!(door.row().stand, found, "{status} of {by}");
+        assert_eq!(door.row().state, found, "{status} of {by}");
         // What it tells itself counts; only what closes stays closed.
         beat(&door, app, "i-1", 1, 1, "open_for_post");
-        let takes = stand == Stand::Open;
-        assert_eq!(door.row().stand, if takes { Stand::Open } else { Stand::Closing }, "{status} of {by}");
+        let takes = stand == UpstreamState::Serving;
+        assert_eq!(
+            door.row().state,
+            if takes { UpstreamState::Serving } else { UpstreamState::Draining },
+            "{status} of {by}"
+        );
         if takes {
             let sent = knock(&door, "a", 0, 10_000);
             answer_next(&upstream).await;
--- a/balancer/src/mesh/gate.rs
+++ b/balancer/src/mesh/gate.rs
@@ -11,9 +11,9 @@
 use hyper::{Response, StatusCode};
 use ochreshed::{How, Name, Nanos, Req, seconds};
 use ochreshed_consensus::messages::{CoreResponse, LeaseKey, LeaseOutcome, LeaseToken, StoredResponse};
-use ochreshed_mesh::fared::{Edition, Fared};
-use ochreshed_mesh::slots::Part;
-use ochreshed_mesh::timetable::{Kind, Route};
+use ochreshed_mesh::admission::MemberShare;
+use ochreshed_mesh::configuration::{RepeatPolicy, Route};
+use ochreshed_mesh::outcome_counts::{OutcomeCounts, RouteEdition};
 use tokio::sync::oneshot;
 
 use super::attendant::{Branch, Inside};
@@ -79,7 +79,7 @@
         message.head.headers_mut().remove(name);
     }
     let ends_by = branch.ends_by();
-    if route.kind == Kind::OutboundPost && ends_by < at + LARGE_NEEDS {
+    if route.kind == RepeatPolicy::OutboundPost && ends_by < at + LARGE_NEEDS {
         return deny(COME_BACK);
     }
     let ends = (at + left.min(route.deadline_ms) * MS).min(ends_by).saturating_sub(WAY_BACK);
@@ -103,7 +103,7 @@
         key,
         person,
     };
-    let answer = match key.filter(|_| route.kind == Kind::Registered) {
+    let answer = match key.filter(|_| route.kind == RepeatPolicy::Registered) {
         Some(key) => {
             // Goes on to its end though its client goes: its outcome is its key's.
             let (send, got) = oneshot::channel();
@@ -250,7 +250,7 @@
     branch: Arc<Branch>,
     route: Arc<Route>,
     /// Whose routes it is counted with; none of the platform's.
-    edition: Option<Edition>,
+    edition: Option<RouteEdition>,
     message: Arc<Message>,
     ends: Nanos,
     at: Nanos,
@@ -269,11 +269,15 @@
     async fn run(&self) -> Outcomes {
         let outcome = self.go().await;
         let well = matches!(&outcome, Outcomes::Answer(head, _) if well(head));
-        self.fared(Fared { well: well.into(), failed: (!well).into(), ..Fared::default() });
+        self.fared(OutcomeCounts {
+            succeeded: well.into(),
+            failed: (!well).into(),
+            ..OutcomeCounts::default()
+        });
         outcome
     }
 
-    fn fared(&self, fared: impl Into<Fared>) {
+    fn fared(&self, fared: impl Into<OutcomeCounts>) {
         if let Some(edition) = &self.edition {
             self.branch.fared(edition, fared.into());
         }
@@ -281,7 +285,7 @@
 
     async fn go(&self) -> Outcomes {
         let Some(line) = self.branch.split(&self.route) else { return Outcomes::Deny(COME_BACK) };
-        let large = self.route.kind == Kind::OutboundPost;
+        let large = self.route.kind == RepeatPolicy::OutboundPost;
         let Some(desk) = self.branch.desk(&line, &self.route) else { return Outcomes::Deny(COME_BACK) };
         let mut bound = self.session(&desk, &line, !large).await;
         let pass = bound.as_ref().map(|bound| bound.pass);
@@ -333,7 +337,7 @@
                     sent += u32::from(!matches!(end, End::Turned | End::Fenced(_)));
                     if matches!(end, End::Turned) {
                         turned += 1;
-                        self.fared(Fared { turned: 1, ..Fared::default() });
+                        self.fared(OutcomeCounts { rejected: 1, ..OutcomeCounts::default() });
                     }
                     let took = self.branch.clock.now() - began;
                     let how = match end {
@@ -435,7 +439,8 @@
         let (branch, again, now) = (&self.branch, attempt.again || self.again, self.branch.clock.now());
         let (caller, away) = (branch.caller(), place.door != branch.door_at());
         let (message, meant, aim) = (&self.message, &*place.id, self.aim);
-        let part = self.route.share.as_ref().map(|of| Part { member: of.member.clone(), share: of.slots });
+        let part =
+            self.route.share.as_ref().map(|of| MemberShare { member: of.member.clone(), share: of.slots });
         let request = InboundRequest {
             message,
             meant,
--- a/balancer/src/mesh/gate_tests.rs
+++ b/balancer/src/mesh/gate_tests.rs
@@ -9,11 +9,11 @@
 use expect_test::expect;
 use ochreshed::Name;
 use ochreshed_consensus::messages::{CoreRequest, CoreResponse, LeaseOutcome, RegisterValue, StoredResponse};
-use ochreshed_mesh::fared::{Edition, Fared};
-use ochreshed_mesh::lay::lay;
-use ochreshed_mesh::list::{Row, Stand};
-use ochreshed_mesh::members::{MemberDoc, Register};
-use ochreshed_mesh::timetable::Timetable;
+use ochreshed_mesh::configuration::Configuration;
+use ochreshed_mesh::endpoints::{EndpointRecord, UpstreamState};
+use ochreshed_mesh::members::{MemberDocument, MemberRegister};
+use ochreshed_mesh::outcome_counts::{OutcomeCounts, RouteEdition};
+use ochreshed_mesh::overlay::overlay;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
@@ -22,7 +22,7 @@
 use super::entry::{self, Ajar, Bounds, Came};
 use super::gate;
 use super::settings::Settings;
-use super::wire::{self, Ask, Reply};
+use super::wire::{self, InternalRequest, InternalResponse};
 use crate::clock::Clock;
 use crate::link::held;
 
@@ -147,18 +147,18 @@
     };
     let all: Vec<String> = members.iter().map(member).collect();
     let register = format!(r#"{{"edition":"r1","members":[{}]}}"#, all.join(","));
-    let register = Register::read(register.as_bytes()).expect("a register");
+    let register = MemberRegister::read(register.as_bytes()).expect("a register");
     let doc = |(name, _, target): &(&str, f64, u64)| {
         let text = format!(
             r#"{{"edition":"r4","routes":[{{"name":"again","depot":"one.example","lane_prefix":"/{name}/",
             "route_kind":"resendable","deadline_ms":30000,"target_ms":{target},"post_class":1,"line":"alpha","tries":2}}]}}"#
         );
-        (Name::from(*name), Arc::new(MemberDoc::read(text.as_bytes()).expect("a document")))
+        (Name::from(*name), Arc::new(MemberDocument::read(text.as_bytes()).expect("a document")))
     };
-    let base = Timetable::read(&timetable().bytes).expect("a timetable");
-    let laid = lay(&base, &register, &members.iter().map(doc).collect());
-    assert_eq!(laid.trims, []);
-    InForce::new(laid.timetable, [("norte".into(), (4, true))].into())
+    let base = Configuration::read(&timetable().bytes).expect("a timetable");
+    let laid = overlay(&base, &register, &members.iter().map(doc).collect());
+    assert_eq!(laid.violations, []);
+    InForce::new(laid.configuration, [("norte".into(), (4, true))].into())
 }
 
 impl Rig {
@@ -184,27 +184,27 @@
         for (id, line) in UPSTREAMS {
             let (listener, door) = listen().await;
             tokio::spawn(doors(listener, id, seen.clone(), wait.clone()));
-            rows.push(Row {
-                door,
-                life: 1,
-                number: 1,
+            rows.push(EndpointRecord {
+                inbound_proxy: door,
+                incarnation: 1,
+                sequence: 1,
                 zone: "a".into(),
-                line: line.into(),
-                id: id.into(),
-                edition: "v1".into(),
-                stand: Stand::Open,
-                slots: 6,
-                cold_ms: 0,
-                calls: false,
-                serving: true,
-                ill: Default::default(),
+                service: line.into(),
+                upstream_id: id.into(),
+                software_version: "v1".into(),
+                state: UpstreamState::Serving,
+                concurrency_limit: 6,
+                warming_up_ms: 0,
+                calls_services: false,
+                accepts_clients: true,
+                health: Default::default(),
             });
         }
         let (inner, steward) = listen().await;
         let asked = seen.clone();
         tokio::spawn(wire::answer(inner, move |ask| {
             let got = steward_says(&mut held(&asked), ask);
-            async move { got.map(Reply::Core) }
+            async move { got.map(InternalResponse::Core) }
         }));
         branch.know_stewards(vec![steward]);
         branch.take_sheet(timetable());
@@ -261,13 +261,13 @@
     format!("POST {path} HTTP/1.1\r\nHost: one.example\r\nOchreshed-Consignment-Id: 7\r\n{more}\r\n")
 }
 
-fn steward_says(seen: &mut Seen, ask: Ask) -> Option<CoreResponse> {
+fn steward_says(seen: &mut Seen, ask: InternalRequest) -> Option<CoreResponse> {
     match ask {
-        Ask::Core(CoreRequest::AcquireLease { .. }) => {
+        InternalRequest::Core(CoreRequest::AcquireLease { .. }) => {
             seen.asked += 1;
             Some(seen.claims.pop_front().unwrap_or(CoreResponse::Unavailable))
         }
-        Ask::Core(CoreRequest::CompleteLease { outcome, .. }) => {
+        InternalRequest::Core(CoreRequest::CompleteLease { outcome, .. }) => {
             seen.settled.push(outcome);
             Some(CoreResponse::Accepted)
         }
@@ -482,14 +482,14 @@
     }
     expect![[r#"
         done: 201 "the first", a stamp, 0 sent, freed
-        Held(Open): 409 "a req with this key is at work", no stamp, 0 sent, freed
-        Held(Unknown): 502 "a req with this key may have run", no stamp, 0 sent, freed
-        Unsure: 503 "not run: come back", no stamp, 0 sent, freed
-        Granted: 200 "ran", a stamp, 1 sent, 200 "ran" true 1
-        Granted: 502 "it may have run", no stamp, 1 sent, Unknown
-        Granted: 200 "xxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxx", a stamp, 1 sent, Unknown
-        Granted: 502 "it may have run", no stamp, 1 sent, Unknown
-        Granted: 503 "not run: come back", no stamp, 2 sent, freed
+        LeaseHeld(Pending): 409 "a req with this key is at work", no stamp, 0 sent, freed
+        LeaseHeld(Indeterminate): 502 "a req with this key may have run", no stamp, 0 sent, freed
+        Unavailable: 503 "not run: come back", no stamp, 0 sent, freed
+        LeaseGranted: 200 "ran", a stamp, 1 sent, 200 "ran" true 1
+        LeaseGranted: 502 "it may have run", no stamp, 1 sent, Indeterminate
+        LeaseGranted: 200 "xxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxx", a stamp, 1 sent, Indeterminate
+        LeaseGranted: 502 "it may have run", no stamp, 1 sent, Indeterminate
+        LeaseGranted: 503 "not run: come back", no stamp, 2 sent, freed
     "#]]
     .assert_eq(&all);
     // Only registered routes know keys.
@@ -695,17 +695,27 @@
     // What is told of it: by service in all, and by member.
     let report = rig.branch.report();
     let again = (norte - 100) as u32;
-    let figures: Vec<_> = report.spending.iter().map(|(name, of)| (&**name, of.first, of.again)).collect();
+    let figures: Vec<_> = report.services.iter().map(|(name, of)| (&**name, of.first, of.retried)).collect();
     assert_eq!(figures, [("alpha", 260, again + 4)]);
-    let of = |member: &str, number, trial| Edition { member: member.into(), number, trial };
+    let of =
+        |member: &str, number, trial| RouteEdition { member: member.into(), version: number, canary: trial };
     let told = [
         (
             of("norte", 4, true),
-            Fared { first: 100, again, refused: 100 - again, failed: 100, ..Fared::default() },
+            OutcomeCounts {
+                first: 100,
+                retried: again,
+                denied: 100 - again,
+                failed: 100,
+                ..OutcomeCounts::default()
+            },
+        ),
+        (
+            of("sul", 0, false),
+            OutcomeCounts { first: 50, retried: 2, succeeded: 50, ..OutcomeCounts::default() },
         ),
-        (of("sul", 0, false), Fared { first: 50, again: 2, well: 50, ..Fared::default() }),
     ];
-    assert_eq!(report.members, told);
+    assert_eq!(report.outcomes, told);
 }
 
 /// Guards against a member's change that makes another's module, or the platform's, begin anew.
--- a/balancer/src/mesh/inbound_request.rs
+++ b/balancer/src/mesh/inbound_request.rs
@@ -5,7 +5,7 @@
 
 use hyper::header::{HeaderMap, HeaderValue};
 use ochreshed::Nanos;
-use ochreshed_mesh::slots::Part;
+use ochreshed_mesh::admission::MemberShare;
 
 use super::fence::Pass;
 use super::headers::TERMS;
@@ -41,7 +41,7 @@
     pub aim: Nanos,
     pub until: Nanos,
     /// What the member whose route it came by may have here.
-    pub part: Option<Part>,
+    pub part: Option<MemberShare>,
 }
 
 /// What of it is told on the wire.
@@ -53,7 +53,7 @@
     pub again: bool,
     pub call: bool,
     pub large: bool,
-    pub part: Option<Part>,
+    pub part: Option<MemberShare>,
 }
 
 impl InboundRequest<'_> {
@@ -89,7 +89,7 @@
         let [again, call, large, tied] = ['a', 'c', 'l', 't'].map(|letter| letters.contains(letter));
         let share = parts.next().and_then(|part| part.parse().ok());
         let member = parts.next().filter(|name| !name.is_empty() && name.len() <= MAX_NAME);
-        let part = share.zip(member).map(|(share, name)| Part { member: name.into(), share });
+        let part = share.zip(member).map(|(share, name)| MemberShare { member: name.into(), share });
         Terms { aim_ms, turned, tied, again, call, large, part }
     }
 }
--- a/balancer/src/mesh/keys.rs
+++ b/balancer/src/mesh/keys.rs
@@ -8,11 +8,11 @@
 
 use futures_util::stream::{FuturesUnordered, StreamExt};
 use ochreshed_consensus::messages::{CoreRequest, CoreResponse, LeaseKey, LeaseOutcome, LeaseToken};
-use ochreshed_mesh::news::Known;
+use ochreshed_mesh::watch_client::ReplicaDirectory;
 use tokio::time::{sleep, sleep_until};
 use xxhash_rust::xxh3::xxh3_128;
 
-use super::wire::{Ask, Callers, Reply};
+use super::wire::{Callers, InternalRequest, InternalResponse};
 use crate::clock::Clock;
 use crate::link::held;
 
@@ -29,7 +29,7 @@
 /// The stewards that are known, for all that ask them.
 pub struct Stewards {
     clock: Clock,
-    known: Mutex<Known>,
+    known: Mutex<ReplicaDirectory>,
 }
 
 impl Stewards {
@@ -38,11 +38,11 @@
     }
 
     pub fn know(&self, all: impl IntoIterator<Item = SocketAddr>) {
-        held(&self.known).know(all);
+        held(&self.known).set_replicas(all);
     }
 
     pub fn all(&self) -> Vec<SocketAddr> {
-        held(&self.known).all()
+        held(&self.known).replicas()
     }
 
     pub fn failed(&self, steward: SocketAddr) {
@@ -55,7 +55,7 @@
 
     /// In the order in which a key's duty falls to them.
     pub fn by_key(&self, key: LeaseKey) -> Vec<SocketAddr> {
-        held(&self.known).by_key(self.clock.now(), key)
+        held(&self.known).replicas_for_key(self.clock.now(), key)
     }
 }
 
@@ -75,7 +75,8 @@
     loop {
         if let Some(steward) = next.next() {
             let call = async move {
-                let ask = Ask::Core(CoreRequest::AcquireLease { key, token, time_left_ms: left_ms });
+                let ask =
+                    InternalRequest::Core(CoreRequest::AcquireLease { key, token, time_left_ms: left_ms });
                 (steward, callers.to(steward).call(ask, within).await)
             };
             silent.push(steward);
@@ -88,8 +89,8 @@
             Some((steward, reply)) = out.next(), if !out.is_empty() => {
                 silent.retain(|silent| *silent != steward);
                 match reply {
-                    Ok(Reply::Core(CoreResponse::Unavailable)) => {}
-                    Ok(Reply::Core(got)) => {
+                    Ok(InternalResponse::Core(CoreResponse::Unavailable)) => {}
+                    Ok(InternalResponse::Core(got)) => {
                         stewards.replied(steward);
                         // Those asked before it that said nothing: others are asked first for a while.
                         silent.into_iter().for_each(|silent| stewards.failed(silent));
@@ -116,8 +117,14 @@
     tokio::spawn(async move {
         for round in 0..SETTLES {
             for steward in stewards.by_key(key) {
-                let ask = Ask::Core(CoreRequest::CompleteLease { key, token, outcome: outcome.clone() });
-                if let Ok(Reply::Core(CoreResponse::Accepted)) = callers.to(steward).call(ask, SETTLE).await {
+                let ask = InternalRequest::Core(CoreRequest::CompleteLease {
+                    key,
+                    token,
+                    outcome: outcome.clone(),
+                });
+                if let Ok(InternalResponse::Core(CoreResponse::Accepted)) =
+                    callers.to(steward).call(ask, SETTLE).await
+                {
                     return;
                 }
                 stewards.failed(steward);
--- a/balancer/src/mesh/members.rs
+++ b/balancer/src/mesh/members.rs
@@ -14,12 +14,12 @@
 use hyper::header::HeaderValue;
 use ochreshed::Name;
 use ochreshed_consensus::messages::{CoreRequest, CoreResponse, NamedRegister, RegisterValue};
-use ochreshed_mesh::calls::Carried;
-use ochreshed_mesh::fared::{Edition, Fared};
-use ochreshed_mesh::lay;
-use ochreshed_mesh::members::{Member, MemberDoc, Register};
-use ochreshed_mesh::timetable::Timetable;
-use ochreshed_mesh::trial::{Ended, Verdict, verdict};
+use ochreshed_mesh::canary::{RequestOutcomes, Verdict, verdict};
+use ochreshed_mesh::configuration::Configuration;
+use ochreshed_mesh::internal_rpc::AppliedEditions;
+use ochreshed_mesh::members::{Member, MemberDocument, MemberRegister};
+use ochreshed_mesh::outcome_counts::{OutcomeCounts, RouteEdition};
+use ochreshed_mesh::overlay;
 use serde_json::json;
 use sha2::{Digest, Sha256};
 use tokio::sync::Semaphore;
@@ -29,7 +29,7 @@
 use super::docs::{self, Docs, Own, REGISTER};
 use super::entry::{Came, json as answer, say};
 use super::steward::{OPERATOR, Office, read_body};
-use super::wire::{Ask, Reply};
+use super::wire::{InternalRequest, InternalResponse};
 use crate::link::held;
 
 const KEY: &str = "ochreshed-member-key";
@@ -46,7 +46,7 @@
     /// What is safe here, read.
     docs: Mutex<Arc<Docs>>,
     /// By door, as its attendant told.
-    carried: Mutex<HashMap<SocketAddr, Carried>>,
+    carried: Mutex<HashMap<SocketAddr, AppliedEditions>>,
     /// When the core was last asked for the register, for a key that is not known here.
     asked: tokio::sync::Mutex<Option<Instant>>,
     /// Of each member, one change at a time, and when the last ones were.
@@ -83,7 +83,7 @@
     }
 
     /// What nodes told, of those that are there.
-    pub fn carry(&self, door: SocketAddr, carried: Carried) {
+    pub fn carry(&self, door: SocketAddr, carried: AppliedEditions) {
         held(&self.carried).insert(door, carried);
     }
 
@@ -93,7 +93,7 @@
 
     pub fn nodes_of(&self, member: &str) -> Vec<(SocketAddr, u64, bool)> {
         let carried = held(&self.carried);
-        let of = |(door, all): (&SocketAddr, &Carried)| {
+        let of = |(door, all): (&SocketAddr, &AppliedEditions)| {
             let (_, edition, trial) = all.iter().find(|(name, ..)| **name == *member)?;
             Some((*door, *edition, *trial))
         };
@@ -143,8 +143,8 @@
 
 /// What more than half of the core holds.
 struct Newest {
-    timetable: Timetable,
-    register: Register,
+    timetable: Configuration,
+    register: MemberRegister,
     own: Own,
     /// As they were sent.
     settled: Option<Arc<RegisterValue>>,
@@ -186,8 +186,8 @@
 }
 
 async fn replace_register(office: &Office, bytes: Vec<u8>) -> Answer {
-    let register =
-        Register::read(&bytes).map_err(|why| Refused::lines(400, why.iter().map(ToString::to_string)))?;
+    let register = MemberRegister::read(&bytes)
+        .map_err(|why| Refused::lines(400, why.iter().map(ToString::to_string)))?;
     keep(office, REGISTER.into(), register.version, bytes).await?;
     Ok("{}".into())
 }
@@ -232,7 +232,7 @@
         "replace" | "plan" => {
             let bytes = read_body(came, &bodies, office.clock).await;
             let bytes = bytes.map_err(|_| Refused::new(400, "the document did not come whole"))?;
-            let doc = MemberDoc::read(&bytes);
+            let doc = MemberDocument::read(&bytes);
             let doc = doc.map_err(|why| Refused::lines(400, why.iter().map(ToString::to_string)))?;
             Some((Arc::new(doc), bytes))
         }
@@ -254,7 +254,7 @@
             if let Some(settled) = &newest.own.settled {
                 all.insert(name.clone(), settled.clone());
             }
-            let plan = lay::plan(&newest.timetable, &newest.register, &all, name, &doc);
+            let plan = overlay::plan(&newest.timetable, &newest.register, &all, name, &doc);
             // What others are trimmed of is not this one's to know.
             let trims = plan.trims.iter().filter(|trim| trim.member == *name);
             Ok(json!({
@@ -311,13 +311,13 @@
     let unread = |_| Refused::new(503, "what the core holds is of a build that differs");
     let Some(timetable) = timetable else { return Err(Refused::new(409, "there is no timetable yet")) };
     let doc = |sheet: &Option<Arc<RegisterValue>>| {
-        let read = sheet.as_ref().map(|sheet| MemberDoc::read(&sheet.bytes).map(Arc::new));
+        let read = sheet.as_ref().map(|sheet| MemberDocument::read(&sheet.bytes).map(Arc::new));
         read.transpose().map_err(unread)
     };
     let own =
         Own { settled: doc(&settled)?, trial: doc(&trial)?, withdrawn: withdrawn.map(|sheet| sheet.version) };
-    let register = register.map(|sheet| Register::read(&sheet.bytes)).transpose().map_err(unread)?;
-    let timetable = Timetable::read(&timetable.bytes).map_err(unread)?;
+    let register = register.map(|sheet| MemberRegister::read(&sheet.bytes)).transpose().map_err(unread)?;
+    let timetable = Configuration::read(&timetable.bytes).map_err(unread)?;
     Ok(Newest { timetable, register: register.unwrap_or_default(), own, settled, trial })
 }
 
@@ -325,8 +325,14 @@
     Ok(json!({"member": member, "edition": format!("r{edition}"), "state": state}).to_string())
 }
 
-async fn replace(office: &Office, newest: &Newest, name: &str, doc: &MemberDoc, bytes: Vec<u8>) -> Answer {
-    let cuts = lay::check(&newest.timetable, &newest.register, name, doc);
+async fn replace(
+    office: &Office,
+    newest: &Newest,
+    name: &str,
+    doc: &MemberDocument,
+    bytes: Vec<u8>,
+) -> Answer {
+    let cuts = overlay::check(&newest.timetable, &newest.register, name, doc);
     if !cuts.is_empty() {
         return Err(Refused::lines(400, cuts.iter().map(ToString::to_string)));
     }
@@ -339,7 +345,7 @@
     if doc.version < highest || withdrawn || another(&newest.settled) || another(&newest.trial) {
         return Err(Refused::new(409, format!("edition: r{highest} was taken already")));
     }
-    let on_trial = doc.trial.is_some_and(|share| share < 1.0);
+    let on_trial = doc.canary_share.is_some_and(|share| share < 1.0);
     let (paper, state) =
         if on_trial { (docs::trial(name), "trial") } else { (docs::settled(name), "settled") };
     keep(office, paper, doc.version, bytes).await?;
@@ -399,7 +405,7 @@
     fields.insert("edition".into(), format!("r{edition}").into());
     fields.remove("trial");
     let bytes = text.to_string().into_bytes();
-    let doc = MemberDoc::read(&bytes).map_err(|_| unread())?;
+    let doc = MemberDocument::read(&bytes).map_err(|_| unread())?;
     replace(office, newest, name, &doc, bytes).await
 }
 
@@ -408,19 +414,20 @@
     let own = docs.own.get(name).cloned().unwrap_or_default();
     let edition = |edition: Option<u64>| edition.map(|edition| format!("r{edition}"));
     let timetable = office.stand.load().safe.clone();
-    let laid = timetable.and_then(|sheet| Timetable::read(&sheet.bytes).ok()).map(|timetable| {
+    let laid = timetable.and_then(|sheet| Configuration::read(&sheet.bytes).ok()).map(|timetable| {
         let one = docs.settled().into_iter().filter(|(member, _)| member == name).collect();
-        lay::lay(&timetable, &docs.register, &one)
+        overlay::overlay(&timetable, &docs.register, &one)
     });
-    let trims = laid.map(|laid| laid.trims.iter().map(|trim| trim.cut.to_string()).collect::<Vec<_>>());
+    let trims =
+        laid.map(|laid| laid.violations.iter().map(|trim| trim.violation.to_string()).collect::<Vec<_>>());
     let mut nodes: BTreeMap<SocketAddr, (u64, bool)> = BTreeMap::new();
     let others =
         office.stand.load().stewards.iter().copied().filter(|at| *at != office.at).collect::<Vec<_>>();
-    let asks = others
-        .into_iter()
-        .map(|at| async move { office.callers.to(at).call(Ask::Carried(name.clone()), GATHER).await });
+    let asks = others.into_iter().map(|at| async move {
+        office.callers.to(at).call(InternalRequest::AppliedEditions(name.clone()), GATHER).await
+    });
     for reply in futures_util::future::join_all(asks).await {
-        if let Ok(Reply::Carried(told)) = reply {
+        if let Ok(InternalResponse::AppliedEditions(told)) = reply {
             nodes.extend(told.into_iter().map(|(door, edition, trial)| (door, (edition, trial))));
         }
     }
@@ -450,14 +457,14 @@
 }
 
 /// What a trial has come to, by its reqs and those of the document beside it. Without reqs there is nothing against it.
-fn comes_to(all: &BTreeMap<Edition, Fared>, member: &str, edition: u64, over: bool) -> Verdict {
+fn comes_to(all: &BTreeMap<RouteEdition, OutcomeCounts>, member: &str, edition: u64, over: bool) -> Verdict {
     let of = |on_trial: bool| {
-        let counts = |of: &&Edition| {
-            *of.member == *member && (of.trial && of.number == edition) == on_trial && of.trial == on_trial
+        let counts = |of: &&RouteEdition| {
+            *of.member == *member && (of.canary && of.version == edition) == on_trial && of.canary == on_trial
         };
         let fared = all.keys().filter(counts).filter_map(|of| all.get(of));
-        fared.fold(Ended::default(), |sum, fared| Ended {
-            well: sum.well + u64::from(fared.well),
+        fared.fold(RequestOutcomes::default(), |sum, fared| RequestOutcomes {
+            succeeded: sum.succeeded + u64::from(fared.succeeded),
             failed: sum.failed + u64::from(fared.failed),
         })
     };
@@ -515,10 +522,10 @@
 async fn end(office: &Arc<Office>, name: &Name, edition: u64, over: bool) {
     let gathered = office.gather(office.clock.now()).await;
     let comes_to = comes_to(&gathered.reports.members(|_| true), name, edition, over);
-    if comes_to == Verdict::Goes {
+    if comes_to == Verdict::Continue {
         return;
     }
-    let failed = comes_to == Verdict::Withdraw;
+    let failed = comes_to == Verdict::RollBack;
     let Ok(newest) = newest(office, name).await else { return };
     if newest.own.running().is_none_or(|trial| trial.version != edition) {
         return;
@@ -528,7 +535,7 @@
         .is_some()
         .then(|| newest.own.running())
         .flatten()
-        .map_or(0, |doc| lay::check(&newest.timetable, &newest.register, name, doc).len());
+        .map_or(0, |doc| overlay::check(&newest.timetable, &newest.register, name, doc).len());
     let done = if failed || cuts > 0 {
         withdraw(office, &newest, name).await
     } else {
@@ -556,8 +563,12 @@
 
     #[test]
     fn a_trial_fails_by_its_own_reqs_against_the_others() {
-        let of = |member: &str, number, trial| Edition { member: member.into(), number, trial };
-        let fared = |well, failed| Fared { well, failed, ..Fared::default() };
+        let of = |member: &str, number, trial| RouteEdition {
+            member: member.into(),
+            version: number,
+            canary: trial,
+        };
+        let fared = |well, failed| OutcomeCounts { succeeded: well, failed, ..OutcomeCounts::default() };
         let judged = |trial, others| {
             let all = [
                 (of("a", 8, true), trial),
@@ -567,8 +578,8 @@
             ];
             [false, true].map(|over| comes_to(&all.clone().into_iter().collect(), "a", 8, over))
         };
-        let goes = [Verdict::Goes, Verdict::Settle];
-        assert_eq!(judged(fared(90, 10), fared(300, 3)), [Verdict::Withdraw; 2]);
+        let goes = [Verdict::Continue, Verdict::Promote];
+        assert_eq!(judged(fared(90, 10), fared(300, 3)), [Verdict::RollBack; 2]);
         assert_eq!(judged(fared(90, 10), fared(270, 30)), goes, "no worse than before");
         assert_eq!(judged(fared(1, 1), fared(300, 0)), goes, "too few");
         assert_eq!(judged(fared(0, 0), fared(0, 9)), goes, "nothing came");
--- a/balancer/src/mesh/news.rs
+++ b/balancer/src/mesh/news.rs
@@ -8,26 +8,26 @@
 
 use ochreshed::Name;
 use ochreshed_consensus::messages::Revision;
-use ochreshed_mesh::news::{self, Asker};
+use ochreshed_mesh::watch_client::{self, Watcher};
 use tokio::time::sleep;
 
 use super::attendant::Branch;
 use super::report::Telling;
-use super::wire::{Ask, NewsAsk, NewsReply, Reply};
+use super::wire::{InternalRequest, InternalResponse, WatchRequest, WatchResponse};
 
-const PAUSE: Duration = Duration::from_nanos(news::PAUSE);
+const PAUSE: Duration = Duration::from_nanos(watch_client::RETRY_INTERVAL);
 /// A configuration that has not come by then is fetched from another steward.
 const FETCH: Duration = Duration::from_millis(900);
 
 /// Asks one of the watchers, for good: the one whose turn is `which` among those that reply.
 pub async fn ask(branch: Arc<Branch>, which: usize, many: usize) {
-    let mut asker = Asker::new(which, many);
+    let mut asker = Watcher::new(which, many);
     let has_sheet = || branch.timetable.load().is_some();
     let mut reports: HashMap<SocketAddr, Telling> = HashMap::new();
     loop {
         let stewards = branch.stewards.all();
         reports.retain(|at, _| stewards.contains(at));
-        let Some(steward) = asker.next(branch.clock.now(), branch.door_at(), &stewards) else {
+        let Some(steward) = asker.next_replica(branch.clock.now(), branch.door_at(), &stewards) else {
             sleep(PAUSE).await;
             continue;
         };
@@ -35,34 +35,34 @@
         let window = branch.settings.load().bounds.retry_window;
         let told = (which == 0).then(|| report.news(window, || branch.report())).flatten();
         let row = branch.door.row();
-        let rank = row.rank();
-        let ask = NewsAsk {
-            members: told.as_ref().map(|report| report.members.clone()).unwrap_or_default(),
+        let rank = row.record_version();
+        let ask = WatchRequest {
+            outcomes: told.as_ref().map(|report| report.outcomes.clone()).unwrap_or_default(),
             report: told,
-            ..asker.ask(steward, row, branch.sheet_rank(), branch.carried())
+            ..asker.request(steward, row, branch.sheet_rank(), branch.carried())
         };
         let caller = branch.callers.to(steward);
         let changed = branch.door.changed.notified();
         let reply = tokio::select! {
-            reply = caller.call(Ask::News(ask), Duration::from_nanos(news::HOLD + news::LATE)) => reply,
+            reply = caller.call(InternalRequest::Watch(ask), Duration::from_nanos(watch_client::MAX_WAIT + watch_client::RESPONSE_GRACE)) => reply,
             () = changed => continue,
         };
         match reply {
-            Ok(Reply::News(mut reply)) => {
-                if let Some((number, ranks)) = reply.papers.take() {
+            Ok(InternalResponse::Watch(mut reply)) => {
+                if let Some((number, ranks)) = reply.registers.take() {
                     if fetch_papers(&branch, steward, ranks).await {
-                        asker.has_papers(steward, number);
+                        asker.registers_applied(steward, number);
                     } else {
                         sleep(PAUSE).await;
                     }
                 }
-                branch.heard_core(reply.settled);
-                report.answered(reply.life.is_some());
-                let quiet = asker.replied(branch.clock.now(), steward, rank, has_sheet(), &reply);
+                branch.heard_core(reply.has_quorum);
+                report.answered(reply.known_incarnation.is_some());
+                let quiet = asker.handle_response(branch.clock.now(), steward, rank, has_sheet(), &reply);
                 take(&branch, (which, steward), *reply, quiet);
             }
             _ => {
-                asker.failed(branch.clock.now(), steward, has_sheet(), stewards.len());
+                asker.request_failed(branch.clock.now(), steward, has_sheet(), stewards.len());
                 report.answered(false);
                 branch.silent(which);
                 sleep(PAUSE).await;
@@ -74,13 +74,13 @@
 fn take(
     branch: &Arc<Branch>,
     (which, steward): (usize, SocketAddr),
-    reply: NewsReply,
+    reply: WatchResponse,
     quiet: HashSet<SocketAddr>,
 ) {
-    if let Some(life) = reply.life {
+    if let Some(life) = reply.known_incarnation {
         branch.door.outlive(life);
     }
-    if let Some(rank) = reply.sheet.filter(|rank| branch.to_fetch(*rank)) {
+    if let Some(rank) = reply.configuration.filter(|rank| branch.to_fetch(*rank)) {
         tokio::spawn(fetch(branch.clone(), steward, rank));
     }
     for (door, id, _) in &reply.drains {
@@ -88,10 +88,10 @@
             branch.door.close(id);
         }
     }
-    if !reply.stewards.is_empty() {
-        branch.know_stewards(reply.stewards);
+    if !reply.replicas.is_empty() {
+        branch.know_stewards(reply.replicas);
     }
-    branch.take_rows(which, reply.rows, quiet);
+    branch.take_rows(which, reply.records, quiet);
 }
 
 /// Gets the papers that are newer there, until none is; whether that was to be had.
@@ -101,8 +101,8 @@
         if wanted.is_empty() {
             return true;
         }
-        let reply = branch.callers.to(steward).call(Ask::Registers(wanted), FETCH).await;
-        let Ok(Reply::Registers(papers)) = reply else { return false };
+        let reply = branch.callers.to(steward).call(InternalRequest::Registers(wanted), FETCH).await;
+        let Ok(InternalResponse::Registers(papers)) = reply else { return false };
         if !branch.take_papers(&papers) {
             return false;
         }
@@ -115,8 +115,8 @@
     let here = branch.sheet();
     for from in [here.as_deref(), None] {
         let have = from.map_or(Revision::NONE, |from| from.revision());
-        let reply = branch.callers.to(steward).call(Ask::Configuration(have), FETCH).await;
-        let Ok(Reply::Configuration(Some(parcel))) = reply else { break };
+        let reply = branch.callers.to(steward).call(InternalRequest::Configuration(have), FETCH).await;
+        let Ok(InternalResponse::Configuration(Some(parcel))) = reply else { break };
         match parcel.open(from) {
             Ok(sheet) => {
                 branch.take_sheet(sheet);
--- a/balancer/src/mesh/pages.rs
+++ b/balancer/src/mesh/pages.rs
@@ -10,9 +10,9 @@
 use ochreshed::{Name, Nanos};
 use ochreshed_consensus::core::{Core, PeerStatus, SessionCounts};
 use ochreshed_consensus::messages::{Lease, LeaseKey, LeaseOutcome, Revision};
-use ochreshed_mesh::fared::{Edition, Fared};
-use ochreshed_mesh::health::Ill;
-use ochreshed_mesh::list::{Row, Stand, Table};
+use ochreshed_mesh::endpoints::{EndpointRecord, EndpointTable, UpstreamState};
+use ochreshed_mesh::outcome_counts::{OutcomeCounts, RouteEdition};
+use ochreshed_mesh::outlier_detection::UpstreamHealth;
 use serde::Serialize;
 
 use super::keys;
@@ -119,21 +119,22 @@
     }
 
     /// The rows that the answer wants, in the order of their doors; of a list one more than it shows.
-    pub fn pick(&self, table: &Table, now: Nanos) -> Vec<Attendant> {
+    pub fn pick(&self, table: &EndpointTable, now: Nanos) -> Vec<Attendant> {
         let most = match self.call {
             Call::Nodes | Call::Upstreams => MOST_ROWS + 1,
             Call::Budget | Call::Drain(_) => usize::MAX,
             Call::History | Call::Count | Call::Show(_) => return Vec::new(),
         };
-        let mut rows: Vec<&Row> = table.rows().filter(|row| Some(row.door) > self.after).collect();
-        rows.sort_by_key(|row| row.door);
+        let mut rows: Vec<&EndpointRecord> =
+            table.records().filter(|row| Some(row.inbound_proxy) > self.after).collect();
+        rows.sort_by_key(|row| row.inbound_proxy);
         rows.truncate(most);
-        let ages: BTreeMap<SocketAddr, u32> = table.ages(now).into_iter().collect();
-        let quiet = table.quiet();
-        let attendant = |row: &Row| Attendant {
+        let ages: BTreeMap<SocketAddr, u32> = table.last_heard_ms_ago(now).into_iter().collect();
+        let quiet = table.suspects();
+        let attendant = |row: &EndpointRecord| Attendant {
             row: row.clone(),
-            heard_ms: ages.get(&row.door).copied().unwrap_or(0),
-            quiet: quiet.binary_search(&row.door).is_ok(),
+            heard_ms: ages.get(&row.inbound_proxy).copied().unwrap_or(0),
+            quiet: quiet.binary_search(&row.inbound_proxy).is_ok(),
         };
         rows.into_iter().map(attendant).collect()
     }
@@ -165,7 +166,7 @@
 /// A row, and how its attendant is heard here.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Attendant {
-    pub row: Row,
+    pub row: EndpointRecord,
     pub heard_ms: u32,
     pub quiet: bool,
 }
@@ -335,8 +336,8 @@
     slots: u32,
     cold_ms: u64,
     /// How much fails there and how slow it has become, by what its door saw; told where either is.
-    #[serde(skip_serializing_if = "Ill::is_well")]
-    ill: Ill,
+    #[serde(skip_serializing_if = "UpstreamHealth::is_healthy")]
+    ill: UpstreamHealth,
     door: SocketAddr,
     serving: bool,
     quiet: bool,
@@ -413,10 +414,17 @@
 }
 
 impl OfMember {
-    fn new((of, fared): (Edition, Fared)) -> OfMember {
-        let Fared { first, again, refused, turned, well, failed } = fared;
-        let edition = format!("r{}", of.number);
-        OfMember { member: of.member, edition, trial: of.trial, first, again, refused, turned, well, failed }
+    fn new((of, fared): (RouteEdition, OutcomeCounts)) -> OfMember {
+        let OutcomeCounts {
+            first,
+            retried: again,
+            denied: refused,
+            rejected: turned,
+            succeeded: well,
+            failed,
+        } = fared;
+        let edition = format!("r{}", of.version);
+        OfMember { member: of.member, edition, trial: of.canary, first, again, refused, turned, well, failed }
     }
 }
 
@@ -443,21 +451,21 @@
     open_left: usize,
 }
 
-fn state(stand: Stand) -> &'static str {
+fn state(stand: UpstreamState) -> &'static str {
     match stand {
-        Stand::Open => "open",
-        Stand::Closing => "closing",
-        Stand::None => "gone",
+        UpstreamState::Serving => "open",
+        UpstreamState::Draining => "closing",
+        UpstreamState::Absent => "gone",
     }
 }
 
 pub fn answer(query: &Query, facts: &Facts) -> Page {
     let shown = &facts.rows[..facts.rows.len().min(MOST_ROWS)];
-    let next = shown.last().filter(|_| facts.rows.len() > MOST_ROWS).map(|last| last.row.door);
+    let next = shown.last().filter(|_| facts.rows.len() > MOST_ROWS).map(|last| last.row.inbound_proxy);
     match &query.call {
         Call::Nodes => Page::json(&nodes(facts, shown, next)),
         Call::Upstreams => {
-            let upstreams = shown.iter().filter(|of| !of.row.id.is_empty()).map(upstream).collect();
+            let upstreams = shown.iter().filter(|of| !of.row.upstream_id.is_empty()).map(upstream).collect();
             Page::json(&Upstreams { upstreams, next })
         }
         Call::History => {
@@ -497,17 +505,23 @@
 fn budgets(facts: &Facts) -> Budgets<'_> {
     let (Gathered { reports, silent, .. }, bounds) = (&facts.gathered, &facts.bounds);
     let window_ms = bounds.retry_window.as_millis() as u64;
-    let heard: BTreeSet<SocketAddr> =
-        facts.rows.iter().filter(|of| u64::from(of.heard_ms) <= window_ms).map(|of| of.row.door).collect();
+    let heard: BTreeSet<SocketAddr> = facts
+        .rows
+        .iter()
+        .filter(|of| u64::from(of.heard_ms) <= window_ms)
+        .map(|of| of.row.inbound_proxy)
+        .collect();
     let (sums, gates_told) = reports.sum(|door| heard.contains(&door));
     let members = reports.members(|door| heard.contains(&door));
     let mut services: BTreeMap<String, Service> = BTreeMap::new();
-    for of in facts.rows.iter().filter(|of| !of.row.id.is_empty() && of.row.stand != Stand::None) {
-        services.entry(of.row.line.clone()).or_default().upstreams += 1;
+    for of in
+        facts.rows.iter().filter(|of| !of.row.upstream_id.is_empty() && of.row.state != UpstreamState::Absent)
+    {
+        services.entry(of.row.service.clone()).or_default().upstreams += 1;
     }
     for (name, figures) in sums {
         let service = services.entry(name.to_string()).or_default();
-        (service.first, service.again, service.refused) = (figures.first, figures.again, figures.refused);
+        (service.first, service.again, service.refused) = (figures.first, figures.retried, figures.denied);
     }
     let tenths = |value: f64| (value * 10.0).round() / 10.0;
     let services = services.into_iter().take(MOST_ROWS).map(|(name, of)| {
@@ -520,7 +534,7 @@
         window_ms,
         retry_ratio: bounds.retry_ratio,
         retry_slack: bounds.retry_slack,
-        gates: facts.rows.iter().filter(|of| of.row.serving).count(),
+        gates: facts.rows.iter().filter(|of| of.row.accepts_clients).count(),
         gates_told,
         silent,
         services: services.collect(),
@@ -541,14 +555,14 @@
         full_ms: facts.gathered.full.get(&known.replica.address).copied(),
     };
     let node = |of: &'a Attendant| Node {
-        door: of.row.door,
+        door: of.row.inbound_proxy,
         zone: &of.row.zone,
-        serving: of.row.serving,
+        serving: of.row.accepts_clients,
         quiet: of.quiet,
         heard_ms: of.heard_ms,
-        service: &of.row.line,
-        upstream: &of.row.id,
-        full_ms: facts.gathered.reports.of(of.row.door).and_then(|report| report.full_ms),
+        service: &of.row.service,
+        upstream: &of.row.upstream_id,
+        full_ms: facts.gathered.reports.report(of.row.inbound_proxy).and_then(|report| report.recovery_ms),
     };
     Nodes {
         asked: facts.me,
@@ -562,16 +576,16 @@
 
 fn upstream(of: &Attendant) -> Upstream<'_> {
     Upstream {
-        id: &of.row.id,
-        line: &of.row.line,
+        id: &of.row.upstream_id,
+        line: &of.row.service,
         zone: &of.row.zone,
-        edition: &of.row.edition,
-        state: state(of.row.stand),
-        slots: of.row.slots,
-        cold_ms: of.row.cold_ms,
-        ill: of.row.ill,
-        door: of.row.door,
-        serving: of.row.serving,
+        edition: &of.row.software_version,
+        state: state(of.row.state),
+        slots: of.row.concurrency_limit,
+        cold_ms: of.row.warming_up_ms,
+        ill: of.row.health,
+        door: of.row.inbound_proxy,
+        serving: of.row.accepts_clients,
         quiet: of.quiet,
     }
 }
@@ -600,21 +614,23 @@
 
 /// A row is its attendant's to write: it is told, and the answer waits for the row to say so.
 fn drain(id: &str, facts: &Facts) -> Page {
-    let of = |of: &&Attendant| of.row.id == id;
-    let open = |of: &&Attendant| of.row.stand == Stand::Open;
+    let of = |of: &&Attendant| of.row.upstream_id == id;
+    let open = |of: &&Attendant| of.row.state == UpstreamState::Serving;
     let found = facts.rows.iter().filter(of).find(open).or(facts.rows.iter().find(of));
     let Some(found) = found else { return Page::line(404, "no upstream of that id is known here") };
-    if found.row.stand == Stand::Open {
+    if found.row.state == UpstreamState::Serving {
         let mut page = Page::line(503, "its attendant has not taken the drain yet: ask again");
-        page.drain = Some((found.row.door, id.to_owned()));
+        page.drain = Some((found.row.inbound_proxy, id.to_owned()));
         return page;
     }
-    let left = |of: &&Attendant| of.row.line == found.row.line && of.row.serving && !of.quiet && open(of);
+    let left = |of: &&Attendant| {
+        of.row.service == found.row.service && of.row.accepts_clients && !of.quiet && open(of)
+    };
     Page::json(&Drained {
         id,
-        line: &found.row.line,
-        door: found.row.door,
-        state: state(found.row.stand),
+        line: &found.row.service,
+        door: found.row.inbound_proxy,
+        state: state(found.row.state),
         open_left: facts.rows.iter().filter(left).count(),
     })
 }
@@ -624,28 +640,28 @@
     use super::*;
     use expect_test::expect;
     use ochreshed_consensus::messages::{ReplicaId, StoredResponse};
-    use ochreshed_mesh::budget::{Figures, Report, Reports};
+    use ochreshed_mesh::retry_budget::{AttemptCounts, BudgetReport, BudgetReports};
     use std::sync::Arc;
 
     fn at(host: u8, port: u16) -> SocketAddr {
         SocketAddr::from(([10, 1, host / 100, host % 100], port))
     }
 
-    fn row(host: u8, id: &str, stand: Stand) -> Row {
-        Row {
-            door: at(host, 8300),
-            life: 7,
-            number: 1,
+    fn row(host: u8, id: &str, stand: UpstreamState) -> EndpointRecord {
+        EndpointRecord {
+            inbound_proxy: at(host, 8300),
+            incarnation: 7,
+            sequence: 1,
             zone: "quito-a".into(),
-            line: if id.is_empty() { "" } else { "huvo11a" }.into(),
-            id: id.into(),
-            edition: "v1".into(),
-            stand,
-            slots: 6,
-            cold_ms: 0,
-            calls: false,
-            serving: true,
-            ill: Default::default(),
+            service: if id.is_empty() { "" } else { "huvo11a" }.into(),
+            upstream_id: id.into(),
+            software_version: "v1".into(),
+            state: stand,
+            concurrency_limit: 6,
+            warming_up_ms: 0,
+            calls_services: false,
+            accepts_clients: true,
+            health: Default::default(),
         }
     }
 
@@ -659,7 +675,11 @@
             leaving: false,
             zone: if voter { "quito-a" } else { "" }.into(),
         };
-        let rows = [row(8, "i-1", Stand::Open), row(9, "i-2", Stand::Closing), row(10, "", Stand::None)];
+        let rows = [
+            row(8, "i-1", UpstreamState::Serving),
+            row(9, "i-2", UpstreamState::Draining),
+            row(10, "", UpstreamState::Absent),
+        ];
         Facts {
             me: at(13, 7620),
             seen: Seen {
@@ -686,17 +706,17 @@
 
     /// One gate told here and by another steward, one is not heard any more, and one's service is gone.
     fn gathered() -> Gathered {
-        let figures = |first, again, refused| Figures { first, again, refused };
-        let told = |name: &str, of, full_ms| Report {
-            spending: vec![(name.into(), of)],
-            full_ms,
-            members: Vec::new(),
+        let figures = |first, again, refused| AttemptCounts { first, retried: again, denied: refused };
+        let told = |name: &str, of, full_ms| BudgetReport {
+            services: vec![(name.into(), of)],
+            recovery_ms: full_ms,
+            outcomes: Vec::new(),
         };
-        let mut reports = Reports::default();
-        reports.take(9_000 * MS, at(8, 8300), told("huvo11a", figures(400, 9, 2), Some(812)), 0);
-        reports.take(9_000 * MS, at(8, 8300), told("huvo11a", figures(1, 0, 0), None), 3_000 * MS);
-        reports.take(9_000 * MS, at(10, 8300), told("kafi81c", figures(10, 64, 0), None), 0);
-        reports.take(9_000 * MS, at(11, 8300), told("huvo11a", figures(7_000, 0, 0), None), 0);
+        let mut reports = BudgetReports::default();
+        reports.store(9_000 * MS, at(8, 8300), told("huvo11a", figures(400, 9, 2), Some(812)), 0);
+        reports.store(9_000 * MS, at(8, 8300), told("huvo11a", figures(1, 0, 0), None), 3_000 * MS);
+        reports.store(9_000 * MS, at(10, 8300), told("kafi81c", figures(10, 64, 0), None), 0);
+        reports.store(9_000 * MS, at(11, 8300), told("huvo11a", figures(7_000, 0, 0), None), 0);
         Gathered { reports, full: [(at(13, 7620), 240)].into(), silent: vec![at(14, 7620)] }
     }
 
@@ -760,13 +780,17 @@
     #[test]
     fn the_budget_tells_how_members_fared() {
         let mut facts = facts();
-        let of = |number, trial| Edition { member: "norte".into(), number, trial };
+        let of = |number, trial| RouteEdition { member: "norte".into(), version: number, canary: trial };
         let told = |failed, trial| {
-            let fared = Fared { first: 20, again: 2, refused: 1, turned: 3, well: 18, failed };
-            Report { members: vec![(of(7 + u64::from(trial), trial), fared)], ..Report::default() }
+            let fared =
+                OutcomeCounts { first: 20, retried: 2, denied: 1, rejected: 3, succeeded: 18, failed };
+            BudgetReport {
+                outcomes: vec![(of(7 + u64::from(trial), trial), fared)],
+                ..BudgetReport::default()
+            }
         };
         for (host, trial) in [(8, false), (9, false), (10, true)] {
-            facts.gathered.reports.take(9_500 * MS, at(host, 8300), told(u32::from(host), trial), 0);
+            facts.gathered.reports.store(9_500 * MS, at(host, 8300), told(u32::from(host), trial), 0);
         }
         let page = said("/api/rpc?call=budget.list", &facts);
         let members = page.split_once(r#","members":"#).map(|(_, members)| members).unwrap_or_default();
@@ -798,11 +822,11 @@
 
     #[test]
     fn long_lists_come_in_parts() {
-        let mut table = Table::new(1);
+        let mut table = EndpointTable::new(1);
         for host in 0..2_500u32 {
-            let mut one = row(1, &format!("i-{host}"), Stand::Open);
-            one.door = SocketAddr::from((std::net::Ipv4Addr::from(0x0a01_0000 + host), 8300));
-            table.take(1, &one, 0);
+            let mut one = row(1, &format!("i-{host}"), UpstreamState::Serving);
+            one.inbound_proxy = SocketAddr::from((std::net::Ipv4Addr::from(0x0a01_0000 + host), 8300));
+            table.merge(1, &one, 0);
         }
         let (mut path, mut seen) = ("/api/rpc?call=upstreams.list".to_owned(), 0);
         for part in [1_000, 1_000, 500] {
--- a/balancer/src/mesh/report.rs
+++ b/balancer/src/mesh/report.rs
@@ -8,13 +8,13 @@
 
 use futures_util::stream::{FuturesUnordered, StreamExt};
 use ochreshed::Nanos;
-use ochreshed_mesh::budget::{Report, Reports};
-use ochreshed_mesh::fared::Faring;
-use ochreshed_mesh::list::Mark;
-use ochreshed_mesh::office;
+use ochreshed_mesh::endpoints::TablePosition;
+use ochreshed_mesh::outcome_counts::EditionOutcomes;
+use ochreshed_mesh::retry_budget::{BudgetReport, BudgetReports};
+use ochreshed_mesh::watch_server;
 use tokio::time::Instant;
 
-use super::wire::{Ask, Callers, NewsAsk, Reply};
+use super::wire::{Callers, InternalRequest, InternalResponse, WatchRequest};
 
 /// Other stewards are waited for so long when an operator asks.
 const GATHER: Duration = Duration::from_millis(400);
@@ -24,14 +24,14 @@
 /// What one steward knows of a gate's report.
 #[derive(Default)]
 pub struct Telling {
-    known: Option<Report>,
-    out: Option<Report>,
+    known: Option<BudgetReport>,
+    out: Option<BudgetReport>,
     at: Option<Instant>,
 }
 
 impl Telling {
     /// What is to go with the next ask: what changed, not more often than it is worth.
-    pub fn news(&mut self, window: Duration, now: impl FnOnce() -> Report) -> Option<Report> {
+    pub fn news(&mut self, window: Duration, now: impl FnOnce() -> BudgetReport) -> Option<BudgetReport> {
         // What went with an ask that was given up may not have come.
         self.out = None;
         if self.known.is_some() && self.at.is_some_and(|at| at.elapsed() < window / TIMES) {
@@ -53,7 +53,7 @@
 /// What stewards were told, as far as they answered.
 #[derive(Clone, Debug, Default)]
 pub struct Gathered {
-    pub reports: Reports,
+    pub reports: BudgetReports,
     /// When stewards came to full service, in ms from their start.
     pub full: BTreeMap<SocketAddr, u32>,
     /// Those that gave no answer.
@@ -65,25 +65,25 @@
     let mut asks: FuturesUnordered<_> = others
         .into_iter()
         .map(|at| async move {
-            let whole = office::ask_of_steward(Mark::default());
-            let ask = NewsAsk { hold_ms: 0, gather: true, ..whole };
-            (at, callers.to(at).call(Ask::News(ask), GATHER).await)
+            let whole = watch_server::replica_watch_request(TablePosition::default());
+            let ask = WatchRequest { max_wait_ms: 0, reports_only: true, ..whole };
+            (at, callers.to(at).call(InternalRequest::Watch(ask), GATHER).await)
         })
         .collect();
     while let Some((at, reply)) = asks.next().await {
         // An older program tells none.
         let told = reply.ok().and_then(|reply| match reply {
-            Reply::News(news) => Some((*news.told?, news.members)),
+            InternalResponse::Watch(news) => Some((*news.reports?, news.outcomes)),
             _ => None,
         });
         let Some(((reports, full_ms), members)) = told else {
             all.silent.push(at);
             continue;
         };
-        let mut members: HashMap<SocketAddr, Faring> = members.into_iter().collect();
+        let mut members: HashMap<SocketAddr, EditionOutcomes> = members.into_iter().collect();
         for (door, age, mut report) in reports {
-            report.members = members.remove(&door).unwrap_or_default();
-            all.reports.take(now, door, report, Nanos::from(age) * 1_000_000);
+            report.outcomes = members.remove(&door).unwrap_or_default();
+            all.reports.store(now, door, report, Nanos::from(age) * 1_000_000);
         }
         all.full.extend(full_ms.map(|full_ms| (at, full_ms)));
     }
@@ -93,15 +93,15 @@
 
 #[cfg(test)]
 mod tests {
-    use ochreshed_mesh::budget::Figures;
+    use ochreshed_mesh::retry_budget::AttemptCounts;
 
     use super::*;
 
     const WINDOW: Duration = Duration::from_secs(10);
 
-    fn spending(first: u32) -> Report {
-        let figures = Figures { first, ..Figures::default() };
-        Report { spending: vec![("a".into(), figures)], ..Report::default() }
+    fn spending(first: u32) -> BudgetReport {
+        let figures = AttemptCounts { first, ..AttemptCounts::default() };
+        BudgetReport { services: vec![("a".into(), figures)], ..BudgetReport::default() }
     }
 
     #[tokio::test(start_paused = true)]
--- a/balancer/src/mesh/seats.rs
+++ b/balancer/src/mesh/seats.rs
@@ -6,8 +6,8 @@
 use std::sync::{Arc, Mutex};
 
 use ochreshed::{Name, Nanos};
-use ochreshed_mesh::budget::Figures;
-use ochreshed_mesh::shares::{Pool, Shares};
+use ochreshed_mesh::retry_budget::AttemptCounts;
+use ochreshed_mesh::retry_shares::{RetryPool, RetryShares};
 
 use super::desk::{Desk, Plan, Seat};
 use crate::link::held;
@@ -19,7 +19,7 @@
 pub struct Seats {
     desks: HashMap<Seat, Arc<Desk>>,
     /// Of services to which members' reqs go.
-    pools: HashMap<(Name, bool), Arc<Mutex<Pool>>>,
+    pools: HashMap<(Name, bool), Arc<Mutex<RetryPool>>>,
 }
 
 impl Seats {
@@ -47,7 +47,7 @@
     }
 
     /// Divides each service's allowance anew, where reqs of members go to it or went there of late.
-    pub fn divide(&mut self, now: Nanos, shares: &Arc<Shares>) {
+    pub fn divide(&mut self, now: Nanos, shares: &Arc<RetryShares>) {
         let line = |seat: &Seat| (seat.0.clone(), seat.1);
         let members = self.desks.keys().filter(|seat| seat.2.is_some());
         for seat in members {
@@ -67,14 +67,15 @@
     }
 
     /// Ends what members' reqs have left behind and nobody needs any more.
-    pub fn tidy(&mut self, now: Nanos, shares: &Arc<Shares>) {
+    pub fn tidy(&mut self, now: Nanos, shares: &Arc<RetryShares>) {
         if self.pools.is_empty() {
             return;
         }
         let mut many = self.desks.keys().filter(|seat| seat.2.is_some()).count();
         self.desks.retain(|seat, desk| {
-            let idle =
-                seat.2.is_some() && Arc::strong_count(desk) == 1 && desk.figures() == Figures::default();
+            let idle = seat.2.is_some()
+                && Arc::strong_count(desk) == 1
+                && desk.figures() == AttemptCounts::default();
             let goes = idle && many > MOST_IDLE;
             many -= usize::from(goes);
             !goes
@@ -94,8 +95,8 @@
     }
 
     /// What of each service was sent, sent again and refused for want of allowance in the budget's window.
-    pub fn figures(&self) -> HashMap<Name, Figures> {
-        let mut sums: HashMap<Name, Figures> = HashMap::new();
+    pub fn figures(&self) -> HashMap<Name, AttemptCounts> {
+        let mut sums: HashMap<Name, AttemptCounts> = HashMap::new();
         for ((name, ..), desk) in &self.desks {
             let sum = sums.entry(name.clone()).or_default();
             *sum = sum.and(desk.figures());
--- a/balancer/src/mesh/sessions.rs
+++ b/balancer/src/mesh/sessions.rs
@@ -22,7 +22,7 @@
 use super::entry::field;
 use super::fence::Pass;
 use super::headers::{SESSION_FENCE, WAY};
-use super::wire::{Ask, Reply};
+use super::wire::{InternalRequest, InternalResponse};
 use crate::body::Message;
 use crate::link::held;
 
@@ -265,13 +265,13 @@
         if Instant::now() >= until {
             break;
         }
-        let ask = Ask::Core(CoreRequest::Session(session, wish.clone()));
+        let ask = InternalRequest::Core(CoreRequest::Session(session, wish.clone()));
         match branch.callers.to(steward).call(ask, ONE).await {
-            Ok(Reply::Core(CoreResponse::Session(agreed))) => {
+            Ok(InternalResponse::Core(CoreResponse::Session(agreed))) => {
                 branch.stewards.replied(steward);
                 return Some(agreed);
             }
-            Ok(Reply::Core(_)) => {}
+            Ok(InternalResponse::Core(_)) => {}
             _ => branch.stewards.failed(steward),
         }
     }
--- a/balancer/src/mesh/steward.rs
+++ b/balancer/src/mesh/steward.rs
@@ -18,11 +18,11 @@
 use ochreshed_consensus::messages::{
     CoreRequest, CoreResponse, Effect, LeaseKey, LogRecord, Membership, Message, NamedRegister, RegisterValue,
 };
-use ochreshed_mesh::budget::{Report, Reports};
-use ochreshed_mesh::list::Mark;
-use ochreshed_mesh::office;
-use ochreshed_mesh::parcels::{Parcel, Parcels};
-use ochreshed_mesh::timetable::Timetable;
+use ochreshed_mesh::configuration::Configuration;
+use ochreshed_mesh::configuration_update::{ConfigurationUpdate, UpdateCache};
+use ochreshed_mesh::endpoints::TablePosition;
+use ochreshed_mesh::retry_budget::{BudgetReport, BudgetReports};
+use ochreshed_mesh::watch_server;
 use ochreshed_storage::{Store, StoreError};
 use tokio::net::TcpListener;
 use tokio::signal::unix::{SignalKind, signal};
@@ -42,7 +42,7 @@
 use super::session_calls;
 use super::settings::{Settings, SettingsError};
 use super::start;
-use super::wire::{self, Ask, Callers, NewsAsk, NewsReply, Reply};
+use super::wire::{self, Callers, InternalRequest, InternalResponse, WatchRequest, WatchResponse};
 use crate::clock::Clock;
 use crate::link::held;
 
@@ -51,7 +51,7 @@
 const KEEP_MORE: Duration = Duration::from_secs(20);
 /// A voter of whom nothing was heard for so long may be replaced by another steward.
 const LOST: Nanos = 5_000 * MS;
-const LOOK: Duration = Duration::from_nanos(office::LOOK);
+const LOOK: Duration = Duration::from_nanos(watch_server::SUSPECT_CHECK_INTERVAL);
 /// An operator's call is answered within this.
 pub(super) const OPERATOR: Duration = Duration::from_millis(2_500);
 const UNSETTLED: Duration = Duration::from_millis(800);
@@ -88,10 +88,15 @@
 }
 
 impl Stand {
-    fn told(&self) -> office::Stand<'_> {
+    fn told(&self) -> watch_server::CommittedState<'_> {
         let safe = self.safe.as_ref().map(|sheet| sheet.revision());
         let papers = (self.papers.number, &*self.papers.all);
-        office::Stand { safe, stewards: &self.stewards, settled: self.settled, papers }
+        watch_server::CommittedState {
+            configuration: safe,
+            replicas: &self.stewards,
+            has_quorum: self.settled,
+            registers: papers,
+        }
     }
 }
 
@@ -110,9 +115,9 @@
     pub settings: ArcSwap<Settings>,
     pub stand: ArcSwap<Stand>,
     pub members: Members,
-    news: Mutex<office::Office>,
+    news: Mutex<watch_server::WatchServer>,
     /// What gates told of themselves.
-    reports: Mutex<Reports>,
+    reports: Mutex<BudgetReports>,
     /// From the start to full service, in ms.
     full: Full,
     written: Arc<Written>,
@@ -120,7 +125,7 @@
     changed: watch::Sender<u64>,
     events: mpsc::Sender<Event>,
     pub callers: Callers,
-    parcels: Parcels,
+    parcels: UpdateCache,
     packing: tokio::sync::Mutex<()>,
 }
 
@@ -135,7 +140,7 @@
 
     /// Doors whose attendants were not heard of late.
     pub fn quiet_doors(&self) -> Vec<SocketAddr> {
-        held(&self.news).quiet().to_vec()
+        held(&self.news).suspects().to_vec()
     }
 
     pub async fn want(&self, want: CoreRequest, within: Duration) -> CoreResponse {
@@ -147,26 +152,26 @@
     }
 
     /// Answers what a process asks for news, at once if there are any, else when there are or its hold is over.
-    async fn news(self: Arc<Self>, ask: NewsAsk) -> NewsReply {
+    async fn news(self: Arc<Self>, ask: WatchRequest) -> WatchResponse {
         let mut changed = self.changed.subscribe();
         let stand = self.stand.load_full();
-        let (waiting, news) = held(&self.news).came(self.clock.now(), &ask, stand.told());
+        let (waiting, news) = held(&self.news).register(self.clock.now(), &ask, stand.told());
         if news {
             self.change();
         }
         let until = Instant::now() + Duration::from_nanos(waiting.hold);
-        let door = ask.row.as_ref().map(|row| row.door).or(ask.door);
+        let door = ask.record.as_ref().map(|row| row.inbound_proxy).or(ask.inbound_proxy);
         if let (Some(door), Some(mut report)) = (door, ask.report) {
-            report.members = ask.members;
-            held(&self.reports).take(self.clock.now(), door, report, 0);
+            report.outcomes = ask.outcomes;
+            held(&self.reports).store(self.clock.now(), door, report, 0);
         }
-        if let (Some(door), Some(carried)) = (door, ask.carried) {
+        if let (Some(door), Some(carried)) = (door, ask.applied_editions) {
             self.members.carry(door, carried);
         }
-        let told = || (held(&self.reports).tell(self.clock.now()), self.full.get().copied());
-        let told = ask.gather.then(|| Box::new(told()));
-        let beside = |(door, _, report): &(SocketAddr, u32, Report)| {
-            (!report.members.is_empty()).then(|| (*door, report.members.clone()))
+        let told = || (held(&self.reports).collect(self.clock.now()), self.full.get().copied());
+        let told = ask.reports_only.then(|| Box::new(told()));
+        let beside = |(door, _, report): &(SocketAddr, u32, BudgetReport)| {
+            (!report.outcomes.is_empty()).then(|| (*door, report.outcomes.clone()))
         };
         let members: Vec<_> = told.iter().flat_map(|told| told.0.iter().filter_map(beside)).collect();
         loop {
@@ -174,11 +179,12 @@
             let stand = self.stand.load_full();
             let due = {
                 let news = held(&self.news);
-                let due =
-                    news.due(&waiting, stand.told()).map_or(until, |due| self.clock.instant(due).min(until));
+                let due = news
+                    .due_at(&waiting, stand.told())
+                    .map_or(until, |due| self.clock.instant(due).min(until));
                 if Instant::now() >= due {
-                    let reply = news.reply(self.clock.now(), waiting, stand.told(), told);
-                    return NewsReply { members, ..reply };
+                    let reply = news.respond(self.clock.now(), waiting, stand.told(), told);
+                    return WatchResponse { outcomes: members, ..reply };
                 }
                 due
             };
@@ -187,7 +193,7 @@
     }
 
     /// Takes what another steward holds.
-    fn merge(&self, reply: &NewsReply) {
+    fn merge(&self, reply: &WatchResponse) {
         let news = held(&self.news).merge(self.clock.now(), reply);
         if news {
             self.change();
@@ -195,30 +201,36 @@
     }
 
     /// The newest configuration, packed for who has that one. One is packed at a time: many ask for the same.
-    async fn parcel(self: &Arc<Self>, have: Revision) -> Option<Arc<Parcel>> {
+    async fn parcel(self: &Arc<Self>, have: Revision) -> Option<Arc<ConfigurationUpdate>> {
         let _one = self.packing.lock().await;
         let office = self.clone();
         tokio::task::spawn_blocking(move || office.parcels.newest(have)).await.ok()?
     }
 
-    async fn answer(self: Arc<Self>, ask: Ask) -> Option<Reply> {
+    async fn answer(self: Arc<Self>, ask: InternalRequest) -> Option<InternalResponse> {
         match ask {
-            Ask::News(ask) => Some(Reply::News(Box::new(self.news(ask).await))),
-            Ask::Core(want) => Some(Reply::Core(self.want(want, Duration::from_secs(5)).await)),
-            Ask::Configuration(have) => Some(Reply::Configuration(self.parcel(have).await)),
-            Ask::Registers(have) => {
+            InternalRequest::Watch(ask) => Some(InternalResponse::Watch(Box::new(self.news(ask).await))),
+            InternalRequest::Core(want) => {
+                Some(InternalResponse::Core(self.want(want, Duration::from_secs(5)).await))
+            }
+            InternalRequest::Configuration(have) => {
+                Some(InternalResponse::Configuration(self.parcel(have).await))
+            }
+            InternalRequest::Registers(have) => {
                 let stand = self.stand.load();
-                Some(Reply::Registers(docs::newer(stand.papers.all.iter(), &have, MOST_PAPERS)))
+                Some(InternalResponse::Registers(docs::newer(stand.papers.all.iter(), &have, MOST_PAPERS)))
             }
-            Ask::Carried(member) => Some(Reply::Carried(self.members.nodes_of(&member))),
-            Ask::Message(letter) if !letter.is_intact() => {
+            InternalRequest::AppliedEditions(member) => {
+                Some(InternalResponse::AppliedEditions(self.members.nodes_of(&member)))
+            }
+            InternalRequest::ReplicaMessage(letter) if !letter.is_intact() => {
                 log::warn!(
                     "a message of {} with content that its digest does not fit: dropped",
                     letter.from.address
                 );
                 None
             }
-            Ask::Message(letter) => {
+            InternalRequest::ReplicaMessage(letter) => {
                 let _ = self.events.send(Event::Message(letter)).await;
                 None
             }
@@ -279,7 +291,7 @@
         let (open, unknown, done) = seen.keys;
         let (records, unreachable) = {
             let news = held(&self.news);
-            (news.table.len(), news.quiet().len())
+            (news.table.len(), news.suspects().len())
         };
         Figures::of("steward")
             .gauge("epoch", "Number of the membership", seen.view as f64)
@@ -360,7 +372,7 @@
     }
 
     async fn replace(&self, bytes: Vec<u8>) -> Response<Flow> {
-        let version = match Timetable::read(&bytes) {
+        let version = match Configuration::read(&bytes) {
             Ok(timetable) => timetable.version,
             Err(why) => {
                 log::info!("timetable refused: {} ({} errors)", why[0], why.len());
@@ -466,14 +478,14 @@
         at,
         stand: ArcSwap::default(),
         members: Members::default(),
-        news: Mutex::new(office::Office::new(rand::random())),
+        news: Mutex::new(watch_server::WatchServer::new(rand::random())),
         reports: Mutex::default(),
         full: Full::default(),
         written: Arc::default(),
         changed: watch::Sender::new(0),
         events: events.clone(),
         callers: Callers::default(),
-        parcels: Parcels::default(),
+        parcels: UpdateCache::default(),
         packing: tokio::sync::Mutex::default(),
         settings: ArcSwap::from_pointee(settings),
     });
@@ -757,14 +769,14 @@
 /// Tells who has fallen quiet.
 async fn watch_table(office: Arc<Office>) {
     // At its start a steward has heard nobody, which says nothing of them.
-    sleep(Duration::from_nanos(office::QUIET)).await;
+    sleep(Duration::from_nanos(watch_server::SUSPECT_AFTER)).await;
     loop {
         sleep(LOOK).await;
         let quiet = {
             let mut news = held(&office.news);
-            held(&office.reports).keep(|door| news.table.row(door).is_some());
-            office.members.keep(|door| news.table.row(door).is_some());
-            news.look(office.clock.now())
+            held(&office.reports).retain(|door| news.table.record(door).is_some());
+            office.members.keep(|door| news.table.record(door).is_some());
+            news.update_suspects(office.clock.now())
         };
         if let Some(quiet) = quiet {
             log::info!("quiet: {quiet}");
@@ -793,18 +805,23 @@
 }
 
 async fn ask_one(office: Arc<Office>, at: SocketAddr) {
-    let mut mark = Mark::default();
+    let mut mark = TablePosition::default();
     loop {
-        let ask = Ask::News(office::ask_of_steward(mark));
-        match office.callers.to(at).call(ask, Duration::from_nanos(office::HOLD + office::LATE)).await {
-            Ok(Reply::News(reply)) => {
-                mark = reply.mark;
+        let ask = InternalRequest::Watch(watch_server::replica_watch_request(mark));
+        match office
+            .callers
+            .to(at)
+            .call(ask, Duration::from_nanos(watch_server::REPLICA_MAX_WAIT + watch_server::RESPONSE_GRACE))
+            .await
+        {
+            Ok(InternalResponse::Watch(reply)) => {
+                mark = reply.position;
                 office.merge(&reply);
                 // Many small changes go together.
-                let gather = held(&office.news).gather();
+                let gather = held(&office.news).replica_watch_interval();
                 sleep(Duration::from_nanos(gather)).await;
             }
-            _ => sleep(Duration::from_nanos(office::PAUSE)).await,
+            _ => sleep(Duration::from_nanos(watch_server::RETRY_INTERVAL)).await,
         }
     }
 }
--- a/balancer/src/mesh/wire.rs
+++ b/balancer/src/mesh/wire.rs
@@ -11,8 +11,8 @@
 use std::time::Duration;
 
 use ochreshed_consensus::messages::Message;
-pub use ochreshed_mesh::calls::{Ask, NewsAsk, NewsReply, Reply};
-use ochreshed_mesh::calls::{Frame, MOST_FRAME, encode};
+use ochreshed_mesh::internal_rpc::{Frame, MOST_FRAME, encode};
+pub use ochreshed_mesh::internal_rpc::{InternalRequest, InternalResponse, WatchRequest, WatchResponse};
 use serde::de::DeserializeOwned;
 use tokio::io::{AsyncReadExt, AsyncWriteExt, BufReader};
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
@@ -85,7 +85,7 @@
     let _ = socket.set_tcp_keepalive(&alive.with_retries(2));
 }
 
-type Pending = Arc<Mutex<HashMap<u64, oneshot::Sender<Reply>>>>;
+type Pending = Arc<Mutex<HashMap<u64, oneshot::Sender<InternalResponse>>>>;
 
 /// Calls to one process.
 pub struct Caller {
@@ -106,11 +106,11 @@
         Arc::new(Caller { to, ids: 1.into(), open: Mutex::default(), connecting: Default::default() })
     }
 
-    pub async fn call(&self, ask: Ask, within: Duration) -> Result<Reply, CallError> {
+    pub async fn call(&self, ask: InternalRequest, within: Duration) -> Result<InternalResponse, CallError> {
         let work = async {
             let open = self.open().await.ok_or(CallError::NotSent)?;
             let id = self.ids.fetch_add(1, Relaxed);
-            let bytes = encode(&Frame { id, say: ask }).ok_or(CallError::NotSent)?;
+            let bytes = encode(&Frame { id, payload: ask }).ok_or(CallError::NotSent)?;
             let (reply, replied) = oneshot::channel();
             held(&open.pending).insert(id, reply);
             let _waits = Waits { id, pending: open.pending.clone() };
@@ -122,7 +122,9 @@
 
     /// Sends a letter, which may get lost. One connection is tried for at a time.
     pub fn post(self: &Arc<Self>, letter: Message) {
-        let Some(bytes) = encode(&Frame { id: 0, say: Ask::Message(letter) }) else { return };
+        let Some(bytes) = encode(&Frame { id: 0, payload: InternalRequest::ReplicaMessage(letter) }) else {
+            return;
+        };
         let open = held(&self.open).clone().filter(|open| !open.frames.is_closed());
         if let Some(open) = open {
             let _ = open.frames.try_send(bytes);
@@ -164,7 +166,7 @@
         let writer = tokio::spawn(write(to, waiting));
         tokio::spawn(async move {
             let mut from = BufReader::new(from);
-            while let Ok(Frame { id, say }) = read::<Frame<Reply>>(&mut from).await {
+            while let Ok(Frame { id, payload: say }) = read::<Frame<InternalResponse>>(&mut from).await {
                 if let Some(reply) = held(&pending).remove(&id) {
                     let _ = reply.send(say);
                 }
@@ -202,8 +204,8 @@
 /// Answers calls until it is dropped. `answer` is asked for each; letters get no reply.
 pub async fn answer<F, A>(listener: TcpListener, answer: F)
 where
-    F: Fn(Ask) -> A + Clone + Send + Sync + 'static,
-    A: Future<Output = Option<Reply>> + Send + 'static,
+    F: Fn(InternalRequest) -> A + Clone + Send + Sync + 'static,
+    A: Future<Output = Option<InternalResponse>> + Send + 'static,
 {
     let mut guests = tokio::task::JoinSet::new();
     loop {
@@ -221,8 +223,8 @@
 
 async fn guest<F, A>(stream: TcpStream, answer: F)
 where
-    F: Fn(Ask) -> A + Send + Sync + 'static,
-    A: Future<Output = Option<Reply>> + Send + 'static,
+    F: Fn(InternalRequest) -> A + Send + Sync + 'static,
+    A: Future<Output = Option<InternalResponse>> + Send + 'static,
 {
     tune(&stream);
     let (from, to) = stream.into_split();
@@ -231,7 +233,7 @@
     let mut from = BufReader::new(from);
     // What is still being answered ends with the connection.
     let mut calls = tokio::task::JoinSet::new();
-    while let Ok(Frame { id, say }) = read::<Frame<Ask>>(&mut from).await {
+    while let Ok(Frame { id, payload: say }) = read::<Frame<InternalRequest>>(&mut from).await {
         let (reply, frames) = (answer(say), frames.clone());
         if id == 0 {
             reply.await;
@@ -239,7 +241,7 @@
         }
         while calls.try_join_next().is_some() {}
         calls.spawn(async move {
-            if let Some(bytes) = reply.await.and_then(|say| encode(&Frame { id, say })) {
+            if let Some(bytes) = reply.await.and_then(|say| encode(&Frame { id, payload: say })) {
                 let _ = frames.send(bytes).await;
             }
         });
--- a/emulator/src/mesh/count.rs
+++ b/emulator/src/mesh/count.rs
@@ -2,7 +2,7 @@
 //! It owns the books and must never change what happens.
 
 use ochreshed_consensus::messages::{CoreRequest, MessageBody};
-use ochreshed_mesh::calls::{Ask, NewsReply, Reply};
+use ochreshed_mesh::internal_rpc::{InternalRequest, InternalResponse, WatchResponse};
 use serde::Serialize;
 
 use crate::{Nanos, S};
@@ -39,16 +39,19 @@
 
 impl Cause {
     /// `follows`: the last reply told of news.
-    pub fn of_ask(ask: &Ask, follows: bool) -> Cause {
+    pub fn of_ask(ask: &InternalRequest, follows: bool) -> Cause {
         match ask {
-            Ask::News(news) if news.steward => Cause::Spread,
-            Ask::News(news) if news.row.is_some() || follows => Cause::Rows,
-            Ask::News(_) => Cause::Asks,
-            Ask::Core(CoreRequest::AcquireLease { .. } | CoreRequest::CompleteLease { .. }) => Cause::Claims,
-            Ask::Core(_) | Ask::Configuration(_) | Ask::Registers(_) | Ask::Carried(_) => {
-                Cause::Configurations
+            InternalRequest::Watch(news) if news.from_replica => Cause::Spread,
+            InternalRequest::Watch(news) if news.record.is_some() || follows => Cause::Rows,
+            InternalRequest::Watch(_) => Cause::Asks,
+            InternalRequest::Core(CoreRequest::AcquireLease { .. } | CoreRequest::CompleteLease { .. }) => {
+                Cause::Claims
             }
-            Ask::Message(letter) => match letter.body {
+            InternalRequest::Core(_)
+            | InternalRequest::Configuration(_)
+            | InternalRequest::Registers(_)
+            | InternalRequest::AppliedEditions(_) => Cause::Configurations,
+            InternalRequest::ReplicaMessage(letter) => match letter.body {
                 MessageBody::Heartbeat { .. } => Cause::Beats,
                 MessageBody::RequestLeases(_)
                 | MessageBody::LeaseVotes(_)
@@ -65,17 +68,17 @@
     }
 
     /// `ask`: that of what it answers.
-    pub fn of_reply(reply: &Reply, ask: Cause) -> Cause {
+    pub fn of_reply(reply: &InternalResponse, ask: Cause) -> Cause {
         match reply {
-            Reply::News(news) if ask != Cause::Spread && is_news(news) => Cause::Rows,
-            Reply::News(_) if ask == Cause::Rows => Cause::Asks,
+            InternalResponse::Watch(news) if ask != Cause::Spread && is_news(news) => Cause::Rows,
+            InternalResponse::Watch(_) if ask == Cause::Rows => Cause::Asks,
             _ => ask,
         }
     }
 }
 
-pub fn is_news(reply: &NewsReply) -> bool {
-    !reply.rows.is_empty() || reply.quiet.is_some()
+pub fn is_news(reply: &WatchResponse) -> bool {
+    !reply.records.is_empty() || reply.suspects.is_some()
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
--- a/emulator/src/mesh/gate.rs
+++ b/emulator/src/mesh/gate.rs
@@ -10,9 +10,9 @@
 use ochreshed_consensus::messages::{
     CoreRequest, CoreResponse, LeaseKey, LeaseOutcome, LeaseToken, RegisterValue, StoredResponse,
 };
-use ochreshed_mesh::calls::{Ask, NewsReply, Reply};
-use ochreshed_mesh::list::{Row, Stand};
-use ochreshed_mesh::news::{self, Asker, Known, Listing};
+use ochreshed_mesh::endpoints::{EndpointRecord, UpstreamState};
+use ochreshed_mesh::internal_rpc::{InternalRequest, InternalResponse, WatchResponse};
+use ochreshed_mesh::watch_client::{self, EndpointView, ReplicaDirectory, Watcher};
 
 use super::count::{Cause, is_news};
 use super::hand::{Hand, Note, Step, Timer};
@@ -28,7 +28,7 @@
 const FETCH: Nanos = 900 * MS;
 
 struct Turn {
-    asker: Asker,
+    asker: Watcher,
     /// The call that waits.
     open: Option<u64>,
     /// The last reply told of news.
@@ -58,12 +58,12 @@
 pub struct Gate {
     pub at: SocketAddr,
     seeds: Vec<SocketAddr>,
-    row: Row,
+    row: EndpointRecord,
     turns: Vec<Turn>,
     open: BTreeMap<u64, Open>,
-    listing: Listing,
+    listing: EndpointView,
     quiet: HashSet<SocketAddr>,
-    known: Known,
+    known: ReplicaDirectory,
     sheet: Option<Arc<RegisterValue>>,
     fetching: Revision,
     claims: BTreeMap<u64, Claim>,
@@ -82,25 +82,25 @@
         answer: usize,
         hand: &mut Hand,
     ) -> Gate {
-        let mut known = Known::default();
-        known.know(seeds.iter().copied());
-        let row = Row {
-            door: at,
-            life: hand.now / MS,
-            number: 0,
+        let mut known = ReplicaDirectory::default();
+        known.set_replicas(seeds.iter().copied());
+        let row = EndpointRecord {
+            inbound_proxy: at,
+            incarnation: hand.now / MS,
+            sequence: 0,
             zone: "a".into(),
-            line: service,
-            id: String::new(),
-            edition: String::new(),
-            stand: Stand::None,
-            slots: 0,
-            cold_ms: 0,
-            calls: false,
-            serving: true,
-            ill: Default::default(),
+            service,
+            upstream_id: String::new(),
+            software_version: String::new(),
+            state: UpstreamState::Absent,
+            concurrency_limit: 0,
+            warming_up_ms: 0,
+            calls_services: false,
+            accepts_clients: true,
+            health: Default::default(),
         };
-        let turn = |which| Turn { asker: Asker::new(which, many), open: None, follows: false };
-        (0..many).for_each(|which| hand.timer(0, Timer::Ask(which)));
+        let turn = |which| Turn { asker: Watcher::new(which, many), open: None, follows: false };
+        (0..many).for_each(|which| hand.timer(0, Timer::Request(which)));
         hand.timer(S, Timer::Turn(Step::Join));
         Gate {
             at,
@@ -108,7 +108,7 @@
             row,
             turns: (0..many).map(turn).collect(),
             open: BTreeMap::new(),
-            listing: Listing::default(),
+            listing: EndpointView::default(),
             quiet: HashSet::new(),
             known,
             sheet: None,
@@ -125,7 +125,7 @@
     }
 
     pub fn rank_of(&self, door: SocketAddr) -> (u64, u64) {
-        self.listing.row(door).map_or((0, 0), Row::rank)
+        self.listing.record(door).map_or((0, 0), EndpointRecord::record_version)
     }
 
     pub fn rows(&self) -> usize {
@@ -133,12 +133,12 @@
     }
 
     pub fn is_up(&self) -> bool {
-        self.row.stand == Stand::Open
+        self.row.state == UpstreamState::Serving
     }
 
     /// Its row says something else now: its asks go out anew.
-    fn change(&mut self, hand: &mut Hand, change: impl FnOnce(&mut Row)) {
-        self.row.number += 1;
+    fn change(&mut self, hand: &mut Hand, change: impl FnOnce(&mut EndpointRecord)) {
+        self.row.sequence += 1;
         change(&mut self.row);
         for which in 0..self.turns.len() {
             if let Some(open) = self.turns[which].open.take() {
@@ -152,30 +152,31 @@
     pub fn step(&mut self, step: Step, cold: Nanos, hand: &mut Hand) {
         match step {
             Step::Drain if self.is_up() => {
-                self.change(hand, |row| row.stand = Stand::Closing);
-                hand.note(Note::Draining(self.row.rank()));
+                self.change(hand, |row| row.state = UpstreamState::Draining);
+                hand.note(Note::Draining(self.row.record_version()));
                 hand.timer(2 * S, Timer::Turn(Step::End));
             }
             Step::End => {
-                self.change(hand, |row| row.stand = Stand::None);
+                self.change(hand, |row| row.state = UpstreamState::Absent);
                 let next = if self.leaves { Step::Leave } else { Step::Join };
                 hand.timer(S, Timer::Turn(next));
             }
             Step::Leave => {
-                self.change(hand, |row| row.serving = false);
+                self.change(hand, |row| row.accepts_clients = false);
                 hand.timer(S / 2, Timer::Turn(Step::Kill));
             }
             Step::Join => {
                 let id = format!("i-{:x}-{:x}", hand.now / MS, self.at.port());
                 self.change(hand, |row| {
-                    (row.id, row.edition, row.stand, row.slots) = (id, "v1".into(), Stand::Open, 8);
-                    row.cold_ms = cold / MS;
+                    (row.upstream_id, row.software_version, row.state, row.concurrency_limit) =
+                        (id, "v1".into(), UpstreamState::Serving, 8);
+                    row.warming_up_ms = cold / MS;
                 });
                 if cold > 0 {
                     hand.timer(cold, Timer::Turn(Step::Warm));
                 }
             }
-            Step::Warm if self.row.cold_ms > 0 => self.change(hand, |row| row.cold_ms = 0),
+            Step::Warm if self.row.warming_up_ms > 0 => self.change(hand, |row| row.warming_up_ms = 0),
             _ => {}
         }
     }
@@ -185,25 +186,26 @@
     }
 
     fn ask(&mut self, which: usize, hand: &mut Hand) {
-        let (stewards, sheet) = (self.known.all(), self.sheet_rank());
+        let (stewards, sheet) = (self.known.replicas(), self.sheet_rank());
         let turn = &mut self.turns[which];
-        let Some(steward) = turn.asker.next(hand.now, self.at, &stewards) else {
-            hand.timer(news::PAUSE, Timer::Ask(which));
+        let Some(steward) = turn.asker.next_replica(hand.now, self.at, &stewards) else {
+            hand.timer(watch_client::RETRY_INTERVAL, Timer::Request(which));
             return;
         };
-        let ask = turn.asker.ask(steward, self.row.clone(), sheet, Vec::new());
-        let id = hand.ask(steward, Ask::News(ask), turn.follows);
+        let ask = turn.asker.request(steward, self.row.clone(), sheet, Vec::new());
+        let id = hand.ask(steward, InternalRequest::Watch(ask), turn.follows);
         turn.open = Some(id);
-        self.open.insert(id, Open::News { which, steward, row: self.row.rank() });
-        hand.timer(news::HOLD + news::LATE, Timer::Late(id));
+        self.open.insert(id, Open::News { which, steward, row: self.row.record_version() });
+        hand.timer(watch_client::MAX_WAIT + watch_client::RESPONSE_GRACE, Timer::Late(id));
     }
 
     /// Whether the reply was waited for.
-    pub fn replied(&mut self, id: u64, reply: Reply, hand: &mut Hand) -> bool {
+    pub fn replied(&mut self, id: u64, reply: InternalResponse, hand: &mut Hand) -> bool {
         match (self.open.remove(&id), reply) {
-            (Some(Open::News { which, steward, row }), Reply::News(reply)) => {
+            (Some(Open::News { which, steward, row }), InternalResponse::Watch(reply)) => {
                 let has_sheet = self.sheet.is_some();
-                let quiet = self.turns[which].asker.replied(hand.now, steward, row, has_sheet, &reply);
+                let quiet =
+                    self.turns[which].asker.handle_response(hand.now, steward, row, has_sheet, &reply);
                 self.turns[which].open = None;
                 self.turns[which].follows = is_news(&reply);
                 self.news((which, steward), *reply, quiet, hand);
@@ -211,7 +213,7 @@
                     self.ask(which, hand);
                 }
             }
-            (Some(Open::Configuration { steward, rank, whole }), Reply::Configuration(parcel)) => {
+            (Some(Open::Configuration { steward, rank, whole }), InternalResponse::Configuration(parcel)) => {
                 self.parcel(
                     steward,
                     rank,
@@ -220,8 +222,10 @@
                     hand,
                 );
             }
-            (Some(Open::Claim { claim, steward }), Reply::Core(got)) => self.got(claim, steward, got, hand),
-            (Some(Open::Settle { claim, steward }), Reply::Core(got)) => {
+            (Some(Open::Claim { claim, steward }), InternalResponse::Core(got)) => {
+                self.got(claim, steward, got, hand)
+            }
+            (Some(Open::Settle { claim, steward }), InternalResponse::Core(got)) => {
                 self.settled(claim, steward, got == CoreResponse::Accepted, hand);
             }
             (open, _) => return open.is_some(),
@@ -233,11 +237,11 @@
     pub fn failed(&mut self, id: u64, hand: &mut Hand) {
         match self.open.remove(&id) {
             Some(Open::News { which, steward, .. }) => {
-                let stewards = self.known.all().len();
-                self.turns[which].asker.failed(hand.now, steward, self.sheet.is_some(), stewards);
+                let stewards = self.known.replicas().len();
+                self.turns[which].asker.request_failed(hand.now, steward, self.sheet.is_some(), stewards);
                 self.turns[which].open = None;
-                self.listing.silent(which);
-                hand.timer(news::PAUSE, Timer::Ask(which));
+                self.listing.watch_lost(which);
+                hand.timer(watch_client::RETRY_INTERVAL, Timer::Request(which));
             }
             Some(Open::Configuration { rank, .. }) => self.fetched(rank),
             Some(Open::Claim { claim, steward }) => self.got(claim, steward, CoreResponse::Unavailable, hand),
@@ -249,28 +253,28 @@
     fn news(
         &mut self,
         (which, steward): (usize, SocketAddr),
-        reply: NewsReply,
+        reply: WatchResponse,
         quiet: HashSet<SocketAddr>,
         hand: &mut Hand,
     ) {
-        if let Some(life) = reply.life.filter(|life| *life > self.row.life) {
-            self.change(hand, |row| row.life = life + 1);
+        if let Some(life) = reply.known_incarnation.filter(|life| *life > self.row.incarnation) {
+            self.change(hand, |row| row.incarnation = life + 1);
         }
-        if let Some(rank) = reply.sheet.filter(|rank| *rank > self.sheet_rank()) {
+        if let Some(rank) = reply.configuration.filter(|rank| *rank > self.sheet_rank()) {
             self.fetching = rank;
             self.fetch(steward, rank, false, hand);
         }
-        if reply.drains.iter().any(|(door, id, _)| *door == self.at && *id == self.row.id) {
+        if reply.drains.iter().any(|(door, id, _)| *door == self.at && *id == self.row.upstream_id) {
             self.step(Step::Drain, 0, hand);
         }
-        if !reply.stewards.is_empty() {
-            self.known.know(reply.stewards.into_iter().chain(self.seeds.iter().copied()));
+        if !reply.replicas.is_empty() {
+            self.known.set_replicas(reply.replicas.into_iter().chain(self.seeds.iter().copied()));
         }
-        let doors: Vec<SocketAddr> = reply.rows.iter().map(|row| row.door).collect();
-        if self.listing.take(hand.now, which, reply.rows, quiet) {
+        let doors: Vec<SocketAddr> = reply.records.iter().map(|row| row.inbound_proxy).collect();
+        if self.listing.merge(hand.now, which, reply.records, quiet) {
             // All is listed anew.
             hand.rows(Cause::Rows, self.listing.len());
-            self.quiet = self.listing.quiet();
+            self.quiet = self.listing.suspects();
             hand.note(Note::Quiet);
         }
         for door in doors {
@@ -280,7 +284,7 @@
 
     fn fetch(&mut self, steward: SocketAddr, rank: Revision, whole: bool, hand: &mut Hand) {
         let have = self.sheet.as_ref().filter(|_| !whole).map_or(Revision::NONE, |sheet| sheet.revision());
-        let id = hand.ask(steward, Ask::Configuration(have), false);
+        let id = hand.ask(steward, InternalRequest::Configuration(have), false);
         self.open.insert(id, Open::Configuration { steward, rank, whole });
         hand.timer(FETCH, Timer::Late(id));
     }
@@ -318,7 +322,7 @@
             key,
             token,
             began: hand.now,
-            order: self.known.by_key(hand.now, key),
+            order: self.known.replicas_for_key(hand.now, key),
             asked: 0,
             out: 0,
             silent: Vec::new(),
@@ -341,7 +345,11 @@
             claim.out += 1;
             claim.silent.push(steward);
             let (key, token) = (claim.key, claim.token);
-            let ask = Ask::Core(CoreRequest::AcquireLease { key, token, time_left_ms: (CLAIM / MS) as u32 });
+            let ask = InternalRequest::Core(CoreRequest::AcquireLease {
+                key,
+                token,
+                time_left_ms: (CLAIM / MS) as u32,
+            });
             let id = hand.ask(steward, ask, false);
             self.open.insert(id, Open::Claim { claim: number, steward });
             hand.timer(CLAIM, Timer::Late(id));
@@ -401,7 +409,7 @@
 
     fn settle(&mut self, number: u64, hand: &mut Hand) {
         let Some(claim) = self.claims.get_mut(&number) else { return };
-        let order = self.known.by_key(hand.now, claim.key);
+        let order = self.known.replicas_for_key(hand.now, claim.key);
         if claim.settles >= SETTLES || order.is_empty() {
             self.claims.remove(&number);
             return;
@@ -409,7 +417,11 @@
         let steward = order[claim.settles % order.len()];
         claim.settles += 1;
         let (key, token, outcome) = (claim.key, claim.token, claim.outcome.clone());
-        let id = hand.ask(steward, Ask::Core(CoreRequest::CompleteLease { key, token, outcome }), false);
+        let id = hand.ask(
+            steward,
+            InternalRequest::Core(CoreRequest::CompleteLease { key, token, outcome }),
+            false,
+        );
         self.open.insert(id, Open::Settle { claim: number, steward });
         hand.timer(SETTLE, Timer::Late(id));
     }
@@ -425,7 +437,7 @@
 
     pub fn timer(&mut self, timer: Timer, hand: &mut Hand) {
         match timer {
-            Timer::Ask(which) if self.turns[which].open.is_none() => self.ask(which, hand),
+            Timer::Request(which) if self.turns[which].open.is_none() => self.ask(which, hand),
             Timer::Late(id) => self.failed(id, hand),
             Timer::Hedge(claim) => self.claim_next(claim, hand),
             Timer::Ran(claim) => self.ran(claim, hand),
--- a/emulator/src/mesh/hand.rs
+++ b/emulator/src/mesh/hand.rs
@@ -5,7 +5,7 @@
 
 use ochreshed_consensus::messages::Revision;
 use ochreshed_consensus::messages::{LeaseKey, LeaseToken, Message};
-use ochreshed_mesh::calls::{Ask, Reply};
+use ochreshed_mesh::internal_rpc::{InternalRequest, InternalResponse};
 
 use super::count::Cause;
 use crate::Nanos;
@@ -23,7 +23,7 @@
     /// A call has waited long enough for its reply.
     Late(u64),
     /// One of an attendant's asks goes out.
-    Ask(usize),
+    Request(usize),
     Turn(Step),
     Hedge(u64),
     Ran(u64),
@@ -64,16 +64,16 @@
 }
 
 pub enum Out {
-    Ask {
+    Request {
         to: SocketAddr,
         id: u64,
-        ask: Box<Ask>,
+        ask: Box<InternalRequest>,
         follows: bool,
     },
-    Reply {
+    Response {
         to: usize,
         id: u64,
-        reply: Reply,
+        reply: InternalResponse,
         ask: Cause,
     },
     After(Nanos, Timer),
@@ -93,18 +93,23 @@
 
 impl Hand {
     /// Sends a call; its number.
-    pub fn ask(&mut self, to: SocketAddr, ask: Ask, follows: bool) -> u64 {
+    pub fn ask(&mut self, to: SocketAddr, ask: InternalRequest, follows: bool) -> u64 {
         self.ids += 1;
-        self.out.push(Out::Ask { to, id: self.ids, ask: Box::new(ask), follows });
+        self.out.push(Out::Request { to, id: self.ids, ask: Box::new(ask), follows });
         self.ids
     }
 
     pub fn post(&mut self, to: SocketAddr, letter: Message) {
-        self.out.push(Out::Ask { to, id: 0, ask: Box::new(Ask::Message(letter)), follows: false });
+        self.out.push(Out::Request {
+            to,
+            id: 0,
+            ask: Box::new(InternalRequest::ReplicaMessage(letter)),
+            follows: false,
+        });
     }
 
-    pub fn reply(&mut self, to: usize, id: u64, reply: Reply, ask: Cause) {
-        self.out.push(Out::Reply { to, id, reply, ask });
+    pub fn reply(&mut self, to: usize, id: u64, reply: InternalResponse, ask: Cause) {
+        self.out.push(Out::Response { to, id, reply, ask });
     }
 
     pub fn timer(&mut self, after: Nanos, timer: Timer) {
--- a/emulator/src/mesh/steward.rs
+++ b/emulator/src/mesh/steward.rs
@@ -8,10 +8,10 @@
 
 use ochreshed_consensus::core::{Config, Core};
 use ochreshed_consensus::messages::*;
-use ochreshed_mesh::calls::{Ask, NewsReply, Reply};
-use ochreshed_mesh::list::Mark;
-use ochreshed_mesh::office::{self, Office, Stand, Waiting};
-use ochreshed_mesh::parcels::Parcels;
+use ochreshed_mesh::configuration_update::UpdateCache;
+use ochreshed_mesh::endpoints::TablePosition;
+use ochreshed_mesh::internal_rpc::{InternalRequest, InternalResponse, WatchResponse};
+use ochreshed_mesh::watch_server::{self, CommittedState, PendingWatch, WatchServer};
 
 use super::count::Cause;
 use super::hand::{Hand, Note, Timer};
@@ -85,7 +85,7 @@
     from: usize,
     id: u64,
     cause: Cause,
-    waiting: Waiting,
+    waiting: PendingWatch,
     /// It is answered soon, for there is news.
     timed: bool,
 }
@@ -110,8 +110,8 @@
 pub struct Steward {
     at: SocketAddr,
     core: Core,
-    office: Office,
-    parcels: Parcels,
+    office: WatchServer,
+    parcels: UpdateCache,
     pub kept: Kept,
     /// Given to the disk; the first `writing` of them are under way.
     batches: VecDeque<Batch>,
@@ -129,7 +129,7 @@
     next_call: u64,
     wake: Nanos,
     /// Asks to other stewards: where each one's table stands, and the ask that is open.
-    others: BTreeMap<SocketAddr, (Mark, u64)>,
+    others: BTreeMap<SocketAddr, (TablePosition, u64)>,
 }
 
 impl Steward {
@@ -149,8 +149,8 @@
         let mut steward = Steward {
             at: start.at,
             core,
-            office: Office::new(start.seed | 1),
-            parcels: Parcels::default(),
+            office: WatchServer::new(start.seed | 1),
+            parcels: UpdateCache::default(),
             kept: start.kept,
             batches: VecDeque::new(),
             writing: 0,
@@ -167,38 +167,47 @@
             others: BTreeMap::new(),
         };
         steward.work(acts, hand);
-        hand.timer(office::QUIET + office::LOOK, Timer::Look);
+        hand.timer(watch_server::SUSPECT_AFTER + watch_server::SUSPECT_CHECK_INTERVAL, Timer::Look);
         hand.timer(0, Timer::Others);
         steward
     }
 
-    fn stand(&self) -> Stand<'_> {
+    fn stand(&self) -> CommittedState<'_> {
         let safe = self.safe.as_ref().map(|sheet| sheet.revision());
-        Stand { safe, stewards: &self.stewards, settled: self.settled, papers: NO_PAPERS }
+        CommittedState {
+            configuration: safe,
+            replicas: &self.stewards,
+            has_quorum: self.settled,
+            registers: NO_PAPERS,
+        }
     }
 
-    pub fn ask(&mut self, from: usize, id: u64, ask: Ask, cause: Cause, hand: &mut Hand) {
+    pub fn ask(&mut self, from: usize, id: u64, ask: InternalRequest, cause: Cause, hand: &mut Hand) {
         match ask {
-            Ask::Message(letter) => {
+            InternalRequest::ReplicaMessage(letter) => {
                 let mut acts = Vec::new();
                 self.core.handle_message(hand.now, letter, &mut acts);
                 self.work(acts, hand);
             }
-            Ask::Core(want) => self.want(want, Call::Of(from, id), hand),
-            Ask::Configuration(have) => {
+            InternalRequest::Core(want) => self.want(want, Call::Of(from, id), hand),
+            InternalRequest::Configuration(have) => {
                 let parcel = self.parcels.newest(have);
-                hand.reply(from, id, Reply::Configuration(parcel), Cause::Configurations);
+                hand.reply(from, id, InternalResponse::Configuration(parcel), Cause::Configurations);
             }
-            Ask::Registers(_) | Ask::Carried(_) => {}
-            Ask::News(ask) => {
+            InternalRequest::Registers(_) | InternalRequest::AppliedEditions(_) => {}
+            InternalRequest::Watch(ask) => {
                 let safe = self.safe.as_ref().map(|sheet| sheet.revision());
-                let stand =
-                    Stand { safe, stewards: &self.stewards, settled: self.settled, papers: NO_PAPERS };
-                let (waiting, news) = self.office.came(hand.now, &ask, stand);
-                let due = self.office.due(&waiting, self.stand());
+                let stand = CommittedState {
+                    configuration: safe,
+                    replicas: &self.stewards,
+                    has_quorum: self.settled,
+                    registers: NO_PAPERS,
+                };
+                let (waiting, news) = self.office.register(hand.now, &ask, stand);
+                let due = self.office.due_at(&waiting, self.stand());
                 if due.is_some_and(|due| due <= hand.now) {
-                    let reply = self.office.reply(hand.now, waiting, self.stand(), None);
-                    hand.reply(from, id, Reply::News(Box::new(reply)), cause);
+                    let reply = self.office.respond(hand.now, waiting, self.stand(), None);
+                    hand.reply(from, id, InternalResponse::Watch(Box::new(reply)), cause);
                 } else {
                     self.next_reader += 1;
                     let until = due.map_or(waiting.hold, |due| (due - hand.now).min(waiting.hold));
@@ -231,18 +240,18 @@
     }
 
     /// A reply of another steward; whether it was waited for.
-    pub fn replied(&mut self, id: u64, reply: &NewsReply, hand: &mut Hand) -> bool {
+    pub fn replied(&mut self, id: u64, reply: &WatchResponse, hand: &mut Hand) -> bool {
         let Some((at, (mark, open))) = self.others.iter_mut().find(|(_, (_, open))| *open == id) else {
             return false;
         };
         let at = *at;
-        (*mark, *open) = (reply.mark, 0);
-        hand.rows(Cause::Spread, reply.ages.len());
+        (*mark, *open) = (reply.position, 0);
+        hand.rows(Cause::Spread, reply.last_heard_ms_ago.len());
         if self.office.merge(hand.now, reply) {
             self.change(hand);
         }
         // Many small changes go together.
-        hand.timer(self.office.gather(), Timer::AskOther(at));
+        hand.timer(self.office.replica_watch_interval(), Timer::AskOther(at));
         true
     }
 
@@ -250,7 +259,7 @@
     pub fn failed(&mut self, id: u64, hand: &mut Hand) {
         if let Some((at, (_, open))) = self.others.iter_mut().find(|(_, (_, open))| *open == id) {
             *open = 0;
-            hand.timer(office::PAUSE, Timer::AskOther(*at));
+            hand.timer(watch_server::RETRY_INTERVAL, Timer::AskOther(*at));
         }
     }
 
@@ -258,26 +267,33 @@
         match timer {
             Timer::Wake if hand.now >= self.wake => self.work(Vec::new(), hand),
             Timer::Look => {
-                hand.rows(Cause::Clock, self.office.table.rows().count());
-                if self.office.look(hand.now).is_some() {
+                hand.rows(Cause::Clock, self.office.table.records().count());
+                if self.office.update_suspects(hand.now).is_some() {
                     self.change(hand);
                 }
-                hand.timer(office::LOOK, Timer::Look);
+                hand.timer(watch_server::SUSPECT_CHECK_INTERVAL, Timer::Look);
             }
             Timer::Others => {
                 self.others.retain(|at, _| self.stewards.contains(at));
                 for at in self.stewards.iter().filter(|at| **at != self.at) {
                     if !self.others.contains_key(at) {
-                        self.others.insert(*at, (Mark::default(), 0));
+                        self.others.insert(*at, (TablePosition::default(), 0));
                         hand.timer(0, Timer::AskOther(*at));
                     }
                 }
-                hand.timer(office::LOOK, Timer::Others);
+                hand.timer(watch_server::SUSPECT_CHECK_INTERVAL, Timer::Others);
             }
             Timer::AskOther(at) => {
                 if let Some((mark, open)) = self.others.get_mut(&at) {
-                    *open = hand.ask(at, Ask::News(office::ask_of_steward(*mark)), false);
-                    hand.timer(office::HOLD + office::LATE, Timer::Late(*open));
+                    *open = hand.ask(
+                        at,
+                        InternalRequest::Watch(watch_server::replica_watch_request(*mark)),
+                        false,
+                    );
+                    hand.timer(
+                        watch_server::REPLICA_MAX_WAIT + watch_server::RESPONSE_GRACE,
+                        Timer::Late(*open),
+                    );
                 }
             }
             Timer::Held(reader) => {
@@ -318,7 +334,7 @@
         hand.readers(numbers.len());
         for number in &numbers {
             let Some(reader) = self.readers.get(number) else { continue };
-            match self.office.due(&reader.waiting, self.stand()) {
+            match self.office.due_at(&reader.waiting, self.stand()) {
                 Some(due) if due <= hand.now => {
                     if let Some(reader) = self.readers.remove(number) {
                         self.tell(reader, hand);
@@ -343,8 +359,8 @@
     }
 
     fn tell(&mut self, reader: Reader, hand: &mut Hand) {
-        let reply = self.office.reply(hand.now, reader.waiting, self.stand(), None);
-        hand.reply(reader.from, reader.id, Reply::News(Box::new(reply)), reader.cause);
+        let reply = self.office.respond(hand.now, reader.waiting, self.stand(), None);
+        hand.reply(reader.from, reader.id, InternalResponse::Watch(Box::new(reply)), reader.cause);
     }
 
     /// One round of the core's work.
@@ -407,7 +423,7 @@
 
     fn answer(&mut self, call: u64, got: CoreResponse, hand: &mut Hand) {
         match (self.calls.remove(&call), got) {
-            (Some(Call::Of(to, id)), got) => hand.reply(to, id, Reply::Core(got), Cause::Claims),
+            (Some(Call::Of(to, id)), got) => hand.reply(to, id, InternalResponse::Core(got), Cause::Claims),
             (Some(Call::Replace(version, digest)), got) => {
                 hand.note(Note::Replaced(Revision::new(version, digest), got == CoreResponse::Accepted));
             }
--- a/emulator/src/mesh/world.rs
+++ b/emulator/src/mesh/world.rs
@@ -8,7 +8,7 @@
 
 use ochreshed_consensus::core::Config;
 use ochreshed_consensus::messages::{CoreRequest, LeaseKey, LeaseToken, RegisterValue};
-use ochreshed_mesh::calls::{Ask, Frame, Reply, encode};
+use ochreshed_mesh::internal_rpc::{Frame, InternalRequest, InternalResponse, encode};
 
 use super::audit::Audit;
 use super::count::{Books, CAUSES, Cause};
@@ -36,8 +36,8 @@
 const KEYS: usize = 64;
 
 enum Say {
-    Ask(Box<Ask>),
-    Reply(Reply),
+    Request(Box<InternalRequest>),
+    Response(InternalResponse),
 }
 
 struct Message {
@@ -439,8 +439,8 @@
 
     fn send(&mut self, from: usize, to: usize, id: u64, cause: Cause, say: Say) {
         let frame = match &say {
-            Say::Ask(ask) => encode(&Frame { id, say: &**ask }),
-            Say::Reply(reply) => encode(&Frame { id, say: reply }),
+            Say::Request(ask) => encode(&Frame { id, payload: &**ask }),
+            Say::Response(reply) => encode(&Frame { id, payload: reply }),
         };
         let Some(frame) = frame else { return };
         let bytes = frame.len() as u64 + self.of.link.head;
@@ -466,7 +466,7 @@
         let (now, to) = (self.events.now(), message.to);
         if self.nodes[to].process.is_none() {
             // Its system says that nobody is there.
-            if matches!(message.say, Say::Ask(_)) && message.id != 0 {
+            if matches!(message.say, Say::Request(_)) && message.id != 0 {
                 let after = self.of.link.delay.draw(&mut self.net);
                 self.events.after(after, Event::Broken(message.from, message.id));
             }
@@ -487,12 +487,12 @@
             return;
         }
         match say {
-            Say::Ask(ask) => self.with(to, |process, hand| {
+            Say::Request(ask) => self.with(to, |process, hand| {
                 if let Process::Steward(steward) = process {
                     steward.ask(from, id, *ask, cause, hand);
                 }
             }),
-            Say::Reply(reply) => {
+            Say::Response(reply) => {
                 if self.open.remove(&id).is_none() {
                     return;
                 }
@@ -500,7 +500,7 @@
                     (Process::Gate(gate), reply) => {
                         gate.replied(id, reply, hand);
                     }
-                    (Process::Steward(steward), Reply::News(reply)) => {
+                    (Process::Steward(steward), InternalResponse::Watch(reply)) => {
                         steward.replied(id, &reply, hand);
                     }
                     _ => {}
@@ -564,17 +564,17 @@
         let life = self.nodes[node].life;
         for out in hand.out {
             match out {
-                Out::Ask { to, id, ask, follows } => {
+                Out::Request { to, id, ask, follows } => {
                     let Some(to) = self.node_at(to) else { continue };
                     let cause = Cause::of_ask(&ask, follows);
                     if id != 0 {
                         self.open.insert(id, (node, to));
                     }
-                    self.send(node, to, id, cause, Say::Ask(ask));
+                    self.send(node, to, id, cause, Say::Request(ask));
                 }
-                Out::Reply { to, id, reply, ask } => {
+                Out::Response { to, id, reply, ask } => {
                     let cause = Cause::of_reply(&reply, ask);
-                    self.send(node, to, id, cause, Say::Reply(reply));
+                    self.send(node, to, id, cause, Say::Response(reply));
                 }
                 Out::After(after, timer) => self.events.after(after, Event::Timer(node, life, timer)),
                 Out::Turn(timer) => {
--- a/mesh/src/slots.rs
+++ b/mesh/src/admission.rs
@@ -12,7 +12,7 @@
 
 use std::collections::{HashMap, VecDeque};
 
-use crate::timetable::Name;
+use crate::configuration::Name;
 use ochreshed_consensus::core::Nanos;
 
 /// What a run takes goes into the mean with this part.
@@ -26,16 +26,16 @@
 
 /// A req that asks for a slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Asker {
+pub struct AdmissionRequest {
     /// A run that is under way elsewhere waits for it.
-    pub call: bool,
+    pub is_nested: bool,
     /// How many doors have turned it away before.
-    pub turned: u32,
+    pub rejections: u32,
     /// Its session lives at this upstream: elsewhere is worse than later.
-    pub tied: bool,
+    pub has_affinity: bool,
     /// When its answer is late, and when nobody waits for it any more.
-    pub aim: Nanos,
-    pub until: Nanos,
+    pub target: Nanos,
+    pub deadline: Nanos,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -47,24 +47,24 @@
 
 /// How a req was received.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Way {
+pub enum Admission {
     /// It has a slot.
-    In,
+    Admitted,
     /// It waits, until then at the longest.
-    Waits(Nanos),
+    Queued(Nanos),
     /// There is no use in waiting here.
-    Turned,
+    Rejected,
 }
 
 /// What the reqs of a member may have here.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Part {
+pub struct MemberShare {
     pub member: Name,
     /// Of the slots and of the waiting places, from 0 to 1; rounded up, and one at least.
     pub share: f64,
 }
 
-impl Part {
+impl MemberShare {
     fn of(share: f64, all: u32) -> u32 {
         // Guards against a share such as a third of three that comes out a hair above one.
         let part = (f64::from(all) * share - 1e-9).ceil();
@@ -72,7 +72,7 @@
     }
 }
 
-struct Waiting<T> {
+struct QueuedRequest<T> {
     order: (Class, Nanos),
     last: Nanos,
     member: Option<Name>,
@@ -99,52 +99,59 @@
 }
 
 /// `T` is who waits.
-pub struct Slots<T> {
+pub struct AdmissionQueue<T> {
     slots: u32,
     taken: u32,
-    waiting: VecDeque<Waiting<T>>,
+    waiting: VecDeque<QueuedRequest<T>>,
     /// What a run takes on the mean of late, in seconds.
     took: f64,
     members: HashMap<Name, Member>,
 }
 
-impl<T> Default for Slots<T> {
-    fn default() -> Slots<T> {
-        Slots { slots: 0, taken: 0, waiting: VecDeque::new(), took: 0.0, members: HashMap::new() }
+impl<T> Default for AdmissionQueue<T> {
+    fn default() -> AdmissionQueue<T> {
+        AdmissionQueue { slots: 0, taken: 0, waiting: VecDeque::new(), took: 0.0, members: HashMap::new() }
     }
 }
 
-impl<T> Slots<T> {
+impl<T> AdmissionQueue<T> {
     /// How many the upstream has; those that wait may have a place by that, see `next`.
     pub fn set(&mut self, slots: u32) {
         self.slots = slots;
     }
 
     /// A req comes; `who` is kept where it waits.
-    pub fn ask(&mut self, now: Nanos, asker: &Asker, who: impl FnOnce() -> T) -> Way {
+    pub fn ask(&mut self, now: Nanos, asker: &AdmissionRequest, who: impl FnOnce() -> T) -> Admission {
         self.ask_of(now, asker, None, who)
     }
 
     /// A req comes that is a member's, or nobody's.
-    pub fn ask_of(&mut self, now: Nanos, asker: &Asker, part: Option<&Part>, who: impl FnOnce() -> T) -> Way {
+    pub fn ask_of(
+        &mut self,
+        now: Nanos,
+        asker: &AdmissionRequest,
+        part: Option<&MemberShare>,
+        who: impl FnOnce() -> T,
+    ) -> Admission {
         let member = part.map(|part| self.member(part));
         // One slot is left for those that can still be in time.
-        let late = !asker.call && now + nanos(member.map_or(self.took, |member| member.took)) > asker.aim;
+        let late =
+            !asker.is_nested && now + nanos(member.map_or(self.took, |member| member.took)) > asker.target;
         let free = self.slots.saturating_sub(u32::from(late && self.slots > 1));
         let own_free = member.is_none_or(|member| self.left(&member) > 0);
         if self.taken < free && own_free && !self.waiting.iter().any(|other| self.may_enter(other)) {
             self.enter(part.map(|part| &part.member));
-            return Way::In;
+            return Admission::Admitted;
         }
-        let Some((order, last)) = self.may_wait(now, asker, part) else { return Way::Turned };
+        let Some((order, last)) = self.may_wait(now, asker, part) else { return Admission::Rejected };
         let at = self.waiting.partition_point(|other| other.order <= order);
         let member = part.map(|part| part.member.clone());
-        self.waiting.insert(at, Waiting { order, last, member, who: who() });
-        Way::Waits(last)
+        self.waiting.insert(at, QueuedRequest { order, last, member, who: who() });
+        Admission::Queued(last)
     }
 
     /// What is known of a member, with the share that it has now.
-    fn member(&mut self, part: &Part) -> Member {
+    fn member(&mut self, part: &MemberShare) -> Member {
         if self.members.len() > MOST_MEMBERS && !self.members.contains_key(&part.member) {
             let waiting = &self.waiting;
             let waits = |name: &Name| waiting.iter().any(|other| other.member.as_ref() == Some(name));
@@ -158,11 +165,11 @@
 
     /// How many more slots a member may take.
     fn left(&self, member: &Member) -> u32 {
-        Part::of(member.share, self.slots).saturating_sub(member.taken)
+        MemberShare::of(member.share, self.slots).saturating_sub(member.taken)
     }
 
     /// Whether one that waits may have a slot that is free.
-    fn may_enter(&self, waiting: &Waiting<T>) -> bool {
+    fn may_enter(&self, waiting: &QueuedRequest<T>) -> bool {
         let member = waiting.member.as_ref().and_then(|name| self.members.get(name));
         member.is_none_or(|member| self.left(member) > 0)
     }
@@ -203,9 +210,14 @@
     }
 
     /// Its place in the order and how long it may wait there, if that is of use.
-    fn may_wait(&self, now: Nanos, asker: &Asker, part: Option<&Part>) -> Option<((Class, Nanos), Nanos)> {
-        let class = if asker.call { Class::Call } else { Class::InTime };
-        let order = (class, asker.aim);
+    fn may_wait(
+        &self,
+        now: Nanos,
+        asker: &AdmissionRequest,
+        part: Option<&MemberShare>,
+    ) -> Option<((Class, Nanos), Nanos)> {
+        let class = if asker.is_nested { Class::Call } else { Class::InTime };
+        let order = (class, asker.target);
         let member = part.and_then(|part| Some((part, self.members.get(&part.member)?)));
         let queue = self.queue(order, member.map(|(part, _)| &part.member));
         let places = self.slots.saturating_mul(MOST_WAITING);
@@ -214,7 +226,7 @@
         }
         // Those that wait for their members' slots come to no more than all others may.
         if let Some((part, _)) = member
-            && (queue.own >= Part::of(part.share, places)
+            && (queue.own >= MemberShare::of(part.share, places)
                 || self.waiting.len() as u32 >= places.saturating_mul(2))
         {
             return None;
@@ -225,32 +237,32 @@
         let own_wait = |before: u32| {
             let Some((part, member)) = member else { return 0 };
             let short = (before + 1).saturating_sub(self.left(member));
-            Nanos::from(short) * (took / Nanos::from(Part::of(part.share, self.slots)))
+            Nanos::from(short) * (took / Nanos::from(MemberShare::of(part.share, self.slots)))
         };
         let wait = (Nanos::from(queue.ahead + 1) * each).max(own_wait(queue.own_ahead));
-        let last = asker.until.saturating_sub(LEAST_LEFT);
-        if now + wait + took <= asker.aim {
+        let last = asker.deadline.saturating_sub(LEAST_LEFT);
+        if now + wait + took <= asker.target {
             // The first door leaves it to others, which may have a slot free; the last one is as good as any.
-            let most = match asker.turned {
-                _ if asker.call || asker.tied => self.slots * 2,
+            let most = match asker.rejections {
+                _ if asker.is_nested || asker.has_affinity => self.slots * 2,
                 0 | 2 => self.slots / 4,
                 1 => self.slots / 2,
                 _ => self.slots * 2,
             };
-            let own_most = member.map_or(most, |(part, _)| most.min(Part::of(part.share, most)));
+            let own_most = member.map_or(most, |(part, _)| most.min(MemberShare::of(part.share, most)));
             let may = queue.ahead < most && (member.is_none() || queue.own_ahead < own_most);
             // Who waits in vain is told while there is time to go elsewhere.
-            return may.then(|| (order, last.min(asker.aim - took)));
+            return may.then(|| (order, last.min(asker.target - took)));
         }
-        let order = (Class::Late, asker.until);
+        let order = (Class::Late, asker.deadline);
         let wait = (Nanos::from(queue.waiting + 1) * each).max(own_wait(queue.own));
         let in_time = now + wait + took <= last;
-        if asker.tied {
+        if asker.has_affinity {
             // Behind all others; half of its time is left for another upstream.
-            let half = now + asker.until.saturating_sub(now) / 2;
+            let half = now + asker.deadline.saturating_sub(now) / 2;
             return (in_time && now + wait <= half).then_some((order, last.min(half)));
         }
-        (asker.turned > 0 && queue.waiting == 0 && queue.own == 0 && in_time).then_some((order, last))
+        (asker.rejections > 0 && queue.waiting == 0 && queue.own == 0 && in_time).then_some((order, last))
     }
 
     /// What a run takes on the mean of late.
@@ -323,20 +335,26 @@
 
     const MS: Nanos = 1_000_000;
 
-    fn asker(call: bool, turned: u32, aim_ms: u64) -> Asker {
-        Asker { call, turned, tied: false, aim: aim_ms * MS, until: (aim_ms + 500) * MS }
+    fn asker(call: bool, turned: u32, aim_ms: u64) -> AdmissionRequest {
+        AdmissionRequest {
+            is_nested: call,
+            rejections: turned,
+            has_affinity: false,
+            target: aim_ms * MS,
+            deadline: (aim_ms + 500) * MS,
+        }
     }
 
-    /// Slots all of which are taken, and whose runs take 100 ms.
-    fn full(slots: u32) -> Slots<u32> {
-        let mut all = Slots::default();
+    /// AdmissionQueue all of which are taken, and whose runs take 100 ms.
+    fn full(slots: u32) -> AdmissionQueue<u32> {
+        let mut all = AdmissionQueue::default();
         all.set(slots);
         for _ in 0..200 {
-            assert_eq!(all.ask(0, &asker(false, 0, 1_000), || 0), Way::In);
+            assert_eq!(all.ask(0, &asker(false, 0, 1_000), || 0), Admission::Admitted);
             all.leave(Some(100 * MS));
         }
         for _ in 0..slots {
-            assert_eq!(all.ask(0, &asker(false, 0, 1_000), || 0), Way::In);
+            assert_eq!(all.ask(0, &asker(false, 0, 1_000), || 0), Admission::Admitted);
         }
         all
     }
@@ -345,7 +363,7 @@
     fn calls_go_first_then_those_that_are_late_first() {
         let mut slots = full(4);
         for (who, call, aim) in [(1, false, 900), (2, false, 500), (3, true, 700), (4, true, 600)] {
-            assert!(matches!(slots.ask(0, &asker(call, 3, aim), || who), Way::Waits(_)), "{who}");
+            assert!(matches!(slots.ask(0, &asker(call, 3, aim), || who), Admission::Queued(_)), "{who}");
         }
         let mut went = Vec::new();
         for _ in 0..4 {
@@ -359,13 +377,13 @@
     fn no_more_than_its_slots_are_let_in_and_none_waits_in_vain() {
         let mut slots = full(4);
         // Late before its turn would come: nowhere; late already, but the only one: if its client still waits.
-        assert_eq!(slots.ask(0, &asker(false, 3, 110), || 1), Way::Waits(595 * MS));
-        assert_eq!(slots.ask(0, &asker(false, 3, 110), || 2), Way::Turned);
-        assert_eq!(slots.ask(0, &asker(false, 0, 50), || 3), Way::Turned);
+        assert_eq!(slots.ask(0, &asker(false, 3, 110), || 1), Admission::Queued(595 * MS));
+        assert_eq!(slots.ask(0, &asker(false, 3, 110), || 2), Admission::Rejected);
+        assert_eq!(slots.ask(0, &asker(false, 0, 50), || 3), Admission::Rejected);
         // The first door lets one wait, the last one more.
-        assert!(matches!(slots.ask(0, &asker(false, 0, 1_000), || 4), Way::Waits(_)));
-        assert_eq!(slots.ask(0, &asker(false, 0, 1_000), || 5), Way::Turned);
-        assert!(matches!(slots.ask(0, &asker(false, 1, 1_000), || 6), Way::Waits(_)));
+        assert!(matches!(slots.ask(0, &asker(false, 0, 1_000), || 4), Admission::Queued(_)));
+        assert_eq!(slots.ask(0, &asker(false, 0, 1_000), || 5), Admission::Rejected);
+        assert!(matches!(slots.ask(0, &asker(false, 1, 1_000), || 6), Admission::Queued(_)));
         assert_eq!((slots.taken(), slots.next(MS)), (4, None));
         slots.leave(None);
         // Past its time to wait it is passed over.
--- a/mesh/src/trial.rs
+++ b/mesh/src/canary.rs
@@ -4,23 +4,23 @@
 
 /// How reqs of one member ended.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Ended {
-    pub well: u64,
+pub struct RequestOutcomes {
+    pub succeeded: u64,
     pub failed: u64,
 }
 
-impl Ended {
+impl RequestOutcomes {
     fn all(self) -> f64 {
-        self.well as f64 + self.failed as f64
+        self.succeeded as f64 + self.failed as f64
     }
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
     /// Nothing speaks against it yet, and its time is not over.
-    Goes,
-    Settle,
-    Withdraw,
+    Continue,
+    Promote,
+    RollBack,
 }
 
 /// Fewer failures on trial prove nothing.
@@ -33,17 +33,17 @@
 
 /// Withdrawn as soon as the member's reqs clearly fail more on trial than elsewhere; else settled once its time is over,
 /// also where no req came.
-pub fn verdict(on_trial: Ended, elsewhere: Ended, over: bool) -> Verdict {
+pub fn verdict(on_trial: RequestOutcomes, elsewhere: RequestOutcomes, over: bool) -> Verdict {
     if worse(on_trial, elsewhere) {
-        Verdict::Withdraw
+        Verdict::RollBack
     } else if over {
-        Verdict::Settle
+        Verdict::Promote
     } else {
-        Verdict::Goes
+        Verdict::Continue
     }
 }
 
-fn worse(on_trial: Ended, elsewhere: Ended) -> bool {
+fn worse(on_trial: RequestOutcomes, elsewhere: RequestOutcomes) -> bool {
     if on_trial.failed < LEAST_FAILED {
         return false;
     }
--- a/mesh/src/timetable.rs
+++ b/mesh/src/configuration.rs
@@ -12,43 +12,48 @@
 use std::sync::Arc;
 
 pub use changes::{by_place, differences};
-pub use refusal::{Refusal, Why};
+pub use refusal::{Refusal, RefusalReason};
 
 /// One text, kept once however many entries name it.
 pub type Name = Arc<str>;
 
 /// What may be repeated on a route.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum RepeatPolicy {
     Resendable,
     OnceOnly,
     Registered,
     OutboundPost,
 }
 
-impl Kind {
+impl RepeatPolicy {
     /// Whether a request may run more than once.
     pub fn repeatable(self) -> bool {
-        matches!(self, Kind::Resendable | Kind::OutboundPost)
+        matches!(self, RepeatPolicy::Resendable | RepeatPolicy::OutboundPost)
     }
 
-    fn from_word(word: &str) -> Option<Kind> {
-        [Kind::Resendable, Kind::OnceOnly, Kind::Registered, Kind::OutboundPost]
-            .into_iter()
-            .find(|kind| kind.word() == word)
+    fn from_word(word: &str) -> Option<RepeatPolicy> {
+        [
+            RepeatPolicy::Resendable,
+            RepeatPolicy::OnceOnly,
+            RepeatPolicy::Registered,
+            RepeatPolicy::OutboundPost,
+        ]
+        .into_iter()
+        .find(|kind| kind.word() == word)
     }
 
     fn word(self) -> &'static str {
         match self {
-            Kind::Resendable => "resendable",
-            Kind::OnceOnly => "once_only",
-            Kind::Registered => "registered",
-            Kind::OutboundPost => "outbound_post",
+            RepeatPolicy::Resendable => "resendable",
+            RepeatPolicy::OnceOnly => "once_only",
+            RepeatPolicy::Registered => "registered",
+            RepeatPolicy::OutboundPost => "outbound_post",
         }
     }
 }
 
-impl fmt::Display for Kind {
+impl fmt::Display for RepeatPolicy {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(self.word())
     }
@@ -60,7 +65,7 @@
     /// Lowercase, without a port.
     pub host: Name,
     pub prefix: Name,
-    pub kind: Kind,
+    pub kind: RepeatPolicy,
     pub deadline_ms: u64,
     pub target_ms: u64,
     /// 0 is the highest.
@@ -118,7 +123,7 @@
 
 /// One version, whole and checked.
 #[derive(Clone, Debug)]
-pub struct Timetable {
+pub struct Configuration {
     pub version: u64,
     routes: Vec<Arc<Route>>,
     services: BTreeMap<Name, Service>,
@@ -127,9 +132,9 @@
     hosts: HashMap<Name, Arc<Host>>,
 }
 
-impl Timetable {
+impl Configuration {
     /// Reads a whole configuration, or tells what is wrong with it, in the document's order.
-    pub fn read(bytes: &[u8]) -> Result<Timetable, Vec<Refusal>> {
+    pub fn read(bytes: &[u8]) -> Result<Configuration, Vec<Refusal>> {
         read::whole(bytes, read::Reader::timetable)
     }
 
@@ -138,7 +143,7 @@
         mut routes: Vec<Arc<Route>>,
         services: BTreeMap<Name, Service>,
         limits: Limits,
-    ) -> Timetable {
+    ) -> Configuration {
         let mut by_host: HashMap<Name, Host> = HashMap::new();
         for route in &routes {
             by_host.entry(route.host.clone()).or_default().add(route);
@@ -149,12 +154,12 @@
         };
         let hosts = by_host.into_iter().map(ordered).collect();
         routes.shrink_to_fit();
-        Timetable { version, routes, services, limits, hosts }
+        Configuration { version, routes, services, limits, hosts }
     }
 
     /// This version with these routes, no two of one place, over its own: one at the host and prefix of its own stands
     /// in its stead, all others are added behind. Hosts that none is of stay as they are.
-    pub(crate) fn overlaid(&self, over: Vec<Arc<Route>>) -> Timetable {
+    pub(crate) fn overlaid(&self, over: Vec<Arc<Route>>) -> Configuration {
         let mut laid = self.clone();
         let mut by_host: HashMap<Name, Vec<Arc<Route>>> = HashMap::new();
         for route in &over {
--- a/mesh/src/timetable/changes.rs
+++ b/mesh/src/configuration/changes.rs
@@ -3,12 +3,12 @@
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 
-use super::{Limits, Name, Route, Service, Timetable};
+use super::{Configuration, Limits, Name, Route, Service};
 
 /// What an operator would see change from one version to another, a line for each field.
-pub fn differences(old: &Timetable, new: &Timetable) -> Vec<String> {
+pub fn differences(old: &Configuration, new: &Configuration) -> Vec<String> {
     let mut lines = Vec::new();
-    let edition = |timetable: &Timetable| Some(vec![("edition", format!("r{}", timetable.version))]);
+    let edition = |timetable: &Configuration| Some(vec![("edition", format!("r{}", timetable.version))]);
     compare(&mut lines, "timetable", edition(old), edition(new));
     for ((name, _), old, new) in paired(by_name(old), by_name(new)) {
         compare(&mut lines, &format!("route {name}"), old.map(route_facts), new.map(route_facts));
@@ -48,7 +48,7 @@
 pub(crate) type Fact = (&'static str, String);
 
 /// Routes by name; a name may stand for several, told apart by their order.
-fn by_name(timetable: &Timetable) -> BTreeMap<(Name, usize), &Route> {
+fn by_name(timetable: &Configuration) -> BTreeMap<(Name, usize), &Route> {
     let mut counts: HashMap<Name, usize> = HashMap::new();
     let mut routes = BTreeMap::new();
     for route in timetable.routes() {
