--- a/mesh/src/timetable/read.rs
+++ b/mesh/src/configuration/read.rs
@@ -8,7 +8,7 @@
 use jzon::JsonValue;
 
 use super::refusal::quoted;
-use super::{Kind, Limits, Name, Refusal, Route, Service, Timetable, Why, bare};
+use super::{Configuration, Limits, Name, Refusal, RefusalReason, RepeatPolicy, Route, Service, bare};
 
 const MOST_BYTES: usize = 32 << 20;
 pub(crate) const MOST_ENTRIES: usize = 20_000;
@@ -52,23 +52,23 @@
     }
 }
 
-fn parse(bytes: &[u8]) -> Result<JsonValue, Why> {
+fn parse(bytes: &[u8]) -> Result<JsonValue, RefusalReason> {
     if bytes.len() > MOST_BYTES {
-        return Err(Why::Long(MOST_BYTES));
+        return Err(RefusalReason::Long(MOST_BYTES));
     }
     measure(bytes)?;
-    let text = std::str::from_utf8(bytes).map_err(|_| Why::NotUtf8)?;
+    let text = std::str::from_utf8(bytes).map_err(|_| RefusalReason::NotUtf8)?;
     jzon::parse(text).map_err(|error| match error {
-        jzon::Error::UnexpectedCharacter { ch, line, column } => Why::Stray { ch, line, column },
-        jzon::Error::UnexpectedEndOfJson => Why::CutShort,
-        jzon::Error::ExceededDepthLimit => Why::Deep,
-        jzon::Error::FailedUtf8Parsing => Why::NotUtf8,
-        jzon::Error::WrongType(_) => Why::Not("JSON"),
+        jzon::Error::UnexpectedCharacter { ch, line, column } => RefusalReason::Stray { ch, line, column },
+        jzon::Error::UnexpectedEndOfJson => RefusalReason::CutShort,
+        jzon::Error::ExceededDepthLimit => RefusalReason::Deep,
+        jzon::Error::FailedUtf8Parsing => RefusalReason::NotUtf8,
+        jzon::Error::WrongType(_) => RefusalReason::Not("JSON"),
     })
 }
 
 /// Bounds what reading would take: the values, and the digits of a number (the parser's exponent can overflow).
-fn measure(bytes: &[u8]) -> Result<(), Why> {
+fn measure(bytes: &[u8]) -> Result<(), RefusalReason> {
     let (mut quote, mut escape, mut values, mut digits) = (false, false, 1, 0);
     for byte in bytes {
         if quote {
@@ -87,10 +87,10 @@
             _ => {}
         }
         if digits > MOST_DIGITS {
-            return Err(Why::Digits);
+            return Err(RefusalReason::Digits);
         }
         if values > MOST_VALUES {
-            return Err(Why::Many(MOST_VALUES));
+            return Err(RefusalReason::Many(MOST_VALUES));
         }
     }
     Ok(())
@@ -165,13 +165,13 @@
 impl Reader {
     fn finish(mut self) -> Vec<Refusal> {
         if self.more > 0 {
-            self.refusals.push(Refusal { place: "document".into(), why: Why::More(self.more) });
+            self.refusals.push(Refusal { place: "document".into(), why: RefusalReason::More(self.more) });
         }
         self.refusals
     }
 
     /// The place is made only when it is told.
-    pub fn refuse<T>(&mut self, why: Why, place: impl FnOnce() -> String) -> Option<T> {
+    pub fn refuse<T>(&mut self, why: RefusalReason, place: impl FnOnce() -> String) -> Option<T> {
         if self.refusals.len() < MOST_REFUSALS {
             self.refusals.push(Refusal { place: place(), why });
         } else {
@@ -180,7 +180,7 @@
         None
     }
 
-    pub fn wrong<T>(&mut self, entry: &Entry, field: &str, why: Why) -> Option<T> {
+    pub fn wrong<T>(&mut self, entry: &Entry, field: &str, why: RefusalReason) -> Option<T> {
         self.refuse(why, || entry.place(field))
     }
 
@@ -201,18 +201,20 @@
         most: usize,
     ) -> Option<(Option<u64>, &'v [JsonValue])> {
         if !document.is_object() {
-            return self.refuse(Why::Not("an object"), || "document".into());
+            return self.refuse(RefusalReason::Not("an object"), || "document".into());
         }
         let version = self.version(field(document, "edition"));
-        let Some(entries) = field(document, list) else { return self.refuse(Why::Missing, || list.into()) };
+        let Some(entries) = field(document, list) else {
+            return self.refuse(RefusalReason::Missing, || list.into());
+        };
         match entries.as_array() {
-            None => self.refuse(Why::Not("a list"), || list.into()),
-            Some(entries) if entries.len() > most => self.refuse(Why::Many(most), || list.into()),
+            None => self.refuse(RefusalReason::Not("a list"), || list.into()),
+            Some(entries) if entries.len() > most => self.refuse(RefusalReason::Many(most), || list.into()),
             Some(entries) => Some((version, entries)),
         }
     }
 
-    pub fn timetable(&mut self, document: &JsonValue) -> Option<Timetable> {
+    pub fn timetable(&mut self, document: &JsonValue) -> Option<Configuration> {
         let (version, entries) = self.document(document, "consignments", MOST_ENTRIES)?;
         // A service may stand after the routes that name it.
         let mut known = HashSet::new();
@@ -237,7 +239,7 @@
                         let place = (route.host.clone(), route.prefix.clone());
                         match places.insert(place, index) {
                             Some(other) => {
-                                self.wrong::<()>(&entry.all(), "", Why::SamePlace(other));
+                                self.wrong::<()>(&entry.all(), "", RefusalReason::SamePlace(other));
                             }
                             None => routes.push(Arc::new(route)),
                         }
@@ -247,7 +249,7 @@
                     if let Some(service) = self.service(&entry) {
                         match services.get(&service.name) {
                             Some(before) if *before != service => {
-                                self.wrong::<()>(&entry.all(), "", Why::Twice);
+                                self.wrong::<()>(&entry.all(), "", RefusalReason::Twice);
                             }
                             _ => {
                                 services.insert(service.name.clone(), service);
@@ -258,26 +260,26 @@
                 _ => {
                     let read = self.limits(&entry);
                     if limits.is_some_and(|before| before != read) {
-                        self.wrong::<()>(&entry.all(), "", Why::Twice);
+                        self.wrong::<()>(&entry.all(), "", RefusalReason::Twice);
                     }
                     limits = Some(read);
                 }
             }
         }
-        Some(Timetable::new(version?, routes, services, limits.unwrap_or_default()))
+        Some(Configuration::new(version?, routes, services, limits.unwrap_or_default()))
     }
 
     pub fn version(&mut self, value: Option<&JsonValue>) -> Option<u64> {
         let place = || "edition".to_string();
-        let Some(value) = value else { return self.refuse(Why::Missing, place) };
-        let Some(text) = value.as_str() else { return self.refuse(Why::Not("text"), place) };
+        let Some(value) = value else { return self.refuse(RefusalReason::Missing, place) };
+        let Some(text) = value.as_str() else { return self.refuse(RefusalReason::Not("text"), place) };
         let digits = text.strip_prefix('r').unwrap_or_default();
         if !digits.bytes().all(|byte| byte.is_ascii_digit()) {
-            return self.refuse(Why::Version(quoted(text)), place);
+            return self.refuse(RefusalReason::Version(quoted(text)), place);
         }
         match digits.parse() {
             Ok(version) => Some(version),
-            Err(_) => self.refuse(Why::Version(quoted(text)), place),
+            Err(_) => self.refuse(RefusalReason::Version(quoted(text)), place),
         }
     }
 
@@ -285,7 +287,7 @@
     fn entry<'v>(&mut self, index: usize, value: &'v JsonValue) -> Option<Entry<'v>> {
         let mut entry = Entry::new("consignments", index, value);
         if !value.is_object() {
-            return self.wrong(&entry, "", Why::Not("an object"));
+            return self.wrong(&entry, "", RefusalReason::Not("an object"));
         }
         let category = self.text(&entry, "category", field(value, "category"))?;
         if !["routes", "mail_lines", "limits"].contains(&category) {
@@ -294,15 +296,17 @@
         entry.category = category;
         let label = field(value, "label");
         if label.is_some_and(|label| !label.is_object()) {
-            return self.wrong(&entry, "label", Why::Not("an object"));
+            return self.wrong(&entry, "label", RefusalReason::Not("an object"));
         }
         if category != "limits" {
             let name = label.and_then(|label| field(label, "name"));
             entry.name = self.word(&entry, "label.name", name)?;
         }
         match field(value, "manifest") {
-            None => self.wrong(&entry, "manifest", Why::Missing),
-            Some(manifest) if !manifest.is_object() => self.wrong(&entry, "manifest", Why::Not("an object")),
+            None => self.wrong(&entry, "manifest", RefusalReason::Missing),
+            Some(manifest) if !manifest.is_object() => {
+                self.wrong(&entry, "manifest", RefusalReason::Not("an object"))
+            }
             Some(manifest) => Some(Entry { within: "manifest", fields: manifest, ..entry }),
         }
     }
@@ -349,10 +353,10 @@
         let text = self.word(entry, FIELD, value)?.to_ascii_lowercase();
         let sign = |b: u8| b.is_ascii_alphanumeric() || b"!#$%&'*+-.^_`|~".contains(&b);
         if text.is_empty() || text.len() > SESSION_BYTES || !text.bytes().all(sign) {
-            return self.wrong(entry, FIELD, Why::NoField);
+            return self.wrong(entry, FIELD, RefusalReason::NoField);
         }
         if text.starts_with("ochreshed-") || NOT_SESSION.contains(&&*text) {
-            return self.wrong(entry, FIELD, Why::OurField);
+            return self.wrong(entry, FIELD, RefusalReason::OurField);
         }
         Some(self.name(&text))
     }
@@ -361,7 +365,7 @@
         let text = self.word(entry, place, value)?;
         let host = bare(text);
         if host.is_empty() {
-            return self.wrong(entry, place, Why::Empty);
+            return self.wrong(entry, place, RefusalReason::Empty);
         }
         Some(self.name(&host))
     }
@@ -369,22 +373,22 @@
     pub fn prefix(&mut self, entry: &Entry, place: &str, value: Option<&JsonValue>) -> Option<Name> {
         let text = self.text(entry, place, value)?;
         if !text.starts_with('/') {
-            return self.wrong(entry, place, Why::NoSlash);
+            return self.wrong(entry, place, RefusalReason::NoSlash);
         }
         if text.len() > PREFIX_BYTES {
-            return self.wrong(entry, place, Why::Long(PREFIX_BYTES));
+            return self.wrong(entry, place, RefusalReason::Long(PREFIX_BYTES));
         }
         if text.chars().any(char::is_control) {
-            return self.wrong(entry, place, Why::Control);
+            return self.wrong(entry, place, RefusalReason::Control);
         }
         Some(self.name(text))
     }
 
-    fn kind(&mut self, entry: &Entry, value: Option<&JsonValue>) -> Option<Kind> {
+    fn kind(&mut self, entry: &Entry, value: Option<&JsonValue>) -> Option<RepeatPolicy> {
         const FIELD: &str = "route_kind";
         let text = self.text(entry, FIELD, value)?;
-        match Kind::from_word(text) {
-            None => self.wrong(entry, FIELD, Why::Kind(quoted(text))),
+        match RepeatPolicy::from_word(text) {
+            None => self.wrong(entry, FIELD, RefusalReason::RepeatPolicy(quoted(text))),
             kind => kind,
         }
     }
@@ -397,7 +401,7 @@
         split: Option<&JsonValue>,
     ) -> Option<Vec<(Name, f64)>> {
         if line.is_none() && split.is_none() {
-            return self.wrong(entry, "", Why::NoLine);
+            return self.wrong(entry, "", RefusalReason::NoLine);
         }
         let line = match line {
             None => None,
@@ -414,25 +418,27 @@
         let Some(known) = &self.known else { return Some(self.name(text)) };
         match known.get(text) {
             Some(name) => Some(name.clone()),
-            None => self.wrong(entry, place, Why::Unknown(quoted(text))),
+            None => self.wrong(entry, place, RefusalReason::Unknown(quoted(text))),
         }
     }
 
     fn split(&mut self, entry: &Entry, value: &JsonValue) -> Option<Vec<(Name, f64)>> {
         const FIELD: &str = "split";
-        let Some(parts) = value.as_array() else { return self.wrong(entry, FIELD, Why::Not("a list")) };
+        let Some(parts) = value.as_array() else {
+            return self.wrong(entry, FIELD, RefusalReason::Not("a list"));
+        };
         if parts.is_empty() {
-            return self.wrong(entry, FIELD, Why::Empty);
+            return self.wrong(entry, FIELD, RefusalReason::Empty);
         }
         if parts.len() > MOST_IN_SPLIT {
-            return self.wrong(entry, FIELD, Why::Many(MOST_IN_SPLIT));
+            return self.wrong(entry, FIELD, RefusalReason::Many(MOST_IN_SPLIT));
         }
         let mut lines: Vec<(Name, f64)> = Vec::with_capacity(parts.len());
         let mut whole = true;
         for (index, part) in parts.iter().enumerate() {
             let place = |key: &str| format!("{FIELD}[{index}]{key}");
             if !part.is_object() {
-                self.wrong::<()>(entry, &place(""), Why::Not("an object"));
+                self.wrong::<()>(entry, &place(""), RefusalReason::Not("an object"));
                 whole = false;
                 continue;
             }
@@ -450,7 +456,7 @@
             return None;
         }
         if lines.iter().all(|(_, share)| *share == 0.0) {
-            return self.wrong(entry, FIELD, Why::NoShare);
+            return self.wrong(entry, FIELD, RefusalReason::NoShare);
         }
         lines.shrink_to_fit();
         Some(lines)
@@ -463,7 +469,7 @@
         let dedupes = match get("dedupes") {
             None => Some(false),
             Some(value) => match value.as_bool() {
-                None => self.wrong(entry, "dedupes", Why::Not("true or false")),
+                None => self.wrong(entry, "dedupes", RefusalReason::Not("true or false")),
                 some => some,
             },
         };
@@ -480,13 +486,13 @@
         const FIELD: &str = "health";
         let text = self.text(entry, FIELD, value)?;
         if !text.starts_with('/') {
-            return self.wrong(entry, FIELD, Why::NoSlash);
+            return self.wrong(entry, FIELD, RefusalReason::NoSlash);
         }
         if text.len() > PREFIX_BYTES {
-            return self.wrong(entry, FIELD, Why::Long(PREFIX_BYTES));
+            return self.wrong(entry, FIELD, RefusalReason::Long(PREFIX_BYTES));
         }
         if !text.bytes().all(|byte| byte.is_ascii_graphic()) {
-            return self.wrong(entry, FIELD, Why::Path);
+            return self.wrong(entry, FIELD, RefusalReason::Path);
         }
         Some(text.to_string())
     }
@@ -513,9 +519,9 @@
     }
 
     pub fn text<'v>(&mut self, entry: &Entry, place: &str, value: Option<&'v JsonValue>) -> Option<&'v str> {
-        let Some(value) = value else { return self.wrong(entry, place, Why::Missing) };
+        let Some(value) = value else { return self.wrong(entry, place, RefusalReason::Missing) };
         match value.as_str() {
-            None => self.wrong(entry, place, Why::Not("text")),
+            None => self.wrong(entry, place, RefusalReason::Not("text")),
             text => text,
         }
     }
@@ -524,11 +530,11 @@
     pub fn word<'v>(&mut self, entry: &Entry, place: &str, value: Option<&'v JsonValue>) -> Option<&'v str> {
         let text = self.text(entry, place, value)?;
         if text.is_empty() {
-            self.wrong(entry, place, Why::Empty)
+            self.wrong(entry, place, RefusalReason::Empty)
         } else if text.len() > NAME_BYTES {
-            self.wrong(entry, place, Why::Long(NAME_BYTES))
+            self.wrong(entry, place, RefusalReason::Long(NAME_BYTES))
         } else if text.chars().any(char::is_control) {
-            self.wrong(entry, place, Why::Control)
+            self.wrong(entry, place, RefusalReason::Control)
         } else {
             Some(text)
         }
@@ -542,19 +548,21 @@
         value: Option<&JsonValue>,
         most: u64,
     ) -> Option<f64> {
-        let Some(value) = value else { return self.wrong(entry, place, Why::Missing) };
-        let Some(number) = value.as_number() else { return self.wrong(entry, place, Why::Not("a number")) };
+        let Some(value) = value else { return self.wrong(entry, place, RefusalReason::Missing) };
+        let Some(number) = value.as_number() else {
+            return self.wrong(entry, place, RefusalReason::Not("a number"));
+        };
         let (positive, mantissa, exponent) = number.as_parts();
         let Ok(size) = format!("{mantissa}e{exponent}").parse::<f64>() else {
-            return self.wrong(entry, place, Why::Not("a number"));
+            return self.wrong(entry, place, RefusalReason::Not("a number"));
         };
         // A minus before a number too small to hold is still a minus.
         if !positive && mantissa > 0 {
-            return self.wrong(entry, place, Why::Negative);
+            return self.wrong(entry, place, RefusalReason::Negative);
         }
         // Every bound is far below the whole numbers that a float can't tell apart.
         if size > most as f64 {
-            return self.wrong(entry, place, Why::Above(most));
+            return self.wrong(entry, place, RefusalReason::Above(most));
         }
         Some(size)
     }
@@ -569,10 +577,10 @@
     ) -> Option<u64> {
         let number = self.number(entry, place, value, most)?;
         if number.fract() != 0.0 {
-            return self.wrong(entry, place, Why::Fraction);
+            return self.wrong(entry, place, RefusalReason::Fraction);
         }
         if (number as u64) < least {
-            return self.wrong(entry, place, Why::NotPositive);
+            return self.wrong(entry, place, RefusalReason::NotPositive);
         }
         Some(number as u64)
     }
@@ -581,7 +589,7 @@
     pub fn ms(&mut self, entry: &Entry, place: &str, value: Option<&JsonValue>) -> Option<u64> {
         let number = self.number(entry, place, value, MOST_MS)?;
         if number <= 0.0 {
-            return self.wrong(entry, place, Why::NotPositive);
+            return self.wrong(entry, place, RefusalReason::NotPositive);
         }
         Some((number as u64).max(1))
     }
--- a/mesh/src/parcels.rs
+++ b/mesh/src/configuration_update.rs
@@ -12,7 +12,7 @@
 use flate2::write::DeflateEncoder;
 use serde::{Deserialize, Serialize};
 
-use crate::delta::{self, Piece};
+use crate::delta::{self, DeltaOp};
 use ochreshed_consensus::messages::{RegisterValue, Revision};
 
 /// So many older ones are kept, of so many bytes together at most.
@@ -29,73 +29,79 @@
 
 /// A configuration, or what differs between it and an older one.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Parcel {
-    pub rank: Revision,
+pub struct ConfigurationUpdate {
+    #[serde(rename = "rank")]
+    pub revision: Revision,
     /// The one it goes out from; Revision::NONE where it is whole.
-    pub from: Revision,
-    #[serde(with = "serde_bytes")]
-    pub packed: Vec<u8>,
+    #[serde(rename = "from")]
+    pub base: Revision,
+    #[serde(rename = "packed", with = "serde_bytes")]
+    pub compressed: Vec<u8>,
 }
 
 #[derive(Debug, PartialEq, Eq)]
-pub enum ParcelError {
+pub enum UpdateError {
     /// It goes out from one that is not here.
-    Other,
+    BaseMismatch,
     /// It can't be opened, or what it makes is not what was meant.
-    Spoilt,
+    Corrupt,
 }
 
-impl fmt::Display for ParcelError {
+impl fmt::Display for UpdateError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.write_str(match self {
-            ParcelError::Other => "goes out from another one",
-            ParcelError::Spoilt => "can't be opened",
+            UpdateError::BaseMismatch => "goes out from another one",
+            UpdateError::Corrupt => "can't be opened",
         })
     }
 }
 
-impl Parcel {
-    fn pack(sheet: &RegisterValue, from: Option<&RegisterValue>) -> Option<Parcel> {
+impl ConfigurationUpdate {
+    fn pack(sheet: &RegisterValue, from: Option<&RegisterValue>) -> Option<ConfigurationUpdate> {
         let pieces = match from {
             Some(from) => delta::between(&from.bytes, &sheet.bytes),
-            None => vec![Piece::New(sheet.bytes.clone())],
+            None => vec![DeltaOp::Insert(sheet.bytes.clone())],
         };
         let mut plain = Vec::new();
         ciborium::into_writer(&pieces, &mut plain).ok()?;
         let mut packer = DeflateEncoder::new(Vec::new(), Compression::fast());
         packer.write_all(&plain).ok()?;
         let from = from.map_or(Revision::NONE, RegisterValue::revision);
-        Some(Parcel { rank: sheet.revision(), from, packed: packer.finish().ok()? })
+        Some(ConfigurationUpdate {
+            revision: sheet.revision(),
+            base: from,
+            compressed: packer.finish().ok()?,
+        })
     }
 
     /// The configuration that it holds, made out of the one that is here.
-    pub fn open(&self, here: Option<&RegisterValue>) -> Result<RegisterValue, ParcelError> {
+    pub fn open(&self, here: Option<&RegisterValue>) -> Result<RegisterValue, UpdateError> {
         let old = match here {
-            _ if self.from == Revision::NONE => &[][..],
-            Some(here) if here.revision() == self.from => &here.bytes,
-            _ => return Err(ParcelError::Other),
+            _ if self.base == Revision::NONE => &[][..],
+            Some(here) if here.revision() == self.base => &here.bytes,
+            _ => return Err(UpdateError::BaseMismatch),
         };
         let mut plain = Vec::new();
-        let read = DeflateDecoder::new(&self.packed[..]).take(MOST).read_to_end(&mut plain);
-        read.map_err(|_| ParcelError::Spoilt)?;
-        let pieces: Vec<Piece> = ciborium::from_reader(&plain[..]).map_err(|_| ParcelError::Spoilt)?;
-        let bytes = delta::apply(old, &pieces, self.rank.digest).ok_or(ParcelError::Spoilt)?;
-        Ok(RegisterValue { version: self.rank.version, digest: self.rank.digest, bytes })
+        let read = DeflateDecoder::new(&self.compressed[..]).take(MOST).read_to_end(&mut plain);
+        read.map_err(|_| UpdateError::Corrupt)?;
+        let pieces: Vec<DeltaOp> = ciborium::from_reader(&plain[..]).map_err(|_| UpdateError::Corrupt)?;
+        let bytes = delta::apply(old, &pieces, self.revision.digest).ok_or(UpdateError::Corrupt)?;
+        Ok(RegisterValue { version: self.revision.version, digest: self.revision.digest, bytes })
     }
 }
 
 /// What a steward has at hand for attendants.
 #[derive(Default)]
-pub struct Parcels(Mutex<Kept>);
+pub struct UpdateCache(Mutex<Kept>);
 
 #[derive(Default)]
 struct Kept {
     /// The newest last.
     sheets: VecDeque<Arc<RegisterValue>>,
-    packed: VecDeque<Arc<Parcel>>,
+    packed: VecDeque<Arc<ConfigurationUpdate>>,
 }
 
-impl Parcels {
+impl UpdateCache {
     /// This one is safe now.
     pub fn note(&self, sheet: &Arc<RegisterValue>) {
         let mut kept = held(&self.0);
@@ -110,23 +116,23 @@
             kept.sheets.pop_front();
         }
         let newest = sheet.revision();
-        kept.packed.retain(|parcel| parcel.rank == newest);
+        kept.packed.retain(|parcel| parcel.revision == newest);
     }
 
     /// The newest one, for who has that one; nothing when it has the newest. Takes time where nobody had asked so before.
-    pub fn newest(&self, have: Revision) -> Option<Arc<Parcel>> {
+    pub fn newest(&self, have: Revision) -> Option<Arc<ConfigurationUpdate>> {
         let (sheet, from) = {
             let kept = held(&self.0);
             let sheet = kept.sheets.back().filter(|sheet| sheet.revision() > have)?.clone();
             let from = kept.sheets.iter().find(|sheet| sheet.revision() == have).cloned();
             let out_from = from.as_ref().map_or(Revision::NONE, |from| from.revision());
-            let ready = kept.packed.iter().find(|parcel| parcel.from == out_from);
-            if let Some(ready) = ready.filter(|ready| ready.rank == sheet.revision()) {
+            let ready = kept.packed.iter().find(|parcel| parcel.base == out_from);
+            if let Some(ready) = ready.filter(|ready| ready.revision == sheet.revision()) {
                 return Some(ready.clone());
             }
             (sheet, from)
         };
-        let parcel = Arc::new(Parcel::pack(&sheet, from.as_deref())?);
+        let parcel = Arc::new(ConfigurationUpdate::pack(&sheet, from.as_deref())?);
         let mut kept = held(&self.0);
         kept.packed.push_back(parcel.clone());
         if kept.packed.len() > PACKED {
@@ -148,7 +154,7 @@
 
     #[test]
     fn each_gets_what_differs_from_what_it_has_and_opens_it_to_the_same() {
-        let parcels = Parcels::default();
+        let parcels = UpdateCache::default();
         let all: Vec<Arc<RegisterValue>> =
             (1..8).map(|version| sheet(version, 500 + version as usize)).collect();
         all.iter().for_each(|sheet| parcels.note(sheet));
@@ -160,16 +166,16 @@
         {
             let rank = have.map_or(Revision::NONE, |have| have.revision());
             let parcel = parcels.newest(rank).expect("a parcel");
-            assert_eq!(parcel.from == Revision::NONE, whole);
-            assert!(whole || parcel.packed.len() < 300, "{} bytes", parcel.packed.len());
+            assert_eq!(parcel.base == Revision::NONE, whole);
+            assert!(whole || parcel.compressed.len() < 300, "{} bytes", parcel.compressed.len());
             assert_eq!(parcel.open(have.map(|have| &**have)).as_ref(), Ok(&**newest));
         }
         let parcel = parcels.newest(all[5].revision()).expect("a parcel");
-        assert_eq!(parcel.open(Some(&all[4])), Err(ParcelError::Other));
+        assert_eq!(parcel.open(Some(&all[4])), Err(UpdateError::BaseMismatch));
         let mut spoilt = (*parcel).clone();
-        spoilt.rank.digest ^= 1;
-        assert_eq!(spoilt.open(Some(&all[5])), Err(ParcelError::Spoilt));
-        spoilt.packed.truncate(5);
-        assert_eq!(spoilt.open(Some(&all[5])), Err(ParcelError::Spoilt));
+        spoilt.revision.digest ^= 1;
+        assert_eq!(spoilt.open(Some(&all[5])), Err(UpdateError::Corrupt));
+        spoilt.compressed.truncate(5);
+        assert_eq!(spoilt.open(Some(&all[5])), Err(UpdateError::Corrupt));
     }
 }
--- a/mesh/src/delta.rs
+++ b/mesh/src/delta.rs
@@ -16,10 +16,12 @@
 
 /// A run of bytes of the new text.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Piece {
+pub enum DeltaOp {
     /// As they stand in the old one, from a place on.
-    Old(u32, u32),
-    New(#[serde(with = "serde_bytes")] Vec<u8>),
+    #[serde(rename = "Old")]
+    Copy(u32, u32),
+    #[serde(rename = "New")]
+    Insert(#[serde(with = "serde_bytes")] Vec<u8>),
 }
 
 /// A number for each byte that looks drawn by chance.
@@ -55,31 +57,31 @@
 }
 
 /// The pieces that make `new` out of `old`.
-pub fn between(old: &[u8], new: &[u8]) -> Vec<Piece> {
+pub fn between(old: &[u8], new: &[u8]) -> Vec<DeltaOp> {
     let known: HashMap<u64, (usize, &[u8])> =
         parts(old).map(|(at, part)| (xxh3_64(part), (at, part))).collect();
-    let mut pieces: Vec<Piece> = Vec::new();
+    let mut pieces: Vec<DeltaOp> = Vec::new();
     for (_, part) in parts(new) {
         let found = known.get(&xxh3_64(part)).filter(|(at, old)| *old == part && *at <= u32::MAX as usize);
         match (found, pieces.last_mut()) {
-            (Some((at, _)), Some(Piece::Old(from, long))) if *from as usize + *long as usize == *at => {
+            (Some((at, _)), Some(DeltaOp::Copy(from, long))) if *from as usize + *long as usize == *at => {
                 *long += part.len() as u32;
             }
-            (Some((at, _)), _) => pieces.push(Piece::Old(*at as u32, part.len() as u32)),
-            (None, Some(Piece::New(bytes))) => bytes.extend_from_slice(part),
-            (None, _) => pieces.push(Piece::New(part.to_vec())),
+            (Some((at, _)), _) => pieces.push(DeltaOp::Copy(*at as u32, part.len() as u32)),
+            (None, Some(DeltaOp::Insert(bytes))) => bytes.extend_from_slice(part),
+            (None, _) => pieces.push(DeltaOp::Insert(part.to_vec())),
         }
     }
     pieces
 }
 
 /// The text that the pieces make, if it is the one with that digest.
-pub fn apply(old: &[u8], pieces: &[Piece], digest: u64) -> Option<Vec<u8>> {
+pub fn apply(old: &[u8], pieces: &[DeltaOp], digest: u64) -> Option<Vec<u8>> {
     let mut new = Vec::new();
     for piece in pieces {
         let bytes = match piece {
-            Piece::Old(at, long) => old.get(*at as usize..(*at as usize).checked_add(*long as usize)?)?,
-            Piece::New(bytes) => bytes,
+            DeltaOp::Copy(at, long) => old.get(*at as usize..(*at as usize).checked_add(*long as usize)?)?,
+            DeltaOp::Insert(bytes) => bytes,
         };
         if new.len() + bytes.len() > MOST_TEXT {
             return None;
@@ -101,8 +103,8 @@
             .collect()
     }
 
-    fn size(pieces: &[Piece]) -> usize {
-        let of = |piece: &Piece| if let Piece::New(bytes) = piece { bytes.len() } else { 8 };
+    fn size(pieces: &[DeltaOp]) -> usize {
+        let of = |piece: &DeltaOp| if let DeltaOp::Insert(bytes) = piece { bytes.len() } else { 8 };
         pieces.iter().map(of).sum()
     }
 
--- a/mesh/src/list.rs
+++ b/mesh/src/endpoints.rs
@@ -12,7 +12,7 @@
 use ochreshed::Nanos;
 use serde::{Deserialize, Serialize};
 
-use crate::health::Ill;
+use crate::outlier_detection::UpstreamHealth;
 
 /// A row of which nothing was heard for so long is forgotten.
 const FORGET: Nanos = 90_000_000_000;
@@ -20,55 +20,71 @@
 const MOST: usize = 20_000;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Stand {
-    Open,
+pub enum UpstreamState {
+    #[serde(rename = "Open")]
+    Serving,
     /// It takes nothing new.
-    Closing,
+    #[serde(rename = "Closing")]
+    Draining,
     /// There is none beside that attendant, or it has ended.
-    None,
+    #[serde(rename = "None")]
+    Absent,
 }
 
 /// What an attendant tells of itself and of the upstream beside it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Row {
-    /// The door's address.
-    pub door: SocketAddr,
+pub struct EndpointRecord {
+    /// The address of the inbound proxy.
+    #[serde(rename = "door")]
+    pub inbound_proxy: SocketAddr,
     /// The life of the attendant's process, and a number that goes up with each change: the later row is the higher one.
-    pub life: u64,
-    pub number: u64,
+    #[serde(rename = "life")]
+    pub incarnation: u64,
+    #[serde(rename = "number")]
+    pub sequence: u64,
     pub zone: String,
     /// The upstream's service, its life's id, and its version of software.
-    pub line: String,
-    pub id: String,
-    pub edition: String,
-    pub stand: Stand,
-    pub slots: u32,
+    #[serde(rename = "line")]
+    pub service: String,
+    #[serde(rename = "id")]
+    pub upstream_id: String,
+    #[serde(rename = "edition")]
+    pub software_version: String,
+    #[serde(rename = "stand")]
+    pub state: UpstreamState,
+    #[serde(rename = "slots")]
+    pub concurrency_limit: u32,
     /// How much longer it is slow, when this was told.
-    pub cold_ms: u64,
+    #[serde(rename = "cold_ms")]
+    pub warming_up_ms: u64,
     /// It was seen to call other services.
-    pub calls: bool,
+    #[serde(rename = "calls")]
+    pub calls_services: bool,
     /// The attendant is there and serves its gate.
-    pub serving: bool,
+    #[serde(rename = "serving")]
+    pub accepts_clients: bool,
     /// How the upstream does by what its door saw. Older programs neither tell nor read it.
-    #[serde(default, skip_serializing_if = "Ill::is_well")]
-    pub ill: Ill,
+    #[serde(rename = "ill", default, skip_serializing_if = "UpstreamHealth::is_healthy")]
+    pub health: UpstreamHealth,
 }
 
-impl Row {
-    pub fn rank(&self) -> (u64, u64) {
-        (self.life, self.number)
+impl EndpointRecord {
+    pub fn record_version(&self) -> (u64, u64) {
+        (self.incarnation, self.sequence)
     }
 }
 
 /// Where a reader stands in a table: the table's life and the number of the last change it has.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Mark {
-    pub life: u64,
-    pub number: u64,
+pub struct TablePosition {
+    #[serde(rename = "life")]
+    pub incarnation: u64,
+    #[serde(rename = "number")]
+    pub sequence: u64,
 }
 
 struct Held {
-    row: Row,
+    row: EndpointRecord,
     /// The table's number at its last change.
     number: u64,
     heard: Nanos,
@@ -80,14 +96,14 @@
 
 impl Held {
     /// Whether the row may still be about this life.
-    fn may_be(row: &Row, id: &str) -> bool {
-        row.id == id && row.stand != Stand::None || row.id.is_empty()
+    fn may_be(row: &EndpointRecord, id: &str) -> bool {
+        row.upstream_id == id && row.state != UpstreamState::Absent || row.upstream_id.is_empty()
     }
 }
 
 /// A steward's rows.
-pub struct Table {
-    mark: Mark,
+pub struct EndpointTable {
+    mark: TablePosition,
     rows: HashMap<SocketAddr, Held>,
     changes: BTreeMap<u64, SocketAddr>,
     /// Forgotten while they were quiet and seemed to take reqs; and that one of them has come back since the last look.
@@ -95,11 +111,11 @@
     returned: bool,
 }
 
-impl Table {
+impl EndpointTable {
     /// `life` differs from that of any table that stood here before.
-    pub fn new(life: u64) -> Table {
-        Table {
-            mark: Mark { life, number: 0 },
+    pub fn new(life: u64) -> EndpointTable {
+        EndpointTable {
+            mark: TablePosition { incarnation: life, sequence: 0 },
             rows: HashMap::new(),
             changes: BTreeMap::new(),
             gone: BTreeSet::new(),
@@ -107,38 +123,38 @@
         }
     }
 
-    pub fn mark(&self) -> Mark {
+    pub fn position(&self) -> TablePosition {
         self.mark
     }
 
     fn changed(&mut self, door: SocketAddr) -> u64 {
-        self.mark.number += 1;
-        self.changes.insert(self.mark.number, door);
-        self.mark.number
+        self.mark.sequence += 1;
+        self.changes.insert(self.mark.sequence, door);
+        self.mark.sequence
     }
 
     /// Takes a row; whether it is news. `heard` tells how long ago its attendant was heard of.
-    pub fn take(&mut self, now: Nanos, row: &Row, heard: Nanos) -> bool {
+    pub fn merge(&mut self, now: Nanos, row: &EndpointRecord, heard: Nanos) -> bool {
         let heard = now.saturating_sub(heard);
-        if let Some(held) = self.rows.get_mut(&row.door) {
-            if row.rank() == held.row.rank() {
+        if let Some(held) = self.rows.get_mut(&row.inbound_proxy) {
+            if row.record_version() == held.row.record_version() {
                 held.heard = held.heard.max(heard);
             }
-            if row.rank() <= held.row.rank() {
+            if row.record_version() <= held.row.record_version() {
                 return false;
             }
         } else if self.rows.len() >= MOST {
             return false;
         }
-        let number = self.changed(row.door);
-        self.returned |= self.gone.remove(&row.door);
+        let number = self.changed(row.inbound_proxy);
+        self.returned |= self.gone.remove(&row.inbound_proxy);
         // One that was quiet is so until the next look, which then tells that it is not any more.
-        let quiet = self.rows.get(&row.door).is_some_and(|was| was.quiet);
+        let quiet = self.rows.get(&row.inbound_proxy).is_some_and(|was| was.quiet);
         let held = Held { row: row.clone(), number, heard, quiet, drained: None };
-        if let Some(was) = self.rows.insert(row.door, held) {
+        if let Some(was) = self.rows.insert(row.inbound_proxy, held) {
             self.changes.remove(&was.number);
             let drained = was.drained.filter(|id| Held::may_be(row, id));
-            if let Some(held) = self.rows.get_mut(&row.door) {
+            if let Some(held) = self.rows.get_mut(&row.inbound_proxy) {
                 held.drained = drained;
             }
         }
@@ -162,34 +178,36 @@
     }
 
     /// The life that an attendant is to drain and has not yet.
-    pub fn drain_for(&self, door: SocketAddr) -> Option<&str> {
+    pub fn requested_drain(&self, door: SocketAddr) -> Option<&str> {
         let held = self.rows.get(&door)?;
-        held.drained.as_deref().filter(|id| held.row.id == *id && held.row.stand == Stand::Open)
+        held.drained
+            .as_deref()
+            .filter(|id| held.row.upstream_id == *id && held.row.state == UpstreamState::Serving)
     }
 
     /// The lives to be drained among those rows that came after a mark.
-    pub fn drained_since(&self, mark: Mark) -> Vec<(SocketAddr, String)> {
-        let drained = |held: &Held| Some((held.row.door, held.drained.clone()?));
+    pub fn drains_since(&self, mark: TablePosition) -> Vec<(SocketAddr, String)> {
+        let drained = |held: &Held| Some((held.row.inbound_proxy, held.drained.clone()?));
         self.after(mark).filter_map(drained).collect()
     }
 
-    fn after(&self, mark: Mark) -> impl Iterator<Item = &Held> {
-        let from = if mark.life == self.mark.life { mark.number } else { 0 };
+    fn after(&self, mark: TablePosition) -> impl Iterator<Item = &Held> {
+        let from = if mark.incarnation == self.mark.incarnation { mark.sequence } else { 0 };
         self.changes.range(from + 1..).filter_map(|(_, door)| self.rows.get(door))
     }
 
     /// The life under which an attendant is known here: one that starts must be above it.
-    pub fn life_of(&self, door: SocketAddr) -> Option<u64> {
-        self.rows.get(&door).map(|held| held.row.life)
+    pub fn known_incarnation(&self, door: SocketAddr) -> Option<u64> {
+        self.rows.get(&door).map(|held| held.row.incarnation)
     }
 
     /// What came after a mark; all of it when the mark is of another table.
-    pub fn since(&self, mark: Mark) -> Vec<Row> {
+    pub fn since(&self, mark: TablePosition) -> Vec<EndpointRecord> {
         self.after(mark).map(|held| held.row.clone()).collect()
     }
 
     /// How long ago each attendant was heard of.
-    pub fn ages(&self, now: Nanos) -> Vec<(SocketAddr, u32)> {
+    pub fn last_heard_ms_ago(&self, now: Nanos) -> Vec<(SocketAddr, u32)> {
         let age = |held: &Held| (now.saturating_sub(held.heard) / 1_000_000).min(u64::from(u32::MAX)) as u32;
         self.rows.iter().map(|(door, held)| (*door, age(held))).collect()
     }
@@ -201,7 +219,7 @@
     }
 
     /// Whose quietness has changed: not heard of for `after`, or heard again.
-    pub fn look(&mut self, now: Nanos, after: Nanos) -> bool {
+    pub fn update_suspects(&mut self, now: Nanos, after: Nanos) -> bool {
         let old: Vec<SocketAddr> = self
             .rows
             .iter()
@@ -213,7 +231,10 @@
             if let Some(held) = self.rows.remove(&door) {
                 self.changes.remove(&held.number);
                 // Readers keep its row: for them it must not seem to be there again.
-                if held.row.serving && held.row.stand == Stand::Open && self.gone.len() < MOST {
+                if held.row.accepts_clients
+                    && held.row.state == UpstreamState::Serving
+                    && self.gone.len() < MOST
+                {
                     self.gone.insert(door);
                 }
             }
@@ -227,7 +248,7 @@
     }
 
     /// Those of whom nothing was heard of late.
-    pub fn quiet(&self) -> Vec<SocketAddr> {
+    pub fn suspects(&self) -> Vec<SocketAddr> {
         let mut quiet: Vec<SocketAddr> =
             self.rows.iter().filter(|(_, held)| held.quiet).map(|(door, _)| *door).collect();
         quiet.extend(&self.gone);
@@ -235,7 +256,7 @@
         quiet
     }
 
-    pub fn row(&self, door: SocketAddr) -> Option<&Row> {
+    pub fn record(&self, door: SocketAddr) -> Option<&EndpointRecord> {
         self.rows.get(&door).map(|held| &held.row)
     }
 
@@ -247,7 +268,7 @@
         self.rows.is_empty()
     }
 
-    pub fn rows(&self) -> impl Iterator<Item = &Row> {
+    pub fn records(&self) -> impl Iterator<Item = &EndpointRecord> {
         self.rows.values().map(|held| &held.row)
     }
 }
@@ -255,7 +276,7 @@
 pub use ochreshed_consensus::placement::place;
 
 /// The watchers of a place on the ring: the first so many stewards at or behind it.
-pub fn watchers(place: SocketAddr, stewards: &[SocketAddr], many: usize) -> Vec<SocketAddr> {
+pub fn watching_replicas(place: SocketAddr, stewards: &[SocketAddr], many: usize) -> Vec<SocketAddr> {
     let at = |address: &SocketAddr| xxhash_rust::xxh3::xxh3_64(address.to_string().as_bytes());
     let mut ring: Vec<(u64, SocketAddr)> = stewards.iter().map(|steward| (at(steward), *steward)).collect();
     ring.sort();
--- a/mesh/src/idle.rs
+++ b/mesh/src/idle_limit.rs
@@ -23,7 +23,7 @@
 
 /// What is concluded of one address.
 #[derive(Clone, Debug)]
-pub struct Idle {
+pub struct IdleLimit {
     most: Nanos,
     limit: Nanos,
     until: Nanos,
@@ -32,10 +32,10 @@
     lost: Option<Nanos>,
 }
 
-impl Idle {
+impl IdleLimit {
     /// Connections are used again for so long in any case.
-    pub fn new(most: Nanos) -> Idle {
-        Idle { most, limit: most, until: 0, again: 0, lost: None }
+    pub fn new(most: Nanos) -> IdleLimit {
+        IdleLimit { most, limit: most, until: 0, again: 0, lost: None }
     }
 
     /// No connection that has been idle for longer carries another req.
@@ -70,7 +70,7 @@
 
     #[test]
     fn one_that_was_forgotten_makes_others_be_given_up_earlier_and_for_longer_each_time() {
-        let mut idle = Idle::new(MOST);
+        let mut idle = IdleLimit::new(MOST);
         let (mut now, mut held) = (100_000 * MS, Vec::new());
         for _ in 0..4 {
             assert_eq!(idle.limit(now), MOST);
@@ -92,7 +92,7 @@
 
     #[test]
     fn answers_that_are_lost_whatever_the_age_end_no_connection() {
-        let mut idle = Idle::new(MOST);
+        let mut idle = IdleLimit::new(MOST);
         let mut now = 100_000 * MS;
         for lost in [Some(3 * MS), None, Some(700 * MS), Some(100 * MS), Some(0)] {
             assert!(!idle.lost(now, lost));
@@ -111,7 +111,7 @@
         /// Whatever is lost: connections in use stay, and all is as before in the end.
         #[test]
         fn nothing_is_for_ever(losses in prop::collection::vec((0u64..5_000, prop::option::of(0u64..2_000)), 0..100)) {
-            let mut idle = Idle::new(MOST);
+            let mut idle = IdleLimit::new(MOST);
             let mut now = 0;
             for (after, lost) in losses {
                 now += after * MS;
--- a/mesh/src/calls.rs
+++ b/mesh/src/internal_rpc.rs
@@ -6,10 +6,10 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::budget::Report;
-use crate::fared::Faring;
-use crate::list::{Mark, Row};
-use crate::parcels::Parcel;
+use crate::configuration_update::ConfigurationUpdate;
+use crate::endpoints::{EndpointRecord, TablePosition};
+use crate::outcome_counts::EditionOutcomes;
+use crate::retry_budget::BudgetReport;
 use ochreshed_consensus::messages::Revision;
 use ochreshed_consensus::messages::{CoreRequest, CoreResponse, Message, NamedRegister, RegisterName};
 
@@ -17,11 +17,12 @@
 pub const MOST_FRAME: usize = 40 << 20;
 
 #[derive(Debug, Serialize, Deserialize)]
-pub enum Ask {
-    News(NewsAsk),
+pub enum InternalRequest {
+    #[serde(rename = "News")]
+    Watch(WatchRequest),
     Core(CoreRequest),
     #[serde(rename = "Letter")]
-    Message(Message),
+    ReplicaMessage(Message),
     /// The newest configuration, from one that has the one of this rank.
     #[serde(rename = "Sheet")]
     Configuration(Revision),
@@ -29,70 +30,92 @@
     #[serde(rename = "Papers")]
     Registers(Vec<(RegisterName, Revision)>),
     /// Which nodes told that they have which edition of a member's routes in force.
-    Carried(RegisterName),
+    #[serde(rename = "Carried")]
+    AppliedEditions(RegisterName),
 }
 
 #[derive(Debug, Serialize, Deserialize)]
-pub enum Reply {
-    News(Box<NewsReply>),
+pub enum InternalResponse {
+    #[serde(rename = "News")]
+    Watch(Box<WatchResponse>),
     Core(CoreResponse),
     #[serde(rename = "Sheet")]
-    Configuration(Option<Arc<Parcel>>),
+    Configuration(Option<Arc<ConfigurationUpdate>>),
     /// As many as go in one reply, and at least one if there are any.
     #[serde(rename = "Papers")]
     Registers(Vec<NamedRegister>),
     /// Doors, the edition there, and whether it is on trial.
-    Carried(Vec<(SocketAddr, u64, bool)>),
+    #[serde(rename = "Carried")]
+    AppliedEditions(Vec<(SocketAddr, u64, bool)>),
 }
 
 /// What a process has, and wants to be told when there is more.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct NewsAsk {
+pub struct WatchRequest {
     /// An attendant's own row.
-    pub row: Option<Row>,
+    #[serde(rename = "row")]
+    pub record: Option<EndpointRecord>,
     /// An attendant's door, where its row is known.
-    pub door: Option<SocketAddr>,
-    pub mark: Mark,
+    #[serde(rename = "door")]
+    pub inbound_proxy: Option<SocketAddr>,
+    #[serde(rename = "mark")]
+    pub position: TablePosition,
     /// Of the configuration that it has or has just asked for.
-    pub sheet: Revision,
+    #[serde(rename = "sheet")]
+    pub configuration: Revision,
     /// The number of the quiet ones that the asker has.
-    pub quiet: u64,
+    #[serde(rename = "quiet")]
+    pub suspects_version: u64,
     /// Answered after so long though there is no news.
-    pub hold_ms: u32,
+    #[serde(rename = "hold_ms")]
+    pub max_wait_ms: u32,
     /// A steward asks: it wants to know how long ago attendants were heard.
-    pub steward: bool,
+    #[serde(rename = "steward")]
+    pub from_replica: bool,
     /// What an attendant tells of itself, where that has changed.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub report: Option<Report>,
+    pub report: Option<BudgetReport>,
     /// What of that report goes beside it.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub members: Faring,
+    #[serde(rename = "members")]
+    pub outcomes: EditionOutcomes,
     /// The number of the papers that the asker was told of last; 0 where there were none.
     #[serde(default, skip_serializing_if = "is_none")]
-    pub papers: u64,
+    #[serde(rename = "papers")]
+    pub registers_digest: u64,
     /// The editions of members' routes in force at an attendant, and whether they are on trial there, where that has
     /// changed.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub carried: Option<Carried>,
+    #[serde(rename = "carried")]
+    pub applied_editions: Option<AppliedEditions>,
     /// A steward wants nothing but what was reported.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
-    pub gather: bool,
+    #[serde(rename = "gather")]
+    pub reports_only: bool,
 }
 
 #[derive(Debug, Serialize, Deserialize)]
-pub struct NewsReply {
-    pub mark: Mark,
-    pub rows: Vec<Row>,
+pub struct WatchResponse {
+    #[serde(rename = "mark")]
+    pub position: TablePosition,
+    #[serde(rename = "rows")]
+    pub records: Vec<EndpointRecord>,
     /// Of the newest configuration that is safe, if the asker has an older one.
-    pub sheet: Option<Revision>,
-    pub stewards: Vec<SocketAddr>,
-    /// Told when they have changed.
-    pub quiet: Option<(u64, Vec<SocketAddr>)>,
+    #[serde(rename = "sheet")]
+    pub configuration: Option<Revision>,
+    #[serde(rename = "stewards")]
+    pub replicas: Vec<SocketAddr>,
+    /// CollectedReports when they have changed.
+    #[serde(rename = "quiet")]
+    pub suspects: Option<(u64, Vec<SocketAddr>)>,
     /// More than half of the core is heard here.
-    pub settled: bool,
+    #[serde(rename = "settled")]
+    pub has_quorum: bool,
     /// The life under which the asker is known.
-    pub life: Option<u64>,
-    pub ages: Vec<(SocketAddr, u32)>,
+    #[serde(rename = "life")]
+    pub known_incarnation: Option<u64>,
+    #[serde(rename = "ages")]
+    pub last_heard_ms_ago: Vec<(SocketAddr, u32)>,
     /// Doors whose upstream's life an operator wants drained, and the ms for which an older program keeps that; to
     /// stewards those of rows that changed, to an attendant its own until its row says that it was taken.
     #[serde(default)]
@@ -100,13 +123,16 @@
     /// What doors' attendants reported and how many ms ago, and the ms in which this steward came to full service; told
     /// where it was asked for.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub told: Option<Box<Told>>,
+    #[serde(rename = "told")]
+    pub reports: Option<Box<CollectedReports>>,
     /// The number of all papers that are safe, and their ranks, where it is another than the asker's.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub papers: Option<(u64, Vec<(RegisterName, Revision)>)>,
+    #[serde(rename = "papers")]
+    pub registers: Option<(u64, Vec<(RegisterName, Revision)>)>,
     /// What of those reports goes beside them, where there is any.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub members: Vec<(SocketAddr, Faring)>,
+    #[serde(rename = "members")]
+    pub outcomes: Vec<(SocketAddr, EditionOutcomes)>,
 }
 
 fn is_none(papers: &u64) -> bool {
@@ -114,16 +140,17 @@
 }
 
 /// The editions of members' routes in force at an attendant, and whether they are on trial there.
-pub type Carried = Vec<(RegisterName, u64, bool)>;
+pub type AppliedEditions = Vec<(RegisterName, u64, bool)>;
 
-/// Reports by door with their ages in ms, and a steward's own time to full service in ms.
-pub type Told = (Vec<(SocketAddr, u32, Report)>, Option<u32>);
+/// BudgetReports by door with their ages in ms, and a steward's own time to full service in ms.
+pub type CollectedReports = (Vec<(SocketAddr, u32, BudgetReport)>, Option<u32>);
 
 #[derive(Serialize, Deserialize)]
 pub struct Frame<T> {
     /// 0: no reply is wanted.
     pub id: u64,
-    pub say: T,
+    #[serde(rename = "say")]
+    pub payload: T,
 }
 
 /// A frame with its length before it; none where it would be larger than `MOST_FRAME`.
@@ -137,8 +164,8 @@
 
 #[cfg(test)]
 mod tests {
-    use crate::budget::{Figures, Spending};
-    use crate::fared::{Edition, Fared};
+    use crate::outcome_counts::{OutcomeCounts, RouteEdition};
+    use crate::retry_budget::{AttemptCounts, ServiceAttempts};
 
     use super::*;
 
@@ -205,29 +232,29 @@
     #[test]
     fn the_bytes_of_an_ask() {
         let door = SocketAddr::from(([10, 1, 0, 8], 8300));
-        let bytes = |spending: Option<Spending>| {
-            let mark = Mark { life: u64::MAX, number: 1_000 };
-            let ask = NewsAsk {
-                row: None,
-                door: Some(door),
-                mark,
-                sheet: Revision::new(12, u64::MAX),
-                quiet: 3,
-                hold_ms: 500,
-                steward: false,
-                report: spending.map(|spending| Report {
-                    spending,
-                    full_ms: Some(812),
-                    members: Faring::new(),
+        let bytes = |spending: Option<ServiceAttempts>| {
+            let mark = TablePosition { incarnation: u64::MAX, sequence: 1_000 };
+            let ask = WatchRequest {
+                record: None,
+                inbound_proxy: Some(door),
+                position: mark,
+                configuration: Revision::new(12, u64::MAX),
+                suspects_version: 3,
+                max_wait_ms: 500,
+                from_replica: false,
+                report: spending.map(|spending| BudgetReport {
+                    services: spending,
+                    recovery_ms: Some(812),
+                    outcomes: EditionOutcomes::new(),
                 }),
-                members: Faring::new(),
-                papers: 0,
-                carried: None,
-                gather: false,
+                outcomes: EditionOutcomes::new(),
+                registers_digest: 0,
+                applied_editions: None,
+                reports_only: false,
             };
-            encode(&Frame { id: 9_000, say: Ask::News(ask) }).map(|bytes| bytes.len())
+            encode(&Frame { id: 9_000, payload: InternalRequest::Watch(ask) }).map(|bytes| bytes.len())
         };
-        let figures = Figures { first: 2_000, again: 20, refused: 0 };
+        let figures = AttemptCounts { first: 2_000, retried: 20, denied: 0 };
         let spent = ["huvo11a", "kafi81c", "wuno96b"].map(|name| (name.into(), figures));
         assert_eq!((bytes(None), bytes(Some(spent.to_vec()))), (Some(119), Some(176)));
     }
@@ -237,34 +264,36 @@
     fn how_members_fared_goes_beside_what_older_programs_read() {
         #[derive(Deserialize)]
         struct Older {
-            report: Option<Report>,
+            report: Option<BudgetReport>,
             gather: bool,
         }
-        let of = Edition { member: "norte".into(), number: 4, trial: true };
-        let members: Faring = vec![(of, Fared { first: 9, failed: 2, ..Fared::default() })];
-        let report = Report { full_ms: Some(7), members: members.clone(), ..Report::default() };
-        let ask = NewsAsk {
-            row: None,
-            door: None,
-            mark: Mark::default(),
-            sheet: Revision::new(1, 1),
-            quiet: 0,
-            hold_ms: 1,
-            steward: false,
+        let of = RouteEdition { member: "norte".into(), version: 4, canary: true };
+        let members: EditionOutcomes =
+            vec![(of, OutcomeCounts { first: 9, failed: 2, ..OutcomeCounts::default() })];
+        let report =
+            BudgetReport { recovery_ms: Some(7), outcomes: members.clone(), ..BudgetReport::default() };
+        let ask = WatchRequest {
+            record: None,
+            inbound_proxy: None,
+            position: TablePosition::default(),
+            configuration: Revision::new(1, 1),
+            suspects_version: 0,
+            max_wait_ms: 1,
+            from_replica: false,
             report: Some(report),
-            members,
-            papers: 0,
-            carried: None,
-            gather: true,
+            outcomes: members,
+            registers_digest: 0,
+            applied_editions: None,
+            reports_only: true,
         };
         let mut bytes = Vec::new();
         ciborium::into_writer(&ask, &mut bytes).expect("written");
         let older: Older = ciborium::from_reader(&*bytes).expect("read");
         assert_eq!(
             (older.report, older.gather),
-            (Some(Report { full_ms: Some(7), ..Report::default() }), true)
+            (Some(BudgetReport { recovery_ms: Some(7), ..BudgetReport::default() }), true)
         );
-        let newer: NewsAsk = ciborium::from_reader(&*bytes).expect("read");
-        assert_eq!(newer.members, ask.members);
+        let newer: WatchRequest = ciborium::from_reader(&*bytes).expect("read");
+        assert_eq!(newer.outcomes, ask.outcomes);
     }
 }
--- a/mesh/src/pace.rs
+++ b/mesh/src/large_response_pacer.rs
@@ -7,17 +7,17 @@
 const PART: f64 = 0.95;
 
 #[derive(Clone, Debug)]
-pub struct Pace {
+pub struct LargeResponsePacer {
     bytes_per_ns: f64,
     next: Nanos,
     /// Bytes of large answers that are on their way and have not gone yet.
     pending: u64,
 }
 
-impl Pace {
+impl LargeResponsePacer {
     /// For a link of so many Mbit/s.
-    pub fn new(link_mbps: f64) -> Pace {
-        Pace { bytes_per_ns: link_mbps.max(0.01) * 1e6 / 8.0 * PART / 1e9, next: 0, pending: 0 }
+    pub fn new(link_mbps: f64) -> LargeResponsePacer {
+        LargeResponsePacer { bytes_per_ns: link_mbps.max(0.01) * 1e6 / 8.0 * PART / 1e9, next: 0, pending: 0 }
     }
 
     /// When a piece of so many bytes may go; later ones come behind it.
@@ -60,7 +60,7 @@
     #[test]
     fn pieces_go_one_behind_the_other_at_a_part_of_the_link() {
         // A million bytes a second.
-        let mut pace = Pace::new(8.0 / PART);
+        let mut pace = LargeResponsePacer::new(8.0 / PART);
         let gone: Vec<Nanos> = (0..3).map(|_| pace.reserve(5_000, 10_000)).collect();
         assert_eq!(gone, [5_000, 10_005_000, 20_005_000]);
         pace.note(10_005_000, 1_000);
--- a/mesh/src/claim_breaker.rs
+++ b/mesh/src/lease_circuit_breaker.rs
@@ -17,12 +17,12 @@
 
 /// Open while the last claim that waited in full was left unanswered.
 #[derive(Clone, Debug, Default)]
-pub struct ClaimBreaker {
+pub struct LeaseCircuitBreaker {
     open: bool,
     next_probe: Nanos,
 }
 
-impl ClaimBreaker {
+impl LeaseCircuitBreaker {
     /// How long a claim may wait, in ns, whose request has so much time left. `away`: no replica that hears a majority was
     /// heard of late.
     pub fn wait(&mut self, now: Nanos, left: Nanos, away: bool) -> Nanos {
--- a/mesh/src/lib.rs
+++ b/mesh/src/lib.rs
@@ -3,21 +3,21 @@
 //! upstreams. It does no I/O and knows no clock: times are told, chance is drawn from a seed, and what is to be written
 //! or sent is handed out as acts.
 
-pub mod budget;
-pub mod calls;
-pub mod claim_breaker;
+pub mod admission;
+pub mod canary;
+pub mod configuration;
+pub mod configuration_update;
 pub mod delta;
-pub mod fared;
-pub mod health;
-pub mod idle;
-pub mod lay;
-pub mod list;
+pub mod endpoints;
+pub mod idle_limit;
+pub mod internal_rpc;
+pub mod large_response_pacer;
+pub mod lease_circuit_breaker;
 pub mod members;
-pub mod news;
-pub mod office;
-pub mod pace;
-pub mod parcels;
-pub mod shares;
-pub mod slots;
-pub mod timetable;
-pub mod trial;
+pub mod outcome_counts;
+pub mod outlier_detection;
+pub mod overlay;
+pub mod retry_budget;
+pub mod retry_shares;
+pub mod watch_client;
+pub mod watch_server;
--- a/mesh/src/members.rs
+++ b/mesh/src/members.rs
@@ -8,9 +8,9 @@
 
 use jzon::JsonValue;
 
-use crate::timetable::changes::{Fact, compare, paired};
-use crate::timetable::read::{self, Entry, MOST_ENTRIES, MOST_MS, Reader, cut, field};
-use crate::timetable::{Name, Refusal, Route, Why};
+use crate::configuration::changes::{Fact, compare, paired};
+use crate::configuration::read::{self, Entry, MOST_ENTRIES, MOST_MS, Reader, cut, field};
+use crate::configuration::{Name, Refusal, RefusalReason, Route};
 
 /// The most members of a register.
 pub const MOST_MEMBERS: usize = 1_000;
@@ -92,15 +92,15 @@
 
 /// The platform's word on its members, of one edition, whole and checked.
 #[derive(Clone, Debug, Default)]
-pub struct Register {
+pub struct MemberRegister {
     pub version: u64,
     members: BTreeMap<Name, Arc<Member>>,
 }
 
-impl Register {
+impl MemberRegister {
     /// Reads a whole register, or tells all that is wrong with it. At most 32 MiB, `MOST_MEMBERS` members, and
     /// `MOST_ROUTES` routes given to all together.
-    pub fn read(bytes: &[u8]) -> Result<Register, Vec<Refusal>> {
+    pub fn read(bytes: &[u8]) -> Result<MemberRegister, Vec<Refusal>> {
         read::whole(bytes, register)
     }
 
@@ -117,27 +117,27 @@
 /// A member's own word on its routes, of one edition. It is whole and valid by itself; what of it may be laid is
 /// decided by `lay`.
 #[derive(Clone, Debug)]
-pub struct MemberDoc {
+pub struct MemberDocument {
     /// Above that of the member's document before it.
     pub version: u64,
     /// The share of nodes that try it first, 0 to 1; all take it at once where there is none.
-    pub trial: Option<f64>,
+    pub canary_share: Option<f64>,
     /// In the document's order, no two at one place, none with a share of what all have in common. Their services are
     /// names only: whether there are such is not known here.
     pub routes: Vec<Arc<Route>>,
 }
 
-impl MemberDoc {
+impl MemberDocument {
     /// Reads a whole document, or tells all that is wrong with it. At most 32 MiB and 20,000 routes.
-    pub fn read(bytes: &[u8]) -> Result<MemberDoc, Vec<Refusal>> {
+    pub fn read(bytes: &[u8]) -> Result<MemberDocument, Vec<Refusal>> {
         read::whole(bytes, document)
     }
 }
 
 /// What an operator would see change from one register to another, a line for each field.
-pub fn differences(old: &Register, new: &Register) -> Vec<String> {
+pub fn differences(old: &MemberRegister, new: &MemberRegister) -> Vec<String> {
     let mut lines = Vec::new();
-    let edition = |register: &Register| Some(vec![("edition", format!("r{}", register.version))]);
+    let edition = |register: &MemberRegister| Some(vec![("edition", format!("r{}", register.version))]);
     compare(&mut lines, "register", edition(old), edition(new));
     for (name, old, new) in paired(old.members.clone(), new.members.clone()) {
         let facts = |member: Arc<Member>| facts(&member);
@@ -167,7 +167,7 @@
     ]
 }
 
-fn document(reader: &mut Reader, document: &JsonValue) -> Option<MemberDoc> {
+fn document(reader: &mut Reader, document: &JsonValue) -> Option<MemberDocument> {
     let (version, entries) = reader.document(document, "routes", MOST_ENTRIES)?;
     let top = Entry::new("", 0, document);
     // Where it is wrong that is told, and the routes are read all the same.
@@ -178,15 +178,15 @@
         let Some(route) = reader.route(&entry) else { continue };
         match places.insert((route.host.clone(), route.prefix.clone()), index) {
             Some(other) => {
-                reader.wrong::<()>(&entry, "lane_prefix", Why::Same("routes", other));
+                reader.wrong::<()>(&entry, "lane_prefix", RefusalReason::Same("routes", other));
             }
             None => routes.push(Arc::new(route)),
         }
     }
-    Some(MemberDoc { version: version?, trial, routes })
+    Some(MemberDocument { version: version?, canary_share: trial, routes })
 }
 
-fn register(reader: &mut Reader, document: &JsonValue) -> Option<Register> {
+fn register(reader: &mut Reader, document: &JsonValue) -> Option<MemberRegister> {
     let (version, entries) = reader.document(document, "members", MOST_MEMBERS)?;
     let mut members: BTreeMap<Name, Arc<Member>> = BTreeMap::new();
     let mut numbers: HashMap<Name, usize> = HashMap::new();
@@ -196,7 +196,7 @@
         let Some(entry) = named(reader, "members", index, value) else { continue };
         let Some(member) = member(reader, &entry) else { continue };
         if let Some(other) = numbers.insert(member.name.clone(), index) {
-            reader.wrong::<()>(&entry, "name", Why::Same("members", other));
+            reader.wrong::<()>(&entry, "name", RefusalReason::Same("members", other));
             continue;
         }
         routes += member.limits.routes as u64;
@@ -205,10 +205,11 @@
     }
     taken.check(reader);
     if routes > MOST_ROUTES {
-        return reader
-            .refuse(Why::Many(MOST_ROUTES as usize), || "members.limits.routes, all together".into());
+        return reader.refuse(RefusalReason::Many(MOST_ROUTES as usize), || {
+            "members.limits.routes, all together".into()
+        });
     }
-    Some(Register { version: version?, members })
+    Some(MemberRegister { version: version?, members })
 }
 
 /// An entry that is an object and has a name.
@@ -220,7 +221,7 @@
 ) -> Option<Entry<'v>> {
     let entry = Entry::new(list, index, value);
     if !value.is_object() {
-        return reader.wrong(&entry, "", Why::Not("an object"));
+        return reader.wrong(&entry, "", RefusalReason::Not("an object"));
     }
     let name = reader.word(&entry, "name", entry.get("name"))?;
     Some(Entry { name, ..entry })
@@ -246,7 +247,7 @@
 fn name(reader: &mut Reader, entry: &Entry) -> Option<Name> {
     let fits = |byte: u8| byte.is_ascii_alphanumeric() || b".-_".contains(&byte);
     if entry.name.len() > MOST_NAME || !entry.name.bytes().all(fits) {
-        return reader.wrong(entry, "name", Why::Name);
+        return reader.wrong(entry, "name", RefusalReason::Name);
     }
     Some(reader.name(entry.name))
 }
@@ -256,7 +257,7 @@
     let text = reader.text(entry, FIELD, entry.get(FIELD))?;
     let mut digest = [0; 32];
     if text.len() != 64 || !text.bytes().all(|byte| byte.is_ascii_hexdigit()) {
-        return reader.wrong(entry, FIELD, Why::Digest);
+        return reader.wrong(entry, FIELD, RefusalReason::Digest);
     }
     for (byte, pair) in digest.iter_mut().zip(text.as_bytes().chunks_exact(2)) {
         let digits = pair.iter().filter_map(|digit| char::from(*digit).to_digit(16));
@@ -267,10 +268,10 @@
 
 /// A list that is there, of no more than so many.
 fn list<'v>(reader: &mut Reader, entry: &Entry<'v>, field: &str, most: usize) -> Option<&'v [JsonValue]> {
-    let Some(value) = entry.get(field) else { return reader.wrong(entry, field, Why::Missing) };
+    let Some(value) = entry.get(field) else { return reader.wrong(entry, field, RefusalReason::Missing) };
     match value.as_array() {
-        None => reader.wrong(entry, field, Why::Not("a list")),
-        Some(all) if all.len() > most => reader.wrong(entry, field, Why::Many(most)),
+        None => reader.wrong(entry, field, RefusalReason::Not("a list")),
+        Some(all) if all.len() > most => reader.wrong(entry, field, RefusalReason::Many(most)),
         Some(all) => Some(all),
     }
 }
@@ -281,7 +282,7 @@
     for (index, value) in all.iter().enumerate() {
         let at = |key: &str| format!("places[{index}]{key}");
         if !value.is_object() {
-            reader.wrong::<()>(entry, &at(""), Why::Not("an object"));
+            reader.wrong::<()>(entry, &at(""), RefusalReason::Not("an object"));
             continue;
         }
         let host = reader.host(entry, &at(".host"), field(value, "host"));
@@ -290,7 +291,7 @@
             some => reader.prefix(entry, &at(".prefix"), some),
         };
         if prefix.as_ref().is_some_and(|prefix| !prefix.ends_with('/')) {
-            reader.wrong::<()>(entry, &at(".prefix"), Why::NoLastSlash);
+            reader.wrong::<()>(entry, &at(".prefix"), RefusalReason::NoLastSlash);
         }
         if let (Some(host), Some(prefix)) = (host, prefix) {
             places.push(Place { host, prefix });
@@ -314,7 +315,7 @@
     let mut limits = MemberLimits::default();
     let Some(given) = entry.get("limits") else { return Some(limits) };
     if !given.is_object() {
-        return reader.wrong(entry, "limits", Why::Not("an object"));
+        return reader.wrong(entry, "limits", RefusalReason::Not("an object"));
     }
     let entry = &Entry { within: "limits", fields: given, ..*entry };
     // A field that is wrong is told; its default stands in for it until the register is refused.
@@ -356,7 +357,7 @@
             let of_host = self.by_host.entry(place.host.clone()).or_default();
             match of_host.get(&place.prefix) {
                 Some((other, at)) if other.index != entry.index => {
-                    let why = Why::Within(told(other, *at));
+                    let why = RefusalReason::Within(told(other, *at));
                     reader.wrong::<()>(entry, &format!("places[{number}]"), why);
                 }
                 _ => {
@@ -384,7 +385,7 @@
         }
         found.sort_by_key(|(entry, number, _)| (entry.index, *number));
         for (entry, number, other) in found {
-            reader.wrong::<()>(entry, &format!("places[{number}]"), Why::Within(other));
+            reader.wrong::<()>(entry, &format!("places[{number}]"), RefusalReason::Within(other));
         }
     }
 }
--- a/mesh/src/health.rs
+++ b/mesh/src/outlier_detection.rs
@@ -10,7 +10,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::timetable::Name;
+use crate::configuration::Name;
 use ochreshed_consensus::core::Nanos;
 
 const MS: Nanos = 1_000_000;
@@ -50,39 +50,41 @@
 
 /// What a door tells of its upstream.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Ill {
+pub struct UpstreamHealth {
     /// How much fails: 0, then from 30 and 60 of 100 on.
-    pub fails: u8,
+    #[serde(rename = "fails")]
+    pub failure_level: u8,
     /// How much longer runs take than they did for long: 0, from 2.5 times, from five times on.
-    pub slow: u8,
+    #[serde(rename = "slow")]
+    pub latency_level: u8,
 }
 
-impl Ill {
-    pub fn is_well(&self) -> bool {
-        *self == Ill::default()
+impl UpstreamHealth {
+    pub fn is_healthy(&self) -> bool {
+        *self == UpstreamHealth::default()
     }
 }
 
 /// How a run at the upstream ended, as the door saw it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ran {
-    Well,
+pub enum RunOutcome {
+    Succeeded,
     /// An error, a reset, bytes that are no answer, or a refusal though it had a slot free.
     Failed,
     NoConnection,
     /// Nobody waits for it any more, or its time was over: tells nothing but what it took so far.
-    Nothing,
+    Abandoned,
 }
 
 struct Run {
     since: Nanos,
     overdue: bool,
-    sort: Sort,
+    sort: RequestClass,
 }
 
 /// Reqs of one kind, as far as a door can tell: their runs take about as long.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Sort {
+pub struct RequestClass {
     /// By whose route they came; none of the platform's.
     pub member: Option<Name>,
     /// Runs wait for them; their answers are large.
@@ -92,7 +94,7 @@
 
 /// How the runs of one sort went.
 #[derive(Default)]
-struct Fares {
+struct ClassHistory {
     failing: f64,
     /// What a run takes of late and for long, and how many have told: on the mean of their logarithms, for reqs of one
     /// sort may still differ much in their work.
@@ -104,7 +106,7 @@
     heard: Nanos,
 }
 
-impl Fares {
+impl ClassHistory {
     fn failed(&mut self, now: Nanos, failed: bool) {
         self.failing += (f64::from(u8::from(failed)) - self.failing) * FAIL_PART;
         (self.many, self.heard) = (self.many(now) + 1.0, now);
@@ -133,29 +135,34 @@
         (self.told >= KNOWN).then(|| ((self.long.exp() * OVERDUE * 1e9) as Nanos).max(OVERDUE_LEAST))
     }
 
-    fn levels(&self, was: Ill) -> Ill {
+    fn levels(&self, was: UpstreamHealth) -> UpstreamHealth {
         let ratio = if self.told >= KNOWN { (self.late - self.long).exp() } else { 1.0 };
-        Ill {
-            fails: level(self.failing, was.fails, |at| FIRST * 2f64.powi(i32::from(at)), MOST_FAILS),
-            slow: level(ratio, was.slow, |at| SLOW[usize::from(at)], SLOW.len() as u8),
+        UpstreamHealth {
+            failure_level: level(
+                self.failing,
+                was.failure_level,
+                |at| FIRST * 2f64.powi(i32::from(at)),
+                MOST_FAILS,
+            ),
+            latency_level: level(ratio, was.latency_level, |at| SLOW[usize::from(at)], SLOW.len() as u8),
         }
     }
 
     /// It was no worse than this; the next outcomes tell.
-    fn at_most(&mut self, ill: Ill) {
-        self.failing = self.failing.min(FIRST * 2f64.powi(i32::from(ill.fails)) * LEAVES);
-        let most = if ill.slow == 0 { 1.0 } else { SLOW[usize::from(ill.slow) - 1] };
+    fn at_most(&mut self, ill: UpstreamHealth) {
+        self.failing = self.failing.min(FIRST * 2f64.powi(i32::from(ill.failure_level)) * LEAVES);
+        let most = if ill.latency_level == 0 { 1.0 } else { SLOW[usize::from(ill.latency_level) - 1] };
         self.late = self.late.min(self.long + most.ln());
     }
 }
 
 /// What a door counts of the upstream beside it, in one life of that.
 #[derive(Default)]
-pub struct Health {
+pub struct OutlierDetector {
     runs: BTreeMap<u64, Run>,
     next: u64,
-    by: HashMap<Sort, Fares>,
-    ill: Ill,
+    by: HashMap<RequestClass, ClassHistory>,
+    ill: UpstreamHealth,
     changed: Nanos,
     /// When something failed last, and when it was tried again last; how many tries in a row were wrong.
     failed: Nanos,
@@ -165,39 +172,39 @@
     well: u32,
 }
 
-impl Health {
+impl OutlierDetector {
     /// Another life of the upstream: nothing of the one before counts, nor do runs of it that are still out.
-    pub fn anew(&mut self) {
-        *self = Health { next: self.next, ..Health::default() };
+    pub fn reset(&mut self) {
+        *self = OutlierDetector { next: self.next, ..OutlierDetector::default() };
     }
 
     /// A run of this sort begins at the upstream.
-    pub fn begin(&mut self, now: Nanos, sort: Sort) -> u64 {
+    pub fn begin(&mut self, now: Nanos, sort: RequestClass) -> u64 {
         self.next += 1;
         self.runs.insert(self.next, Run { since: now, overdue: false, sort });
         self.next
     }
 
     /// It has ended; what was counted as overdue is not counted as failed again.
-    pub fn end(&mut self, now: Nanos, run: u64, ran: Ran) {
+    pub fn end(&mut self, now: Nanos, run: u64, ran: RunOutcome) {
         let Some(Run { since, overdue, sort }) = self.runs.remove(&run) else { return };
-        if ran == Ran::Nothing {
+        if ran == RunOutcome::Abandoned {
             return;
         }
         match ran {
-            Ran::Well => self.well = self.well.saturating_add(1),
+            RunOutcome::Succeeded => self.well = self.well.saturating_add(1),
             _ => (self.failed, self.well) = (now, 0),
         }
         let fares = self.fares(now, sort);
         match ran {
-            Ran::Failed if !overdue => fares.failed(now, true),
-            Ran::Well if !overdue => fares.failed(now, false),
+            RunOutcome::Failed if !overdue => fares.failed(now, true),
+            RunOutcome::Succeeded if !overdue => fares.failed(now, false),
             _ => {}
         }
-        if ran == Ran::Well && fares.took(now.saturating_sub(since)) {
+        if ran == RunOutcome::Succeeded && fares.took(now.saturating_sub(since)) {
             (self.failed, self.well) = (now, 0);
         }
-        if ran == Ran::NoConnection {
+        if ran == RunOutcome::NoConnection {
             // That is nobody's doing but the upstream's own.
             for fares in self.by.values_mut() {
                 (0..NO_CONNECTION).for_each(|_| fares.failed(now, true));
@@ -205,7 +212,7 @@
         }
     }
 
-    fn fares(&mut self, now: Nanos, sort: Sort) -> &mut Fares {
+    fn fares(&mut self, now: Nanos, sort: RequestClass) -> &mut ClassHistory {
         if self.by.len() > MOST_SORTS {
             self.by.retain(|_, fares| fares.many(now) >= 1.0);
         }
@@ -213,7 +220,7 @@
     }
 
     /// What is to be told now; looks at runs that are out for too long.
-    pub fn look(&mut self, now: Nanos) -> Ill {
+    pub fn update(&mut self, now: Nanos) -> UpstreamHealth {
         let (by, mut late) = (&mut self.by, false);
         for run in self.runs.values_mut().filter(|run| !run.overdue) {
             let Some(fares) = by.get_mut(&run.sort) else { continue };
@@ -228,24 +235,30 @@
         }
         let was = self.ill;
         // As it does by those that it does best by, of all of whom enough is known; else by the one of whom most is.
-        let enough = |fares: &&Fares| fares.many(now) >= COUNTS;
-        let best = |all: &mut dyn Iterator<Item = &Fares>| {
+        let enough = |fares: &&ClassHistory| fares.many(now) >= COUNTS;
+        let best = |all: &mut dyn Iterator<Item = &ClassHistory>| {
             let levels = all.map(|fares| fares.levels(was));
-            levels.reduce(|a, b| Ill { fails: a.fails.min(b.fails), slow: a.slow.min(b.slow) })
+            levels.reduce(|a, b| UpstreamHealth {
+                failure_level: a.failure_level.min(b.failure_level),
+                latency_level: a.latency_level.min(b.latency_level),
+            })
         };
-        let most = |fares: &&Fares| (fares.many(now) * 1e6) as u64;
+        let most = |fares: &&ClassHistory| (fares.many(now) * 1e6) as u64;
         let ill = best(&mut self.by.values().filter(enough));
         let mut ill =
             ill.or_else(|| Some(self.by.values().max_by_key(most)?.levels(was))).unwrap_or_default();
         let told = if self.well >= TELL { 1 } else { 3 };
         let waits = TRY_AGAIN * told * 2u64.pow(self.wrong.min(MOST_TRIES));
         let fails_no_more = now >= self.failed.max(self.changed) + waits;
-        if !was.is_well() && fails_no_more {
-            ill = Ill { fails: was.fails.saturating_sub(1), slow: was.slow.saturating_sub(1) };
+        if !was.is_healthy() && fails_no_more {
+            ill = UpstreamHealth {
+                failure_level: was.failure_level.saturating_sub(1),
+                latency_level: was.latency_level.saturating_sub(1),
+            };
             self.by.values_mut().for_each(|fares| fares.at_most(ill));
             self.tried = Some(now);
         }
-        let worse = ill.fails > was.fails || ill.slow > was.slow;
+        let worse = ill.failure_level > was.failure_level || ill.latency_level > was.latency_level;
         if ill != was && (worse || now >= self.changed + BETTER) {
             if worse && let Some(tried) = self.tried.take() {
                 self.wrong = if now < tried + RELAPSE { self.wrong + 1 } else { 0 };
@@ -256,7 +269,7 @@
     }
 
     /// As it was told last.
-    pub fn ill(&self) -> Ill {
+    pub fn health(&self) -> UpstreamHealth {
         self.ill
     }
 }
@@ -275,80 +288,84 @@
 
     /// One run of so many ms after another, each with its outcome.
     fn run(
-        health: &mut Health,
+        health: &mut OutlierDetector,
         now: &mut Nanos,
         took_ms: u64,
-        outcomes: impl IntoIterator<Item = Ran>,
-    ) -> Ill {
+        outcomes: impl IntoIterator<Item = RunOutcome>,
+    ) -> UpstreamHealth {
         for ran in outcomes {
-            let id = health.begin(*now, Sort::default());
+            let id = health.begin(*now, RequestClass::default());
             *now += took_ms * MS;
             health.end(*now, id, ran);
-            health.look(*now);
+            health.update(*now);
         }
-        health.ill()
+        health.health()
     }
 
-    fn well() -> (Health, Nanos) {
-        let (mut health, mut now) = (Health::default(), MS);
-        assert_eq!(run(&mut health, &mut now, 50, [Ran::Well; 100]), Ill::default());
+    fn well() -> (OutlierDetector, Nanos) {
+        let (mut health, mut now) = (OutlierDetector::default(), MS);
+        assert_eq!(run(&mut health, &mut now, 50, [RunOutcome::Succeeded; 100]), UpstreamHealth::default());
         (health, now)
     }
 
     #[test]
     fn half_that_fail_are_told_within_sixteen_runs_and_taken_back_by_steps() {
         let (mut health, mut now) = well();
-        let half = [Ran::Failed, Ran::Well].into_iter().cycle();
-        assert_eq!(run(&mut health, &mut now, 50, half.take(16)).fails, 1);
-        assert_eq!(run(&mut health, &mut now, 50, [Ran::Failed; 20]).fails, 2);
+        let half = [RunOutcome::Failed, RunOutcome::Succeeded].into_iter().cycle();
+        assert_eq!(run(&mut health, &mut now, 50, half.take(16)).failure_level, 1);
+        assert_eq!(run(&mut health, &mut now, 50, [RunOutcome::Failed; 20]).failure_level, 2);
         // Nothing more is sent there: a level better after each time without news, until it is sent some again.
         let mut levels = Vec::new();
         for _ in 0..3 {
             now += TRY_AGAIN * 3;
-            levels.push(health.look(now).fails);
+            levels.push(health.update(now).failure_level);
         }
         assert_eq!(levels, [1, 0, 0]);
         // It fails as before: told at once, and tried again later each time, also while a few do well there.
         let mut waits = Vec::new();
         for _ in 0..3 {
-            assert!(run(&mut health, &mut now, 50, [Ran::Failed; 9]).fails >= 1);
+            assert!(run(&mut health, &mut now, 50, [RunOutcome::Failed; 9]).failure_level >= 1);
             let from = now;
-            while health.ill().fails >= 1 {
-                run(&mut health, &mut now, 20, [Ran::Well]);
+            while health.health().failure_level >= 1 {
+                run(&mut health, &mut now, 20, [RunOutcome::Succeeded]);
                 now += TRY_AGAIN - 20 * MS;
             }
             waits.push((now - from) / TRY_AGAIN);
         }
         assert_eq!(waits, [3, 5, 9]);
-        assert_eq!(run(&mut health, &mut now, 50, [Ran::Well; 60]), Ill::default());
+        assert_eq!(run(&mut health, &mut now, 50, [RunOutcome::Succeeded; 60]), UpstreamHealth::default());
     }
 
     #[test]
     fn slow_runs_are_told_against_what_they_took_for_long() {
         let (mut health, mut now) = well();
-        assert_eq!(run(&mut health, &mut now, 100, [Ran::Well; 60]).slow, 0, "twice is no illness");
+        assert_eq!(
+            run(&mut health, &mut now, 100, [RunOutcome::Succeeded; 60]).latency_level,
+            0,
+            "twice is no illness"
+        );
         let (mut health, mut now) = well();
-        assert_eq!(run(&mut health, &mut now, 230, [Ran::Well; 40]).slow, 1);
-        assert_eq!(run(&mut health, &mut now, 600, [Ran::Well; 60]).slow, 2);
-        assert_eq!(run(&mut health, &mut now, 50, [Ran::Well; 90]).slow, 0);
+        assert_eq!(run(&mut health, &mut now, 230, [RunOutcome::Succeeded; 40]).latency_level, 1);
+        assert_eq!(run(&mut health, &mut now, 600, [RunOutcome::Succeeded; 60]).latency_level, 2);
+        assert_eq!(run(&mut health, &mut now, 50, [RunOutcome::Succeeded; 90]).latency_level, 0);
     }
 
     #[test]
     fn runs_that_hang_fail_before_they_end_and_only_once() {
         let (mut health, mut now) = well();
-        let runs: Vec<u64> = (0..6).map(|_| health.begin(now, Sort::default())).collect();
+        let runs: Vec<u64> = (0..6).map(|_| health.begin(now, RequestClass::default())).collect();
         now += 400 * MS;
-        let ill = health.look(now);
-        assert!(ill.fails >= 1, "{ill:?}");
-        let failing = health.by[&Sort::default()].failing;
-        runs.into_iter().for_each(|run| health.end(now, run, Ran::Failed));
-        assert_eq!(health.by[&Sort::default()].failing, failing);
+        let ill = health.update(now);
+        assert!(ill.failure_level >= 1, "{ill:?}");
+        let failing = health.by[&RequestClass::default()].failing;
+        runs.into_iter().for_each(|run| health.end(now, run, RunOutcome::Failed));
+        assert_eq!(health.by[&RequestClass::default()].failing, failing);
     }
 
     #[test]
     fn no_connection_tells_at_once() {
         let (mut health, mut now) = well();
-        assert!(run(&mut health, &mut now, 1, [Ran::NoConnection; 2]).fails >= 1);
+        assert!(run(&mut health, &mut now, 1, [RunOutcome::NoConnection; 2]).failure_level >= 1);
     }
 
     /// Guards against the chance by which some runs of much work follow each other.
@@ -357,7 +374,7 @@
         let (mut health, mut now) = well();
         for nth in 0..4_000_u64 {
             let took = if nth.wrapping_mul(0x9E37_79B9_7F4A_7C15) >> 62 == 0 { 200 } else { 20 };
-            assert_eq!(run(&mut health, &mut now, took, [Ran::Well]).slow, 0, "{nth}");
+            assert_eq!(run(&mut health, &mut now, took, [RunOutcome::Succeeded]).latency_level, 0, "{nth}");
         }
     }
 
@@ -365,49 +382,49 @@
     #[test]
     fn what_fails_by_one_member_only_is_not_the_upstreams_fault() {
         let (mut health, mut now) = well();
-        let norte = Sort { member: Some("norte".into()), ..Sort::default() };
-        let mut both = |ran: Ran, others: Ran| {
+        let norte = RequestClass { member: Some("norte".into()), ..RequestClass::default() };
+        let mut both = |ran: RunOutcome, others: RunOutcome| {
             for _ in 0..60 {
-                for (sort, ran) in [(&norte, ran), (&Sort::default(), others)] {
+                for (sort, ran) in [(&norte, ran), (&RequestClass::default(), others)] {
                     let id = health.begin(now, sort.clone());
                     now += 25 * MS;
                     health.end(now, id, ran);
-                    health.look(now);
+                    health.update(now);
                 }
             }
-            health.ill().fails
+            health.health().failure_level
         };
-        assert_eq!(both(Ran::Failed, Ran::Well), 0);
-        assert_eq!(both(Ran::Failed, Ran::Failed), 2);
-        assert_eq!(both(Ran::Well, Ran::Failed), 0);
+        assert_eq!(both(RunOutcome::Failed, RunOutcome::Succeeded), 0);
+        assert_eq!(both(RunOutcome::Failed, RunOutcome::Failed), 2);
+        assert_eq!(both(RunOutcome::Succeeded, RunOutcome::Failed), 0);
     }
 
     proptest! {
         /// Whatever comes in whatever order, no run is kept for ever, and all well for long is told as well.
         #[test]
         fn it_heals(steps in prop::collection::vec((0u8..6, 0u64..400, 0u8..3), 0..200)) {
-            let (mut health, mut now, mut open) = (Health::default(), MS, Vec::new());
-            let sort = |member: &str| Sort { member: Some(member.into()), ..Sort::default() };
-            let sorts = [Sort::default(), sort("norte"), sort("sul")];
+            let (mut health, mut now, mut open) = (OutlierDetector::default(), MS, Vec::new());
+            let sort = |member: &str| RequestClass { member: Some(member.into()), ..RequestClass::default() };
+            let sorts = [RequestClass::default(), sort("norte"), sort("sul")];
             for (what, ms, member) in steps {
                 now += ms * MS;
                 match what {
                     0 | 1 => open.push(health.begin(now, sorts[usize::from(member)].clone())),
                     _ => if let Some(run) = open.pop() {
-                        let ran = [Ran::Well, Ran::Failed, Ran::NoConnection, Ran::Nothing][usize::from(what - 2)];
+                        let ran = [RunOutcome::Succeeded, RunOutcome::Failed, RunOutcome::NoConnection, RunOutcome::Abandoned][usize::from(what - 2)];
                         health.end(now, run, ran);
                     }
                 }
-                let ill = health.look(now);
-                prop_assert!(ill.fails <= MOST_FAILS && usize::from(ill.slow) <= SLOW.len());
+                let ill = health.update(now);
+                prop_assert!(ill.failure_level <= MOST_FAILS && usize::from(ill.latency_level) <= SLOW.len());
                 prop_assert_eq!(health.runs.len(), open.len());
             }
-            open.into_iter().for_each(|run| health.end(now, run, Ran::Nothing));
+            open.into_iter().for_each(|run| health.end(now, run, RunOutcome::Abandoned));
             for _ in 0..12 {
                 now += TRY_AGAIN * 16;
-                health.look(now);
+                health.update(now);
             }
-            prop_assert!(health.look(now).is_well());
+            prop_assert!(health.update(now).is_healthy());
         }
     }
 }
--- a/mesh/src/lay.rs
+++ b/mesh/src/overlay.rs
@@ -10,48 +10,48 @@
 
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::members::{Member, MemberDoc, Register};
-use crate::timetable::read::cut;
-use crate::timetable::{Name, Route, Share, Timetable, by_place};
+use crate::configuration::read::cut;
+use crate::configuration::{Configuration, Name, Route, Share, by_place};
+use crate::members::{Member, MemberDocument, MemberRegister};
 
 /// The documents in force, each under its member's name.
-pub type Docs = BTreeMap<Name, Arc<MemberDoc>>;
+pub type MemberDocuments = BTreeMap<Name, Arc<MemberDocument>>;
 
 /// Of each member no more trims are told than this.
 const MOST_TOLD: usize = 100;
 
 /// What is in force where these documents are held.
 #[derive(Clone, Debug)]
-pub struct Laid {
-    pub timetable: Timetable,
+pub struct EffectiveConfiguration {
+    pub configuration: Configuration,
     /// In the order of the members' names, of each in its document's order.
-    pub trims: Vec<Trim>,
+    pub violations: Vec<MemberViolation>,
 }
 
 /// What of a member's document is not laid as it was written. None arises from a document that `check` passed under
 /// the same timetable and register.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Trim {
+pub struct MemberViolation {
     pub member: Name,
-    pub cut: Cut,
+    pub violation: OverlayViolation,
 }
 
-impl fmt::Display for Trim {
+impl fmt::Display for MemberViolation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}: {}", self.member, self.cut)
+        write!(f, "{}: {}", self.member, self.violation)
     }
 }
 
 /// What of a document goes beyond what its member was given, and where it stands.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Cut {
+pub struct OverlayViolation {
     /// The route's number in the document and its name; none where it is the document as a whole.
     pub route: Option<(usize, Name)>,
     pub field: &'static str,
-    pub over: Over,
+    pub exceeded: ExceededLimit,
 }
 
-impl fmt::Display for Cut {
+impl fmt::Display for OverlayViolation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match &self.route {
             None => f.write_str(self.field)?,
@@ -61,12 +61,12 @@
                 write!(f, "{dot}{}", self.field)?;
             }
         }
-        write!(f, ": {}", self.over)
+        write!(f, ": {}", self.exceeded)
     }
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum Over {
+pub enum ExceededLimit {
     /// The register names no such member: none of its routes is laid.
     NoMember,
     /// The route stands in no place of this member: it is not laid.
@@ -87,20 +87,20 @@
     More(usize),
 }
 
-impl fmt::Display for Over {
+impl fmt::Display for ExceededLimit {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Over::NoMember => f.write_str("is of no member that the register names"),
-            Over::Place(place) => write!(f, "{place:?} is in no place of this member"),
-            Over::Routes(most) => write!(f, "comes after this member's limit of {most} routes"),
-            Over::Above { is, most } => write!(f, "{is} is above this member's limit of {most}"),
-            Over::Rank { is, least } => {
+            ExceededLimit::NoMember => f.write_str("is of no member that the register names"),
+            ExceededLimit::Place(place) => write!(f, "{place:?} is in no place of this member"),
+            ExceededLimit::Routes(most) => write!(f, "comes after this member's limit of {most} routes"),
+            ExceededLimit::Above { is, most } => write!(f, "{is} is above this member's limit of {most}"),
+            ExceededLimit::Rank { is, least } => {
                 write!(f, "{is} is a higher rank than this member's, {least} (0 is the highest)")
             }
-            Over::NotOwned(name) => write!(f, "{:?} is not among this member's services", &**name),
-            Over::Unknown(name) => write!(f, "{:?} is not among the platform's services", &**name),
-            Over::NoService => f.write_str("no service is left with a share"),
-            Over::More(count) => write!(f, "has {count} more like these"),
+            ExceededLimit::NotOwned(name) => write!(f, "{:?} is not among this member's services", &**name),
+            ExceededLimit::Unknown(name) => write!(f, "{:?} is not among the platform's services", &**name),
+            ExceededLimit::NoService => f.write_str("no service is left with a share"),
+            ExceededLimit::More(count) => write!(f, "has {count} more like these"),
         }
     }
 }
@@ -108,49 +108,66 @@
 /// Lays each member's document over the platform's timetable, as far as the register gives it room now. A member's
 /// route stands in the stead of one of the platform's at the same host and prefix. What goes beyond the member's room is
 /// lowered to it or left out, and told. Depends on nothing but what is given.
-pub fn lay(base: &Timetable, register: &Register, docs: &Docs) -> Laid {
+pub fn overlay(
+    base: &Configuration,
+    register: &MemberRegister,
+    docs: &MemberDocuments,
+) -> EffectiveConfiguration {
     let (mut over, mut trims) = (Vec::new(), Vec::new());
     for (name, doc) in docs {
         let (routes, cuts) = fit(base, register, name, doc);
         over.extend(routes);
-        trims.extend(cuts.told().into_iter().map(|cut| Trim { member: name.clone(), cut }));
+        trims.extend(
+            cuts.told().into_iter().map(|cut| MemberViolation { member: name.clone(), violation: cut }),
+        );
     }
-    Laid { timetable: base.overlaid(over), trims }
+    EffectiveConfiguration { configuration: base.overlaid(over), violations: trims }
 }
 
 /// All that goes beyond what the member is given by this timetable and register, with its place. A change is taken only
 /// if there is nothing.
-pub fn check(base: &Timetable, register: &Register, member: &str, doc: &MemberDoc) -> Vec<Cut> {
+pub fn check(
+    base: &Configuration,
+    register: &MemberRegister,
+    member: &str,
+    doc: &MemberDocument,
+) -> Vec<OverlayViolation> {
     fit(base, register, member, doc).1.told()
 }
 
 /// What a member's change would do, were it in force everywhere now.
 #[derive(Clone, Debug)]
-pub struct Plan {
+pub struct OverlayPlan {
     /// A line for each field of a route that changes.
     pub changes: Vec<String>,
-    /// Why the change would be refused; none if it would be taken.
-    pub forbidden: Vec<Cut>,
+    /// RefusalReason the change would be refused; none if it would be taken.
+    pub forbidden: Vec<OverlayViolation>,
     /// What is trimmed now, of all members, before the change.
-    pub trims: Vec<Trim>,
+    pub trims: Vec<MemberViolation>,
 }
 
 /// What changes between what is laid now and what would be with this document of the member instead of its own.
-pub fn plan(base: &Timetable, register: &Register, docs: &Docs, member: &str, doc: &Arc<MemberDoc>) -> Plan {
-    let before = lay(base, register, docs);
+pub fn plan(
+    base: &Configuration,
+    register: &MemberRegister,
+    docs: &MemberDocuments,
+    member: &str,
+    doc: &Arc<MemberDocument>,
+) -> OverlayPlan {
+    let before = overlay(base, register, docs);
     let mut changed = docs.clone();
     changed.insert(member.into(), doc.clone());
-    let after = lay(base, register, &changed);
-    Plan {
-        changes: by_place(before.timetable.routes(), after.timetable.routes()),
+    let after = overlay(base, register, &changed);
+    OverlayPlan {
+        changes: by_place(before.configuration.routes(), after.configuration.routes()),
         forbidden: check(base, register, member, doc),
-        trims: before.trims,
+        trims: before.violations,
     }
 }
 
 /// Whether the node whose door is at this address tries a member's edition first. Of two shares the larger one reaches
 /// all nodes that the smaller one does; 1 reaches all, 0 none. Alike on every node and in every version.
-pub fn reaches(door: SocketAddr, member: &str, edition: u64, share: f64) -> bool {
+pub fn is_in_canary(door: SocketAddr, member: &str, edition: u64, share: f64) -> bool {
     let ip = match door.ip() {
         IpAddr::V4(ip) => ip.to_ipv6_mapped(),
         IpAddr::V6(ip) => ip,
@@ -170,14 +187,14 @@
 pub fn in_force<'d>(
     door: SocketAddr,
     member: &str,
-    settled: Option<&'d Arc<MemberDoc>>,
-    trial: Option<&'d Arc<MemberDoc>>,
+    settled: Option<&'d Arc<MemberDocument>>,
+    trial: Option<&'d Arc<MemberDocument>>,
     withdrawn: Option<u64>,
-) -> Option<&'d Arc<MemberDoc>> {
+) -> Option<&'d Arc<MemberDocument>> {
     let runs = trial.filter(|trial| {
         let edition = Some(trial.version);
         let later = edition > settled.map(|settled| settled.version) && edition > withdrawn;
-        later && reaches(door, member, trial.version, trial.trial.unwrap_or(1.0))
+        later && is_in_canary(door, member, trial.version, trial.canary_share.unwrap_or(1.0))
     });
     runs.or(settled)
 }
@@ -185,33 +202,42 @@
 /// What was cut of one member's document.
 #[derive(Default)]
 struct Cuts {
-    cuts: Vec<Cut>,
+    cuts: Vec<OverlayViolation>,
     more: usize,
 }
 
 impl Cuts {
-    fn add(&mut self, route: Option<(usize, &Route)>, field: &'static str, over: Over) {
+    fn add(&mut self, route: Option<(usize, &Route)>, field: &'static str, over: ExceededLimit) {
         if self.cuts.len() < MOST_TOLD {
             let route = route.map(|(index, route)| (index, route.name.clone()));
-            self.cuts.push(Cut { route, field, over });
+            self.cuts.push(OverlayViolation { route, field, exceeded: over });
         } else {
             self.more += 1;
         }
     }
 
-    fn told(mut self) -> Vec<Cut> {
+    fn told(mut self) -> Vec<OverlayViolation> {
         if self.more > 0 {
-            self.cuts.push(Cut { route: None, field: "document", over: Over::More(self.more) });
+            self.cuts.push(OverlayViolation {
+                route: None,
+                field: "document",
+                exceeded: ExceededLimit::More(self.more),
+            });
         }
         self.cuts
     }
 }
 
 /// The routes of a member's document as they are laid, and what was cut of it.
-fn fit(base: &Timetable, register: &Register, name: &str, doc: &MemberDoc) -> (Vec<Arc<Route>>, Cuts) {
+fn fit(
+    base: &Configuration,
+    register: &MemberRegister,
+    name: &str,
+    doc: &MemberDocument,
+) -> (Vec<Arc<Route>>, Cuts) {
     let (mut routes, mut cuts) = (Vec::new(), Cuts::default());
     let Some(member) = register.member(name) else {
-        cuts.add(None, "document", Over::NoMember);
+        cuts.add(None, "document", ExceededLimit::NoMember);
         return (routes, cuts);
     };
     let limits = &member.limits;
@@ -222,7 +248,7 @@
         if routes.len() < limits.routes {
             routes.push(Arc::new(Route { share: Some(share.clone()), ..fitted }));
         } else {
-            cuts.add(Some((index, route)), "", Over::Routes(limits.routes));
+            cuts.add(Some((index, route)), "", ExceededLimit::Routes(limits.routes));
         }
     }
     (routes, cuts)
@@ -230,7 +256,7 @@
 
 /// A route lowered to what its member is given; none where nothing of it may be laid.
 fn fit_route(
-    base: &Timetable,
+    base: &Configuration,
     member: &Member,
     index: usize,
     route: &Route,
@@ -239,12 +265,12 @@
     let limits = &member.limits;
     let mut cut = |field, over| cuts.add(Some((index, route)), field, over);
     if !member.owns(&route.host, &route.prefix) {
-        cut("lane_prefix", Over::Place(format!("{}{}", route.host, route.prefix)));
+        cut("lane_prefix", ExceededLimit::Place(format!("{}{}", route.host, route.prefix)));
         return None;
     }
     let mut lower = |field, is: u64, most: u64| {
         if is > most {
-            cut(field, Over::Above { is, most });
+            cut(field, ExceededLimit::Above { is, most });
         }
         is.min(most)
     };
@@ -252,20 +278,20 @@
     let deadline_ms = lower("deadline_ms", route.deadline_ms, limits.deadline_ms);
     let target_ms = lower("target_ms", route.target_ms, limits.deadline_ms);
     if route.rank < limits.rank {
-        cut("post_class", Over::Rank { is: route.rank, least: limits.rank });
+        cut("post_class", ExceededLimit::Rank { is: route.rank, least: limits.rank });
     }
     let mut lines = Vec::with_capacity(route.lines.len());
     for (name, share) in &route.lines {
         if !member.services.contains(name) {
-            cut("split", Over::NotOwned(name.clone()));
+            cut("split", ExceededLimit::NotOwned(name.clone()));
         } else if base.service(name).is_none() {
-            cut("split", Over::Unknown(name.clone()));
+            cut("split", ExceededLimit::Unknown(name.clone()));
         } else {
             lines.push((name.clone(), *share));
         }
     }
     if !lines.iter().any(|(_, share)| *share > 0.0) {
-        cut("split", Over::NoService);
+        cut("split", ExceededLimit::NoService);
         return None;
     }
     Some(Route {
--- a/mesh/src/budget.rs
+++ b/mesh/src/retry_budget.rs
@@ -8,7 +8,7 @@
 use ochreshed::{How, Name, Nanos};
 use serde::{Deserialize, Serialize};
 
-use crate::fared::{self, Edition, Fared, Faring};
+use crate::outcome_counts::{self, EditionOutcomes, OutcomeCounts, RouteEdition};
 
 const BUCKETS: u64 = 10;
 /// The module holds its allowance over so long.
@@ -22,67 +22,68 @@
 /// Of one service, in one window.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(u32, u32, u32)", into = "(u32, u32, u32)")]
-pub struct Figures {
+pub struct AttemptCounts {
+    /// First attempts.
     pub first: u32,
-    /// Sent again, and calls of runs that were sent again.
-    pub again: u32,
-    /// Not sent again for want of allowance.
-    pub refused: u32,
+    /// Further attempts, and calls of running requests that were attempted again.
+    pub retried: u32,
+    /// Retries that the budget did not allow.
+    pub denied: u32,
 }
 
-impl From<(u32, u32, u32)> for Figures {
-    fn from((first, again, refused): (u32, u32, u32)) -> Figures {
-        Figures { first, again, refused }
+impl From<(u32, u32, u32)> for AttemptCounts {
+    fn from((first, again, refused): (u32, u32, u32)) -> AttemptCounts {
+        AttemptCounts { first, retried: again, denied: refused }
     }
 }
 
-impl From<Figures> for (u32, u32, u32) {
-    fn from(of: Figures) -> (u32, u32, u32) {
-        (of.first, of.again, of.refused)
+impl From<AttemptCounts> for (u32, u32, u32) {
+    fn from(of: AttemptCounts) -> (u32, u32, u32) {
+        (of.first, of.retried, of.denied)
     }
 }
 
-impl Figures {
-    pub(crate) const NONE: Figures = Figures { first: 0, again: 0, refused: 0 };
+impl AttemptCounts {
+    pub(crate) const NONE: AttemptCounts = AttemptCounts { first: 0, retried: 0, denied: 0 };
 
-    pub fn and(self, other: Figures) -> Figures {
-        Figures {
+    pub fn and(self, other: AttemptCounts) -> AttemptCounts {
+        AttemptCounts {
             first: self.first.saturating_add(other.first),
-            again: self.again.saturating_add(other.again),
-            refused: self.refused.saturating_add(other.refused),
+            retried: self.retried.saturating_add(other.retried),
+            denied: self.denied.saturating_add(other.denied),
         }
     }
 }
 
 /// A gate's services by name.
-pub type Spending = Vec<(Name, Figures)>;
+pub type ServiceAttempts = Vec<(Name, AttemptCounts)>;
 
 /// What a gate tells of itself, for operators to look at.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(from = "(Spending, Option<u32>)", into = "(Spending, Option<u32>)")]
-pub struct Report {
-    pub spending: Spending,
+#[serde(from = "(ServiceAttempts, Option<u32>)", into = "(ServiceAttempts, Option<u32>)")]
+pub struct BudgetReport {
+    pub services: ServiceAttempts,
     /// From the start of its process to full service, in ms.
-    pub full_ms: Option<u32>,
+    pub recovery_ms: Option<u32>,
     /// How members' reqs fared. Goes beside the report on the wire: an older program reads no more than two fields here.
-    pub members: Faring,
+    pub outcomes: EditionOutcomes,
 }
 
-impl From<(Spending, Option<u32>)> for Report {
-    fn from((spending, full_ms): (Spending, Option<u32>)) -> Report {
-        Report { spending, full_ms, members: Faring::new() }
+impl From<(ServiceAttempts, Option<u32>)> for BudgetReport {
+    fn from((spending, full_ms): (ServiceAttempts, Option<u32>)) -> BudgetReport {
+        BudgetReport { services: spending, recovery_ms: full_ms, outcomes: EditionOutcomes::new() }
     }
 }
 
-impl Report {
+impl BudgetReport {
     fn size(&self) -> usize {
-        self.spending.len() + self.members.len()
+        self.services.len() + self.outcomes.len()
     }
 }
 
-impl From<Report> for (Spending, Option<u32>) {
-    fn from(of: Report) -> (Spending, Option<u32>) {
-        (of.spending, of.full_ms)
+impl From<BudgetReport> for (ServiceAttempts, Option<u32>) {
+    fn from(of: BudgetReport) -> (ServiceAttempts, Option<u32>) {
+        (of.services, of.recovery_ms)
     }
 }
 
@@ -91,9 +92,9 @@
     fn and(self, other: Self) -> Self;
 }
 
-impl Sum for Figures {
-    fn and(self, other: Figures) -> Figures {
-        Figures::and(self, other)
+impl Sum for AttemptCounts {
+    fn and(self, other: AttemptCounts) -> AttemptCounts {
+        AttemptCounts::and(self, other)
     }
 }
 
@@ -136,18 +137,18 @@
 
 /// What bounds the module's sends again of one service.
 #[derive(Clone, Copy, Debug)]
-pub struct Terms {
-    pub tries: u32,
+pub struct RetryLimits {
+    pub max_attempts: u32,
     /// Errors and time-outs are its own too.
     pub last_tier: bool,
     /// Allowed are this part of the first sends, and so many more.
-    pub part: f64,
+    pub ratio: f64,
     pub floor: f64,
 }
 
 /// How one req has fared so far.
 #[derive(Clone, Copy, Debug)]
-pub struct Tally {
+pub struct RequestAttempts {
     /// It may run more than once.
     pub repeatable: bool,
     pub ends: Nanos,
@@ -156,9 +157,9 @@
     last: Option<How>,
 }
 
-impl Tally {
-    pub fn new(repeatable: bool, ends: Nanos) -> Tally {
-        Tally { repeatable, ends, sends: 0, ran: false, last: None }
+impl RequestAttempts {
+    pub fn new(repeatable: bool, ends: Nanos) -> RequestAttempts {
+        RequestAttempts { repeatable, ends, sends: 0, ran: false, last: None }
     }
 
     /// A dispatch has ended.
@@ -172,98 +173,98 @@
 
 /// One service's counts at one gate.
 #[derive(Clone, Debug)]
-pub struct Spent {
-    terms: Terms,
-    told: Ring<Figures>,
+pub struct RetryAccount {
+    terms: RetryLimits,
+    told: Ring<AttemptCounts>,
     /// As the module counts, since it last learnt anew.
-    pub(crate) module: Ring<Figures>,
+    pub(crate) module: Ring<AttemptCounts>,
 }
 
-impl Spent {
-    pub fn new(window: Nanos, terms: Terms) -> Spent {
-        Spent { terms, told: Ring::over(window), module: Ring::over(MODULE) }
+impl RetryAccount {
+    pub fn new(window: Nanos, terms: RetryLimits) -> RetryAccount {
+        RetryAccount { terms, told: Ring::over(window), module: Ring::over(MODULE) }
     }
 
     /// For a module that begins anew: what was counted is still told.
-    pub fn anew(&self, window: Nanos, terms: Terms) -> Spent {
-        let mut spent = Spent::new(window, terms);
+    pub fn restart(&self, window: Nanos, terms: RetryLimits) -> RetryAccount {
+        let mut spent = RetryAccount::new(window, terms);
         if self.told.width == spent.told.width {
             spent.told = self.told.clone();
         }
         spent
     }
 
-    pub fn figures(&self, now: Nanos) -> Figures {
+    pub fn figures(&self, now: Nanos) -> AttemptCounts {
         self.told.sum(now)
     }
 
-    fn add(&mut self, now: Nanos, figures: Figures) {
+    fn add(&mut self, now: Nanos, figures: AttemptCounts) {
         self.told.add(now, figures);
         self.module.add(now, figures);
     }
 
     /// A call of a run that was sent again.
-    pub fn called_again(&mut self, now: Nanos) {
-        self.add(now, Figures { again: 1, ..Figures::NONE });
+    pub fn nested_call_retried(&mut self, now: Nanos) {
+        self.add(now, AttemptCounts { retried: 1, ..AttemptCounts::NONE });
     }
 
     /// What the module has counted since it last learnt anew.
-    pub fn of_module(&self, now: Nanos) -> Figures {
+    pub fn policy_counts(&self, now: Nanos) -> AttemptCounts {
         self.module.sum(now)
     }
 
     /// The module may send again otherwise from now on.
     pub fn allow(&mut self, part: f64, floor: f64) {
-        (self.terms.part, self.terms.floor) = (part, floor);
+        (self.terms.ratio, self.terms.floor) = (part, floor);
     }
 
     /// A req goes on its way. What was counted for it.
-    pub fn goes(&mut self, now: Nanos, of: &Tally) -> Figures {
+    pub fn attempt_started(&mut self, now: Nanos, of: &RequestAttempts) -> AttemptCounts {
         let counted = match of.last {
-            None => Figures { first: 1, ..Figures::NONE },
-            Some(How::Turned) => return Figures::NONE,
-            Some(_) => Figures { again: 1, ..Figures::NONE },
+            None => AttemptCounts { first: 1, ..AttemptCounts::NONE },
+            Some(How::Turned) => return AttemptCounts::NONE,
+            Some(_) => AttemptCounts { retried: 1, ..AttemptCounts::NONE },
         };
         self.add(now, counted);
         counted
     }
 
     /// The module gives a req up: counted where nothing but the allowance forbade to send it again.
-    pub fn given_up(&mut self, now: Nanos, of: &Tally) -> Figures {
-        let Terms { tries, last_tier, part, floor } = self.terms;
+    pub fn request_given_up(&mut self, now: Nanos, of: &RequestAttempts) -> AttemptCounts {
+        let RetryLimits { max_attempts: tries, last_tier, ratio: part, floor } = self.terms;
         let ours = match of.last {
             Some(How::NoConnection | How::Reset | How::Full) => true,
             Some(How::Error | How::TimedOut) => last_tier,
             _ => false,
         };
         let could = ours && of.sends < tries && now < of.ends && (of.repeatable || !of.ran);
-        let Figures { first, again, .. } = self.module.sum(now);
+        let AttemptCounts { first, retried: again, .. } = self.module.sum(now);
         if could && f64::from(again) + 1.0 > f64::from(first) * part + floor {
-            let refused = Figures { refused: 1, ..Figures::NONE };
+            let refused = AttemptCounts { denied: 1, ..AttemptCounts::NONE };
             self.add(now, refused);
             return refused;
         }
-        Figures::NONE
+        AttemptCounts::NONE
     }
 }
 
 /// What gates have reported to a steward. Whoever asks for all may merge it with another's: of two reports of one gate
 /// the later one holds.
 #[derive(Clone, Debug, Default)]
-pub struct Reports {
+pub struct BudgetReports {
     /// With the time at which each was told.
-    gates: HashMap<SocketAddr, (Nanos, Report)>,
+    gates: HashMap<SocketAddr, (Nanos, BudgetReport)>,
     services: usize,
 }
 
-impl Reports {
+impl BudgetReports {
     /// Takes what a gate told so long ago.
-    pub fn take(&mut self, now: Nanos, door: SocketAddr, mut report: Report, age: Nanos) {
+    pub fn store(&mut self, now: Nanos, door: SocketAddr, mut report: BudgetReport, age: Nanos) {
         let at = now.saturating_sub(age);
-        report.spending.retain(|(name, _)| name.len() <= MOST_NAME);
-        report.spending.truncate(MOST_SERVICES);
-        report.members.retain(|(of, _)| of.member.len() <= MOST_NAME);
-        report.members.truncate(fared::MOST_MEMBERS);
+        report.services.retain(|(name, _)| name.len() <= MOST_NAME);
+        report.services.truncate(MOST_SERVICES);
+        report.outcomes.retain(|(of, _)| of.member.len() <= MOST_NAME);
+        report.outcomes.truncate(outcome_counts::MAX_EDITIONS);
         let before = self.gates.get(&door);
         let had = before.map_or(0, |(_, told)| told.size());
         let more = report.size();
@@ -276,28 +277,28 @@
     }
 
     /// All of them, with the ms since each was told.
-    pub fn tell(&self, now: Nanos) -> Vec<(SocketAddr, u32, Report)> {
+    pub fn collect(&self, now: Nanos) -> Vec<(SocketAddr, u32, BudgetReport)> {
         let age = |at: &Nanos| (now.saturating_sub(*at) / 1_000_000).min(u64::from(u32::MAX)) as u32;
         self.gates.iter().map(|(door, (at, report))| (*door, age(at), report.clone())).collect()
     }
 
     /// Forgets the gates that are not known any more.
-    pub fn keep(&mut self, known: impl Fn(SocketAddr) -> bool) {
+    pub fn retain(&mut self, known: impl Fn(SocketAddr) -> bool) {
         self.gates.retain(|door, _| known(*door));
         self.services = self.gates.values().map(|(_, report)| report.size()).sum();
     }
 
-    pub fn of(&self, door: SocketAddr) -> Option<&Report> {
+    pub fn report(&self, door: SocketAddr) -> Option<&BudgetReport> {
         self.gates.get(&door).map(|(_, report)| report)
     }
 
     /// The sums by service of the gates that count, and how many those are.
-    pub fn sum(&self, counts: impl Fn(SocketAddr) -> bool) -> (BTreeMap<Name, Figures>, usize) {
-        let mut sums: BTreeMap<Name, Figures> = BTreeMap::new();
+    pub fn sum(&self, counts: impl Fn(SocketAddr) -> bool) -> (BTreeMap<Name, AttemptCounts>, usize) {
+        let mut sums: BTreeMap<Name, AttemptCounts> = BTreeMap::new();
         let mut gates = 0;
         for (_, (_, report)) in self.gates.iter().filter(|(door, _)| counts(**door)) {
             gates += 1;
-            for (name, figures) in &report.spending {
+            for (name, figures) in &report.services {
                 let sum = sums.entry(name.clone()).or_default();
                 *sum = sum.and(*figures);
             }
@@ -306,10 +307,10 @@
     }
 
     /// How members' reqs fared at the gates that count, by the edition that was in force there.
-    pub fn members(&self, counts: impl Fn(SocketAddr) -> bool) -> BTreeMap<Edition, Fared> {
-        let mut sums: BTreeMap<Edition, Fared> = BTreeMap::new();
+    pub fn members(&self, counts: impl Fn(SocketAddr) -> bool) -> BTreeMap<RouteEdition, OutcomeCounts> {
+        let mut sums: BTreeMap<RouteEdition, OutcomeCounts> = BTreeMap::new();
         for (_, (_, report)) in self.gates.iter().filter(|(door, _)| counts(**door)) {
-            for (of, fared) in &report.members {
+            for (of, fared) in &report.outcomes {
                 let sum = sums.entry(of.clone()).or_default();
                 *sum = sum.and(*fared);
             }
--- a/mesh/src/shares.rs
+++ b/mesh/src/retry_shares.rs
@@ -7,46 +7,46 @@
 
 use ochreshed::Nanos;
 
-use crate::budget::{Figures, MODULE, Ring, Spent};
-use crate::timetable::{Name, Share, Timetable};
+use crate::configuration::{Configuration, Name, Share};
+use crate::retry_budget::{AttemptCounts, MODULE, RetryAccount, Ring};
 
 /// By member.
-pub type Shares = BTreeMap<Name, Arc<Share>>;
+pub type RetryShares = BTreeMap<Name, Arc<Share>>;
 
 /// Of all members that have routes here.
-pub fn of(timetable: &Timetable) -> Shares {
+pub fn of(timetable: &Configuration) -> RetryShares {
     let shares = timetable.routes().filter_map(|route| route.share.as_ref());
     shares.map(|share| (share.member.clone(), share.clone())).collect()
 }
 
 /// Of one service. Times are of one clock.
 #[derive(Clone, Debug)]
-pub struct Pool {
-    shares: Arc<Shares>,
+pub struct RetryPool {
+    shares: Arc<RetryShares>,
     /// What each has sent over the module's ring, the platform under no name; and all of them.
-    sent: BTreeMap<Option<Name>, Ring<Figures>>,
-    all: Ring<Figures>,
+    sent: BTreeMap<Option<Name>, Ring<AttemptCounts>>,
+    all: Ring<AttemptCounts>,
     /// The sum of the shares of the members among them.
     given: f64,
 }
 
-impl Default for Pool {
-    fn default() -> Pool {
-        Pool { shares: Arc::default(), sent: BTreeMap::new(), all: Ring::over(MODULE), given: 0.0 }
+impl Default for RetryPool {
+    fn default() -> RetryPool {
+        RetryPool { shares: Arc::default(), sent: BTreeMap::new(), all: Ring::over(MODULE), given: 0.0 }
     }
 }
 
-impl Pool {
+impl RetryPool {
     /// From now on these are the members' shares. What was sent stays counted. To be called now and then: until then a
     /// member that has sent nothing for long keeps its share.
-    pub fn divide(&mut self, now: Nanos, shares: &Arc<Shares>) {
+    pub fn divide(&mut self, now: Nanos, shares: &Arc<RetryShares>) {
         self.shares = shares.clone();
-        self.sent.retain(|_, ring| ring.sum(now) != Figures::default());
+        self.sent.retain(|_, ring| ring.sum(now) != AttemptCounts::default());
         self.give();
     }
 
     /// Takes over what one has counted for itself so far, if it has counted nothing here.
-    pub fn join(&mut self, who: Option<&Name>, spent: &Spent) {
+    pub fn join(&mut self, who: Option<&Name>, spent: &RetryAccount) {
         let who = who.cloned();
         if !self.sent.contains_key(&who) {
             self.all.merge(&spent.module);
@@ -60,7 +60,7 @@
         self.sent.keys().all(Option::is_none)
     }
 
-    pub fn count(&mut self, now: Nanos, who: Option<&Name>, figures: Figures) {
+    pub fn count(&mut self, now: Nanos, who: Option<&Name>, figures: AttemptCounts) {
         self.all.add(now, figures);
         let who = who.cloned();
         if let Some(ring) = self.sent.get_mut(&who) {
@@ -82,14 +82,14 @@
     /// come to more are lowered alike.
     pub fn left(&self, now: Nanos, who: Option<&Name>, (part, floor): (f64, f64)) -> f64 {
         let sum = self.all.sum(now);
-        let own = self.sent.get(&who.cloned()).map_or(0, |ring| ring.sum(now).again);
+        let own = self.sent.get(&who.cloned()).map_or(0, |ring| ring.sum(now).retried);
         let all = f64::from(sum.first) * part + floor;
         let may = match who {
             None => (all * (1.0 - self.given)).max(1.0),
             Some(member) => all * self.share(member) / self.given.max(1.0),
         };
         // What others that have gone since, or had more before, have used up is gone for all.
-        (may - f64::from(own)).min(all - f64::from(sum.again))
+        (may - f64::from(own)).min(all - f64::from(sum.retried))
     }
 
     fn share(&self, member: &Name) -> f64 {
--- a/mesh/src/news.rs
+++ b/mesh/src/watch_client.rs
@@ -7,17 +7,17 @@
 
 use ochreshed::Nanos;
 
-use crate::calls::{Carried, NewsAsk, NewsReply};
-use crate::list::{Mark, Row, place, watchers};
+use crate::endpoints::{EndpointRecord, TablePosition, place, watching_replicas};
+use crate::internal_rpc::{AppliedEditions, WatchRequest, WatchResponse};
 use ochreshed_consensus::messages::LeaseKey;
 use ochreshed_consensus::messages::Revision;
 
 const MS: Nanos = 1_000_000;
 /// An ask is answered after so long though there is no news, and given up so much later.
-pub const HOLD: Nanos = 500 * MS;
-pub const LATE: Nanos = 600 * MS;
+pub const MAX_WAIT: Nanos = 500 * MS;
+pub const RESPONSE_GRACE: Nanos = 600 * MS;
 /// From an ask that failed to the next.
-pub const PAUSE: Nanos = 80 * MS;
+pub const RETRY_INTERVAL: Nanos = 80 * MS;
 /// A steward that gave no reply is passed over for so long.
 const ASIDE: Nanos = 1_500 * MS;
 /// One that replied to no claim, for so long.
@@ -26,32 +26,37 @@
 /// What one steward told last.
 #[derive(Default)]
 struct Heard {
-    mark: Mark,
+    mark: TablePosition,
     quiet: (u64, HashSet<SocketAddr>),
     row: (u64, u64),
     aside: Option<Nanos>,
     /// The number of the papers that it told of, once those are here.
     papers: u64,
     /// The editions that it was told, and those that went with the last ask.
-    carried: Carried,
-    out: Carried,
+    carried: AppliedEditions,
+    out: AppliedEditions,
 }
 
 /// One of an attendant's open asks: the one whose turn is `which` of `many`.
-pub struct Asker {
+pub struct Watcher {
     which: usize,
     many: usize,
     heard: HashMap<SocketAddr, Heard>,
 }
 
-impl Asker {
-    pub fn new(which: usize, many: usize) -> Asker {
-        Asker { which, many: many.max(1), heard: HashMap::new() }
+impl Watcher {
+    pub fn new(which: usize, many: usize) -> Watcher {
+        Watcher { which, many: many.max(1), heard: HashMap::new() }
     }
 
     /// Who is asked now: of its own part of the ring first, so that no two ask the same while all reply.
-    pub fn next(&mut self, now: Nanos, door: SocketAddr, stewards: &[SocketAddr]) -> Option<SocketAddr> {
-        let ring = watchers(door, stewards, stewards.len());
+    pub fn next_replica(
+        &mut self,
+        now: Nanos,
+        door: SocketAddr,
+        stewards: &[SocketAddr],
+    ) -> Option<SocketAddr> {
+        let ring = watching_replicas(door, stewards, stewards.len());
         self.heard.retain(|at, _| stewards.contains(at));
         let until = |at: &SocketAddr| self.heard.get(at).and_then(|heard| heard.aside);
         let aside = |at: &&SocketAddr| until(at).is_some_and(|until| until > now);
@@ -60,60 +65,66 @@
     }
 
     /// The ask to that steward: the row and the editions where it may not have them, and the versions it told.
-    pub fn ask(&mut self, steward: SocketAddr, row: Row, sheet: Revision, carried: Carried) -> NewsAsk {
+    pub fn request(
+        &mut self,
+        steward: SocketAddr,
+        row: EndpointRecord,
+        sheet: Revision,
+        carried: AppliedEditions,
+    ) -> WatchRequest {
         let known = self.heard.entry(steward).or_default();
         known.out = carried;
-        NewsAsk {
-            door: Some(row.door),
-            row: (known.row != row.rank()).then_some(row),
-            mark: known.mark,
-            sheet,
-            quiet: known.quiet.0,
-            hold_ms: (HOLD / MS) as u32,
-            steward: false,
+        WatchRequest {
+            inbound_proxy: Some(row.inbound_proxy),
+            record: (known.row != row.record_version()).then_some(row),
+            position: known.mark,
+            configuration: sheet,
+            suspects_version: known.quiet.0,
+            max_wait_ms: (MAX_WAIT / MS) as u32,
+            from_replica: false,
             report: None,
-            members: Vec::new(),
-            papers: known.papers,
-            carried: (known.carried != known.out).then(|| known.out.clone()),
-            gather: false,
+            outcomes: Vec::new(),
+            registers_digest: known.papers,
+            applied_editions: (known.carried != known.out).then(|| known.out.clone()),
+            reports_only: false,
         }
     }
 
     /// A reply to an ask that went out with that row. `has_sheet`: the attendant has a configuration. Hands out whom that
     /// steward holds for quiet.
-    pub fn replied(
+    pub fn handle_response(
         &mut self,
         now: Nanos,
         steward: SocketAddr,
         row: (u64, u64),
         has_sheet: bool,
-        reply: &NewsReply,
+        reply: &WatchResponse,
     ) -> HashSet<SocketAddr> {
         let known = self.heard.entry(steward).or_default();
         // One that is cut off from more than half of the core may not know the newest: others are asked first.
-        let aside = if has_sheet { ASIDE } else { PAUSE };
-        known.aside = (!reply.settled).then_some(now + aside);
+        let aside = if has_sheet { ASIDE } else { RETRY_INTERVAL };
+        known.aside = (!reply.has_quorum).then_some(now + aside);
         // One that has forgotten us is told anew.
-        known.row = if reply.life.is_some() { row } else { (0, 0) };
+        known.row = if reply.known_incarnation.is_some() { row } else { (0, 0) };
         let out = std::mem::take(&mut known.out);
-        known.carried = if reply.life.is_some() { out } else { Carried::new() };
-        known.mark = reply.mark;
-        if let Some((number, quiet)) = &reply.quiet {
+        known.carried = if reply.known_incarnation.is_some() { out } else { AppliedEditions::new() };
+        known.mark = reply.position;
+        if let Some((number, quiet)) = &reply.suspects {
             known.quiet = (*number, quiet.iter().copied().collect());
         }
         known.quiet.1.clone()
     }
 
     /// The papers of that number, which that steward told of, are here.
-    pub fn has_papers(&mut self, steward: SocketAddr, number: u64) {
+    pub fn registers_applied(&mut self, steward: SocketAddr, number: u64) {
         self.heard.entry(steward).or_default().papers = number;
     }
 
     /// No reply came, of so many stewards that are known.
-    pub fn failed(&mut self, now: Nanos, steward: SocketAddr, has_sheet: bool, stewards: usize) {
+    pub fn request_failed(&mut self, now: Nanos, steward: SocketAddr, has_sheet: bool, stewards: usize) {
         let known = self.heard.entry(steward).or_default();
         // One that has nothing yet asks everybody until it has, one after the other.
-        let all = PAUSE * (stewards as Nanos + 1);
+        let all = RETRY_INTERVAL * (stewards as Nanos + 1);
         known.aside = Some(now + if has_sheet { ASIDE } else { all });
         // It may have forgotten us.
         known.row = (0, 0);
@@ -123,20 +134,30 @@
 
 /// The rows as they were told, and who is quiet by each watcher.
 #[derive(Default)]
-pub struct Listing {
+pub struct EndpointView {
     /// With the time at which each was told.
-    rows: HashMap<SocketAddr, (Row, Nanos)>,
+    rows: HashMap<SocketAddr, (EndpointRecord, Nanos)>,
     quiet: HashMap<usize, HashSet<SocketAddr>>,
 }
 
-impl Listing {
+impl EndpointView {
     /// Takes what the watcher whose turn is `which` told; whether anything changed.
-    pub fn take(&mut self, now: Nanos, which: usize, rows: Vec<Row>, quiet: HashSet<SocketAddr>) -> bool {
+    pub fn merge(
+        &mut self,
+        now: Nanos,
+        which: usize,
+        rows: Vec<EndpointRecord>,
+        quiet: HashSet<SocketAddr>,
+    ) -> bool {
         let mut changed = false;
         for row in rows {
-            if self.rows.get(&row.door).is_none_or(|(was, _)| was.rank() < row.rank()) {
+            if self
+                .rows
+                .get(&row.inbound_proxy)
+                .is_none_or(|(was, _)| was.record_version() < row.record_version())
+            {
                 changed = true;
-                self.rows.insert(row.door, (row, now));
+                self.rows.insert(row.inbound_proxy, (row, now));
             }
         }
         if self.quiet.get(&which) != Some(&quiet) {
@@ -147,12 +168,12 @@
     }
 
     /// A watcher gives no reply: what it held for quiet counts no more.
-    pub fn silent(&mut self, which: usize) {
+    pub fn watch_lost(&mut self, which: usize) {
         self.quiet.remove(&which);
     }
 
     /// Those whom every watcher that replies has not heard.
-    pub fn quiet(&self) -> HashSet<SocketAddr> {
+    pub fn suspects(&self) -> HashSet<SocketAddr> {
         let mut quiet: Option<HashSet<SocketAddr>> = None;
         for told in self.quiet.values() {
             quiet = Some(match quiet {
@@ -164,16 +185,16 @@
     }
 
     /// How many attendants serve a gate.
-    pub fn gates(&self) -> usize {
-        self.rows.values().filter(|(row, _)| row.serving).count()
+    pub fn client_proxies(&self) -> usize {
+        self.rows.values().filter(|(row, _)| row.accepts_clients).count()
     }
 
     /// With the time at which each was told.
-    pub fn rows(&self) -> impl Iterator<Item = &(Row, Nanos)> {
+    pub fn records(&self) -> impl Iterator<Item = &(EndpointRecord, Nanos)> {
         self.rows.values()
     }
 
-    pub fn row(&self, door: SocketAddr) -> Option<&Row> {
+    pub fn record(&self, door: SocketAddr) -> Option<&EndpointRecord> {
         self.rows.get(&door).map(|(row, _)| row)
     }
 
@@ -188,10 +209,10 @@
 
 /// The stewards that are known, and until when those are passed over that gave no reply of late.
 #[derive(Default)]
-pub struct Known(Vec<(SocketAddr, Option<Nanos>)>);
+pub struct ReplicaDirectory(Vec<(SocketAddr, Option<Nanos>)>);
 
-impl Known {
-    pub fn know(&mut self, all: impl IntoIterator<Item = SocketAddr>) {
+impl ReplicaDirectory {
+    pub fn set_replicas(&mut self, all: impl IntoIterator<Item = SocketAddr>) {
         let fresh: Vec<SocketAddr> = all.into_iter().collect();
         self.0.retain(|(at, _)| fresh.contains(at));
         for at in fresh {
@@ -201,7 +222,7 @@
         }
     }
 
-    pub fn all(&self) -> Vec<SocketAddr> {
+    pub fn replicas(&self) -> Vec<SocketAddr> {
         self.0.iter().map(|(at, _)| *at).collect()
     }
 
@@ -218,7 +239,7 @@
     }
 
     /// In the order in which a key's duty falls to them: by key, those that gave no reply last.
-    pub fn by_key(&self, now: Nanos, key: LeaseKey) -> Vec<SocketAddr> {
+    pub fn replicas_for_key(&self, now: Nanos, key: LeaseKey) -> Vec<SocketAddr> {
         let place_of = |(at, aside): &(SocketAddr, Option<Nanos>)| {
             (aside.is_some_and(|until| until > now), place(*at, key), *at)
         };
@@ -238,16 +259,16 @@
         let at = |number: u8| SocketAddr::from(([10, 0, 0, number], 8202));
         let stewards = [at(1), at(2), at(3)];
         let door = SocketAddr::from(([10, 1, 0, 1], 8300));
-        let ring = watchers(door, &stewards, stewards.len());
+        let ring = watching_replicas(door, &stewards, stewards.len());
         for which in 0..2 {
             for there in &ring {
-                let mut asker = Asker::new(which, 2);
+                let mut asker = Watcher::new(which, 2);
                 let mut now = 0;
                 let asked = (0..4).map(|_| {
-                    let steward = asker.next(now, door, &stewards).expect("a steward");
-                    asker.failed(now, steward, false, stewards.len());
+                    let steward = asker.next_replica(now, door, &stewards).expect("a steward");
+                    asker.request_failed(now, steward, false, stewards.len());
                     // What a refusal takes, and the pause after it.
-                    now += PAUSE + MS;
+                    now += RETRY_INTERVAL + MS;
                     steward
                 });
                 let asked: Vec<SocketAddr> = asked.collect();
--- a/mesh/tests/slots.rs
+++ b/mesh/tests/admission.rs
@@ -1,17 +1,17 @@
-//! Slots divided among members: whatever comes, no member has more than its part, none is kept out of what is free, and
+//! AdmissionQueue divided among members: whatever comes, no member has more than its part, none is kept out of what is free, and
 //! those whose routes are the platform's are received as if members that wait for their own slots were not there.
 
 use std::collections::BTreeMap;
 
-use ochreshed_mesh::slots::{Asker, Part, Slots, Way};
+use ochreshed_mesh::admission::{Admission, AdmissionQueue, AdmissionRequest, MemberShare};
 use proptest::prelude::*;
 
 const MS: u64 = 1_000_000;
 const S: u64 = 1_000 * MS;
 const MEMBERS: [(&str, f64); 3] = [("a", 0.5), ("b", 0.2), ("c", 0.0)];
 
-fn part(member: usize) -> Option<Part> {
-    MEMBERS.get(member).map(|(name, share)| Part { member: (*name).into(), share: *share })
+fn part(member: usize) -> Option<MemberShare> {
+    MEMBERS.get(member).map(|(name, share)| MemberShare { member: (*name).into(), share: *share })
 }
 
 /// As the users were told: rounded up, one at least.
@@ -42,7 +42,7 @@
         slots in 1u32..9,
         steps in proptest::collection::vec((0usize..5, 0usize..4, 0u32..4, any::<bool>(), any::<bool>()), 1..120),
     ) {
-        let (mut all, mut model) = (Slots::<Who>::default(), Model::default());
+        let (mut all, mut model) = (AdmissionQueue::<Who>::default(), Model::default());
         all.set(slots);
         let mut now = S;
         for (nth, (what, member, turned, call, soon)) in steps.into_iter().enumerate() {
@@ -50,15 +50,15 @@
             match what {
                 0..=2 => {
                     let aim = if soon { now + MS } else { now + 100 * S };
-                    let asker = Asker { call, turned, tied: nth % 3 == 0, aim, until: aim + 100 * S };
+                    let asker = AdmissionRequest { is_nested: call, rejections: turned, has_affinity: nth % 3 == 0, target: aim, deadline: aim + 100 * S };
                     let allowed = model.of(member) < most(member, slots);
                     match all.ask_of(now, &asker, part(member).as_ref(), || (nth, member)) {
-                        Way::In => {
+                        Admission::Admitted => {
                             prop_assert!(allowed);
                             model.inside.push((nth, member));
                         }
-                        Way::Waits(last) => drop(model.waiting.insert(nth, (member, last))),
-                        Way::Turned => {}
+                        Admission::Queued(last) => drop(model.waiting.insert(nth, (member, last))),
+                        Admission::Rejected => {}
                     }
                 }
                 3 if !model.inside.is_empty() => {
@@ -96,26 +96,32 @@
     }
 }
 
-fn asker(turned: u32) -> Asker {
-    Asker { call: false, turned, tied: false, aim: S + 400 * MS, until: 20 * S }
+fn asker(turned: u32) -> AdmissionRequest {
+    AdmissionRequest {
+        is_nested: false,
+        rejections: turned,
+        has_affinity: false,
+        target: S + 400 * MS,
+        deadline: 20 * S,
+    }
 }
 
 /// A door of six slots whose runs take 50 ms, and where a member that floods it, and whose own runs take so long, has
 /// been turned away.
-fn flooded(took: u64) -> Slots<&'static str> {
-    let mut all = Slots::default();
+fn flooded(took: u64) -> AdmissionQueue<&'static str> {
+    let mut all = AdmissionQueue::default();
     all.set(6);
     for _ in 0..200 {
-        assert_eq!(all.ask(0, &asker(0), || ""), Way::In);
+        assert_eq!(all.ask(0, &asker(0), || ""), Admission::Admitted);
         all.leave(Some(50 * MS));
     }
     let bad = part(0);
     for _ in 0..20 {
-        assert_eq!(all.ask_of(S, &asker(0), bad.as_ref(), || "bad"), Way::In);
+        assert_eq!(all.ask_of(S, &asker(0), bad.as_ref(), || "bad"), Admission::Admitted);
         all.leave_of(&"a".into(), Some(took));
     }
-    let came: Vec<Way> = (0..40).map(|_| all.ask_of(S, &asker(3), bad.as_ref(), || "bad")).collect();
-    assert_eq!(came.iter().filter(|way| **way == Way::In).count(), 3);
+    let came: Vec<Admission> = (0..40).map(|_| all.ask_of(S, &asker(3), bad.as_ref(), || "bad")).collect();
+    assert_eq!(came.iter().filter(|way| **way == Admission::Admitted).count(), 3);
     // Those that could be in time wait.
     let waits = if took > S { 0..=1 } else { 2..=9 };
     assert!(all.taken() == 3 && waits.contains(&all.waiting()), "{}", all.waiting());
@@ -128,14 +134,14 @@
     for took in [50 * MS, 10 * S] {
         let mut all = flooded(took);
         // Its own next one is turned away while slots are free; the platform's and other members' get these at once.
-        assert!(!matches!(all.ask_of(S, &asker(0), part(0).as_ref(), || "bad"), Way::In));
-        assert_eq!(all.ask_of(S, &asker(0), part(1).as_ref(), || "good"), Way::In);
-        assert_eq!(all.ask(S, &asker(0), || "plain"), Way::In);
-        assert_eq!(all.ask(S, &asker(0), || "plain"), Way::In);
+        assert!(!matches!(all.ask_of(S, &asker(0), part(0).as_ref(), || "bad"), Admission::Admitted));
+        assert_eq!(all.ask_of(S, &asker(0), part(1).as_ref(), || "good"), Admission::Admitted);
+        assert_eq!(all.ask(S, &asker(0), || "plain"), Admission::Admitted);
+        assert_eq!(all.ask(S, &asker(0), || "plain"), Admission::Admitted);
         // Full. How long the member's runs take says nothing of others', and those of it that wait for its own slots are
         // ahead of nobody.
-        assert!(matches!(all.ask(S, &asker(0), || "first"), Way::Waits(last) if last > S + 300 * MS));
-        assert!(matches!(all.ask(S, &asker(1), || "second"), Way::Waits(_)));
+        assert!(matches!(all.ask(S, &asker(0), || "first"), Admission::Queued(last) if last > S + 300 * MS));
+        assert!(matches!(all.ask(S, &asker(1), || "second"), Admission::Queued(_)));
         all.leave(Some(50 * MS));
         assert_eq!((all.next(S + MS), all.next(S + MS)), (Some("first"), None));
         all.leave_of(&"b".into(), None);
@@ -146,43 +152,46 @@
 /// The part that a member has is the one that was told last.
 #[test]
 fn a_share_that_is_lowered_holds_at_once() {
-    let mut all = Slots::default();
+    let mut all = AdmissionQueue::default();
     all.set(10);
-    let told = |share| Some(Part { member: "a".into(), share });
-    let come = |all: &mut Slots<()>, share| all.ask_of(S, &asker(3), told(share).as_ref(), || ());
-    (0..5).for_each(|_| assert_eq!(come(&mut all, 0.5), Way::In));
-    assert!(matches!(come(&mut all, 0.2), Way::Waits(_)));
+    let told = |share| Some(MemberShare { member: "a".into(), share });
+    let come = |all: &mut AdmissionQueue<()>, share| all.ask_of(S, &asker(3), told(share).as_ref(), || ());
+    (0..5).for_each(|_| assert_eq!(come(&mut all, 0.5), Admission::Admitted));
+    assert!(matches!(come(&mut all, 0.2), Admission::Queued(_)));
     (0..3).for_each(|_| all.leave_of(&"a".into(), None));
     assert_eq!(all.next(S), None, "two of ten are its part now");
     all.leave_of(&"a".into(), None);
     assert_eq!((all.next(S), all.taken()), (Some(()), 2));
     // A share that is no number, or of which nothing is left, leaves one.
     for share in [f64::NAN, -1.0, 0.0] {
-        let mut all = Slots::default();
+        let mut all = AdmissionQueue::default();
         all.set(10);
-        assert_eq!(come(&mut all, share), Way::In);
-        assert_ne!(come(&mut all, share), Way::In);
+        assert_eq!(come(&mut all, share), Admission::Admitted);
+        assert_ne!(come(&mut all, share), Admission::Admitted);
     }
 }
 
 /// Guards against sessions that lose their upstream because the core stood still for longer than their requests' target.
 #[test]
 fn a_late_request_waits_where_its_session_lives_and_behind_those_in_time() {
-    let mut slots: Slots<&'static str> = Slots::default();
+    let mut slots: AdmissionQueue<&'static str> = AdmissionQueue::default();
     slots.set(2);
     for _ in 0..200 {
-        assert_eq!(slots.ask(0, &asker(0), || ""), Way::In);
+        assert_eq!(slots.ask(0, &asker(0), || ""), Admission::Admitted);
         slots.leave(Some(50 * MS));
     }
     for _ in 0..2 {
-        assert_eq!(slots.ask(S, &asker(0), || ""), Way::In);
+        assert_eq!(slots.ask(S, &asker(0), || ""), Admission::Admitted);
     }
-    let late = Asker { tied: true, aim: S - MS, until: 3 * S, ..asker(0) };
+    let late = AdmissionRequest { has_affinity: true, target: S - MS, deadline: 3 * S, ..asker(0) };
     // Half of its time is left for another upstream.
-    assert_eq!(slots.ask(S, &late, || "tied, first"), Way::Waits(2 * S));
-    assert_eq!(slots.ask(S, &late, || "tied, second"), Way::Waits(2 * S));
-    assert_eq!(slots.ask(S, &Asker { tied: false, ..late }, || "untied"), Way::Turned);
-    assert!(matches!(slots.ask(S, &asker(3), || "in time"), Way::Waits(_)));
+    assert_eq!(slots.ask(S, &late, || "tied, first"), Admission::Queued(2 * S));
+    assert_eq!(slots.ask(S, &late, || "tied, second"), Admission::Queued(2 * S));
+    assert_eq!(
+        slots.ask(S, &AdmissionRequest { has_affinity: false, ..late }, || "untied"),
+        Admission::Rejected
+    );
+    assert!(matches!(slots.ask(S, &asker(3), || "in time"), Admission::Queued(_)));
     let mut went = Vec::new();
     for _ in 0..3 {
         slots.leave(None);
@@ -190,6 +199,9 @@
     }
     assert_eq!(went, ["in time", "tied, first", "tied, second"]);
     // No more wait than the upstream can serve in time.
-    let short = Asker { until: S + 120 * MS, ..late };
-    assert_eq!(slots.ask(S, &Asker { until: S + 40 * MS, ..short }, || "in vain"), Way::Turned);
+    let short = AdmissionRequest { deadline: S + 120 * MS, ..late };
+    assert_eq!(
+        slots.ask(S, &AdmissionRequest { deadline: S + 40 * MS, ..short }, || "in vain"),
+        Admission::Rejected
+    );
 }
--- a/mesh/tests/timetable.rs
+++ b/mesh/tests/configuration.rs
@@ -3,7 +3,7 @@
 use std::fmt::Write;
 
 use expect_test::{Expect, expect};
-use ochreshed_mesh::timetable::{Kind, Limits, Timetable, differences};
+use ochreshed_mesh::configuration::{Configuration, Limits, RepeatPolicy, differences};
 
 /// The page's example, with a route at a longer prefix of the same host.
 const VALID: &str = r#"{"edition":"r7","consignments":[
@@ -16,8 +16,8 @@
 {"category":"limits","label":{},"manifest":{"label_bytes":16384,"parcel_bytes":67108864,"label_ms":2000}},
 {"category":"weather","label":7}]}"#;
 
-fn read(text: &str) -> Timetable {
-    match Timetable::read(text.as_bytes()) {
+fn read(text: &str) -> Configuration {
+    match Configuration::read(text.as_bytes()) {
         Ok(timetable) => timetable,
         Err(refusals) => panic!("refused: {refusals:?}"),
     }
@@ -30,7 +30,7 @@
 }
 
 fn verdict(bytes: &[u8]) -> String {
-    match Timetable::read(bytes) {
+    match Configuration::read(bytes) {
         Ok(_) => "valid".into(),
         Err(refusals) => refusals.iter().map(ToString::to_string).collect::<Vec<_>>().join("; "),
     }
@@ -45,9 +45,9 @@
     assert!(timetable.service("wuno96b").is_some_and(|service| service.dedupes && service.berth_cap == 110));
     assert_eq!(*timetable.limits(), Limits { label_ms: 2_000, ..Limits::default() });
     let route = timetable.route("jepu9.example", "/lepu270/deep/").expect("a route");
-    assert_eq!((route.kind, route.deadline_ms, route.target_ms), (Kind::OnceOnly, 500, 500));
+    assert_eq!((route.kind, route.deadline_ms, route.target_ms), (RepeatPolicy::OnceOnly, 500, 500));
     assert_eq!((route.rank, route.tries), (0, 1));
-    assert!(!route.kind.repeatable() && Kind::OutboundPost.repeatable());
+    assert!(!route.kind.repeatable() && RepeatPolicy::OutboundPost.repeatable());
 }
 
 #[test]
@@ -234,7 +234,8 @@
 
     // Not more than an operator reads.
     let entries = vec!["7"; 500].join(",");
-    let refusals = Timetable::read(format!(r#"{{"edition":"r1","consignments":[{entries}]}}"#).as_bytes());
+    let refusals =
+        Configuration::read(format!(r#"{{"edition":"r1","consignments":[{entries}]}}"#).as_bytes());
     let refusals = refusals.expect_err("refused");
     assert_eq!((refusals.len(), refusals[100].to_string().as_str()), (101, "document: has 400 more errors"));
 }
@@ -282,7 +283,7 @@
 #[test]
 fn cut_short_is_never_accepted() {
     for end in 0..VALID.len() {
-        assert!(Timetable::read(&VALID.as_bytes()[..end]).is_err(), "cut at {end}");
+        assert!(Configuration::read(&VALID.as_bytes()[..end]).is_err(), "cut at {end}");
     }
 }
 
@@ -293,7 +294,7 @@
         for stray in ["é", "\\é", "\\u00é", "-é", "1e€"] {
             let mut text = VALID.to_string();
             text.insert_str(at, stray);
-            let _ = Timetable::read(text.as_bytes());
+            let _ = Configuration::read(text.as_bytes());
         }
     }
 }
@@ -324,7 +325,7 @@
                 }
             }
         }
-        let Ok(timetable) = Timetable::read(&bytes) else { continue };
+        let Ok(timetable) = Configuration::read(&bytes) else { continue };
         accepted += 1;
         for route in timetable.routes() {
             assert!(route.tries > 0 && route.deadline_ms > 0 && route.target_ms > 0);
@@ -492,7 +493,7 @@
 fn a_route_may_name_the_header_of_its_sessions() {
     let with = |name: &str| altered(r#""tries":2"#, &format!(r#""tries":2,"session":{name}"#));
     let named = read(&with(r#""X-Person""#));
-    let session = |timetable: &Timetable, path| {
+    let session = |timetable: &Configuration, path| {
         timetable.route("jepu9.example", path).and_then(|route| route.session.clone())
     };
     assert_eq!(session(&named, "/lepu270/x").as_deref(), Some("x-person"));
--- a/mesh/tests/frozen_forms.rs
+++ b/mesh/tests/frozen_forms.rs
@@ -15,15 +15,17 @@
     Ballot, CoreRequest, CoreResponse, Message, MessageBody, NamedRegister, RegisterValue, ReplicaId,
     Revision,
 };
-use ochreshed_mesh::budget::{Figures, Report};
-use ochreshed_mesh::calls::{Ask, Frame, NewsAsk, NewsReply, Reply, encode};
-use ochreshed_mesh::delta::Piece;
-use ochreshed_mesh::fared::{Edition, Fared, Faring};
-use ochreshed_mesh::health::Ill;
-use ochreshed_mesh::list::{Mark, Row, Stand};
-use ochreshed_mesh::members::{MemberDoc, Register};
-use ochreshed_mesh::parcels::{Parcel, Parcels};
-use ochreshed_mesh::timetable::{Refusal, Timetable};
+use ochreshed_mesh::configuration::{Configuration, Refusal};
+use ochreshed_mesh::configuration_update::{ConfigurationUpdate, UpdateCache};
+use ochreshed_mesh::delta::DeltaOp;
+use ochreshed_mesh::endpoints::{EndpointRecord, TablePosition, UpstreamState};
+use ochreshed_mesh::internal_rpc::{
+    Frame, InternalRequest, InternalResponse, WatchRequest, WatchResponse, encode,
+};
+use ochreshed_mesh::members::{MemberDocument, MemberRegister};
+use ochreshed_mesh::outcome_counts::{EditionOutcomes, OutcomeCounts, RouteEdition};
+use ochreshed_mesh::outlier_detection::UpstreamHealth;
+use ochreshed_mesh::retry_budget::{AttemptCounts, BudgetReport};
 
 const RANK: Revision = Revision::new(12, u64::MAX);
 
@@ -31,156 +33,156 @@
     SocketAddr::from(([10, 1, 0, last], 8_300))
 }
 
-fn position() -> Mark {
-    Mark { life: u64::MAX, number: 1_000 }
+fn position() -> TablePosition {
+    TablePosition { incarnation: u64::MAX, sequence: 1_000 }
 }
 
-fn endpoint(stand: Stand, ill: Ill) -> Row {
-    Row {
-        door: address(8),
-        life: 1 << 50,
-        number: 6,
+fn endpoint(stand: UpstreamState, ill: UpstreamHealth) -> EndpointRecord {
+    EndpointRecord {
+        inbound_proxy: address(8),
+        incarnation: 1 << 50,
+        sequence: 6,
         zone: "zone-a".into(),
-        line: "huvo11a".into(),
-        id: "life-1".into(),
-        edition: "v3".into(),
-        stand,
-        slots: 110,
-        cold_ms: 2_500,
-        calls: true,
-        serving: true,
-        ill,
+        service: "huvo11a".into(),
+        upstream_id: "life-1".into(),
+        software_version: "v3".into(),
+        state: stand,
+        concurrency_limit: 110,
+        warming_up_ms: 2_500,
+        calls_services: true,
+        accepts_clients: true,
+        health: ill,
     }
 }
 
-fn outcome_counts() -> Faring {
-    let edition = Edition { member: "banco-norte".into(), number: 4, trial: true };
-    vec![(edition, Fared { first: 1, again: 2, refused: 3, turned: 4, well: 5, failed: 600 })]
+fn outcome_counts() -> EditionOutcomes {
+    let edition = RouteEdition { member: "banco-norte".into(), version: 4, canary: true };
+    vec![(edition, OutcomeCounts { first: 1, retried: 2, denied: 3, rejected: 4, succeeded: 5, failed: 600 })]
 }
 
-fn report() -> Report {
-    let spending = vec![("huvo11a".into(), Figures { first: 2_000, again: 20, refused: 3 })];
-    Report { spending, full_ms: Some(812), members: Faring::new() }
+fn report() -> BudgetReport {
+    let spending = vec![("huvo11a".into(), AttemptCounts { first: 2_000, retried: 20, denied: 3 })];
+    BudgetReport { services: spending, recovery_ms: Some(812), outcomes: EditionOutcomes::new() }
 }
 
-fn update() -> Parcel {
-    Parcel { rank: RANK, from: Revision::new(11, 3), packed: vec![0, 1, 255] }
+fn update() -> ConfigurationUpdate {
+    ConfigurationUpdate { revision: RANK, base: Revision::new(11, 3), compressed: vec![0, 1, 255] }
 }
 
 fn named() -> NamedRegister {
     NamedRegister { name: "members".into(), value: Arc::new(RegisterValue::new(3, b"{}".to_vec())) }
 }
 
-fn watch_request_all() -> NewsAsk {
-    NewsAsk {
-        row: Some(endpoint(Stand::Open, Ill { fails: 2, slow: 1 })),
-        door: Some(address(8)),
-        mark: position(),
-        sheet: RANK,
-        quiet: 3,
-        hold_ms: 500,
-        steward: true,
+fn watch_request_all() -> WatchRequest {
+    WatchRequest {
+        record: Some(endpoint(UpstreamState::Serving, UpstreamHealth { failure_level: 2, latency_level: 1 })),
+        inbound_proxy: Some(address(8)),
+        position: position(),
+        configuration: RANK,
+        suspects_version: 3,
+        max_wait_ms: 500,
+        from_replica: true,
         report: Some(report()),
-        members: outcome_counts(),
-        papers: u64::MAX,
-        carried: Some(vec![("banco-norte".into(), 4, true)]),
-        gather: true,
+        outcomes: outcome_counts(),
+        registers_digest: u64::MAX,
+        applied_editions: Some(vec![("banco-norte".into(), 4, true)]),
+        reports_only: true,
     }
 }
 
-fn watch_request_least() -> NewsAsk {
-    NewsAsk {
-        row: None,
-        door: None,
-        mark: Mark::default(),
-        sheet: Revision::NONE,
-        quiet: 0,
-        hold_ms: 0,
-        steward: false,
+fn watch_request_least() -> WatchRequest {
+    WatchRequest {
+        record: None,
+        inbound_proxy: None,
+        position: TablePosition::default(),
+        configuration: Revision::NONE,
+        suspects_version: 0,
+        max_wait_ms: 0,
+        from_replica: false,
         report: None,
-        members: Faring::new(),
-        papers: 0,
-        carried: None,
-        gather: false,
+        outcomes: EditionOutcomes::new(),
+        registers_digest: 0,
+        applied_editions: None,
+        reports_only: false,
     }
 }
 
-fn watch_response_all() -> NewsReply {
-    NewsReply {
-        mark: position(),
-        rows: vec![endpoint(Stand::Open, Ill::default())],
-        sheet: Some(RANK),
-        stewards: vec![address(1), "[fd00::7]:8307".parse().expect("an address")],
-        quiet: Some((4, vec![address(9)])),
-        settled: true,
-        life: Some(7),
-        ages: vec![(address(8), 250)],
+fn watch_response_all() -> WatchResponse {
+    WatchResponse {
+        position: position(),
+        records: vec![endpoint(UpstreamState::Serving, UpstreamHealth::default())],
+        configuration: Some(RANK),
+        replicas: vec![address(1), "[fd00::7]:8307".parse().expect("an address")],
+        suspects: Some((4, vec![address(9)])),
+        has_quorum: true,
+        known_incarnation: Some(7),
+        last_heard_ms_ago: vec![(address(8), 250)],
         drains: vec![(address(8), "life-1".into(), 60_000)],
-        told: Some(Box::new((vec![(address(8), 250, report())], Some(900)))),
-        papers: Some((5, vec![("members".into(), RANK)])),
-        members: vec![(address(8), outcome_counts())],
+        reports: Some(Box::new((vec![(address(8), 250, report())], Some(900)))),
+        registers: Some((5, vec![("members".into(), RANK)])),
+        outcomes: vec![(address(8), outcome_counts())],
     }
 }
 
-fn watch_response_least() -> NewsReply {
-    NewsReply {
-        mark: Mark::default(),
-        rows: Vec::new(),
-        sheet: None,
-        stewards: Vec::new(),
-        quiet: None,
-        settled: false,
-        life: None,
-        ages: Vec::new(),
+fn watch_response_least() -> WatchResponse {
+    WatchResponse {
+        position: TablePosition::default(),
+        records: Vec::new(),
+        configuration: None,
+        replicas: Vec::new(),
+        suspects: None,
+        has_quorum: false,
+        known_incarnation: None,
+        last_heard_ms_ago: Vec::new(),
         drains: Vec::new(),
-        told: None,
-        papers: None,
-        members: Vec::new(),
+        reports: None,
+        registers: None,
+        outcomes: Vec::new(),
     }
 }
 
-fn requests() -> Vec<(&'static str, Ask)> {
+fn requests() -> Vec<(&'static str, InternalRequest)> {
     let body = MessageBody::Prepare(Ballot { round: 1, proposer: 2 });
     let letter = Message { from: ReplicaId { address: address(1), disk_id: 0 }, epoch: 1, body };
     vec![
-        ("news_all", Ask::News(watch_request_all())),
-        ("news_least", Ask::News(watch_request_least())),
-        ("core", Ask::Core(CoreRequest::ReadConfiguration)),
-        ("letter", Ask::Message(letter)),
-        ("sheet", Ask::Configuration(RANK)),
-        ("papers", Ask::Registers(vec![("members".into(), RANK)])),
-        ("carried", Ask::Carried("m/banco-norte".into())),
+        ("news_all", InternalRequest::Watch(watch_request_all())),
+        ("news_least", InternalRequest::Watch(watch_request_least())),
+        ("core", InternalRequest::Core(CoreRequest::ReadConfiguration)),
+        ("letter", InternalRequest::ReplicaMessage(letter)),
+        ("sheet", InternalRequest::Configuration(RANK)),
+        ("papers", InternalRequest::Registers(vec![("members".into(), RANK)])),
+        ("carried", InternalRequest::AppliedEditions("m/banco-norte".into())),
     ]
 }
 
-fn responses() -> Vec<(&'static str, Reply)> {
+fn responses() -> Vec<(&'static str, InternalResponse)> {
     vec![
-        ("news_all", Reply::News(Box::new(watch_response_all()))),
-        ("news_least", Reply::News(Box::new(watch_response_least()))),
-        ("core", Reply::Core(CoreResponse::LeaseGranted)),
-        ("sheet", Reply::Configuration(Some(Arc::new(update())))),
-        ("sheet_none", Reply::Configuration(None)),
-        ("papers", Reply::Registers(vec![named()])),
-        ("carried", Reply::Carried(vec![(address(8), 4, true)])),
+        ("news_all", InternalResponse::Watch(Box::new(watch_response_all()))),
+        ("news_least", InternalResponse::Watch(Box::new(watch_response_least()))),
+        ("core", InternalResponse::Core(CoreResponse::LeaseGranted)),
+        ("sheet", InternalResponse::Configuration(Some(Arc::new(update())))),
+        ("sheet_none", InternalResponse::Configuration(None)),
+        ("papers", InternalResponse::Registers(vec![named()])),
+        ("carried", InternalResponse::AppliedEditions(vec![(address(8), 4, true)])),
     ]
 }
 
 /// The compiler refuses these where a variant is new: it wants a sample above.
-fn has_sample(request: &Ask, response: &Reply) -> bool {
+fn has_sample(request: &InternalRequest, response: &InternalResponse) -> bool {
     match request {
-        Ask::News(_)
-        | Ask::Core(_)
-        | Ask::Message(_)
-        | Ask::Configuration(_)
-        | Ask::Registers(_)
-        | Ask::Carried(_) => {}
+        InternalRequest::Watch(_)
+        | InternalRequest::Core(_)
+        | InternalRequest::ReplicaMessage(_)
+        | InternalRequest::Configuration(_)
+        | InternalRequest::Registers(_)
+        | InternalRequest::AppliedEditions(_) => {}
     }
     match response {
-        Reply::News(_)
-        | Reply::Core(_)
-        | Reply::Configuration(_)
-        | Reply::Registers(_)
-        | Reply::Carried(_) => true,
+        InternalResponse::Watch(_)
+        | InternalResponse::Core(_)
+        | InternalResponse::Configuration(_)
+        | InternalResponse::Registers(_)
+        | InternalResponse::AppliedEditions(_) => true,
     }
 }
 
@@ -196,15 +198,15 @@
     for (name, response) in responses() {
         forms.assert_encodes_as(&format!("reply_{name}"), &response);
     }
-    forms.assert_encodes_as("frame_ask", &Frame { id: 9_000, say: Ask::Configuration(RANK) });
-    forms.assert_encodes_as("frame_reply", &Frame { id: 0, say: Reply::Configuration(None) });
+    forms.assert_encodes_as("frame_ask", &Frame { id: 9_000, payload: InternalRequest::Configuration(RANK) });
+    forms.assert_encodes_as("frame_reply", &Frame { id: 0, payload: InternalResponse::Configuration(None) });
     forms.finish();
 }
 
 /// A frame is its length in four bytes, the highest first, and CBOR.
 #[test]
 fn a_frame_has_its_length_before_it() {
-    let frame = Frame { id: 9_000, say: Ask::Configuration(RANK) };
+    let frame = Frame { id: 9_000, payload: InternalRequest::Configuration(RANK) };
     let mut bytes = Vec::new();
     ciborium::into_writer(&frame, &mut bytes).expect("written");
     let mut expected = (bytes.len() as u32).to_be_bytes().to_vec();
@@ -215,19 +217,26 @@
 #[test]
 fn sample_values() {
     let mut forms = FrozenForms::open("values");
-    for (name, stand) in [("open", Stand::Open), ("closing", Stand::Closing), ("none", Stand::None)] {
+    for (name, stand) in [
+        ("open", UpstreamState::Serving),
+        ("closing", UpstreamState::Draining),
+        ("none", UpstreamState::Absent),
+    ] {
         forms.assert_encodes_as(&format!("stand_{name}"), &stand);
     }
-    forms.assert_encodes_as("ill", &Ill { fails: 2, slow: 1 });
-    forms.assert_encodes_as("row_all", &endpoint(Stand::Closing, Ill { fails: 1, slow: 2 }));
-    forms.assert_encodes_as("row_well", &endpoint(Stand::None, Ill::default()));
+    forms.assert_encodes_as("ill", &UpstreamHealth { failure_level: 2, latency_level: 1 });
+    forms.assert_encodes_as(
+        "row_all",
+        &endpoint(UpstreamState::Draining, UpstreamHealth { failure_level: 1, latency_level: 2 }),
+    );
+    forms.assert_encodes_as("row_well", &endpoint(UpstreamState::Absent, UpstreamHealth::default()));
     forms.assert_encodes_as("mark", &position());
     forms.assert_encodes_as("parcel", &update());
-    forms.assert_encodes_as("piece_old", &Piece::Old(70_000, 9));
-    forms.assert_encodes_as("piece_new", &Piece::New(vec![0, 1, 255]));
-    forms.assert_encodes_as("figures", &Figures { first: 2_000, again: 20, refused: 3 });
+    forms.assert_encodes_as("piece_old", &DeltaOp::Copy(70_000, 9));
+    forms.assert_encodes_as("piece_new", &DeltaOp::Insert(vec![0, 1, 255]));
+    forms.assert_encodes_as("figures", &AttemptCounts { first: 2_000, retried: 20, denied: 3 });
     forms.assert_encodes_as("report_all", &report());
-    forms.assert_encodes_as("report_least", &Report::default());
+    forms.assert_encodes_as("report_least", &BudgetReport::default());
     let (edition, counts) = outcome_counts().remove(0);
     forms.assert_encodes_as("edition", &edition);
     forms.assert_encodes_as("fared", &counts);
@@ -238,14 +247,14 @@
         Arc::new(RegisterValue::new(version, routes.into_bytes()))
     };
     let (old, new) = (text(1), text(2));
-    let updates = Parcels::default();
+    let updates = UpdateCache::default();
     updates.note(&old);
     updates.note(&new);
     for (name, here) in [("parcel_whole", None), ("parcel_delta", Some(&*old))] {
         let written = updates.newest(here.map_or(Revision::NONE, RegisterValue::revision)).expect("a parcel");
         // Another version of the compressor may write other bytes, so these are read and not compared.
         let read = forms.read_fixture(name, &*written);
-        assert_eq!((read.rank, read.from), (written.rank, written.from));
+        assert_eq!((read.revision, read.base), (written.revision, written.base));
         assert_eq!(read.open(here).as_ref(), Ok(&*new), "{name}");
     }
     forms.finish();
@@ -269,15 +278,15 @@
 type ReadDocument = fn(&[u8]) -> Result<(), Vec<Refusal>>;
 
 fn read_configuration(bytes: &[u8]) -> Result<(), Vec<Refusal>> {
-    Timetable::read(bytes).map(|_| ())
+    Configuration::read(bytes).map(|_| ())
 }
 
 fn read_members(bytes: &[u8]) -> Result<(), Vec<Refusal>> {
-    Register::read(bytes).map(|_| ())
+    MemberRegister::read(bytes).map(|_| ())
 }
 
 fn read_member(bytes: &[u8]) -> Result<(), Vec<Refusal>> {
-    MemberDoc::read(bytes).map(|_| ())
+    MemberDocument::read(bytes).map(|_| ())
 }
 
 const CONFIGURATION_CASES: Cases = &[
--- a/mesh/tests/claim_breaker.rs
+++ b/mesh/tests/lease_circuit_breaker.rs
@@ -1,13 +1,13 @@
-//! Waiting for a control plane that does not answer.
+//! PendingWatch for a control plane that does not answer.
 
-use ochreshed_mesh::claim_breaker::ClaimBreaker;
+use ochreshed_mesh::lease_circuit_breaker::LeaseCircuitBreaker;
 
 const MS: u64 = 1_000_000;
 
 /// Guards against requests that are held to their end because no majority of the control plane is there.
 #[test]
 fn a_claim_leaves_its_client_time_to_go_elsewhere() {
-    let mut breaker = ClaimBreaker::default();
+    let mut breaker = LeaseCircuitBreaker::default();
     assert_eq!(breaker.wait(0, 600 * MS, false), 240 * MS);
     assert_eq!(breaker.wait(0, 20_000 * MS, false), 900 * MS);
     assert_eq!(breaker.wait(0, 600 * MS, true), 60 * MS);
@@ -17,7 +17,7 @@
 
 #[test]
 fn after_one_that_was_left_unanswered_the_others_are_refused_soon() {
-    let mut breaker = ClaimBreaker::default();
+    let mut breaker = LeaseCircuitBreaker::default();
     breaker.unanswered(240 * MS, 240 * MS);
     let waits: Vec<u64> =
         (0..10).map(|nth| breaker.wait((240 + 50 * nth) * MS, 600 * MS, false) / MS).collect();
@@ -33,7 +33,7 @@
 /// Guards against a breaker that stays open because a slow control plane answers later than the short wait.
 #[test]
 fn a_slow_control_plane_closes_it_again() {
-    let (mut breaker, answers_after) = (ClaimBreaker::default(), 100 * MS);
+    let (mut breaker, answers_after) = (LeaseCircuitBreaker::default(), 100 * MS);
     breaker.unanswered(0, 240 * MS);
     let mut granted = 0;
     for nth in 0..20 {
@@ -50,7 +50,7 @@
 #[test]
 fn a_claim_waits_longer_than_the_control_plane_waits_for_a_key_at_work() {
     for left_ms in [60, 100, 250, 600, 1_000, 2_000, 2_500, 6_000, 60_000] {
-        let wait = ClaimBreaker::default().wait(0, u64::from(left_ms) * MS, false);
+        let wait = LeaseCircuitBreaker::default().wait(0, u64::from(left_ms) * MS, false);
         let outcome = ochreshed_consensus::core::outcome_wait(left_ms);
         assert!(wait >= outcome + 4 * MS, "{left_ms}: {wait} {outcome}");
     }
--- a/mesh/tests/members.rs
+++ b/mesh/tests/members.rs
@@ -1,7 +1,7 @@
 //! The register of members and their documents: what is refused, and where it stands.
 
 use expect_test::expect;
-use ochreshed_mesh::members::{MemberDoc, MemberLimits, Register};
+use ochreshed_mesh::members::{MemberDocument, MemberLimits, MemberRegister};
 
 const REGISTER: &str = r#"{"edition":"r3","members":[
 {"name":"banco-norte","key_sha256":"00112233445566778899aabbccddeeff00112233445566778899AABBCCDDEEFF","places":[{"host":"Norte.example:80"},{"host":"comum.example","prefix":"/norte/"}],"services":["agenda","marcacoes"],"limits":{"routes":200,"retry_share":0.25}},
@@ -12,14 +12,14 @@
 
 #[test]
 fn the_examples_are_read_whole() {
-    let register = Register::read(REGISTER.as_bytes()).expect("a register");
+    let register = MemberRegister::read(REGISTER.as_bytes()).expect("a register");
     let norte = register.member("banco-norte").expect("a member");
     assert_eq!(norte.limits, MemberLimits { routes: 200, retry_share: 0.25, ..MemberLimits::default() });
     assert_eq!((norte.key_sha256[1], norte.key_sha256[31]), (0x11, 0xff));
     assert!(norte.owns("norte.example", "/") && norte.owns("comum.example", "/norte/x"));
     assert!(!norte.owns("comum.example", "/norte") && !norte.owns("comum.example", "/sul/"));
-    let doc = MemberDoc::read(DOC.as_bytes()).expect("a document");
-    assert_eq!((register.version, doc.version, doc.trial, doc.routes.len()), (3, 7, Some(0.25), 2));
+    let doc = MemberDocument::read(DOC.as_bytes()).expect("a document");
+    assert_eq!((register.version, doc.version, doc.canary_share, doc.routes.len()), (3, 7, Some(0.25), 2));
     assert!(doc.routes.iter().all(|route| route.share.is_none()));
 }
 
@@ -32,7 +32,7 @@
     cases.iter().map(one).collect()
 }
 
-fn lines<T>(read: Result<T, Vec<ochreshed_mesh::timetable::Refusal>>) -> String {
+fn lines<T>(read: Result<T, Vec<ochreshed_mesh::configuration::Refusal>>) -> String {
     match read {
         Ok(_) => "valid".into(),
         Err(all) => all.iter().map(ToString::to_string).collect::<Vec<_>>().join("; "),
@@ -95,7 +95,7 @@
             members[0] (banco-norte).limits.routes: is above 10000
         "limits":{ -> "limits":7,"x":{
             members[0] (banco-norte).limits: is not an object
-    "#]].assert_eq(&told(REGISTER, &cases, |bytes| lines(Register::read(bytes))));
+    "#]].assert_eq(&told(REGISTER, &cases, |bytes| lines(MemberRegister::read(bytes))));
     let many: Vec<String> = (0..21)
         .map(|n| {
             format!(
@@ -106,7 +106,7 @@
         .collect();
     let many = format!(r#"{{"edition":"r1","members":[{}]}}"#, many.join(","));
     expect!["members.limits.routes, all together: holds more than 200000"]
-        .assert_eq(&lines(Register::read(many.as_bytes())));
+        .assert_eq(&lines(MemberRegister::read(many.as_bytes())));
 }
 
 #[test]
@@ -146,5 +146,5 @@
         {"name":"cart" -> 7,{"name":"cart"
             routes[0]: is not an object
     "#]]
-    .assert_eq(&told(DOC, &cases, |bytes| lines(MemberDoc::read(bytes))));
+    .assert_eq(&told(DOC, &cases, |bytes| lines(MemberDocument::read(bytes))));
 }
--- a/mesh/tests/lay.rs
+++ b/mesh/tests/overlay.rs
@@ -6,9 +6,9 @@
 use std::sync::Arc;
 
 use expect_test::expect;
-use ochreshed_mesh::lay::{Docs, check, in_force, lay, plan, reaches};
-use ochreshed_mesh::members::{MemberDoc, Register};
-use ochreshed_mesh::timetable::{Name, Route, Timetable};
+use ochreshed_mesh::configuration::{Configuration, Name, Route};
+use ochreshed_mesh::members::{MemberDocument, MemberRegister};
+use ochreshed_mesh::overlay::{MemberDocuments, check, in_force, is_in_canary, overlay, plan};
 use proptest::collection::vec;
 use proptest::prelude::*;
 
@@ -83,7 +83,7 @@
 }
 
 impl World {
-    fn timetable(&self) -> Timetable {
+    fn timetable(&self) -> Configuration {
         let mut entries = routes(&self.platform, "p", self.services);
         for (name, _) in SERVICES.iter().zip(self.services).filter(|(_, there)| *there) {
             entries.push(format!(
@@ -91,7 +91,7 @@
             ));
         }
         let text = format!(r#"{{"edition":"r1","consignments":[{}]}}"#, entries.join(","));
-        Timetable::read(text.as_bytes()).expect("a timetable")
+        Configuration::read(text.as_bytes()).expect("a timetable")
     }
 
     fn places(&self, member: usize) -> Vec<(&'static str, &'static str)> {
@@ -104,7 +104,7 @@
     }
 
     /// In this order, which must not count.
-    fn register(&self, order: [usize; 3]) -> Register {
+    fn register(&self, order: [usize; 3]) -> MemberRegister {
         let member = |number: usize| {
             let (routes, tries, deadline, rank, has) = self.rooms[number];
             let places = self.places(number).into_iter();
@@ -121,14 +121,17 @@
             )
         };
         let text = format!(r#"{{"edition":"r1","members":[{}]}}"#, order.map(member).join(","));
-        Register::read(text.as_bytes()).expect("a register")
+        MemberRegister::read(text.as_bytes()).expect("a register")
     }
 
-    fn docs(&self) -> Docs {
+    fn docs(&self) -> MemberDocuments {
         let read = |(number, doc): (usize, &Option<Vec<Asked>>)| {
             let routes = routes(doc.as_ref()?, MEMBERS[number], [true; 4]).join(",");
             let text = format!(r#"{{"edition":"r1","routes":[{routes}]}}"#);
-            Some((MEMBERS[number].into(), Arc::new(MemberDoc::read(text.as_bytes()).expect("a document"))))
+            Some((
+                MEMBERS[number].into(),
+                Arc::new(MemberDocument::read(text.as_bytes()).expect("a document")),
+            ))
         };
         self.docs.iter().enumerate().filter_map(read).collect()
     }
@@ -145,7 +148,7 @@
     paths.flat_map(|path| HOSTS.map(|host| (host, path.clone())))
 }
 
-fn all(timetable: &Timetable) -> Vec<Arc<Route>> {
+fn all(timetable: &Configuration) -> Vec<Arc<Route>> {
     timetable.routes().cloned().collect()
 }
 
@@ -155,9 +158,9 @@
     #[test]
     fn nobody_reaches_past_what_it_was_given(world in world()) {
         let (base, register, docs) = (world.timetable(), world.register([0, 1, 2]), world.docs());
-        let laid = lay(&base, &register, &docs);
+        let laid = overlay(&base, &register, &docs);
         let mut counts = [0; 3];
-        for route in laid.timetable.routes() {
+        for route in laid.configuration.routes() {
             let Some(member) = of(route) else {
                 prop_assert!(base.routes().any(|one| one == route), "{route:?}");
                 continue;
@@ -178,8 +181,8 @@
         }
         // The longest prefix holds, and outside all places what the platform has.
         for (host, path) in paths() {
-            let found = laid.timetable.route(host, &path);
-            let longest = laid.timetable.routes().filter(|route| *route.host == *host && path.starts_with(&*route.prefix));
+            let found = laid.configuration.route(host, &path);
+            let longest = laid.configuration.routes().filter(|route| *route.host == *host && path.starts_with(&*route.prefix));
             prop_assert_eq!(found, longest.max_by_key(|route| route.prefix.len()));
             if (0..3).all(|member| !world.holds(member, host, &path)) {
                 prop_assert_eq!(found, base.route(host, &path));
@@ -187,7 +190,7 @@
         }
         // One of the platform's goes only where a member's stands in its stead.
         for route in base.routes() {
-            let found = laid.timetable.routes().filter(|one| one.host == route.host && one.prefix == route.prefix);
+            let found = laid.configuration.routes().filter(|one| one.host == route.host && one.prefix == route.prefix);
             let found: Vec<_> = found.collect();
             prop_assert!(found.len() == 1 && (found[0] == route || found[0].share.is_some()));
         }
@@ -201,53 +204,53 @@
         let mut changed = world.clone();
         changed.docs[who] = Some(doc);
         let changed_docs = changed.docs();
-        let (before, after) = (lay(&base, &register, &docs), lay(&base, &register, &changed_docs));
-        let others = |timetable: &Timetable| {
+        let (before, after) = (overlay(&base, &register, &docs), overlay(&base, &register, &changed_docs));
+        let others = |timetable: &Configuration| {
             let mut routes = all(timetable);
             routes.retain(|route| !world.holds(who, &route.host, &route.prefix));
             routes
         };
-        prop_assert_eq!(others(&before.timetable), others(&after.timetable));
+        prop_assert_eq!(others(&before.configuration), others(&after.configuration));
         for (host, path) in paths().filter(|(host, path)| !world.holds(who, host, path)) {
-            prop_assert_eq!(before.timetable.route(host, &path), after.timetable.route(host, &path));
+            prop_assert_eq!(before.configuration.route(host, &path), after.configuration.route(host, &path));
         }
         // Nor does what it is given.
         changed.rooms[who] = room;
-        let given = lay(&base, &changed.register([0, 1, 2]), &changed_docs);
-        prop_assert_eq!(others(&before.timetable), others(&given.timetable));
+        let given = overlay(&base, &changed.register([0, 1, 2]), &changed_docs);
+        prop_assert_eq!(others(&before.configuration), others(&given.configuration));
         // What the plan tells is what changes.
         let plan = plan(&base, &register, &docs, MEMBERS[who], &changed_docs[MEMBERS[who]]);
         prop_assert_eq!(plan.changes.is_empty(), {
-            let sorted = |timetable: &Timetable| {
+            let sorted = |timetable: &Configuration| {
                 let mut routes = all(timetable);
                 routes.sort_by(|a, b| (&a.host, &a.prefix).cmp(&(&b.host, &b.prefix)));
                 routes
             };
-            sorted(&before.timetable) == sorted(&after.timetable)
+            sorted(&before.configuration) == sorted(&after.configuration)
         });
     }
 
     #[test]
     fn all_that_hold_the_same_lay_the_same(world in world()) {
         let base = world.timetable();
-        let one = lay(&base, &world.register([0, 1, 2]), &world.docs());
-        let docs: Docs = world.docs().into_iter().rev().collect();
-        let other = lay(&base, &world.register([2, 0, 1]), &docs);
-        prop_assert_eq!(all(&one.timetable), all(&other.timetable));
-        prop_assert_eq!(one.trims, other.trims);
+        let one = overlay(&base, &world.register([0, 1, 2]), &world.docs());
+        let docs: MemberDocuments = world.docs().into_iter().rev().collect();
+        let other = overlay(&base, &world.register([2, 0, 1]), &docs);
+        prop_assert_eq!(all(&one.configuration), all(&other.configuration));
+        prop_assert_eq!(one.violations, other.violations);
     }
 
     #[test]
     fn what_passes_the_check_is_laid_as_it_is_written(world in world(), who in 0usize..3) {
         let (base, register, docs) = (world.timetable(), world.register([0, 1, 2]), world.docs());
         let Some(doc) = docs.get(MEMBERS[who]) else { return Ok(()) };
-        let laid = lay(&base, &register, &docs);
+        let laid = overlay(&base, &register, &docs);
         let cuts = check(&base, &register, MEMBERS[who], doc);
-        let trims: Vec<_> = laid.trims.iter().filter(|trim| *trim.member == *MEMBERS[who]).map(|trim| trim.cut.clone()).collect();
+        let trims: Vec<_> = laid.violations.iter().filter(|trim| *trim.member == *MEMBERS[who]).map(|trim| trim.violation.clone()).collect();
         prop_assert_eq!(&cuts, &trims);
         for (index, route) in doc.routes.iter().enumerate() {
             let cut = cuts.iter().any(|cut| cut.route.as_ref().is_some_and(|(at, _)| *at == index));
-            let found = laid.timetable.routes().find(|one| one.host == route.host && one.prefix == route.prefix);
+            let found = laid.configuration.routes().find(|one| one.host == route.host && one.prefix == route.prefix);
             let as_written = found.is_some_and(|one| {
                 of(one) == Some(who) && Route { share: None, ..Route::clone(one) } == **route
             });
@@ -258,8 +261,8 @@
     #[test]
     fn a_larger_share_reaches_all_that_a_smaller_one_does(port in 1u16.., edition: u64, one in 0f64..1.0, more in 0f64..1.0) {
         let door = SocketAddr::from(([10, 1, 0, 8], port));
-        prop_assert!(reaches(door, "m", edition, 1.0) && !reaches(door, "m", edition, 0.0));
-        prop_assert!(!reaches(door, "m", edition, one) || reaches(door, "m", edition, one + more));
+        prop_assert!(is_in_canary(door, "m", edition, 1.0) && !is_in_canary(door, "m", edition, 0.0));
+        prop_assert!(!is_in_canary(door, "m", edition, one) || is_in_canary(door, "m", edition, one + more));
     }
 }
 
@@ -267,7 +270,7 @@
 fn a_share_reaches_its_part_of_the_nodes_alike_in_every_version() {
     let door = |number: u32| SocketAddr::from((number.to_be_bytes(), 8300));
     let reached = |member: &str, edition| -> Vec<u32> {
-        (0..2_000).filter(|number| reaches(door(*number), member, edition, 0.25)).collect()
+        (0..2_000).filter(|number| is_in_canary(door(*number), member, edition, 0.25)).collect()
     };
     let (one, other, later) = (reached("m0", 7), reached("m1", 7), reached("m0", 8));
     // Others for another member and another edition.
@@ -280,7 +283,7 @@
 fn a_trial_never_stands_above_what_was_settled_or_withdrawn() {
     let doc = |version: u64, trial: f64| {
         let text = format!(r#"{{"edition":"r{version}","trial":{trial},"routes":[]}}"#);
-        Arc::new(MemberDoc::read(text.as_bytes()).expect("a document"))
+        Arc::new(MemberDocument::read(text.as_bytes()).expect("a document"))
     };
     let door = SocketAddr::from(([10, 1, 0, 8], 8300));
     let mut told = String::new();
@@ -330,7 +333,7 @@
     };
     let doc = |routes: &[String]| {
         let text = format!(r#"{{"edition":"r1","routes":[{}]}}"#, routes.join(","));
-        Arc::new(MemberDoc::read(text.as_bytes()).expect("a document"))
+        Arc::new(MemberDocument::read(text.as_bytes()).expect("a document"))
     };
     let good = r#""deadline_ms":800,"post_class":1,"line":"agenda","tries":1"#;
     let held = doc(&[route("cart", "/cart/", good), route("old", "/old/", good)]);
@@ -341,10 +344,10 @@
         route("velha", "/velha/", &good.replace("agenda", "velha")),
         route("more", "/more/", good),
     ]);
-    let (base, register) = (Timetable::read(base.as_bytes()), Register::read(register.as_bytes()));
+    let (base, register) = (Configuration::read(base.as_bytes()), MemberRegister::read(register.as_bytes()));
     let (base, register) = (base.expect("a timetable"), register.expect("a register"));
     let gone = doc(&[route("x", "/x/", good)]);
-    let docs: Docs = [(Name::from("norte"), held), (Name::from("gone"), gone)].into();
+    let docs: MemberDocuments = [(Name::from("norte"), held), (Name::from("gone"), gone)].into();
     let plan = plan(&base, &register, &docs, "norte", &new);
     let list = |all: Vec<String>| all.join("\n");
     let page = [
@@ -383,14 +386,14 @@
     let blocks: Vec<&[u8]> = blocks.map(str::as_bytes).collect();
     assert_eq!(blocks.len(), 8);
     for example in blocks.chunks(4) {
-        let (base, register) = (Timetable::read(example[0]), Register::read(example[1]));
+        let (base, register) = (Configuration::read(example[0]), MemberRegister::read(example[1]));
         let (base, register) = (base.expect("a timetable"), register.expect("a register"));
-        let docs = example[2..].iter().map(|doc| Arc::new(MemberDoc::read(doc).expect("a document")));
-        let docs: Docs = register.members().map(|member| member.name.clone()).zip(docs).collect();
+        let docs = example[2..].iter().map(|doc| Arc::new(MemberDocument::read(doc).expect("a document")));
+        let docs: MemberDocuments = register.members().map(|member| member.name.clone()).zip(docs).collect();
         assert_eq!(docs.len(), 2);
-        let laid = lay(&base, &register, &docs);
-        assert_eq!(laid.trims, []);
+        let laid = overlay(&base, &register, &docs);
+        assert_eq!(laid.violations, []);
         let written: usize = docs.values().map(|doc| doc.routes.len()).sum();
-        assert_eq!(laid.timetable.routes().filter(|route| route.share.is_some()).count(), written);
+        assert_eq!(laid.configuration.routes().filter(|route| route.share.is_some()).count(), written);
     }
 }
--- a/mesh/tests/budget.rs
+++ b/mesh/tests/retry_budget.rs
@@ -4,36 +4,38 @@
 use std::net::SocketAddr;
 
 use ochreshed::How;
-use ochreshed_mesh::budget::{Figures, MOST_SERVICES, Report, Reports, Spent, Tally, Terms};
+use ochreshed_mesh::retry_budget::{
+    AttemptCounts, BudgetReport, BudgetReports, MOST_SERVICES, RequestAttempts, RetryAccount, RetryLimits,
+};
 use proptest::prelude::*;
 
 const MS: u64 = 1_000_000;
 const WINDOW: u64 = 10_000 * MS;
-const TERMS: Terms = Terms { tries: 2, last_tier: true, part: 0.1, floor: 1.0 };
+const TERMS: RetryLimits = RetryLimits { max_attempts: 2, last_tier: true, ratio: 0.1, floor: 1.0 };
 
-fn figures(first: u32, again: u32, refused: u32) -> Figures {
-    Figures { first, again, refused }
+fn figures(first: u32, again: u32, refused: u32) -> AttemptCounts {
+    AttemptCounts { first, retried: again, denied: refused }
 }
 
-fn report(spending: Vec<(ochreshed::Name, Figures)>) -> Report {
-    Report { spending, ..Report::default() }
+fn report(spending: Vec<(ochreshed::Name, AttemptCounts)>) -> BudgetReport {
+    BudgetReport { services: spending, ..BudgetReport::default() }
 }
 
 /// One req that goes and fails, and whether the module lets it go again or gives it up.
-fn one(spent: &mut Spent, now: u64, repeatable: bool, how: How, again: bool) {
-    let mut tally = Tally::new(repeatable, now + 100 * MS);
-    spent.goes(now, &tally);
+fn one(spent: &mut RetryAccount, now: u64, repeatable: bool, how: How, again: bool) {
+    let mut tally = RequestAttempts::new(repeatable, now + 100 * MS);
+    spent.attempt_started(now, &tally);
     tally.ended(how);
     if again {
-        spent.goes(now, &tally);
+        spent.attempt_started(now, &tally);
     } else {
-        spent.given_up(now, &tally);
+        spent.request_given_up(now, &tally);
     }
 }
 
 #[test]
 fn a_req_counts_for_what_it_came_to() {
-    let mut spent = Spent::new(WINDOW, TERMS);
+    let mut spent = RetryAccount::new(WINDOW, TERMS);
     let now = 50_000 * MS;
     one(&mut spent, now, true, How::Done, false);
     one(&mut spent, now, true, How::Full, true);
@@ -46,29 +48,29 @@
     one(&mut spent, now, false, How::Reset, false);
     one(&mut spent, now, false, How::Full, false);
     assert_eq!(spent.figures(now), figures(6, 1, 2));
-    spent.called_again(now);
+    spent.nested_call_retried(now);
     assert_eq!(spent.figures(now), figures(6, 2, 2));
     // Where there is room the module had another reason.
     (0..20).for_each(|_| one(&mut spent, now, true, How::Done, false));
     one(&mut spent, now, true, How::Full, false);
     assert_eq!(spent.figures(now), figures(27, 2, 2));
     // Not this service's failure, or its time is over.
-    let mut middle = Spent::new(WINDOW, Terms { last_tier: false, floor: 0.0, ..TERMS });
+    let mut middle = RetryAccount::new(WINDOW, RetryLimits { last_tier: false, floor: 0.0, ..TERMS });
     one(&mut middle, now, true, How::Error, false);
-    let mut late = Tally::new(true, now);
-    middle.goes(now, &late);
+    let mut late = RequestAttempts::new(true, now);
+    middle.attempt_started(now, &late);
     late.ended(How::Full);
-    middle.given_up(now, &late);
+    middle.request_given_up(now, &late);
     assert_eq!(middle.figures(now), figures(2, 0, 0));
-    assert_eq!(spent.anew(WINDOW, TERMS).figures(now), spent.figures(now));
-    assert_eq!(spent.figures(now + WINDOW), Figures::default());
+    assert_eq!(spent.restart(WINDOW, TERMS).figures(now), spent.figures(now));
+    assert_eq!(spent.figures(now + WINDOW), AttemptCounts::default());
 }
 
 proptest! {
     /// Nothing is told that was not counted within the window, nor anything left out.
     #[test]
     fn the_window_holds_what_happened_in_it(steps in proptest::collection::vec((0u64..3_000, any::<bool>()), 1..60)) {
-        let mut spent = Spent::new(WINDOW, TERMS);
+        let mut spent = RetryAccount::new(WINDOW, TERMS);
         let (mut now, mut all) = (100_000 * MS, Vec::new());
         for (wait, again) in steps {
             now += wait * MS;
@@ -85,24 +87,24 @@
     fn the_later_word_of_a_gate_holds(words in proptest::collection::vec((0u8..4, 0u64..50, 0u32..9), 1..40)) {
         let door = |gate: u8| SocketAddr::from(([10, 1, 0, gate], 8300));
         let now = 100_000 * MS;
-        let (mut one, mut other, mut last) = (Reports::default(), Reports::default(), BTreeMap::new());
+        let (mut one, mut other, mut last) = (BudgetReports::default(), BudgetReports::default(), BTreeMap::new());
         for (gate, age, first) in &words {
             let spending = report(vec![("a".into(), figures(*first, 0, 0))]);
             let at = if first % 2 == 0 { &mut one } else { &mut other };
-            at.take(now, door(*gate), spending, age * MS);
+            at.store(now, door(*gate), spending, age * MS);
             let newest = last.entry(*gate).or_insert((*age, *first));
-            if *age <= newest.0 && (*age < newest.0 || at.tell(now).iter().any(|(of, ..)| *of == door(*gate))) {
+            if *age <= newest.0 && (*age < newest.0 || at.collect(now).iter().any(|(of, ..)| *of == door(*gate))) {
                 *newest = (*age, *first);
             }
         }
-        for (gate, age, told) in other.tell(now) {
-            one.take(now, gate, told, u64::from(age) * MS);
+        for (gate, age, told) in other.collect(now) {
+            one.store(now, gate, told, u64::from(age) * MS);
         }
-        for (gate, age, told) in one.tell(now) {
+        for (gate, age, told) in one.collect(now) {
             let SocketAddr::V4(at) = gate else { continue };
             let (newest, _) = last[&at.ip().octets()[3]];
             prop_assert_eq!(u64::from(age), newest);
-            prop_assert_eq!(told.spending.len(), 1);
+            prop_assert_eq!(told.services.len(), 1);
         }
         let (sums, gates) = one.sum(|at| at != door(0));
         prop_assert_eq!(gates, last.keys().filter(|gate| **gate != 0).count());
@@ -114,16 +116,16 @@
 fn a_table_is_bounded_and_forgets() {
     let door = |gate: u32| SocketAddr::from((std::net::Ipv4Addr::from(0x0a01_0000 + gate), 8300));
     let many = report((0..1_000).map(|name| (format!("s-{name}").into(), figures(1, 1, 0))).collect());
-    let mut table = Reports::default();
-    (0..5_000).for_each(|gate| table.take(1, door(gate), many.clone(), 0));
+    let mut table = BudgetReports::default();
+    (0..5_000).for_each(|gate| table.store(1, door(gate), many.clone(), 0));
     let (sums, gates) = table.sum(|_| true);
     assert_eq!((sums.len(), gates), (MOST_SERVICES, 200_000 / MOST_SERVICES));
     assert_eq!(sums.values().map(|sum| sum.first as usize).sum::<usize>(), gates * MOST_SERVICES);
     // Full for more, not for a new word of one that is in.
-    table.take(2, door(0), Report::default(), 0);
-    table.take(3, door(4_999), report(vec![("x".into(), figures(5, 0, 0))]), 0);
+    table.store(2, door(0), BudgetReport::default(), 0);
+    table.store(3, door(4_999), report(vec![("x".into(), figures(5, 0, 0))]), 0);
     assert_eq!(table.sum(|at| at == door(0) || at == door(4_999)).0.len(), 1);
-    table.keep(|at| at == door(1));
+    table.retain(|at| at == door(1));
     assert_eq!(table.sum(|_| true).1, 1);
-    assert_eq!(table.tell(3).len(), 1);
+    assert_eq!(table.collect(3).len(), 1);
 }
--- a/mesh/tests/shares.rs
+++ b/mesh/tests/retry_shares.rs
@@ -3,21 +3,21 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use ochreshed_mesh::budget::Figures;
-use ochreshed_mesh::shares::{Pool, Shares};
-use ochreshed_mesh::timetable::{Name, Share};
+use ochreshed_mesh::configuration::{Name, Share};
+use ochreshed_mesh::retry_budget::AttemptCounts;
+use ochreshed_mesh::retry_shares::{RetryPool, RetryShares};
 use proptest::prelude::*;
 
 const MS: u64 = 1_000_000;
 const NOW: u64 = 50_000 * MS;
-const FIRST: Figures = Figures { first: 1, again: 0, refused: 0 };
-const AGAIN: Figures = Figures { first: 0, again: 1, refused: 0 };
+const FIRST: AttemptCounts = AttemptCounts { first: 1, retried: 0, denied: 0 };
+const AGAIN: AttemptCounts = AttemptCounts { first: 0, retried: 1, denied: 0 };
 
 fn name(of: usize) -> Option<Name> {
     ["a", "b", "c"].get(of).map(|name| (*name).into())
 }
 
-fn shares(of: &[f64]) -> Arc<Shares> {
+fn shares(of: &[f64]) -> Arc<RetryShares> {
     let share = |(nth, retry): (usize, &f64)| {
         let member = name(nth)?;
         Some((member.clone(), Arc::new(Share { member, retry: *retry, slots: 1.0 })))
@@ -33,7 +33,7 @@
         steps in proptest::collection::vec((0usize..6, 0usize..4, 0u64..400, 0u8..6), 1..400),
         floor in 0.0f64..2.0,
     ) {
-        let (mut pool, mut now, mut sent) = (Pool::default(), NOW, Vec::new());
+        let (mut pool, mut now, mut sent) = (RetryPool::default(), NOW, Vec::new());
         let mut given = vec![0.2, 0.5, 0.1];
         pool.divide(now, &shares(&given));
         for (what, who, wait, share) in steps {
@@ -57,7 +57,7 @@
             // Buckets of a second: nothing is forgotten before nine, nor kept beyond ten.
             let within = |span: u64, is: &dyn Fn(usize) -> bool| {
                 let of = sent.iter().filter(|(at, who, _)| now - at < span * 1_000 * MS && is(*who));
-                of.fold((0.0, 0.0), |(first, again), (_, _, of)| (first + f64::from(of.first), again + f64::from(of.again)))
+                of.fold((0.0, 0.0), |(first, again), (_, _, of)| (first + f64::from(of.first), again + f64::from(of.retried)))
             };
             let most = within(10, &|_| true).0 * 0.1 + floor + 1e-6;
             if repeats > 0 {
@@ -72,11 +72,12 @@
 /// Guards against a floor for each, and against a member whose failures use up what is others'.
 #[test]
 fn each_has_its_own_share() {
-    let mut pool = Pool::default();
+    let mut pool = RetryPool::default();
     pool.divide(NOW, &shares(&[0.2, 0.5]));
     let (a, b) = (name(0), name(1));
-    let left =
-        |pool: &Pool, who: &Option<Name>| (pool.left(NOW, who.as_ref(), (0.1, 1.0)) * 10.0).round() / 10.0;
+    let left = |pool: &RetryPool, who: &Option<Name>| {
+        (pool.left(NOW, who.as_ref(), (0.1, 1.0)) * 10.0).round() / 10.0
+    };
     // While no member has sent anything all of it is the platform's.
     pool.count(NOW, None, FIRST);
     assert_eq!(left(&pool, &None), 1.1);
@@ -91,10 +92,10 @@
     assert_eq!([&None, &a, &b].map(|who| left(&pool, who)), [10.5, -4.0, 10.5]);
     (0..10).for_each(|_| pool.count(NOW, b.as_ref(), AGAIN));
     assert_eq!([&None, &a, &b].map(|who| left(&pool, who)), [7.0, -4.0, 0.5]);
-    // Shares that come to more than all.
+    // RetryShares that come to more than all.
     pool.divide(NOW, &shares(&[1.0, 1.0]));
     assert_eq!([&None, &a, &b].map(|who| left(&pool, who)), [1.0, 6.5, 0.5]);
-    // Over the window all is as it was.
+    // ExceededLimit the window all is as it was.
     let later = NOW + 10_000 * MS;
     pool.divide(later, &Arc::new(BTreeMap::new()));
     assert!(pool.idle());
