--- a/balancer/src/mesh/members.rs
+++ b/balancer/src/mesh/members.rs
@@ -365,7 +365,8 @@
 async fn versions(office: &Office, name: &str) -> Result<Vec<RegisterValue>, Refused> {
     let Some(dir) = office.settings.load().data_dir.clone() else { return Ok(Vec::new()) };
     let paper = docs::settled(name);
-    let read = tokio::task::spawn_blocking(move || ochreshed_storage::history(&dir, &paper)).await;
+    let read =
+        tokio::task::spawn_blocking(move || ochreshed_storage::read_register_history(&dir, &paper)).await;
     read.ok().and_then(Result::ok).ok_or_else(|| Refused::new(503, "the disk can't be read now"))
 }
 
--- a/balancer/src/mesh/steward.rs
+++ b/balancer/src/mesh/steward.rs
@@ -434,8 +434,8 @@
         return Ok(());
     };
     let (store, saved) = Store::open(&dir).map_err(Failed::Disk)?;
-    store.found().iter().for_each(|line| log::warn!("disk: {line}"));
-    log::info!("disk: {} bytes", store.bytes());
+    store.findings().iter().for_each(|line| log::warn!("disk: {line}"));
+    log::info!("disk: {} bytes", store.disk_bytes());
     let (events, mut coming) = mpsc::channel(EVENTS);
     let room = settings.limits.sorting();
     let bodies = Arc::new(Semaphore::new(room.bodies));
@@ -553,7 +553,7 @@
             }
             let mut failed = 0;
             while !records.is_empty() {
-                match store.write(&records) {
+                match store.persist(&records) {
                     Ok(()) => {
                         written.writes.fetch_add(1, Relaxed);
                         written.records.fetch_add(records.len() as u64, Relaxed);
--- a/storage/src/error.rs
+++ b/storage/src/error.rs
@@ -1,33 +1,59 @@
-//! Why the store could not read or write.
+//! Why the store could not read or write its data directory.
 
-use std::fmt;
 use std::io;
 
-#[derive(Debug)]
-pub enum StoreError {
-    /// A file or folder can't be read; what it holds is not known.
-    Read(String, io::Error),
-    Write(String, io::Error),
-    Sync(String, io::Error),
-    /// A name can't be made, changed or removed.
-    Name(String, io::Error),
-    /// More than fits a segment.
-    TooLong,
-    /// A record has no form on disk.
-    Form(String),
-}
+use thiserror::Error;
 
-impl fmt::Display for StoreError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            StoreError::Read(name, why) => write!(f, "{name} can't be read: {why}"),
-            StoreError::Write(name, why) => write!(f, "{name} can't be written: {why}"),
-            StoreError::Sync(name, why) => write!(f, "{name} can't be synced: {why}"),
-            StoreError::Name(name, why) => write!(f, "{name} can't be made, renamed or removed: {why}"),
-            StoreError::TooLong => write!(f, "more records in one go than a segment takes"),
-            StoreError::Form(why) => write!(f, "a record can't be written: {why}"),
-        }
-    }
+/// Why the store could not be opened, or records not be persisted. Paths are relative to the data directory.
+#[derive(Debug, Error)]
+pub enum StoreError {
+    /// A file or directory can't be read, so what it holds is not known.
+    #[error("{path} can't be read: {source}")]
+    Read {
+        /// The file or directory.
+        path: String,
+        /// The error of the file system.
+        #[source]
+        source: io::Error,
+    },
+    /// A file can't be written. Any part of the data may be written.
+    #[error("{path} can't be written: {source}")]
+    Write {
+        /// The file.
+        path: String,
+        /// The error of the file system.
+        #[source]
+        source: io::Error,
+    },
+    /// A file or directory can't be synced, so a loss of power may undo what was written to it.
+    #[error("{path} can't be synced: {source}")]
+    Sync {
+        /// The file or directory.
+        path: String,
+        /// The error of the file system.
+        #[source]
+        source: io::Error,
+    },
+    /// A file can't be renamed, or a directory can't be created.
+    #[error("{path} can't be made, renamed or removed: {source}")]
+    ChangeEntry {
+        /// The file or directory.
+        path: String,
+        /// The error of the file system.
+        #[source]
+        source: io::Error,
+    },
+    /// The records of one call don't fit a log segment.
+    #[error("more records in one go than a segment takes")]
+    BatchTooLarge,
+    /// A record can't be encoded.
+    #[error("a record can't be written: {source}")]
+    Encode {
+        /// The error of the encoder.
+        #[source]
+        source: ciborium::ser::Error<io::Error>,
+    },
+    /// The state of register acceptors came before any membership ballot, which is stored in the same file.
+    #[error("a record can't be written: ballots on versions of nobody")]
+    AcceptorsWithoutMembership,
 }
-
-impl std::error::Error for StoreError {}
--- a/storage/src/frame.rs
+++ b/storage/src/frame.rs
@@ -1,55 +1,75 @@
-//! Frames: a length, a checksum over segment, length and bytes, and the bytes. It must never take a frame for whole that
-//! is not, nor one of another segment.
+//! Frames: the unit of bytes on disk that is either intact or ignored.
+//!
+//! A frame is the length of its payload (4 bytes, little-endian), a checksum (4 bytes, CRC-32C) over the number of the
+//! segment, the length and the payload, and the payload: log records in CBOR, one after the other.
+//!
+//! Invariants: a frame that was not written as a whole, or that belongs to another segment, is never read as intact.
 
 use ochreshed_consensus::messages::LogRecord;
 
 use crate::error::StoreError;
 
-/// A frame's length and checksum.
-pub(crate) const HEAD: usize = 8;
-pub(crate) const READ_BUFFER: usize = 4_096;
+/// The length and the checksum of a frame.
+pub(crate) const FRAME_HEADER_BYTES: usize = 8;
+const LENGTH_BYTES: usize = 4;
+const DECODE_BUFFER_BYTES: usize = 4_096;
 
-/// Over the segment's number too: a frame of another segment is none here.
-pub(crate) fn checksum(number: u32, len: &[u8], payload: &[u8]) -> u32 {
-    let sum = crc32c::crc32c(&number.to_le_bytes());
-    crc32c::crc32c_append(crc32c::crc32c_append(sum, len), payload)
+/// A record of a frame with the size of its encoding.
+pub(crate) struct DecodedRecord {
+    pub(crate) record: LogRecord,
+    pub(crate) bytes: usize,
 }
 
-/// Fills in the head of the frame that begins here and takes all the rest.
-pub(crate) fn close(number: u32, bytes: &mut [u8], at: usize) -> Result<(), StoreError> {
-    let Some((head, payload)) = bytes.get_mut(at..).and_then(|rest| rest.split_at_mut_checked(HEAD)) else {
-        return Err(StoreError::TooLong);
+/// Fills in the header of the frame that begins at `offset`, with all that follows as its payload. The header's bytes must
+/// be there already.
+pub(crate) fn seal_frame(segment: u32, bytes: &mut [u8], offset: usize) -> Result<(), StoreError> {
+    let frame = bytes.get_mut(offset..).and_then(|frame| frame.split_at_mut_checked(FRAME_HEADER_BYTES));
+    let Some((header, payload)) = frame else {
+        return Err(StoreError::BatchTooLarge);
     };
-    let len = u32::try_from(payload.len()).map_err(|_| StoreError::TooLong)?.to_le_bytes();
-    let sum = checksum(number, &len, payload).to_le_bytes();
-    head[..4].copy_from_slice(&len);
-    head[4..].copy_from_slice(&sum);
+    let length = u32::try_from(payload.len()).map_err(|_| StoreError::BatchTooLarge)?.to_le_bytes();
+    let checksum = checksum(segment, &length, payload).to_le_bytes();
+    header[..LENGTH_BYTES].copy_from_slice(&length);
+    header[LENGTH_BYTES..].copy_from_slice(&checksum);
     Ok(())
 }
 
-pub(crate) fn word(bytes: &[u8], at: usize) -> Option<u32> {
-    let four = bytes.get(at..at.checked_add(4)?)?;
-    Some(u32::from_le_bytes(four.try_into().ok()?))
+/// The payload of the frame at `offset`, if the frame is intact.
+pub(crate) fn read_frame(segment: u32, bytes: &[u8], offset: usize) -> Option<&[u8]> {
+    let start = offset.checked_add(FRAME_HEADER_BYTES)?;
+    let end = start.checked_add(read_payload_length(bytes, offset)?)?;
+    let payload = bytes.get(start..end)?;
+    let length = &bytes[offset..offset + LENGTH_BYTES];
+    let expected = read_u32(bytes, offset + LENGTH_BYTES)?;
+    (checksum(segment, length, payload) == expected).then_some(payload)
 }
 
-pub(crate) fn length(bytes: &[u8], at: usize) -> Option<usize> {
-    usize::try_from(word(bytes, at)?).ok()
+/// The length that the header at `offset` gives for its payload, which may not be intact.
+pub(crate) fn read_payload_length(bytes: &[u8], offset: usize) -> Option<usize> {
+    usize::try_from(read_u32(bytes, offset)?).ok()
 }
 
-/// What the frame here holds, if it is whole.
-pub(crate) fn frame(number: u32, bytes: &[u8], at: usize) -> Option<&[u8]> {
-    let begin = at.checked_add(HEAD)?;
-    let payload = bytes.get(begin..begin.checked_add(length(bytes, at)?)?)?;
-    (checksum(number, &bytes[at..at + 4], payload) == word(bytes, at + 4)?).then_some(payload)
-}
-
-/// All records of a frame with their sizes, if they are ours to read.
-pub(crate) fn records(mut payload: &[u8]) -> Option<Vec<(LogRecord, usize)>> {
-    let (mut all, mut buffer) = (Vec::new(), [0; READ_BUFFER]);
+/// Decodes all records of a payload; `None` if one of them is of no known form.
+pub(crate) fn decode_records(mut payload: &[u8]) -> Option<Vec<DecodedRecord>> {
+    let mut records = Vec::new();
+    let mut buffer = [0; DECODE_BUFFER_BYTES];
     while !payload.is_empty() {
-        let before = payload.len();
+        let bytes_before = payload.len();
         let record = ciborium::de::from_reader_with_buffer(&mut payload, &mut buffer).ok()?;
-        all.push((record, before - payload.len()));
+        records.push(DecodedRecord { record, bytes: bytes_before - payload.len() });
     }
-    Some(all)
+    Some(records)
+}
+
+/// The segment's number is included, so that a frame that an earlier file left on the same blocks is not taken for one of
+/// this segment.
+fn checksum(segment: u32, length: &[u8], payload: &[u8]) -> u32 {
+    let checksum = crc32c::crc32c(&segment.to_le_bytes());
+    let checksum = crc32c::crc32c_append(checksum, length);
+    crc32c::crc32c_append(checksum, payload)
+}
+
+fn read_u32(bytes: &[u8], offset: usize) -> Option<u32> {
+    let word = bytes.get(offset..offset.checked_add(size_of::<u32>())?)?;
+    Some(u32::from_le_bytes(word.try_into().ok()?))
 }
--- a/storage/src/lib.rs
+++ b/storage/src/lib.rs
@@ -1,13 +1,41 @@
-//! What a replica of the control plane keeps on disk, and how it is read at the start. Modules: `store` (the folder as a
-//! whole), under it `ballots` (membership and version ballots), `registers` (the operator's configuration and named
-//! registers) and `lease_log` (leases on keys, sessions); `frame` (checksummed frames), `folder` (calls to the file
-//! system, which tests replace by a simulated disk), `error`.
+//! What a replica of the control plane keeps on disk, and how it recovers it at the start.
+//!
+//! [`Store`] is the front: it opens a data directory, returns the state found there, and persists log records. Each kind
+//! of state has a component of its own, which decides on the layout of its files:
+//!
+//! - `ballot_slots`: what the replica has promised and accepted as an acceptor (Paxos);
+//! - `register_files`: the operator's configuration and the named registers, a file for each version;
+//! - `record_log`: an append-only log of leases on idempotency keys, in segments of checksummed frames (`frame`);
+//! - `session_log`: the same kind of log for sessions, in a subdirectory.
+//!
+//! `data_directory` holds what the components share: calls to the file system with errors that name the path, and what
+//! recovery found. `file_system` is the only module that calls the operating system; tests replace it by a simulated
+//! disk.
+//!
+//! Invariants:
+//! - [`Store::persist`] returns without an error only after all records are synced.
+//! - The state returned by [`Store::open`] is synced: nothing of it can be lost with the next loss of power.
+//! - Names and bytes on disk never change, because replicas of other versions read them; `tests/frozen_data_dir.rs` holds
+//!   them.
 
+#![warn(missing_docs)]
+
+mod ballot_slots;
+mod data_directory;
 mod error;
-mod folder;
+#[doc(hidden)]
+pub mod file_system;
 mod frame;
+mod record_log;
+mod recovery_finding;
+mod register_file_name;
+mod register_files;
+mod session_log;
 mod store;
 
 pub use error::StoreError;
+#[doc(hidden)]
+pub use record_log::{LogLimits, LogUsage};
+pub use recovery_finding::RecoveryFinding;
+pub use register_files::read_register_history;
 pub use store::Store;
-pub use store::registers::history;
--- /dev/null
+++ b/storage/src/record_log/segment_index.rs
@@ -0,0 +1,180 @@
+//! The segments of a log and where its live records are.
+//!
+//! Invariants: the live records and bytes that segments count are those of the locations.
+
+use std::collections::{BTreeMap, HashMap};
+use std::num::TryFromIntError;
+
+use ochreshed_consensus::messages::{LeaseToken, LogRecord};
+
+use super::LogUsage;
+
+/// The key of a lease or the id of a session.
+pub(super) type RecordKey = u128;
+
+/// Sessions have no token: the last record of a session is in force, whoever had it written.
+const SESSION_TOKEN: LeaseToken = 0;
+
+/// A segment of the log.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct LogSegment {
+    pub(super) number: u32,
+    /// The length of the file.
+    pub(super) file_bytes: u64,
+    /// The length that is durable; what follows is left of a failed or torn write.
+    pub(super) intact_bytes: u64,
+    pub(super) live_records: usize,
+}
+
+/// Where the live record of a key is.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) struct RecordLocation {
+    pub(super) token: LeaseToken,
+    pub(super) segment: u32,
+    /// The offset of the frame in the segment.
+    pub(super) frame_offset: u32,
+    /// The size of the record's encoding.
+    pub(super) bytes: u32,
+}
+
+/// What a durable record changes.
+pub(super) enum LogMutation {
+    /// The record is the live one of its key.
+    Insert { key: RecordKey, location: RecordLocation },
+    /// The key has no live record any more, if this token is the one that holds it.
+    Remove { key: RecordKey, token: LeaseToken },
+}
+
+impl LogMutation {
+    /// What a record in the frame at this place changes; `None` for records that no log keeps. An error means that the
+    /// place is beyond what a segment can hold.
+    pub(super) fn of(
+        record: &LogRecord,
+        segment: u32,
+        frame_offset: u64,
+        bytes: usize,
+    ) -> Result<Option<LogMutation>, TryFromIntError> {
+        let locate = |token| -> Result<RecordLocation, TryFromIntError> {
+            let frame_offset = u32::try_from(frame_offset)?;
+            Ok(RecordLocation { token, segment, frame_offset, bytes: u32::try_from(bytes)? })
+        };
+        Ok(match record {
+            LogRecord::Lease(key, lease) => {
+                Some(LogMutation::Insert { key: *key, location: locate(lease.token)? })
+            }
+            LogRecord::Session(id, _) => {
+                Some(LogMutation::Insert { key: *id, location: locate(SESSION_TOKEN)? })
+            }
+            LogRecord::LeaseReleased(key, token) => Some(LogMutation::Remove { key: *key, token: *token }),
+            LogRecord::SessionEnded(id) => Some(LogMutation::Remove { key: *id, token: SESSION_TOKEN }),
+            LogRecord::MembershipBallot(_)
+            | LogRecord::Configuration(_)
+            | LogRecord::Register(_)
+            | LogRecord::RegisterAcceptors(_) => None,
+        })
+    }
+}
+
+/// The segments and the locations of live records.
+#[derive(Default)]
+pub(super) struct SegmentIndex {
+    segments: BTreeMap<u32, LogSegment>,
+    locations: HashMap<RecordKey, RecordLocation>,
+    live_bytes: u64,
+}
+
+impl SegmentIndex {
+    pub(super) fn disk_bytes(&self) -> u64 {
+        self.segments.values().map(|segment| segment.file_bytes).sum()
+    }
+
+    pub(super) fn live_bytes(&self) -> u64 {
+        self.live_bytes
+    }
+
+    pub(super) fn usage(&self) -> LogUsage {
+        LogUsage {
+            live_records: self.locations.len(),
+            live_records_of_segments: self.segments.values().map(|segment| segment.live_records).sum(),
+            live_bytes: self.live_bytes,
+        }
+    }
+
+    pub(super) fn segment_count(&self) -> usize {
+        self.segments.len()
+    }
+
+    pub(super) fn segment(&self, number: u32) -> Option<&LogSegment> {
+        self.segments.get(&number)
+    }
+
+    pub(super) fn segment_mut(&mut self, number: u32) -> Option<&mut LogSegment> {
+        self.segments.get_mut(&number)
+    }
+
+    pub(super) fn oldest(&self) -> Option<LogSegment> {
+        self.segments.first_key_value().map(|(_, segment)| *segment)
+    }
+
+    pub(super) fn add(&mut self, segment: LogSegment) {
+        self.segments.insert(segment.number, segment);
+    }
+
+    pub(super) fn remove(&mut self, number: u32) {
+        self.segments.remove(&number);
+    }
+
+    /// Whether a key has a live record.
+    pub(super) fn has_live_record(&self, key: RecordKey) -> bool {
+        self.locations.contains_key(&key)
+    }
+
+    /// Whether a record in the frame at this place is the live one of its key.
+    pub(super) fn is_live(&self, record: &LogRecord, segment: u32, frame_offset: u64) -> bool {
+        let (key, token) = match record {
+            LogRecord::Lease(key, lease) => (key, lease.token),
+            LogRecord::Session(id, _) => (id, SESSION_TOKEN),
+            _ => return false,
+        };
+        self.locations.get(key).is_some_and(|location| {
+            location.segment == segment
+                && u64::from(location.frame_offset) == frame_offset
+                && location.token == token
+        })
+    }
+
+    pub(super) fn apply(&mut self, mutation: LogMutation) {
+        match mutation {
+            LogMutation::Insert { key, location } => self.insert(key, location),
+            LogMutation::Remove { key, token } => {
+                if self.locations.get(&key).is_some_and(|location| location.token == token) {
+                    let removed = self.locations.remove(&key);
+                    self.uncount(removed);
+                }
+            }
+        }
+    }
+
+    fn insert(&mut self, key: RecordKey, location: RecordLocation) {
+        self.live_bytes += u64::from(location.bytes);
+        if let Some(segment) = self.segments.get_mut(&location.segment) {
+            segment.live_records += 1;
+        }
+        let replaced = self.locations.insert(key, location);
+        self.uncount(replaced);
+    }
+
+    fn uncount(&mut self, location: Option<RecordLocation>) {
+        let Some(location) = location else { return };
+        self.live_bytes = self.live_bytes.saturating_sub(u64::from(location.bytes));
+        if let Some(segment) = self.segments.get_mut(&location.segment) {
+            segment.live_records = segment.live_records.saturating_sub(1);
+        }
+    }
+
+    /// Takes all records of a segment for lost. The segment itself is removed by the caller.
+    pub(super) fn forget_records_of(&mut self, segment: u32) {
+        self.locations.retain(|_, location| location.segment != segment);
+        self.live_bytes = self.locations.values().map(|location| u64::from(location.bytes)).sum();
+    }
+}
--- a/storage/tests/frozen_data_dir.rs
+++ b/storage/tests/frozen_data_dir.rs
@@ -12,7 +12,7 @@
     MembershipBallotState, NamedRegister, ProposalNumber, RegisterValue, ReplicaId, SessionBinding,
     SessionOwner, SessionOwnership, SessionRecord, StoredResponse,
 };
-use ochreshed_storage::{Store, history};
+use ochreshed_storage::{Store, read_register_history};
 
 /// All files of the folder, and nothing else.
 const FILES: [&str; 14] = [
@@ -157,9 +157,9 @@
     for writes in writes() {
         let (mut store, _) = Store::open(dir).expect("opens");
         for records in writes {
-            store.write(&records).expect("written");
+            store.persist(&records).expect("written");
         }
-        assert!(store.found().is_empty(), "{:?}", store.found());
+        assert!(store.findings().is_empty(), "{:?}", store.findings());
     }
 }
 
@@ -227,7 +227,7 @@
 fn the_fixture_is_read_whole() {
     let folder = TempFolder::copy_of_fixture("frozen-read");
     let (store, saved) = Store::open(&folder.0).expect("opens");
-    assert!(store.found().is_empty(), "{:?}", store.found());
+    assert!(store.findings().is_empty(), "{:?}", store.findings());
     assert_eq!(saved.membership_ballot, Some(membership_ballots(7)));
     assert_eq!(saved.acceptors, version_ballots());
     assert_eq!(saved.configuration, Some(configuration(7)));
@@ -243,7 +243,7 @@
     assert_eq!(papers, [named("m/banco-norte", 1), named("members", 2)]);
     let sessions = [(3, SessionRecord { term: 5, token: 0, accepted: None }), (1 << 100, session_record(4))];
     assert_eq!(saved.sessions, sessions);
-    let versions: Vec<RegisterValue> = history(&folder.0, "members").expect("read");
+    let versions: Vec<RegisterValue> = read_register_history(&folder.0, "members").expect("read");
     assert_eq!(versions, [2, 1].map(|version| RegisterValue::clone(&named("members", version).value)));
     // Reading writes the ballots once more and changes no name.
     assert_eq!(names(&files_of(&folder.0)), FILES);
--- /dev/null
+++ b/storage/tests/store/main.rs
@@ -0,0 +1,13 @@
+//! The store on a simulated disk that loses power, refuses calls, runs full and rots, and on a real directory.
+
+mod compaction;
+mod crash_points;
+mod damaged_files;
+mod disk_full;
+mod os_directory;
+mod random;
+mod records;
+mod replica_state;
+mod simulated_disk;
+mod workload;
+mod write_cost;
