--- a/storage/src/ballot_slots.rs
+++ b/storage/src/ballot_slots.rs
@@ -61,7 +61,7 @@
             }
         }
         match recovered {
-            // The state must be durable before anybody is told of it. A sync would not do: one that failed before, in
+            // The state must be durable before anybody learns of it. A sync would not do: one that failed before, in
             // another process, may have left bytes behind that no later sync writes.
             Some(state) => slots.write(directory, state)?,
             None => slots.quarantine_all(directory),
--- a/storage/src/file_system.rs
+++ b/storage/src/file_system.rs
@@ -2,7 +2,7 @@
 //!
 //! Main types: [`FileSystem`], the trait; [`OsDirectory`], a directory of the operating system.
 //!
-//! Invariants: a call returns without an error only if it was carried out as a whole.
+//! Invariants: a call returns without an error only if it was carried out completely.
 
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, Read, Seek, SeekFrom, Write};
--- a/storage/src/frame.rs
+++ b/storage/src/frame.rs
@@ -3,7 +3,7 @@
 //! A frame is the length of its payload (4 bytes, little-endian), a checksum (4 bytes, CRC-32C) over the number of the
 //! segment, the length and the payload, and the payload: log records in CBOR, one after the other.
 //!
-//! Invariants: a frame that was not written as a whole, or that belongs to another segment, is never read as intact.
+//! Invariants: a frame that was not written completely, or that belongs to another segment, is never read as intact.
 
 use ochreshed_consensus::messages::LogRecord;
 
--- a/storage/src/lib.rs
+++ b/storage/src/lib.rs
@@ -9,8 +9,8 @@
 //! - `session_log`: the same kind of log for sessions, in a subdirectory.
 //!
 //! `data_directory` holds what the components share: calls to the file system with errors that name the path, and what
-//! recovery found. `file_system` is the only module that calls the operating system; tests replace it by a simulated
-//! disk.
+//! recovery found. `file_system` holds the calls to the operating system, which tests replace by a simulated disk;
+//! only [`read_register_history`] makes its own, because it reads beside a store that is open.
 //!
 //! Invariants:
 //! - [`Store::persist`] returns without an error only after all records are synced.
--- a/storage/src/record_log.rs
+++ b/storage/src/record_log.rs
@@ -4,7 +4,7 @@
 //! ends it. The oldest segment is removed once none of its records is live; if the log is much larger than its live
 //! records, those of the oldest segment are written again with each append (`compaction`).
 //!
-//! Main types: [`RecordLog`]; [`SegmentIndex`], the segments and the places of live records; [`AppendBatch`], the bytes of
+//! Main types: [`RecordLog`]; [`SegmentIndex`], the segments and the locations of live records; [`AppendBatch`], the bytes of
 //! one append.
 //!
 //! Invariants:
--- a/storage/src/record_log/compaction.rs
+++ b/storage/src/record_log/compaction.rs
@@ -48,7 +48,7 @@
     is_mostly_dead || is_half_dead || index.segment_count() > limits.max_segments
 }
 
-/// Reads a step of the segment, or the next frame as a whole if it is longer.
+/// Reads a step of the segment, or the whole next frame if it is longer.
 fn read_next_frames(
     directory: &mut DataDirectory,
     segment: &LogSegment,
--- a/storage/src/record_log/replay.rs
+++ b/storage/src/record_log/replay.rs
@@ -36,7 +36,7 @@
     ) -> Result<(), StoreError> {
         let path = segment_path(segment.number);
         let bytes = directory.read_file(&path)?;
-        // What was read may not be durable yet. Nobody must be told of it before it is.
+        // What was read may not be durable yet. Nobody must learn of it before it is.
         directory.sync_file(&path)?;
         index.add(segment);
         let intact_bytes = self.read_frames(index, segment.number, &bytes);
--- a/storage/src/record_log/segment_index.rs
+++ b/storage/src/record_log/segment_index.rs
@@ -1,4 +1,4 @@
-//! The segments of a log and where its live records are.
+//! The segments of a log and the locations of its live records.
 //!
 //! Invariants: the live records and bytes that segments count are those of the locations.
 
@@ -46,8 +46,8 @@
 }
 
 impl LogMutation {
-    /// What a record in the frame at this place changes; `None` for records that no log keeps. An error means that the
-    /// place is beyond what a segment can hold.
+    /// What a record in the frame at this offset changes; `None` for records that no log keeps. An error means that the
+    /// offset or the size is beyond what a segment can hold.
     pub(super) fn of(
         record: &LogRecord,
         segment: u32,
@@ -129,7 +129,7 @@
         self.locations.contains_key(&key)
     }
 
-    /// Whether a record in the frame at this place is the live one of its key.
+    /// Whether a record in the frame at this offset is the live one of its key.
     pub(super) fn is_live(&self, record: &LogRecord, segment: u32, frame_offset: u64) -> bool {
         let (key, token) = match record {
             LogRecord::Lease(key, lease) => (key, lease.token),
--- a/storage/tests/frozen_data_dir.rs
+++ b/storage/tests/frozen_data_dir.rs
@@ -1,5 +1,9 @@
-//! The layout of a replica's data_dir and the bytes of its files, against a folder that main wrote before types were
-//! renamed. A run with `WRITE_FIXTURES=1` writes the folder anew and always fails, so that it can't be taken for a test.
+//! The layout of a replica's data directory and the bytes of its files, compared with a directory that was written before
+//! types were renamed.
+//!
+//! A run with `WRITE_FIXTURES=1` writes the fixture anew and always fails, so that it can't be taken for a test.
+
+mod temp_directory;
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -14,7 +18,9 @@
 };
 use ochreshed_storage::{Store, read_register_history};
 
-/// All files of the folder, and nothing else.
+use temp_directory::TempDirectory;
+
+/// All files of the fixture. No other file is in it.
 const FILES: [&str; 14] = [
     "ballots.0",
     "ballots.1",
@@ -49,7 +55,7 @@
     }
 }
 
-fn membership_ballots(epoch: u64) -> MembershipBallotState {
+fn membership_ballot(epoch: u64) -> MembershipBallotState {
     MembershipBallotState {
         replica: replica(1),
         membership: membership(epoch),
@@ -61,7 +67,7 @@
     }
 }
 
-fn version_ballots() -> Vec<AcceptorState> {
+fn acceptors() -> Vec<AcceptorState> {
     let number = |round| ProposalNumber { epoch: 7, ballot: Ballot { round, proposer: 3 } };
     let accepted = |version, text: &str| {
         Some((number(4), Arc::new(RegisterValue::new(version, text.as_bytes().to_vec()))))
@@ -106,21 +112,21 @@
 
 fn session_record(epoch: u64) -> SessionRecord {
     let owner = |last| Some(SessionOwner { outbound_proxy: address(last), since_term: epoch });
-    let tie = Some(SessionBinding { upstream_id: "life-1".into(), inbound_proxy: address(8) });
-    let holding = SessionOwnership { binding: tie, owner: owner(5), previous_owner: owner(6) };
+    let binding = Some(SessionBinding { upstream_id: "life-1".into(), inbound_proxy: address(8) });
+    let ownership = SessionOwnership { binding, owner: owner(5), previous_owner: owner(6) };
     SessionRecord {
         term: epoch,
         token: 78,
-        accepted: Some(CommittedSession { term: epoch, token: 77, ownership: holding }),
+        accepted: Some(CommittedSession { term: epoch, token: 77, ownership }),
     }
 }
 
-/// The records of each write. The folder is opened anew for each list of writes, which begins new segments.
+/// The records of each write. The store is opened anew for each list of writes, which begins new segments.
 fn writes() -> [Vec<Vec<LogRecord>>; 2] {
     let mut first: Vec<Vec<LogRecord>> =
         (1..=6).map(|version| vec![LogRecord::Configuration(configuration(version))]).collect();
     first.extend([
-        vec![LogRecord::MembershipBallot(membership_ballots(6)), LogRecord::Register(named("members", 1))],
+        vec![LogRecord::MembershipBallot(membership_ballot(6)), LogRecord::Register(named("members", 1))],
         vec![
             LogRecord::Lease(1, lease(11, LeaseOutcome::Pending)),
             LogRecord::Lease(2, lease(12, LeaseOutcome::Pending)),
@@ -145,15 +151,12 @@
         ],
         vec![LogRecord::SessionEnded(2), LogRecord::Session(1 << 100, session_record(4))],
         vec![LogRecord::Lease(5, lease(15, LeaseOutcome::Pending))],
-        vec![
-            LogRecord::RegisterAcceptors(version_ballots()),
-            LogRecord::MembershipBallot(membership_ballots(7)),
-        ],
+        vec![LogRecord::RegisterAcceptors(acceptors()), LogRecord::MembershipBallot(membership_ballot(7))],
     ]);
     [first, second]
 }
 
-fn write_folder(dir: &Path) {
+fn write_data_dir(dir: &Path) {
     for writes in writes() {
         let (mut store, _) = Store::open(dir).expect("opens");
         for records in writes {
@@ -167,8 +170,8 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/data_dir")
 }
 
-fn collect_files(root: &Path, folder: &Path, files: &mut BTreeMap<String, Vec<u8>>) {
-    for entry in fs::read_dir(folder).unwrap_or_else(|why| panic!("{}: {why}", folder.display())) {
+fn collect_files(root: &Path, directory: &Path, files: &mut BTreeMap<String, Vec<u8>>) {
+    for entry in fs::read_dir(directory).unwrap_or_else(|why| panic!("{}: {why}", directory.display())) {
         let path = entry.expect("an entry").path();
         if path.is_dir() {
             collect_files(root, &path, files);
@@ -179,7 +182,7 @@
     }
 }
 
-/// The bytes of all files in a folder by their names.
+/// The bytes of all files in a directory by their names.
 fn files_of(root: &Path) -> BTreeMap<String, Vec<u8>> {
     let mut files = BTreeMap::new();
     collect_files(root, root, &mut files);
@@ -190,32 +193,14 @@
     files.keys().map(String::as_str).collect()
 }
 
-/// A folder that is removed at the end of a test, also of one that failed.
-struct TempFolder(PathBuf);
-
-impl TempFolder {
-    fn new(name: &str) -> TempFolder {
-        let path = std::env::temp_dir().join(format!("ochreshed-{name}-{}", std::process::id()));
-        let _ = fs::remove_dir_all(&path);
-        fs::create_dir_all(&path).expect("made");
-        TempFolder(path)
-    }
-
-    fn copy_of_fixture(name: &str) -> TempFolder {
-        let folder = TempFolder::new(name);
-        for (name, bytes) in files_of(&fixture()) {
-            let path = folder.0.join(name);
-            fs::create_dir_all(path.parent().expect("a parent")).expect("made");
-            fs::write(path, bytes).expect("written");
-        }
-        folder
-    }
-}
-
-impl Drop for TempFolder {
-    fn drop(&mut self) {
-        let _ = fs::remove_dir_all(&self.0);
+fn copy_of_fixture(name: &str) -> TempDirectory {
+    let directory = TempDirectory::new(name);
+    for (path, bytes) in files_of(&fixture()) {
+        let path = directory.join(path);
+        fs::create_dir_all(path.parent().expect("a parent")).expect("made");
+        fs::write(path, bytes).expect("written");
     }
+    directory
 }
 
 #[test]
@@ -224,12 +209,12 @@
 }
 
 #[test]
-fn the_fixture_is_read_whole() {
-    let folder = TempFolder::copy_of_fixture("frozen-read");
-    let (store, saved) = Store::open(&folder.0).expect("opens");
+fn the_fixture_is_recovered() {
+    let directory = copy_of_fixture("frozen-read");
+    let (store, saved) = Store::open(directory.path()).expect("opens");
     assert!(store.findings().is_empty(), "{:?}", store.findings());
-    assert_eq!(saved.membership_ballot, Some(membership_ballots(7)));
-    assert_eq!(saved.acceptors, version_ballots());
+    assert_eq!(saved.membership_ballot, Some(membership_ballot(7)));
+    assert_eq!(saved.acceptors, acceptors());
     assert_eq!(saved.configuration, Some(configuration(7)));
     let leases = [
         (1, lease(11, LeaseOutcome::Pending)),
@@ -238,27 +223,27 @@
         (u128::MAX, lease(13, LeaseOutcome::Indeterminate)),
     ];
     assert_eq!(saved.leases, leases);
-    let mut papers = saved.registers;
-    papers.sort_by(|a, b| a.name.cmp(&b.name));
-    assert_eq!(papers, [named("m/banco-norte", 1), named("members", 2)]);
+    let mut registers = saved.registers;
+    registers.sort_by(|a, b| a.name.cmp(&b.name));
+    assert_eq!(registers, [named("m/banco-norte", 1), named("members", 2)]);
     let sessions = [(3, SessionRecord { term: 5, token: 0, accepted: None }), (1 << 100, session_record(4))];
     assert_eq!(saved.sessions, sessions);
-    let versions: Vec<RegisterValue> = read_register_history(&folder.0, "members").expect("read");
+    let versions: Vec<RegisterValue> = read_register_history(directory.path(), "members").expect("read");
     assert_eq!(versions, [2, 1].map(|version| RegisterValue::clone(&named("members", version).value)));
-    // Reading writes the ballots once more and changes no name.
-    assert_eq!(names(&files_of(&folder.0)), FILES);
+    // Recovery writes the ballots once more and changes no name.
+    assert_eq!(names(&files_of(directory.path())), FILES);
 }
 
-/// Each slot alone is enough, and each holds what it did: the other is the one before.
+/// Each slot alone is enough: one holds the newest state, the other the state before.
 #[test]
 fn either_ballot_slot_is_read_alone() {
-    for (gone, kept) in [("ballots.0", "ballots.1"), ("ballots.1", "ballots.0")] {
-        let folder = TempFolder::copy_of_fixture(&format!("frozen-{kept}"));
-        fs::remove_file(folder.0.join(gone)).expect("removed");
-        let (_, saved) = Store::open(&folder.0).expect("opens");
-        let expected = if kept == NEWEST_SLOT { (7, version_ballots()) } else { (6, Vec::new()) };
-        assert_eq!(saved.membership_ballot, Some(membership_ballots(expected.0)), "{kept}");
-        assert_eq!(saved.acceptors, expected.1, "{kept}");
+    for (removed, remaining) in [("ballots.0", "ballots.1"), ("ballots.1", "ballots.0")] {
+        let directory = copy_of_fixture(&format!("frozen-{remaining}"));
+        fs::remove_file(directory.join(removed)).expect("removed");
+        let (_, saved) = Store::open(directory.path()).expect("opens");
+        let expected = if remaining == NEWEST_SLOT { (7, acceptors()) } else { (6, Vec::new()) };
+        assert_eq!(saved.membership_ballot, Some(membership_ballot(expected.0)), "{remaining}");
+        assert_eq!(saved.acceptors, expected.1, "{remaining}");
     }
 }
 
@@ -268,12 +253,12 @@
 fn the_same_records_make_the_same_files() {
     if std::env::var_os("WRITE_FIXTURES").is_some_and(|value| value == "1") {
         let _ = fs::remove_dir_all(fixture());
-        write_folder(&fixture());
+        write_data_dir(&fixture());
         panic!("fixtures written");
     }
-    let folder = TempFolder::new("frozen-written");
-    write_folder(&folder.0);
-    let (written, expected) = (files_of(&folder.0), files_of(&fixture()));
+    let directory = TempDirectory::new("frozen-written");
+    write_data_dir(directory.path());
+    let (written, expected) = (files_of(directory.path()), files_of(&fixture()));
     assert_eq!(names(&written), names(&expected));
     for (name, bytes) in &expected {
         assert_eq!(written[name], *bytes, "{name}");
--- a/storage/tests/store/main.rs
+++ b/storage/tests/store/main.rs
@@ -4,10 +4,13 @@
 mod crash_points;
 mod damaged_files;
 mod disk_full;
+mod messages;
 mod os_directory;
 mod random;
 mod records;
 mod replica_state;
 mod simulated_disk;
+#[path = "../temp_directory/mod.rs"]
+mod temp_directory;
 mod workload;
 mod write_cost;
--- a/storage/tests/store/os_directory.rs
+++ b/storage/tests/store/os_directory.rs
@@ -1,7 +1,6 @@
 //! The store on a real directory.
 
 use std::fs;
-use std::path::{Path, PathBuf};
 use std::sync::Arc;
 
 use ochreshed_consensus::messages::{Lease, LeaseOutcome, LogRecord, SessionId, SessionRecord};
@@ -9,34 +8,10 @@
 
 use crate::records::{configuration, lease, membership_ballot, named_register};
 use crate::replica_state::ReplicaState;
+use crate::temp_directory::TempDirectory;
 
 const RETAINED_VERSIONS: usize = 5;
 
-/// A path at which no directory is, and which is removed at the end of a test.
-struct TempDirectory(PathBuf);
-
-impl TempDirectory {
-    fn new(name: &str) -> TempDirectory {
-        let path = std::env::temp_dir().join(format!("ochreshed-{name}-{}", std::process::id()));
-        let _ = fs::remove_dir_all(&path);
-        TempDirectory(path)
-    }
-
-    fn path(&self) -> &Path {
-        &self.0
-    }
-
-    fn join(&self, path: &str) -> PathBuf {
-        self.0.join(path)
-    }
-}
-
-impl Drop for TempDirectory {
-    fn drop(&mut self) {
-        let _ = fs::remove_dir_all(&self.0);
-    }
-}
-
 /// A lease with a response and a header longer than a frame.
 fn long_lease() -> Lease {
     let mut long = lease(2, Some(300_000));
--- a/storage/tests/store/workload.rs
+++ b/storage/tests/store/workload.rs
@@ -49,7 +49,7 @@
         let mut written = ReplicaState::default();
         for number in 0..batches {
             let batch = self.next_batch(number, &mut written);
-            // The process dies at times, and the next one must not be told what isn't durable.
+            // The process dies at times, and the next one must not recover what isn't durable.
             if number % 25 == 24 {
                 self.kill_process();
             }
