--- a/balancer/src/mesh/carry.rs
+++ b/balancer/src/mesh/carry.rs
@@ -16,8 +16,8 @@
 use hyper::header::{CONNECTION, CONTENT_LENGTH, HeaderMap};
 use hyper::http::response::Parts;
 use ochreshed::Nanos;
-use ochreshed_mesh::idle_limit;
-use ochreshed_mesh::large_response_pacer::LargeResponsePacer;
+use ochreshed_traffic::idle_limit;
+use ochreshed_traffic::large_response_pacer::LargeResponsePacer;
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 use tokio::time::{Sleep, sleep_until, timeout, timeout_at};
 
--- a/balancer/src/mesh/client.rs
+++ b/balancer/src/mesh/client.rs
@@ -9,7 +9,7 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-use ochreshed_mesh::configuration::{Configuration, Refusal, differences};
+use ochreshed_catalog::configuration::{Configuration, Refusal, differences};
 use serde_json::Value;
 
 use members::Key;
--- a/balancer/src/mesh/client/members.rs
+++ b/balancer/src/mesh/client/members.rs
@@ -18,8 +18,8 @@
 use std::process::ExitCode;
 use std::sync::Arc;
 
-use ochreshed_mesh::configuration::{Route, by_place};
-use ochreshed_mesh::members::{self, MemberDocument};
+use ochreshed_catalog::configuration::{Route, by_place};
+use ochreshed_catalog::members::{self, MemberDocument};
 use serde_json::Value;
 
 use super::super::line::{Own, Register};
--- a/balancer/src/mesh/desk.rs
+++ b/balancer/src/mesh/desk.rs
@@ -6,11 +6,12 @@
 use std::sync::{Arc, Mutex, Weak};
 
 use ochreshed::{Balancer, Facts, How, Listed, Name, Nanos, Outcome, Req, State, Value};
+use ochreshed_catalog::configuration::{Configuration, RepeatPolicy, Route};
+use ochreshed_catalog::endpoints::{EndpointRecord, UpstreamState};
+use ochreshed_catalog::traffic_reports::AttemptCounts;
 use ochreshed_hands::{Act, End, Hands};
-use ochreshed_mesh::configuration::{Configuration, RepeatPolicy, Route};
-use ochreshed_mesh::endpoints::{EndpointRecord, UpstreamState};
-use ochreshed_mesh::retry_budget::{AttemptCounts, RequestAttempts, RetryAccount, RetryLimits};
-use ochreshed_mesh::retry_shares::RetryPool;
+use ochreshed_traffic::retry_budget::{RequestAttempts, RetryAccount, RetryLimits};
+use ochreshed_traffic::retry_shares::RetryPool;
 use tokio::sync::{Notify, mpsc};
 use tokio::time::sleep_until;
 
--- a/balancer/src/mesh/desk_tests.rs
+++ b/balancer/src/mesh/desk_tests.rs
@@ -5,10 +5,10 @@
 use std::sync::{Arc, Mutex};
 
 use ochreshed::{How, Nanos, Req};
-use ochreshed_mesh::configuration::{Configuration, Share};
-use ochreshed_mesh::endpoints::{EndpointRecord, UpstreamState};
-use ochreshed_mesh::retry_budget::AttemptCounts;
-use ochreshed_mesh::retry_shares::RetryPool;
+use ochreshed_catalog::configuration::{Configuration, Share};
+use ochreshed_catalog::endpoints::{EndpointRecord, UpstreamState};
+use ochreshed_catalog::traffic_reports::AttemptCounts;
+use ochreshed_traffic::retry_shares::RetryPool;
 
 use super::desk::{Desk, Plan, Step, Told, Turn};
 use super::settings::Bounds;
--- a/balancer/src/mesh/docs.rs
+++ b/balancer/src/mesh/docs.rs
@@ -7,11 +7,11 @@
 use std::sync::Arc;
 
 use ochreshed::Name;
+use ochreshed_catalog::configuration::Configuration;
+use ochreshed_catalog::members::{MemberDocument, MemberRegister};
+use ochreshed_catalog::overlay::{self, EffectiveConfiguration};
 use ochreshed_consensus::messages::Revision;
 use ochreshed_consensus::messages::{NamedRegister, RegisterValue};
-use ochreshed_mesh::configuration::Configuration;
-use ochreshed_mesh::members::{MemberDocument, MemberRegister};
-use ochreshed_mesh::overlay::{self, EffectiveConfiguration};
 
 /// The register's name; a member's documents are named by a letter and the member.
 pub const REGISTER: &str = "members";
--- a/balancer/src/mesh/door.rs
+++ b/balancer/src/mesh/door.rs
@@ -15,11 +15,11 @@
 use hyper::{Response, StatusCode};
 use jzon::JsonValue as Json;
 use ochreshed::Nanos;
-use ochreshed_mesh::admission::{Admission, AdmissionQueue, AdmissionRequest, MemberShare};
-use ochreshed_mesh::configuration::Name;
-use ochreshed_mesh::endpoints::{EndpointRecord, UpstreamState};
-use ochreshed_mesh::outlier_detection::{OutlierDetector, RequestClass, RunOutcome};
-use ochreshed_mesh::retry_shares::RetryShares;
+use ochreshed_catalog::configuration::Name;
+use ochreshed_catalog::endpoints::{EndpointRecord, UpstreamState};
+use ochreshed_traffic::admission::{Admission, AdmissionQueue, AdmissionRequest, MemberShare};
+use ochreshed_traffic::outlier_detection::{OutlierDetector, RequestClass, RunOutcome};
+use ochreshed_traffic::retry_shares::RetryShares;
 use tokio::sync::{Semaphore, oneshot};
 use tokio::time::timeout_at;
 
--- a/balancer/src/mesh/door_tests.rs
+++ b/balancer/src/mesh/door_tests.rs
@@ -1,7 +1,7 @@
 //! The door by itself, on loopback, before stand-in upstreams that answer when the test lets them, lie about their health
 //! or forget connections: who is let through, and what is told of one that was not answered.
 
-use ochreshed_mesh::configuration::Share;
+use ochreshed_catalog::configuration::Share;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
 
--- a/balancer/src/mesh/gate.rs
+++ b/balancer/src/mesh/gate.rs
@@ -10,10 +10,10 @@
 use hyper::http::response::Parts;
 use hyper::{Response, StatusCode};
 use ochreshed::{How, Name, Nanos, Req, seconds};
+use ochreshed_catalog::configuration::{RepeatPolicy, Route};
+use ochreshed_catalog::traffic_reports::{OutcomeCounts, RouteEdition};
 use ochreshed_consensus::messages::{CoreResponse, LeaseKey, LeaseOutcome, LeaseToken, StoredResponse};
-use ochreshed_mesh::admission::MemberShare;
-use ochreshed_mesh::configuration::{RepeatPolicy, Route};
-use ochreshed_mesh::outcome_counts::{OutcomeCounts, RouteEdition};
+use ochreshed_traffic::admission::MemberShare;
 use tokio::sync::oneshot;
 
 use super::attendant::{Branch, Inside};
--- a/balancer/src/mesh/gate_tests.rs
+++ b/balancer/src/mesh/gate_tests.rs
@@ -8,12 +8,12 @@
 
 use expect_test::expect;
 use ochreshed::Name;
+use ochreshed_catalog::configuration::Configuration;
+use ochreshed_catalog::endpoints::{EndpointRecord, UpstreamState};
+use ochreshed_catalog::members::{MemberDocument, MemberRegister};
+use ochreshed_catalog::overlay::overlay;
+use ochreshed_catalog::traffic_reports::{OutcomeCounts, RouteEdition};
 use ochreshed_consensus::messages::{CoreRequest, CoreResponse, LeaseOutcome, RegisterValue, StoredResponse};
-use ochreshed_mesh::configuration::Configuration;
-use ochreshed_mesh::endpoints::{EndpointRecord, UpstreamState};
-use ochreshed_mesh::members::{MemberDocument, MemberRegister};
-use ochreshed_mesh::outcome_counts::{OutcomeCounts, RouteEdition};
-use ochreshed_mesh::overlay::overlay;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
--- a/balancer/src/mesh/inbound_request.rs
+++ b/balancer/src/mesh/inbound_request.rs
@@ -5,7 +5,7 @@
 
 use hyper::header::{HeaderMap, HeaderValue};
 use ochreshed::Nanos;
-use ochreshed_mesh::admission::MemberShare;
+use ochreshed_traffic::admission::MemberShare;
 
 use super::fence::Pass;
 use super::headers::TERMS;
--- a/balancer/src/mesh/keys.rs
+++ b/balancer/src/mesh/keys.rs
@@ -7,8 +7,8 @@
 use std::time::Duration;
 
 use futures_util::stream::{FuturesUnordered, StreamExt};
+use ochreshed_catalog::watch_client::ReplicaDirectory;
 use ochreshed_consensus::messages::{CoreRequest, CoreResponse, LeaseKey, LeaseOutcome, LeaseToken};
-use ochreshed_mesh::watch_client::ReplicaDirectory;
 use tokio::time::{sleep, sleep_until};
 use xxhash_rust::xxh3::xxh3_128;
 
--- a/balancer/src/mesh/mod.rs
+++ b/balancer/src/mesh/mod.rs
@@ -1,5 +1,5 @@
 //! The mesh's roles on sockets: the attendant beside an upstream and its clients, and the steward of the core. It owns
-//! how they start; what they decide together is in `ochreshed-mesh` and in the module.
+//! how they start; what they decide together is in `ochreshed-catalog`, `ochreshed-traffic` and in the module.
 
 mod attendant;
 mod berths;
--- a/balancer/src/mesh/news.rs
+++ b/balancer/src/mesh/news.rs
@@ -7,8 +7,8 @@
 use std::time::Duration;
 
 use ochreshed::Name;
+use ochreshed_catalog::watch_client::{self, Watcher};
 use ochreshed_consensus::messages::Revision;
-use ochreshed_mesh::watch_client::{self, Watcher};
 use tokio::time::sleep;
 
 use super::attendant::Branch;
--- a/balancer/src/mesh/pages.rs
+++ b/balancer/src/mesh/pages.rs
@@ -8,11 +8,11 @@
 use std::time::UNIX_EPOCH;
 
 use ochreshed::{Name, Nanos};
+use ochreshed_catalog::endpoints::UpstreamHealth;
+use ochreshed_catalog::endpoints::{EndpointRecord, EndpointTable, UpstreamState};
+use ochreshed_catalog::traffic_reports::{OutcomeCounts, RouteEdition};
 use ochreshed_consensus::core::{Core, PeerStatus, SessionCounts};
 use ochreshed_consensus::messages::{Lease, LeaseKey, LeaseOutcome, Revision};
-use ochreshed_mesh::endpoints::{EndpointRecord, EndpointTable, UpstreamState};
-use ochreshed_mesh::outcome_counts::{OutcomeCounts, RouteEdition};
-use ochreshed_mesh::outlier_detection::UpstreamHealth;
 use serde::Serialize;
 
 use super::keys;
@@ -639,8 +639,9 @@
 mod tests {
     use super::*;
     use expect_test::expect;
+    use ochreshed_catalog::traffic_reports::{AttemptCounts, BudgetReport};
     use ochreshed_consensus::messages::{ReplicaId, StoredResponse};
-    use ochreshed_mesh::retry_budget::{AttemptCounts, BudgetReport, BudgetReports};
+    use ochreshed_traffic::retry_budget::BudgetReports;
     use std::sync::Arc;
 
     fn at(host: u8, port: u16) -> SocketAddr {
--- a/balancer/src/mesh/report.rs
+++ b/balancer/src/mesh/report.rs
@@ -1,6 +1,6 @@
 //! How gates report to stewards: what their budgets of repeats were used for, when they came to full service; and how a
 //! steward puts together what all were told. It owns when there is something to tell; the counts are of
-//! `ochreshed-mesh`. It must never make a gate ask more often than it does for its news.
+//! `ochreshed-traffic`. It must never make a gate ask more often than it does for its news.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -8,10 +8,11 @@
 
 use futures_util::stream::{FuturesUnordered, StreamExt};
 use ochreshed::Nanos;
-use ochreshed_mesh::endpoints::TablePosition;
-use ochreshed_mesh::outcome_counts::EditionOutcomes;
-use ochreshed_mesh::retry_budget::{BudgetReport, BudgetReports};
-use ochreshed_mesh::watch_server;
+use ochreshed_catalog::endpoints::TablePosition;
+use ochreshed_catalog::traffic_reports::BudgetReport;
+use ochreshed_catalog::traffic_reports::EditionOutcomes;
+use ochreshed_catalog::watch_server;
+use ochreshed_traffic::retry_budget::BudgetReports;
 use tokio::time::Instant;
 
 use super::wire::{Callers, InternalRequest, InternalResponse, WatchRequest};
@@ -93,7 +94,7 @@
 
 #[cfg(test)]
 mod tests {
-    use ochreshed_mesh::retry_budget::AttemptCounts;
+    use ochreshed_catalog::traffic_reports::AttemptCounts;
 
     use super::*;
 
--- a/balancer/src/mesh/seats.rs
+++ b/balancer/src/mesh/seats.rs
@@ -6,8 +6,8 @@
 use std::sync::{Arc, Mutex};
 
 use ochreshed::{Name, Nanos};
-use ochreshed_mesh::retry_budget::AttemptCounts;
-use ochreshed_mesh::retry_shares::{RetryPool, RetryShares};
+use ochreshed_catalog::traffic_reports::AttemptCounts;
+use ochreshed_traffic::retry_shares::{RetryPool, RetryShares};
 
 use super::desk::{Desk, Plan, Seat};
 use crate::link::held;
--- a/balancer/src/mesh/steward.rs
+++ b/balancer/src/mesh/steward.rs
@@ -13,17 +13,18 @@
 use arc_swap::ArcSwap;
 use hyper::Response;
 use ochreshed::{Name, Nanos};
+use ochreshed_catalog::configuration::Configuration;
+use ochreshed_catalog::configuration_update::{ConfigurationUpdate, UpdateCache};
+use ochreshed_catalog::endpoints::TablePosition;
+use ochreshed_catalog::traffic_reports::BudgetReport;
+use ochreshed_catalog::watch_server;
 use ochreshed_consensus::core::{Config, Core};
 use ochreshed_consensus::messages::Revision;
 use ochreshed_consensus::messages::{
     CoreRequest, CoreResponse, Effect, LeaseKey, LogRecord, Membership, Message, NamedRegister, RegisterValue,
 };
-use ochreshed_mesh::configuration::Configuration;
-use ochreshed_mesh::configuration_update::{ConfigurationUpdate, UpdateCache};
-use ochreshed_mesh::endpoints::TablePosition;
-use ochreshed_mesh::retry_budget::{BudgetReport, BudgetReports};
-use ochreshed_mesh::watch_server;
 use ochreshed_storage::{Store, StoreError};
+use ochreshed_traffic::retry_budget::BudgetReports;
 use tokio::net::TcpListener;
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::{Semaphore, mpsc, oneshot, watch};
--- a/balancer/src/mesh/wire.rs
+++ b/balancer/src/mesh/wire.rs
@@ -10,9 +10,9 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
+use ochreshed_catalog::internal_rpc::{Frame, MOST_FRAME, encode};
+pub use ochreshed_catalog::internal_rpc::{InternalRequest, InternalResponse, WatchRequest, WatchResponse};
 use ochreshed_consensus::messages::Message;
-use ochreshed_mesh::internal_rpc::{Frame, MOST_FRAME, encode};
-pub use ochreshed_mesh::internal_rpc::{InternalRequest, InternalResponse, WatchRequest, WatchResponse};
 use serde::de::DeserializeOwned;
 use tokio::io::{AsyncReadExt, AsyncWriteExt, BufReader};
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
--- a/balancer/tests/members.rs
+++ b/balancer/tests/members.rs
@@ -173,7 +173,7 @@
     // are others in each run.
     let reached = |edition: &u64| {
         let doors = (0..town.gates().len()).map(|nth| town.listens(nth)[1]);
-        doors.filter(|door| ochreshed_mesh::overlay::is_in_canary(*door, "norte", *edition, 0.5)).count()
+        doors.filter(|door| ochreshed_catalog::overlay::is_in_canary(*door, "norte", *edition, 0.5)).count()
     };
     let some = |edition: &u64| (1..town.gates().len()).contains(&reached(edition));
     let edition = (2..100).find(some).expect("an edition that reaches some");
--- a/mesh/src/endpoints.rs
+++ b/catalog/src/endpoints.rs
@@ -12,8 +12,6 @@
 use ochreshed::Nanos;
 use serde::{Deserialize, Serialize};
 
-use crate::outlier_detection::UpstreamHealth;
-
 /// A row of which nothing was heard for so long is forgotten.
 const FORGET: Nanos = 90_000_000_000;
 /// More rows than these are not kept.
@@ -31,6 +29,26 @@
     Absent,
 }
 
+/// The health of an upstream as its inbound proxy judges it from the outcomes of requests.
+///
+/// Both levels are 0 for a healthy upstream. Older programs neither send nor read this value.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
+pub struct UpstreamHealth {
+    /// How many requests fail: 0, then 1 from 30% and 2 from 60% on.
+    #[serde(rename = "fails")]
+    pub failure_level: u8,
+    /// How much longer requests run than they did over the long term: 0, then 1 from 2.5 times and 2 from 5 times on.
+    #[serde(rename = "slow")]
+    pub latency_level: u8,
+}
+
+impl UpstreamHealth {
+    /// Whether neither failures nor latency are raised.
+    pub fn is_healthy(&self) -> bool {
+        *self == UpstreamHealth::default()
+    }
+}
+
 /// What an attendant tells of itself and of the upstream beside it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndpointRecord {
--- a/mesh/src/internal_rpc.rs
+++ b/catalog/src/internal_rpc.rs
@@ -8,8 +8,8 @@
 
 use crate::configuration_update::ConfigurationUpdate;
 use crate::endpoints::{EndpointRecord, TablePosition};
-use crate::outcome_counts::EditionOutcomes;
-use crate::retry_budget::BudgetReport;
+use crate::traffic_reports::BudgetReport;
+use crate::traffic_reports::EditionOutcomes;
 use ochreshed_consensus::messages::Revision;
 use ochreshed_consensus::messages::{CoreRequest, CoreResponse, Message, NamedRegister, RegisterName};
 
@@ -164,8 +164,8 @@
 
 #[cfg(test)]
 mod tests {
-    use crate::outcome_counts::{OutcomeCounts, RouteEdition};
-    use crate::retry_budget::{AttemptCounts, ServiceAttempts};
+    use crate::traffic_reports::{AttemptCounts, ServiceAttempts};
+    use crate::traffic_reports::{OutcomeCounts, RouteEdition};
 
     use super::*;
 
--- a/mesh/tests/configuration.rs
+++ b/catalog/tests/configuration.rs
@@ -3,7 +3,7 @@
 use std::fmt::Write;
 
 use expect_test::{Expect, expect};
-use ochreshed_mesh::configuration::{Configuration, Limits, RepeatPolicy, differences};
+use ochreshed_catalog::configuration::{Configuration, Limits, RepeatPolicy, differences};
 
 /// The page's example, with a route at a longer prefix of the same host.
 const VALID: &str = r#"{"edition":"r7","consignments":[
--- a/mesh/tests/endpoints.rs
+++ b/catalog/tests/endpoints.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use ochreshed_mesh::endpoints::{EndpointRecord, EndpointTable, TablePosition, UpstreamState};
+use ochreshed_catalog::endpoints::{EndpointRecord, EndpointTable, TablePosition, UpstreamState};
 use proptest::prelude::*;
 
 fn door() -> SocketAddr {
--- a/mesh/tests/frozen_forms.rs
+++ b/catalog/tests/frozen_forms.rs
@@ -11,21 +11,21 @@
 use std::sync::Arc;
 
 use frozen::{FrozenForms, writes_fixtures};
+use ochreshed_catalog::configuration::{Configuration, Refusal};
+use ochreshed_catalog::configuration_update::{ConfigurationUpdate, UpdateCache};
+use ochreshed_catalog::delta::DeltaOp;
+use ochreshed_catalog::endpoints::UpstreamHealth;
+use ochreshed_catalog::endpoints::{EndpointRecord, TablePosition, UpstreamState};
+use ochreshed_catalog::internal_rpc::{
+    Frame, InternalRequest, InternalResponse, WatchRequest, WatchResponse, encode,
+};
+use ochreshed_catalog::members::{MemberDocument, MemberRegister};
+use ochreshed_catalog::traffic_reports::{AttemptCounts, BudgetReport};
+use ochreshed_catalog::traffic_reports::{EditionOutcomes, OutcomeCounts, RouteEdition};
 use ochreshed_consensus::messages::{
     Ballot, CoreRequest, CoreResponse, Message, MessageBody, NamedRegister, RegisterValue, ReplicaId,
     Revision,
 };
-use ochreshed_mesh::configuration::{Configuration, Refusal};
-use ochreshed_mesh::configuration_update::{ConfigurationUpdate, UpdateCache};
-use ochreshed_mesh::delta::DeltaOp;
-use ochreshed_mesh::endpoints::{EndpointRecord, TablePosition, UpstreamState};
-use ochreshed_mesh::internal_rpc::{
-    Frame, InternalRequest, InternalResponse, WatchRequest, WatchResponse, encode,
-};
-use ochreshed_mesh::members::{MemberDocument, MemberRegister};
-use ochreshed_mesh::outcome_counts::{EditionOutcomes, OutcomeCounts, RouteEdition};
-use ochreshed_mesh::outlier_detection::UpstreamHealth;
-use ochreshed_mesh::retry_budget::{AttemptCounts, BudgetReport};
 
 const RANK: Revision = Revision::new(12, u64::MAX);
 
--- a/mesh/tests/members.rs
+++ b/catalog/tests/members.rs
@@ -1,7 +1,7 @@
 //! The register of members and their documents: what is refused, and where it stands.
 
 use expect_test::expect;
-use ochreshed_mesh::members::{MemberDocument, MemberLimits, MemberRegister};
+use ochreshed_catalog::members::{MemberDocument, MemberLimits, MemberRegister};
 
 const REGISTER: &str = r#"{"edition":"r3","members":[
 {"name":"banco-norte","key_sha256":"00112233445566778899aabbccddeeff00112233445566778899AABBCCDDEEFF","places":[{"host":"Norte.example:80"},{"host":"comum.example","prefix":"/norte/"}],"services":["agenda","marcacoes"],"limits":{"routes":200,"retry_share":0.25}},
@@ -32,7 +32,7 @@
     cases.iter().map(one).collect()
 }
 
-fn lines<T>(read: Result<T, Vec<ochreshed_mesh::configuration::Refusal>>) -> String {
+fn lines<T>(read: Result<T, Vec<ochreshed_catalog::configuration::Refusal>>) -> String {
     match read {
         Ok(_) => "valid".into(),
         Err(all) => all.iter().map(ToString::to_string).collect::<Vec<_>>().join("; "),
--- a/mesh/tests/overlay.rs
+++ b/catalog/tests/overlay.rs
@@ -6,9 +6,9 @@
 use std::sync::Arc;
 
 use expect_test::expect;
-use ochreshed_mesh::configuration::{Configuration, Name, Route};
-use ochreshed_mesh::members::{MemberDocument, MemberRegister};
-use ochreshed_mesh::overlay::{MemberDocuments, check, in_force, is_in_canary, overlay, plan};
+use ochreshed_catalog::configuration::{Configuration, Name, Route};
+use ochreshed_catalog::members::{MemberDocument, MemberRegister};
+use ochreshed_catalog::overlay::{MemberDocuments, check, in_force, is_in_canary, overlay, plan};
 use proptest::collection::vec;
 use proptest::prelude::*;
 
--- a/mesh/tests/suspected_endpoints.rs
+++ b/catalog/tests/suspected_endpoints.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use ochreshed_mesh::endpoints::{EndpointRecord, EndpointTable, UpstreamState};
+use ochreshed_catalog::endpoints::{EndpointRecord, EndpointTable, UpstreamState};
 
 const S: u64 = 1_000_000_000;
 const QUIET: u64 = 2 * S;
--- a/mesh/tests/watch_server.rs
+++ b/catalog/tests/watch_server.rs
@@ -3,11 +3,11 @@
 
 use std::net::SocketAddr;
 
+use ochreshed_catalog::endpoints::{EndpointRecord, UpstreamState as Up};
+use ochreshed_catalog::internal_rpc::WatchRequest;
+use ochreshed_catalog::watch_client::Watcher;
+use ochreshed_catalog::watch_server::{CommittedState, WatchServer};
 use ochreshed_consensus::messages::Revision;
-use ochreshed_mesh::endpoints::{EndpointRecord, UpstreamState as Up};
-use ochreshed_mesh::internal_rpc::WatchRequest;
-use ochreshed_mesh::watch_client::Watcher;
-use ochreshed_mesh::watch_server::{CommittedState, WatchServer};
 
 const MS: u64 = 1_000_000;
 
--- a/emulator/src/mesh/count.rs
+++ b/emulator/src/mesh/count.rs
@@ -1,8 +1,8 @@
 //! What goes to whose account: messages, bytes, wake-ups and processor by cause, and each second's load of a machine.
 //! It owns the books and must never change what happens.
 
+use ochreshed_catalog::internal_rpc::{InternalRequest, InternalResponse, WatchResponse};
 use ochreshed_consensus::messages::{CoreRequest, MessageBody};
-use ochreshed_mesh::internal_rpc::{InternalRequest, InternalResponse, WatchResponse};
 use serde::Serialize;
 
 use crate::{Nanos, S};
--- a/emulator/src/mesh/gate.rs
+++ b/emulator/src/mesh/gate.rs
@@ -6,13 +6,13 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
+use ochreshed_catalog::endpoints::{EndpointRecord, UpstreamState};
+use ochreshed_catalog::internal_rpc::{InternalRequest, InternalResponse, WatchResponse};
+use ochreshed_catalog::watch_client::{self, EndpointView, ReplicaDirectory, Watcher};
 use ochreshed_consensus::messages::Revision;
 use ochreshed_consensus::messages::{
     CoreRequest, CoreResponse, LeaseKey, LeaseOutcome, LeaseToken, RegisterValue, StoredResponse,
 };
-use ochreshed_mesh::endpoints::{EndpointRecord, UpstreamState};
-use ochreshed_mesh::internal_rpc::{InternalRequest, InternalResponse, WatchResponse};
-use ochreshed_mesh::watch_client::{self, EndpointView, ReplicaDirectory, Watcher};
 
 use super::count::{Cause, is_news};
 use super::hand::{Hand, Note, Step, Timer};
--- a/emulator/src/mesh/hand.rs
+++ b/emulator/src/mesh/hand.rs
@@ -3,9 +3,9 @@
 
 use std::net::SocketAddr;
 
+use ochreshed_catalog::internal_rpc::{InternalRequest, InternalResponse};
 use ochreshed_consensus::messages::Revision;
 use ochreshed_consensus::messages::{LeaseKey, LeaseToken, Message};
-use ochreshed_mesh::internal_rpc::{InternalRequest, InternalResponse};
 
 use super::count::Cause;
 use crate::Nanos;
--- a/emulator/src/mesh/steward.rs
+++ b/emulator/src/mesh/steward.rs
@@ -6,12 +6,12 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
+use ochreshed_catalog::configuration_update::UpdateCache;
+use ochreshed_catalog::endpoints::TablePosition;
+use ochreshed_catalog::internal_rpc::{InternalRequest, InternalResponse, WatchResponse};
+use ochreshed_catalog::watch_server::{self, CommittedState, PendingWatch, WatchServer};
 use ochreshed_consensus::core::{Config, Core};
 use ochreshed_consensus::messages::*;
-use ochreshed_mesh::configuration_update::UpdateCache;
-use ochreshed_mesh::endpoints::TablePosition;
-use ochreshed_mesh::internal_rpc::{InternalRequest, InternalResponse, WatchResponse};
-use ochreshed_mesh::watch_server::{self, CommittedState, PendingWatch, WatchServer};
 
 use super::count::Cause;
 use super::hand::{Hand, Note, Timer};
--- a/emulator/src/mesh/world.rs
+++ b/emulator/src/mesh/world.rs
@@ -6,9 +6,9 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
+use ochreshed_catalog::internal_rpc::{Frame, InternalRequest, InternalResponse, encode};
 use ochreshed_consensus::core::Config;
 use ochreshed_consensus::messages::{CoreRequest, LeaseKey, LeaseToken, RegisterValue};
-use ochreshed_mesh::internal_rpc::{Frame, InternalRequest, InternalResponse, encode};
 
 use super::audit::Audit;
 use super::count::{Books, CAUSES, Cause};
--- a/mesh/src/admission.rs
+++ b/traffic/src/admission.rs
@@ -12,7 +12,7 @@
 
 use std::collections::{HashMap, VecDeque};
 
-use crate::configuration::Name;
+use ochreshed_catalog::configuration::Name;
 use ochreshed_consensus::core::Nanos;
 
 /// What a run takes goes into the mean with this part.
--- a/mesh/src/outlier_detection.rs
+++ b/traffic/src/outlier_detection.rs
@@ -8,9 +8,8 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-use serde::{Deserialize, Serialize};
-
-use crate::configuration::Name;
+use ochreshed_catalog::configuration::Name;
+use ochreshed_catalog::endpoints::UpstreamHealth;
 use ochreshed_consensus::core::Nanos;
 
 const MS: Nanos = 1_000_000;
@@ -48,23 +47,6 @@
 /// Sorts of which nothing was run of late are forgotten beyond so many.
 const MOST_SORTS: usize = 64;
 
-/// What a door tells of its upstream.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct UpstreamHealth {
-    /// How much fails: 0, then from 30 and 60 of 100 on.
-    #[serde(rename = "fails")]
-    pub failure_level: u8,
-    /// How much longer runs take than they did for long: 0, from 2.5 times, from five times on.
-    #[serde(rename = "slow")]
-    pub latency_level: u8,
-}
-
-impl UpstreamHealth {
-    pub fn is_healthy(&self) -> bool {
-        *self == UpstreamHealth::default()
-    }
-}
-
 /// How a run at the upstream ended, as the door saw it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RunOutcome {
--- a/mesh/src/retry_budget.rs
+++ b/traffic/src/retry_budget.rs
@@ -6,9 +6,9 @@
 use std::net::SocketAddr;
 
 use ochreshed::{How, Name, Nanos};
-use serde::{Deserialize, Serialize};
-
-use crate::outcome_counts::{self, EditionOutcomes, OutcomeCounts, RouteEdition};
+use ochreshed_catalog::traffic_reports::{
+    AttemptCounts, BudgetReport, MAX_EDITIONS, OutcomeCounts, RouteEdition,
+};
 
 const BUCKETS: u64 = 10;
 /// The module holds its allowance over so long.
@@ -19,74 +19,6 @@
 /// Services and members of all gates together that a steward keeps.
 const MOST_KEPT: usize = 200_000;
 
-/// Of one service, in one window.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(from = "(u32, u32, u32)", into = "(u32, u32, u32)")]
-pub struct AttemptCounts {
-    /// First attempts.
-    pub first: u32,
-    /// Further attempts, and calls of running requests that were attempted again.
-    pub retried: u32,
-    /// Retries that the budget did not allow.
-    pub denied: u32,
-}
-
-impl From<(u32, u32, u32)> for AttemptCounts {
-    fn from((first, again, refused): (u32, u32, u32)) -> AttemptCounts {
-        AttemptCounts { first, retried: again, denied: refused }
-    }
-}
-
-impl From<AttemptCounts> for (u32, u32, u32) {
-    fn from(of: AttemptCounts) -> (u32, u32, u32) {
-        (of.first, of.retried, of.denied)
-    }
-}
-
-impl AttemptCounts {
-    pub(crate) const NONE: AttemptCounts = AttemptCounts { first: 0, retried: 0, denied: 0 };
-
-    pub fn and(self, other: AttemptCounts) -> AttemptCounts {
-        AttemptCounts {
-            first: self.first.saturating_add(other.first),
-            retried: self.retried.saturating_add(other.retried),
-            denied: self.denied.saturating_add(other.denied),
-        }
-    }
-}
-
-/// A gate's services by name.
-pub type ServiceAttempts = Vec<(Name, AttemptCounts)>;
-
-/// What a gate tells of itself, for operators to look at.
-#[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(from = "(ServiceAttempts, Option<u32>)", into = "(ServiceAttempts, Option<u32>)")]
-pub struct BudgetReport {
-    pub services: ServiceAttempts,
-    /// From the start of its process to full service, in ms.
-    pub recovery_ms: Option<u32>,
-    /// How members' reqs fared. Goes beside the report on the wire: an older program reads no more than two fields here.
-    pub outcomes: EditionOutcomes,
-}
-
-impl From<(ServiceAttempts, Option<u32>)> for BudgetReport {
-    fn from((spending, full_ms): (ServiceAttempts, Option<u32>)) -> BudgetReport {
-        BudgetReport { services: spending, recovery_ms: full_ms, outcomes: EditionOutcomes::new() }
-    }
-}
-
-impl BudgetReport {
-    fn size(&self) -> usize {
-        self.services.len() + self.outcomes.len()
-    }
-}
-
-impl From<BudgetReport> for (ServiceAttempts, Option<u32>) {
-    fn from(of: BudgetReport) -> (ServiceAttempts, Option<u32>) {
-        (of.services, of.recovery_ms)
-    }
-}
-
 /// What can be summed up.
 pub(crate) trait Sum: Copy + Default {
     fn and(self, other: Self) -> Self;
@@ -264,10 +196,10 @@
         report.services.retain(|(name, _)| name.len() <= MOST_NAME);
         report.services.truncate(MOST_SERVICES);
         report.outcomes.retain(|(of, _)| of.member.len() <= MOST_NAME);
-        report.outcomes.truncate(outcome_counts::MAX_EDITIONS);
+        report.outcomes.truncate(MAX_EDITIONS);
         let before = self.gates.get(&door);
-        let had = before.map_or(0, |(_, told)| told.size());
-        let more = report.size();
+        let had = before.map_or(0, |(_, told)| told.entry_count());
+        let more = report.entry_count();
         let full = self.services - had + more > MOST_KEPT || self.gates.len() >= MOST_KEPT;
         if full || before.is_some_and(|(told, _)| *told > at) {
             return;
@@ -285,7 +217,7 @@
     /// Forgets the gates that are not known any more.
     pub fn retain(&mut self, known: impl Fn(SocketAddr) -> bool) {
         self.gates.retain(|door, _| known(*door));
-        self.services = self.gates.values().map(|(_, report)| report.size()).sum();
+        self.services = self.gates.values().map(|(_, report)| report.entry_count()).sum();
     }
 
     pub fn report(&self, door: SocketAddr) -> Option<&BudgetReport> {
--- a/mesh/src/retry_shares.rs
+++ b/traffic/src/retry_shares.rs
@@ -7,8 +7,9 @@
 
 use ochreshed::Nanos;
 
-use crate::configuration::{Configuration, Name, Share};
-use crate::retry_budget::{AttemptCounts, MODULE, RetryAccount, Ring};
+use crate::retry_budget::{MODULE, RetryAccount, Ring};
+use ochreshed_catalog::configuration::{Configuration, Name, Share};
+use ochreshed_catalog::traffic_reports::AttemptCounts;
 
 /// By member.
 pub type RetryShares = BTreeMap<Name, Arc<Share>>;
--- a/mesh/tests/admission.rs
+++ b/traffic/tests/admission.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use ochreshed_mesh::admission::{Admission, AdmissionQueue, AdmissionRequest, MemberShare};
+use ochreshed_traffic::admission::{Admission, AdmissionQueue, AdmissionRequest, MemberShare};
 use proptest::prelude::*;
 
 const MS: u64 = 1_000_000;
--- a/mesh/tests/canary.rs
+++ b/traffic/tests/canary.rs
@@ -1,6 +1,6 @@
 //! When a trial of a member's document is withdrawn.
 
-use ochreshed_mesh::canary::{RequestOutcomes, Verdict, verdict};
+use ochreshed_traffic::canary::{RequestOutcomes, Verdict, verdict};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
--- a/mesh/tests/lease_circuit_breaker.rs
+++ b/traffic/tests/lease_circuit_breaker.rs
@@ -1,6 +1,6 @@
 //! PendingWatch for a control plane that does not answer.
 
-use ochreshed_mesh::lease_circuit_breaker::LeaseCircuitBreaker;
+use ochreshed_traffic::lease_circuit_breaker::LeaseCircuitBreaker;
 
 const MS: u64 = 1_000_000;
 
--- a/mesh/tests/retry_budget.rs
+++ b/traffic/tests/retry_budget.rs
@@ -4,8 +4,9 @@
 use std::net::SocketAddr;
 
 use ochreshed::How;
-use ochreshed_mesh::retry_budget::{
-    AttemptCounts, BudgetReport, BudgetReports, MOST_SERVICES, RequestAttempts, RetryAccount, RetryLimits,
+use ochreshed_catalog::traffic_reports::{AttemptCounts, BudgetReport};
+use ochreshed_traffic::retry_budget::{
+    BudgetReports, MOST_SERVICES, RequestAttempts, RetryAccount, RetryLimits,
 };
 use proptest::prelude::*;
 
--- a/mesh/tests/retry_shares.rs
+++ b/traffic/tests/retry_shares.rs
@@ -3,9 +3,9 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use ochreshed_mesh::configuration::{Name, Share};
-use ochreshed_mesh::retry_budget::AttemptCounts;
-use ochreshed_mesh::retry_shares::{RetryPool, RetryShares};
+use ochreshed_catalog::configuration::{Name, Share};
+use ochreshed_catalog::traffic_reports::AttemptCounts;
+use ochreshed_traffic::retry_shares::{RetryPool, RetryShares};
 use proptest::prelude::*;
 
 const MS: u64 = 1_000_000;
