--- a/balancer/src/mesh/attendant.rs
+++ b/balancer/src/mesh/attendant.rs
@@ -297,18 +297,18 @@
 
     /// The service that a req of this route goes to.
     pub fn split(&self, route: &Route) -> Option<Name> {
-        let total: f64 = route.lines.iter().map(|(_, share)| share).sum();
-        if route.lines.len() == 1 {
-            return route.lines.first().map(|(name, _)| name.clone());
+        let total: f64 = route.services.iter().map(|(_, share)| share).sum();
+        if route.services.len() == 1 {
+            return route.services.first().map(|(name, _)| name.clone());
         }
         let mut at = held(&self.chance).random::<f64>() * total;
-        for (name, share) in &route.lines {
+        for (name, share) in &route.services {
             at -= share;
             if at < 0.0 && *share > 0.0 {
                 return Some(name.clone());
             }
         }
-        route.lines.iter().rev().find(|(_, share)| *share > 0.0).map(|(name, _)| name.clone())
+        route.services.iter().rev().find(|(_, share)| *share > 0.0).map(|(name, _)| name.clone())
     }
 
     /// The desk for the reqs of a route that go to this service.
@@ -479,7 +479,7 @@
     fn health_of(&self, line: &str) -> String {
         let timetable = self.timetable.load();
         let service = timetable.as_ref().and_then(|timetable| timetable.service(line));
-        service.map_or("/health".into(), |service| service.health.clone())
+        service.map_or("/health".into(), |service| service.health_path.clone())
     }
 
     /// A watcher gives no reply: what it held for quiet counts no more.
@@ -506,7 +506,7 @@
         let service =
             timetable.as_ref().zip(line).and_then(|(timetable, line)| timetable.service(&line).cloned());
         if let Some(service) = service {
-            self.door.moor(service.berth_cap as usize);
+            self.door.moor(service.max_connections as usize);
         }
     }
 
--- a/balancer/src/mesh/client/members.rs
+++ b/balancer/src/mesh/client/members.rs
@@ -18,7 +18,7 @@
 use std::process::ExitCode;
 use std::sync::Arc;
 
-use ochreshed_catalog::configuration::{Route, by_place};
+use ochreshed_catalog::configuration::{Route, differences_by_location};
 use ochreshed_catalog::members::{self, MemberDocument};
 use serde_json::Value;
 
@@ -141,7 +141,7 @@
         lines.push(format!("trial from {before} to {after}"));
     }
     let routes = |doc: &MemberDocument| -> Vec<Arc<Route>> { doc.routes.clone() };
-    lines.extend(by_place(routes(old).iter(), routes(new).iter()));
+    lines.extend(differences_by_location(routes(old).iter(), routes(new).iter()));
     lines
 }
 
--- a/balancer/src/mesh/desk.rs
+++ b/balancer/src/mesh/desk.rs
@@ -44,7 +44,7 @@
 /// Where the reqs of a route go for a service.
 pub fn seat(line: &Name, route: &Route) -> Seat {
     let member = route.share.as_ref().map(|share| share.member.clone());
-    (line.clone(), route.kind == RepeatPolicy::OutboundPost, member)
+    (line.clone(), route.repeat_policy == RepeatPolicy::LargeResponse, member)
 }
 
 /// What a configuration tells of the reqs for one service, those with large answers and those of each member apart.
@@ -69,7 +69,7 @@
     pub fn all(timetable: &Configuration) -> Vec<Plan> {
         let mut plans: BTreeMap<Seat, Plan> = BTreeMap::new();
         for route in timetable.routes() {
-            for (line, _) in &route.lines {
+            for (line, _) in &route.services {
                 let seat = seat(line, route);
                 let plan = plans.entry(seat).or_insert_with_key(|(line, large, member)| Plan {
                     line: line.clone(),
@@ -78,8 +78,13 @@
                     shapes: Vec::new(),
                     tries: 1,
                 });
-                plan.shapes.push((shape(route), route.kind.repeatable(), route.target_ms, route.rank));
-                plan.tries = plan.tries.max(route.tries);
+                plan.shapes.push((
+                    shape(route),
+                    route.repeat_policy.repeatable(),
+                    route.latency_target_ms,
+                    route.priority,
+                ));
+                plan.tries = plan.tries.max(route.max_attempts);
             }
         }
         let mut plans: Vec<Plan> = plans.into_values().collect();
@@ -105,7 +110,12 @@
 
 /// The name of a route's shape.
 pub fn shape(route: &Route) -> String {
-    format!("{}-{}-{}", if route.kind.repeatable() { "again" } else { "once" }, route.target_ms, route.rank)
+    format!(
+        "{}-{}-{}",
+        if route.repeat_policy.repeatable() { "again" } else { "once" },
+        route.latency_target_ms,
+        route.priority
+    )
 }
 
 impl Told {
--- a/balancer/src/mesh/desk_tests.rs
+++ b/balancer/src/mesh/desk_tests.rs
@@ -5,7 +5,7 @@
 use std::sync::{Arc, Mutex};
 
 use ochreshed::{How, Nanos, Req};
-use ochreshed_catalog::configuration::{Configuration, Share};
+use ochreshed_catalog::configuration::{Configuration, MemberShares};
 use ochreshed_catalog::endpoints::{EndpointRecord, UpstreamState};
 use ochreshed_catalog::traffic_reports::AttemptCounts;
 use ochreshed_traffic::retry_shares::RetryPool;
@@ -155,7 +155,7 @@
         told.of_member("norte".into(), tries);
         told
     };
-    let share = Share { member: "norte".into(), retry: 0.25, slots: 0.5 };
+    let share = MemberShares { member: "norte".into(), retry: 0.25, concurrency: 0.5 };
     let shares = Arc::new([(share.member.clone(), Arc::new(share))].into());
     let pool = Arc::new(Mutex::new(RetryPool::default()));
     held(&pool).divide(1, &shares);
--- a/balancer/src/mesh/docs.rs
+++ b/balancer/src/mesh/docs.rs
@@ -115,7 +115,9 @@
         let (mut docs, mut editions) = (overlay::MemberDocuments::new(), Editions::new());
         for (member, own) in &self.own {
             let (settled, trial) = (own.settled.as_ref(), own.trial.as_ref());
-            let Some(doc) = overlay::in_force(door, member, settled, trial, own.withdrawn) else { continue };
+            let Some(doc) = overlay::effective_document(door, member, settled, trial, own.withdrawn) else {
+                continue;
+            };
             let tries = settled.is_none_or(|settled| settled.version < doc.version);
             editions.insert(member.clone(), (doc.version, tries));
             docs.insert(member.clone(), doc.clone());
--- a/balancer/src/mesh/door.rs
+++ b/balancer/src/mesh/door.rs
@@ -600,7 +600,7 @@
     /// What a member may have here: the word of the configuration in force on this machine, else of the gate's. Guards
     /// against gates that are cut off and don't know yet that the platform gave it less.
     fn part(&self, told: MemberShare) -> MemberShare {
-        let share = self.shares.load().get(&told.member).map(|share| share.slots);
+        let share = self.shares.load().get(&told.member).map(|share| share.concurrency);
         MemberShare { share: share.unwrap_or(told.share), ..told }
     }
 
--- a/balancer/src/mesh/door_tests.rs
+++ b/balancer/src/mesh/door_tests.rs
@@ -1,7 +1,7 @@
 //! The door by itself, on loopback, before stand-in upstreams that answer when the test lets them, lie about their health
 //! or forget connections: who is let through, and what is told of one that was not answered.
 
-use ochreshed_catalog::configuration::Share;
+use ochreshed_catalog::configuration::MemberShares;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
 
@@ -175,7 +175,7 @@
         assert_eq!(run.await.expect("no panic"), "ran");
     }
     // The configuration in force here gives it less: one has to go before the one that waits may come in.
-    let share = Share { member: "norte".into(), retry: 0.0, slots: 0.25 };
+    let share = MemberShares { member: "norte".into(), retry: 0.0, concurrency: 0.25 };
     door.know_shares(&Arc::new([(share.member.clone(), Arc::new(share))].into()));
     runs.push(knock_of(&door, "f", (3, 9_000), None, part(0.5)));
     inside(&door, 4).await;
--- a/balancer/src/mesh/gate.rs
+++ b/balancer/src/mesh/gate.rs
@@ -61,16 +61,19 @@
     let Some(route) = timetable.route(&host, &path).cloned() else {
         return say(404, "no such route");
     };
-    let person =
-        route.session.as_ref().and_then(|name| headers.get(&**name)).and_then(|value| value.to_str().ok());
+    let person = route
+        .session_header
+        .as_ref()
+        .and_then(|name| headers.get(&**name))
+        .and_then(|value| value.to_str().ok());
     let person = person.filter(|person| !person.is_empty()).map(str::to_owned);
     let left = field(headers, &LEFT).parse::<u64>().unwrap_or(route.deadline_ms).min(MAX_LEFT_MS);
     let key = Some(field(headers, &KEY)).filter(|key| !key.is_empty()).map(keys::key);
     let at = came.at;
     let call = branch.saw(&id);
     let limits = timetable.limits();
-    let slow = Duration::from_millis(limits.label_ms.max(left));
-    let read = entry::message(came, &branch.bodies, branch.clock, limits.parcel_bytes, slow).await;
+    let slow = Duration::from_millis(limits.header_timeout_ms.max(left));
+    let read = entry::message(came, &branch.bodies, branch.clock, limits.max_body_bytes, slow).await;
     let (mut message, room) = match read {
         Ok(read) => read,
         Err(Bad(status, line)) => return say(status, line),
@@ -79,11 +82,11 @@
         message.head.headers_mut().remove(name);
     }
     let ends_by = branch.ends_by();
-    if route.kind == RepeatPolicy::OutboundPost && ends_by < at + LARGE_NEEDS {
+    if route.repeat_policy == RepeatPolicy::LargeResponse && ends_by < at + LARGE_NEEDS {
         return deny(COME_BACK);
     }
     let ends = (at + left.min(route.deadline_ms) * MS).min(ends_by).saturating_sub(WAY_BACK);
-    let aim = (at + route.target_ms * MS).saturating_sub(branch.used(&route, left) * MS + WAY_BACK);
+    let aim = (at + route.latency_target_ms * MS).saturating_sub(branch.used(&route, left) * MS + WAY_BACK);
     // A call keeps its caller's slot taken, and is of use for as long as that waits.
     let aim = if call.is_some() { aim.max(at + route.deadline_ms * MS * 7 / 10) } else { aim };
     let again = call == Some(true);
@@ -103,7 +106,7 @@
         key,
         person,
     };
-    let answer = match key.filter(|_| route.kind == RepeatPolicy::Registered) {
+    let answer = match key.filter(|_| route.repeat_policy == RepeatPolicy::Keyed) {
         Some(key) => {
             // Goes on to its end though its client goes: its outcome is its key's.
             let (send, got) = oneshot::channel();
@@ -285,7 +288,7 @@
 
     async fn go(&self) -> Outcomes {
         let Some(line) = self.branch.split(&self.route) else { return Outcomes::Deny(COME_BACK) };
-        let large = self.route.kind == RepeatPolicy::OutboundPost;
+        let large = self.route.repeat_policy == RepeatPolicy::LargeResponse;
         let Some(desk) = self.branch.desk(&line, &self.route) else { return Outcomes::Deny(COME_BACK) };
         let mut bound = self.session(&desk, &line, !large).await;
         let pass = bound.as_ref().map(|bound| bound.pass);
@@ -310,7 +313,7 @@
             };
             match step {
                 Some(Step::Send { number, srv, give_up }) => {
-                    if sent >= self.route.tries {
+                    if sent >= self.route.max_attempts {
                         break;
                     }
                     let began = self.branch.clock.now();
@@ -351,7 +354,7 @@
                         End::Ran(head, flow) => {
                             ran = true;
                             // It may have run, and such an answer would promise that it did not.
-                            let untrue = !self.route.kind.repeatable() && promises(head.status);
+                            let untrue = !self.route.repeat_policy.repeatable() && promises(head.status);
                             last = (!untrue).then_some((head, flow));
                             How::Error
                         }
@@ -402,7 +405,7 @@
 
     /// The session of the person that it is of, where its route names one.
     async fn session(&self, desk: &Desk, line: &Name, ties: bool) -> Option<Bound> {
-        let (header, person) = (self.route.session.as_ref()?, self.person.as_ref()?);
+        let (header, person) = (self.route.session_header.as_ref()?, self.person.as_ref()?);
         sessions::take(&self.branch, desk, sessions::name(line, header, person), ties).await
     }
 
@@ -423,7 +426,7 @@
                 step = turn.steps.recv() => match step {
                     // Silence alone is no reason to break one off: its machine must be quiet to others too, and
                     // the req be one that may run again.
-                    Some(Step::Recall) if self.route.kind.repeatable() && self.branch.may_break_off(&place.door) => {
+                    Some(Step::Recall) if self.route.repeat_policy.repeatable() && self.branch.may_break_off(&place.door) => {
                         return None;
                     }
                     None => return None,
@@ -439,8 +442,11 @@
         let (branch, again, now) = (&self.branch, attempt.again || self.again, self.branch.clock.now());
         let (caller, away) = (branch.caller(), place.door != branch.door_at());
         let (message, meant, aim) = (&self.message, &*place.id, self.aim);
-        let part =
-            self.route.share.as_ref().map(|of| MemberShare { member: of.member.clone(), share: of.slots });
+        let part = self
+            .route
+            .share
+            .as_ref()
+            .map(|of| MemberShare { member: of.member.clone(), share: of.concurrency });
         let request = InboundRequest {
             message,
             meant,
--- a/balancer/src/mesh/members.rs
+++ b/balancer/src/mesh/members.rs
@@ -256,10 +256,10 @@
             }
             let plan = overlay::plan(&newest.timetable, &newest.register, &all, name, &doc);
             // What others are trimmed of is not this one's to know.
-            let trims = plan.trims.iter().filter(|trim| trim.member == *name);
+            let trims = plan.current_violations.iter().filter(|trim| trim.member == *name);
             Ok(json!({
                 "changes": plan.changes,
-                "forbidden": plan.forbidden.iter().map(ToString::to_string).collect::<Vec<_>>(),
+                "forbidden": plan.new_violations.iter().map(ToString::to_string).collect::<Vec<_>>(),
                 "trims": trims.map(ToString::to_string).collect::<Vec<_>>(),
             })
             .to_string())
@@ -491,7 +491,7 @@
             .own
             .iter()
             .filter_map(|(name, own)| {
-                let trial_s = docs.register.member(name)?.limits.trial_s;
+                let trial_s = docs.register.member(name)?.limits.canary_duration_s;
                 Some(((name.clone(), own.running()?.version), Duration::from_secs(trial_s.into())))
             })
             .collect();
--- /dev/null
+++ b/catalog/src/configuration/differences.rs
@@ -0,0 +1,187 @@
+//! What changes from one configuration to another, as text for operators in the words of their documents.
+//!
+//! Invariants: nothing is decided here, and equal configurations have no differences.
+
+use std::collections::{BTreeMap, HashMap};
+use std::sync::Arc;
+
+use super::model::{Limits, Name, Route, Service};
+use super::read::repeat_policy_word;
+use super::routing::Configuration;
+
+/// What changes from one configuration to another, one line for each field.
+pub fn differences(old: &Configuration, new: &Configuration) -> Vec<String> {
+    let mut lines = Vec::new();
+    let edition = |configuration: &Configuration| vec![DisplayedField::version(configuration.version)];
+    push_differences(&mut lines, "timetable", Some(edition(old)), Some(edition(new)));
+    for (key, old, new) in pair_by_key(routes_by_name(old), routes_by_name(new)) {
+        let subject = format!("route {}", key.name);
+        push_differences(&mut lines, &subject, old.map(route_fields), new.map(route_fields));
+    }
+    for (name, old, new) in pair_by_key(services_by_name(old), services_by_name(new)) {
+        let subject = format!("service {name}");
+        push_differences(&mut lines, &subject, old.map(service_fields), new.map(service_fields));
+    }
+    let (old, new) = (limit_fields(old.limits()), limit_fields(new.limits()));
+    push_differences(&mut lines, "limits", Some(old), Some(new));
+    lines
+}
+
+/// What changes in the handling of requests, one line for each field, by host and prefix because a name may pass from one
+/// route to another.
+pub fn differences_by_location<'r>(
+    old: impl Iterator<Item = &'r Arc<Route>>,
+    new: impl Iterator<Item = &'r Arc<Route>>,
+) -> Vec<String> {
+    let old: BTreeMap<_, _> = old.map(|route| (route.location(), route)).collect();
+    let new: BTreeMap<_, _> = new.map(|route| (route.location(), route)).collect();
+    let mut lines = Vec::new();
+    for ((host, prefix), old, new) in pair_by_key(old, new) {
+        if old != new {
+            let subject = format!("route {host}{prefix}");
+            push_differences(&mut lines, &subject, old.map(located_fields), new.map(located_fields));
+        }
+    }
+    lines
+}
+
+/// A field of a document with its value, as an operator reads them.
+pub(crate) struct DisplayedField {
+    name: &'static str,
+    value: String,
+}
+
+impl DisplayedField {
+    pub(crate) fn new(name: &'static str, value: impl ToString) -> DisplayedField {
+        DisplayedField { name, value: value.to_string() }
+    }
+
+    /// The version of a document.
+    pub(crate) fn version(version: u64) -> DisplayedField {
+        DisplayedField::new("edition", format!("r{version}"))
+    }
+}
+
+/// The values of two maps by key, in the order of the keys.
+pub(crate) fn pair_by_key<K: Ord + Clone, V>(
+    mut old: BTreeMap<K, V>,
+    mut new: BTreeMap<K, V>,
+) -> Vec<(K, Option<V>, Option<V>)> {
+    let mut keys: Vec<K> = old.keys().chain(new.keys()).cloned().collect();
+    keys.sort();
+    keys.dedup();
+    keys.into_iter().map(|key| (key.clone(), old.remove(&key), new.remove(&key))).collect()
+}
+
+/// Adds a line for each field of the subject that changes, or one line where the subject as a whole comes or goes.
+pub(crate) fn push_differences(
+    lines: &mut Vec<String>,
+    subject: &str,
+    old: Option<Vec<DisplayedField>>,
+    new: Option<Vec<DisplayedField>>,
+) {
+    match (old, new) {
+        (Some(old), Some(new)) => push_changed_fields(lines, subject, old, new),
+        (Some(old), None) => lines.push(format!("{subject} removed: {}", joined(old))),
+        (None, Some(new)) => lines.push(format!("{subject} added: {}", joined(new))),
+        (None, None) => {}
+    }
+}
+
+fn push_changed_fields(
+    lines: &mut Vec<String>,
+    subject: &str,
+    old: Vec<DisplayedField>,
+    mut new: Vec<DisplayedField>,
+) {
+    /// Stands for a field that is not given.
+    const ABSENT: &str = "none";
+    let mut push_change = |name: &str, old: &str, new: &str| {
+        if old != new {
+            lines.push(format!("{subject}: {name} from {old} to {new}"));
+        }
+    };
+    for field in old {
+        let index = new.iter().position(|other| other.name == field.name);
+        let new_value = index.map_or_else(|| ABSENT.into(), |index| new.remove(index).value);
+        push_change(field.name, &field.value, &new_value);
+    }
+    for field in new {
+        push_change(field.name, ABSENT, &field.value);
+    }
+}
+
+fn joined(fields: Vec<DisplayedField>) -> String {
+    let fields: Vec<String> =
+        fields.into_iter().map(|field| format!("{} {}", field.name, field.value)).collect();
+    fields.join(", ")
+}
+
+/// Identifies a route by its name, and several of one name by their order.
+#[derive(Clone, PartialEq, Eq, PartialOrd, Ord)]
+struct NamedRouteKey {
+    name: Name,
+    /// Counted from 1.
+    occurrence: usize,
+}
+
+fn routes_by_name(configuration: &Configuration) -> BTreeMap<NamedRouteKey, &Route> {
+    let mut occurrences: HashMap<Name, usize> = HashMap::new();
+    let mut routes = BTreeMap::new();
+    for route in configuration.routes() {
+        let occurrence = occurrences.entry(route.name.clone()).or_default();
+        *occurrence += 1;
+        routes.insert(NamedRouteKey { name: route.name.clone(), occurrence: *occurrence }, &**route);
+    }
+    routes
+}
+
+fn services_by_name(configuration: &Configuration) -> BTreeMap<&Name, &Service> {
+    configuration.services().map(|service| (&service.name, service)).collect()
+}
+
+const HOST: &str = "depot";
+const PREFIX: &str = "lane_prefix";
+
+fn route_fields(route: &Route) -> Vec<DisplayedField> {
+    let services: Vec<String> =
+        route.services.iter().map(|(name, weight)| format!("{name} {weight}")).collect();
+    let mut fields = vec![
+        DisplayedField::new(HOST, &route.host),
+        DisplayedField::new(PREFIX, &route.prefix),
+        DisplayedField::new("route_kind", repeat_policy_word(route.repeat_policy)),
+        DisplayedField::new("deadline_ms", route.deadline_ms),
+        DisplayedField::new("target_ms", route.latency_target_ms),
+        DisplayedField::new("post_class", route.priority),
+        DisplayedField::new("tries", route.max_attempts),
+        DisplayedField::new("lines", format!("[{}]", services.join(", "))),
+    ];
+    fields.extend(route.session_header.iter().map(|header| DisplayedField::new("session", header)));
+    fields
+}
+
+/// The fields of a route that is named by its host and prefix, and whose route it is.
+fn located_fields(route: &Arc<Route>) -> Vec<DisplayedField> {
+    let member = route.share.as_ref().map_or("-", |share| &share.member);
+    let mut fields = vec![DisplayedField::new("member", member), DisplayedField::new("name", &route.name)];
+    fields.extend(route_fields(route));
+    fields.retain(|field| ![HOST, PREFIX].contains(&field.name));
+    fields
+}
+
+fn service_fields(service: &Service) -> Vec<DisplayedField> {
+    vec![
+        DisplayedField::new("health", &service.health_path),
+        DisplayedField::new("berth_cap", service.max_connections),
+        DisplayedField::new("dedupes", service.deduplicates),
+    ]
+}
+
+fn limit_fields(limits: &Limits) -> Vec<DisplayedField> {
+    vec![
+        DisplayedField::new("label_bytes", limits.max_header_bytes),
+        DisplayedField::new("parcel_bytes", limits.max_body_bytes),
+        DisplayedField::new("label_ms", limits.header_timeout_ms),
+        DisplayedField::new("idle_ms", limits.idle_timeout_ms),
+    ]
+}
--- a/catalog/src/configuration/read.rs
+++ b/catalog/src/configuration/read.rs
@@ -1,26 +1,24 @@
-//! Reads documents by hand from JSON values: the timetable, and the parts that members' documents have in common with it.
-//! It owns their bounds and what counts as valid. It must never take in a part of a document, nor panic, whatever the
-//! bytes are.
+//! Reads the operators' configuration, and the routes that members' documents share with it.
+//!
+//! The words of those documents (`depot`, `lane_prefix`, `post_class` and so on) are in this module and in the texts for
+//! operators alone; the types that are read have the terms of the field.
+//!
+//! Invariants: a document is taken as a whole or not at all; nothing here panics, whatever the bytes are.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::sync::Arc;
 
 use jzon::JsonValue;
 
-use super::refusal::quoted;
-use super::{Configuration, Limits, Name, Refusal, RefusalReason, RepeatPolicy, Route, Service, bare};
+use super::document::{DocumentEntries, DocumentReader, Entry, MAX_ENTRIES, field, read_document};
+use super::model::{Limits, Name, RepeatPolicy, Route, Service};
+use super::refusal::{Refusal, RefusalReason, quoted};
+use super::routing::{Configuration, normalized_host};
 
-const MOST_BYTES: usize = 32 << 20;
-pub(crate) const MOST_ENTRIES: usize = 20_000;
-/// Read values take far more memory than their text, so their number is bounded before any is read.
-const MOST_VALUES: usize = 1_000_000;
-pub(super) const MOST_DIGITS: usize = 400;
-const MOST_IN_SPLIT: usize = 1_000;
-const MOST_REFUSALS: usize = 100;
-const NAME_BYTES: usize = 256;
-pub const SESSION_BYTES: usize = 64;
-/// Fields of a connection or of a body, which no person has.
-const NOT_SESSION: [&str; 11] = [
+const MAX_WEIGHTED_SERVICES: usize = 1_000;
+const MAX_SESSION_HEADER_BYTES: usize = 64;
+/// Headers of a connection or of a body, which do not identify a session.
+const RESERVED_HEADERS: [&str; 11] = [
     "connection",
     "keep-alive",
     "proxy-connection",
@@ -33,564 +31,405 @@
     "content-type",
     "expect",
 ];
-const PREFIX_BYTES: usize = 1_024;
-/// About 31 years; sums of such times stay far from overflow.
-pub(crate) const MOST_MS: u64 = 1_000_000_000_000;
-const MOST_SHARE: u64 = 1_000_000_000_000;
-const MOST_SIZE: u64 = 1_000_000_000_000_000;
-
-/// A document that is valid as a whole, or all that is wrong with it, in its order.
-pub(crate) fn whole<D>(
-    bytes: &[u8],
-    read: impl FnOnce(&mut Reader, &JsonValue) -> Option<D>,
-) -> Result<D, Vec<Refusal>> {
-    let document = parse(bytes).map_err(|why| vec![Refusal { place: "document".into(), why }])?;
-    let mut reader = Reader::default();
-    match read(&mut reader, &document) {
-        Some(read) if reader.refusals.is_empty() => Ok(read),
-        _ => Err(reader.finish()),
+/// Headers with this prefix are set by the proxies themselves.
+const OWN_HEADER_PREFIX: &str = "ochreshed-";
+const MAX_PATH_BYTES: usize = 1_024;
+const MAX_WEIGHT: u64 = 1_000_000_000_000;
+const MAX_SIZE_BYTES: u64 = 1_000_000_000_000_000;
+
+const ROUTES: &str = "routes";
+const SERVICES: &str = "mail_lines";
+const LIMITS: &str = "limits";
+
+/// The word of the documents for a repeat policy.
+pub(super) fn repeat_policy_word(policy: RepeatPolicy) -> &'static str {
+    match policy {
+        RepeatPolicy::Repeatable => "resendable",
+        RepeatPolicy::OnceOnly => "once_only",
+        RepeatPolicy::Keyed => "registered",
+        RepeatPolicy::LargeResponse => "outbound_post",
     }
 }
 
-fn parse(bytes: &[u8]) -> Result<JsonValue, RefusalReason> {
-    if bytes.len() > MOST_BYTES {
-        return Err(RefusalReason::Long(MOST_BYTES));
-    }
-    measure(bytes)?;
-    let text = std::str::from_utf8(bytes).map_err(|_| RefusalReason::NotUtf8)?;
-    jzon::parse(text).map_err(|error| match error {
-        jzon::Error::UnexpectedCharacter { ch, line, column } => RefusalReason::Stray { ch, line, column },
-        jzon::Error::UnexpectedEndOfJson => RefusalReason::CutShort,
-        jzon::Error::ExceededDepthLimit => RefusalReason::Deep,
-        jzon::Error::FailedUtf8Parsing => RefusalReason::NotUtf8,
-        jzon::Error::WrongType(_) => RefusalReason::Not("JSON"),
-    })
+/// The repeat policy for a word of the documents.
+fn repeat_policy(word: &str) -> Option<RepeatPolicy> {
+    let policies =
+        [RepeatPolicy::Repeatable, RepeatPolicy::OnceOnly, RepeatPolicy::Keyed, RepeatPolicy::LargeResponse];
+    policies.into_iter().find(|policy| repeat_policy_word(*policy) == word)
 }
 
-/// Bounds what reading would take: the values, and the digits of a number (the parser's exponent can overflow).
-fn measure(bytes: &[u8]) -> Result<(), RefusalReason> {
-    let (mut quote, mut escape, mut values, mut digits) = (false, false, 1, 0);
-    for byte in bytes {
-        if quote {
-            match byte {
-                _ if escape => escape = false,
-                b'\\' => escape = true,
-                b'"' => quote = false,
-                _ => {}
-            }
-            continue;
-        }
-        digits = if byte.is_ascii_digit() { digits + 1 } else { 0 };
-        match byte {
-            b'"' => quote = true,
-            b',' | b'[' | b'{' => values += 1,
-            _ => {}
-        }
-        if digits > MOST_DIGITS {
-            return Err(RefusalReason::Digits);
-        }
-        if values > MOST_VALUES {
-            return Err(RefusalReason::Many(MOST_VALUES));
-        }
+impl Configuration {
+    /// Reads a whole configuration, or returns all that is wrong with it in the document's order.
+    pub fn read(bytes: &[u8]) -> Result<Configuration, Vec<Refusal>> {
+        read_document(bytes, read_configuration)
     }
-    Ok(())
-}
-
-/// A field that is there; null counts as absent.
-pub(crate) fn field<'v>(value: &'v JsonValue, key: &str) -> Option<&'v JsonValue> {
-    value.as_object()?.get(key).filter(|found| !found.is_null())
 }
 
-/// The entry being read, for telling a place.
-#[derive(Clone, Copy)]
-pub(crate) struct Entry<'v> {
-    /// The list that it stands in; empty for the document itself.
-    pub list: &'static str,
-    pub index: usize,
-    pub category: &'v str,
-    pub name: &'v str,
-    /// Where in the entry its fields stand.
-    pub within: &'static str,
-    pub fields: &'v JsonValue,
-}
-
-impl<'v> Entry<'v> {
-    /// One whose fields stand in itself.
-    pub fn new(list: &'static str, index: usize, fields: &'v JsonValue) -> Entry<'v> {
-        Entry { list, index, category: "", name: "", within: "", fields }
-    }
-
-    /// The entry itself, for what is wrong with none of its fields.
-    fn all(self) -> Entry<'v> {
-        Entry { within: "", ..self }
-    }
-
-    pub fn get(&self, key: &str) -> Option<&'v JsonValue> {
-        field(self.fields, key)
-    }
-
-    fn place(&self, field: &str) -> String {
-        let named = match (self.category, self.name) {
-            ("", "") => String::new(),
-            ("", name) => format!(" ({})", cut(name)),
-            (category, "") => format!(" ({category})"),
-            (category, name) => format!(" ({category} {})", cut(name)),
-        };
-        let entry = if self.list.is_empty() {
-            String::new()
-        } else {
-            format!("{}[{}]{named}", self.list, self.index)
-        };
-        let steps = [&entry, self.within, field].into_iter().filter(|step| !step.is_empty());
-        steps.collect::<Vec<_>>().join(".")
+fn read_configuration(reader: &mut DocumentReader, document: &JsonValue) -> Option<Configuration> {
+    let DocumentEntries { version, entries } = reader.entries(document, "consignments", MAX_ENTRIES)?;
+    let mut builder = ConfigurationBuilder::new(known_services(reader, entries));
+    for (index, value) in entries.iter().enumerate() {
+        if let Some(entry) = read_entry(reader, index, value) {
+            builder.add(reader, &entry);
+        }
     }
+    let limits = builder.limits.unwrap_or_default();
+    Some(Configuration::new(version?, builder.routes, builder.services, limits))
 }
 
-/// A name as it may stand in a place.
-pub(crate) fn cut(name: &str) -> String {
-    name.chars().take(64).flat_map(char::escape_debug).collect()
+/// The names of all services, which may come after the routes that name them.
+fn known_services(reader: &mut DocumentReader, entries: &[JsonValue]) -> HashSet<Name> {
+    let mut known = HashSet::new();
+    for entry in entries {
+        let category = field(entry, "category").and_then(JsonValue::as_str);
+        let label = field(entry, "label");
+        let name = label.and_then(|label| field(label, "name")).and_then(JsonValue::as_str);
+        if let (Some(SERVICES), Some(name)) = (category, name) {
+            known.insert(reader.intern(name));
+        }
+    }
+    known
 }
 
-/// Reads on past errors, so that an operator is told all of them. What returns `None` has told why, or was absent
-/// where it may be.
-#[derive(Default)]
-pub(crate) struct Reader {
-    names: HashSet<Name>,
-    /// The services that may be named; any, where there is none.
-    known: Option<HashSet<Name>>,
-    refusals: Vec<Refusal>,
-    more: usize,
+/// The entries of a configuration that have been read so far.
+struct ConfigurationBuilder {
+    known_services: HashSet<Name>,
+    routes: Vec<Arc<Route>>,
+    /// The entry that has each host and prefix.
+    route_locations: HashMap<(Name, Name), usize>,
+    services: BTreeMap<Name, Service>,
+    limits: Option<Limits>,
 }
 
-impl Reader {
-    fn finish(mut self) -> Vec<Refusal> {
-        if self.more > 0 {
-            self.refusals.push(Refusal { place: "document".into(), why: RefusalReason::More(self.more) });
+impl ConfigurationBuilder {
+    fn new(known_services: HashSet<Name>) -> ConfigurationBuilder {
+        ConfigurationBuilder {
+            known_services,
+            routes: Vec::new(),
+            route_locations: HashMap::new(),
+            services: BTreeMap::new(),
+            limits: None,
         }
-        self.refusals
-    }
-
-    /// The place is made only when it is told.
-    pub fn refuse<T>(&mut self, why: RefusalReason, place: impl FnOnce() -> String) -> Option<T> {
-        if self.refusals.len() < MOST_REFUSALS {
-            self.refusals.push(Refusal { place: place(), why });
-        } else {
-            self.more += 1;
-        }
-        None
-    }
-
-    pub fn wrong<T>(&mut self, entry: &Entry, field: &str, why: RefusalReason) -> Option<T> {
-        self.refuse(why, || entry.place(field))
     }
 
-    pub fn name(&mut self, text: &str) -> Name {
-        if let Some(name) = self.names.get(text) {
-            return name.clone();
+    fn add(&mut self, reader: &mut DocumentReader, entry: &Entry) {
+        match entry.category {
+            ROUTES => self.add_route(reader, entry),
+            SERVICES => self.add_service(reader, entry),
+            _ => self.add_limits(reader, entry),
         }
-        let name = Name::from(text);
-        self.names.insert(name.clone());
-        name
     }
 
-    /// The edition of a document and the entries of its list; these are read on where the edition is wrong.
-    pub fn document<'v>(
-        &mut self,
-        document: &'v JsonValue,
-        list: &'static str,
-        most: usize,
-    ) -> Option<(Option<u64>, &'v [JsonValue])> {
-        if !document.is_object() {
-            return self.refuse(RefusalReason::Not("an object"), || "document".into());
-        }
-        let version = self.version(field(document, "edition"));
-        let Some(entries) = field(document, list) else {
-            return self.refuse(RefusalReason::Missing, || list.into());
-        };
-        match entries.as_array() {
-            None => self.refuse(RefusalReason::Not("a list"), || list.into()),
-            Some(entries) if entries.len() > most => self.refuse(RefusalReason::Many(most), || list.into()),
-            Some(entries) => Some((version, entries)),
+    fn add_route(&mut self, reader: &mut DocumentReader, entry: &Entry) {
+        let Some(route) = read_route(reader, entry, Some(&self.known_services)) else { return };
+        match self.route_locations.insert(route.location(), entry.index) {
+            Some(other) => {
+                let reason = RefusalReason::DuplicateLocation { entry: other };
+                reader.refuse_field::<()>(&entry.whole(), "", reason);
+            }
+            None => self.routes.push(Arc::new(route)),
         }
     }
 
-    pub fn timetable(&mut self, document: &JsonValue) -> Option<Configuration> {
-        let (version, entries) = self.document(document, "consignments", MOST_ENTRIES)?;
-        // A service may stand after the routes that name it.
-        let mut known = HashSet::new();
-        for entry in entries {
-            let category = field(entry, "category").and_then(JsonValue::as_str);
-            let name =
-                field(entry, "label").and_then(|label| field(label, "name")).and_then(JsonValue::as_str);
-            if let (Some("mail_lines"), Some(name)) = (category, name) {
-                known.insert(self.name(name));
+    /// A service may be given again if it is the same.
+    fn add_service(&mut self, reader: &mut DocumentReader, entry: &Entry) {
+        let Some(service) = read_service(reader, entry) else { return };
+        match self.services.get(&service.name) {
+            Some(known) if *known != service => {
+                reader.refuse_field::<()>(&entry.whole(), "", RefusalReason::Conflict);
             }
-        }
-        self.known = Some(known);
-        let mut routes = Vec::new();
-        let mut places = HashMap::new();
-        let mut services = BTreeMap::new();
-        let mut limits = None;
-        for (index, entry) in entries.iter().enumerate() {
-            let Some(entry) = self.entry(index, entry) else { continue };
-            match entry.category {
-                "routes" => {
-                    if let Some(route) = self.route(&entry) {
-                        let place = (route.host.clone(), route.prefix.clone());
-                        match places.insert(place, index) {
-                            Some(other) => {
-                                self.wrong::<()>(&entry.all(), "", RefusalReason::SamePlace(other));
-                            }
-                            None => routes.push(Arc::new(route)),
-                        }
-                    }
-                }
-                "mail_lines" => {
-                    if let Some(service) = self.service(&entry) {
-                        match services.get(&service.name) {
-                            Some(before) if *before != service => {
-                                self.wrong::<()>(&entry.all(), "", RefusalReason::Twice);
-                            }
-                            _ => {
-                                services.insert(service.name.clone(), service);
-                            }
-                        }
-                    }
-                }
-                _ => {
-                    let read = self.limits(&entry);
-                    if limits.is_some_and(|before| before != read) {
-                        self.wrong::<()>(&entry.all(), "", RefusalReason::Twice);
-                    }
-                    limits = Some(read);
-                }
+            _ => {
+                self.services.insert(service.name.clone(), service);
             }
         }
-        Some(Configuration::new(version?, routes, services, limits.unwrap_or_default()))
     }
 
-    pub fn version(&mut self, value: Option<&JsonValue>) -> Option<u64> {
-        let place = || "edition".to_string();
-        let Some(value) = value else { return self.refuse(RefusalReason::Missing, place) };
-        let Some(text) = value.as_str() else { return self.refuse(RefusalReason::Not("text"), place) };
-        let digits = text.strip_prefix('r').unwrap_or_default();
-        if !digits.bytes().all(|byte| byte.is_ascii_digit()) {
-            return self.refuse(RefusalReason::Version(quoted(text)), place);
-        }
-        match digits.parse() {
-            Ok(version) => Some(version),
-            Err(_) => self.refuse(RefusalReason::Version(quoted(text)), place),
+    /// The limits may be given again if they are the same.
+    fn add_limits(&mut self, reader: &mut DocumentReader, entry: &Entry) {
+        let limits = read_limits(reader, entry);
+        if self.limits.is_some_and(|known| known != limits) {
+            reader.refuse_field::<()>(&entry.whole(), "", RefusalReason::Conflict);
         }
+        self.limits = Some(limits);
     }
+}
 
-    /// What every entry has in common; `None` too for a category that isn't known here.
-    fn entry<'v>(&mut self, index: usize, value: &'v JsonValue) -> Option<Entry<'v>> {
-        let mut entry = Entry::new("consignments", index, value);
-        if !value.is_object() {
-            return self.wrong(&entry, "", RefusalReason::Not("an object"));
-        }
-        let category = self.text(&entry, "category", field(value, "category"))?;
-        if !["routes", "mail_lines", "limits"].contains(&category) {
-            return None;
-        }
-        entry.category = category;
-        let label = field(value, "label");
-        if label.is_some_and(|label| !label.is_object()) {
-            return self.wrong(&entry, "label", RefusalReason::Not("an object"));
-        }
-        if category != "limits" {
-            let name = label.and_then(|label| field(label, "name"));
-            entry.name = self.word(&entry, "label.name", name)?;
-        }
-        match field(value, "manifest") {
-            None => self.wrong(&entry, "manifest", RefusalReason::Missing),
-            Some(manifest) if !manifest.is_object() => {
-                self.wrong(&entry, "manifest", RefusalReason::Not("an object"))
-            }
-            Some(manifest) => Some(Entry { within: "manifest", fields: manifest, ..entry }),
-        }
+/// Reads what every entry has in common. Returns `None` too for a category that isn't known here.
+fn read_entry<'v>(reader: &mut DocumentReader, index: usize, value: &'v JsonValue) -> Option<Entry<'v>> {
+    let mut entry = Entry::new("consignments", index, value);
+    if !value.is_object() {
+        return reader.refuse_field(&entry, "", RefusalReason::WrongType("an object"));
     }
-
-    pub fn route(&mut self, entry: &Entry) -> Option<Route> {
-        let get = |key| entry.get(key);
-        // Each field is read before any is missed, so that all errors are told.
-        let host = self.host(entry, "depot", get("depot"));
-        let prefix = self.prefix(entry, "lane_prefix", get("lane_prefix"));
-        let kind = self.kind(entry, get("route_kind"));
-        let deadline_ms = self.ms(entry, "deadline_ms", get("deadline_ms"));
-        let target_ms = match get("target_ms") {
-            None => deadline_ms,
-            some => self.ms(entry, "target_ms", some),
-        };
-        let rank = match get("post_class") {
-            None => Some(0),
-            some => self.whole(entry, "post_class", some, 0, u32::MAX.into()),
-        };
-        let tries = self.whole(entry, "tries", get("tries"), 1, u32::MAX.into());
-        let lines = self.lines(entry, get("line"), get("split"));
-        let session = match get("session") {
-            None => Some(None),
-            some => self.session(entry, some).map(Some),
-        };
-        Some(Route {
-            name: self.name(entry.name),
-            host: host?,
-            prefix: prefix?,
-            kind: kind?,
-            deadline_ms: deadline_ms?,
-            target_ms: target_ms?,
-            rank: u32::try_from(rank?).ok()?,
-            tries: u32::try_from(tries?).ok()?,
-            lines: lines?,
-            session: session?,
-            share: None,
-        })
+    let category = reader.text(&entry, "category", field(value, "category"))?;
+    if ![ROUTES, SERVICES, LIMITS].contains(&category) {
+        return None;
     }
-
-    /// A field that clients set and that goes on to the upstream as it came.
-    pub fn session(&mut self, entry: &Entry, value: Option<&JsonValue>) -> Option<Name> {
-        const FIELD: &str = "session";
-        let text = self.word(entry, FIELD, value)?.to_ascii_lowercase();
-        let sign = |b: u8| b.is_ascii_alphanumeric() || b"!#$%&'*+-.^_`|~".contains(&b);
-        if text.is_empty() || text.len() > SESSION_BYTES || !text.bytes().all(sign) {
-            return self.wrong(entry, FIELD, RefusalReason::NoField);
-        }
-        if text.starts_with("ochreshed-") || NOT_SESSION.contains(&&*text) {
-            return self.wrong(entry, FIELD, RefusalReason::OurField);
-        }
-        Some(self.name(&text))
+    entry.category = category;
+    let label = field(value, "label");
+    if label.is_some_and(|label| !label.is_object()) {
+        return reader.refuse_field(&entry, "label", RefusalReason::WrongType("an object"));
     }
-
-    pub fn host(&mut self, entry: &Entry, place: &str, value: Option<&JsonValue>) -> Option<Name> {
-        let text = self.word(entry, place, value)?;
-        let host = bare(text);
-        if host.is_empty() {
-            return self.wrong(entry, place, RefusalReason::Empty);
-        }
-        Some(self.name(&host))
+    if category != LIMITS {
+        let name = label.and_then(|label| field(label, "name"));
+        entry.name = reader.name(&entry, "label.name", name)?;
     }
-
-    pub fn prefix(&mut self, entry: &Entry, place: &str, value: Option<&JsonValue>) -> Option<Name> {
-        let text = self.text(entry, place, value)?;
-        if !text.starts_with('/') {
-            return self.wrong(entry, place, RefusalReason::NoSlash);
-        }
-        if text.len() > PREFIX_BYTES {
-            return self.wrong(entry, place, RefusalReason::Long(PREFIX_BYTES));
-        }
-        if text.chars().any(char::is_control) {
-            return self.wrong(entry, place, RefusalReason::Control);
+    match field(value, "manifest") {
+        None => reader.refuse_field(&entry, "manifest", RefusalReason::Missing),
+        Some(manifest) if !manifest.is_object() => {
+            reader.refuse_field(&entry, "manifest", RefusalReason::WrongType("an object"))
         }
-        Some(self.name(text))
+        Some(manifest) => Some(Entry { path: "manifest", fields: manifest, ..entry }),
     }
+}
 
-    fn kind(&mut self, entry: &Entry, value: Option<&JsonValue>) -> Option<RepeatPolicy> {
-        const FIELD: &str = "route_kind";
-        let text = self.text(entry, FIELD, value)?;
-        match RepeatPolicy::from_word(text) {
-            None => self.wrong(entry, FIELD, RefusalReason::RepeatPolicy(quoted(text))),
-            kind => kind,
-        }
-    }
+/// Reads a route. Where `known_services` is given, the route may name no others.
+pub(crate) fn read_route(
+    reader: &mut DocumentReader,
+    entry: &Entry,
+    known_services: Option<&HashSet<Name>>,
+) -> Option<Route> {
+    // Each field is read before any is missed, so that all errors are told.
+    let host = read_host(reader, entry, "depot", entry.get("depot"));
+    let prefix = read_prefix(reader, entry, "lane_prefix", entry.get("lane_prefix"));
+    let repeat_policy = read_repeat_policy(reader, entry);
+    let deadline_ms = reader.duration_ms(entry, "deadline_ms", entry.get("deadline_ms"));
+    let latency_target_ms = match entry.get("target_ms") {
+        None => deadline_ms,
+        target => reader.duration_ms(entry, "target_ms", target),
+    };
+    let priority = match entry.get("post_class") {
+        None => Some(0),
+        class => reader.whole_number(entry, "post_class", class, 0, u32::MAX.into()),
+    };
+    let max_attempts = reader.whole_number(entry, "tries", entry.get("tries"), 1, u32::MAX.into());
+    let services = read_services(reader, entry, known_services);
+    let session_header = match entry.get("session") {
+        None => Some(None),
+        header => read_session_header(reader, entry, header).map(Some),
+    };
+    Some(Route {
+        name: reader.intern(entry.name),
+        host: host?,
+        prefix: prefix?,
+        repeat_policy: repeat_policy?,
+        deadline_ms: deadline_ms?,
+        latency_target_ms: latency_target_ms?,
+        priority: u32::try_from(priority?).ok()?,
+        max_attempts: u32::try_from(max_attempts?).ok()?,
+        services: services?,
+        session_header: session_header?,
+        share: None,
+    })
+}
 
-    /// Where both are given the split holds, but the line must be known all the same: the route names it.
-    fn lines(
-        &mut self,
-        entry: &Entry,
-        line: Option<&JsonValue>,
-        split: Option<&JsonValue>,
-    ) -> Option<Vec<(Name, f64)>> {
-        if line.is_none() && split.is_none() {
-            return self.wrong(entry, "", RefusalReason::NoLine);
-        }
-        let line = match line {
-            None => None,
-            some => Some((self.line(entry, "line", some)?, 1.0)),
-        };
-        match split {
-            None => Some(line.into_iter().collect()),
-            Some(split) => self.split(entry, split),
-        }
+/// Reads the name of a header that clients set and that is forwarded to the upstream unchanged.
+fn read_session_header(
+    reader: &mut DocumentReader,
+    entry: &Entry,
+    value: Option<&JsonValue>,
+) -> Option<Name> {
+    const FIELD: &str = "session";
+    let text = reader.name(entry, FIELD, value)?.to_ascii_lowercase();
+    let is_token_byte = |byte: u8| byte.is_ascii_alphanumeric() || b"!#$%&'*+-.^_`|~".contains(&byte);
+    if text.is_empty() || text.len() > MAX_SESSION_HEADER_BYTES || !text.bytes().all(is_token_byte) {
+        let reason = RefusalReason::InvalidHeaderName { max_bytes: MAX_SESSION_HEADER_BYTES };
+        return reader.refuse_field(entry, FIELD, reason);
     }
-
-    fn line(&mut self, entry: &Entry, place: &str, value: Option<&JsonValue>) -> Option<Name> {
-        let text = self.word(entry, place, value)?;
-        let Some(known) = &self.known else { return Some(self.name(text)) };
-        match known.get(text) {
-            Some(name) => Some(name.clone()),
-            None => self.wrong(entry, place, RefusalReason::Unknown(quoted(text))),
-        }
+    if text.starts_with(OWN_HEADER_PREFIX) || RESERVED_HEADERS.contains(&&*text) {
+        return reader.refuse_field(entry, FIELD, RefusalReason::ReservedHeader);
     }
+    Some(reader.intern(&text))
+}
 
-    fn split(&mut self, entry: &Entry, value: &JsonValue) -> Option<Vec<(Name, f64)>> {
-        const FIELD: &str = "split";
-        let Some(parts) = value.as_array() else {
-            return self.wrong(entry, FIELD, RefusalReason::Not("a list"));
-        };
-        if parts.is_empty() {
-            return self.wrong(entry, FIELD, RefusalReason::Empty);
-        }
-        if parts.len() > MOST_IN_SPLIT {
-            return self.wrong(entry, FIELD, RefusalReason::Many(MOST_IN_SPLIT));
-        }
-        let mut lines: Vec<(Name, f64)> = Vec::with_capacity(parts.len());
-        let mut whole = true;
-        for (index, part) in parts.iter().enumerate() {
-            let place = |key: &str| format!("{FIELD}[{index}]{key}");
-            if !part.is_object() {
-                self.wrong::<()>(entry, &place(""), RefusalReason::Not("an object"));
-                whole = false;
-                continue;
-            }
-            let line = self.line(entry, &place(".line"), field(part, "line"));
-            let share = self.number(entry, &place(".share"), field(part, "share"), MOST_SHARE);
-            match (line, share) {
-                (Some(line), Some(share)) => match lines.iter_mut().find(|(name, _)| *name == line) {
-                    Some((_, sum)) => *sum += share,
-                    None => lines.push((line, share)),
-                },
-                _ => whole = false,
-            }
-        }
-        if !whole {
-            return None;
-        }
-        if lines.iter().all(|(_, share)| *share == 0.0) {
-            return self.wrong(entry, FIELD, RefusalReason::NoShare);
-        }
-        lines.shrink_to_fit();
-        Some(lines)
+/// Reads a host as routes have it.
+pub(crate) fn read_host(
+    reader: &mut DocumentReader,
+    entry: &Entry,
+    field: &str,
+    value: Option<&JsonValue>,
+) -> Option<Name> {
+    let text = reader.name(entry, field, value)?;
+    let host = normalized_host(text);
+    if host.is_empty() {
+        return reader.refuse_field(entry, field, RefusalReason::Empty);
     }
+    Some(reader.intern(&host))
+}
 
-    fn service(&mut self, entry: &Entry) -> Option<Service> {
-        let get = |key| entry.get(key);
-        let health = self.health(entry, get("health"));
-        let berth_cap = self.whole(entry, "berth_cap", get("berth_cap"), 1, u32::MAX.into());
-        let dedupes = match get("dedupes") {
-            None => Some(false),
-            Some(value) => match value.as_bool() {
-                None => self.wrong(entry, "dedupes", RefusalReason::Not("true or false")),
-                some => some,
-            },
-        };
-        Some(Service {
-            name: self.name(entry.name),
-            health: health?,
-            berth_cap: u32::try_from(berth_cap?).ok()?,
-            dedupes: dedupes?,
-        })
+/// Reads a path prefix, which begins with a slash.
+pub(crate) fn read_prefix(
+    reader: &mut DocumentReader,
+    entry: &Entry,
+    field: &str,
+    value: Option<&JsonValue>,
+) -> Option<Name> {
+    let text = read_path(reader, entry, field, value)?;
+    if text.chars().any(char::is_control) {
+        return reader.refuse_field(entry, field, RefusalReason::ControlCharacter);
     }
+    Some(reader.intern(text))
+}
 
-    /// It goes into a request's first line as it is.
-    fn health(&mut self, entry: &Entry, value: Option<&JsonValue>) -> Option<String> {
-        const FIELD: &str = "health";
-        let text = self.text(entry, FIELD, value)?;
-        if !text.starts_with('/') {
-            return self.wrong(entry, FIELD, RefusalReason::NoSlash);
-        }
-        if text.len() > PREFIX_BYTES {
-            return self.wrong(entry, FIELD, RefusalReason::Long(PREFIX_BYTES));
-        }
-        if !text.bytes().all(|byte| byte.is_ascii_graphic()) {
-            return self.wrong(entry, FIELD, RefusalReason::Path);
-        }
-        Some(text.to_string())
+/// Reads the path of a health check, which goes into the first line of a request as it is.
+fn read_health_path(reader: &mut DocumentReader, entry: &Entry) -> Option<String> {
+    const FIELD: &str = "health";
+    let text = read_path(reader, entry, FIELD, entry.get(FIELD))?;
+    if !text.bytes().all(|byte| byte.is_ascii_graphic()) {
+        return reader.refuse_field(entry, FIELD, RefusalReason::InvalidPath);
     }
+    Some(text.to_string())
+}
 
-    /// A field that is wrong is told, and its default stands in for it.
-    fn limits(&mut self, entry: &Entry) -> Limits {
-        let get = |key| entry.get(key);
-        let mut limits = Limits::default();
-        if let size @ Some(_) = get("label_bytes") {
-            let read = self.whole(entry, "label_bytes", size, 1, MOST_SIZE);
-            limits.label_bytes = read.unwrap_or(limits.label_bytes);
-        }
-        if let size @ Some(_) = get("parcel_bytes") {
-            let read = self.whole(entry, "parcel_bytes", size, 0, MOST_SIZE);
-            limits.parcel_bytes = read.unwrap_or(limits.parcel_bytes);
-        }
-        if let time @ Some(_) = get("label_ms") {
-            limits.label_ms = self.ms(entry, "label_ms", time).unwrap_or(limits.label_ms);
-        }
-        if let time @ Some(_) = get("idle_ms") {
-            limits.idle_ms = self.ms(entry, "idle_ms", time).unwrap_or(limits.idle_ms);
-        }
-        limits
+fn read_path<'v>(
+    reader: &mut DocumentReader,
+    entry: &Entry,
+    field: &str,
+    value: Option<&'v JsonValue>,
+) -> Option<&'v str> {
+    let text = reader.text(entry, field, value)?;
+    if !text.starts_with('/') {
+        return reader.refuse_field(entry, field, RefusalReason::NoLeadingSlash);
     }
+    if text.len() > MAX_PATH_BYTES {
+        return reader.refuse_field(entry, field, RefusalReason::TooLong { max_bytes: MAX_PATH_BYTES });
+    }
+    Some(text)
+}
 
-    pub fn text<'v>(&mut self, entry: &Entry, place: &str, value: Option<&'v JsonValue>) -> Option<&'v str> {
-        let Some(value) = value else { return self.wrong(entry, place, RefusalReason::Missing) };
-        match value.as_str() {
-            None => self.wrong(entry, place, RefusalReason::Not("text")),
-            text => text,
-        }
+fn read_repeat_policy(reader: &mut DocumentReader, entry: &Entry) -> Option<RepeatPolicy> {
+    const FIELD: &str = "route_kind";
+    let text = reader.text(entry, FIELD, entry.get(FIELD))?;
+    repeat_policy(text)
+        .or_else(|| reader.refuse_field(entry, FIELD, RefusalReason::UnknownRouteKind(quoted(text))))
+}
+
+/// Reads the services of a route with their weights. Where both `line` and `split` are given the split holds, but the
+/// service of the line must be known all the same.
+fn read_services(
+    reader: &mut DocumentReader,
+    entry: &Entry,
+    known_services: Option<&HashSet<Name>>,
+) -> Option<Vec<(Name, f64)>> {
+    let (line, split) = (entry.get("line"), entry.get("split"));
+    if line.is_none() && split.is_none() {
+        return reader.refuse_field(entry, "", RefusalReason::NoService);
+    }
+    let single = match line {
+        None => None,
+        line => Some((read_service_name(reader, entry, "line", line, known_services)?, 1.0)),
+    };
+    match split {
+        None => Some(single.into_iter().collect()),
+        Some(split) => read_split(reader, entry, split, known_services),
     }
+}
 
-    /// A text that names something.
-    pub fn word<'v>(&mut self, entry: &Entry, place: &str, value: Option<&'v JsonValue>) -> Option<&'v str> {
-        let text = self.text(entry, place, value)?;
-        if text.is_empty() {
-            self.wrong(entry, place, RefusalReason::Empty)
-        } else if text.len() > NAME_BYTES {
-            self.wrong(entry, place, RefusalReason::Long(NAME_BYTES))
-        } else if text.chars().any(char::is_control) {
-            self.wrong(entry, place, RefusalReason::Control)
-        } else {
-            Some(text)
-        }
+fn read_service_name(
+    reader: &mut DocumentReader,
+    entry: &Entry,
+    field: &str,
+    value: Option<&JsonValue>,
+    known_services: Option<&HashSet<Name>>,
+) -> Option<Name> {
+    let text = reader.name(entry, field, value)?;
+    let Some(known) = known_services else { return Some(reader.intern(text)) };
+    match known.get(text) {
+        Some(name) => Some(name.clone()),
+        None => reader.refuse_field(entry, field, RefusalReason::UnknownService(quoted(text))),
     }
+}
 
-    /// A number from 0 to `most`.
-    pub fn number(
-        &mut self,
-        entry: &Entry,
-        place: &str,
-        value: Option<&JsonValue>,
-        most: u64,
-    ) -> Option<f64> {
-        let Some(value) = value else { return self.wrong(entry, place, RefusalReason::Missing) };
-        let Some(number) = value.as_number() else {
-            return self.wrong(entry, place, RefusalReason::Not("a number"));
-        };
-        let (positive, mantissa, exponent) = number.as_parts();
-        let Ok(size) = format!("{mantissa}e{exponent}").parse::<f64>() else {
-            return self.wrong(entry, place, RefusalReason::Not("a number"));
+/// Reads the parts of a split. The weights of a service that is given more than once are added.
+fn read_split(
+    reader: &mut DocumentReader,
+    entry: &Entry,
+    value: &JsonValue,
+    known_services: Option<&HashSet<Name>>,
+) -> Option<Vec<(Name, f64)>> {
+    const FIELD: &str = "split";
+    let Some(parts) = value.as_array() else {
+        return reader.refuse_field(entry, FIELD, RefusalReason::WrongType("a list"));
+    };
+    if parts.is_empty() {
+        return reader.refuse_field(entry, FIELD, RefusalReason::Empty);
+    }
+    if parts.len() > MAX_WEIGHTED_SERVICES {
+        return reader.refuse_field(entry, FIELD, RefusalReason::TooMany { max: MAX_WEIGHTED_SERVICES });
+    }
+    let mut services: Vec<(Name, f64)> = Vec::with_capacity(parts.len());
+    let mut all_valid = true;
+    for (index, part) in parts.iter().enumerate() {
+        let path = format!("{FIELD}[{index}]");
+        let Some((service, weight)) = read_split_part(reader, entry, &path, part, known_services) else {
+            all_valid = false;
+            continue;
         };
-        // A minus before a number too small to hold is still a minus.
-        if !positive && mantissa > 0 {
-            return self.wrong(entry, place, RefusalReason::Negative);
-        }
-        // Every bound is far below the whole numbers that a float can't tell apart.
-        if size > most as f64 {
-            return self.wrong(entry, place, RefusalReason::Above(most));
+        match services.iter_mut().find(|(name, _)| *name == service) {
+            Some((_, sum)) => *sum += weight,
+            None => services.push((service, weight)),
         }
-        Some(size)
     }
+    if !all_valid {
+        return None;
+    }
+    if services.iter().all(|(_, weight)| *weight == 0.0) {
+        return reader.refuse_field(entry, FIELD, RefusalReason::ZeroWeights);
+    }
+    services.shrink_to_fit();
+    Some(services)
+}
 
-    pub fn whole(
-        &mut self,
-        entry: &Entry,
-        place: &str,
-        value: Option<&JsonValue>,
-        least: u64,
-        most: u64,
-    ) -> Option<u64> {
-        let number = self.number(entry, place, value, most)?;
-        if number.fract() != 0.0 {
-            return self.wrong(entry, place, RefusalReason::Fraction);
-        }
-        if (number as u64) < least {
-            return self.wrong(entry, place, RefusalReason::NotPositive);
-        }
-        Some(number as u64)
+fn read_split_part(
+    reader: &mut DocumentReader,
+    entry: &Entry,
+    path: &str,
+    part: &JsonValue,
+    known_services: Option<&HashSet<Name>>,
+) -> Option<(Name, f64)> {
+    if !part.is_object() {
+        return reader.refuse_field(entry, path, RefusalReason::WrongType("an object"));
     }
+    let service =
+        read_service_name(reader, entry, &format!("{path}.line"), field(part, "line"), known_services);
+    let weight = reader.number(entry, &format!("{path}.share"), field(part, "share"), MAX_WEIGHT);
+    Some((service?, weight?))
+}
 
-    /// A time above 0, in whole milliseconds; a fraction is dropped.
-    pub fn ms(&mut self, entry: &Entry, place: &str, value: Option<&JsonValue>) -> Option<u64> {
-        let number = self.number(entry, place, value, MOST_MS)?;
-        if number <= 0.0 {
-            return self.wrong(entry, place, RefusalReason::NotPositive);
-        }
-        Some((number as u64).max(1))
+fn read_service(reader: &mut DocumentReader, entry: &Entry) -> Option<Service> {
+    let health_path = read_health_path(reader, entry);
+    let max_connections = reader.whole_number(entry, "berth_cap", entry.get("berth_cap"), 1, u32::MAX.into());
+    let deduplicates = match entry.get("dedupes") {
+        None => Some(false),
+        Some(value) => value
+            .as_bool()
+            .or_else(|| reader.refuse_field(entry, "dedupes", RefusalReason::WrongType("true or false"))),
+    };
+    Some(Service {
+        name: reader.intern(entry.name),
+        health_path: health_path?,
+        max_connections: u32::try_from(max_connections?).ok()?,
+        deduplicates: deduplicates?,
+    })
+}
+
+/// Reads the limits. A field that is invalid is refused, and its default stands in for it.
+fn read_limits(reader: &mut DocumentReader, entry: &Entry) -> Limits {
+    let mut limits = Limits::default();
+    if let size @ Some(_) = entry.get("label_bytes") {
+        let read = reader.whole_number(entry, "label_bytes", size, 1, MAX_SIZE_BYTES);
+        limits.max_header_bytes = read.unwrap_or(limits.max_header_bytes);
+    }
+    if let size @ Some(_) = entry.get("parcel_bytes") {
+        let read = reader.whole_number(entry, "parcel_bytes", size, 0, MAX_SIZE_BYTES);
+        limits.max_body_bytes = read.unwrap_or(limits.max_body_bytes);
+    }
+    if let time @ Some(_) = entry.get("label_ms") {
+        let read = reader.duration_ms(entry, "label_ms", time);
+        limits.header_timeout_ms = read.unwrap_or(limits.header_timeout_ms);
+    }
+    if let time @ Some(_) = entry.get("idle_ms") {
+        let read = reader.duration_ms(entry, "idle_ms", time);
+        limits.idle_timeout_ms = read.unwrap_or(limits.idle_timeout_ms);
     }
+    limits
 }
--- a/catalog/src/configuration/refusal.rs
+++ b/catalog/src/configuration/refusal.rs
@@ -1,133 +1,167 @@
-//! RefusalReason a document of the operators' or of a member is refused, and where in it that stands. It owns the words and must
-//! never decide.
+//! Why a document of the operators or of a member is refused, and where in it the error is.
+//!
+//! The texts are for operators and speak the words of the documents.
+//!
+//! Invariants: texts of a document are shortened and escaped before they go into a message.
 
-use std::fmt;
+use std::fmt::Write;
 
-use super::read::{MOST_DIGITS, SESSION_BYTES};
+use thiserror::Error;
 
-/// Something that makes a configuration invalid, and where it stands.
-#[derive(Clone, Debug, PartialEq, Eq)]
+/// Something that makes a document invalid.
+#[derive(Clone, Debug, Error, PartialEq, Eq)]
+#[error("{location}: {reason}")]
 pub struct Refusal {
-    pub place: String,
-    pub why: RefusalReason,
+    /// The path to the invalid value in the document.
+    pub location: String,
+    /// What is wrong with that value.
+    pub reason: RefusalReason,
 }
 
-impl fmt::Display for Refusal {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}: {}", self.place, self.why)
-    }
-}
-
-#[derive(Clone, Debug, PartialEq, Eq)]
+/// What is wrong with a value of a document.
+#[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum RefusalReason {
-    /// More bytes than the number given.
-    Long(usize),
-    /// More entries or values than the number given.
-    Many(usize),
+    /// The text is too long.
+    #[error("is longer than {max_bytes} bytes")]
+    TooLong {
+        /// The greatest length, in bytes.
+        max_bytes: usize,
+    },
+    /// There are too many entries or values.
+    #[error("holds more than {max}")]
+    TooMany {
+        /// The greatest number.
+        max: usize,
+    },
+    /// The document is not UTF-8.
+    #[error("is not UTF-8")]
     NotUtf8,
-    CutShort,
-    Stray {
+    /// The document ends within a value.
+    #[error("ends too early")]
+    Truncated,
+    /// The document is not JSON.
+    #[error("is no JSON: {ch:?} at line {line}, column {column}")]
+    UnexpectedCharacter {
+        /// The character that no JSON has there.
         ch: char,
+        /// The line, counted from 1.
         line: usize,
+        /// The column, counted from 1.
         column: usize,
     },
-    Deep,
-    /// A number of more digits than any has.
-    Digits,
+    /// The values are nested too deeply.
+    #[error("is nested too deeply")]
+    TooDeep,
+    /// A number is too long.
+    #[error("has a number of more than {max} digits")]
+    TooManyDigits {
+        /// The most digits of a number.
+        max: usize,
+    },
+    /// The value is absent.
+    #[error("is missing")]
     Missing,
-    /// Not of the kind named.
-    Not(&'static str),
+    /// The value is not of the type named here with its article.
+    #[error("is not {0}")]
+    WrongType(&'static str),
+    /// The text or list is empty.
+    #[error("is empty")]
     Empty,
-    /// Holds a control character.
-    Control,
-    Version(String),
-    NoSlash,
-    /// No name of a header, or too long for one.
-    NoField,
-    /// One that is ours, or belongs to a connection.
-    OurField,
-    /// A health path that can't stand in a request.
-    Path,
-    RepeatPolicy(String),
+    /// The text has a control character.
+    #[error("holds a control character")]
+    ControlCharacter,
+    /// The version, quoted here, is not `r` with a number.
+    #[error("is {0}, not r and a number")]
+    InvalidVersion(String),
+    /// The path does not begin with a slash.
+    #[error("does not begin with a slash")]
+    NoLeadingSlash,
+    /// The text is no header name, or too long for one.
+    #[error("is no header's name of up to {max_bytes} characters")]
+    InvalidHeaderName {
+        /// The greatest length, in bytes.
+        max_bytes: usize,
+    },
+    /// The header is set by proxies or belongs to the connection.
+    #[error("is a header that no client sets for itself")]
+    ReservedHeader,
+    /// The path of the health check can't be in a request.
+    #[error("is no path that can be asked for")]
+    InvalidPath,
+    /// The kind of route, quoted here, isn't known.
+    #[error("is {0}, none of resendable, once_only, registered, outbound_post")]
+    UnknownRouteKind(String),
+    /// The number is 0, or below the least that is allowed.
+    #[error("is not above 0")]
     NotPositive,
+    /// The number is below 0.
+    #[error("is below 0")]
     Negative,
-    Fraction,
-    Above(u64),
-    /// Neither `line` nor `split`.
-    NoLine,
-    /// A split whose shares come to nothing.
-    NoShare,
-    Unknown(String),
-    /// The entry of this number has the same host and prefix.
-    SamePlace(usize),
-    /// The entry of this number in the list named has this one's place or name.
-    Same(&'static str, usize),
-    /// The name of a member that is none.
-    Name,
-    /// Does not end with a slash.
-    NoLastSlash,
-    /// No SHA-256 in 64 hex digits.
-    Digest,
-    /// Lies within this place of another member.
-    Within(String),
-    /// Given before, and otherwise.
-    Twice,
-    /// Further refusals than those told.
-    More(usize),
+    /// The number is not whole.
+    #[error("is not a whole number")]
+    NotWhole,
+    /// The number is above the maximum.
+    #[error("is above {0}")]
+    AboveMaximum(u64),
+    /// The route names no service.
+    #[error("has neither line nor split")]
+    NoService,
+    /// The weights of a split are all 0.
+    #[error("has shares that come to 0")]
+    ZeroWeights,
+    /// The service, quoted here, is not among the document's.
+    #[error("names {0}, which is not among the mail_lines")]
+    UnknownService(String),
+    /// Another route has the same host and prefix.
+    #[error("has the host and the prefix of consignments[{entry}]")]
+    DuplicateLocation {
+        /// The position of the other route's entry.
+        entry: usize,
+    },
+    /// Another entry of a list has the same name or location.
+    #[error("is that of {list}[{entry}] too")]
+    Duplicate {
+        /// The list's name.
+        list: &'static str,
+        /// The position of the other entry.
+        entry: usize,
+    },
+    /// The text is no name of a member.
+    #[error("is not 1 to 60 letters, digits, dots, dashes and underscores")]
+    InvalidMemberName,
+    /// The prefix does not end with a slash.
+    #[error("does not end with a slash")]
+    NoTrailingSlash,
+    /// The text is no SHA-256 digest.
+    #[error("is not a SHA-256 in 64 hex digits")]
+    InvalidDigest,
+    /// The scope lies within the scope of another member that is named here.
+    #[error("lies within {0}")]
+    OverlapsScope(String),
+    /// The entry is given twice with different contents.
+    #[error("is given twice, and not alike")]
+    Conflict,
+    /// The number of refusals that were left out.
+    #[error("has {0} more errors")]
+    MoreRefusals(usize),
 }
 
-impl fmt::Display for RefusalReason {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            RefusalReason::Long(most) => write!(f, "is longer than {most} bytes"),
-            RefusalReason::Many(most) => write!(f, "holds more than {most}"),
-            RefusalReason::NotUtf8 => f.write_str("is not UTF-8"),
-            RefusalReason::CutShort => f.write_str("ends too early"),
-            RefusalReason::Stray { ch, line, column } => {
-                write!(f, "is no JSON: {ch:?} at line {line}, column {column}")
-            }
-            RefusalReason::Deep => f.write_str("is nested too deeply"),
-            RefusalReason::Digits => write!(f, "has a number of more than {MOST_DIGITS} digits"),
-            RefusalReason::Missing => f.write_str("is missing"),
-            RefusalReason::Not(kind) => write!(f, "is not {kind}"),
-            RefusalReason::Empty => f.write_str("is empty"),
-            RefusalReason::Control => f.write_str("holds a control character"),
-            RefusalReason::Version(text) => write!(f, "is {text}, not r and a number"),
-            RefusalReason::NoSlash => f.write_str("does not begin with a slash"),
-            RefusalReason::NoField => write!(f, "is no header's name of up to {SESSION_BYTES} characters"),
-            RefusalReason::OurField => f.write_str("is a header that no client sets for itself"),
-            RefusalReason::Path => f.write_str("is no path that can be asked for"),
-            RefusalReason::RepeatPolicy(text) => {
-                write!(f, "is {text}, none of resendable, once_only, registered, outbound_post")
-            }
-            RefusalReason::NotPositive => f.write_str("is not above 0"),
-            RefusalReason::Negative => f.write_str("is below 0"),
-            RefusalReason::Fraction => f.write_str("is not a whole number"),
-            RefusalReason::Above(most) => write!(f, "is above {most}"),
-            RefusalReason::NoLine => f.write_str("has neither line nor split"),
-            RefusalReason::NoShare => f.write_str("has shares that come to 0"),
-            RefusalReason::Unknown(name) => write!(f, "names {name}, which is not among the mail_lines"),
-            RefusalReason::SamePlace(other) => {
-                write!(f, "has the host and the prefix of consignments[{other}]")
-            }
-            RefusalReason::Same(list, other) => write!(f, "is that of {list}[{other}] too"),
-            RefusalReason::Name => {
-                f.write_str("is not 1 to 60 letters, digits, dots, dashes and underscores")
-            }
-            RefusalReason::NoLastSlash => f.write_str("does not end with a slash"),
-            RefusalReason::Digest => f.write_str("is not a SHA-256 in 64 hex digits"),
-            RefusalReason::Within(other) => write!(f, "lies within {other}"),
-            RefusalReason::Twice => f.write_str("is given twice, and not alike"),
-            RefusalReason::More(count) => write!(f, "has {count} more errors"),
-        }
-    }
-}
+/// The most characters of a document's text that go into a message.
+const MAX_SHOWN_CHARS: usize = 64;
 
-/// A stranger's text as it may stand in a line of a log.
+/// A text of a document in quotes, shortened, for a message or a line of a log.
 pub(crate) fn quoted(text: &str) -> String {
-    const MOST: usize = 64;
-    match text.char_indices().nth(MOST) {
+    match text.char_indices().nth(MAX_SHOWN_CHARS) {
         Some((end, _)) => format!("{:?}...", text.get(..end).unwrap_or_default()),
         None => format!("{text:?}"),
     }
 }
+
+/// A name of a document without quotes, shortened and escaped, for the location of an error.
+pub(crate) fn escaped_name(name: &str) -> String {
+    let mut shown = String::new();
+    for character in name.chars().take(MAX_SHOWN_CHARS) {
+        let _ = write!(shown, "{}", character.escape_debug());
+    }
+    shown
+}
--- a/catalog/src/overlay.rs
+++ b/catalog/src/overlay.rs
@@ -1,38 +1,46 @@
-//! Lays the routes of a platform's members over its timetable. It owns what of a member's document is laid: what the
-//! register gives to that member, in full, and nothing else. It also owns what is said of a change before it is taken
-//! (`check`, `plan`), and which nodes try one first. It must never let a member's document alter another's routes, nor
-//! one of the platform's outside that member's places; and all that hold the same documents lay the same.
+//! Overlays the routes of members on the platform's configuration.
+//!
+//! [`overlay`] makes the [`EffectiveConfiguration`] of a node. [`check`] and [`plan`] tell before a change is taken what it
+//! would do, and [`effective_document`] which version of a member's document is in force on a node while a canary runs.
+//!
+//! Invariants: a member's document never alters another member's routes, nor the platform's outside the member's scopes;
+//! all nodes with the same documents come to the same configuration.
 
 use std::collections::BTreeMap;
 use std::fmt;
 use std::net::{IpAddr, SocketAddr};
 use std::sync::Arc;
 
+use thiserror::Error;
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::configuration::read::cut;
-use crate::configuration::{Configuration, Name, Route, Share, by_place};
+use crate::configuration::refusal::escaped_name;
+use crate::configuration::{Configuration, MemberShares, Name, Route, differences_by_location};
 use crate::members::{Member, MemberDocument, MemberRegister};
 
-/// The documents in force, each under its member's name.
+/// The documents in force, by the names of their members.
 pub type MemberDocuments = BTreeMap<Name, Arc<MemberDocument>>;
 
-/// Of each member no more trims are told than this.
-const MOST_TOLD: usize = 100;
+/// The most violations of one member that are listed; any more are only counted.
+const MAX_VIOLATIONS: usize = 100;
 
-/// What is in force where these documents are held.
+/// The configuration in force, with the routes of members.
 #[derive(Clone, Debug)]
 pub struct EffectiveConfiguration {
+    /// The platform's configuration with the members' routes in it.
     pub configuration: Configuration,
-    /// In the order of the members' names, of each in its document's order.
+    /// What was left out of the members' documents, in the order of the members' names and of each document.
     pub violations: Vec<MemberViolation>,
 }
 
-/// What of a member's document is not laid as it was written. None arises from a document that `check` passed under
-/// the same timetable and register.
+/// A part of a member's document that is in force otherwise than it is written, or not at all.
+///
+/// None arises from a document that [`check`] passed under the same configuration and register.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MemberViolation {
+    /// The member's name.
     pub member: Name,
+    /// What is not in force.
     pub violation: OverlayViolation,
 }
 
@@ -42,21 +50,32 @@
     }
 }
 
-/// What of a document goes beyond what its member was given, and where it stands.
+/// A part of a document that goes beyond what its member is allowed.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OverlayViolation {
-    /// The route's number in the document and its name; none where it is the document as a whole.
-    pub route: Option<(usize, Name)>,
+    /// The route; none where it is the document as a whole.
+    pub route: Option<RoutePosition>,
+    /// The field of the route as the documents call it; empty for the route as a whole.
     pub field: &'static str,
+    /// What is exceeded.
     pub exceeded: ExceededLimit,
 }
 
+/// A route of a member's document.
+#[derive(Clone, Debug, PartialEq)]
+pub struct RoutePosition {
+    /// The position in the document.
+    pub index: usize,
+    /// The route's name.
+    pub name: Name,
+}
+
 impl fmt::Display for OverlayViolation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match &self.route {
             None => f.write_str(self.field)?,
-            Some((index, name)) => {
-                write!(f, "routes[{index}] ({})", cut(name))?;
+            Some(RoutePosition { index, name }) => {
+                write!(f, "routes[{index}] ({})", escaped_name(name))?;
                 let dot = if self.field.is_empty() { "" } else { "." };
                 write!(f, "{dot}{}", self.field)?;
             }
@@ -65,241 +84,284 @@
     }
 }
 
-#[derive(Clone, Debug, PartialEq)]
+/// The limit of a member that a document exceeds, and what is in force instead.
+#[derive(Clone, Debug, Error, PartialEq)]
 pub enum ExceededLimit {
-    /// The register names no such member: none of its routes is laid.
-    NoMember,
-    /// The route stands in no place of this member: it is not laid.
-    Place(String),
-    /// The member has this many routes already: this one is not laid.
-    Routes(usize),
-    /// Above the limit, which is laid instead.
-    Above { is: u64, most: u64 },
-    /// A higher rank than the member's, which is laid instead.
-    Rank { is: u32, least: u32 },
-    /// A service that is not among the member's: it gets none of the reqs.
-    NotOwned(Name),
-    /// A service that the timetable doesn't have: it gets none of the reqs.
-    Unknown(Name),
-    /// No service is left with a share: the route is not laid.
+    /// The register has no such member; none of its routes is in force.
+    #[error("is of no member that the register names")]
+    UnknownMember,
+    /// The route, of this host and prefix, is outside the member's scopes and not in force.
+    #[error("{0:?} is in no place of this member")]
+    OutsideScopes(String),
+    /// The member has as many routes already; this one is not in force.
+    #[error("comes after this member's limit of {max} routes")]
+    TooManyRoutes {
+        /// The member's limit.
+        max: usize,
+    },
+    /// The value is above the maximum, which is in force instead.
+    #[error("{value} is above this member's limit of {max}")]
+    AboveMaximum {
+        /// The value in the document.
+        value: u64,
+        /// The member's limit.
+        max: u64,
+    },
+    /// The priority is higher than the member's highest, which is in force instead.
+    #[error("{priority} is a higher rank than this member's, {highest} (0 is the highest)")]
+    PriorityTooHigh {
+        /// The priority in the document.
+        priority: u32,
+        /// The member's highest priority, which is a greater number.
+        highest: u32,
+    },
+    /// The service is not among the member's and gets no requests.
+    #[error("{:?} is not among this member's services", &**.0)]
+    ServiceNotAllowed(Name),
+    /// The platform has no such service; it gets no requests.
+    #[error("{:?} is not among the platform's services", &**.0)]
+    UnknownService(Name),
+    /// No service with a weight above 0 is left; the route is not in force.
+    #[error("no service is left with a share")]
     NoService,
-    /// Further cuts than those told.
-    More(usize),
-}
-
-impl fmt::Display for ExceededLimit {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            ExceededLimit::NoMember => f.write_str("is of no member that the register names"),
-            ExceededLimit::Place(place) => write!(f, "{place:?} is in no place of this member"),
-            ExceededLimit::Routes(most) => write!(f, "comes after this member's limit of {most} routes"),
-            ExceededLimit::Above { is, most } => write!(f, "{is} is above this member's limit of {most}"),
-            ExceededLimit::Rank { is, least } => {
-                write!(f, "{is} is a higher rank than this member's, {least} (0 is the highest)")
-            }
-            ExceededLimit::NotOwned(name) => write!(f, "{:?} is not among this member's services", &**name),
-            ExceededLimit::Unknown(name) => write!(f, "{:?} is not among the platform's services", &**name),
-            ExceededLimit::NoService => f.write_str("no service is left with a share"),
-            ExceededLimit::More(count) => write!(f, "has {count} more like these"),
-        }
-    }
+    /// The number of violations that were left out of the list.
+    #[error("has {0} more like these")]
+    MoreViolations(usize),
 }
 
-/// Lays each member's document over the platform's timetable, as far as the register gives it room now. A member's
-/// route stands in the stead of one of the platform's at the same host and prefix. What goes beyond the member's room is
-/// lowered to it or left out, and told. Depends on nothing but what is given.
+/// Overlays the members' documents on the platform's configuration, as far as the register allows.
+///
+/// A member's route replaces one of the platform's at the same host and prefix. What goes beyond the member's limits is
+/// lowered to them or left out, and listed among the violations. The result depends on the arguments alone.
 pub fn overlay(
     base: &Configuration,
     register: &MemberRegister,
-    docs: &MemberDocuments,
+    documents: &MemberDocuments,
 ) -> EffectiveConfiguration {
-    let (mut over, mut trims) = (Vec::new(), Vec::new());
-    for (name, doc) in docs {
-        let (routes, cuts) = fit(base, register, name, doc);
-        over.extend(routes);
-        trims.extend(
-            cuts.told().into_iter().map(|cut| MemberViolation { member: name.clone(), violation: cut }),
-        );
+    let mut routes = Vec::new();
+    let mut violations = Vec::new();
+    for (name, document) in documents {
+        let restricted = restrict(base, register, name, document);
+        routes.extend(restricted.routes);
+        let of_member = |violation| MemberViolation { member: name.clone(), violation };
+        violations.extend(restricted.violations.into_list().into_iter().map(of_member));
     }
-    EffectiveConfiguration { configuration: base.overlaid(over), violations: trims }
+    EffectiveConfiguration { configuration: base.overlaid(routes), violations }
 }
 
-/// All that goes beyond what the member is given by this timetable and register, with its place. A change is taken only
-/// if there is nothing.
+/// All that goes beyond what the member is allowed by this configuration and register. A change is taken only if there is
+/// nothing.
 pub fn check(
     base: &Configuration,
     register: &MemberRegister,
     member: &str,
-    doc: &MemberDocument,
+    document: &MemberDocument,
 ) -> Vec<OverlayViolation> {
-    fit(base, register, member, doc).1.told()
+    restrict(base, register, member, document).violations.into_list()
 }
 
-/// What a member's change would do, were it in force everywhere now.
+/// What a change of a member's document would do if it were in force everywhere now.
 #[derive(Clone, Debug)]
 pub struct OverlayPlan {
-    /// A line for each field of a route that changes.
+    /// The changes as text for operators, one line for each field of a route.
     pub changes: Vec<String>,
-    /// RefusalReason the change would be refused; none if it would be taken.
-    pub forbidden: Vec<OverlayViolation>,
-    /// What is trimmed now, of all members, before the change.
-    pub trims: Vec<MemberViolation>,
+    /// Why the change would be refused; empty if it would be taken.
+    pub new_violations: Vec<OverlayViolation>,
+    /// The violations of all members before the change.
+    pub current_violations: Vec<MemberViolation>,
 }
 
-/// What changes between what is laid now and what would be with this document of the member instead of its own.
+/// Compares what is in force now with what would be after a change of one member's document.
 pub fn plan(
     base: &Configuration,
     register: &MemberRegister,
-    docs: &MemberDocuments,
+    documents: &MemberDocuments,
     member: &str,
-    doc: &Arc<MemberDocument>,
+    document: &Arc<MemberDocument>,
 ) -> OverlayPlan {
-    let before = overlay(base, register, docs);
-    let mut changed = docs.clone();
-    changed.insert(member.into(), doc.clone());
+    let before = overlay(base, register, documents);
+    let mut changed = documents.clone();
+    changed.insert(member.into(), document.clone());
     let after = overlay(base, register, &changed);
     OverlayPlan {
-        changes: by_place(before.configuration.routes(), after.configuration.routes()),
-        forbidden: check(base, register, member, doc),
-        trims: before.violations,
+        changes: differences_by_location(before.configuration.routes(), after.configuration.routes()),
+        new_violations: check(base, register, member, document),
+        current_violations: before.violations,
     }
 }
 
-/// Whether the node whose door is at this address tries a member's edition first. Of two shares the larger one reaches
-/// all nodes that the smaller one does; 1 reaches all, 0 none. Alike on every node and in every version.
-pub fn is_in_canary(door: SocketAddr, member: &str, edition: u64, share: f64) -> bool {
-    let ip = match door.ip() {
+/// Whether the node with this inbound proxy runs a version of a member's document as a canary.
+///
+/// The nodes of a smaller share are among those of a larger one; a share of 1 has all nodes, 0 none. The answer is the same
+/// on every node and in every version of this program.
+pub fn is_in_canary(inbound_proxy: SocketAddr, member: &str, version: u64, share: f64) -> bool {
+    let ip = match inbound_proxy.ip() {
         IpAddr::V4(ip) => ip.to_ipv6_mapped(),
         IpAddr::V6(ip) => ip,
     };
     let mut bytes = Vec::with_capacity(26 + member.len());
     bytes.extend(ip.octets());
-    bytes.extend(door.port().to_be_bytes());
-    bytes.extend(edition.to_be_bytes());
+    bytes.extend(inbound_proxy.port().to_be_bytes());
+    bytes.extend(version.to_be_bytes());
     bytes.extend(member.as_bytes());
-    // As many bits as a float holds, so that the part is below 1.
-    let part = (xxh3_64(&bytes) >> 11) as f64 / (1u64 << 53) as f64;
-    part < share
+    // As many bits as the mantissa of a float has, so that the fraction is below 1.
+    const MANTISSA_BITS: u32 = f64::MANTISSA_DIGITS;
+    let hash = xxh3_64(&bytes) >> (u64::BITS - MANTISSA_BITS);
+    let fraction = hash as f64 / (1u64 << MANTISSA_BITS) as f64;
+    fraction < share
 }
 
-/// A member's document in force at the node with this door. `settled` holds everywhere; a `trial` above it that was not
-/// withdrawn holds on the nodes that it reaches. `withdrawn` is the highest edition that was.
-pub fn in_force<'d>(
-    door: SocketAddr,
+/// The version of a member's document that is in force on the node with this inbound proxy.
+///
+/// The `promoted` version is in force on all nodes, except on the nodes of a `canary` that is newer and was not rolled
+/// back. `rolled_back` is the highest version that was.
+pub fn effective_document<'d>(
+    inbound_proxy: SocketAddr,
     member: &str,
-    settled: Option<&'d Arc<MemberDocument>>,
-    trial: Option<&'d Arc<MemberDocument>>,
-    withdrawn: Option<u64>,
+    promoted: Option<&'d Arc<MemberDocument>>,
+    canary: Option<&'d Arc<MemberDocument>>,
+    rolled_back: Option<u64>,
 ) -> Option<&'d Arc<MemberDocument>> {
-    let runs = trial.filter(|trial| {
-        let edition = Some(trial.version);
-        let later = edition > settled.map(|settled| settled.version) && edition > withdrawn;
-        later && is_in_canary(door, member, trial.version, trial.canary_share.unwrap_or(1.0))
-    });
-    runs.or(settled)
+    let runs_here = |canary: &&Arc<MemberDocument>| {
+        let version = Some(canary.version);
+        let is_newer = version > promoted.map(|promoted| promoted.version) && version > rolled_back;
+        let share = canary.canary_share.unwrap_or(1.0);
+        is_newer && is_in_canary(inbound_proxy, member, canary.version, share)
+    };
+    canary.filter(runs_here).or(promoted)
 }
 
-/// What was cut of one member's document.
+/// The violations of one member's document.
 #[derive(Default)]
-struct Cuts {
-    cuts: Vec<OverlayViolation>,
-    more: usize,
+struct Violations {
+    listed: Vec<OverlayViolation>,
+    /// How many were left out.
+    omitted: usize,
 }
 
-impl Cuts {
-    fn add(&mut self, route: Option<(usize, &Route)>, field: &'static str, over: ExceededLimit) {
-        if self.cuts.len() < MOST_TOLD {
-            let route = route.map(|(index, route)| (index, route.name.clone()));
-            self.cuts.push(OverlayViolation { route, field, exceeded: over });
+impl Violations {
+    fn add_for_document(&mut self, exceeded: ExceededLimit) {
+        self.add(OverlayViolation { route: None, field: "document", exceeded });
+    }
+
+    fn add_for_route(&mut self, index: usize, route: &Route, field: &'static str, exceeded: ExceededLimit) {
+        let route = Some(RoutePosition { index, name: route.name.clone() });
+        self.add(OverlayViolation { route, field, exceeded });
+    }
+
+    fn add(&mut self, violation: OverlayViolation) {
+        if self.listed.len() < MAX_VIOLATIONS {
+            self.listed.push(violation);
         } else {
-            self.more += 1;
+            self.omitted += 1;
         }
     }
 
-    fn told(mut self) -> Vec<OverlayViolation> {
-        if self.more > 0 {
-            self.cuts.push(OverlayViolation {
-                route: None,
-                field: "document",
-                exceeded: ExceededLimit::More(self.more),
-            });
+    fn into_list(mut self) -> Vec<OverlayViolation> {
+        if self.omitted > 0 {
+            let exceeded = ExceededLimit::MoreViolations(self.omitted);
+            self.listed.push(OverlayViolation { route: None, field: "document", exceeded });
         }
-        self.cuts
+        self.listed
     }
 }
 
-/// The routes of a member's document as they are laid, and what was cut of it.
-fn fit(
+/// A member's routes within what the register allows, and what was left out.
+#[derive(Default)]
+struct RestrictedRoutes {
+    routes: Vec<Arc<Route>>,
+    violations: Violations,
+}
+
+fn restrict(
     base: &Configuration,
     register: &MemberRegister,
     name: &str,
-    doc: &MemberDocument,
-) -> (Vec<Arc<Route>>, Cuts) {
-    let (mut routes, mut cuts) = (Vec::new(), Cuts::default());
+    document: &MemberDocument,
+) -> RestrictedRoutes {
+    let mut restricted = RestrictedRoutes::default();
     let Some(member) = register.member(name) else {
-        cuts.add(None, "document", ExceededLimit::NoMember);
-        return (routes, cuts);
+        restricted.violations.add_for_document(ExceededLimit::UnknownMember);
+        return restricted;
     };
     let limits = &member.limits;
-    let share = Share { member: member.name.clone(), retry: limits.retry_share, slots: limits.slot_share };
-    let share = Arc::new(share);
-    for (index, route) in doc.routes.iter().enumerate() {
-        let Some(fitted) = fit_route(base, member, index, route, &mut cuts) else { continue };
-        if routes.len() < limits.routes {
-            routes.push(Arc::new(Route { share: Some(share.clone()), ..fitted }));
+    let share = Arc::new(MemberShares {
+        member: member.name.clone(),
+        retry: limits.retry_share,
+        concurrency: limits.concurrency_share,
+    });
+    for (index, route) in document.routes.iter().enumerate() {
+        let add_violation = |field, exceeded| {
+            restricted.violations.add_for_route(index, route, field, exceeded);
+        };
+        let Some(allowed) = restrict_route(base, member, route, add_violation) else { continue };
+        if restricted.routes.len() < limits.max_routes {
+            restricted.routes.push(Arc::new(Route { share: Some(share.clone()), ..allowed }));
         } else {
-            cuts.add(Some((index, route)), "", ExceededLimit::Routes(limits.routes));
+            let exceeded = ExceededLimit::TooManyRoutes { max: limits.max_routes };
+            restricted.violations.add_for_route(index, route, "", exceeded);
         }
     }
-    (routes, cuts)
+    restricted
 }
 
-/// A route lowered to what its member is given; none where nothing of it may be laid.
-fn fit_route(
+/// The route within what its member is allowed; none where nothing of it may be in force.
+fn restrict_route(
     base: &Configuration,
     member: &Member,
-    index: usize,
     route: &Route,
-    cuts: &mut Cuts,
+    mut add_violation: impl FnMut(&'static str, ExceededLimit),
 ) -> Option<Route> {
     let limits = &member.limits;
-    let mut cut = |field, over| cuts.add(Some((index, route)), field, over);
     if !member.owns(&route.host, &route.prefix) {
-        cut("lane_prefix", ExceededLimit::Place(format!("{}{}", route.host, route.prefix)));
+        let location = format!("{}{}", route.host, route.prefix);
+        add_violation("lane_prefix", ExceededLimit::OutsideScopes(location));
         return None;
     }
-    let mut lower = |field, is: u64, most: u64| {
-        if is > most {
-            cut(field, ExceededLimit::Above { is, most });
+    let mut at_most = |field, value: u64, max: u64| {
+        if value > max {
+            add_violation(field, ExceededLimit::AboveMaximum { value, max });
         }
-        is.min(most)
+        value.min(max)
     };
-    let tries = lower("tries", route.tries.into(), limits.tries.into());
-    let deadline_ms = lower("deadline_ms", route.deadline_ms, limits.deadline_ms);
-    let target_ms = lower("target_ms", route.target_ms, limits.deadline_ms);
-    if route.rank < limits.rank {
-        cut("post_class", ExceededLimit::Rank { is: route.rank, least: limits.rank });
+    let max_attempts = at_most("tries", route.max_attempts.into(), limits.max_attempts.into());
+    let deadline_ms = at_most("deadline_ms", route.deadline_ms, limits.max_deadline_ms);
+    let latency_target_ms = at_most("target_ms", route.latency_target_ms, limits.max_deadline_ms);
+    if route.priority < limits.highest_priority {
+        let (priority, highest) = (route.priority, limits.highest_priority);
+        add_violation("post_class", ExceededLimit::PriorityTooHigh { priority, highest });
     }
-    let mut lines = Vec::with_capacity(route.lines.len());
-    for (name, share) in &route.lines {
-        if !member.services.contains(name) {
-            cut("split", ExceededLimit::NotOwned(name.clone()));
-        } else if base.service(name).is_none() {
-            cut("split", ExceededLimit::Unknown(name.clone()));
-        } else {
-            lines.push((name.clone(), *share));
-        }
-    }
-    if !lines.iter().any(|(_, share)| *share > 0.0) {
-        cut("split", ExceededLimit::NoService);
+    let services = allowed_services(base, member, route, &mut add_violation);
+    if !services.iter().any(|(_, weight)| *weight > 0.0) {
+        add_violation("split", ExceededLimit::NoService);
         return None;
     }
     Some(Route {
         deadline_ms,
-        target_ms,
-        rank: route.rank.max(limits.rank),
-        tries: u32::try_from(tries).unwrap_or(limits.tries),
-        lines,
+        latency_target_ms,
+        priority: route.priority.max(limits.highest_priority),
+        max_attempts: u32::try_from(max_attempts).unwrap_or(limits.max_attempts),
+        services,
         ..route.clone()
     })
 }
+
+/// The services of the route that the member may name and the platform has.
+fn allowed_services(
+    base: &Configuration,
+    member: &Member,
+    route: &Route,
+    add_violation: &mut impl FnMut(&'static str, ExceededLimit),
+) -> Vec<(Name, f64)> {
+    let mut allowed = Vec::with_capacity(route.services.len());
+    for (name, weight) in &route.services {
+        if !member.services.contains(name) {
+            add_violation("split", ExceededLimit::ServiceNotAllowed(name.clone()));
+        } else if base.service(name).is_none() {
+            add_violation("split", ExceededLimit::UnknownService(name.clone()));
+        } else {
+            allowed.push((name.clone(), *weight));
+        }
+    }
+    allowed
+}
--- a/catalog/tests/configuration.rs
+++ b/catalog/tests/configuration.rs
@@ -42,12 +42,19 @@
     assert_eq!(timetable.version, 7);
     assert_eq!(timetable.routes().count(), 3);
     assert_eq!(timetable.services().count(), 3);
-    assert!(timetable.service("wuno96b").is_some_and(|service| service.dedupes && service.berth_cap == 110));
-    assert_eq!(*timetable.limits(), Limits { label_ms: 2_000, ..Limits::default() });
+    assert!(
+        timetable
+            .service("wuno96b")
+            .is_some_and(|service| service.deduplicates && service.max_connections == 110)
+    );
+    assert_eq!(*timetable.limits(), Limits { header_timeout_ms: 2_000, ..Limits::default() });
     let route = timetable.route("jepu9.example", "/lepu270/deep/").expect("a route");
-    assert_eq!((route.kind, route.deadline_ms, route.target_ms), (RepeatPolicy::OnceOnly, 500, 500));
-    assert_eq!((route.rank, route.tries), (0, 1));
-    assert!(!route.kind.repeatable() && RepeatPolicy::OutboundPost.repeatable());
+    assert_eq!(
+        (route.repeat_policy, route.deadline_ms, route.latency_target_ms),
+        (RepeatPolicy::OnceOnly, 500, 500)
+    );
+    assert_eq!((route.priority, route.max_attempts), (0, 1));
+    assert!(!route.repeat_policy.repeatable() && RepeatPolicy::LargeResponse.repeatable());
 }
 
 #[test]
@@ -328,12 +335,12 @@
         let Ok(timetable) = Configuration::read(&bytes) else { continue };
         accepted += 1;
         for route in timetable.routes() {
-            assert!(route.tries > 0 && route.deadline_ms > 0 && route.target_ms > 0);
+            assert!(route.max_attempts > 0 && route.deadline_ms > 0 && route.latency_target_ms > 0);
             assert!(route.prefix.starts_with('/') && !route.host.is_empty());
             assert!(
-                route.lines.iter().all(|(line, share)| timetable.service(line).is_some() && *share >= 0.0)
+                route.services.iter().all(|(line, share)| timetable.service(line).is_some() && *share >= 0.0)
             );
-            assert!(route.lines.iter().any(|(_, share)| *share > 0.0));
+            assert!(route.services.iter().any(|(_, share)| *share > 0.0));
             let found = timetable.route(&route.host, &route.prefix).expect("its own place");
             assert_eq!(found, route);
         }
@@ -418,7 +425,7 @@
     let both = read(&both);
     assert!(!both.allows("jepu9.example", "/lepu270/", "wuno96b"));
     let route = both.route("jepu9.example", "/lepu270/").expect("a route");
-    assert!(route.lines.iter().any(|(name, share)| &**name == "kafi81c" && *share == 10.5));
+    assert!(route.services.iter().any(|(name, share)| &**name == "kafi81c" && *share == 10.5));
 }
 
 /// Both ways, so that what one adds the other removes.
@@ -483,7 +490,8 @@
         let found = timetable.route("big.example", &format!("/a/{index}/x/y/z")).expect("a route");
         assert_eq!(*found.name, *format!("r{index}"));
         assert!(
-            std::ptr::eq(&*found.host, &*first.host) && std::ptr::eq(&*found.lines[0].0, &*first.lines[0].0)
+            std::ptr::eq(&*found.host, &*first.host)
+                && std::ptr::eq(&*found.services[0].0, &*first.services[0].0)
         );
     }
     assert!(timetable.route("big.example", &"/".repeat(100_000)).is_none());
@@ -494,7 +502,7 @@
     let with = |name: &str| altered(r#""tries":2"#, &format!(r#""tries":2,"session":{name}"#));
     let named = read(&with(r#""X-Person""#));
     let session = |timetable: &Configuration, path| {
-        timetable.route("jepu9.example", path).and_then(|route| route.session.clone())
+        timetable.route("jepu9.example", path).and_then(|route| route.session_header.clone())
     };
     assert_eq!(session(&named, "/lepu270/x").as_deref(), Some("x-person"));
     assert_eq!(session(&named, "/lepu270/deep/x"), None);
--- a/catalog/tests/frozen_forms.rs
+++ b/catalog/tests/frozen_forms.rs
@@ -371,7 +371,7 @@
             Err(refusals) => {
                 for refusal in refusals {
                     let _ = writeln!(told, "    {refusal}");
-                    reasons.insert(std::mem::discriminant(&refusal.why));
+                    reasons.insert(std::mem::discriminant(&refusal.reason));
                 }
             }
         }
--- a/catalog/tests/members.rs
+++ b/catalog/tests/members.rs
@@ -14,7 +14,7 @@
 fn the_examples_are_read_whole() {
     let register = MemberRegister::read(REGISTER.as_bytes()).expect("a register");
     let norte = register.member("banco-norte").expect("a member");
-    assert_eq!(norte.limits, MemberLimits { routes: 200, retry_share: 0.25, ..MemberLimits::default() });
+    assert_eq!(norte.limits, MemberLimits { max_routes: 200, retry_share: 0.25, ..MemberLimits::default() });
     assert_eq!((norte.key_sha256[1], norte.key_sha256[31]), (0x11, 0xff));
     assert!(norte.owns("norte.example", "/") && norte.owns("comum.example", "/norte/x"));
     assert!(!norte.owns("comum.example", "/norte") && !norte.owns("comum.example", "/sul/"));
--- a/catalog/tests/overlay.rs
+++ b/catalog/tests/overlay.rs
@@ -8,7 +8,7 @@
 use expect_test::expect;
 use ochreshed_catalog::configuration::{Configuration, Name, Route};
 use ochreshed_catalog::members::{MemberDocument, MemberRegister};
-use ochreshed_catalog::overlay::{MemberDocuments, check, in_force, is_in_canary, overlay, plan};
+use ochreshed_catalog::overlay::{MemberDocuments, check, effective_document, is_in_canary, overlay, plan};
 use proptest::collection::vec;
 use proptest::prelude::*;
 
@@ -169,15 +169,15 @@
             counts[member] += 1;
             prop_assert!(counts[member] <= routes);
             prop_assert!(world.holds(member, &route.host, &route.prefix));
-            prop_assert!(route.tries <= tries && route.deadline_ms <= deadline && route.target_ms <= deadline);
-            prop_assert!(route.rank >= rank && route.tries > 0 && route.deadline_ms > 0);
-            for (name, _) in &route.lines {
+            prop_assert!(route.max_attempts <= tries && route.deadline_ms <= deadline && route.latency_target_ms <= deadline);
+            prop_assert!(route.priority >= rank && route.max_attempts > 0 && route.deadline_ms > 0);
+            for (name, _) in &route.services {
                 let at = SERVICES.iter().position(|one| **one == **name).expect("a service");
                 prop_assert!(has[at] && world.services[at]);
             }
-            prop_assert!(route.lines.iter().any(|(_, share)| *share > 0.0));
+            prop_assert!(route.services.iter().any(|(_, share)| *share > 0.0));
             let share = route.share.as_ref().expect("a share");
-            prop_assert_eq!((share.retry, share.slots), (member as f64 / 10.0, 0.5));
+            prop_assert_eq!((share.retry, share.concurrency), (member as f64 / 10.0, 0.5));
         }
         // The longest prefix holds, and outside all places what the platform has.
         for (host, path) in paths() {
@@ -249,7 +249,7 @@
         let trims: Vec<_> = laid.violations.iter().filter(|trim| *trim.member == *MEMBERS[who]).map(|trim| trim.violation.clone()).collect();
         prop_assert_eq!(&cuts, &trims);
         for (index, route) in doc.routes.iter().enumerate() {
-            let cut = cuts.iter().any(|cut| cut.route.as_ref().is_some_and(|(at, _)| *at == index));
+            let cut = cuts.iter().any(|cut| cut.route.as_ref().is_some_and(|route| route.index == index));
             let found = laid.configuration.routes().find(|one| one.host == route.host && one.prefix == route.prefix);
             let as_written = found.is_some_and(|one| {
                 of(one) == Some(who) && Route { share: None, ..Route::clone(one) } == **route
@@ -295,7 +295,7 @@
         let held = settled.map(|version| doc(version, 1.0));
         let edition = |share: f64| {
             let trial = doc(trial, share);
-            in_force(door, "m", held.as_ref(), Some(&trial), withdrawn).map(|doc| doc.version)
+            effective_document(door, "m", held.as_ref(), Some(&trial), withdrawn).map(|doc| doc.version)
         };
         let (reached, not) = (edition(1.0), edition(0.0));
         told += &format!(
@@ -352,8 +352,8 @@
     let list = |all: Vec<String>| all.join("\n");
     let page = [
         list(plan.changes),
-        list(plan.forbidden.iter().map(ToString::to_string).collect()),
-        list(plan.trims.iter().map(ToString::to_string).collect()),
+        list(plan.new_violations.iter().map(ToString::to_string).collect()),
+        list(plan.current_violations.iter().map(ToString::to_string).collect()),
     ];
     expect![[r#"
         route norte.example/: member from - to norte
--- a/traffic/src/retry_shares.rs
+++ b/traffic/src/retry_shares.rs
@@ -8,11 +8,11 @@
 use ochreshed::Nanos;
 
 use crate::retry_budget::{MODULE, RetryAccount, Ring};
-use ochreshed_catalog::configuration::{Configuration, Name, Share};
+use ochreshed_catalog::configuration::{Configuration, MemberShares, Name};
 use ochreshed_catalog::traffic_reports::AttemptCounts;
 
 /// By member.
-pub type RetryShares = BTreeMap<Name, Arc<Share>>;
+pub type RetryShares = BTreeMap<Name, Arc<MemberShares>>;
 
 /// Of all members that have routes here.
 pub fn of(timetable: &Configuration) -> RetryShares {
--- a/traffic/tests/retry_shares.rs
+++ b/traffic/tests/retry_shares.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use ochreshed_catalog::configuration::{Name, Share};
+use ochreshed_catalog::configuration::{MemberShares, Name};
 use ochreshed_catalog::traffic_reports::AttemptCounts;
 use ochreshed_traffic::retry_shares::{RetryPool, RetryShares};
 use proptest::prelude::*;
@@ -20,7 +20,7 @@
 fn shares(of: &[f64]) -> Arc<RetryShares> {
     let share = |(nth, retry): (usize, &f64)| {
         let member = name(nth)?;
-        Some((member.clone(), Arc::new(Share { member, retry: *retry, slots: 1.0 })))
+        Some((member.clone(), Arc::new(MemberShares { member, retry: *retry, concurrency: 1.0 })))
     };
     Arc::new(of.iter().enumerate().filter_map(share).collect())
 }
