--- a/balancer/src/mesh/attendant.rs
+++ b/balancer/src/mesh/attendant.rs
@@ -15,16 +15,18 @@
 use hyper::Response;
 use hyper::header::HeaderValue;
 use ochreshed::{Name, Nanos};
+use ochreshed_catalog::configuration::{Configuration, Route};
+use ochreshed_catalog::endpoints::EndpointRecord;
+use ochreshed_catalog::internal_rpc::AppliedEditions;
+use ochreshed_catalog::traffic_reports::{AttemptCounts, BudgetReport, ServiceAttempts};
+use ochreshed_catalog::traffic_reports::{OutcomeCounts, RouteEdition};
+use ochreshed_catalog::watch_client::EndpointView;
 use ochreshed_consensus::messages::Revision;
 use ochreshed_consensus::messages::{NamedRegister, RegisterValue};
-use ochreshed_mesh::configuration::{Configuration, Route};
-use ochreshed_mesh::endpoints::EndpointRecord;
-use ochreshed_mesh::internal_rpc::AppliedEditions;
-use ochreshed_mesh::lease_circuit_breaker::LeaseCircuitBreaker;
-use ochreshed_mesh::outcome_counts::{OutcomeCounter, OutcomeCounts, RouteEdition};
-use ochreshed_mesh::retry_budget::{AttemptCounts, BudgetReport, MOST_SERVICES, ServiceAttempts};
-use ochreshed_mesh::retry_shares::{self, RetryShares};
-use ochreshed_mesh::watch_client::EndpointView;
+use ochreshed_traffic::lease_circuit_breaker::LeaseCircuitBreaker;
+use ochreshed_traffic::outcome_counts::OutcomeCounter;
+use ochreshed_traffic::retry_budget::MOST_SERVICES;
+use ochreshed_traffic::retry_shares::{self, RetryShares};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use tokio::net::TcpListener;
@@ -295,18 +297,18 @@
 
     /// The service that a req of this route goes to.
     pub fn split(&self, route: &Route) -> Option<Name> {
-        let total: f64 = route.lines.iter().map(|(_, share)| share).sum();
-        if route.lines.len() == 1 {
-            return route.lines.first().map(|(name, _)| name.clone());
+        let total: f64 = route.services.iter().map(|(_, share)| share).sum();
+        if route.services.len() == 1 {
+            return route.services.first().map(|(name, _)| name.clone());
         }
         let mut at = held(&self.chance).random::<f64>() * total;
-        for (name, share) in &route.lines {
+        for (name, share) in &route.services {
             at -= share;
             if at < 0.0 && *share > 0.0 {
                 return Some(name.clone());
             }
         }
-        route.lines.iter().rev().find(|(_, share)| *share > 0.0).map(|(name, _)| name.clone())
+        route.services.iter().rev().find(|(_, share)| *share > 0.0).map(|(name, _)| name.clone())
     }
 
     /// The desk for the reqs of a route that go to this service.
@@ -477,7 +479,7 @@
     fn health_of(&self, line: &str) -> String {
         let timetable = self.timetable.load();
         let service = timetable.as_ref().and_then(|timetable| timetable.service(line));
-        service.map_or("/health".into(), |service| service.health.clone())
+        service.map_or("/health".into(), |service| service.health_path.clone())
     }
 
     /// A watcher gives no reply: what it held for quiet counts no more.
@@ -504,7 +506,7 @@
         let service =
             timetable.as_ref().zip(line).and_then(|(timetable, line)| timetable.service(&line).cloned());
         if let Some(service) = service {
-            self.door.moor(service.berth_cap as usize);
+            self.door.moor(service.max_connections as usize);
         }
     }
 
--- a/balancer/src/mesh/docs.rs
+++ b/balancer/src/mesh/docs.rs
@@ -7,11 +7,11 @@
 use std::sync::Arc;
 
 use ochreshed::Name;
+use ochreshed_catalog::configuration::Configuration;
+use ochreshed_catalog::members::{MemberDocument, MemberRegister};
+use ochreshed_catalog::overlay::{self, EffectiveConfiguration};
 use ochreshed_consensus::messages::Revision;
 use ochreshed_consensus::messages::{NamedRegister, RegisterValue};
-use ochreshed_mesh::configuration::Configuration;
-use ochreshed_mesh::members::{MemberDocument, MemberRegister};
-use ochreshed_mesh::overlay::{self, EffectiveConfiguration};
 
 /// The register's name; a member's documents are named by a letter and the member.
 pub const REGISTER: &str = "members";
@@ -115,7 +115,9 @@
         let (mut docs, mut editions) = (overlay::MemberDocuments::new(), Editions::new());
         for (member, own) in &self.own {
             let (settled, trial) = (own.settled.as_ref(), own.trial.as_ref());
-            let Some(doc) = overlay::in_force(door, member, settled, trial, own.withdrawn) else { continue };
+            let Some(doc) = overlay::effective_document(door, member, settled, trial, own.withdrawn) else {
+                continue;
+            };
             let tries = settled.is_none_or(|settled| settled.version < doc.version);
             editions.insert(member.clone(), (doc.version, tries));
             docs.insert(member.clone(), doc.clone());
--- a/balancer/src/mesh/members.rs
+++ b/balancer/src/mesh/members.rs
@@ -13,13 +13,13 @@
 use hyper::Response;
 use hyper::header::HeaderValue;
 use ochreshed::Name;
+use ochreshed_catalog::configuration::Configuration;
+use ochreshed_catalog::internal_rpc::AppliedEditions;
+use ochreshed_catalog::members::{Member, MemberDocument, MemberRegister};
+use ochreshed_catalog::overlay;
+use ochreshed_catalog::traffic_reports::{OutcomeCounts, RouteEdition};
 use ochreshed_consensus::messages::{CoreRequest, CoreResponse, NamedRegister, RegisterValue};
-use ochreshed_mesh::canary::{RequestOutcomes, Verdict, verdict};
-use ochreshed_mesh::configuration::Configuration;
-use ochreshed_mesh::internal_rpc::AppliedEditions;
-use ochreshed_mesh::members::{Member, MemberDocument, MemberRegister};
-use ochreshed_mesh::outcome_counts::{OutcomeCounts, RouteEdition};
-use ochreshed_mesh::overlay;
+use ochreshed_traffic::canary::{RequestOutcomes, Verdict, verdict};
 use serde_json::json;
 use sha2::{Digest, Sha256};
 use tokio::sync::Semaphore;
@@ -256,10 +256,10 @@
             }
             let plan = overlay::plan(&newest.timetable, &newest.register, &all, name, &doc);
             // What others are trimmed of is not this one's to know.
-            let trims = plan.trims.iter().filter(|trim| trim.member == *name);
+            let trims = plan.current_violations.iter().filter(|trim| trim.member == *name);
             Ok(json!({
                 "changes": plan.changes,
-                "forbidden": plan.forbidden.iter().map(ToString::to_string).collect::<Vec<_>>(),
+                "forbidden": plan.new_violations.iter().map(ToString::to_string).collect::<Vec<_>>(),
                 "trims": trims.map(ToString::to_string).collect::<Vec<_>>(),
             })
             .to_string())
@@ -492,7 +492,7 @@
             .own
             .iter()
             .filter_map(|(name, own)| {
-                let trial_s = docs.register.member(name)?.limits.trial_s;
+                let trial_s = docs.register.member(name)?.limits.canary_duration_s;
                 Some(((name.clone(), own.running()?.version), Duration::from_secs(trial_s.into())))
             })
             .collect();
--- /dev/null
+++ b/catalog/src/members.rs
@@ -0,0 +1,158 @@
+//! The members of a platform: the register of what the platform allows each of them, and the documents in which members
+//! keep their own routes.
+//!
+//! [`MemberRegister::read`] and [`MemberDocument::read`] check each document by itself. Whether a member's routes stay
+//! within what the register allows is decided in [`crate::overlay`].
+//!
+//! Invariants: a document is taken as a whole or not at all, and no scope of a member lies within another member's.
+
+mod read;
+
+use std::collections::{BTreeMap, BTreeSet};
+use std::sync::Arc;
+
+use crate::configuration::differences::{DisplayedField, pair_by_key, push_differences};
+use crate::configuration::{Name, Route};
+
+pub use read::{MAX_MEMBERS, MAX_ROUTES};
+
+/// The bounds on one member's routes and changes. They hold on every node at all times.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct MemberLimits {
+    /// The most routes in force at once, 1 to 10,000; by default 100.
+    pub max_routes: usize,
+    /// The most attempts of one request, 1 or above; by default 2.
+    pub max_attempts: u32,
+    /// The longest deadline and latency target, in milliseconds; by default 2 s.
+    pub max_deadline_ms: u64,
+    /// The highest priority, of which 0 is the highest of all: the least number that a route may have; by default 1.
+    pub highest_priority: u32,
+    /// The share of each service's retry budget, 0 to 1; by default 0.2.
+    pub retry_share: f64,
+    /// The share of each upstream's concurrency limit, 0 to 1; by default 0.5.
+    pub concurrency_share: f64,
+    /// The most changes that are taken in a minute, 1 to 10,000; by default 30.
+    pub changes_per_minute: u32,
+    /// How long a canary runs before it is promoted or rolled back, in seconds, 1 to 86,400; by default 30.
+    pub canary_duration_s: u32,
+}
+
+impl Default for MemberLimits {
+    fn default() -> MemberLimits {
+        MemberLimits {
+            max_routes: 100,
+            max_attempts: 2,
+            max_deadline_ms: 2_000,
+            highest_priority: 1,
+            retry_share: 0.2,
+            concurrency_share: 0.5,
+            changes_per_minute: 30,
+            canary_duration_s: 30,
+        }
+    }
+}
+
+/// A part of the platform's URLs in which a member may have routes.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct RouteScope {
+    /// The host in lowercase, without a port.
+    pub host: Name,
+    /// A path prefix that begins and ends with a slash.
+    pub prefix: Name,
+}
+
+impl RouteScope {
+    /// Whether a route at this host and prefix lies in the scope.
+    pub fn contains(&self, host: &str, prefix: &str) -> bool {
+        *self.host == *host && prefix.starts_with(&*self.prefix)
+    }
+}
+
+/// A member of the platform with what the platform allows it.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Member {
+    /// 1 to 60 letters, digits, dots, dashes and underscores.
+    pub name: Name,
+    /// The SHA-256 digest of the key that authenticates the member's calls.
+    pub key_sha256: [u8; 32],
+    /// The scopes of its routes in the document's order. None of them lies within another member's.
+    pub scopes: Vec<RouteScope>,
+    /// The services that its routes may name.
+    pub services: BTreeSet<Name>,
+    /// The bounds on its routes and changes.
+    pub limits: MemberLimits,
+}
+
+impl Member {
+    /// Whether a route at this host and prefix lies in one of the member's scopes.
+    pub fn owns(&self, host: &str, prefix: &str) -> bool {
+        self.scopes.iter().any(|scope| scope.contains(host, prefix))
+    }
+}
+
+/// One version of the register of members, checked as a whole.
+#[derive(Clone, Debug, Default)]
+pub struct MemberRegister {
+    /// The version, which goes up with each change.
+    pub version: u64,
+    members: BTreeMap<Name, Arc<Member>>,
+}
+
+impl MemberRegister {
+    /// The member of this name.
+    pub fn member(&self, name: &str) -> Option<&Arc<Member>> {
+        self.members.get(name)
+    }
+
+    /// All members in the order of their names.
+    pub fn members(&self) -> impl Iterator<Item = &Arc<Member>> {
+        self.members.values()
+    }
+}
+
+/// One version of the routes of one member, valid by itself.
+#[derive(Clone, Debug)]
+pub struct MemberDocument {
+    /// The version, above that of the member's document before.
+    pub version: u64,
+    /// The share of nodes on which the document runs as a canary first, 0 to 1; none where it is in force everywhere at
+    /// once.
+    pub canary_share: Option<f64>,
+    /// The routes in the document's order, of which no two have the same host and prefix. Their services are names only,
+    /// and none has [`Route::share`].
+    pub routes: Vec<Arc<Route>>,
+}
+
+/// What changes from one register to another as text for operators, one line for each field.
+pub fn differences(old: &MemberRegister, new: &MemberRegister) -> Vec<String> {
+    let mut lines = Vec::new();
+    let version = |register: &MemberRegister| vec![DisplayedField::version(register.version)];
+    push_differences(&mut lines, "register", Some(version(old)), Some(version(new)));
+    for (name, old, new) in pair_by_key(old.members.clone(), new.members.clone()) {
+        let fields = |member: Arc<Member>| member_fields(&member);
+        push_differences(&mut lines, &format!("member {name}"), old.map(fields), new.map(fields));
+    }
+    lines
+}
+
+fn member_fields(member: &Member) -> Vec<DisplayedField> {
+    let list = |values: Vec<String>| format!("[{}]", values.join(", "));
+    let scopes = member.scopes.iter().map(|scope| format!("{}{}", scope.host, scope.prefix)).collect();
+    let services = member.services.iter().map(ToString::to_string).collect();
+    // The beginning of the digest is enough to tell two keys apart.
+    let key: String = member.key_sha256.iter().take(4).map(|byte| format!("{byte:02x}")).collect();
+    let limits = &member.limits;
+    vec![
+        DisplayedField::new("key_sha256", format!("{key}...")),
+        DisplayedField::new("places", list(scopes)),
+        DisplayedField::new("services", list(services)),
+        DisplayedField::new("routes", limits.max_routes),
+        DisplayedField::new("tries", limits.max_attempts),
+        DisplayedField::new("deadline_ms", limits.max_deadline_ms),
+        DisplayedField::new("rank", limits.highest_priority),
+        DisplayedField::new("retry_share", limits.retry_share),
+        DisplayedField::new("slot_share", limits.concurrency_share),
+        DisplayedField::new("changes_per_minute", limits.changes_per_minute),
+        DisplayedField::new("trial_s", limits.canary_duration_s),
+    ]
+}
--- /dev/null
+++ b/catalog/src/overlay.rs
@@ -0,0 +1,367 @@
+//! Overlays the routes of members on the platform's configuration.
+//!
+//! [`overlay`] makes the [`EffectiveConfiguration`] of a node. [`check`] and [`plan`] tell before a change is taken what it
+//! would do, and [`effective_document`] which version of a member's document is in force on a node while a canary runs.
+//!
+//! Invariants: a member's document never alters another member's routes, nor the platform's outside the member's scopes;
+//! all nodes with the same documents come to the same configuration.
+
+use std::collections::BTreeMap;
+use std::fmt;
+use std::net::{IpAddr, SocketAddr};
+use std::sync::Arc;
+
+use thiserror::Error;
+use xxhash_rust::xxh3::xxh3_64;
+
+use crate::configuration::refusal::escaped_name;
+use crate::configuration::{Configuration, MemberShares, Name, Route, differences_by_location};
+use crate::members::{Member, MemberDocument, MemberRegister};
+
+/// The documents in force, by the names of their members.
+pub type MemberDocuments = BTreeMap<Name, Arc<MemberDocument>>;
+
+/// The most violations of one member that are listed; any more are only counted.
+const MAX_VIOLATIONS: usize = 100;
+
+/// The configuration in force, with the routes of members.
+#[derive(Clone, Debug)]
+pub struct EffectiveConfiguration {
+    /// The platform's configuration with the members' routes in it.
+    pub configuration: Configuration,
+    /// What was left out of the members' documents, in the order of the members' names and of each document.
+    pub violations: Vec<MemberViolation>,
+}
+
+/// A part of a member's document that is in force otherwise than it is written, or not at all.
+///
+/// None arises from a document that [`check`] passed under the same configuration and register.
+#[derive(Clone, Debug, PartialEq)]
+pub struct MemberViolation {
+    /// The member's name.
+    pub member: Name,
+    /// What is not in force.
+    pub violation: OverlayViolation,
+}
+
+impl fmt::Display for MemberViolation {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "{}: {}", self.member, self.violation)
+    }
+}
+
+/// A part of a document that goes beyond what its member is allowed.
+#[derive(Clone, Debug, PartialEq)]
+pub struct OverlayViolation {
+    /// The route; none where it is the document as a whole.
+    pub route: Option<RoutePosition>,
+    /// The field of the route as the documents call it; empty for the route as a whole.
+    pub field: &'static str,
+    /// What is exceeded.
+    pub exceeded: ExceededLimit,
+}
+
+/// A route of a member's document.
+#[derive(Clone, Debug, PartialEq)]
+pub struct RoutePosition {
+    /// The position in the document.
+    pub index: usize,
+    /// The route's name.
+    pub name: Name,
+}
+
+impl fmt::Display for OverlayViolation {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match &self.route {
+            None => f.write_str(self.field)?,
+            Some(RoutePosition { index, name }) => {
+                write!(f, "routes[{index}] ({})", escaped_name(name))?;
+                let dot = if self.field.is_empty() { "" } else { "." };
+                write!(f, "{dot}{}", self.field)?;
+            }
+        }
+        write!(f, ": {}", self.exceeded)
+    }
+}
+
+/// The limit of a member that a document exceeds, and what is in force instead.
+#[derive(Clone, Debug, Error, PartialEq)]
+pub enum ExceededLimit {
+    /// The register has no such member; none of its routes is in force.
+    #[error("is of no member that the register names")]
+    UnknownMember,
+    /// The route, of this host and prefix, is outside the member's scopes and not in force.
+    #[error("{0:?} is in no place of this member")]
+    OutsideScopes(String),
+    /// The member has as many routes already; this one is not in force.
+    #[error("comes after this member's limit of {max} routes")]
+    TooManyRoutes {
+        /// The member's limit.
+        max: usize,
+    },
+    /// The value is above the maximum, which is in force instead.
+    #[error("{value} is above this member's limit of {max}")]
+    AboveMaximum {
+        /// The value in the document.
+        value: u64,
+        /// The member's limit.
+        max: u64,
+    },
+    /// The priority is higher than the member's highest, which is in force instead.
+    #[error("{priority} is a higher rank than this member's, {highest} (0 is the highest)")]
+    PriorityTooHigh {
+        /// The priority in the document.
+        priority: u32,
+        /// The member's highest priority, which is a greater number.
+        highest: u32,
+    },
+    /// The service is not among the member's and gets no requests.
+    #[error("{:?} is not among this member's services", &**.0)]
+    ServiceNotAllowed(Name),
+    /// The platform has no such service; it gets no requests.
+    #[error("{:?} is not among the platform's services", &**.0)]
+    UnknownService(Name),
+    /// No service with a weight above 0 is left; the route is not in force.
+    #[error("no service is left with a share")]
+    NoService,
+    /// The number of violations that were left out of the list.
+    #[error("has {0} more like these")]
+    MoreViolations(usize),
+}
+
+/// Overlays the members' documents on the platform's configuration, as far as the register allows.
+///
+/// A member's route replaces one of the platform's at the same host and prefix. What goes beyond the member's limits is
+/// lowered to them or left out, and listed among the violations. The result depends on the arguments alone.
+pub fn overlay(
+    base: &Configuration,
+    register: &MemberRegister,
+    documents: &MemberDocuments,
+) -> EffectiveConfiguration {
+    let mut routes = Vec::new();
+    let mut violations = Vec::new();
+    for (name, document) in documents {
+        let restricted = restrict(base, register, name, document);
+        routes.extend(restricted.routes);
+        let of_member = |violation| MemberViolation { member: name.clone(), violation };
+        violations.extend(restricted.violations.into_list().into_iter().map(of_member));
+    }
+    EffectiveConfiguration { configuration: base.overlaid(routes), violations }
+}
+
+/// All that goes beyond what the member is allowed by this configuration and register. A change is taken only if there is
+/// nothing.
+pub fn check(
+    base: &Configuration,
+    register: &MemberRegister,
+    member: &str,
+    document: &MemberDocument,
+) -> Vec<OverlayViolation> {
+    restrict(base, register, member, document).violations.into_list()
+}
+
+/// What a change of a member's document would do if it were in force everywhere now.
+#[derive(Clone, Debug)]
+pub struct OverlayPlan {
+    /// The changes as text for operators, one line for each field of a route.
+    pub changes: Vec<String>,
+    /// Why the change would be refused; empty if it would be taken.
+    pub new_violations: Vec<OverlayViolation>,
+    /// The violations of all members before the change.
+    pub current_violations: Vec<MemberViolation>,
+}
+
+/// Compares what is in force now with what would be after a change of one member's document.
+pub fn plan(
+    base: &Configuration,
+    register: &MemberRegister,
+    documents: &MemberDocuments,
+    member: &str,
+    document: &Arc<MemberDocument>,
+) -> OverlayPlan {
+    let before = overlay(base, register, documents);
+    let mut changed = documents.clone();
+    changed.insert(member.into(), document.clone());
+    let after = overlay(base, register, &changed);
+    OverlayPlan {
+        changes: differences_by_location(before.configuration.routes(), after.configuration.routes()),
+        new_violations: check(base, register, member, document),
+        current_violations: before.violations,
+    }
+}
+
+/// Whether the node with this inbound proxy runs a version of a member's document as a canary.
+///
+/// The nodes of a smaller share are among those of a larger one; a share of 1 has all nodes, 0 none. The answer is the same
+/// on every node and in every version of this program.
+pub fn is_in_canary(inbound_proxy: SocketAddr, member: &str, version: u64, share: f64) -> bool {
+    let ip = match inbound_proxy.ip() {
+        IpAddr::V4(ip) => ip.to_ipv6_mapped(),
+        IpAddr::V6(ip) => ip,
+    };
+    let mut bytes = Vec::with_capacity(26 + member.len());
+    bytes.extend(ip.octets());
+    bytes.extend(inbound_proxy.port().to_be_bytes());
+    bytes.extend(version.to_be_bytes());
+    bytes.extend(member.as_bytes());
+    // As many bits as the mantissa of a float has, so that the fraction is below 1.
+    const MANTISSA_BITS: u32 = f64::MANTISSA_DIGITS;
+    let hash = xxh3_64(&bytes) >> (u64::BITS - MANTISSA_BITS);
+    let fraction = hash as f64 / (1u64 << MANTISSA_BITS) as f64;
+    fraction < share
+}
+
+/// The version of a member's document that is in force on the node with this inbound proxy.
+///
+/// The `promoted` version is in force on all nodes, except on the nodes of a `canary` that is newer and was not rolled
+/// back. `rolled_back` is the highest version that was.
+pub fn effective_document<'d>(
+    inbound_proxy: SocketAddr,
+    member: &str,
+    promoted: Option<&'d Arc<MemberDocument>>,
+    canary: Option<&'d Arc<MemberDocument>>,
+    rolled_back: Option<u64>,
+) -> Option<&'d Arc<MemberDocument>> {
+    let runs_here = |canary: &&Arc<MemberDocument>| {
+        let version = Some(canary.version);
+        let is_newer = version > promoted.map(|promoted| promoted.version) && version > rolled_back;
+        let share = canary.canary_share.unwrap_or(1.0);
+        is_newer && is_in_canary(inbound_proxy, member, canary.version, share)
+    };
+    canary.filter(runs_here).or(promoted)
+}
+
+/// The violations of one member's document.
+#[derive(Default)]
+struct Violations {
+    listed: Vec<OverlayViolation>,
+    /// How many were left out.
+    omitted: usize,
+}
+
+impl Violations {
+    fn add_for_document(&mut self, exceeded: ExceededLimit) {
+        self.add(OverlayViolation { route: None, field: "document", exceeded });
+    }
+
+    fn add_for_route(&mut self, index: usize, route: &Route, field: &'static str, exceeded: ExceededLimit) {
+        let route = Some(RoutePosition { index, name: route.name.clone() });
+        self.add(OverlayViolation { route, field, exceeded });
+    }
+
+    fn add(&mut self, violation: OverlayViolation) {
+        if self.listed.len() < MAX_VIOLATIONS {
+            self.listed.push(violation);
+        } else {
+            self.omitted += 1;
+        }
+    }
+
+    fn into_list(mut self) -> Vec<OverlayViolation> {
+        if self.omitted > 0 {
+            let exceeded = ExceededLimit::MoreViolations(self.omitted);
+            self.listed.push(OverlayViolation { route: None, field: "document", exceeded });
+        }
+        self.listed
+    }
+}
+
+/// A member's routes within what the register allows, and what was left out.
+#[derive(Default)]
+struct RestrictedRoutes {
+    routes: Vec<Arc<Route>>,
+    violations: Violations,
+}
+
+fn restrict(
+    base: &Configuration,
+    register: &MemberRegister,
+    name: &str,
+    document: &MemberDocument,
+) -> RestrictedRoutes {
+    let mut restricted = RestrictedRoutes::default();
+    let Some(member) = register.member(name) else {
+        restricted.violations.add_for_document(ExceededLimit::UnknownMember);
+        return restricted;
+    };
+    let limits = &member.limits;
+    let share = Arc::new(MemberShares {
+        member: member.name.clone(),
+        retry: limits.retry_share,
+        concurrency: limits.concurrency_share,
+    });
+    for (index, route) in document.routes.iter().enumerate() {
+        let add_violation = |field, exceeded| {
+            restricted.violations.add_for_route(index, route, field, exceeded);
+        };
+        let Some(allowed) = restrict_route(base, member, route, add_violation) else { continue };
+        if restricted.routes.len() < limits.max_routes {
+            restricted.routes.push(Arc::new(Route { share: Some(share.clone()), ..allowed }));
+        } else {
+            let exceeded = ExceededLimit::TooManyRoutes { max: limits.max_routes };
+            restricted.violations.add_for_route(index, route, "", exceeded);
+        }
+    }
+    restricted
+}
+
+/// The route within what its member is allowed; none where nothing of it may be in force.
+fn restrict_route(
+    base: &Configuration,
+    member: &Member,
+    route: &Route,
+    mut add_violation: impl FnMut(&'static str, ExceededLimit),
+) -> Option<Route> {
+    let limits = &member.limits;
+    if !member.owns(&route.host, &route.prefix) {
+        let location = format!("{}{}", route.host, route.prefix);
+        add_violation("lane_prefix", ExceededLimit::OutsideScopes(location));
+        return None;
+    }
+    let mut at_most = |field, value: u64, max: u64| {
+        if value > max {
+            add_violation(field, ExceededLimit::AboveMaximum { value, max });
+        }
+        value.min(max)
+    };
+    let max_attempts = at_most("tries", route.max_attempts.into(), limits.max_attempts.into());
+    let deadline_ms = at_most("deadline_ms", route.deadline_ms, limits.max_deadline_ms);
+    let latency_target_ms = at_most("target_ms", route.latency_target_ms, limits.max_deadline_ms);
+    if route.priority < limits.highest_priority {
+        let (priority, highest) = (route.priority, limits.highest_priority);
+        add_violation("post_class", ExceededLimit::PriorityTooHigh { priority, highest });
+    }
+    let services = allowed_services(base, member, route, &mut add_violation);
+    if !services.iter().any(|(_, weight)| *weight > 0.0) {
+        add_violation("split", ExceededLimit::NoService);
+        return None;
+    }
+    Some(Route {
+        deadline_ms,
+        latency_target_ms,
+        priority: route.priority.max(limits.highest_priority),
+        max_attempts: u32::try_from(max_attempts).unwrap_or(limits.max_attempts),
+        services,
+        ..route.clone()
+    })
+}
+
+/// The services of the route that the member may name and the platform has.
+fn allowed_services(
+    base: &Configuration,
+    member: &Member,
+    route: &Route,
+    add_violation: &mut impl FnMut(&'static str, ExceededLimit),
+) -> Vec<(Name, f64)> {
+    let mut allowed = Vec::with_capacity(route.services.len());
+    for (name, weight) in &route.services {
+        if !member.services.contains(name) {
+            add_violation("split", ExceededLimit::ServiceNotAllowed(name.clone()));
+        } else if base.service(name).is_none() {
+            add_violation("split", ExceededLimit::UnknownService(name.clone()));
+        } else {
+            allowed.push((name.clone(), *weight));
+        }
+    }
+    allowed
+}
--- a/mesh/tests/members.rs
+++ b/catalog/tests/members.rs
@@ -1,7 +1,7 @@
 //! The register of members and their documents: what is refused, and where it stands.
 
 use expect_test::expect;
-use ochreshed_mesh::members::{MemberDocument, MemberLimits, MemberRegister};
+use ochreshed_catalog::members::{MemberDocument, MemberLimits, MemberRegister};
 
 const REGISTER: &str = r#"{"edition":"r3","members":[
 {"name":"banco-norte","key_sha256":"00112233445566778899aabbccddeeff00112233445566778899AABBCCDDEEFF","places":[{"host":"Norte.example:80"},{"host":"comum.example","prefix":"/norte/"}],"services":["agenda","marcacoes"],"limits":{"routes":200,"retry_share":0.25}},
@@ -14,7 +14,7 @@
 fn the_examples_are_read_whole() {
     let register = MemberRegister::read(REGISTER.as_bytes()).expect("a register");
     let norte = register.member("banco-norte").expect("a member");
-    assert_eq!(norte.limits, MemberLimits { routes: 200, retry_share: 0.25, ..MemberLimits::default() });
+    assert_eq!(norte.limits, MemberLimits { max_routes: 200, retry_share: 0.25, ..MemberLimits::default() });
     assert_eq!((norte.key_sha256[1], norte.key_sha256[31]), (0x11, 0xff));
     assert!(norte.owns("norte.example", "/") && norte.owns("comum.example", "/norte/x"));
     assert!(!norte.owns("comum.example", "/norte") && !norte.owns("comum.example", "/sul/"));
@@ -32,7 +32,7 @@
     cases.iter().map(one).collect()
 }
 
-fn lines<T>(read: Result<T, Vec<ochreshed_mesh::configuration::Refusal>>) -> String {
+fn lines<T>(read: Result<T, Vec<ochreshed_catalog::configuration::Refusal>>) -> String {
     match read {
         Ok(_) => "valid".into(),
         Err(all) => all.iter().map(ToString::to_string).collect::<Vec<_>>().join("; "),
