--- a/balancer/src/mesh/session_calls.rs
+++ b/balancer/src/mesh/session_calls.rs
@@ -61,7 +61,7 @@
 /// What one steward holds, and what was changed through it since its start.
 pub fn counts(of: &SessionCounts) -> String {
     jzon::stringify(jzon::object! {
-        "sessions": of.sessions, "moves": of.moves, "ties": of.ties, "dropped": of.dropped,
+        "sessions": of.sessions, "moves": of.owner_changes, "ties": of.binding_changes, "dropped": of.evicted,
     })
 }
 
--- a/consensus/src/core.rs
+++ b/consensus/src/core.rs
@@ -1,14 +1,20 @@
-//! One replica's part in what the control plane agrees on: who votes (`membership`, `rollback`, `zones`), the newest
-//! configuration and other registers (`registers`, `named_registers`, `version_ballots`), leases on keys (`leases`,
-//! `kept_answers`) and sessions. It owns the heartbeats, the pending calls and the messages that wait to be sent together.
-//! It does no I/O and knows no clock. It must never say yes before the write behind it is safe, which `Effect::SendAfterPersist`
-//! sees to, and never count an answer that was given in another view than its own.
+//! One replica's part in what the control plane agrees on.
 //!
-//! Why it holds. A thing is agreed once more than half of a view's voters hold it. A view is followed by one that
-//! differs in one member, decided by more than half of its own voters, and whoever has moved on answers nothing of
-//! the old one any more. The new member votes only after so many voters that have moved on told it all they hold
-//! that none of what was agreed before can be missing: of a view's voters, those that do not hold a thing that was
-//! agreed are always fewer than it asks.
+//! Main types: `Core` takes messages, requests and the time, and returns effects. Its parts are the membership
+//! (`membership`, `rollback`, `zone_spread`), the configuration and other registers (`registers`, `named_registers`,
+//! `register_paxos`), leases on idempotency keys (`leases`, `response_cache`) and sessions (`sessions`). This module
+//! holds what they share: peers, heartbeats, pending calls and the outbox. It does no I/O and reads no clock.
+//!
+//! Invariants:
+//! - Nothing is promised or acknowledged before the write behind it is safe on disk; `Effect::SendAfterPersist` sees
+//!   to that.
+//! - Answers of other replicas count only in the epoch in which they were given.
+//!
+//! Why it is safe: something is committed once a majority of an epoch's voters stores it. An epoch is followed by one
+//! that differs in one member, decided by a majority of its own voters, and a replica that has moved on answers
+//! nothing of the old epoch any more. The new member votes only after it has the snapshots of so many replicas that
+//! have moved on that nothing committed can be missing: the voters that don't store something that was committed are
+//! always fewer than the snapshots that it needs.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
@@ -23,247 +29,284 @@
     RegisterName, RegisterValue, ReplicaId, Revision, SessionMessage,
 };
 
-mod kept_answers;
 mod leases;
 mod membership;
+mod mutation;
 pub mod named_registers;
+mod register_paxos;
 mod registers;
+mod response_cache;
 mod rollback;
 mod sessions;
-mod version_ballots;
-mod zones;
+mod zone_spread;
 
 pub use leases::outcome_wait;
+#[doc(hidden)]
+pub use mutation::Mutation;
 pub use sessions::{SESSION_IDLE, SessionCounts};
 
+/// A point in time or a duration in nanoseconds. Points count from an epoch of the caller's choice, which stays the
+/// same while the core lives; the core never reads a clock.
 pub type Nanos = u64;
 
+/// One millisecond.
 const MS: Nanos = 1_000_000;
-/// From beat to beat.
-const BEAT: Nanos = 250 * MS;
-/// The longest time from tick to tick.
-const TICK: Nanos = 50 * MS;
-/// One that was not heard for so long may have missed letters.
-const SILENT: Nanos = 600 * MS;
-/// One that was heard within this is there.
-const THERE: Nanos = 1000 * MS;
-/// One that is no member is forgotten after this.
-const FORGET: Nanos = 30_000 * MS;
-/// Questions that go unanswered are put again.
-const AGAIN: Nanos = 120 * MS;
-/// The same thing is told to the same steward only so often.
-const RARELY: Nanos = 100 * MS;
-const MOST_PEERS: usize = 256;
-const MOST_ZONE: usize = 255;
-const MOST_CLAIM_CALLS: usize = 16_384;
-const MOST_SHEET_CALLS: usize = 256;
-/// No letter holds more of them, nor many bytes more.
-const MOST_IN_LETTER: usize = 256;
-const BYTES_IN_LETTER: usize = 512 * 1024;
-
-/// The register without a name.
-const TIMETABLE: &str = "";
-
+/// The time from one heartbeat to the next.
+const HEARTBEAT_INTERVAL: Nanos = 250 * MS;
+/// The longest time that the caller may wait from one tick to the next.
+const MAX_TICK_INTERVAL: Nanos = 50 * MS;
+/// A peer that was silent for longer than this may have missed messages, so lease updates are sent to it again.
+const MISSED_MESSAGES_AFTER: Nanos = 600 * MS;
+/// A peer counts as reachable if it was heard within this time.
+const REACHABLE_WINDOW: Nanos = 1000 * MS;
+/// A peer that is not a member is forgotten after this silence.
+const FORGET_PEER_AFTER: Nanos = 30_000 * MS;
+/// Requests that were not answered are sent again after this time.
+const RETRY_INTERVAL: Nanos = 120 * MS;
+/// The same information is sent to the same peer no more often than this.
+const MIN_SEND_INTERVAL: Nanos = 100 * MS;
+/// Further replicas are ignored once this many are known, so that memory stays bounded.
+const MAX_PEERS: usize = 256;
+/// Longer names of zones are cut off.
+const MAX_ZONE_BYTES: usize = 255;
+/// Pending calls other than those on registers; further lease requests are answered `Unavailable`.
+const MAX_CALLS: usize = 16_384;
+/// Pending calls on all registers together; further ones are answered `Unavailable`.
+const MAX_REGISTER_CALLS: usize = 256;
+/// A message holds at most this many items.
+const MAX_ITEMS_PER_MESSAGE: usize = 256;
+/// A message is closed once its items' payloads together reach this size; it may exceed it by one item.
+const MAX_MESSAGE_BYTES: usize = 512 * 1024;
+
+/// The name of the register that holds the operator's configuration.
+const CONFIGURATION: &str = "";
+
+/// Settings of one replica. All replicas should have the same, except for the zone.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// How long claims are kept.
+    /// How long a lease is kept after a replica first stored it. Repeats of a request after that time run again.
     pub lease_ttl: Nanos,
-    /// After such a silence a member may be swapped out.
+    /// A member that was silent for this long may be replaced by another replica.
     pub member_timeout: Nanos,
-    /// How many voters are wished.
+    /// How many members there should be. Even numbers tolerate no more failures than the odd number below.
     pub target_members: usize,
+    /// How many leases a replica stores; it refuses further ones. Sessions are bounded by the same number.
     pub max_leases: usize,
-    /// Of kept answers together. Above it the oldest go, and their claims stay.
+    /// The size of the response cache in bytes. When it is exceeded, the oldest responses are evicted and their
+    /// leases stay as `Indeterminate`.
     pub max_response_bytes: usize,
-    /// So many zones may be lost at once, where the stewards that are there allow it; 0: zones don't matter.
+    /// How many whole zones may be lost at once without losing the quorum, where enough replicas are reachable to
+    /// arrange for that. 0 ignores zones.
     pub tolerated_zone_losses: usize,
-    /// This steward's.
+    /// The zone of this replica; empty if unknown.
     pub zone: String,
 }
 
-/// What is known of another steward.
+/// What this replica knows of another one.
 #[derive(Clone, Debug)]
 struct Peer {
-    /// When it first mattered.
-    since: Nanos,
-    heard: Option<Nanos>,
-    /// From its last beat.
-    view: u64,
+    /// When the peer was added to the table.
+    first_seen: Nanos,
+    /// When the last message from it arrived.
+    last_heard: Option<Nanos>,
+    /// The epoch of its last heartbeat.
+    epoch: u64,
     voter: bool,
     leaving: bool,
     zone: String,
-    /// When it was last told or asked of views, and of sheets.
-    told: Option<Nanos>,
-    asked: Option<Nanos>,
-    pulled: BTreeMap<RegisterName, Nanos>,
-    pushed: BTreeMap<RegisterName, (Nanos, Revision)>,
-    /// When it was last asked which papers it holds, and all of ours that it was last found to hold as well.
-    listed: Option<Nanos>,
-    counted: u128,
-    /// Papers that it was asked for, as many as go in a letter.
-    wanted: BTreeMap<RegisterName, Revision>,
+    /// When it was last sent this replica's membership.
+    announced_at: Option<Nanos>,
+    /// When it was last sent a heartbeat so that it answers with its later membership.
+    heartbeat_sent_at: Option<Nanos>,
+    /// When it was last asked for the newest value of each register.
+    fetched_at: BTreeMap<RegisterName, Nanos>,
+    /// When each register was last sent to it, and which revision.
+    replicated: BTreeMap<RegisterName, (Nanos, Revision)>,
+    /// When it was last asked for the revisions of all its registers.
+    listed_at: Option<Nanos>,
+    /// The digest of all registers for which it was last counted as storing the same.
+    acknowledged_digest: u128,
+    /// Registers that were requested from it and have not arrived, with the revisions that it offered.
+    wanted_registers: BTreeMap<RegisterName, Revision>,
 }
 
 impl Peer {
     fn new(now: Nanos) -> Peer {
         Peer {
-            since: now,
-            heard: None,
-            view: 0,
+            first_seen: now,
+            last_heard: None,
+            epoch: 0,
             voter: false,
             leaving: false,
             zone: String::new(),
-            told: None,
-            asked: None,
-            pulled: BTreeMap::new(),
-            pushed: BTreeMap::new(),
-            listed: None,
-            counted: 0,
-            wanted: BTreeMap::new(),
+            announced_at: None,
+            heartbeat_sent_at: None,
+            fetched_at: BTreeMap::new(),
+            replicated: BTreeMap::new(),
+            listed_at: None,
+            acknowledged_digest: 0,
+            wanted_registers: BTreeMap::new(),
         }
     }
 
-    fn there(&self, now: Nanos) -> bool {
-        self.heard.is_some_and(|heard| now.saturating_sub(heard) <= THERE)
+    /// Whether the peer was heard within `REACHABLE_WINDOW`.
+    fn is_reachable(&self, now: Nanos) -> bool {
+        self.last_heard.is_some_and(|heard| now.saturating_sub(heard) <= REACHABLE_WINDOW)
     }
 
-    fn silence(&self, now: Nanos) -> Nanos {
-        now.saturating_sub(self.heard.unwrap_or(self.since))
+    /// The time since the peer was last heard, or since it was first seen if it never was.
+    fn time_since_heard(&self, now: Nanos) -> Nanos {
+        now.saturating_sub(self.last_heard.unwrap_or(self.first_seen))
     }
 }
 
-/// What is known of a steward, for those that look on.
+/// What a replica knows of another one or of itself, for operators.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PeerStatus {
+    /// The replica that this is about.
     pub replica: ReplicaId,
+    /// Whether it is a member in this replica's epoch.
     pub member: bool,
+    /// Whether it said that it votes.
     pub voter: bool,
+    /// The epoch of its last heartbeat.
     pub epoch: u64,
-    /// How long ago; never, for one that was not heard yet.
+    /// Nanoseconds since it was last heard; `None` if it never was.
     pub heard_ago: Option<Nanos>,
+    /// Whether it announced that it will stop.
     pub leaving: bool,
-    /// Empty where it has not told.
+    /// Its zone; empty if it has not told any.
     pub zone: String,
 }
 
-/// Whether it is time again; notes that it was done.
-fn due(last: &mut Option<Nanos>, now: Nanos, every: Nanos) -> bool {
-    if last.is_some_and(|last| now < last.saturating_add(every)) {
+/// Whether `interval` has passed since `last`; if so, sets `last` to `now`.
+fn mark_if_due(last: &mut Option<Nanos>, now: Nanos, interval: Nanos) -> bool {
+    if last.is_some_and(|last| now < last.saturating_add(interval)) {
         return false;
     }
     *last = Some(now);
     true
 }
 
-/// Small things for one address that go out together.
+/// Items for one address that are sent together by the next `flush`.
 #[derive(Clone, Debug, Default)]
-struct Post {
-    settles: Vec<(LeaseKey, LeaseToken, Option<LeaseOutcome>)>,
-    grants: Vec<(u64, LeaseKey, LeaseToken, u32)>,
-    granted: Vec<(u64, LeaseVote)>,
-    session_asks: Vec<SessionMessage>,
+struct Outbox {
+    completions: Vec<(LeaseKey, LeaseToken, Option<LeaseOutcome>)>,
+    lease_requests: Vec<(u64, LeaseKey, LeaseToken, u32)>,
+    lease_votes: Vec<(u64, LeaseVote)>,
+    session_requests: Vec<SessionMessage>,
     session_replies: Vec<SessionMessage>,
 }
 
 /// A call that waits for its answer.
 #[derive(Clone, Debug)]
 enum Call {
-    Lease(leases::Asked),
-    Replace(registers::Replacing),
-    Read(registers::Reading),
-    Session(Box<sessions::Changing>),
+    Lease(leases::PendingLease),
+    Replace(registers::PendingWrite),
+    Read(registers::PendingRead),
+    Session(Box<sessions::PendingSessionChange>),
 }
 
+/// The state of one replica. The caller feeds it messages, requests and the time, and carries out the effects that it
+/// returns.
 #[derive(Clone, Debug)]
 pub struct Core {
     now: Nanos,
-    me: ReplicaId,
+    replica_id: ReplicaId,
     config: Config,
     seeds: Vec<SocketAddr>,
-    chance: ChaCha8Rng,
+    rng: ChaCha8Rng,
     peers: BTreeMap<ReplicaId, Peer>,
-    next_beat: Nanos,
-    /// Something changed that the others should hear of now.
-    tell: bool,
+    next_heartbeat: Nanos,
+    /// State changed that the other replicas should learn of at once: the next `flush` sends a heartbeat.
+    heartbeat_requested: bool,
     leaving: bool,
 
-    view: Membership,
+    membership: Membership,
     voter: bool,
-    promised: Ballot,
-    accepted: Option<(Ballot, Membership)>,
-    attempt: Option<membership::Attempt>,
-    next_try: Nanos,
-    /// A change of the view is wished, and was a moment ago.
-    wishing: bool,
-    top_round: u64,
-    catching: Option<membership::Catching>,
-    /// It voted until this view began, and may tell its new member what it held.
-    left: Option<u64>,
-    /// It told another in this view what it holds; or it never will.
-    told_new: bool,
-    barred: bool,
-
-    /// The newest configuration, and the papers by name.
-    sheet: registers::Register,
-    papers: named_registers::Papers,
-    /// The agreement on one content for each version of these.
-    versions: version_ballots::Versions,
-
-    claims: BTreeMap<LeaseKey, leases::Kept>,
-    answers: kept_answers::Answers,
-    expiry: BTreeSet<(Nanos, LeaseKey)>,
-    freed: BTreeMap<LeaseToken, Nanos>,
-    /// Who asked for a key while another's claim of it was open.
-    askers: BTreeSet<(LeaseKey, SocketAddr)>,
-    freed_order: VecDeque<(Nanos, LeaseToken)>,
-    told: VecDeque<(Nanos, leases::Told)>,
+    promised_ballot: Ballot,
+    accepted_membership: Option<(Ballot, Membership)>,
+    membership_proposal: Option<membership::MembershipProposal>,
+    next_proposal_at: Nanos,
+    /// The last tick wanted a change of the membership too. The wait before the first proposal is drawn only once.
+    change_wanted: bool,
+    highest_round: u64,
+    catch_up: Option<membership::CatchUp>,
+    /// The epoch in which this replica stopped voting: it voted until that epoch began, so it may serve its snapshot
+    /// to the new member of that epoch.
+    stopped_voting_in: Option<u64>,
+    /// This replica has served its snapshot in this epoch, so it can't promise a rollback any more.
+    served_snapshot: bool,
+    /// This replica has promised a rollback in this epoch, so it can't serve its snapshot any more.
+    barred_from_serving: bool,
+
+    /// The register that holds the operator's configuration.
+    configuration: registers::Register,
+    /// All other registers.
+    named_registers: named_registers::NamedRegisters,
+    /// Proposals and acceptor states for versions that are not decided yet.
+    register_paxos: register_paxos::RegisterPaxos,
+
+    leases: BTreeMap<LeaseKey, leases::StoredLease>,
+    response_cache: response_cache::ResponseCache,
+    lease_expiry: BTreeSet<(Nanos, LeaseKey)>,
+    released_tokens: BTreeMap<LeaseToken, Nanos>,
+    /// Replicas whose lease request was refused by a pending lease; they are told its outcome.
+    outcome_watchers: BTreeSet<(LeaseKey, SocketAddr)>,
+    released_order: VecDeque<(Nanos, LeaseToken)>,
+    lease_updates: VecDeque<(Nanos, leases::LeaseUpdate)>,
     sessions: sessions::Sessions,
 
-    calls: BTreeMap<u64, Call>,
-    sheet_calls: BTreeSet<u64>,
+    pending_calls: BTreeMap<u64, Call>,
+    register_calls: BTreeSet<u64>,
     timers: BTreeSet<(Nanos, u64)>,
-    by_key: BTreeMap<LeaseKey, Vec<u64>>,
-    /// Goes with the numbers of calls on the wire, so that another life's are not taken for this one's.
-    salt: u64,
-    post: BTreeMap<SocketAddr, Post>,
+    calls_by_key: BTreeMap<LeaseKey, Vec<u64>>,
+    /// Numbers of calls are combined with this random value on the wire, so that answers to an earlier incarnation
+    /// match no call of this one.
+    call_id_mask: u64,
+    outbox: BTreeMap<SocketAddr, Outbox>,
 
-    /// Breaks one rule, for the tests that show that they would notice.
+    /// The rule that this replica breaks, in tests only.
     #[doc(hidden)]
-    pub mutant: u8,
-    /// Goes back though the new member may be there, for the tests that show that only progress depends on it.
+    pub mutation: Option<Mutation>,
+    /// Rolls back whenever it may be safe, though the new member may be reachable: tests use it to show that safety
+    /// does not depend on the choice of the moment.
     #[doc(hidden)]
-    pub hasty: bool,
+    pub eager_rollback: bool,
 }
 
 impl Core {
-    /// `first_start`: no steward of this mesh ever ran before. With an empty disk and without it, `me` is somebody new.
+    /// Starts a replica with what its disk held. With `first_start`, no replica of this cluster has ever run, and
+    /// `seeds` are the members of the first epoch. A replica with an empty disk that is not on its first start gets a
+    /// new disk identity.
     #[allow(clippy::too_many_arguments)]
     pub fn new(
         now: Nanos,
         seed: u64,
-        me: SocketAddr,
+        address: SocketAddr,
         first_start: bool,
         seeds: &[SocketAddr],
         saved: PersistedState,
         config: Config,
         out: &mut Vec<Effect>,
     ) -> Core {
-        let mut chance = ChaCha8Rng::seed_from_u64(seed);
+        let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let fresh = saved.membership_ballot.is_none();
         let ballots = saved.membership_ballot.unwrap_or_else(|| {
-            let disk = if first_start { 0 } else { chance.random_range(1..=u64::MAX) };
-            let me = ReplicaId { address: me, disk_id: disk };
-            let first = || seeds.iter().map(|at| ReplicaId { address: *at, disk_id: 0 }).collect();
-            let view = if first_start {
-                Membership::initial(1, first())
+            let disk_id = if first_start { 0 } else { rng.random_range(1..=u64::MAX) };
+            let replica_id = ReplicaId { address, disk_id };
+            let initial_members =
+                || seeds.iter().map(|address| ReplicaId { address: *address, disk_id: 0 }).collect();
+            let membership = if first_start {
+                Membership::initial(1, initial_members())
             } else {
                 Membership::initial(0, Vec::new())
             };
-            let voter = view.members.contains(&me);
+            let voter = membership.members.contains(&replica_id);
             let (promised, accepted) = (Ballot::default(), None);
             MembershipBallotState {
-                replica: me,
-                membership: view,
+                replica: replica_id,
+                membership,
                 voter,
                 promised,
                 accepted,
@@ -271,523 +314,574 @@
                 barred_from_serving: false,
             }
         });
-        let station = ReplicaId { address: me, disk_id: ballots.replica.disk_id };
-        let voted = ballots.voter && station == ballots.replica;
-        let member = ballots.membership.members.contains(&station);
-        let salt = chance.random();
+        let replica_id = ReplicaId { address, disk_id: ballots.replica.disk_id };
+        let voted = ballots.voter && replica_id == ballots.replica;
+        let member = ballots.membership.members.contains(&replica_id);
+        let call_id_mask = rng.random();
         let mut core = Core {
             now,
-            me: station,
+            replica_id,
             config,
             seeds: seeds.to_vec(),
-            chance,
+            rng,
             peers: BTreeMap::new(),
-            next_beat: now,
-            tell: false,
+            next_heartbeat: now,
+            heartbeat_requested: false,
             leaving: false,
             voter: voted && member,
-            left: (voted && !member).then_some(ballots.membership.epoch),
-            told_new: ballots.served_snapshot,
-            barred: ballots.barred_from_serving,
-            top_round: ballots.promised.round,
-            view: ballots.membership,
-            promised: ballots.promised,
-            accepted: ballots.accepted,
-            attempt: None,
-            next_try: now,
-            wishing: false,
-            catching: None,
-            sheet: registers::Register::holding(saved.configuration),
-            papers: named_registers::Papers::holding(saved.registers),
-            versions: version_ballots::Versions::default(),
-            claims: BTreeMap::new(),
-            answers: kept_answers::Answers::default(),
-            expiry: BTreeSet::new(),
-            freed: BTreeMap::new(),
-            askers: BTreeSet::new(),
-            freed_order: VecDeque::new(),
-            told: VecDeque::new(),
+            stopped_voting_in: (voted && !member).then_some(ballots.membership.epoch),
+            served_snapshot: ballots.served_snapshot,
+            barred_from_serving: ballots.barred_from_serving,
+            highest_round: ballots.promised.round,
+            membership: ballots.membership,
+            promised_ballot: ballots.promised,
+            accepted_membership: ballots.accepted,
+            membership_proposal: None,
+            next_proposal_at: now,
+            change_wanted: false,
+            catch_up: None,
+            configuration: registers::Register::with_value(saved.configuration),
+            named_registers: named_registers::NamedRegisters::with_values(saved.registers),
+            register_paxos: register_paxos::RegisterPaxos::default(),
+            leases: BTreeMap::new(),
+            response_cache: response_cache::ResponseCache::default(),
+            lease_expiry: BTreeSet::new(),
+            released_tokens: BTreeMap::new(),
+            outcome_watchers: BTreeSet::new(),
+            released_order: VecDeque::new(),
+            lease_updates: VecDeque::new(),
             sessions: sessions::Sessions::default(),
-            calls: BTreeMap::new(),
-            sheet_calls: BTreeSet::new(),
+            pending_calls: BTreeMap::new(),
+            register_calls: BTreeSet::new(),
             timers: BTreeSet::new(),
-            by_key: BTreeMap::new(),
-            salt,
-            post: BTreeMap::new(),
-            mutant: 0,
-            hasty: false,
+            calls_by_key: BTreeMap::new(),
+            call_id_mask,
+            outbox: BTreeMap::new(),
+            mutation: None,
+            eager_rollback: false,
         };
-        for (key, claim) in saved.leases {
-            core.put(key, claim);
+        for (key, lease) in saved.leases {
+            core.insert_lease(key, lease);
         }
-        for (session, entry) in saved.sessions {
-            core.put_session(session, entry);
+        for (session, record) in saved.sessions {
+            core.insert_session(session, record);
         }
-        core.load_version_ballots(saved.acceptors);
-        core.shed(out);
-        if fresh || station != ballots.replica {
-            core.keep_ballots(out);
+        core.load_acceptors(saved.acceptors);
+        core.evict_responses(out);
+        if fresh || replica_id != ballots.replica {
+            core.persist_ballot_state(out);
         }
-        out.push(Effect::Log(format!("core: {station:?}, voter {}, view {:?}", core.voter, core.view)));
-        core.enter(now, out);
+        out.push(Effect::Log(format!(
+            "core: {replica_id:?}, voter {}, view {:?}",
+            core.voter, core.membership
+        )));
+        core.enter_epoch(now, out);
         core
     }
 
-    /// What came in a letter, from another steward or from oneself.
-    pub fn handle_message(&mut self, now: Nanos, letter: Message, out: &mut Vec<Effect>) {
+    /// Handles a message from another replica or from this one itself. Messages of other epochs than the current one
+    /// count only where they can't do harm.
+    pub fn handle_message(&mut self, now: Nanos, message: Message, out: &mut Vec<Effect>) {
         self.now = self.now.max(now);
-        let Message { from, epoch: view, body } = letter;
-        if from.address == self.me.address && from != self.me {
+        let Message { from, epoch, body } = message;
+        if from.address == self.replica_id.address && from != self.replica_id {
             return; // An earlier life of this very steward.
         }
-        if from != self.me {
-            self.note(now, from, view, &body, out);
+        if from != self.replica_id {
+            self.record_contact(now, from, epoch, &body, out);
         }
-        let same = view == self.view.epoch;
-        let member = same && self.is_member(&from);
+        let same_epoch = epoch == self.membership.epoch;
+        let from_member = same_epoch && self.is_member(&from);
         match body {
             MessageBody::Heartbeat {
                 voter,
-                configuration: sheet,
-                committed_configuration: safe,
-                registers_digest: papers,
+                configuration,
+                committed_configuration,
+                registers_digest,
                 ..
             } => {
-                if member && voter {
-                    self.sheet.ranked(from, sheet);
+                if from_member && voter {
+                    self.configuration.record_acknowledgement(from, configuration);
                 }
-                self.sheet.told_safe(safe);
-                self.look(now, from, sheet, out);
-                self.recount(TIMETABLE, out);
-                self.papers_there(now, from, member && voter, papers, out);
-            }
-            MessageBody::MembershipAnnouncement(view) => self.adopt(now, view, out),
-            MessageBody::Prepare(ballot) if same => self.prepare(from, ballot, out),
-            MessageBody::Promise { ballot, accepted } if member => {
-                self.promise(from, ballot, accepted, false, out)
-            }
-            MessageBody::Accept(ballot, view) if same => self.accept(from, ballot, view, out),
-            MessageBody::Accepted(ballot) if same => self.accepted(now, from, ballot, out),
-            MessageBody::PrepareRollback(ballot) if same => self.bar(from, ballot, out),
-            MessageBody::RollbackPromise { ballot, accepted } if same => {
-                self.promise(from, ballot, accepted, true, out)
-            }
-            MessageBody::Preempted(ballot) if same => self.outbid(now, ballot),
-            MessageBody::RequestLeases(list) if same => self.asked_grants(now, from, list, out),
-            MessageBody::LeaseVotes(list) if member || self.mutant == 1 => self.granted(now, from, list, out),
+                self.configuration.raise_committed_revision(committed_configuration);
+                self.fetch_if_newer(now, from, configuration, out);
+                self.update_committed(CONFIGURATION, out);
+                self.handle_registers_digest(now, from, from_member && voter, registers_digest, out);
+            }
+            MessageBody::MembershipAnnouncement(membership) => self.adopt_membership(now, membership, out),
+            MessageBody::Prepare(ballot) if same_epoch => self.handle_prepare(from, ballot, out),
+            MessageBody::Promise { ballot, accepted } if from_member => {
+                self.handle_promise(from, ballot, accepted, false, out)
+            }
+            MessageBody::Accept(ballot, membership) if same_epoch => {
+                self.handle_accept(from, ballot, membership, out)
+            }
+            MessageBody::Accepted(ballot) if same_epoch => self.handle_accepted(now, from, ballot, out),
+            MessageBody::PrepareRollback(ballot) if same_epoch => {
+                self.handle_prepare_rollback(from, ballot, out)
+            }
+            MessageBody::RollbackPromise { ballot, accepted } if same_epoch => {
+                self.handle_promise(from, ballot, accepted, true, out)
+            }
+            MessageBody::Preempted(ballot) if same_epoch => self.handle_preempted(now, ballot),
+            MessageBody::RequestLeases(list) if same_epoch => {
+                self.handle_lease_requests(now, from, list, out)
+            }
+            MessageBody::LeaseVotes(list) if from_member || self.breaks(Mutation::CountStaleLeaseVotes) => {
+                self.handle_lease_votes(now, from, list, out)
+            }
             MessageBody::CompleteLeases(list) => {
                 for (key, token, outcome) in list {
-                    self.settle(now, key, token, outcome, out);
+                    self.apply_completion(now, key, token, outcome, out);
                 }
             }
-            MessageBody::StoreConfiguration(sheet) => self.offered(from, same, sheet, out),
-            MessageBody::FetchConfiguration { read_id: ask, known: have } => {
-                self.want_sheet(from, same, ask, have, out)
+            MessageBody::StoreConfiguration(value) => {
+                self.handle_store_configuration(from, same_epoch, value, out)
+            }
+            MessageBody::FetchConfiguration { read_id, known } => {
+                self.handle_fetch_configuration(from, same_epoch, read_id, known, out)
             }
-            MessageBody::ConfigurationStored { read_id: ask, revision: rank } => {
-                self.held_there(now, from, member, ask, rank, out)
+            MessageBody::ConfigurationStored { read_id, revision } => {
+                self.handle_configuration_stored(now, from, from_member, read_id, revision, out)
             }
-            MessageBody::FetchSnapshot { from_key: place, catch_up_id: round, from_register: papers }
-                if member || self.mutant == 9 =>
+            MessageBody::FetchSnapshot { from_key, catch_up_id, from_register }
+                if from_member || self.breaks(Mutation::ServeSnapshotInAnyEpoch) =>
             {
-                self.want_state(from, place, round, papers, out);
+                self.serve_snapshot(from, from_key, catch_up_id, from_register, out);
+            }
+            MessageBody::Sessions(list) => {
+                self.handle_session_messages(now, from, (same_epoch, from_member), list, out)
             }
-            MessageBody::Sessions(list) => self.said_of_sessions(now, from, (same, member), list, out),
             MessageBody::SnapshotChunk {
-                catch_up_id: round,
-                leases: part,
-                next_key: next,
-                configuration: sheet,
+                catch_up_id,
+                leases,
+                next_key,
+                configuration,
                 sessions,
-                registers: papers,
-                next_register: next_paper,
-                acceptors: version_ballots,
-            } if same || self.mutant == 9 => {
-                let held = (part, sessions, papers, version_ballots);
-                self.state(now, from, round, held, sheet, (next, next_paper), out);
+                registers,
+                next_register,
+                acceptors,
+            } if same_epoch || self.breaks(Mutation::ServeSnapshotInAnyEpoch) => {
+                let content =
+                    membership::SnapshotContent { leases, sessions, configuration, registers, acceptors };
+                self.handle_snapshot_chunk(now, from, catch_up_id, content, (next_key, next_register), out);
             }
             MessageBody::RegisterPaxos(message) => {
-                self.version_message(now, from, (same, member), message, out)
+                self.handle_register_paxos(now, from, (same_epoch, from_member), message, out)
             }
-            MessageBody::StoreRegisters(papers) => self.papers_offered(from, same, papers, out),
-            MessageBody::FetchRegisters { read_id: ask, known: have } => {
-                self.want_papers(from, same, ask, have, out)
+            MessageBody::StoreRegisters(registers) => {
+                self.handle_store_registers(from, same_epoch, registers, out)
             }
-            MessageBody::RegistersStored { read_id: ask, voter, revisions: ranks, next } => {
-                self.papers_held(now, from, member && voter, ask, ranks, next, out);
+            MessageBody::FetchRegisters { read_id, known } => {
+                self.handle_fetch_registers(from, same_epoch, read_id, known, out)
             }
-            MessageBody::ListRegisters(place) => self.list_papers(from, &place, out),
+            MessageBody::RegistersStored { read_id, voter, revisions, next } => {
+                self.handle_registers_stored(now, from, from_member && voter, read_id, revisions, next, out);
+            }
+            MessageBody::ListRegisters(first) => self.handle_list_registers(from, &first, out),
             _ => {}
         }
     }
 
-    /// Answered by `Effect::Respond`, once. What it has to say to others may wait for `flush`.
-    pub fn handle_request(&mut self, now: Nanos, call: u64, want: CoreRequest, out: &mut Vec<Effect>) {
+    /// Handles a request. It is answered by exactly one `Effect::Respond` with the same `call`, unless it is
+    /// cancelled. Messages to other replicas may wait for `flush`. A number that is already in use is ignored.
+    pub fn handle_request(&mut self, now: Nanos, call: u64, request: CoreRequest, out: &mut Vec<Effect>) {
         self.now = self.now.max(now);
-        if self.calls.contains_key(&call) {
+        if self.pending_calls.contains_key(&call) {
             return;
         }
-        match want {
-            CoreRequest::AcquireLease { key, token, time_left_ms: left_ms } => {
-                self.claim_wanted(now, call, key, token, left_ms, out)
+        match request {
+            CoreRequest::AcquireLease { key, token, time_left_ms } => {
+                self.begin_lease(now, call, key, token, time_left_ms, out)
             }
             CoreRequest::CompleteLease { key, token, outcome } => {
-                self.settle_wanted(now, call, key, token, outcome, out)
+                self.handle_completion(now, call, key, token, outcome, out)
             }
-            CoreRequest::ReplaceConfiguration(sheet) => {
-                self.replace_wanted(now, call, TIMETABLE.into(), sheet, out)
+            CoreRequest::ReplaceConfiguration(value) => {
+                self.begin_write(now, call, CONFIGURATION.into(), value, out)
             }
-            CoreRequest::ReadConfiguration => self.read_wanted(now, call, TIMETABLE.into(), out),
-            CoreRequest::ReplaceRegister(NamedRegister { name, value: sheet })
-                if self.papers.has_room(&name, &sheet) =>
+            CoreRequest::ReadConfiguration => self.begin_read(now, call, CONFIGURATION.into(), out),
+            CoreRequest::ReplaceRegister(NamedRegister { name, value })
+                if self.named_registers.has_room(&name, &value) =>
             {
-                self.replace_wanted(now, call, name, sheet, out);
+                self.begin_write(now, call, name, value, out);
             }
             CoreRequest::ReplaceRegister(_) => {
                 out.push(Effect::Respond { call, response: CoreResponse::CapacityExceeded })
             }
-            CoreRequest::ReadRegister(name) => self.read_wanted(now, call, name, out),
-            CoreRequest::Session(session, wish) => self.session_wanted(now, call, session, wish, out),
+            CoreRequest::ReadRegister(name) => self.begin_read(now, call, name, out),
+            CoreRequest::Session(session, session_request) => {
+                self.begin_session_request(now, call, session, session_request, out)
+            }
         }
     }
 
-    /// The caller has gone: no answer is given any more. What was claimed stays claimed.
+    /// Forgets a call whose caller has gone: it will not be answered. A lease that was requested may still be held.
     pub fn cancel_request(&mut self, call: u64) {
-        match self.calls.remove(&call) {
-            Some(Call::Lease(asked)) => {
-                self.timers.remove(&(asked.timer, call));
-                if let Some(calls) = self.by_key.get_mut(&asked.key) {
+        match self.pending_calls.remove(&call) {
+            Some(Call::Lease(pending_lease)) => {
+                self.timers.remove(&(pending_lease.timer, call));
+                if let Some(calls) = self.calls_by_key.get_mut(&pending_lease.key) {
                     calls.retain(|other| *other != call);
                     if calls.is_empty() {
-                        self.by_key.remove(&asked.key);
+                        self.calls_by_key.remove(&pending_lease.key);
                     }
                 }
             }
-            Some(Call::Replace(replacing)) => {
-                self.timers.remove(&(replacing.timer, call));
-                self.sheet_calls.remove(&call);
+            Some(Call::Replace(pending_write)) => {
+                self.timers.remove(&(pending_write.timer, call));
+                self.register_calls.remove(&call);
             }
-            Some(Call::Read(reading)) => {
-                self.timers.remove(&(reading.timer, call));
-                self.sheet_calls.remove(&call);
+            Some(Call::Read(pending_read)) => {
+                self.timers.remove(&(pending_read.timer, call));
+                self.register_calls.remove(&call);
             }
-            Some(Call::Session(changing)) => {
-                self.timers.remove(&(changing.timer, call));
-                self.session_forgotten(call);
+            Some(Call::Session(pending_change)) => {
+                self.timers.remove(&(pending_change.timer, call));
+                self.forget_session_call(call);
             }
             None => {}
         }
     }
 
-    /// Does what is due; says when to be called again at the latest. Flushes.
+    /// Does everything that is due and flushes. Returns the time at which it must be called again at the latest.
     pub fn tick(&mut self, now: Nanos, out: &mut Vec<Effect>) -> Nanos {
         self.now = self.now.max(now);
-        while let Some(&(at, call)) = self.timers.first() {
-            if at > now {
+        while let Some(&(due_at, call)) = self.timers.first() {
+            if due_at > now {
                 break;
             }
-            self.timers.remove(&(at, call));
-            match self.calls.get(&call) {
-                Some(Call::Lease(_)) => self.claim_timer(now, call, out),
-                Some(Call::Session(_)) => self.session_timer(now, call, out),
-                Some(_) => self.sheet_timer(now, call, out),
+            self.timers.remove(&(due_at, call));
+            match self.pending_calls.get(&call) {
+                Some(Call::Lease(_)) => self.handle_lease_timer(now, call, out),
+                Some(Call::Session(_)) => self.handle_session_timer(now, call, out),
+                Some(_) => self.handle_register_timer(now, call, out),
                 None => {}
             }
         }
-        self.expire(now, out);
+        self.expire_leases(now, out);
         self.expire_sessions(now, out);
-        self.catch_up(now, out);
-        self.propose(now, out);
-        self.drive_proposals(now, out);
-        if now >= self.next_beat {
-            self.tell = true;
-            self.next_beat = now.saturating_add(BEAT);
-            let view = &self.view.members;
-            self.peers
-                .retain(|station, peer| view.binary_search(station).is_ok() || peer.silence(now) < FORGET);
+        self.request_snapshots(now, out);
+        self.propose_membership(now, out);
+        self.drive_register_proposals(now, out);
+        if now >= self.next_heartbeat {
+            self.heartbeat_requested = true;
+            self.next_heartbeat = now.saturating_add(HEARTBEAT_INTERVAL);
+            let members = &self.membership.members;
+            self.peers.retain(|replica, peer| {
+                members.binary_search(replica).is_ok() || peer.time_since_heard(now) < FORGET_PEER_AFTER
+            });
         }
         self.flush(out);
-        let next = self.timers.first().map_or(Nanos::MAX, |(at, _)| *at);
-        let next = next.min(self.next_beat).min(self.next_proposal());
-        next.min(now.saturating_add(TICK)).max(now.saturating_add(1))
+        let next = self.timers.first().map_or(Nanos::MAX, |(due_at, _)| *due_at);
+        let next = next.min(self.next_heartbeat).min(self.next_register_proposal_at());
+        next.min(now.saturating_add(MAX_TICK_INTERVAL)).max(now.saturating_add(1))
     }
 
-    /// Hands out what waited to go out together; to be called after each batch of `hear` and `want`.
+    /// Emits the messages that were collected for each address; to be called after each batch of `handle_message` and
+    /// `handle_request`.
     pub fn flush(&mut self, out: &mut Vec<Effect>) {
-        for (at, post) in std::mem::take(&mut self.post) {
-            let settled = |(_, _, outcome): &(LeaseKey, LeaseToken, Option<LeaseOutcome>)| {
-                outcome.as_ref().map_or(0, weight)
+        for (address, queued) in std::mem::take(&mut self.outbox) {
+            let completion_bytes = |(_, _, outcome): &(LeaseKey, LeaseToken, Option<LeaseOutcome>)| {
+                outcome.as_ref().map_or(0, payload_bytes)
             };
-            for part in parts(post.settles, settled) {
-                out.push(Effect::SendNow(at, self.letter(MessageBody::CompleteLeases(part))));
+            for batch in split_into_batches(queued.completions, completion_bytes) {
+                out.push(Effect::SendNow(address, self.message(MessageBody::CompleteLeases(batch))));
             }
-            for part in parts(post.grants, |_| 0) {
-                out.push(Effect::SendNow(at, self.letter(MessageBody::RequestLeases(part))));
+            for batch in split_into_batches(queued.lease_requests, |_| 0) {
+                out.push(Effect::SendNow(address, self.message(MessageBody::RequestLeases(batch))));
             }
-            let refused = |(_, grant): &(u64, LeaseVote)| match grant {
-                LeaseVote::Held(claim) => weight(&claim.outcome),
+            let vote_bytes = |(_, vote): &(u64, LeaseVote)| match vote {
+                LeaseVote::Held(lease) => payload_bytes(&lease.outcome),
                 LeaseVote::Granted | LeaseVote::TokenReleased => 0,
             };
-            for part in parts(post.granted, refused) {
-                let letter = self.letter(MessageBody::LeaseVotes(part));
-                out.push(if self.mutant == 3 {
-                    Effect::SendNow(at, letter)
+            for batch in split_into_batches(queued.lease_votes, vote_bytes) {
+                let message = self.message(MessageBody::LeaseVotes(batch));
+                out.push(if self.breaks(Mutation::SendLeaseVotesBeforePersist) {
+                    Effect::SendNow(address, message)
                 } else {
-                    Effect::SendAfterPersist(at, letter)
+                    Effect::SendAfterPersist(address, message)
                 });
             }
-            for part in parts(post.session_asks, |_| 0) {
-                out.push(Effect::SendNow(at, self.letter(MessageBody::Sessions(part))));
+            for batch in split_into_batches(queued.session_requests, |_| 0) {
+                out.push(Effect::SendNow(address, self.message(MessageBody::Sessions(batch))));
             }
-            for part in parts(post.session_replies, |_| 0) {
-                let letter = self.letter(MessageBody::Sessions(part));
-                out.push(if self.mutant == 27 {
-                    Effect::SendNow(at, letter)
+            for batch in split_into_batches(queued.session_replies, |_| 0) {
+                let message = self.message(MessageBody::Sessions(batch));
+                out.push(if self.breaks(Mutation::SendSessionRepliesBeforePersist) {
+                    Effect::SendNow(address, message)
                 } else {
-                    Effect::SendAfterPersist(at, letter)
+                    Effect::SendAfterPersist(address, message)
                 });
             }
         }
-        if std::mem::take(&mut self.tell) {
-            let letter = self.beat();
-            for at in self.all_known() {
-                out.push(Effect::SendAfterPersist(at, letter.clone()));
+        if std::mem::take(&mut self.heartbeat_requested) {
+            let message = self.heartbeat();
+            for address in self.known_addresses() {
+                out.push(Effect::SendAfterPersist(address, message.clone()));
             }
         }
     }
 
-    /// The settings file changed.
+    /// Replaces the addresses that heartbeats are sent to although their replicas were never heard.
     pub fn set_seeds(&mut self, seeds: &[SocketAddr]) {
         self.seeds = seeds.to_vec();
     }
 
-    /// This steward is about to end: others may take its place at once.
+    /// Tells the other replicas that this one will stop, so that they replace it at once.
     pub fn announce_departure(&mut self, now: Nanos, out: &mut Vec<Effect>) {
         self.now = self.now.max(now);
         self.leaving = true;
-        self.tell = true;
+        self.heartbeat_requested = true;
         self.flush(out);
     }
 
-    /// After `leaving`: what this replica holds is on enough others, so that it may end for good. As a member it waits
-    /// until another that votes has its place, or until nobody is there to take it and all others vote: one that is
-    /// still catching up may need to be told by this one.
+    /// Whether this replica may stop for good after `announce_departure`, because enough others store what it stores.
+    /// A member waits until another replica has its place and votes, or until no replica can take its place and all
+    /// others vote: one that is still catching up may need this replica's snapshot.
     pub fn may_stop(&self) -> bool {
-        if !self.leaving || self.mutant == 38 {
+        if !self.leaving || self.breaks(Mutation::StopAtOnce) {
             return self.leaving;
         }
-        let others_vote = self.view.members.iter().all(|member| *member == self.me || self.is_voter(member));
-        if self.is_member(&self.me) {
-            let taker = self.peers.iter().any(|(station, peer)| self.may_join(station, peer));
-            return self.view.members.len() <= 1 || !taker && others_vote;
+        let others_vote =
+            self.membership.members.iter().all(|member| *member == self.replica_id || self.is_voter(member));
+        if self.is_member(&self.replica_id) {
+            let can_be_replaced = self.peers.iter().any(|(replica, peer)| self.may_join(replica, peer));
+            return self.membership.members.len() <= 1 || !can_be_replaced && others_vote;
         }
-        self.left.is_none() || others_vote
+        self.stopped_voting_in.is_none() || others_vote
     }
 
-    /// The newest configuration known to be on more than half of the voters' disks. Never goes back in a life.
+    /// The newest configuration that is known to be on a majority's disks. It never goes back while this replica
+    /// runs.
     pub fn committed_configuration(&self) -> Option<&Arc<RegisterValue>> {
-        self.sheet.safe.as_ref()
+        self.configuration.committed.as_ref()
     }
 
-    /// The newest one that this steward has, which may yet be lost.
+    /// The newest configuration that this replica stores. It is decided for its version, but may not be on a
+    /// majority's disks yet.
     pub fn stored_configuration(&self) -> Option<&Arc<RegisterValue>> {
-        self.sheet.held.as_ref()
+        self.configuration.stored.as_ref()
     }
 
+    /// This replica's identity.
     pub fn replica(&self) -> ReplicaId {
-        self.me
+        self.replica_id
     }
 
+    /// The membership of this replica's epoch.
     pub fn membership(&self) -> &Membership {
-        &self.view
+        &self.membership
     }
 
+    /// Whether this replica has caught up and votes in its epoch.
     pub fn is_voting(&self) -> bool {
         self.voter
     }
 
-    /// More than half of the view is heard.
+    /// Whether a majority of the members, this replica included, was heard within `REACHABLE_WINDOW`.
     pub fn has_quorum(&self, now: Nanos) -> bool {
-        let there = |station: &&ReplicaId| {
-            **station == self.me || self.peers.get(*station).is_some_and(|peer| peer.there(now))
+        let is_reachable = |replica: &&ReplicaId| {
+            **replica == self.replica_id
+                || self.peers.get(*replica).is_some_and(|peer| peer.is_reachable(now))
         };
-        self.view.epoch > 0 && self.view.members.iter().filter(there).count() >= self.majority()
+        self.membership.epoch > 0
+            && self.membership.members.iter().filter(is_reachable).count() >= self.majority()
     }
 
-    /// All stewards that are members or known to be there.
+    /// The addresses of this replica, of all members and of all reachable replicas, sorted.
     pub fn replica_addresses(&self) -> Vec<SocketAddr> {
-        let there =
-            self.peers.iter().filter(|(_, peer)| peer.there(self.now)).map(|(station, _)| station.address);
-        let members = self.view.members.iter().map(|station| station.address);
-        let all: BTreeSet<SocketAddr> = there.chain(members).chain([self.me.address]).collect();
+        let reachable = self
+            .peers
+            .iter()
+            .filter(|(_, peer)| peer.is_reachable(self.now))
+            .map(|(replica, _)| replica.address);
+        let members = self.membership.members.iter().map(|replica| replica.address);
+        let all: BTreeSet<SocketAddr> = reachable.chain(members).chain([self.replica_id.address]).collect();
         all.into_iter().collect()
     }
 
-    /// This steward, the members, and all others heard of late.
+    /// The status of this replica and of all replicas that it knows, sorted by replica.
     pub fn peer_statuses(&self, now: Nanos) -> Vec<PeerStatus> {
-        let me = PeerStatus {
-            replica: self.me,
-            member: self.is_member(&self.me),
+        let own_status = PeerStatus {
+            replica: self.replica_id,
+            member: self.is_member(&self.replica_id),
             voter: self.voter,
-            epoch: self.view.epoch,
+            epoch: self.membership.epoch,
             heard_ago: Some(0),
             leaving: self.leaving,
             zone: self.config.zone.clone(),
         };
-        let others = self.peers.iter().filter(|(station, _)| **station != self.me);
-        let others = others.map(|(station, peer)| PeerStatus {
-            replica: *station,
-            member: self.is_member(station),
+        let others = self.peers.iter().filter(|(replica, _)| **replica != self.replica_id);
+        let others = others.map(|(replica, peer)| PeerStatus {
+            replica: *replica,
+            member: self.is_member(replica),
             voter: peer.voter,
-            epoch: peer.view,
-            heard_ago: peer.heard.map(|heard| now.saturating_sub(heard)),
+            epoch: peer.epoch,
+            heard_ago: peer.last_heard.map(|heard| now.saturating_sub(heard)),
             leaving: peer.leaving,
             zone: peer.zone.clone(),
         });
-        let mut all: Vec<PeerStatus> = [me].into_iter().chain(others).collect();
+        let mut all: Vec<PeerStatus> = [own_status].into_iter().chain(others).collect();
         all.sort_by_key(|known| known.replica);
         all
     }
 
-    /// All that the disk should hold, to write it anew.
+    /// All records that the disk should hold, for rewriting the log.
     pub fn log_records(&self) -> Vec<LogRecord> {
-        let claims = self.claims.iter().map(|(key, kept)| LogRecord::Lease(*key, kept.claim.clone()));
-        let sheet = self.sheet.held.iter().map(|sheet| LogRecord::Configuration(sheet.clone()));
-        let papers = self.papers.from("").map(LogRecord::Register);
-        let versions = LogRecord::RegisterAcceptors(self.version_ballots());
-        let all = [LogRecord::MembershipBallot(self.ballots()), versions].into_iter();
-        let all = all.chain(sheet).chain(papers).chain(claims);
+        let leases = self.leases.iter().map(|(key, stored)| LogRecord::Lease(*key, stored.lease.clone()));
+        let configuration =
+            self.configuration.stored.iter().map(|value| LogRecord::Configuration(value.clone()));
+        let registers = self.named_registers.iter_from("").map(LogRecord::Register);
+        let acceptors = LogRecord::RegisterAcceptors(self.acceptor_states());
+        let all = [LogRecord::MembershipBallot(self.ballot_state()), acceptors].into_iter();
+        let all = all.chain(configuration).chain(registers).chain(leases);
         all.chain(self.session_records()).collect()
     }
 
-    fn is_member(&self, station: &ReplicaId) -> bool {
-        self.view.members.binary_search(station).is_ok()
+    /// Whether a test made this replica break that rule.
+    fn breaks(&self, rule: Mutation) -> bool {
+        self.mutation == Some(rule)
     }
 
-    /// How many voters are more than half.
+    fn is_member(&self, replica: &ReplicaId) -> bool {
+        self.membership.members.binary_search(replica).is_ok()
+    }
+
+    /// The number of members in a majority.
     fn majority(&self) -> usize {
-        let half = self.view.members.len() / 2;
-        if self.mutant == 4 { half.max(1) } else { half + 1 }
+        let half = self.membership.members.len() / 2;
+        if self.breaks(Mutation::TakeHalfForMajority) { half.max(1) } else { half + 1 }
     }
 
     fn others(&self) -> impl Iterator<Item = ReplicaId> + use<> {
-        let me = self.me;
-        self.view.members.clone().into_iter().filter(move |station| *station != me)
+        let own_id = self.replica_id;
+        self.membership.members.clone().into_iter().filter(move |replica| *replica != own_id)
     }
 
-    fn letter(&self, body: MessageBody) -> Message {
-        Message { from: self.me, epoch: self.view.epoch, body }
+    fn message(&self, body: MessageBody) -> Message {
+        Message { from: self.replica_id, epoch: self.membership.epoch, body }
     }
 
-    /// Sends once all that was written is safe.
-    fn send(&self, at: SocketAddr, body: MessageBody, out: &mut Vec<Effect>) {
-        out.push(Effect::SendAfterPersist(at, self.letter(body)));
+    /// Sends the message once all records written so far are safe on disk.
+    fn send_after_persist(&self, address: SocketAddr, body: MessageBody, out: &mut Vec<Effect>) {
+        out.push(Effect::SendAfterPersist(address, self.message(body)));
     }
 
-    /// Sends at once: only for what promises nothing.
-    fn now(&self, at: SocketAddr, body: MessageBody, out: &mut Vec<Effect>) {
-        out.push(Effect::SendNow(at, self.letter(body)));
+    /// Sends the message at once; only for what promises nothing.
+    fn send_now(&self, address: SocketAddr, body: MessageBody, out: &mut Vec<Effect>) {
+        out.push(Effect::SendNow(address, self.message(body)));
     }
 
-    fn answer(&mut self, call: u64, got: CoreResponse, out: &mut Vec<Effect>) {
+    fn respond(&mut self, call: u64, response: CoreResponse, out: &mut Vec<Effect>) {
         self.cancel_request(call);
-        out.push(Effect::Respond { call, response: got });
+        out.push(Effect::Respond { call, response });
     }
 
-    fn beat(&self) -> Message {
-        self.letter(MessageBody::Heartbeat {
+    fn heartbeat(&self) -> Message {
+        self.message(MessageBody::Heartbeat {
             voter: self.voter,
-            configuration: self.sheet.held_revision(),
-            committed_configuration: self.sheet.safe_revision,
+            configuration: self.configuration.stored_revision(),
+            committed_configuration: self.configuration.committed_revision,
             leaving: self.leaving,
             zone: if self.config.tolerated_zone_losses > 0 {
                 self.config.zone.clone()
             } else {
                 String::new()
             },
-            registers_digest: self.papers.digest(),
+            registers_digest: self.named_registers.digest(),
         })
     }
 
-    /// Members, seeds and all heard lately; oneself only where that counts.
-    fn all_known(&self) -> BTreeSet<SocketAddr> {
-        let members = self.view.members.iter().map(|station| station.address);
-        let peers = self.peers.keys().map(|station| station.address);
+    /// The addresses of members, seeds and known peers. Its own address is included only for a voter, which counts
+    /// its own acknowledgements.
+    fn known_addresses(&self) -> BTreeSet<SocketAddr> {
+        let members = self.membership.members.iter().map(|replica| replica.address);
+        let peers = self.peers.keys().map(|replica| replica.address);
         let mut all: BTreeSet<SocketAddr> = members.chain(peers).chain(self.seeds.iter().copied()).collect();
         if !self.voter {
-            all.remove(&self.me.address);
+            all.remove(&self.replica_id.address);
         }
         all
     }
 
-    /// Notes that another was heard, and sees to it that both get to the same view.
-    fn note(&mut self, now: Nanos, from: ReplicaId, view: u64, body: &MessageBody, out: &mut Vec<Effect>) {
+    /// Records that a peer was heard, and arranges that the one with the earlier membership learns of the later one.
+    fn record_contact(
+        &mut self,
+        now: Nanos,
+        from: ReplicaId,
+        epoch: u64,
+        body: &MessageBody,
+        out: &mut Vec<Effect>,
+    ) {
         if !self.peers.contains_key(&from) {
-            if self.peers.len() >= MOST_PEERS {
+            if self.peers.len() >= MAX_PEERS {
                 return;
             }
             self.peers.insert(from, Peer::new(now));
         }
-        let mine = self.view.epoch;
+        let own_epoch = self.membership.epoch;
         let Some(peer) = self.peers.get_mut(&from) else { return };
-        let missed = (peer.silence(now) > SILENT).then(|| peer.heard.unwrap_or(peer.since));
-        peer.heard = Some(now.max(peer.heard.unwrap_or(0)));
+        let silent_since = (peer.time_since_heard(now) > MISSED_MESSAGES_AFTER)
+            .then(|| peer.last_heard.unwrap_or(peer.first_seen));
+        peer.last_heard = Some(now.max(peer.last_heard.unwrap_or(0)));
         if let MessageBody::Heartbeat { voter, leaving, zone, .. } = body {
-            // A late beat of an earlier view says nothing.
-            if view >= peer.view {
-                peer.voter = *voter || (peer.voter && view == peer.view);
-                peer.view = view;
+            // A late heartbeat of an earlier epoch says nothing about the current one.
+            if epoch >= peer.epoch {
+                peer.voter = *voter || (peer.voter && epoch == peer.epoch);
+                peer.epoch = epoch;
             }
             peer.leaving = *leaving;
             if peer.zone != *zone {
                 peer.zone.clone_from(zone);
-                peer.zone.truncate(peer.zone.floor_char_boundary(MOST_ZONE));
+                peer.zone.truncate(peer.zone.floor_char_boundary(MAX_ZONE_BYTES));
             }
         }
-        let (tells, asks) = (
-            view < mine && due(&mut peer.told, now, RARELY),
-            view > mine
+        let (announce, send_heartbeat) = (
+            epoch < own_epoch && mark_if_due(&mut peer.announced_at, now, MIN_SEND_INTERVAL),
+            epoch > own_epoch
                 && !matches!(body, MessageBody::MembershipAnnouncement(_))
-                && due(&mut peer.asked, now, RARELY),
+                && mark_if_due(&mut peer.heartbeat_sent_at, now, MIN_SEND_INTERVAL),
         );
-        if tells {
-            self.now(from.address, MessageBody::MembershipAnnouncement(self.view.clone()), out);
+        if announce {
+            self.send_now(from.address, MessageBody::MembershipAnnouncement(self.membership.clone()), out);
         }
-        if asks {
-            out.push(Effect::SendAfterPersist(from.address, self.beat()));
+        if send_heartbeat {
+            out.push(Effect::SendAfterPersist(from.address, self.heartbeat()));
         }
-        if let Some(since) = missed {
-            self.tell_again(from, since);
+        if let Some(since) = silent_since {
+            self.resend_lease_updates(from, since);
         }
     }
 }
 
-fn weight(outcome: &LeaseOutcome) -> usize {
+/// The bytes that an outcome adds to a message.
+fn payload_bytes(outcome: &LeaseOutcome) -> usize {
     match outcome {
         LeaseOutcome::Pending | LeaseOutcome::Indeterminate => 0,
-        LeaseOutcome::Completed(answer) => {
-            answer.body.len()
-                + answer.headers.iter().map(|(name, value)| name.len() + value.len()).sum::<usize>()
+        LeaseOutcome::Completed(response) => {
+            response.body.len()
+                + response.headers.iter().map(|(name, value)| name.len() + value.len()).sum::<usize>()
         }
     }
 }
 
-/// Cuts a list so that each part fits a letter.
-fn parts<T>(list: Vec<T>, weight: impl Fn(&T) -> usize) -> Vec<Vec<T>> {
-    let mut parts: Vec<Vec<T>> = Vec::new();
+/// Splits a list so that each batch fits a message.
+fn split_into_batches<T>(list: Vec<T>, payload_bytes: impl Fn(&T) -> usize) -> Vec<Vec<T>> {
+    let mut batches: Vec<Vec<T>> = Vec::new();
     let mut bytes = 0;
     for item in list {
-        let more = weight(&item);
-        match parts.last_mut() {
-            Some(part) if part.len() < MOST_IN_LETTER && bytes + more <= BYTES_IN_LETTER => {
-                bytes += more;
-                part.push(item);
+        let item_bytes = payload_bytes(&item);
+        match batches.last_mut() {
+            Some(batch) if batch.len() < MAX_ITEMS_PER_MESSAGE && bytes + item_bytes <= MAX_MESSAGE_BYTES => {
+                bytes += item_bytes;
+                batch.push(item);
             }
             _ => {
-                bytes = more;
-                parts.push(vec![item]);
+                bytes = item_bytes;
+                batches.push(vec![item]);
             }
         }
     }
-    parts
+    batches
 }
--- a/consensus/src/core/leases.rs
+++ b/consensus/src/core/leases.rs
@@ -1,64 +1,78 @@
-//! Which keys were claimed, and what came of them. It owns the claims this steward holds and the calls that gather
-//! grants. It must never free a claim of its own accord: the same token may have been granted through another.
+//! Leases on idempotency keys: which request of a key may run, and what became of it.
+//!
+//! Main types: `PendingLease` is a call that collects votes, `StoredLease` a lease as this replica stores it,
+//! `LeaseUpdate` what other members may have missed.
+//!
+//! Invariants:
+//! - A lease is granted to one token at a time, by a majority of the members.
+//! - A replica never releases a lease of its own accord, because the same token may have been granted it through
+//!   another replica.
 
 use super::*;
 
-/// Who was not asked for a grant at first is after so long.
-const HEDGE: Nanos = 50 * MS;
-/// A call gathers grants for so long.
-const GATHER: Nanos = 1000 * MS;
-/// A call waits for another claim's outcome for so long at most, and for this part of the time that its request has left:
-/// less than outbound proxies wait for a claim (`mesh/src/claim_breaker.rs`), so that they are told that the key is at work.
+/// Members that were not asked for a vote at first are asked after this time.
+const HEDGE_DELAY: Nanos = 50 * MS;
+/// A lease request that gets no majority within this time is answered `Unavailable`.
+const LEASE_TIMEOUT: Nanos = 1000 * MS;
+/// A call waits for another lease's outcome no longer than this, and no longer than `1 / OUTCOME_WAIT_DIVISOR` of its
+/// request's time left. Both are shorter than outbound proxies wait for an answer (`mesh/src/claim_breaker.rs`), so
+/// that they learn that the key is in use.
 const MAX_OUTCOME_WAIT: Nanos = 700 * MS;
 const OUTCOME_WAIT_DIVISOR: Nanos = 3;
-pub(super) const TOLD_FOR: Nanos = 20_000 * MS;
-pub(super) const MOST_TOLD: usize = 4096;
-const MOST_FREED: usize = 20_000;
-const MOST_ASKERS: usize = 4_096;
-/// Nobody's token.
+/// How long lease updates are kept for peers that may have missed them.
+pub(super) const LEASE_UPDATE_RETENTION: Nanos = 20_000 * MS;
+/// How many lease updates are kept at most.
+pub(super) const MAX_LEASE_UPDATES: usize = 4096;
+/// How many released tokens are remembered; the oldest are forgotten first.
+const MAX_RELEASED_TOKENS: usize = 20_000;
+/// How many replicas are remembered that wait for the outcome of a pending lease.
+const MAX_OUTCOME_WATCHERS: usize = 4_096;
+/// The token that belongs to nobody.
 const NOBODY: LeaseToken = 0;
 
+/// A lease with the time at which it expires.
 #[derive(Clone, Debug)]
-pub(super) struct Kept {
-    pub claim: Lease,
-    until: Nanos,
+pub(super) struct StoredLease {
+    pub lease: Lease,
+    expires_at: Nanos,
 }
 
-/// What the other members were told, for those that missed it.
+/// What the other members were told about a lease, to be sent again to peers that missed it.
 #[derive(Clone, Debug)]
-pub(super) enum Told {
-    Grant(LeaseKey, LeaseToken, u32),
-    Settle(LeaseKey, LeaseToken, Option<LeaseOutcome>),
+pub(super) enum LeaseUpdate {
+    Requested(LeaseKey, LeaseToken, u32),
+    Completed(LeaseKey, LeaseToken, Option<LeaseOutcome>),
 }
 
-impl Told {
+impl LeaseUpdate {
     pub fn outcome(&self) -> Option<&LeaseOutcome> {
-        if let Told::Settle(_, _, outcome) = self { outcome.as_ref() } else { None }
+        if let LeaseUpdate::Completed(_, _, outcome) = self { outcome.as_ref() } else { None }
     }
 }
 
-/// A call that gathers grants.
+/// A call that collects votes on a lease.
 #[derive(Clone, Debug)]
-pub(super) struct Asked {
+pub(super) struct PendingLease {
     pub key: LeaseKey,
     token: LeaseToken,
-    left_ms: u32,
-    began: Nanos,
+    time_left_ms: u32,
+    started_at: Nanos,
     wait_until: Nanos,
     pub timer: Nanos,
-    /// Only as many as are needed were asked so far.
-    few: bool,
-    yes: BTreeSet<ReplicaId>,
-    /// With the claim that is in the way, where there is one.
-    no: BTreeMap<ReplicaId, Option<Lease>>,
+    /// Only as many members as a majority needs were asked so far.
+    quorum_only: bool,
+    granted_by: BTreeSet<ReplicaId>,
+    /// Members that refused, with the lease that stands in the way if there is one.
+    refused_by: BTreeMap<ReplicaId, Option<Lease>>,
 }
 
-/// How long a call waits for another claim's outcome, whose request has so many ms left.
-pub fn outcome_wait(left_ms: u32) -> Nanos {
-    (u64::from(left_ms) * MS / OUTCOME_WAIT_DIVISOR).min(MAX_OUTCOME_WAIT)
+/// How long a call waits for another lease's outcome if its request has `time_left_ms` milliseconds left.
+pub fn outcome_wait(time_left_ms: u32) -> Nanos {
+    (u64::from(time_left_ms) * MS / OUTCOME_WAIT_DIVISOR).min(MAX_OUTCOME_WAIT)
 }
 
-fn grade(outcome: &LeaseOutcome) -> u8 {
+/// Outcomes with a higher rank replace those with a lower one.
+fn outcome_rank(outcome: &LeaseOutcome) -> u8 {
     match outcome {
         LeaseOutcome::Pending => 0,
         LeaseOutcome::Indeterminate => 1,
@@ -67,69 +81,70 @@
 }
 
 impl Core {
-    /// How many keys are open, of unknown outcome and done.
+    /// Counts the stored leases by outcome.
     pub fn lease_counts(&self) -> (usize, usize, usize) {
         let mut count = [0; 3];
-        for kept in self.claims.values() {
-            if let Some(count) = count.get_mut(grade(&kept.claim.outcome) as usize) {
+        for stored in self.leases.values() {
+            if let Some(count) = count.get_mut(outcome_rank(&stored.lease.outcome) as usize) {
                 *count += 1;
             }
         }
         (count[0], count[1], count[2])
     }
 
+    /// The lease stored for a key.
     pub fn lease(&self, key: LeaseKey) -> Option<&Lease> {
-        self.claims.get(&key).map(|kept| &kept.claim)
+        self.leases.get(&key).map(|stored| &stored.lease)
     }
 
-    /// For how long a claim is known here.
+    /// How long this replica has known the lease of a key.
     pub fn lease_age(&self, key: LeaseKey) -> Option<Nanos> {
-        self.claims.get(&key).map(|kept| self.known_for(kept))
+        self.leases.get(&key).map(|stored| self.age_of(stored))
     }
 
-    /// That of the open claim which is known for longest.
+    /// The age of the pending lease that has been known for longest.
     pub fn oldest_pending_lease_age(&self) -> Option<Nanos> {
-        let open = self.claims.values().filter(|kept| kept.claim.outcome == LeaseOutcome::Pending);
-        open.map(|kept| self.known_for(kept)).max()
+        let pending = self.leases.values().filter(|stored| stored.lease.outcome == LeaseOutcome::Pending);
+        pending.map(|stored| self.age_of(stored)).max()
     }
 
-    fn known_for(&self, kept: &Kept) -> Nanos {
-        self.now.saturating_add(self.config.lease_ttl).saturating_sub(kept.until)
+    fn age_of(&self, stored: &StoredLease) -> Nanos {
+        self.now.saturating_add(self.config.lease_ttl).saturating_sub(stored.expires_at)
     }
 
-    pub(super) fn claim_wanted(
+    pub(super) fn begin_lease(
         &mut self,
         now: Nanos,
         call: u64,
         key: LeaseKey,
         token: LeaseToken,
-        left_ms: u32,
+        time_left_ms: u32,
         out: &mut Vec<Effect>,
     ) {
-        let full = self.claims.len() >= self.config.max_leases && !self.claims.contains_key(&key);
-        if token == NOBODY || full || self.calls.len() - self.sheet_calls.len() >= MOST_CLAIM_CALLS {
+        let is_full = self.leases.len() >= self.config.max_leases && !self.leases.contains_key(&key);
+        if token == NOBODY || is_full || self.pending_calls.len() - self.register_calls.len() >= MAX_CALLS {
             out.push(Effect::Respond { call, response: CoreResponse::Unavailable });
             return;
         }
-        let asked = Asked {
+        let pending = PendingLease {
             key,
             token,
-            left_ms,
-            began: now,
-            wait_until: now.saturating_add(outcome_wait(left_ms)),
-            timer: now.saturating_add(HEDGE),
-            few: true,
-            yes: BTreeSet::new(),
-            no: BTreeMap::new(),
+            time_left_ms,
+            started_at: now,
+            wait_until: now.saturating_add(outcome_wait(time_left_ms)),
+            timer: now.saturating_add(HEDGE_DELAY),
+            quorum_only: true,
+            granted_by: BTreeSet::new(),
+            refused_by: BTreeMap::new(),
         };
-        self.timers.insert((asked.timer, call));
-        self.calls.insert(call, Call::Lease(asked));
-        self.by_key.entry(key).or_default().push(call);
-        self.judge(now, call, out);
-        self.gather(call, out);
+        self.timers.insert((pending.timer, call));
+        self.pending_calls.insert(call, Call::Lease(pending));
+        self.calls_by_key.entry(key).or_default().push(call);
+        self.resolve_lease_call(now, call, out);
+        self.request_votes(call, out);
     }
 
-    pub(super) fn settle_wanted(
+    pub(super) fn handle_completion(
         &mut self,
         now: Nanos,
         call: u64,
@@ -138,227 +153,268 @@
         outcome: Option<LeaseOutcome>,
         out: &mut Vec<Effect>,
     ) {
-        self.settle(now, key, token, outcome.clone(), out);
-        self.settle_others(now, key, token, outcome);
+        self.apply_completion(now, key, token, outcome.clone(), out);
+        self.announce_completion(now, key, token, outcome);
         out.push(Effect::Respond { call, response: CoreResponse::Accepted });
     }
 
-    fn settle_others(&mut self, now: Nanos, key: LeaseKey, token: LeaseToken, outcome: Option<LeaseOutcome>) {
+    fn announce_completion(
+        &mut self,
+        now: Nanos,
+        key: LeaseKey,
+        token: LeaseToken,
+        outcome: Option<LeaseOutcome>,
+    ) {
         let mut others: Vec<ReplicaId> = self.others().collect();
         if matches!(outcome, Some(LeaseOutcome::Completed(_))) {
-            // An answer is kept by as many as it takes to outlive what may be lost, not by all: those nearest to the
-            // key. Whoever is asked in its stead finds it there while gathering grants.
-            others.sort_by_key(|station| crate::placement::place(station.address, key));
-            others.truncate(self.view.members.len() / 2);
+            // Only as many members keep a response as it takes to survive the loss of the others: those that are
+            // placed nearest to the key. A member that is asked for the lease later finds the response while it
+            // collects votes.
+            others.sort_by_key(|replica| crate::placement::place(replica.address, key));
+            others.truncate(self.membership.members.len() / 2);
         }
-        for station in others {
-            self.post.entry(station.address).or_default().settles.push((key, token, outcome.clone()));
+        for replica in others {
+            self.outbox.entry(replica.address).or_default().completions.push((key, token, outcome.clone()));
         }
-        self.remember(now, Told::Settle(key, token, outcome));
+        self.retain_lease_update(now, LeaseUpdate::Completed(key, token, outcome));
     }
 
-    /// One that was silent since then is back.
-    pub(super) fn tell_again(&mut self, to: ReplicaId, since: Nanos) {
+    /// Sends the lease updates again that a peer may have missed while it was silent since `since`.
+    pub(super) fn resend_lease_updates(&mut self, to: ReplicaId, since: Nanos) {
         if !self.is_member(&to) {
             return;
         }
-        let post = self.post.entry(to.address).or_default();
-        for (at, told) in self.told.iter().filter(|(at, _)| at.saturating_add(SILENT) >= since) {
-            match told {
-                _ if at.saturating_add(TOLD_FOR) < self.now => {}
-                Told::Grant(key, token, left_ms) => post.grants.push((!self.salt, *key, *token, *left_ms)),
-                Told::Settle(key, token, outcome) => post.settles.push((*key, *token, outcome.clone())),
+        let queued = self.outbox.entry(to.address).or_default();
+        for (at, update) in
+            self.lease_updates.iter().filter(|(at, _)| at.saturating_add(MISSED_MESSAGES_AFTER) >= since)
+        {
+            match update {
+                _ if at.saturating_add(LEASE_UPDATE_RETENTION) < self.now => {}
+                LeaseUpdate::Requested(key, token, time_left_ms) => {
+                    queued.lease_requests.push((!self.call_id_mask, *key, *token, *time_left_ms))
+                }
+                LeaseUpdate::Completed(key, token, outcome) => {
+                    queued.completions.push((*key, *token, outcome.clone()))
+                }
             }
         }
     }
 
-    /// Asks for grants, oneself first: at the beginning as many as are needed, those nearest to the key that are there,
-    /// which will also keep its answer; later all that have not said yes.
-    fn gather(&mut self, call: u64, out: &mut Vec<Effect>) {
-        let Some(Call::Lease(asked)) = self.calls.get(&call) else { return };
-        let (key, token, left_ms) = (asked.key, asked.token, asked.left_ms);
-        let mut ask: Vec<ReplicaId> =
-            self.view.members.iter().filter(|station| !asked.yes.contains(station)).copied().collect();
-        if asked.few {
-            let away = |station: &ReplicaId| self.peers.get(station).is_none_or(|peer| !peer.there(self.now));
-            ask.sort_by_key(|station| {
-                let me = *station == self.me;
-                (!me || !self.voter, !me && away(station), crate::placement::place(station.address, key))
+    /// Requests votes on a lease, first of all from this replica itself. At first it asks only as many members as a
+    /// majority needs, preferring reachable ones that are placed nearest to the key, since these will also keep its
+    /// response; later it asks all that have not granted the lease.
+    fn request_votes(&mut self, call: u64, out: &mut Vec<Effect>) {
+        let Some(Call::Lease(pending)) = self.pending_calls.get(&call) else { return };
+        let (key, token, time_left_ms) = (pending.key, pending.token, pending.time_left_ms);
+        let mut voters: Vec<ReplicaId> = self
+            .membership
+            .members
+            .iter()
+            .filter(|replica| !pending.granted_by.contains(replica))
+            .copied()
+            .collect();
+        if pending.quorum_only {
+            let unreachable =
+                |replica: &ReplicaId| self.peers.get(replica).is_none_or(|peer| !peer.is_reachable(self.now));
+            voters.sort_by_key(|replica| {
+                let is_self = *replica == self.replica_id;
+                (
+                    !is_self || !self.voter,
+                    !is_self && unreachable(replica),
+                    crate::placement::place(replica.address, key),
+                )
             });
-            ask.truncate(self.majority());
+            voters.truncate(self.majority());
         }
-        let id = call ^ self.salt;
-        for station in ask {
-            if station == self.me {
-                self.vote(id, key, token, left_ms, self.me, out);
+        let id = call ^ self.call_id_mask;
+        for replica in voters {
+            if replica == self.replica_id {
+                self.vote_on_lease(id, key, token, time_left_ms, self.replica_id, out);
             } else {
-                self.post.entry(station.address).or_default().grants.push((id, key, token, left_ms));
+                self.outbox.entry(replica.address).or_default().lease_requests.push((
+                    id,
+                    key,
+                    token,
+                    time_left_ms,
+                ));
             }
         }
     }
 
-    /// Says whether this steward holds the key for the token; no word where it may not vote.
-    fn vote(
+    /// Votes on whether `token` holds the lease. A replica that may not vote stays silent.
+    fn vote_on_lease(
         &mut self,
         id: u64,
         key: LeaseKey,
         token: LeaseToken,
-        left_ms: u32,
+        time_left_ms: u32,
         to: ReplicaId,
         out: &mut Vec<Effect>,
     ) {
         if !self.voter || token == NOBODY {
             return;
         }
-        let grant = match self.claims.get(&key) {
-            _ if self.freed.contains_key(&token) => LeaseVote::TokenReleased,
-            Some(kept) if kept.claim.token == token && kept.claim.outcome == LeaseOutcome::Pending => {
+        let vote = match self.leases.get(&key) {
+            _ if self.released_tokens.contains_key(&token) => LeaseVote::TokenReleased,
+            Some(stored) if stored.lease.token == token && stored.lease.outcome == LeaseOutcome::Pending => {
                 LeaseVote::Granted
             }
-            Some(kept) => {
-                let claim = kept.claim.clone();
-                if claim.outcome == LeaseOutcome::Pending && to != self.me && self.askers.len() < MOST_ASKERS
+            Some(stored) => {
+                let lease = stored.lease.clone();
+                if lease.outcome == LeaseOutcome::Pending
+                    && to != self.replica_id
+                    && self.outcome_watchers.len() < MAX_OUTCOME_WATCHERS
                 {
-                    self.askers.insert((key, to.address));
+                    self.outcome_watchers.insert((key, to.address));
                 }
-                LeaseVote::Held(claim)
+                LeaseVote::Held(lease)
             }
-            None if self.claims.len() >= self.config.max_leases => return,
+            None if self.leases.len() >= self.config.max_leases => return,
             None => {
-                self.write(key, Lease { token, time_left_ms: left_ms, outcome: LeaseOutcome::Pending }, out);
+                self.store_lease(key, Lease { token, time_left_ms, outcome: LeaseOutcome::Pending }, out);
                 LeaseVote::Granted
             }
         };
-        self.post.entry(to.address).or_default().granted.push((id, grant));
+        self.outbox.entry(to.address).or_default().lease_votes.push((id, vote));
     }
 
-    pub(super) fn asked_grants(
+    pub(super) fn handle_lease_requests(
         &mut self,
         _now: Nanos,
         from: ReplicaId,
-        list: Vec<(u64, LeaseKey, LeaseToken, u32)>,
+        requests: Vec<(u64, LeaseKey, LeaseToken, u32)>,
         out: &mut Vec<Effect>,
     ) {
-        for (id, key, token, left_ms) in list {
-            self.vote(id, key, token, left_ms, from, out);
+        for (id, key, token, time_left_ms) in requests {
+            self.vote_on_lease(id, key, token, time_left_ms, from, out);
         }
     }
 
-    pub(super) fn granted(
+    pub(super) fn handle_lease_votes(
         &mut self,
         now: Nanos,
         from: ReplicaId,
-        list: Vec<(u64, LeaseVote)>,
+        votes: Vec<(u64, LeaseVote)>,
         out: &mut Vec<Effect>,
     ) {
-        for (id, grant) in list {
-            let call = id ^ self.salt;
-            let Some(Call::Lease(asked)) = self.calls.get_mut(&call) else { continue };
-            let all = asked.few && grant != LeaseVote::Granted;
-            asked.few &= !all;
-            match grant {
+        for (id, vote) in votes {
+            let call = id ^ self.call_id_mask;
+            let Some(Call::Lease(pending)) = self.pending_calls.get_mut(&call) else { continue };
+            let ask_all = pending.quorum_only && vote != LeaseVote::Granted;
+            pending.quorum_only &= !ask_all;
+            match vote {
                 LeaseVote::Granted => {
-                    asked.no.remove(&from);
-                    asked.yes.insert(from);
+                    pending.refused_by.remove(&from);
+                    pending.granted_by.insert(from);
                 }
-                LeaseVote::Held(claim) => {
-                    asked.yes.remove(&from);
-                    asked.no.insert(from, Some(claim));
+                LeaseVote::Held(lease) => {
+                    pending.granted_by.remove(&from);
+                    pending.refused_by.insert(from, Some(lease));
                 }
                 LeaseVote::TokenReleased => {
-                    asked.yes.remove(&from);
-                    asked.no.insert(from, None);
+                    pending.granted_by.remove(&from);
+                    pending.refused_by.insert(from, None);
                 }
             }
-            self.judge(now, call, out);
-            if all {
-                self.gather(call, out);
+            self.resolve_lease_call(now, call, out);
+            if ask_all {
+                self.request_votes(call, out);
             }
         }
     }
 
-    /// Answers the call if it can be answered now.
-    fn judge(&mut self, now: Nanos, call: u64, out: &mut Vec<Effect>) {
-        let Some(Call::Lease(asked)) = self.calls.get(&call) else { return };
-        let (key, token) = (asked.key, asked.token);
-        let voters = self.view.members.len();
-        if let Some(kept) = self.claims.get(&key).filter(|kept| kept.claim.outcome != LeaseOutcome::Pending) {
-            let outcome = kept.claim.outcome.clone();
-            self.answer(call, CoreResponse::LeaseHeld(outcome), out);
-        } else if asked.yes.len() >= self.majority() && voters > 0 {
-            if asked.yes.len() < voters {
-                let told = Told::Grant(key, token, asked.left_ms);
-                self.remember(now, told);
+    /// Answers the call if the votes so far allow it.
+    fn resolve_lease_call(&mut self, now: Nanos, call: u64, out: &mut Vec<Effect>) {
+        let Some(Call::Lease(pending)) = self.pending_calls.get(&call) else { return };
+        let (key, token) = (pending.key, pending.token);
+        let voters = self.membership.members.len();
+        if let Some(stored) =
+            self.leases.get(&key).filter(|stored| stored.lease.outcome != LeaseOutcome::Pending)
+        {
+            let outcome = stored.lease.outcome.clone();
+            self.respond(call, CoreResponse::LeaseHeld(outcome), out);
+        } else if pending.granted_by.len() >= self.majority() && voters > 0 {
+            if pending.granted_by.len() < voters {
+                let update = LeaseUpdate::Requested(key, token, pending.time_left_ms);
+                self.retain_lease_update(now, update);
             }
-            self.answer(call, CoreResponse::LeaseGranted, out);
-        } else if let Some(claim) =
-            asked.no.values().flatten().find(|claim| claim.outcome != LeaseOutcome::Pending)
+            self.respond(call, CoreResponse::LeaseGranted, out);
+        } else if let Some(lease) =
+            pending.refused_by.values().flatten().find(|lease| lease.outcome != LeaseOutcome::Pending)
         {
-            let claim = claim.clone();
-            self.answer(call, CoreResponse::LeaseHeld(claim.outcome.clone()), out);
-            self.settle(now, key, claim.token, Some(claim.outcome), out);
-        } else if voters > 0 && voters.saturating_sub(asked.no.len()) < self.majority() {
-            let other = asked.no.values().any(|claim| claim.is_some());
+            let lease = lease.clone();
+            self.respond(call, CoreResponse::LeaseHeld(lease.outcome.clone()), out);
+            self.apply_completion(now, key, lease.token, Some(lease.outcome), out);
+        } else if voters > 0 && voters.saturating_sub(pending.refused_by.len()) < self.majority() {
+            let other = pending.refused_by.values().any(|lease| lease.is_some());
             if !other {
-                self.answer(call, CoreResponse::Unavailable, out);
-            } else if now >= asked.wait_until {
-                self.answer(call, CoreResponse::LeaseHeld(LeaseOutcome::Pending), out);
+                self.respond(call, CoreResponse::Unavailable, out);
+            } else if now >= pending.wait_until {
+                self.respond(call, CoreResponse::LeaseHeld(LeaseOutcome::Pending), out);
             }
-        } else if now >= asked.began.saturating_add(GATHER) {
-            self.answer(call, CoreResponse::Unavailable, out);
-            if self.mutant == 5 {
-                self.settle(now, key, token, None, out);
-                self.settle_others(now, key, token, None);
+        } else if now >= pending.started_at.saturating_add(LEASE_TIMEOUT) {
+            self.respond(call, CoreResponse::Unavailable, out);
+            if self.breaks(Mutation::ReleaseOnTimeout) {
+                self.apply_completion(now, key, token, None, out);
+                self.announce_completion(now, key, token, None);
             }
         }
     }
 
-    pub(super) fn claim_timer(&mut self, now: Nanos, call: u64, out: &mut Vec<Effect>) {
-        let Some(Call::Lease(asked)) = self.calls.get_mut(&call) else { return };
-        let ends =
-            [asked.wait_until, asked.began.saturating_add(GATHER)].into_iter().filter(|end| *end > now);
-        asked.timer = ends.min().unwrap_or(Nanos::MAX).min(now.saturating_add(AGAIN));
-        asked.few = false;
-        self.timers.insert((asked.timer, call));
-        self.judge(now, call, out);
-        self.gather(call, out);
+    pub(super) fn handle_lease_timer(&mut self, now: Nanos, call: u64, out: &mut Vec<Effect>) {
+        let Some(Call::Lease(pending)) = self.pending_calls.get_mut(&call) else { return };
+        let deadlines = [pending.wait_until, pending.started_at.saturating_add(LEASE_TIMEOUT)]
+            .into_iter()
+            .filter(|deadline| *deadline > now);
+        pending.timer = deadlines.min().unwrap_or(Nanos::MAX).min(now.saturating_add(RETRY_INTERVAL));
+        pending.quorum_only = false;
+        self.timers.insert((pending.timer, call));
+        self.resolve_lease_call(now, call, out);
+        self.request_votes(call, out);
     }
 
-    /// The view is another one, or this steward votes now: what was gathered does not count any more.
-    pub(super) fn claims_anew(&mut self, _now: Nanos, out: &mut Vec<Effect>) {
-        let calls: Vec<u64> = self.by_key.values().flatten().copied().collect();
+    /// Discards all votes after a change of the membership or of this replica's right to vote, because votes count
+    /// only in the epoch in which they were given.
+    pub(super) fn restart_lease_calls(&mut self, _now: Nanos, out: &mut Vec<Effect>) {
+        let calls: Vec<u64> = self.calls_by_key.values().flatten().copied().collect();
         for call in calls {
-            if let Some(Call::Lease(asked)) = self.calls.get_mut(&call)
-                && self.mutant != 1
+            let keeps_votes = self.breaks(Mutation::CountStaleLeaseVotes);
+            if let Some(Call::Lease(pending)) = self.pending_calls.get_mut(&call)
+                && !keeps_votes
             {
-                asked.yes.clear();
-                asked.no.clear();
-                asked.few = false;
+                pending.granted_by.clear();
+                pending.refused_by.clear();
+                pending.quorum_only = false;
             }
-            self.gather(call, out);
+            self.request_votes(call, out);
         }
     }
 
-    /// Takes out those that asked for a key.
-    fn askers_of(&mut self, key: LeaseKey) -> Vec<(LeaseKey, SocketAddr)> {
-        let first = SocketAddr::from(([0, 0, 0, 0], 0));
-        let askers: Vec<_> =
-            self.askers.range((key, first)..).take_while(|(of, _)| *of == key).copied().collect();
-        for asker in &askers {
-            self.askers.remove(asker);
+    /// Removes and returns the replicas that wait for the outcome of a key's lease.
+    fn take_outcome_watchers(&mut self, key: LeaseKey) -> Vec<(LeaseKey, SocketAddr)> {
+        let lowest_address = SocketAddr::from(([0, 0, 0, 0], 0));
+        let watchers: Vec<_> = self
+            .outcome_watchers
+            .range((key, lowest_address)..)
+            .take_while(|(of, _)| *of == key)
+            .copied()
+            .collect();
+        for watcher in &watchers {
+            self.outcome_watchers.remove(watcher);
         }
-        askers
+        watchers
     }
 
-    /// Those that asked for a key while its claim was open may have somebody waiting.
-    fn tell_askers(&mut self, key: LeaseKey, token: LeaseToken, outcome: &LeaseOutcome) {
-        for asker in self.askers_of(key) {
-            self.post.entry(asker.1).or_default().settles.push((key, token, Some(outcome.clone())));
+    /// Tells the replicas that were refused by a pending lease what became of it, since calls may wait there.
+    fn notify_outcome_watchers(&mut self, key: LeaseKey, token: LeaseToken, outcome: &LeaseOutcome) {
+        for watcher in self.take_outcome_watchers(key) {
+            self.outbox.entry(watcher.1).or_default().completions.push((key, token, Some(outcome.clone())));
         }
     }
 
-    /// What the holder of a claim tells of it; its word that it ran proves that nobody else was granted the key.
-    pub(super) fn settle(
+    /// Applies what the holder of a lease reports. A report that the request ran proves that nobody else was granted
+    /// the lease.
+    pub(super) fn apply_completion(
         &mut self,
         now: Nanos,
         key: LeaseKey,
@@ -366,49 +422,54 @@
         outcome: Option<LeaseOutcome>,
         out: &mut Vec<Effect>,
     ) {
-        let held = self.claims.get(&key).map(|kept| (kept.claim.token, grade(&kept.claim.outcome)));
-        let ours = held.filter(|(holder, _)| *holder == token || (self.mutant == 11 && outcome.is_none()));
-        match (outcome, held) {
+        let stored =
+            self.leases.get(&key).map(|stored| (stored.lease.token, outcome_rank(&stored.lease.outcome)));
+        let ours = stored.filter(|(holder, _)| {
+            *holder == token || (self.breaks(Mutation::ReleaseUnderAnyToken) && outcome.is_none())
+        });
+        match (outcome, stored) {
             _ if token == NOBODY => {}
             (Some(LeaseOutcome::Pending), _) => {}
-            (None, _) if ours.is_some_and(|(_, grade)| grade > 0) => {}
+            (None, _) if ours.is_some_and(|(_, outcome_rank)| outcome_rank > 0) => {}
             (None, _) => {
-                self.free(token);
+                self.release_token(token);
                 if ours.is_some() {
-                    self.remove(key, out);
-                    self.wake(now, key, out);
+                    self.remove_lease(key, out);
+                    self.resume_lease_calls(now, key, out);
                 }
             }
-            (Some(outcome), Some((_, before))) if grade(&outcome) > before => {
-                let left_ms = self.claims.get(&key).map_or(0, |kept| kept.claim.time_left_ms);
-                self.tell_askers(key, token, &outcome);
-                self.write(key, Lease { token, time_left_ms: left_ms, outcome }, out);
-                self.wake(now, key, out);
+            (Some(outcome), Some((_, before))) if outcome_rank(&outcome) > before => {
+                let time_left_ms = self.leases.get(&key).map_or(0, |stored| stored.lease.time_left_ms);
+                self.notify_outcome_watchers(key, token, &outcome);
+                self.store_lease(key, Lease { token, time_left_ms, outcome }, out);
+                self.resume_lease_calls(now, key, out);
             }
-            (Some(outcome), None) if self.claims.len() < self.config.max_leases => {
-                self.write(key, Lease { token, time_left_ms: 0, outcome }, out);
-                self.wake(now, key, out);
+            (Some(outcome), None) if self.leases.len() < self.config.max_leases => {
+                self.store_lease(key, Lease { token, time_left_ms: 0, outcome }, out);
+                self.resume_lease_calls(now, key, out);
             }
             (Some(_), _) => {}
         }
     }
 
-    /// Takes over what another voter holds. Two open claims of one key leave it nobody's: either may have been
-    /// granted, so no third may be until both are known to be over.
-    pub(super) fn merge(&mut self, key: LeaseKey, claim: Lease, out: &mut Vec<Effect>) {
-        let open = claim.outcome == LeaseOutcome::Pending;
-        if open && self.freed.contains_key(&claim.token) {
+    /// Takes over a lease from another voter's snapshot. Two different pending leases on one key leave the key to
+    /// nobody: either may have been granted, so no third one may be until both are known to be over.
+    pub(super) fn merge_lease(&mut self, key: LeaseKey, lease: Lease, out: &mut Vec<Effect>) {
+        let is_pending = lease.outcome == LeaseOutcome::Pending;
+        if is_pending && self.released_tokens.contains_key(&lease.token) {
             return;
         }
-        match self.claims.get(&key).map(|kept| &kept.claim) {
-            None => self.write(key, claim, out),
-            Some(mine) if grade(&claim.outcome) > grade(&mine.outcome) => self.write(key, claim, out),
-            Some(mine) if open && mine.outcome == LeaseOutcome::Pending && mine.token != claim.token => {
-                if mine.token != NOBODY && self.mutant != 6 {
-                    let left_ms = claim.time_left_ms.max(mine.time_left_ms);
-                    self.write(
+        match self.leases.get(&key).map(|stored| &stored.lease) {
+            None => self.store_lease(key, lease, out),
+            Some(own) if outcome_rank(&lease.outcome) > outcome_rank(&own.outcome) => {
+                self.store_lease(key, lease, out)
+            }
+            Some(own) if is_pending && own.outcome == LeaseOutcome::Pending && own.token != lease.token => {
+                if own.token != NOBODY && !self.breaks(Mutation::KeepFirstOfConflictingLeases) {
+                    let time_left_ms = lease.time_left_ms.max(own.time_left_ms);
+                    self.store_lease(
                         key,
-                        Lease { token: NOBODY, time_left_ms: left_ms, outcome: LeaseOutcome::Pending },
+                        Lease { token: NOBODY, time_left_ms, outcome: LeaseOutcome::Pending },
                         out,
                     );
                 }
@@ -417,82 +478,86 @@
         }
     }
 
-    fn wake(&mut self, now: Nanos, key: LeaseKey, out: &mut Vec<Effect>) {
-        for call in self.by_key.get(&key).cloned().unwrap_or_default() {
-            self.judge(now, call, out);
-            if let Some(Call::Lease(asked)) = self.calls.get(&call) {
-                let (token, left_ms) = (asked.token, asked.left_ms);
-                self.vote(call ^ self.salt, key, token, left_ms, self.me, out);
+    /// Re-evaluates the calls that wait for a key.
+    fn resume_lease_calls(&mut self, now: Nanos, key: LeaseKey, out: &mut Vec<Effect>) {
+        for call in self.calls_by_key.get(&key).cloned().unwrap_or_default() {
+            self.resolve_lease_call(now, call, out);
+            if let Some(Call::Lease(pending)) = self.pending_calls.get(&call) {
+                let (token, time_left_ms) = (pending.token, pending.time_left_ms);
+                self.vote_on_lease(call ^ self.call_id_mask, key, token, time_left_ms, self.replica_id, out);
             }
         }
     }
 
-    fn write(&mut self, key: LeaseKey, claim: Lease, out: &mut Vec<Effect>) {
-        let claim = self.fitting(claim);
-        out.push(Effect::Persist(LogRecord::Lease(key, claim.clone())));
-        self.put(key, claim);
-        self.shed(out);
+    /// Writes a lease to disk and memory.
+    fn store_lease(&mut self, key: LeaseKey, lease: Lease, out: &mut Vec<Effect>) {
+        let lease = self.without_oversized_response(lease);
+        out.push(Effect::Persist(LogRecord::Lease(key, lease.clone())));
+        self.insert_lease(key, lease);
+        self.evict_responses(out);
     }
 
-    /// Keeps a claim, for as long as that is from when it was first known.
-    pub(super) fn put(&mut self, key: LeaseKey, claim: Lease) {
-        let mut until = self.now.saturating_add(self.config.lease_ttl);
-        if let Some(kept) = self.claims.get(&key) {
-            self.expiry.remove(&(kept.until, key));
-            self.answers.goes(kept.until, key, &kept.claim.outcome);
-            if kept.claim.token == claim.token {
-                until = kept.until;
+    /// Keeps a lease in memory. It expires `lease_ttl` after its token was first known.
+    pub(super) fn insert_lease(&mut self, key: LeaseKey, lease: Lease) {
+        let mut expires_at = self.now.saturating_add(self.config.lease_ttl);
+        if let Some(stored) = self.leases.get(&key) {
+            self.lease_expiry.remove(&(stored.expires_at, key));
+            self.response_cache.remove(stored.expires_at, key, &stored.lease.outcome);
+            if stored.lease.token == lease.token {
+                expires_at = stored.expires_at;
             }
         }
-        self.answers.comes(until, key, &claim.outcome);
-        self.expiry.insert((until, key));
-        self.claims.insert(key, Kept { claim, until });
+        self.response_cache.insert(expires_at, key, &lease.outcome);
+        self.lease_expiry.insert((expires_at, key));
+        self.leases.insert(key, StoredLease { lease, expires_at });
     }
 
-    pub(super) fn remove(&mut self, key: LeaseKey, out: &mut Vec<Effect>) {
-        self.askers_of(key);
-        if let Some(kept) = self.claims.remove(&key) {
-            self.expiry.remove(&(kept.until, key));
-            self.answers.goes(kept.until, key, &kept.claim.outcome);
-            out.push(Effect::Persist(LogRecord::LeaseReleased(key, kept.claim.token)));
+    pub(super) fn remove_lease(&mut self, key: LeaseKey, out: &mut Vec<Effect>) {
+        self.take_outcome_watchers(key);
+        if let Some(stored) = self.leases.remove(&key) {
+            self.lease_expiry.remove(&(stored.expires_at, key));
+            self.response_cache.remove(stored.expires_at, key, &stored.lease.outcome);
+            out.push(Effect::Persist(LogRecord::LeaseReleased(key, stored.lease.token)));
         }
     }
 
-    /// Grants for this token that come late are not to stick.
-    fn free(&mut self, token: LeaseToken) {
-        let until = self.now.saturating_add(self.config.lease_ttl);
-        if self.freed.insert(token, until).is_none() {
-            self.freed_order.push_back((until, token));
+    /// Remembers that a token was released, so that votes for it that arrive late don't take the lease again.
+    fn release_token(&mut self, token: LeaseToken) {
+        let expires_at = self.now.saturating_add(self.config.lease_ttl);
+        if self.released_tokens.insert(token, expires_at).is_none() {
+            self.released_order.push_back((expires_at, token));
         }
-        if self.freed_order.len() > MOST_FREED
-            && let Some((_, token)) = self.freed_order.pop_front()
+        if self.released_order.len() > MAX_RELEASED_TOKENS
+            && let Some((_, token)) = self.released_order.pop_front()
         {
-            self.freed.remove(&token);
+            self.released_tokens.remove(&token);
         }
     }
 
-    pub(super) fn drop_open(&mut self, out: &mut Vec<Effect>) {
-        let open = self.claims.iter().filter(|(_, kept)| kept.claim.outcome == LeaseOutcome::Pending);
-        let open: Vec<LeaseKey> = open.map(|(key, _)| *key).collect();
-        for key in open {
-            self.remove(key, out);
+    /// Removes all pending leases.
+    pub(super) fn drop_pending_leases(&mut self, out: &mut Vec<Effect>) {
+        let pending = self.leases.iter().filter(|(_, stored)| stored.lease.outcome == LeaseOutcome::Pending);
+        let pending: Vec<LeaseKey> = pending.map(|(key, _)| *key).collect();
+        for key in pending {
+            self.remove_lease(key, out);
         }
     }
 
-    pub(super) fn expire(&mut self, now: Nanos, out: &mut Vec<Effect>) {
-        while let Some(&(until, key)) = self.expiry.first() {
-            if until > now {
+    /// Removes leases and released tokens whose time is over.
+    pub(super) fn expire_leases(&mut self, now: Nanos, out: &mut Vec<Effect>) {
+        while let Some(&(expires_at, key)) = self.lease_expiry.first() {
+            if expires_at > now {
                 break;
             }
-            self.expiry.remove(&(until, key));
-            self.remove(key, out);
+            self.lease_expiry.remove(&(expires_at, key));
+            self.remove_lease(key, out);
         }
-        while let Some(&(until, token)) = self.freed_order.front() {
-            if until > now {
+        while let Some(&(expires_at, token)) = self.released_order.front() {
+            if expires_at > now {
                 break;
             }
-            self.freed_order.pop_front();
-            self.freed.remove(&token);
+            self.released_order.pop_front();
+            self.released_tokens.remove(&token);
         }
     }
 }
--- a/consensus/src/core/membership.rs
+++ b/consensus/src/core/membership.rs
@@ -1,522 +1,596 @@
-//! Who votes. It owns the view, the ballots on the next one, and how a new member catches up before it votes. It must
-//! never answer for a view that it has left, nor vote with a disk that does not hold what the last one held.
+//! Which replicas vote: ballots on the next membership (single-decree Paxos), and how a new member catches up.
+//!
+//! Main types: `MembershipProposal` is a ballot of this replica, `CatchUp` the progress of a new member.
+//!
+//! Invariants:
+//! - A replica never answers for an epoch that it has left.
+//! - A replica votes only if its disk holds everything that may have been committed in earlier epochs.
 
 use super::*;
 use crate::messages::{AcceptorState, SessionId, SessionRecord};
 
-/// How long a try to change the view has.
-const TRY: Nanos = 400 * MS;
-const ASK_STATE: Nanos = 100 * MS;
-const ASK_ALL: Nanos = 600 * MS;
+/// A proposal for the next membership is abandoned after this time.
+const PROPOSAL_TIMEOUT: Nanos = 400 * MS;
+/// A new member asks for the next chunk again after this time.
+const SNAPSHOT_REQUEST_INTERVAL: Nanos = 100 * MS;
+/// After this time a new member also asks reachable replicas that are no members any more.
+const ASK_ALL_DELAY: Nanos = 600 * MS;
 
-/// A try of this steward to decide the next view.
+/// A ballot of this replica on the next membership.
 #[derive(Clone, Debug)]
-pub(super) struct Attempt {
+pub(super) struct MembershipProposal {
     ballot: Ballot,
-    wish: Membership,
-    /// It is to go back to the view before, by a majority of that one's members.
-    undo: bool,
+    /// What is proposed unless a promise reports another accepted membership.
+    wanted: Membership,
+    /// The proposal returns to the previous members, by a majority of these.
+    rollback: bool,
     promises: BTreeMap<ReplicaId, Option<(Ballot, Membership)>>,
-    /// What is voted on, once more than half have promised.
+    /// What acceptors are asked to accept, once a quorum has promised.
     chosen: Option<Membership>,
-    accepts: BTreeSet<ReplicaId>,
-    until: Nanos,
+    acceptances: BTreeSet<ReplicaId>,
+    deadline: Nanos,
 }
 
-/// How far one has told a new member what it holds.
+/// How much of its snapshot a source has sent to this new member, in the order of sending.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Place {
-    /// Claims from this key on are still to come, and all papers.
-    Claims(LeaseKey),
-    /// Papers from this name on.
-    Papers(RegisterName),
-    All,
+enum CatchUpProgress {
+    /// Leases and sessions from this key on are missing, and all registers.
+    Leases(LeaseKey),
+    /// Registers from this name on are missing.
+    Registers(RegisterName),
+    /// Nothing is missing.
+    Complete,
 }
 
-impl Place {
-    fn ask(&self, round: u64) -> Option<MessageBody> {
-        let (from, papers) = match self {
-            Place::Claims(key) => (*key, None),
-            Place::Papers(name) => (LeaseKey::MAX, Some(name.clone())),
-            Place::All => return None,
+impl CatchUpProgress {
+    /// The request for the next chunk.
+    fn next_request(&self, catch_up_id: u64) -> Option<MessageBody> {
+        let (from_key, from_register) = match self {
+            CatchUpProgress::Leases(key) => (*key, None),
+            CatchUpProgress::Registers(name) => (LeaseKey::MAX, Some(name.clone())),
+            CatchUpProgress::Complete => return None,
         };
-        Some(MessageBody::FetchSnapshot { from_key: from, catch_up_id: round, from_register: papers })
+        Some(MessageBody::FetchSnapshot { from_key, catch_up_id, from_register })
     }
 }
 
-/// What a new member has been told so far.
+/// What this new member has received so far.
 #[derive(Clone, Debug)]
-pub(super) struct Catching {
-    round: u64,
-    /// How far each one's state is known.
-    sources: BTreeMap<ReplicaId, Place>,
-    next_ask: Nanos,
-    /// From then on one that left the view is asked as well: what it holds is whole, but may be outdated.
-    ask_all: Nanos,
+pub(super) struct CatchUp {
+    id: u64,
+    /// How much each source has sent.
+    sources: BTreeMap<ReplicaId, CatchUpProgress>,
+    next_request: Nanos,
+    /// From then on replicas that left the membership are asked too: their snapshot is complete, but may be outdated.
+    ask_all_after: Nanos,
 }
 
-/// Part of what one holds: keys' claims, sessions, papers, and what it accepted for versions being decided.
-type Held = (Vec<(LeaseKey, Lease)>, Vec<(SessionId, SessionRecord)>, Vec<NamedRegister>, Vec<AcceptorState>);
+/// The content of one chunk of a snapshot.
+pub(super) struct SnapshotContent {
+    pub leases: Vec<(LeaseKey, Lease)>,
+    pub sessions: Vec<(SessionId, SessionRecord)>,
+    pub configuration: Option<Arc<RegisterValue>>,
+    pub registers: Vec<NamedRegister>,
+    /// What the sender accepted for versions that are not decided yet.
+    pub acceptors: Vec<AcceptorState>,
+}
 
 impl Core {
-    pub(super) fn ballots(&self) -> MembershipBallotState {
+    /// This replica's persistent state as an acceptor.
+    pub(super) fn ballot_state(&self) -> MembershipBallotState {
         MembershipBallotState {
-            replica: self.me,
-            membership: self.view.clone(),
-            voter: self.voter || self.left.is_some(),
-            promised: self.promised,
-            accepted: self.accepted.clone(),
-            served_snapshot: self.told_new,
-            barred_from_serving: self.barred,
+            replica: self.replica_id,
+            membership: self.membership.clone(),
+            voter: self.voter || self.stopped_voting_in.is_some(),
+            promised: self.promised_ballot,
+            accepted: self.accepted_membership.clone(),
+            served_snapshot: self.served_snapshot,
+            barred_from_serving: self.barred_from_serving,
         }
     }
 
-    pub(super) fn keep_ballots(&self, out: &mut Vec<Effect>) {
-        out.push(Effect::Persist(LogRecord::MembershipBallot(self.ballots())));
+    pub(super) fn persist_ballot_state(&self, out: &mut Vec<Effect>) {
+        out.push(Effect::Persist(LogRecord::MembershipBallot(self.ballot_state())));
     }
 
-    /// Takes up a view that was decided.
-    pub(super) fn adopt(&mut self, now: Nanos, view: Membership, out: &mut Vec<Effect>) {
-        if view.epoch <= self.view.epoch {
+    /// Adopts a decided membership if its epoch is later than the current one.
+    pub(super) fn adopt_membership(&mut self, now: Nanos, membership: Membership, out: &mut Vec<Effect>) {
+        if membership.epoch <= self.membership.epoch {
             return;
         }
-        // What was answered so far was answered in the old view, and says so.
+        // Messages that were collected so far belong to the old epoch and have to carry its number.
         self.flush(out);
-        let next = view.epoch - 1 == self.view.epoch;
-        self.view = view;
-        self.view.members.sort();
-        self.view.members.dedup();
-        let member = self.is_member(&self.me);
-        let back = self.view.rolled_back && next && self.left.is_some();
-        self.left = (self.voter && next && !member).then_some(self.view.epoch);
-        self.voter = member && ((self.voter && next) || back || self.mutant == 2);
-        (self.told_new, self.barred) = (false, false);
-        self.promised = Ballot::default();
-        self.accepted = None;
-        self.attempt = None;
-        self.wishing = false;
-        self.ranks_anew();
+        let follows = membership.epoch - 1 == self.membership.epoch;
+        self.membership = membership;
+        self.membership.members.sort();
+        self.membership.members.dedup();
+        let member = self.is_member(&self.replica_id);
+        let returns = self.membership.rolled_back && follows && self.stopped_voting_in.is_some();
+        self.stopped_voting_in = (self.voter && follows && !member).then_some(self.membership.epoch);
+        self.voter =
+            member && ((self.voter && follows) || returns || self.breaks(Mutation::VoteBeforeCaughtUp));
+        (self.served_snapshot, self.barred_from_serving) = (false, false);
+        self.promised_ballot = Ballot::default();
+        self.accepted_membership = None;
+        self.membership_proposal = None;
+        self.change_wanted = false;
+        self.clear_acknowledgements();
         if member && !self.voter {
-            // Claims from an earlier membership may be long outdated; all that holds is told anew.
-            self.drop_open(out);
-        }
-        self.keep_ballots(out);
-        out.push(Effect::Log(format!("core: voter {}, view {:?}", self.voter, self.view)));
-        self.enter(now, out);
-        self.tell = true;
-        self.claims_anew(now, out);
-        self.sessions_anew(out);
-        self.sheets_anew(now, out);
+            // Leases from an earlier membership may be outdated; the snapshots bring all that hold.
+            self.drop_pending_leases(out);
+        }
+        self.persist_ballot_state(out);
+        out.push(Effect::Log(format!("core: voter {}, view {:?}", self.voter, self.membership)));
+        self.enter_epoch(now, out);
+        self.heartbeat_requested = true;
+        self.restart_lease_calls(now, out);
+        self.restart_session_calls(out);
+        self.restart_register_calls(now, out);
     }
 
-    /// Begins to live in the view.
-    pub(super) fn enter(&mut self, now: Nanos, out: &mut Vec<Effect>) {
-        for station in self.others() {
-            self.peers.entry(station).or_insert_with(|| Peer::new(now));
+    /// Starts to take part in the epoch: a voter counts its own acknowledgements, a new member starts to catch up.
+    pub(super) fn enter_epoch(&mut self, now: Nanos, out: &mut Vec<Effect>) {
+        for replica in self.others() {
+            self.peers.entry(replica).or_insert_with(|| Peer::new(now));
         }
-        self.catching = None;
+        self.catch_up = None;
         if self.voter {
-            self.tell_self(out);
-        } else if self.is_member(&self.me) {
-            let sources = self.others().map(|station| (station, Place::Claims(0))).collect();
-            self.catching = Some(Catching {
-                round: self.chance.random(),
+            self.acknowledge_to_self(out);
+        } else if self.is_member(&self.replica_id) {
+            let sources = self.others().map(|replica| (replica, CatchUpProgress::Leases(0))).collect();
+            self.catch_up = Some(CatchUp {
+                id: self.rng.random(),
                 sources,
-                next_ask: now,
-                ask_all: now.saturating_add(ASK_ALL),
+                next_request: now,
+                ask_all_after: now.saturating_add(ASK_ALL_DELAY),
             });
         }
     }
 
-    /// Asks all others of the view for what they hold.
-    pub(super) fn catch_up(&mut self, now: Nanos, out: &mut Vec<Effect>) {
-        let Some(catching) = &mut self.catching else { return };
-        if now < catching.next_ask {
+    /// Asks all sources for the next chunk of their snapshot.
+    pub(super) fn request_snapshots(&mut self, now: Nanos, out: &mut Vec<Effect>) {
+        let Some(catch_up) = &mut self.catch_up else { return };
+        if now < catch_up.next_request {
             return;
         }
-        catching.next_ask = now.saturating_add(ASK_STATE);
-        if now >= catching.ask_all {
-            for (station, peer) in &self.peers {
-                if peer.there(now) {
-                    catching.sources.entry(*station).or_insert(Place::Claims(0));
+        catch_up.next_request = now.saturating_add(SNAPSHOT_REQUEST_INTERVAL);
+        if now >= catch_up.ask_all_after {
+            for (replica, peer) in &self.peers {
+                if peer.is_reachable(now) {
+                    catch_up.sources.entry(*replica).or_insert(CatchUpProgress::Leases(0));
                 }
             }
         }
-        let round = catching.round;
-        let open: Vec<(ReplicaId, MessageBody)> = catching
+        let catch_up_id = catch_up.id;
+        let requests: Vec<(ReplicaId, MessageBody)> = catch_up
             .sources
             .iter()
-            .filter_map(|(station, place)| place.ask(round).map(|ask| (*station, ask)))
+            .filter_map(|(replica, progress)| {
+                progress.next_request(catch_up_id).map(|request| (*replica, request))
+            })
             .collect();
-        for (station, ask) in open {
-            self.now(station.address, ask, out);
+        for (replica, request) in requests {
+            self.send_now(replica.address, request, out);
         }
     }
 
-    /// A new member asks. Answered only in the view that is asked of, once that is safe here, and only by those that
-    /// voted in the one before: any so many of them together hold all that was agreed in it.
-    pub(super) fn want_state(
+    /// Serves a chunk to a new member. Only replicas that voted in the previous epoch answer, and only in the epoch
+    /// that the request names, once that is on their disk: any quorum of them together holds everything that was
+    /// committed in the previous epoch.
+    pub(super) fn serve_snapshot(
         &mut self,
         from: ReplicaId,
-        place: LeaseKey,
-        round: u64,
-        papers: Option<RegisterName>,
+        from_key: LeaseKey,
+        catch_up_id: u64,
+        from_register: Option<RegisterName>,
         out: &mut Vec<Effect>,
     ) {
-        if !self.voter && self.left != Some(self.view.epoch) && self.mutant != 9 {
+        if !self.voter
+            && self.stopped_voting_in != Some(self.membership.epoch)
+            && !self.breaks(Mutation::ServeSnapshotInAnyEpoch)
+        {
             return;
         }
-        if !self.may_tell(out) {
+        if !self.may_serve_snapshot(out) {
             return;
         }
-        let (mut part, mut next, mut bytes) = (Vec::new(), None, 0);
-        for (key, kept) in self.claims.range(place..).filter(|_| papers.is_none()) {
-            if part.len() >= MOST_IN_LETTER || bytes >= BYTES_IN_LETTER {
-                next = Some(*key);
+        let (mut leases, mut next_key, mut bytes) = (Vec::new(), None, 0);
+        for (key, stored) in self.leases.range(from_key..).filter(|_| from_register.is_none()) {
+            if leases.len() >= MAX_ITEMS_PER_MESSAGE || bytes >= MAX_MESSAGE_BYTES {
+                next_key = Some(*key);
                 break;
             }
-            bytes += super::weight(&kept.claim.outcome);
-            part.push((*key, kept.claim.clone()));
+            bytes += payload_bytes(&stored.lease.outcome);
+            leases.push((*key, stored.lease.clone()));
         }
-        let (sessions, next) = match &papers {
-            None => self.sessions_from(place, next),
+        let (sessions, next_key) = match &from_register {
+            None => self.sessions_from(from_key, next_key),
             Some(_) => (Vec::new(), None),
         };
-        part.retain(|(key, _)| next.is_none_or(|next| *key < next));
-        let last_of_claims = next.is_none() && papers.is_none();
-        let sheet = self.sheet.held.clone().filter(|_| last_of_claims);
-        let version_ballots = if last_of_claims { self.accepted_versions() } else { Vec::new() };
-        let (papers, next_paper) = match next {
-            None => self.papers.part(papers.as_deref().unwrap_or_default(), bytes),
+        leases.retain(|(key, _)| next_key.is_none_or(|next| *key < next));
+        let is_last_of_leases = next_key.is_none() && from_register.is_none();
+        let configuration = self.configuration.stored.clone().filter(|_| is_last_of_leases);
+        let acceptors = if is_last_of_leases { self.accepted_acceptors() } else { Vec::new() };
+        let (registers, next_register) = match next_key {
+            None => self.named_registers.batch_from(from_register.as_deref().unwrap_or_default(), bytes),
             Some(_) => (Vec::new(), None),
         };
-        let state = MessageBody::SnapshotChunk {
-            catch_up_id: round,
-            leases: part,
-            next_key: next,
-            configuration: sheet,
+        let chunk = MessageBody::SnapshotChunk {
+            catch_up_id,
+            leases,
+            next_key,
+            configuration,
             sessions,
-            registers: papers,
-            next_register: next_paper,
-            acceptors: version_ballots,
+            registers,
+            next_register,
+            acceptors,
         };
-        self.send(from.address, state, out);
+        self.send_after_persist(from.address, chunk, out);
     }
 
+    /// Takes over a chunk. Once enough sources have sent everything, this replica votes.
     #[allow(clippy::too_many_arguments)]
-    pub(super) fn state(
+    pub(super) fn handle_snapshot_chunk(
         &mut self,
         now: Nanos,
         from: ReplicaId,
-        round: u64,
-        (part, sessions, papers, version_ballots): Held,
-        sheet: Option<Arc<RegisterValue>>,
+        catch_up_id: u64,
+        content: SnapshotContent,
         next: (Option<LeaseKey>, Option<RegisterName>),
         out: &mut Vec<Effect>,
     ) {
-        let enough = self.view.members.len() + 1 - self.majority().min(self.view.members.len());
-        let Some(catching) = &mut self.catching else { return };
-        if catching.round != round {
+        let needed_sources =
+            self.membership.members.len() + 1 - self.majority().min(self.membership.members.len());
+        let Some(catch_up) = &mut self.catch_up else { return };
+        if catch_up.id != catch_up_id {
             return;
         }
-        let Some(place) = catching.sources.get_mut(&from) else { return };
-        if *place == Place::All {
+        let Some(progress) = catch_up.sources.get_mut(&from) else { return };
+        if *progress == CatchUpProgress::Complete {
             return;
         }
         let next = match next {
-            (Some(key), _) => Place::Claims(key),
-            (None, Some(name)) => Place::Papers(name),
-            (None, _) => Place::All,
+            (Some(key), _) => CatchUpProgress::Leases(key),
+            (None, Some(name)) => CatchUpProgress::Registers(name),
+            (None, _) => CatchUpProgress::Complete,
         };
-        // Answers to earlier questions tell of what stands at an earlier place on, so nothing is left out.
-        let further = next > *place;
-        if further {
-            *place = next.clone();
-        }
-        let complete = catching.sources.values().filter(|place| **place == Place::All).count() >= enough;
-        for (key, claim) in part {
-            self.merge(key, claim, out);
-        }
-        for (session, entry) in sessions {
-            self.merge_session(session, entry, out);
-        }
-        if let Some(sheet) = sheet {
-            self.hold(TIMETABLE, sheet, out);
-        }
-        self.merge_version_ballots(version_ballots, out);
-        for NamedRegister { name, value: sheet } in
-            papers.into_iter().take(if self.mutant == 15 { 0 } else { usize::MAX })
+        // A chunk that was requested earlier starts at an earlier position, so taking it over leaves nothing out.
+        let advanced = next > *progress;
+        if advanced {
+            *progress = next.clone();
+        }
+        let complete =
+            catch_up.sources.values().filter(|progress| **progress == CatchUpProgress::Complete).count()
+                >= needed_sources;
+        for (key, lease) in content.leases {
+            self.merge_lease(key, lease, out);
+        }
+        for (session, record) in content.sessions {
+            self.merge_session(session, record, out);
+        }
+        if let Some(value) = content.configuration {
+            self.store_value(CONFIGURATION, value, out);
+        }
+        self.merge_acceptors(content.acceptors, out);
+        for NamedRegister { name, value } in content
+            .registers
+            .into_iter()
+            .take(if self.breaks(Mutation::IgnoreRegistersOfSnapshot) { 0 } else { usize::MAX })
         {
-            self.hold(&name, sheet, out);
+            self.store_value(&name, value, out);
         }
         if complete {
-            self.catching = None;
+            self.catch_up = None;
             self.voter = true;
-            self.keep_ballots(out);
-            out.push(Effect::Log(format!("core: caught up in view {}", self.view.epoch)));
-            self.tell_self(out);
-            self.tell = true;
-            self.claims_anew(now, out);
-            self.sessions_anew(out);
-            self.sheets_anew(now, out);
-        } else if let Some(ask) = next.ask(round).filter(|_| further) {
-            self.now(from.address, ask, out);
+            self.persist_ballot_state(out);
+            out.push(Effect::Log(format!("core: caught up in epoch {}", self.membership.epoch)));
+            self.acknowledge_to_self(out);
+            self.heartbeat_requested = true;
+            self.restart_lease_calls(now, out);
+            self.restart_session_calls(out);
+            self.restart_register_calls(now, out);
+        } else if let Some(request) = next.next_request(catch_up_id).filter(|_| advanced) {
+            self.send_now(from.address, request, out);
         }
     }
 
-    /// Whether this one could become a member.
-    pub(super) fn may_join(&self, station: &ReplicaId, peer: &Peer) -> bool {
-        peer.there(self.now) && !peer.leaving && !self.is_member(station)
+    /// Whether this replica could become a member.
+    pub(super) fn may_join(&self, replica: &ReplicaId, peer: &Peer) -> bool {
+        peer.is_reachable(self.now) && !peer.leaving && !self.is_member(replica)
     }
 
+    /// Whether a member announced that it will stop.
     fn is_leaving(&self, now: Nanos, member: &ReplicaId) -> bool {
         match self.peers.get(member) {
-            _ if *member == self.me => self.leaving,
-            Some(peer) => peer.leaving && peer.there(now),
+            _ if *member == self.replica_id => self.leaving,
+            Some(peer) => peer.leaving && peer.is_reachable(now),
             None => false,
         }
     }
 
-    /// Whether a member was silent for too long, or came back without its disk.
+    /// Whether a member was silent for too long or came back without its disk.
     fn is_lost(&self, now: Nanos, member: &ReplicaId) -> bool {
-        if *member == self.me {
+        if *member == self.replica_id {
             return false;
         }
         let Some(peer) = self.peers.get(member) else { return true };
-        peer.silence(now) >= self.config.member_timeout || self.is_replaced(now, member)
+        peer.time_since_heard(now) >= self.config.member_timeout || self.is_replaced(now, member)
     }
 
-    /// Whether a member came back without its disk, and so is gone for good.
+    /// Whether a replica with another disk runs at the member's address, which means that the member is gone for
+    /// good.
     pub(super) fn is_replaced(&self, now: Nanos, member: &ReplicaId) -> bool {
-        let heard = self.peers.get(member).and_then(|peer| peer.heard);
-        let other_disk = |(station, other): (&ReplicaId, &Peer)| {
-            station.address == member.address
-                && station.disk_id != member.disk_id
-                && other.there(now)
-                && other.heard > heard
+        let last_heard = self.peers.get(member).and_then(|peer| peer.last_heard);
+        let other_disk = |(replica, other): (&ReplicaId, &Peer)| {
+            replica.address == member.address
+                && replica.disk_id != member.disk_id
+                && other.is_reachable(now)
+                && other.last_heard > last_heard
         };
         self.peers.iter().any(other_disk)
     }
 
+    /// Whether a member said that it votes in this epoch.
     pub(super) fn is_voter(&self, member: &ReplicaId) -> bool {
         match self.peers.get(member) {
-            _ if *member == self.me => self.voter,
-            Some(peer) => peer.view == self.view.epoch && peer.voter,
+            _ if *member == self.replica_id => self.voter,
+            Some(peer) => peer.epoch == self.membership.epoch && peer.voter,
             None => false,
         }
     }
 
-    /// The view that should follow. Where it can wait it waits until all that stay vote, so that only one at a time
-    /// has to catch up. For one that is lost it is enough that those that stay and are there can go on by themselves.
-    fn wish(&self, now: Nanos) -> Option<Membership> {
-        let members = &self.view.members;
-        let joins: Vec<ReplicaId> = self
+    /// The membership that should follow. Where the change can wait, it waits until all remaining members vote, so
+    /// that only one at a time has to catch up. To replace a lost member it suffices that a majority of voters
+    /// remains reachable.
+    fn wanted_change(&self, now: Nanos) -> Option<Membership> {
+        let members = &self.membership.members;
+        let candidates: Vec<ReplicaId> = self
             .peers
             .iter()
-            .filter(|(station, peer)| self.may_join(station, peer))
-            .map(|(s, _)| *s)
+            .filter(|(replica, peer)| self.may_join(replica, peer))
+            .map(|(replica, _)| *replica)
             .collect();
-        let votes = |member: &&ReplicaId| self.is_voter(member);
-        let there = |member: &&ReplicaId| {
-            **member == self.me || self.peers.get(*member).is_some_and(|peer| peer.there(now))
+        let is_voter = |member: &&ReplicaId| self.is_voter(member);
+        let is_reachable = |member: &&ReplicaId| {
+            **member == self.replica_id || self.peers.get(*member).is_some_and(|peer| peer.is_reachable(now))
         };
-        for out in members.iter().filter(|_| members.len() > 1) {
-            let stay = || members.iter().filter(|member| *member != out);
-            let lost = self.is_lost(now, out);
-            let whole = stay().all(|member| self.is_voter(member));
-            let enough = stay().filter(votes).filter(there).count() >= self.majority();
-            if !(lost && (whole || enough) || whole && self.is_leaving(now, out)) {
+        for leaving in members.iter().filter(|_| members.len() > 1) {
+            let remaining = || members.iter().filter(|member| *member != leaving);
+            let lost = self.is_lost(now, leaving);
+            let all_vote = remaining().all(|member| self.is_voter(member));
+            let enough_vote = remaining().filter(is_voter).filter(is_reachable).count() >= self.majority();
+            if !(lost && (all_vote || enough_vote) || all_vote && self.is_leaving(now, leaving)) {
                 continue;
             }
-            let same_place = joins.iter().find(|station| station.address == out.address);
-            let others = joins.iter().filter(|station| self.fits(station, Some(out)));
-            if let Some(joins) = same_place.or_else(|| self.best_spread(Some(out), others)) {
-                return Some(self.following(Some(out), *joins));
+            let same_address = candidates.iter().find(|replica| replica.address == leaving.address);
+            let others = candidates.iter().filter(|replica| self.fits(replica, Some(leaving)));
+            if let Some(joining) = same_address.or_else(|| self.best_zone_spread(Some(leaving), others)) {
+                return Some(self.membership_with(Some(leaving), *joining));
             }
         }
         if members.len() < self.config.target_members {
-            let more = joins.iter().filter(|station| self.fits(station, None));
-            let joins = self.best_spread(None, more).filter(|_| members.iter().all(|m| self.is_voter(m)));
-            return joins.map(|joins| self.following(None, *joins));
+            let fitting = candidates.iter().filter(|replica| self.fits(replica, None));
+            let joining =
+                self.best_zone_spread(None, fitting).filter(|_| members.iter().all(|m| self.is_voter(m)));
+            return joining.map(|joining| self.membership_with(None, *joining));
         }
-        self.spreading(now).map(|(out, joins)| self.following(Some(&out), joins))
+        self.zone_rebalance(now).map(|(leaving, joining)| self.membership_with(Some(&leaving), joining))
     }
 
-    /// Whether a view can hold this one in the place of another: no address stands in it twice.
-    pub(super) fn fits(&self, joins: &ReplicaId, out: Option<&ReplicaId>) -> bool {
-        self.view.members.iter().all(|member| member.address != joins.address || Some(member) == out)
+    /// Whether the replica can take the other's place: no address may stand in a membership twice.
+    pub(super) fn fits(&self, joining: &ReplicaId, leaving: Option<&ReplicaId>) -> bool {
+        self.membership
+            .members
+            .iter()
+            .all(|member| member.address != joining.address || Some(member) == leaving)
     }
 
-    /// The view that differs in one member.
-    fn following(&self, out: Option<&ReplicaId>, joins: ReplicaId) -> Membership {
-        let members = &self.view.members;
+    /// The next membership, in which one member is replaced or added.
+    fn membership_with(&self, leaving: Option<&ReplicaId>, joining: ReplicaId) -> Membership {
+        let members = &self.membership.members;
         let mut next: Vec<ReplicaId> =
-            members.iter().filter(|member| Some(*member) != out).copied().collect();
-        next.push(joins);
+            members.iter().filter(|member| Some(*member) != leaving).copied().collect();
+        next.push(joining);
         next.sort();
-        let (number, base) = (self.view.epoch.saturating_add(1), members.clone());
-        Membership { epoch: number, members: next, previous_members: base, rolled_back: false }
+        let epoch = self.membership.epoch.saturating_add(1);
+        Membership { epoch, members: next, previous_members: members.clone(), rolled_back: false }
     }
 
-    /// Tries to change the view where that is wished.
-    pub(super) fn propose(&mut self, now: Nanos, out: &mut Vec<Effect>) {
-        if self.attempt.as_ref().is_some_and(|attempt| now >= attempt.until) {
-            self.attempt = None;
+    /// Starts a proposal if a change is wanted and due.
+    pub(super) fn propose_membership(&mut self, now: Nanos, out: &mut Vec<Effect>) {
+        if self.membership_proposal.as_ref().is_some_and(|proposal| now >= proposal.deadline) {
+            self.membership_proposal = None;
             self.back_off(now);
         }
-        if !self.voter || self.attempt.is_some() {
+        if !self.voter || self.membership_proposal.is_some() {
             return;
         }
-        let undo = self.undoing(now);
-        let Some(wish) = undo.clone().or_else(|| self.wish(now)) else {
-            self.wishing = false;
+        let rollback = self.wanted_rollback(now);
+        let Some(wanted) = rollback.clone().or_else(|| self.wanted_change(now)) else {
+            self.change_wanted = false;
             return;
         };
-        if !self.wishing {
-            self.wishing = true;
+        if !self.change_wanted {
+            self.change_wanted = true;
             // The first of the view tries first.
-            let place = self.view.members.iter().position(|member| *member == self.me).unwrap_or(0);
-            let wait = (place as u64 * 80 + self.chance.random_range(0..40)) * MS;
-            self.next_try = self.next_try.max(now.saturating_add(wait));
+            let position =
+                self.membership.members.iter().position(|member| *member == self.replica_id).unwrap_or(0);
+            // Members wait for a time that grows with their position, so that they rarely compete.
+            let wait = (position as u64 * 80 + self.rng.random_range(0..40)) * MS;
+            self.next_proposal_at = self.next_proposal_at.max(now.saturating_add(wait));
         }
-        if now < self.next_try {
+        if now < self.next_proposal_at {
             return;
         }
-        self.top_round = self.top_round.max(self.promised.round).saturating_add(1);
-        let by = {
-            let mut name = self.me.address.to_string().into_bytes();
-            name.extend_from_slice(&self.me.disk_id.to_be_bytes());
-            xxhash_rust::xxh3::xxh3_64(&name)
+        self.highest_round = self.highest_round.max(self.promised_ballot.round).saturating_add(1);
+        let proposer = {
+            let mut identity = self.replica_id.address.to_string().into_bytes();
+            identity.extend_from_slice(&self.replica_id.disk_id.to_be_bytes());
+            xxhash_rust::xxh3::xxh3_64(&identity)
         };
-        let ballot = Ballot { round: self.top_round, proposer: by };
-        if ballot <= self.promised {
+        let ballot = Ballot { round: self.highest_round, proposer };
+        if ballot <= self.promised_ballot {
             return;
         }
-        // On disk before anybody hears of it, so that no later life uses the same one.
-        self.promised = ballot;
-        self.keep_ballots(out);
-        self.attempt = Some(Attempt {
+        // The ballot is on disk before anybody hears of it, so that no later incarnation uses it again.
+        self.promised_ballot = ballot;
+        self.persist_ballot_state(out);
+        self.membership_proposal = Some(MembershipProposal {
             ballot,
-            wish,
-            undo: undo.is_some(),
+            wanted,
+            rollback: rollback.is_some(),
             promises: BTreeMap::new(),
             chosen: None,
-            accepts: BTreeSet::new(),
-            until: now.saturating_add(TRY),
+            acceptances: BTreeSet::new(),
+            deadline: now.saturating_add(PROPOSAL_TIMEOUT),
         });
-        let (of, body) = match undo {
-            Some(_) => (&self.view.previous_members, MessageBody::PrepareRollback(ballot)),
-            None => (&self.view.members, MessageBody::Prepare(ballot)),
+        let (acceptors, body) = match rollback {
+            Some(_) => (&self.membership.previous_members, MessageBody::PrepareRollback(ballot)),
+            None => (&self.membership.members, MessageBody::Prepare(ballot)),
         };
-        for station in of.clone() {
-            self.send(station.address, body.clone(), out);
+        for replica in acceptors.clone() {
+            self.send_after_persist(replica.address, body.clone(), out);
         }
     }
 
+    /// Delays the next proposal by a random time, so that competing proposers get out of step.
     fn back_off(&mut self, now: Nanos) {
-        let wait = self.chance.random_range(50..500) * MS;
-        self.next_try = self.next_try.max(now.saturating_add(wait));
+        let wait = self.rng.random_range(50..500) * MS;
+        self.next_proposal_at = self.next_proposal_at.max(now.saturating_add(wait));
     }
 
-    pub(super) fn prepare(&mut self, from: ReplicaId, ballot: Ballot, out: &mut Vec<Effect>) {
+    /// Promises to accept no lower ballot (Paxos Made Simple, phase 1).
+    pub(super) fn handle_prepare(&mut self, from: ReplicaId, ballot: Ballot, out: &mut Vec<Effect>) {
         if !self.voter {
             return;
         }
-        if ballot < self.promised {
-            self.now(from.address, MessageBody::Preempted(self.promised), out);
+        if ballot < self.promised_ballot {
+            self.send_now(from.address, MessageBody::Preempted(self.promised_ballot), out);
             return;
         }
-        if ballot > self.promised {
-            self.promised = ballot;
-            self.keep_ballots(out);
+        if ballot > self.promised_ballot {
+            self.promised_ballot = ballot;
+            self.persist_ballot_state(out);
         }
-        self.send(from.address, MessageBody::Promise { ballot, accepted: self.accepted.clone() }, out);
+        self.send_after_persist(
+            from.address,
+            MessageBody::Promise { ballot, accepted: self.accepted_membership.clone() },
+            out,
+        );
     }
 
-    pub(super) fn promise(
+    /// Counts a promise; asks acceptors to accept once there is a quorum.
+    pub(super) fn handle_promise(
         &mut self,
         from: ReplicaId,
         ballot: Ballot,
         accepted: Option<(Ballot, Membership)>,
-        barred: bool,
+        for_rollback: bool,
         out: &mut Vec<Effect>,
     ) {
-        let Some(mut attempt) = self.attempt.take() else { return };
-        if attempt.ballot == ballot && attempt.chosen.is_none() && attempt.undo == barred {
-            attempt.promises.insert(from, accepted);
-            if self.is_most(&attempt, attempt.promises.keys()) {
-                self.choose(&mut attempt, out);
+        let Some(mut proposal) = self.membership_proposal.take() else { return };
+        if proposal.ballot == ballot && proposal.chosen.is_none() && proposal.rollback == for_rollback {
+            proposal.promises.insert(from, accepted);
+            if self.is_quorum_for(&proposal, proposal.promises.keys()) {
+                self.choose_membership(&mut proposal, out);
             }
         }
-        self.attempt = Some(attempt);
+        self.membership_proposal = Some(proposal);
     }
 
-    /// Whether these are enough for that try: more than half of the view, or of the one to go back to.
-    fn is_most<'a>(&self, attempt: &Attempt, of: impl Iterator<Item = &'a ReplicaId>) -> bool {
-        if attempt.undo { self.most_of_base(of) } else { of.count() >= self.majority() }
+    /// Whether the replicas are a quorum for the proposal: a majority of the members, or for a rollback of the
+    /// previous members.
+    fn is_quorum_for<'a>(
+        &self,
+        proposal: &MembershipProposal,
+        replicas: impl Iterator<Item = &'a ReplicaId>,
+    ) -> bool {
+        if proposal.rollback {
+            self.is_majority_of_previous(replicas)
+        } else {
+            replicas.count() >= self.majority()
+        }
     }
 
-    /// Enough have promised: the highest view that any of them accepted binds.
-    fn choose(&self, attempt: &mut Attempt, out: &mut Vec<Effect>) {
-        let before = attempt.promises.values().flatten().max_by_key(|(ballot, _)| *ballot);
-        let chosen = match before {
-            Some((_, view)) if self.mutant != 8 => view.clone(),
-            _ => attempt.wish.clone(),
+    /// Chooses the membership of the highest ballot that any promise reports, or else the wanted one (Paxos Made
+    /// Simple, phase 2).
+    fn choose_membership(&self, proposal: &mut MembershipProposal, out: &mut Vec<Effect>) {
+        let highest = proposal.promises.values().flatten().max_by_key(|(ballot, _)| *ballot);
+        let chosen = match highest {
+            Some((_, membership)) if !self.breaks(Mutation::IgnoreAcceptedMembership) => membership.clone(),
+            _ => proposal.wanted.clone(),
         };
-        attempt.chosen = Some(chosen.clone());
-        for station in if attempt.undo { &self.view.previous_members } else { &self.view.members } {
-            self.send(station.address, MessageBody::Accept(attempt.ballot, chosen.clone()), out);
+        proposal.chosen = Some(chosen.clone());
+        for replica in
+            if proposal.rollback { &self.membership.previous_members } else { &self.membership.members }
+        {
+            self.send_after_persist(
+                replica.address,
+                MessageBody::Accept(proposal.ballot, chosen.clone()),
+                out,
+            );
         }
     }
 
-    pub(super) fn accept(
+    /// Accepts a membership unless a higher ballot was promised.
+    pub(super) fn handle_accept(
         &mut self,
         from: ReplicaId,
         ballot: Ballot,
-        view: Membership,
+        membership: Membership,
         out: &mut Vec<Effect>,
     ) {
-        // One that left takes part where it has promised to go back.
-        let takes_part = self.voter || self.barred;
-        if !takes_part || view.epoch.checked_sub(1) != Some(self.view.epoch) {
+        // A replica that left the membership takes part if it has promised the rollback.
+        let takes_part = self.voter || self.barred_from_serving;
+        if !takes_part || membership.epoch.checked_sub(1) != Some(self.membership.epoch) {
             return;
         }
-        if ballot < self.promised {
-            self.now(from.address, MessageBody::Preempted(self.promised), out);
+        if ballot < self.promised_ballot {
+            self.send_now(from.address, MessageBody::Preempted(self.promised_ballot), out);
             return;
         }
-        if self.accepted.as_ref().is_none_or(|(earlier, _)| *earlier != ballot) || self.promised != ballot {
-            self.promised = ballot;
-            self.accepted = Some((ballot, view));
-            self.keep_ballots(out);
+        if self.accepted_membership.as_ref().is_none_or(|(earlier, _)| *earlier != ballot)
+            || self.promised_ballot != ballot
+        {
+            self.promised_ballot = ballot;
+            self.accepted_membership = Some((ballot, membership));
+            self.persist_ballot_state(out);
         }
-        self.send(from.address, MessageBody::Accepted(ballot), out);
+        self.send_after_persist(from.address, MessageBody::Accepted(ballot), out);
     }
 
-    pub(super) fn accepted(&mut self, now: Nanos, from: ReplicaId, ballot: Ballot, out: &mut Vec<Effect>) {
-        let Some(mut attempt) = self.attempt.take() else { return };
-        let chosen = attempt.chosen.clone().filter(|_| attempt.ballot == ballot);
-        // To go back, only those count that are barred.
-        if chosen.is_some() && (self.is_member(&from) || attempt.undo) {
-            attempt.accepts.insert(from);
-        }
-        let counts = |station: &&ReplicaId| !attempt.undo || attempt.promises.contains_key(station);
-        let decided = self.is_most(&attempt, attempt.accepts.iter().filter(counts));
-        self.attempt = Some(attempt);
-        let Some(view) = chosen.filter(|_| decided) else { return };
-        let mut tell = self.all_known();
-        tell.extend(view.members.iter().map(|station| station.address));
-        tell.remove(&self.me.address);
-        self.adopt(now, view, out);
-        for at in tell {
-            self.now(at, MessageBody::MembershipAnnouncement(self.view.clone()), out);
+    /// Counts an acceptance; adopts and announces the membership once a quorum has accepted it.
+    pub(super) fn handle_accepted(
+        &mut self,
+        now: Nanos,
+        from: ReplicaId,
+        ballot: Ballot,
+        out: &mut Vec<Effect>,
+    ) {
+        let Some(mut proposal) = self.membership_proposal.take() else { return };
+        let chosen = proposal.chosen.clone().filter(|_| proposal.ballot == ballot);
+        // For a rollback only replicas count that have promised it.
+        if chosen.is_some() && (self.is_member(&from) || proposal.rollback) {
+            proposal.acceptances.insert(from);
+        }
+        let counts = |replica: &&ReplicaId| !proposal.rollback || proposal.promises.contains_key(replica);
+        let decided = self.is_quorum_for(&proposal, proposal.acceptances.iter().filter(counts));
+        self.membership_proposal = Some(proposal);
+        let Some(membership) = chosen.filter(|_| decided) else { return };
+        let mut recipients = self.known_addresses();
+        recipients.extend(membership.members.iter().map(|replica| replica.address));
+        recipients.remove(&self.replica_id.address);
+        self.adopt_membership(now, membership, out);
+        for address in recipients {
+            self.send_now(address, MessageBody::MembershipAnnouncement(self.membership.clone()), out);
         }
     }
 
-    pub(super) fn outbid(&mut self, now: Nanos, ballot: Ballot) {
-        self.top_round = self.top_round.max(ballot.round);
-        if self.attempt.as_ref().is_some_and(|attempt| attempt.ballot < ballot) {
-            self.attempt = None;
+    /// Gives up the proposal because an acceptor has promised a higher ballot.
+    pub(super) fn handle_preempted(&mut self, now: Nanos, ballot: Ballot) {
+        self.highest_round = self.highest_round.max(ballot.round);
+        if self.membership_proposal.as_ref().is_some_and(|proposal| proposal.ballot < ballot) {
+            self.membership_proposal = None;
             self.back_off(now);
         }
     }
--- a/consensus/src/core/named_registers.rs
+++ b/consensus/src/core/named_registers.rs
@@ -1,45 +1,58 @@
-//! Papers: sheets by name, each name a register of its own (`registers` has what all have in common). It owns the
-//! names, the bounds on them, and how stewards find out which of them differ. It must never let a paper of one name
-//! count for another, nor keep a new member from papers that were agreed, however many there are.
+//! All registers but the configuration, their limits, and how replicas find out which of them differ.
 //!
-//! Beats tell one number for all papers held. With the same number a voter holds just what this steward holds: what it
-//! said counts for each name. With another one it is asked for its list, and then for what is newer there.
+//! Heartbeats carry one digest of all stored registers. A voter with the same digest stores exactly what this replica
+//! stores, so that it acknowledges every register at once. A peer with another digest is asked for its revisions, and
+//! then for the values that are newer there.
+//!
+//! Main types: `NamedRegisters`; `RegisterStatus` for callers.
+//!
+//! Invariants:
+//! - The value of one name never counts for another.
+//! - A new member receives all committed registers, however many there are.
 
 use std::ops::Bound;
 
 use super::*;
 
-/// So many names are taken, of so many bytes each, and sheets of so many bytes each and together.
-pub const MOST_NAMES: usize = 4_096;
-pub const MOST_NAME: usize = 64;
-pub const MOST_BYTES: usize = 4 << 20;
-pub const MOST_BYTES_TOGETHER: usize = 64 << 20;
-/// Several stewards may take some at once: what others took is held up to so many times that.
-const SLACK: usize = 2;
+/// How many registers may be written.
+pub const MAX_NAMES: usize = 4_096;
+/// The longest name of a register in bytes.
+pub const MAX_NAME_BYTES: usize = 64;
+/// The largest value of a register in bytes.
+pub const MAX_VALUE_BYTES: usize = 4 << 20;
+/// How many bytes the values of all registers may take together.
+pub const MAX_TOTAL_BYTES: usize = 64 << 20;
+/// Several replicas may admit writes at the same time, so values that others have admitted are stored up to this
+/// multiple of the limits.
+const REPLICATED_LIMIT_FACTOR: usize = 2;
 
+/// All registers but the configuration.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Papers {
+pub(super) struct NamedRegisters {
     by_name: BTreeMap<RegisterName, registers::Register>,
+    /// The sum of the digests of all stored values.
     digest: u128,
+    /// The size of all stored values.
     bytes: usize,
-    /// Goes up with all that is held or safe.
+    /// Goes up with every change of what is stored or committed.
     changes: u64,
 }
 
-fn digest(name: &str, sheet: &RegisterValue) -> u128 {
+/// The digest of a register's name and revision.
+fn digest(name: &str, value: &RegisterValue) -> u128 {
     let mut bytes = Vec::with_capacity(name.len() + 16);
-    bytes.extend_from_slice(&sheet.version.to_be_bytes());
-    bytes.extend_from_slice(&sheet.digest.to_be_bytes());
+    bytes.extend_from_slice(&value.version.to_be_bytes());
+    bytes.extend_from_slice(&value.digest.to_be_bytes());
     bytes.extend_from_slice(name.as_bytes());
     xxhash_rust::xxh3::xxh3_128(&bytes)
 }
 
-impl Papers {
-    pub fn holding(papers: Vec<NamedRegister>) -> Papers {
-        let mut all = Papers::default();
-        for paper in papers {
-            if all.get(&paper.name).is_none_or(|held| held.held_revision() < paper.value.revision()) {
-                all.take(paper);
+impl NamedRegisters {
+    pub fn with_values(registers: Vec<NamedRegister>) -> NamedRegisters {
+        let mut all = NamedRegisters::default();
+        for named in registers {
+            if all.get(&named.name).is_none_or(|stored| stored.stored_revision() < named.value.revision()) {
+                all.store(named);
             }
         }
         all
@@ -49,281 +62,310 @@
         self.by_name.get(name)
     }
 
-    /// The same number, the same papers held.
+    /// Two replicas with the same digest store the same values.
     pub fn digest(&self) -> u128 {
         self.digest
     }
 
-    /// Holds one that is newer than the one held.
-    pub fn take(&mut self, paper: NamedRegister) {
-        let NamedRegister { name, value: sheet } = paper;
-        let new = digest(&name, &sheet);
+    /// Stores a value that is newer than the stored one.
+    pub fn store(&mut self, named: NamedRegister) {
+        let NamedRegister { name, value } = named;
+        let new_digest = digest(&name, &value);
         let register = self.by_name.entry(name.clone()).or_default();
-        if let Some(was) = &register.held {
-            self.digest = self.digest.wrapping_sub(digest(&name, was));
-            self.bytes = self.bytes.saturating_sub(was.bytes.len());
+        if let Some(previous) = &register.stored {
+            self.digest = self.digest.wrapping_sub(digest(&name, previous));
+            self.bytes = self.bytes.saturating_sub(previous.bytes.len());
         }
-        self.digest = self.digest.wrapping_add(new);
-        self.bytes += sheet.bytes.len();
+        self.digest = self.digest.wrapping_add(new_digest);
+        self.bytes += value.bytes.len();
         self.changes += 1;
-        register.take(sheet);
+        register.store(value);
     }
 
-    pub fn recount(&mut self, name: &str, majority: usize) -> bool {
-        let grown = self.by_name.get_mut(name).is_some_and(|register| register.recount(majority));
+    /// Recomputes what a majority has acknowledged; returns whether it rose.
+    pub fn update_committed(&mut self, name: &str, majority: usize) -> bool {
+        let grown = self.by_name.get_mut(name).is_some_and(|register| register.update_committed(majority));
         self.changes += u64::from(grown);
         grown
     }
 
-    fn fits(&self, name: &str, sheet: &RegisterValue, times: usize) -> bool {
-        let held = self.by_name.get(name).and_then(|register| register.held.as_ref());
-        let before = held.map_or(0, |held| held.bytes.len());
-        (held.is_some() || self.by_name.len() < times * MOST_NAMES)
+    /// Whether a value fits the limits times `limit_factor`.
+    fn fits(&self, name: &str, value: &RegisterValue, limit_factor: usize) -> bool {
+        let stored = self.by_name.get(name).and_then(|register| register.stored.as_ref());
+        let before = stored.map_or(0, |stored| stored.bytes.len());
+        (stored.is_some() || self.by_name.len() < limit_factor * MAX_NAMES)
             && !name.is_empty()
-            && name.len() <= MOST_NAME
-            && sheet.bytes.len() <= MOST_BYTES
-            && self.bytes - before + sheet.bytes.len() <= times * MOST_BYTES_TOGETHER
+            && name.len() <= MAX_NAME_BYTES
+            && value.bytes.len() <= MAX_VALUE_BYTES
+            && self.bytes - before + value.bytes.len() <= limit_factor * MAX_TOTAL_BYTES
     }
 
-    /// Whether it may be taken: there are not too many names, nor too many bytes.
-    pub fn has_room(&self, name: &str, sheet: &RegisterValue) -> bool {
-        self.fits(name, sheet, 1)
+    /// Whether a write may be admitted.
+    pub fn has_room(&self, name: &str, value: &RegisterValue) -> bool {
+        self.fits(name, value, 1)
     }
 
-    /// A voter of this view holds that much. Names that are not known here are, from now on, up to a bound.
-    fn ranked(&mut self, voter: ReplicaId, name: &RegisterName, rank: Revision) {
-        let room = self.by_name.len() < SLACK * MOST_NAMES && name.len() <= MOST_NAME;
-        if room && rank > Revision::NONE && !name.is_empty() {
-            self.by_name.entry(name.clone()).or_default().ranked(voter, rank);
+    /// Records that a voter of this epoch stores a revision. Registers that are unknown here are added, within the
+    /// limits.
+    fn record_acknowledgement(&mut self, voter: ReplicaId, name: &RegisterName, revision: Revision) {
+        let room = self.by_name.len() < REPLICATED_LIMIT_FACTOR * MAX_NAMES && name.len() <= MAX_NAME_BYTES;
+        if room && revision > Revision::NONE && !name.is_empty() {
+            self.by_name.entry(name.clone()).or_default().record_acknowledgement(voter, revision);
         } else if let Some(register) = self.by_name.get_mut(name) {
-            register.ranked(voter, rank);
+            register.record_acknowledgement(voter, revision);
         }
     }
 
-    /// A voter of this view holds all that is held here.
-    fn ranked_all(&mut self, voter: ReplicaId) {
+    /// Records that a voter of this epoch stores everything that is stored here.
+    fn record_all_acknowledged(&mut self, voter: ReplicaId) {
         for register in self.by_name.values_mut() {
-            let rank = register.held_revision();
-            register.ranked(voter, rank);
+            let revision = register.stored_revision();
+            register.record_acknowledgement(voter, revision);
         }
     }
 
-    pub fn ranks_anew(&mut self) {
-        self.by_name.values_mut().for_each(registers::Register::ranks_anew);
+    /// Discards all acknowledgements.
+    pub fn clear_acknowledgements(&mut self) {
+        self.by_name.values_mut().for_each(registers::Register::clear_acknowledgements);
     }
 
-    /// Those held from a name on.
-    pub fn from(&self, name: &str) -> impl Iterator<Item = NamedRegister> {
+    /// The stored values from a name on.
+    pub fn iter_from(&self, name: &str) -> impl Iterator<Item = NamedRegister> {
         let range = self.by_name.range::<str, _>((Bound::Included(name), Bound::Unbounded));
         range.filter_map(|(name, register)| {
-            Some(NamedRegister { name: name.clone(), value: register.held.clone()? })
+            Some(NamedRegister { name: name.clone(), value: register.stored.clone()? })
         })
     }
 
-    /// The ranks of those held from a name on, as many as fit a letter, and from where there are more.
-    pub fn ranks(&self, name: &str) -> (Vec<(RegisterName, Revision)>, Option<RegisterName>) {
-        let mut rest = self.from(name);
-        let ranks =
-            rest.by_ref().take(MOST_IN_LETTER).map(|paper| (paper.name, paper.value.revision())).collect();
-        (ranks, rest.next().map(|paper| paper.name))
+    /// The revisions of the stored values from a name on, as many as fit in a message, and the name at which the rest
+    /// begins.
+    pub fn revisions_from(&self, name: &str) -> (Vec<(RegisterName, Revision)>, Option<RegisterName>) {
+        let mut rest = self.iter_from(name);
+        let revisions = rest
+            .by_ref()
+            .take(MAX_ITEMS_PER_MESSAGE)
+            .map(|named| (named.name, named.value.revision()))
+            .collect();
+        (revisions, rest.next().map(|named| named.name))
     }
 
-    /// Those held from a name on, as many as fit a letter that has so many bytes already, and from where there are more.
-    pub fn part(&self, name: &str, mut bytes: usize) -> (Vec<NamedRegister>, Option<RegisterName>) {
-        let mut part = Vec::new();
-        for paper in self.from(name) {
-            if part.len() >= MOST_IN_LETTER || bytes >= BYTES_IN_LETTER {
-                return (part, Some(paper.name));
+    /// The stored values from a name on, as many as fit in a message that already holds `bytes`, and the name at
+    /// which the rest begins.
+    pub fn batch_from(&self, name: &str, mut bytes: usize) -> (Vec<NamedRegister>, Option<RegisterName>) {
+        let mut batch = Vec::new();
+        for named in self.iter_from(name) {
+            if batch.len() >= MAX_ITEMS_PER_MESSAGE || bytes >= MAX_MESSAGE_BYTES {
+                return (batch, Some(named.name));
             }
-            bytes += paper.value.bytes.len();
-            part.push(paper);
+            bytes += named.value.bytes.len();
+            batch.push(named);
         }
-        (part, None)
+        (batch, None)
     }
 }
 
-/// Of a paper, what a steward has of it.
+/// What a replica knows of one register.
 #[derive(Clone, Debug)]
 pub struct RegisterStatus {
+    /// The register's name.
     pub name: RegisterName,
-    /// The newest known to be on more than half of the voters' disks. Never goes back in a life.
+    /// The newest value that is known to be on a majority's disks. It never goes back while this replica runs.
     pub committed: Option<Arc<RegisterValue>>,
-    /// The newest that is held here, which may yet be lost.
+    /// The newest value that this replica stores. It is decided for its version, but may not be on a majority's disks
+    /// yet.
     pub stored: Option<Arc<RegisterValue>>,
 }
 
 impl Core {
-    /// All papers by name.
+    /// All registers but the configuration, by name.
     pub fn registers(&self) -> impl Iterator<Item = RegisterStatus> {
-        self.papers.by_name.iter().map(|(name, register)| RegisterStatus {
+        self.named_registers.by_name.iter().map(|(name, register)| RegisterStatus {
             name: name.clone(),
-            committed: register.safe.clone(),
-            stored: register.held.clone(),
+            committed: register.committed.clone(),
+            stored: register.stored.clone(),
         })
     }
 
-    /// Goes up with every change of what `papers` tells.
+    /// A counter that goes up with every change of what `registers` returns.
     pub fn register_changes(&self) -> u64 {
-        self.papers.changes
+        self.named_registers.changes
     }
 
-    pub(super) fn ranks_anew(&mut self) {
-        self.sheet.ranks_anew();
-        self.papers.ranks_anew();
-        self.peers.values_mut().for_each(|peer| peer.counted = 0);
+    /// Discards what voters acknowledged in the last epoch.
+    pub(super) fn clear_acknowledgements(&mut self) {
+        self.configuration.clear_acknowledgements();
+        self.named_registers.clear_acknowledgements();
+        self.peers.values_mut().for_each(|peer| peer.acknowledged_digest = 0);
     }
 
-    /// Another told the number of all that it holds.
-    pub(super) fn papers_there(
+    /// Handles the digest of a heartbeat. If it differs, asks the peer for its revisions; if it is the same, the peer
+    /// acknowledges everything that is stored here.
+    pub(super) fn handle_registers_digest(
         &mut self,
         now: Nanos,
         from: ReplicaId,
-        counts: bool,
+        from_voter: bool,
         digest: u128,
         out: &mut Vec<Effect>,
     ) {
-        if digest == 0 || from == self.me {
+        if digest == 0 || from == self.replica_id {
             return;
         }
         let Some(peer) = self.peers.get_mut(&from) else { return };
-        if digest != self.papers.digest {
-            if due(&mut peer.listed, now, RARELY) {
-                self.now(from.address, MessageBody::ListRegisters(TIMETABLE.into()), out);
+        if digest != self.named_registers.digest {
+            if mark_if_due(&mut peer.listed_at, now, MIN_SEND_INTERVAL) {
+                self.send_now(from.address, MessageBody::ListRegisters(CONFIGURATION.into()), out);
             }
-        } else if counts && peer.counted != digest {
-            peer.counted = digest;
-            self.papers.ranked_all(from);
-            let names: Vec<RegisterName> = self.papers.by_name.keys().cloned().collect();
-            names.iter().for_each(|name| self.recount(name, out));
+        } else if from_voter && peer.acknowledged_digest != digest {
+            peer.acknowledged_digest = digest;
+            self.named_registers.record_all_acknowledged(from);
+            let names: Vec<RegisterName> = self.named_registers.by_name.keys().cloned().collect();
+            names.iter().for_each(|name| self.update_committed(name, out));
         }
     }
 
-    pub(super) fn list_papers(&self, from: ReplicaId, place: &str, out: &mut Vec<Effect>) {
-        let (ranks, next) = self.papers.ranks(place);
-        self.send(
+    /// Answers with the revisions from a name on.
+    pub(super) fn handle_list_registers(&self, from: ReplicaId, first: &str, out: &mut Vec<Effect>) {
+        let (revisions, next) = self.named_registers.revisions_from(first);
+        self.send_after_persist(
             from.address,
-            MessageBody::RegistersStored { read_id: 0, voter: self.voter, revisions: ranks, next },
+            MessageBody::RegistersStored { read_id: 0, voter: self.voter, revisions, next },
             out,
         );
     }
 
-    pub(super) fn papers_offered(
+    /// Stores values that a peer offers, and acknowledges them.
+    pub(super) fn handle_store_registers(
         &mut self,
         from: ReplicaId,
-        same: bool,
-        papers: Vec<NamedRegister>,
+        same_epoch: bool,
+        registers: Vec<NamedRegister>,
         out: &mut Vec<Effect>,
     ) {
-        let names: Vec<RegisterName> = papers.iter().map(|paper| paper.name.clone()).collect();
-        for NamedRegister { name, value: sheet } in papers {
-            if self.papers.fits(&name, &sheet, SLACK) {
-                self.hold(&name, sheet, out);
+        let names: Vec<RegisterName> = registers.iter().map(|named| named.name.clone()).collect();
+        for NamedRegister { name, value } in registers {
+            if self.named_registers.fits(&name, &value, REPLICATED_LIMIT_FACTOR) {
+                self.store_value(&name, value, out);
             }
         }
-        if same && self.voter && from != self.me {
-            self.say_held(from, 0, &names, out);
+        if same_epoch && self.voter && from != self.replica_id {
+            self.acknowledge_stored(from, 0, &names, out);
         }
-        self.want_rest(from, &names, out);
-        names.iter().for_each(|name| self.judge_sheets(name, out));
+        self.fetch_remaining(from, &names, out);
+        names.iter().for_each(|name| self.resolve_register_calls(name, out));
     }
 
-    /// Some of what another was asked for has come, maybe not all: a letter holds only so much.
-    fn want_rest(&mut self, from: ReplicaId, came: &[RegisterName], out: &mut Vec<Effect>) {
+    /// Asks again for requested registers that have not arrived, because a message holds only so many.
+    fn fetch_remaining(&mut self, from: ReplicaId, arrived: &[RegisterName], out: &mut Vec<Effect>) {
         let Some(peer) = self.peers.get_mut(&from) else { return };
-        if !came.iter().any(|name| peer.wanted.contains_key(name)) {
+        if !arrived.iter().any(|name| peer.wanted_registers.contains_key(name)) {
             return;
         }
-        let papers = &self.papers;
-        let here = |name: &str| papers.get(name).map_or(Revision::NONE, registers::Register::held_revision);
-        peer.wanted.retain(|name, rank| !came.contains(name) && here(name) < *rank);
-        let have: Vec<(RegisterName, Revision)> =
-            peer.wanted.keys().map(|name| (name.clone(), here(name))).collect();
-        if !have.is_empty() {
-            self.now(from.address, MessageBody::FetchRegisters { read_id: 0, known: have }, out);
+        let registers = &self.named_registers;
+        let stored_here =
+            |name: &str| registers.get(name).map_or(Revision::NONE, registers::Register::stored_revision);
+        peer.wanted_registers
+            .retain(|name, revision| !arrived.contains(name) && stored_here(name) < *revision);
+        let known: Vec<(RegisterName, Revision)> =
+            peer.wanted_registers.keys().map(|name| (name.clone(), stored_here(name))).collect();
+        if !known.is_empty() {
+            self.send_now(from.address, MessageBody::FetchRegisters { read_id: 0, known }, out);
         }
     }
 
-    pub(super) fn want_papers(
+    /// Sends newer values, and acknowledges what is stored.
+    pub(super) fn handle_fetch_registers(
         &self,
         from: ReplicaId,
-        same: bool,
-        ask: u64,
-        have: Vec<(RegisterName, Revision)>,
+        same_epoch: bool,
+        read_id: u64,
+        known: Vec<(RegisterName, Revision)>,
         out: &mut Vec<Effect>,
     ) {
         let mut bytes = 0;
-        let newer = have.iter().take(MOST_IN_LETTER).filter_map(|(name, rank)| {
-            let sheet = self.papers.get(name)?.held.clone().filter(|sheet| sheet.revision() > *rank)?;
-            Some(NamedRegister { name: name.clone(), value: sheet })
+        let newer = known.iter().take(MAX_ITEMS_PER_MESSAGE).filter_map(|(name, revision)| {
+            let value = self
+                .named_registers
+                .get(name)?
+                .stored
+                .clone()
+                .filter(|value| value.revision() > *revision)?;
+            Some(NamedRegister { name: name.clone(), value })
         });
-        // What does not fit is asked for again.
-        let fits = |paper: &NamedRegister| {
+        // Values that don't fit are requested again.
+        let fits = |named: &NamedRegister| {
             let before = bytes;
-            bytes += paper.value.bytes.len();
-            before < BYTES_IN_LETTER
+            bytes += named.value.bytes.len();
+            before < MAX_MESSAGE_BYTES
         };
         let newer: Vec<NamedRegister> = newer.take_while(fits).collect();
         if !newer.is_empty() {
-            self.now(from.address, MessageBody::StoreRegisters(newer), out);
+            self.send_now(from.address, MessageBody::StoreRegisters(newer), out);
         }
-        if same && self.voter {
-            let names: Vec<RegisterName> = have.into_iter().map(|(name, _)| name).collect();
-            self.say_held(from, ask, &names, out);
+        if same_epoch && self.voter {
+            let names: Vec<RegisterName> = known.into_iter().map(|(name, _)| name).collect();
+            self.acknowledge_stored(from, read_id, &names, out);
         }
     }
 
-    fn say_held(&self, to: ReplicaId, ask: u64, names: &[RegisterName], out: &mut Vec<Effect>) {
-        let rank = |name: &RegisterName| {
-            self.papers.get(name).map_or(Revision::NONE, registers::Register::held_revision)
+    /// Acknowledges the stored revisions of these registers.
+    fn acknowledge_stored(&self, to: ReplicaId, read_id: u64, names: &[RegisterName], out: &mut Vec<Effect>) {
+        let stored = |name: &RegisterName| {
+            self.named_registers.get(name).map_or(Revision::NONE, registers::Register::stored_revision)
         };
-        let ranks = names.iter().take(MOST_IN_LETTER).map(|name| (name.clone(), rank(name))).collect();
-        let body = MessageBody::RegistersStored { read_id: ask, voter: true, revisions: ranks, next: None };
-        if self.mutant == 18 {
-            self.now(to.address, body, out);
+        let revisions =
+            names.iter().take(MAX_ITEMS_PER_MESSAGE).map(|name| (name.clone(), stored(name))).collect();
+        let body = MessageBody::RegistersStored { read_id, voter: true, revisions, next: None };
+        if self.breaks(Mutation::AcknowledgeBeforePersist) {
+            self.send_now(to.address, body, out);
         } else {
-            self.send(to.address, body, out);
+            self.send_after_persist(to.address, body, out);
         }
     }
 
-    /// Another tells the ranks of papers that it holds: what is newer is fetched. `counts`: it is a voter of this view.
+    /// Handles the revisions that a peer stores: fetches newer ones, and counts them as acknowledgements if
+    /// `from_voter`, which means that the peer votes in this epoch.
     #[allow(clippy::too_many_arguments)]
-    pub(super) fn papers_held(
+    pub(super) fn handle_registers_stored(
         &mut self,
         now: Nanos,
         from: ReplicaId,
-        counts: bool,
-        ask: u64,
-        ranks: Vec<(RegisterName, Revision)>,
+        from_voter: bool,
+        read_id: u64,
+        revisions: Vec<(RegisterName, Revision)>,
         next: Option<RegisterName>,
         out: &mut Vec<Effect>,
     ) {
-        let mut have = Vec::new();
-        for (name, rank) in ranks.iter().take(MOST_IN_LETTER) {
-            if counts || self.mutant == 16 {
-                self.papers.ranked(from, name, *rank);
-                self.replied(from, name, ask, *rank);
-                if self.mutant == 17 {
-                    self.papers.ranked_all(from);
+        let mut known = Vec::new();
+        for (name, revision) in revisions.iter().take(MAX_ITEMS_PER_MESSAGE) {
+            if from_voter || self.breaks(Mutation::CountAcknowledgementsOfNonVoters) {
+                self.named_registers.record_acknowledgement(from, name, *revision);
+                self.record_read_reply(from, name, read_id, *revision);
+                if self.breaks(Mutation::CountAcknowledgementForAllRegisters) {
+                    self.named_registers.record_all_acknowledged(from);
                 }
             }
-            let here = self.papers.get(name).map_or(Revision::NONE, registers::Register::held_revision);
-            if *rank > here && name.len() <= MOST_NAME && self.may_pull(now, from, name) {
-                have.push((name.clone(), here));
+            let stored_here =
+                self.named_registers.get(name).map_or(Revision::NONE, registers::Register::stored_revision);
+            if *revision > stored_here && name.len() <= MAX_NAME_BYTES && self.may_fetch(now, from, name) {
+                known.push((name.clone(), stored_here));
             }
         }
-        if !have.is_empty() {
-            let of = |name: &str| ranks.iter().find(|(other, _)| **other == *name).map(|(_, rank)| *rank);
-            let wanted = have.iter().filter_map(|(name, _)| Some((name.clone(), of(name)?)));
+        if !known.is_empty() {
+            let offered = |name: &str| {
+                revisions.iter().find(|(other, _)| **other == *name).map(|(_, revision)| *revision)
+            };
+            let wanted = known.iter().filter_map(|(name, _)| Some((name.clone(), offered(name)?)));
             if let Some(peer) = self.peers.get_mut(&from) {
-                peer.wanted = wanted.collect();
+                peer.wanted_registers = wanted.collect();
             }
-            self.now(from.address, MessageBody::FetchRegisters { read_id: 0, known: have }, out);
+            self.send_now(from.address, MessageBody::FetchRegisters { read_id: 0, known }, out);
         }
-        for (name, _) in ranks.iter().take(MOST_IN_LETTER) {
-            self.recount(name, out);
+        for (name, _) in revisions.iter().take(MAX_ITEMS_PER_MESSAGE) {
+            self.update_committed(name, out);
         }
-        if let Some(next) = next.filter(|next| ranks.last().is_some_and(|(last, _)| last < next)) {
-            self.now(from.address, MessageBody::ListRegisters(next), out);
+        if let Some(next) = next.filter(|next| revisions.last().is_some_and(|(last, _)| last < next)) {
+            self.send_now(from.address, MessageBody::ListRegisters(next), out);
         }
     }
 }
