--- /dev/null
+++ b/consensus/tests/cluster/mod.rs
@@ -0,0 +1,780 @@
+//! A small cluster of replicas, their disks and the messages in flight, all in memory. It checks after each event
+//! what must always hold, and gives a replica nothing that a real machine would not have.
+
+#![allow(dead_code)]
+
+pub mod roaming_sessions;
+
+use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use std::net::SocketAddr;
+use std::sync::Arc;
+
+use ochreshed_consensus::core::{Config, Core, Mutation};
+use ochreshed_consensus::messages::*;
+use rand::{Rng, SeedableRng};
+use rand_chacha::ChaCha8Rng;
+
+pub const MS: u64 = 1_000_000;
+
+pub fn at(node: usize) -> SocketAddr {
+    SocketAddr::from(([127, 0, 0, 1], 7000 + node as u16))
+}
+
+/// The zone of a node. The first two share one.
+pub fn zone(node: usize) -> &'static str {
+    ["a", "a", "b", "c", "b", "c"].get(node).copied().unwrap_or("d")
+}
+
+pub fn response_of(token: LeaseToken) -> Arc<StoredResponse> {
+    Arc::new(StoredResponse { status: 200, headers: Vec::new(), body: token.to_be_bytes().to_vec() })
+}
+
+#[derive(Clone, Debug, Default)]
+pub struct Disk {
+    pub membership_ballot: Option<MembershipBallotState>,
+    pub acceptors: Vec<AcceptorState>,
+    pub configuration: Option<Arc<RegisterValue>>,
+    pub leases: BTreeMap<LeaseKey, Lease>,
+    pub registers: BTreeMap<RegisterName, Arc<RegisterValue>>,
+    pub sessions: BTreeMap<SessionId, SessionRecord>,
+}
+
+impl Disk {
+    fn write(&mut self, record: LogRecord) {
+        match record {
+            LogRecord::MembershipBallot(ballots) => self.membership_ballot = Some(ballots),
+            LogRecord::RegisterAcceptors(ballots) => self.acceptors = ballots,
+            LogRecord::Configuration(value) => self.configuration = Some(value),
+            LogRecord::Lease(key, lease) => {
+                self.leases.insert(key, lease);
+            }
+            LogRecord::Session(session, entry) => drop(self.sessions.insert(session, entry)),
+            LogRecord::SessionEnded(session) => drop(self.sessions.remove(&session)),
+            LogRecord::LeaseReleased(key, token) => {
+                if self.leases.get(&key).is_some_and(|lease| lease.token == token) {
+                    self.leases.remove(&key);
+                }
+            }
+            LogRecord::Register(named) => {
+                self.registers.insert(named.name, named.value);
+            }
+        }
+    }
+
+    fn saved(&self) -> PersistedState {
+        let lease = self.leases.iter().map(|(key, lease)| (*key, lease.clone())).collect();
+        let sessions = self.sessions.iter().map(|(session, entry)| (*session, entry.clone())).collect();
+        let registers = self
+            .registers
+            .iter()
+            .map(|(name, value)| NamedRegister { name: name.clone(), value: value.clone() })
+            .collect();
+        let (ballots, version_ballots) = (self.membership_ballot.clone(), self.acceptors.clone());
+        PersistedState {
+            membership_ballot: ballots,
+            acceptors: version_ballots,
+            configuration: self.configuration.clone(),
+            leases: lease,
+            sessions,
+            registers,
+        }
+    }
+}
+
+#[derive(Clone)]
+pub struct Node {
+    pub core: Option<Core>,
+    pub disk: Disk,
+    /// Effects that wait for the disk, in order.
+    pub pending: VecDeque<Effect>,
+    pub incarnation: u64,
+    epoch: u64,
+    committed: Revision,
+    committed_registers: BTreeMap<RegisterName, Revision>,
+}
+
+#[derive(Clone)]
+pub struct InFlight {
+    pub to: usize,
+    /// Messages of a replica to itself end with its incarnation.
+    pub incarnation: Option<u64>,
+    pub message: Message,
+}
+
+#[derive(Clone)]
+pub enum PendingRequest {
+    Lease(LeaseKey, LeaseToken),
+    CompleteLease,
+    WriteConfiguration(Revision),
+    ReadConfiguration { floor: Revision },
+    WriteRegister(RegisterName, Revision),
+    ReadRegister { name: RegisterName, floor: Revision },
+    Session { session: SessionId, floor: Option<u64> },
+}
+
+#[derive(Clone)]
+pub struct World {
+    pub now: u64,
+    pub nodes: Vec<Node>,
+    pub in_flight: Vec<InFlight>,
+    /// Links on which nothing is delivered for now.
+    pub cut_links: BTreeSet<(SocketAddr, usize)>,
+    /// A replica that has just learnt of a new membership can hardly tell others of it.
+    pub isolate_informed: bool,
+    /// Most messages of this kind are lost.
+    pub mostly_lost: Option<&'static str>,
+    /// Messages of this kind are delivered late.
+    pub delayed: Option<&'static str>,
+    pub rng: ChaCha8Rng,
+    pub mutation: Option<Mutation>,
+    /// Replicas roll back whenever it may be safe.
+    pub eager_rollback: bool,
+    pub config: Config,
+    seeds: Vec<SocketAddr>,
+    /// By node, incarnation and number.
+    pub pending_calls: BTreeMap<(usize, u64, u64), PendingRequest>,
+    pub responses: BTreeMap<u64, CoreResponse>,
+    next_call: u64,
+    pub next_token: LeaseToken,
+    pub next_version: u64,
+    pub granted: BTreeMap<LeaseKey, BTreeSet<LeaseToken>>,
+    pub released: BTreeSet<LeaseToken>,
+    pub completed: BTreeSet<LeaseToken>,
+    pub written_configurations: BTreeSet<Revision>,
+    /// Every read that begins from now on returns at least this revision.
+    pub read_floor: Revision,
+    /// Revisions that were sent for each register.
+    pub written_registers: BTreeSet<(RegisterName, Revision)>,
+    pub register_read_floors: BTreeMap<RegisterName, Revision>,
+    /// Bytes that are added to each register's value.
+    pub register_padding: usize,
+    pub memberships: BTreeMap<u64, Membership>,
+    /// The one digest that was ever stored for each version of a register.
+    pub decided: BTreeMap<(RegisterName, u64), u64>,
+    pub roaming_sessions: roaming_sessions::RoamingSessions,
+    pub violation: Option<String>,
+    pub steps: u64,
+    pub counts: [u64; 12],
+}
+
+pub const LEASES_GRANTED: usize = 0;
+pub const LEASES_HELD: usize = 1;
+pub const WRITES_ACCEPTED: usize = 2;
+pub const READS: usize = 3;
+pub const MEMBERSHIPS: usize = 4;
+pub const UNAVAILABLE: usize = 5;
+pub const MESSAGES: usize = 6;
+pub const DISKS_LOST: usize = 7;
+pub const ROLLBACKS: usize = 8;
+pub const REGISTER_WRITES: usize = 9;
+pub const REGISTER_READS: usize = 10;
+pub const CONFLICTS: usize = 11;
+
+impl World {
+    /// A cluster in which the first `voters` nodes are the members of the first epoch.
+    pub fn new(
+        seed: u64,
+        nodes: usize,
+        voters: usize,
+        target_members: usize,
+        mutation: Option<Mutation>,
+    ) -> World {
+        World::with(seed, nodes, voters, target_members, mutation, |_| {})
+    }
+
+    /// A cluster whose settings are changed before its nodes start.
+    pub fn with(
+        seed: u64,
+        nodes: usize,
+        voters: usize,
+        target_members: usize,
+        mutation: Option<Mutation>,
+        set: impl FnOnce(&mut World),
+    ) -> World {
+        let mut world = World {
+            now: 1_000 * MS,
+            nodes: Vec::new(),
+            in_flight: Vec::new(),
+            cut_links: BTreeSet::new(),
+            isolate_informed: false,
+            mostly_lost: None,
+            delayed: None,
+            rng: ChaCha8Rng::seed_from_u64(seed),
+            mutation,
+            eager_rollback: false,
+            config: Config {
+                lease_ttl: 900_000 * MS,
+                member_timeout: 1_500 * MS,
+                target_members,
+                max_leases: 10_000,
+                max_response_bytes: usize::MAX,
+                tolerated_zone_losses: 0,
+                zone: String::new(),
+            },
+            seeds: (0..voters).map(at).collect(),
+            pending_calls: BTreeMap::new(),
+            responses: BTreeMap::new(),
+            next_call: 1,
+            next_token: 1,
+            next_version: 1,
+            granted: BTreeMap::new(),
+            released: BTreeSet::new(),
+            completed: BTreeSet::new(),
+            written_configurations: BTreeSet::new(),
+            read_floor: Revision::NONE,
+            written_registers: BTreeSet::new(),
+            register_read_floors: BTreeMap::new(),
+            register_padding: 0,
+            memberships: BTreeMap::new(),
+            decided: BTreeMap::new(),
+            roaming_sessions: roaming_sessions::RoamingSessions::default(),
+            violation: None,
+            steps: 0,
+            counts: [0; 12],
+        };
+        set(&mut world);
+        for node in 0..nodes {
+            world.nodes.push(Node {
+                core: None,
+                disk: Disk::default(),
+                pending: VecDeque::new(),
+                incarnation: 0,
+                epoch: 0,
+                committed: Revision::NONE,
+                committed_registers: BTreeMap::new(),
+            });
+            world.start(node, true);
+            world.sync(node, usize::MAX);
+        }
+        world
+    }
+
+    /// Whether the members keep their majority without any one zone.
+    pub fn is_spread(&self, membership: &Membership) -> bool {
+        let of = |name: &str| {
+            let zones =
+                membership.members.iter().map(|member| zone(usize::from(member.address.port() - 7000)));
+            zones.filter(|zone| *zone == name).count()
+        };
+        ["a", "b", "c"]
+            .iter()
+            .all(|name| 2 * (membership.members.len() - of(name)) > membership.members.len())
+    }
+
+    pub fn start(&mut self, node: usize, first: bool) {
+        let mut out = Vec::new();
+        let saved = self.nodes[node].disk.saved();
+        let seed = self.rng.random();
+        let config = Config { zone: zone(node).into(), ..self.config.clone() };
+        let mut core = Core::new(self.now, seed, at(node), first, &self.seeds, saved, config, &mut out);
+        (core.mutation, core.eager_rollback) = (self.mutation, self.eager_rollback);
+        self.nodes[node].core = Some(core);
+        self.nodes[node].incarnation += 1;
+        self.nodes[node].committed = Revision::NONE;
+        self.nodes[node].committed_registers.clear();
+        self.apply_effects(node, out);
+    }
+
+    /// Stops a node at once. Some of the effects that waited for its disk may have reached it; none was sent.
+    pub fn crash(&mut self, node: usize) {
+        let written = self.rng.random_range(0..=self.nodes[node].pending.len());
+        let this = &mut self.nodes[node];
+        let pending = std::mem::take(&mut this.pending);
+        for effect in pending.into_iter().take(written) {
+            if let Effect::Persist(record) = effect {
+                this.disk.write(record);
+            }
+        }
+        this.core = None;
+    }
+
+    pub fn wipe(&mut self, node: usize) {
+        self.crash(node);
+        self.nodes[node].disk = Disk::default();
+        self.counts[DISKS_LOST] += 1;
+    }
+
+    /// Whether a majority of the members keeps its disks if this one is wiped. A new member counts as lost until it
+    /// votes.
+    pub fn may_wipe(&self, node: usize) -> bool {
+        let cores =
+            self.nodes.iter().filter_map(|node| node.core.as_ref().map(|core| core.membership().clone()));
+        let disks = self
+            .nodes
+            .iter()
+            .filter_map(|node| node.disk.membership_ballot.as_ref().map(|b| b.membership.clone()));
+        let Some(membership) = cores.chain(disks).max_by_key(|membership| membership.epoch) else {
+            return false;
+        };
+        let whole = |member: &ReplicaId| {
+            let node = self.nodes.iter().enumerate().find(|(node, _)| at(*node) == member.address);
+            node.and_then(|(_, node)| node.disk.membership_ballot.as_ref()).is_some_and(|ballots| {
+                ballots.replica == *member && ballots.voter && ballots.membership.epoch == membership.epoch
+            })
+        };
+        let others = membership.members.iter().filter(|member| member.address != at(node));
+        let lost = others.filter(|member| !whole(member)).count() + 1;
+        2 * lost < membership.members.len()
+    }
+
+    /// Completes this many of the effects that wait for the disk.
+    pub fn sync(&mut self, node: usize, count: usize) {
+        for _ in 0..count {
+            match self.nodes[node].pending.pop_front() {
+                Some(Effect::Persist(record)) => self.nodes[node].disk.write(record),
+                Some(Effect::SendAfterPersist(to, message)) => self.send(node, to, message),
+                Some(_) => {}
+                None => break,
+            }
+        }
+    }
+
+    fn send(&mut self, from: usize, to: SocketAddr, message: Message) {
+        let Some(to) = (0..self.nodes.len()).find(|node| at(*node) == to) else { return };
+        let kind = message_kind(&message.body);
+        if self.mostly_lost == Some(kind) && to != from && self.rng.random_range(0..8) > 0 {
+            return;
+        }
+        let incarnation = (to == from).then_some(self.nodes[from].incarnation);
+        if kind == "heartbeat" && self.rng.random_range(0..4) > 0 {
+            // Heartbeats are many and a late one says little, so that usually only the last one is kept.
+            let beat = |envelope: &InFlight| matches!(envelope.message.body, MessageBody::Heartbeat { .. });
+            self.in_flight
+                .retain(|other| other.to != to || other.message.from != message.from || !beat(other));
+        }
+        self.in_flight.push(InFlight { to, incarnation, message });
+    }
+
+    pub fn deliver(&mut self, index: usize) {
+        if self
+            .in_flight
+            .get(index)
+            .is_none_or(|envelope| self.cut_links.contains(&(envelope.message.from.address, envelope.to)))
+        {
+            return;
+        }
+        let late = self
+            .in_flight
+            .get(index)
+            .is_some_and(|envelope| Some(message_kind(&envelope.message.body)) == self.delayed);
+        if late && self.rng.random_range(0..8) > 0 {
+            return;
+        }
+        let InFlight { to, incarnation, message } = self.in_flight.swap_remove(index);
+        if incarnation.is_some_and(|incarnation| incarnation != self.nodes[to].incarnation) {
+            return;
+        }
+        self.counts[MESSAGES] += 1;
+        let mut out = Vec::new();
+        if let Some(core) = &mut self.nodes[to].core {
+            core.handle_message(self.now, message, &mut out);
+            core.flush(&mut out);
+        }
+        self.apply_effects(to, out);
+    }
+
+    pub fn tick(&mut self, node: usize) {
+        let mut out = Vec::new();
+        if let Some(core) = &mut self.nodes[node].core {
+            core.tick(self.now, &mut out);
+        }
+        self.apply_effects(node, out);
+    }
+
+    pub fn request(&mut self, node: usize, request: CoreRequest) -> u64 {
+        let call = self.next_call;
+        self.next_call += 1;
+        let asked = match &request {
+            CoreRequest::AcquireLease { key, token, .. } => PendingRequest::Lease(*key, *token),
+            CoreRequest::CompleteLease { token, outcome, .. } => {
+                match outcome {
+                    None => self.released.insert(*token),
+                    Some(LeaseOutcome::Completed(_)) => self.completed.insert(*token),
+                    _ => false,
+                };
+                PendingRequest::CompleteLease
+            }
+            CoreRequest::ReplaceConfiguration(value) => {
+                self.written_configurations.insert(value.revision());
+                PendingRequest::WriteConfiguration(value.revision())
+            }
+            CoreRequest::ReadConfiguration => PendingRequest::ReadConfiguration { floor: self.read_floor },
+            CoreRequest::ReplaceRegister(named) => {
+                self.written_registers.insert((named.name.clone(), named.value.revision()));
+                PendingRequest::WriteRegister(named.name.clone(), named.value.revision())
+            }
+            CoreRequest::ReadRegister(name) => {
+                PendingRequest::ReadRegister { name: name.clone(), floor: self.read_floor_of(name) }
+            }
+            CoreRequest::Session(session, request) => self.roaming_sessions.record_request(*session, request),
+        };
+        let incarnation = self.nodes[node].incarnation;
+        self.pending_calls.insert((node, incarnation, call), asked);
+        let mut out = Vec::new();
+        if let Some(core) = &mut self.nodes[node].core {
+            core.handle_request(self.now, call, request, &mut out);
+            core.flush(&mut out);
+        }
+        self.apply_effects(node, out);
+        call
+    }
+
+    pub fn leave(&mut self, node: usize) {
+        let mut out = Vec::new();
+        if let Some(core) = &mut self.nodes[node].core {
+            core.announce_departure(self.now, &mut out);
+        }
+        self.apply_effects(node, out);
+    }
+
+    pub fn token(&mut self) -> LeaseToken {
+        self.next_token += 1;
+        self.next_token
+    }
+
+    pub fn next_configuration(&mut self) -> Arc<RegisterValue> {
+        self.next_version += 1;
+        Arc::new(RegisterValue::new(self.next_version, vec![self.next_version as u8]))
+    }
+
+    /// Other content under the version of the last configuration.
+    pub fn conflicting_configuration(&mut self) -> Arc<RegisterValue> {
+        let content = [self.next_version as u8, self.rng.random_range(1..4)];
+        Arc::new(RegisterValue::new(self.next_version, content.to_vec()))
+    }
+
+    /// A value that begins with its register's name, so that it can't be taken for another's.
+    pub fn register(&mut self, name: &str, version: u64) -> NamedRegister {
+        let mut bytes = name.as_bytes().to_vec();
+        bytes.resize(bytes.len() + self.register_padding, 0);
+        // Hashing that much would take most of a walk's time.
+        let digest = self.rng.random_range(1..4);
+        NamedRegister { name: name.into(), value: Arc::new(RegisterValue { version, digest, bytes }) }
+    }
+
+    fn read_floor_of(&self, name: &str) -> Revision {
+        self.register_read_floors.get(name).copied().unwrap_or_default()
+    }
+
+    fn raise_read_floor(&mut self, name: &RegisterName, revision: Revision) {
+        let floor = self.register_read_floors.entry(name.clone()).or_default();
+        *floor = revision.max(*floor);
+    }
+
+    /// Whether a majority of this node's membership has the value on disk, or had until its disk was lost; or a
+    /// majority of an earlier membership, since a new member receives it in a snapshot.
+    fn is_on_majority_of_disks(&self, node: usize, name: &RegisterName, revision: Revision) -> bool {
+        let Some(number) = self.nodes[node].core.as_ref().map(|core| core.membership().epoch) else {
+            return true;
+        };
+        let sheet_of = |disk: &Disk, name: &RegisterName| match &**name {
+            "" => disk.configuration.clone(),
+            name => disk.registers.get(name).cloned(),
+        };
+        let holds = |member: &&ReplicaId| {
+            let node = self.nodes.iter().enumerate().find(|(node, _)| at(*node) == member.address);
+            node.is_some_and(|(_, Node { disk, .. })| {
+                disk.membership_ballot.as_ref().is_none_or(|ballots| ballots.replica != **member)
+                    || sheet_of(disk, name).is_some_and(|value| value.revision() >= revision)
+            })
+        };
+        let most = |membership: &Membership| {
+            2 * membership.members.iter().filter(holds).count() > membership.members.len()
+        };
+        self.memberships.range(..=number).any(|(_, membership)| most(membership))
+    }
+
+    fn apply_effects(&mut self, node: usize, out: Vec<Effect>) {
+        self.check_stored_values(node);
+        for effect in out {
+            match effect {
+                Effect::SendNow(to, message) => self.send(node, to, message),
+                Effect::Respond { call, response } => self.record_response(node, call, response),
+                Effect::Log(_) => {}
+                effect => {
+                    let wrong = self.roaming_sessions.check_record(&effect);
+                    wrong.into_iter().for_each(|wrong| self.fail(wrong));
+                    self.nodes[node].pending.push_back(effect);
+                }
+            }
+        }
+        self.check_replica(node);
+    }
+
+    fn fail(&mut self, what: String) {
+        self.violation.get_or_insert(what);
+    }
+
+    fn record_response(&mut self, node: usize, call: u64, response: CoreResponse) {
+        let incarnation = self.nodes[node].incarnation;
+        let Some(asked) = self.pending_calls.remove(&(node, incarnation, call)) else {
+            return self.fail(format!("call {call} answered twice"));
+        };
+        self.responses.insert(call, response.clone());
+        match (asked, response) {
+            (PendingRequest::Lease(key, token), CoreResponse::LeaseGranted) => {
+                self.counts[LEASES_GRANTED] += 1;
+                if self.released.contains(&token) {
+                    return;
+                }
+                let released = &self.released;
+                let others = self.granted.entry(key).or_default();
+                others.insert(token);
+                let both: Vec<LeaseToken> =
+                    others.iter().filter(|token| !released.contains(token)).copied().collect();
+                if both.len() > 1 {
+                    self.fail(format!("key {key} granted to {both:?}"));
+                }
+            }
+            (PendingRequest::Lease(..), CoreResponse::LeaseHeld(outcome)) => {
+                self.counts[LEASES_HELD] += 1;
+                if let LeaseOutcome::Completed(answer) = outcome {
+                    let token = <[u8; 8]>::try_from(&answer.body[..]).map(LeaseToken::from_be_bytes);
+                    if !token.is_ok_and(|token| self.completed.contains(&token)) {
+                        self.fail("a response that no upstream gave".into());
+                    }
+                }
+            }
+            (PendingRequest::WriteConfiguration(revision), CoreResponse::Accepted) => {
+                self.counts[WRITES_ACCEPTED] += 1;
+                self.check_accepted(node, &"".into(), revision);
+                self.read_floor = self.read_floor.max(revision);
+            }
+            (PendingRequest::WriteConfiguration(revision), CoreResponse::Conflict) => {
+                self.check_conflict(&"".into(), revision)
+            }
+            (PendingRequest::WriteRegister(name, revision), CoreResponse::Conflict) => {
+                self.check_conflict(&name, revision)
+            }
+            (PendingRequest::ReadConfiguration { floor }, CoreResponse::Register(value)) => {
+                self.counts[READS] += 1;
+                let revision = value.map_or(Revision::NONE, |value| value.revision());
+                if revision < floor {
+                    self.fail(format!("read {revision:?} where {floor:?} was known before it began"));
+                }
+                if revision != Revision::NONE && !self.written_configurations.contains(&revision) {
+                    self.fail(format!("read {revision:?}, which nobody wrote"));
+                }
+                self.read_floor = self.read_floor.max(revision);
+            }
+            (PendingRequest::WriteRegister(name, revision), CoreResponse::Accepted) => {
+                self.counts[REGISTER_WRITES] += 1;
+                self.check_accepted(node, &name, revision);
+                self.raise_read_floor(&name, revision);
+                if !self.is_on_majority_of_disks(node, &name, revision) {
+                    self.fail(format!("{name} {revision:?} acknowledged without a majority"));
+                }
+            }
+            (PendingRequest::ReadRegister { name, floor }, CoreResponse::Register(value)) => {
+                self.counts[REGISTER_READS] += 1;
+                let revision = value.as_ref().map_or(Revision::NONE, |value| value.revision());
+                if revision < floor {
+                    self.fail(format!("read {name} {revision:?} where {floor:?} was known before it began"));
+                }
+                let own = value.is_none_or(|value| value.bytes.starts_with(name.as_bytes()));
+                if revision != Revision::NONE
+                    && !(own && self.written_registers.contains(&(name.clone(), revision)))
+                {
+                    self.fail(format!("read {name} {revision:?}, which nobody wrote under that name"));
+                }
+                self.raise_read_floor(&name, revision);
+            }
+            (PendingRequest::CompleteLease, CoreResponse::Accepted)
+            | (PendingRequest::WriteRegister(..), CoreResponse::CapacityExceeded) => {}
+            (PendingRequest::Session { session, floor }, CoreResponse::Session(committed)) => {
+                let wrong = self.roaming_sessions.check_response(session, floor, committed);
+                wrong.into_iter().for_each(|wrong| self.fail(wrong));
+            }
+            (_, CoreResponse::Unavailable) => self.counts[UNAVAILABLE] += 1,
+            (_, response) => self.fail(format!("{response:?} is no answer to that request")),
+        }
+    }
+
+    /// A write was accepted: it is the content decided for its version, or a majority stores a later version.
+    fn check_accepted(&mut self, node: usize, name: &RegisterName, Revision { version, digest }: Revision) {
+        let decided = self.decided.get(&(name.clone(), version)).copied();
+        if decided == Some(digest) {
+            return;
+        }
+        let of_name = (name.clone(), version + 1)..=(name.clone(), u64::MAX);
+        let later: Vec<Revision> =
+            self.decided.range(of_name).map(|((_, later), digest)| Revision::new(*later, *digest)).collect();
+        if !later.into_iter().any(|revision| self.is_on_majority_of_disks(node, name, revision)) {
+            self.fail(format!("{name} r{version} confirmed, where {decided:?} was decided"));
+        }
+    }
+
+    /// A write was rejected: other content must have been decided for its version.
+    fn check_conflict(&mut self, name: &RegisterName, Revision { version, digest }: Revision) {
+        self.counts[CONFLICTS] += 1;
+        if self.decided.get(&(name.clone(), version)).is_none_or(|decided| *decided == digest) {
+            self.fail(format!("{name} r{version} refused, which was taken or may yet be"));
+        }
+    }
+
+    /// Whatever a replica stores is the only content of its version.
+    fn check_stored_values(&mut self, node: usize) {
+        let Some(core) = &self.nodes[node].core else { return };
+        let configuration = core.stored_configuration().map(|value| ("".into(), value.revision()));
+        let registers = core.registers().filter_map(|named| Some((named.name, named.stored?.revision())));
+        for (name, Revision { version, digest }) in
+            configuration.into_iter().chain(registers).collect::<Vec<_>>()
+        {
+            let decided = *self.decided.entry((name.clone(), version)).or_insert(digest);
+            if decided != digest {
+                self.fail(format!("{name} r{version}: two contents are stored"));
+            }
+        }
+    }
+
+    /// Checks what must hold of a replica at all times.
+    fn check_replica(&mut self, node: usize) {
+        let Some(core) = &self.nodes[node].core else { return };
+        let revision = core.committed_configuration().map_or(Revision::NONE, |value| value.revision());
+        let membership = core.membership().clone();
+        let safe = core.registers().filter_map(|named| Some((named.name, named.committed?.revision())));
+        let safe: BTreeMap<RegisterName, Revision> = safe.collect();
+        if revision < self.nodes[node].committed {
+            self.fail("the committed configuration went back".into());
+        }
+        if revision != Revision::NONE && !self.written_configurations.contains(&revision) {
+            self.fail("a value is committed that nobody wrote".into());
+        }
+        self.nodes[node].committed = revision;
+        // Other clients may have seen it as committed, so that later reads must return it.
+        self.read_floor = self.read_floor.max(revision);
+        if membership.epoch > 0 {
+            let number = membership.epoch;
+            if let Some(other) = self.memberships.get(&membership.epoch) {
+                if *other != membership {
+                    self.fail(format!("two memberships: {other:?} and {membership:?}"));
+                }
+            } else {
+                self.counts[MEMBERSHIPS] += 1;
+                self.counts[ROLLBACKS] += u64::from(membership.rolled_back);
+                self.memberships.insert(membership.epoch, membership);
+            }
+            let known = self.nodes[node].epoch;
+            self.nodes[node].epoch = number;
+            if self.isolate_informed && known != 0 && known != number {
+                self.isolate(node);
+            }
+        }
+        let was = std::mem::replace(&mut self.nodes[node].committed_registers, safe.clone());
+        if was.iter().any(|(name, revision)| safe.get(name).is_none_or(|safe| safe < revision)) {
+            self.fail("a committed register went back".into());
+        }
+        for (name, revision) in &safe {
+            if !self.written_registers.contains(&(name.clone(), *revision)) {
+                self.fail(format!("committed is {name} {revision:?}, which nobody wrote under that name"));
+            }
+            if was.get(name) != Some(revision) && !self.is_on_majority_of_disks(node, name, *revision) {
+                self.fail(format!("{name} {revision:?} is committed without a majority"));
+            }
+            self.raise_read_floor(name, *revision);
+        }
+    }
+
+    /// Cuts most links of a node that has learnt of a new membership.
+    fn isolate(&mut self, node: usize) {
+        for other in (0..self.nodes.len()).filter(|other| *other != node) {
+            if self.rng.random_range(0..4) > 0 {
+                self.cut_links.insert((at(node), other));
+                self.in_flight
+                    .retain(|envelope| envelope.message.from.address != at(node) || envelope.to != other);
+            }
+        }
+    }
+
+    /// Calls of running incarnations without an answer.
+    pub fn unanswered_calls(&self) -> usize {
+        self.pending_calls
+            .keys()
+            .filter(|(node, incarnation, _)| self.nodes[*node].incarnation == *incarnation)
+            .count()
+    }
+
+    /// All nodes run and no message is lost for this time.
+    pub fn run_without_faults(&mut self, time: u64) {
+        for node in 0..self.nodes.len() {
+            if self.nodes[node].core.is_none() {
+                self.start(node, false);
+            }
+        }
+        self.cut_links.clear();
+        self.isolate_informed = false;
+        (self.mostly_lost, self.delayed) = (None, None);
+        let end = self.now + time;
+        while self.now < end && self.violation.is_none() {
+            self.now += 50 * MS;
+            for node in 0..self.nodes.len() {
+                self.tick(node);
+            }
+            self.deliver_everything();
+        }
+    }
+
+    /// Delivers all messages in the order in which they were sent, and completes all writes.
+    pub fn deliver_everything(&mut self) {
+        for _ in 0..100_000 {
+            for node in 0..self.nodes.len() {
+                self.sync(node, usize::MAX);
+            }
+            if self.in_flight.is_empty() || self.violation.is_some() {
+                return;
+            }
+            let mut messages = std::mem::take(&mut self.in_flight);
+            messages.reverse();
+            while let Some(envelope) = messages.pop() {
+                self.in_flight.push(envelope);
+                let last = self.in_flight.len() - 1;
+                self.deliver(last);
+            }
+        }
+        self.fail("messages without end".into());
+    }
+
+    pub fn is_up(&self, node: usize) -> bool {
+        self.nodes[node].core.is_some()
+    }
+}
+
+pub const MESSAGE_KINDS: [&str; 14] = [
+    "heartbeat",
+    "announcement",
+    "prepare",
+    "promise",
+    "accept",
+    "accepted",
+    "rollback",
+    "lease_request",
+    "lease_vote",
+    "completion",
+    "store",
+    "stored",
+    "snapshot",
+    "register_paxos",
+];
+
+fn message_kind(body: &MessageBody) -> &'static str {
+    match body {
+        MessageBody::Heartbeat { .. } => "heartbeat",
+        MessageBody::MembershipAnnouncement(_) => "announcement",
+        MessageBody::Prepare(_) | MessageBody::PrepareRollback(_) => "prepare",
+        MessageBody::Promise { .. } | MessageBody::RollbackPromise { .. } => "promise",
+        MessageBody::Accept(_, membership) if membership.rolled_back => "rollback",
+        MessageBody::Accept(..) => "accept",
+        MessageBody::Accepted(_) | MessageBody::Preempted(_) => "accepted",
+        MessageBody::RequestLeases(_) => "lease_request",
+        MessageBody::LeaseVotes(_) => "lease_vote",
+        MessageBody::CompleteLeases(_) => "completion",
+        MessageBody::StoreConfiguration(_) | MessageBody::StoreRegisters(_) => "store",
+        MessageBody::Sessions(_) => "session",
+        MessageBody::RegisterPaxos(_) => "register_paxos",
+        MessageBody::ConfigurationStored { .. } | MessageBody::FetchConfiguration { .. } => "stored",
+        MessageBody::RegistersStored { .. }
+        | MessageBody::FetchRegisters { .. }
+        | MessageBody::ListRegisters(_) => "stored",
+        MessageBody::FetchSnapshot { .. } | MessageBody::SnapshotChunk { .. } => "snapshot",
+    }
+}
--- a/consensus/tests/worst_days.rs
+++ b/consensus/tests/fault_scenarios.rs
@@ -1,29 +1,32 @@
-//! The operators' worst days at the control side, on the code as shipped without I/O: a replica cut off for twenty
-//! seconds, a second loss at every step of a replacement, a leaver that may hold the last copy, hundreds of changes
-//! while a replica is away. What must always hold is looked for by `stewards` after each thing that happens; each part
-//! has a mutation that must be noticed.
+//! Severe faults, on the core as shipped without I/O: a replica cut off for twenty seconds, a second loss at every
+//! step of a replacement, a leaving replica that may hold the last copy, hundreds of changes while a replica is away.
+//! `cluster` checks after each event what must always hold; each part has a mutation that must be noticed.
 
-mod stewards;
+mod cluster;
 
 use std::sync::Arc;
 
+use cluster::{MS, World, at};
 use ochreshed_consensus::core::{Core, Mutation};
 use ochreshed_consensus::messages::*;
 use rand::Rng;
-use stewards::{MS, World, at};
 
 fn core(world: &World, node: usize) -> &Core {
     world.nodes[node].core.as_ref().expect("it runs")
 }
 
-/// Time goes on by 50 ms steps for the nodes that run; letters across a cut are lost.
+/// Lets time pass by 50 ms steps for the nodes that run; messages on cut links are lost.
 fn go_on(world: &mut World, ms: u64, mut each: impl FnMut(&mut World)) {
     let end = world.now + ms * MS;
-    while world.now < end && world.broken.is_none() {
+    while world.now < end && world.violation.is_none() {
         world.now += 50 * MS;
         each(world);
         let nodes = world.nodes.len();
-        (0..nodes).filter(|node| world.up(*node)).collect::<Vec<_>>().into_iter().for_each(|n| world.tick(n));
+        (0..nodes)
+            .filter(|node| world.is_up(*node))
+            .collect::<Vec<_>>()
+            .into_iter()
+            .for_each(|n| world.tick(n));
         deliver_all(world);
     }
 }
@@ -31,22 +34,22 @@
 fn deliver_all(world: &mut World) {
     for _ in 0..200 {
         (0..world.nodes.len()).for_each(|node| world.sync(node, usize::MAX));
-        let cut = world.cut.clone();
-        world.bag.retain(|flying| !cut.contains(&(flying.letter.from.address, flying.to)));
-        if world.bag.is_empty() {
+        let cut = world.cut_links.clone();
+        world.in_flight.retain(|envelope| !cut.contains(&(envelope.message.from.address, envelope.to)));
+        if world.in_flight.is_empty() {
             return;
         }
-        (0..world.bag.len()).for_each(|_| world.deliver(0));
+        (0..world.in_flight.len()).for_each(|_| world.deliver(0));
     }
 }
 
-/// Who does not reach whom.
+/// Which links are cut.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Cut {
     Both(&'static [usize]),
-    /// What these send is lost, what is sent to them arrives.
+    /// What these nodes send is lost; what is sent to them arrives.
     Out(&'static [usize]),
-    /// What is sent to these is lost.
+    /// What is sent to these nodes is lost.
     In(&'static [usize]),
 }
 
@@ -55,10 +58,10 @@
     for one in away {
         for other in (0..world.nodes.len()).filter(|other| !away.contains(other)) {
             if !matches!(how, Cut::In(_)) {
-                world.cut.insert((at(*one), other));
+                world.cut_links.insert((at(*one), other));
             }
             if !matches!(how, Cut::Out(_)) {
-                world.cut.insert((at(other), *one));
+                world.cut_links.insert((at(other), *one));
             }
         }
     }
@@ -73,7 +76,7 @@
     taken_by_majority: usize,
 }
 
-/// Orders, reads and orders sent again at all replicas, before, during and after a cut of twenty seconds.
+/// Writes, reads and repeated writes at all replicas, before, during and after a cut of twenty seconds.
 fn twenty_seconds(seed: u64, how: Cut, mutation: Option<Mutation>) -> (Cutoff, Option<String>) {
     let (Cut::Both(away) | Cut::Out(away) | Cut::In(away)) = how;
     let mut world = World::new(seed, 4, 3, 3, mutation);
@@ -81,52 +84,52 @@
     let mut came = Cutoff::default();
     let mut calls: Vec<(u64, usize, Option<Arc<RegisterValue>>)> = Vec::new();
     let operate = |world: &mut World, calls: &mut Vec<(u64, usize, Option<Arc<RegisterValue>>)>| {
-        let node = world.chance.random_range(0..4);
-        if !world.up(node) {
+        let node = world.rng.random_range(0..4);
+        if !world.is_up(node) {
             return;
         }
-        let sent = (!calls.is_empty()).then(|| world.chance.random_range(0..calls.len()));
+        let sent = (!calls.is_empty()).then(|| world.rng.random_range(0..calls.len()));
         let again = sent.and_then(|sent| calls[sent].2.clone());
-        let sheet = match world.chance.random_range(0..6) {
-            0 => Some(world.sheet()),
-            1 => Some(world.other_sheet()),
+        let value = match world.rng.random_range(0..6) {
+            0 => Some(world.next_configuration()),
+            1 => Some(world.conflicting_configuration()),
             2 => again,
             _ => None,
         };
-        let call = world.want(
+        let call = world.request(
             node,
-            sheet.clone().map_or(CoreRequest::ReadConfiguration, CoreRequest::ReplaceConfiguration),
+            value.clone().map_or(CoreRequest::ReadConfiguration, CoreRequest::ReplaceConfiguration),
         );
-        calls.push((call, node, sheet));
+        calls.push((call, node, value));
     };
     go_on(&mut world, 2_000, |world| operate(world, &mut calls));
     cut(&mut world, how);
     go_on(&mut world, 1_500, |_| {});
     let from = calls.len();
-    let known = world.floor;
+    let known = world.read_floor;
     go_on(&mut world, 18_500, |world| operate(world, &mut calls));
     // What was asked late is answered in its time.
     go_on(&mut world, 3_500, |_| {});
-    for (call, node, sheet) in &calls[from..] {
-        let got = world.answers.get(call);
-        match (away.contains(node), got, sheet) {
+    for (call, node, value) in &calls[from..] {
+        let response = world.responses.get(call);
+        match (away.contains(node), response, value) {
             (true, Some(CoreResponse::Unavailable), _) => came.unsure += 1,
             (false, Some(CoreResponse::Accepted), _) => came.taken_by_majority += 1,
             // What is not above a version that was known as safe before the cut alters nothing, and may be said anywhere.
-            (true, Some(CoreResponse::Accepted | CoreResponse::Conflict), Some(sheet))
-                if sheet.version <= known.version => {}
+            (true, Some(CoreResponse::Accepted | CoreResponse::Conflict), Some(value))
+                if value.version <= known.version => {}
             (true, Some(_), _) => came.well += 1,
             _ => {}
         }
     }
-    world.cut.clear();
+    world.cut_links.clear();
     go_on(&mut world, 1_500, |_| {});
-    let newest = world.floor;
+    let newest = world.read_floor;
     let behind = (0..4)
         .filter(|node| core(&world, *node).stored_configuration().map(|held| held.revision()) < Some(newest));
     let behind = behind.count();
-    let broken = world.broken.or((behind > 0).then(|| format!("{behind} are behind after the cut")));
-    (came, broken)
+    let violation = world.violation.or((behind > 0).then(|| format!("{behind} are behind after the cut")));
+    (came, violation)
 }
 
 const CUTS: [Cut; 6] = [
@@ -139,14 +142,14 @@
     Cut::Both(&[1, 3]),
 ];
 
-/// Guards against a cut-off replica that hands out an old configuration, or refuses or confirms orders.
+/// Guards against a cut-off replica that returns an old configuration, or rejects or acknowledges writes.
 #[test]
-fn for_twenty_seconds_those_cut_off_answer_nothing_and_the_others_go_on() {
+fn replicas_cut_off_for_twenty_seconds_answer_nothing_and_the_majority_continues() {
     for how in CUTS {
         let (mut unsure, mut taken) = (0, 0);
         for seed in 0..4 {
-            let (came, broken) = twenty_seconds(seed, how, None);
-            assert_eq!(broken, None, "{how:?}, seed {seed}");
+            let (came, violation) = twenty_seconds(seed, how, None);
+            assert_eq!(violation, None, "{how:?}, seed {seed}");
             // A lone replica that hears all may know what is safe by the others' beats; it confirms nothing by itself.
             assert!(came.well == 0 || matches!(how, Cut::Out(_)), "{how:?}, seed {seed}: {came:?}");
             unsure += came.unsure;
@@ -157,54 +160,54 @@
 }
 
 #[test]
-fn a_minority_that_serves_reads_is_noticed() {
-    let broken = (0..4)
+fn notices_reads_without_a_majority() {
+    let violation = (0..4)
         .filter_map(|seed| twenty_seconds(seed, Cut::Both(&[0]), Some(Mutation::ReadWithoutMajority)).1)
         .next();
-    assert!(broken.is_some_and(|broken| broken.starts_with("read")));
+    assert!(violation.is_some_and(|violation| violation.starts_with("read")));
 }
 
-/// A replica loses its disk and is voted in again; another goes down at the nth letter of that, and comes back three
-/// seconds later. Returns how many letters there were.
+/// A replica loses its disk and is voted in again; another one goes down at the nth message of that, and comes back
+/// three seconds later. Returns how many messages there were.
 fn second_loss(step: usize, second: usize, wipe: bool) -> usize {
     let mut world = World::new(step as u64, 4, 3, 3, None);
     go_on(&mut world, 600, |_| {});
-    let (sheet, other) = (world.sheet(), world.sheet());
-    let order = world.want(0, CoreRequest::ReplaceConfiguration(sheet));
-    let claim = world.want(2, CoreRequest::AcquireLease { key: 7, token: 21, time_left_ms: 1_000 });
+    let (value, other) = (world.next_configuration(), world.next_configuration());
+    let order = world.request(0, CoreRequest::ReplaceConfiguration(value));
+    let lease = world.request(2, CoreRequest::AcquireLease { key: 7, token: 21, time_left_ms: 1_000 });
     go_on(&mut world, 300, |_| {});
     assert_eq!(
-        (&world.answers[&order], &world.answers[&claim]),
+        (&world.responses[&order], &world.responses[&lease]),
         (&CoreResponse::Accepted, &CoreResponse::LeaseGranted)
     );
     // The last order reaches two of three only.
     cut(&mut world, Cut::Both(if second == 0 { &[0] } else { &[2] }));
-    let late = world.want(1, CoreRequest::ReplaceConfiguration(other));
+    let late = world.request(1, CoreRequest::ReplaceConfiguration(other));
     go_on(&mut world, 300, |_| {});
-    assert_eq!(world.answers[&late], CoreResponse::Accepted);
-    world.cut.clear();
+    assert_eq!(world.responses[&late], CoreResponse::Accepted);
+    world.cut_links.clear();
     world.wipe(1);
     world.start(1, false);
-    let (mut letters, mut down) = (0, None);
+    let (mut messages, mut down) = (0, None);
     let mut end = world.now + 4_000 * MS;
-    while world.now < end && world.broken.is_none() {
+    while world.now < end && world.violation.is_none() {
         world.now += 50 * MS;
         for node in 0..4 {
             if down.is_some_and(|(node_down, until)| node_down == node && world.now >= until) {
                 world.start(node, false);
                 down = Some((node, u64::MAX));
             }
-            if world.up(node) {
+            if world.is_up(node) {
                 world.tick(node);
             }
         }
         for _ in 0..400 {
             (0..4).for_each(|node| world.sync(node, usize::MAX));
-            if world.bag.is_empty() {
+            if world.in_flight.is_empty() {
                 break;
             }
-            letters += 1;
-            if letters == step {
+            messages += 1;
+            if messages == step {
                 match wipe && world.may_wipe(second) {
                     true => world.wipe(second),
                     false => world.crash(second),
@@ -216,32 +219,32 @@
         }
     }
     let about = format!("step {step}, {second} is lost, with its disk: {wipe}");
-    assert_eq!(world.broken, None, "{about}");
+    assert_eq!(world.violation, None, "{about}");
     let (read, again) = (
-        world.want(3, CoreRequest::ReadConfiguration),
-        world.want(0, CoreRequest::AcquireLease { key: 7, token: 22, time_left_ms: 100 }),
+        world.request(3, CoreRequest::ReadConfiguration),
+        world.request(0, CoreRequest::AcquireLease { key: 7, token: 22, time_left_ms: 100 }),
     );
-    let next = world.sheet();
+    let next = world.next_configuration();
     go_on(&mut world, 300, |_| {});
-    let read = world.answers.get(&read);
+    let read = world.responses.get(&read);
     assert!(
-        matches!(read, Some(CoreResponse::Register(Some(sheet))) if sheet.version == 3),
+        matches!(read, Some(CoreResponse::Register(Some(value))) if value.version == 3),
         "{about}: {read:?}"
     );
-    assert_eq!(world.answers.get(&again), Some(&CoreResponse::LeaseHeld(LeaseOutcome::Pending)), "{about}");
-    let next = world.want(2, CoreRequest::ReplaceConfiguration(next));
+    assert_eq!(world.responses.get(&again), Some(&CoreResponse::LeaseHeld(LeaseOutcome::Pending)), "{about}");
+    let next = world.request(2, CoreRequest::ReplaceConfiguration(next));
     go_on(&mut world, 300, |_| {});
-    assert_eq!(world.answers.get(&next), Some(&CoreResponse::Accepted), "{about}");
-    assert_eq!(world.broken, None, "{about}");
-    letters
+    assert_eq!(world.responses.get(&next), Some(&CoreResponse::Accepted), "{about}");
+    assert_eq!(world.violation, None, "{about}");
+    messages
 }
 
-/// Guards against a second loss right after a repair that leaves no majority for good, or takes along what was agreed.
+/// Guards against a second loss right after a repair that costs the majority for good, or loses what was committed.
 #[test]
-fn a_second_loss_at_any_step_of_a_replacement_costs_nothing_that_was_agreed() {
+fn a_second_loss_at_any_step_of_a_replacement_loses_nothing_committed() {
     for (second, wipe) in [(0, false), (2, false), (0, true), (2, true)] {
         let all = second_loss(usize::MAX, second, wipe);
-        assert!(all > 100, "{all} letters");
+        assert!(all > 100, "{all} messages");
         // Most of them are beats of the calm after it; the first ones are walked one by one.
         let steps = (1..120.min(all)).chain((120..all).step_by(37));
         steps.for_each(|step| {
@@ -250,25 +253,26 @@
     }
 }
 
-/// The spare takes the place of a leaver that is removed with its disk as soon as it says that it may go, while a member
-/// that lost its disk a moment ago is still catching up. Returns whether all goes on without it, and why not.
+/// The spare takes the place of a leaving replica that is removed with its disk as soon as it says that it may stop,
+/// while a member that lost its disk a moment ago is still catching up. Returns whether the cluster continues without
+/// it, and why not.
 fn leaver_with_the_last_copy(delay_ms: u64, mutation: Option<Mutation>) -> Result<(), String> {
     let mut world = World::new(delay_ms, 4, 3, 3, mutation);
     go_on(&mut world, 600, |_| {});
     // 0 misses what 1 and 2 agree on.
     cut(&mut world, Cut::Both(&[0]));
     cut(&mut world, Cut::Both(&[3]));
-    let sheet = world.sheet();
-    let order = world.want(1, CoreRequest::ReplaceConfiguration(sheet));
-    let claim = world.want(2, CoreRequest::AcquireLease { key: 7, token: 21, time_left_ms: 1_000 });
+    let value = world.next_configuration();
+    let order = world.request(1, CoreRequest::ReplaceConfiguration(value));
+    let lease = world.request(2, CoreRequest::AcquireLease { key: 7, token: 21, time_left_ms: 1_000 });
     go_on(&mut world, 300, |_| {});
     assert_eq!(
-        (&world.answers[&order], &world.answers[&claim]),
+        (&world.responses[&order], &world.responses[&lease]),
         (&CoreResponse::Accepted, &CoreResponse::LeaseGranted)
     );
     world.crash(0);
     world.wipe(1);
-    world.cut.clear();
+    world.cut_links.clear();
     world.start(0, false);
     world.start(1, false);
     go_on(&mut world, delay_ms, |_| {});
@@ -280,36 +284,36 @@
     }
     world.wipe(2);
     go_on(&mut world, 6_000, |_| {});
-    let read = world.want(0, CoreRequest::ReadConfiguration);
-    let again = world.want(3, CoreRequest::AcquireLease { key: 7, token: 22, time_left_ms: 100 });
-    let next = world.sheet();
-    let next = world.want(1, CoreRequest::ReplaceConfiguration(next));
+    let read = world.request(0, CoreRequest::ReadConfiguration);
+    let again = world.request(3, CoreRequest::AcquireLease { key: 7, token: 22, time_left_ms: 100 });
+    let next = world.next_configuration();
+    let next = world.request(1, CoreRequest::ReplaceConfiguration(next));
     go_on(&mut world, 3_500, |_| {});
-    let [read, again, next] = [read, again, next].map(|call| world.answers.get(&call));
-    let well = matches!(read, Some(CoreResponse::Register(Some(sheet))) if sheet.version >= 2)
+    let [read, again, next] = [read, again, next].map(|call| world.responses.get(&call));
+    let well = matches!(read, Some(CoreResponse::Register(Some(value))) if value.version >= 2)
         && again == Some(&CoreResponse::LeaseHeld(LeaseOutcome::Pending))
         && next == Some(&CoreResponse::Accepted);
     let about = format!("left after {delay_ms} ms, waited {waited}: {read:?} {again:?} {next:?}");
-    match world.broken {
+    match world.violation {
         None if well => Ok(()),
-        broken => Err(format!("{about} {broken:?}")),
+        violation => Err(format!("{about} {violation:?}")),
     }
 }
 
-/// Guards against a leaver that goes while it alone holds what was agreed.
+/// Guards against a replica that stops while it alone stores what was committed.
 #[test]
-fn a_leaver_goes_only_when_what_it_holds_is_on_enough_others() {
+fn a_leaving_replica_stops_only_when_enough_others_store_its_state() {
     for delay_ms in (0..1_500).step_by(50) {
         assert_eq!(leaver_with_the_last_copy(delay_ms, None), Ok(()));
     }
     let noticed = (0..1_500)
         .step_by(50)
         .any(|delay_ms| leaver_with_the_last_copy(delay_ms, Some(Mutation::StopAtOnce)).is_err());
-    assert!(noticed, "a mutation that goes at once");
+    assert!(noticed, "a mutation that stops at once");
 }
 
-/// So many changes while a replica is down, the others restarted in between; then it comes back. Returns how long it
-/// took until it held the newest, in ms of simulated time.
+/// So many changes while a replica is down, the others restarted in between; then it comes back. Returns the
+/// simulated milliseconds until it stores the newest configuration.
 fn caught_up_after(changes: u64) -> u64 {
     let mut world = World::new(changes, 3, 3, 3, None);
     world.now += 600 * MS;
@@ -317,11 +321,11 @@
     deliver_all(&mut world);
     world.crash(2);
     for nth in 0..changes {
-        let sheet = world.sheet();
+        let value = world.next_configuration();
         let node = (nth % 2) as usize;
-        let call = world.want(node, CoreRequest::ReplaceConfiguration(sheet.clone()));
+        let call = world.request(node, CoreRequest::ReplaceConfiguration(value.clone()));
         deliver_all(&mut world);
-        assert_eq!(world.answers.get(&call), Some(&CoreResponse::Accepted), "change {nth}");
+        assert_eq!(world.responses.get(&call), Some(&CoreResponse::Accepted), "change {nth}");
         if nth % 97 == 96 {
             let node = 1 - node;
             world.crash(node);
@@ -330,9 +334,9 @@
         }
         if nth % 10 == 0 {
             let name = format!("m/{}", nth % 70);
-            let paper = world.paper(&name, nth + 1);
-            world.want(node, CoreRequest::ReplaceRegister(paper));
-            world.want(
+            let named = world.register(&name, nth + 1);
+            world.request(node, CoreRequest::ReplaceRegister(named));
+            world.request(
                 node,
                 CoreRequest::AcquireLease { key: u128::from(nth), token: nth + 1, time_left_ms: 100 },
             );
@@ -343,9 +347,9 @@
     go_on(&mut world, 1_500, |_| {});
     let held = |world: &World, node: usize| {
         let core = core(world, node);
-        let papers: Vec<_> =
-            core.registers().filter_map(|paper| Some((paper.name, paper.stored?.revision()))).collect();
-        (core.stored_configuration().map(|held| held.revision()), papers)
+        let registers: Vec<_> =
+            core.registers().filter_map(|named| Some((named.name, named.stored?.revision()))).collect();
+        (core.stored_configuration().map(|held| held.revision()), registers)
     };
     let newest = held(&world, 0);
     assert_eq!(held(&world, 1), newest);
@@ -356,14 +360,14 @@
         go_on(&mut world, 10, |_| {});
     }
     let took = (world.now - began) / MS;
-    assert!(core(&world, 2).is_voting() && world.broken.is_none(), "{:?}", world.broken);
-    assert!(world.nodes[2].disk.version_ballots.is_empty());
+    assert!(core(&world, 2).is_voting() && world.violation.is_none(), "{:?}", world.violation);
+    assert!(world.nodes[2].disk.acceptors.is_empty());
     took
 }
 
 /// Guards against a restarted replica that never catches up, or takes longer with each change that it missed.
 #[test]
-fn one_that_was_away_catches_up_after_hundreds_of_changes_as_after_one() {
+fn a_replica_catches_up_after_hundreds_of_changes_as_fast_as_after_one() {
     let many = std::env::var("CHANGES").ok().and_then(|changes| changes.parse().ok()).unwrap_or(1_000);
     let took = [1, 100, many].map(caught_up_after);
     println!("caught up after 1, 100, {many} changes: {took:?} ms");
