--- a/emulator/src/mesh/steward.rs
+++ b/emulator/src/mesh/steward.rs
@@ -10,7 +10,7 @@
 use ochreshed_catalog::endpoints::TablePosition;
 use ochreshed_catalog::internal_rpc::{InternalRequest, InternalResponse, WatchResponse};
 use ochreshed_catalog::watch_server::{self, CommittedState, PendingWatch, WatchServer};
-use ochreshed_consensus::core::{Config, Core};
+use ochreshed_consensus::core::{Config, Core, Mutation};
 use ochreshed_consensus::messages::*;
 
 use super::count::Cause;
@@ -104,7 +104,7 @@
     pub kept: Kept,
     pub config: Config,
     pub seed: u64,
-    pub mutant: u8,
+    pub mutation: Option<Mutation>,
 }
 
 pub struct Steward {
@@ -145,7 +145,7 @@
             start.config,
             &mut acts,
         );
-        core.mutant = start.mutant;
+        core.mutation = start.mutation;
         let mut steward = Steward {
             at: start.at,
             core,
