--- a/balancer/src/mesh/command_line/tests/parser_tests.rs
+++ b/balancer/src/mesh/command_line/tests/parser_tests.rs
@@ -1,15 +1,20 @@
-use super::super::*;
+use std::ffi::OsString;
+use std::path::PathBuf;
+
 use expect_test::expect;
 
-fn parsed(line: &str) -> Option<Result<Command, LineError>> {
+use crate::mesh::command_line::commands::Subcommand;
+use crate::mesh::command_line::{Command, CommandLineError, HELP, parse};
+
+fn parse_line(line: &str) -> Option<Result<Command, CommandLineError>> {
     parse(line.split_whitespace().map(OsString::from).collect())
 }
 
-fn said(lines: &[&str]) -> String {
-    let answer = |line: &&str| match parsed(line) {
+fn outcomes_of(lines: &[&str]) -> String {
+    let answer = |line: &&str| match parse_line(line) {
         None => format!("{line} -> older\n"),
         Some(Ok(command)) => format!("{line} -> {command:?}\n"),
-        Some(Err(LineError::Help(page))) => {
+        Some(Err(CommandLineError::HelpRequested { page })) => {
             format!("{line} -> help: {}\n", page.lines().next().unwrap_or_default())
         }
         Some(Err(why)) => format!("{line} -> {why}\n"),
@@ -18,7 +23,7 @@
 }
 
 #[test]
-fn what_is_asked_for_is_handed_on() {
+fn reads_all_commands() {
     let lines = [
         "attendant",
         "attendant --settings a.toml",
@@ -47,36 +52,36 @@
         "timetable replace -h --wrong",
     ];
     expect![[r#"
-            attendant -> Attendant { settings: None }
-            attendant --settings a.toml -> Attendant { settings: Some("a.toml") }
-            steward --settings=/etc/ochreshed/local.toml -> Steward { settings: Some("/etc/ochreshed/local.toml") }
-            settings -> Settings { settings: None }
-            nodes --at 10.1.0.13:8306 --at 10.2.0.10:8306 -> Client { at: [10.1.0.13:8306, 10.2.0.10:8306], json: false, what: Nodes }
-            upstreams --json --at=10.1.0.13:8306 -> Client { at: [10.1.0.13:8306], json: true, what: Upstreams }
-            timetable read --at 10.1.0.13:8306 -> Client { at: [10.1.0.13:8306], json: false, what: TimetableRead }
-            timetable --at 10.1.0.13:8306 replace r7.json -> Client { at: [10.1.0.13:8306], json: false, what: TimetableReplace("r7.json") }
-            timetable replace - --at 10.1.0.13:8306 -> Client { at: [10.1.0.13:8306], json: false, what: TimetableReplace("-") }
-            timetable history --at 10.1.0.13:8306 -> Client { at: [10.1.0.13:8306], json: false, what: TimetableHistory }
-            --json timetable diff r7.json --at 10.1.0.13:8306 -> older
-            timetable diff r7.json --at 10.1.0.13:8306 --json -> Client { at: [10.1.0.13:8306], json: true, what: TimetableDiff("r7.json") }
-            keys --at 10.1.0.13:8306 -> Client { at: [10.1.0.13:8306], json: false, what: Keys(None) }
-            keys k-5512 --at [::1]:8306 -> Client { at: [[::1]:8306], json: false, what: Keys(Some("k-5512")) }
-            keys --at 10.1.0.13:8306 -- --json -> Client { at: [10.1.0.13:8306], json: false, what: Keys(Some("--json")) }
-            budget --at 10.1.0.13:8306 -> Client { at: [10.1.0.13:8306], json: false, what: Budget }
-            session count --at 10.1.0.13:8306 -> Client { at: [10.1.0.13:8306], json: false, what: Session(None) }
-            session show p-17 --service cobro --header X-Person --at 10.1.0.13:8306 -> Client { at: [10.1.0.13:8306], json: false, what: Session(Some(SessionCall { verb: "show", id: "p-17", service: "cobro", header: "X-Person", to: None })) }
-            session move p-17 --to 10.1.0.14:8300 --service cobro --header X-Person --at 10.1.0.13:8306 -> Client { at: [10.1.0.13:8306], json: false, what: Session(Some(SessionCall { verb: "move", id: "p-17", service: "cobro", header: "X-Person", to: Some(10.1.0.14:8300) })) }
-            drain i-7f3a91c2 --at 10.1.0.13:8306 -> Client { at: [10.1.0.13:8306], json: false, what: Drain("i-7f3a91c2") }
-            members replace m.json --at 10.1.0.13:8306 -> Client { at: [10.1.0.13:8306], json: false, what: Members(Replace("m.json")) }
-            member norte plan r7.json --key=k --at 10.1.0.13:8306 -> Client { at: [10.1.0.13:8306], json: false, what: Member { name: "norte", what: Plan("r7.json"), key: Some("k") } }
-            member norte undo --at 10.1.0.13:8306 -> Client { at: [10.1.0.13:8306], json: false, what: Member { name: "norte", what: Undo, key: None } }
-            drain --help -> help: ochreshed drain UPSTREAM --at ADDRESS [--at ADDRESS] [--json]
-            timetable replace -h --wrong -> help: ochreshed timetable read --at ADDRESS [--at ADDRESS] [--json]
-        "#]].assert_eq(&said(&lines));
+        attendant -> Attendant { settings: None }
+        attendant --settings a.toml -> Attendant { settings: Some("a.toml") }
+        steward --settings=/etc/ochreshed/local.toml -> Steward { settings: Some("/etc/ochreshed/local.toml") }
+        settings -> Settings { settings: None }
+        nodes --at 10.1.0.13:8306 --at 10.2.0.10:8306 -> Client { replicas: [10.1.0.13:8306, 10.2.0.10:8306], json: false, command: Nodes }
+        upstreams --json --at=10.1.0.13:8306 -> Client { replicas: [10.1.0.13:8306], json: true, command: Upstreams }
+        timetable read --at 10.1.0.13:8306 -> Client { replicas: [10.1.0.13:8306], json: false, command: Configuration(Read) }
+        timetable --at 10.1.0.13:8306 replace r7.json -> Client { replicas: [10.1.0.13:8306], json: false, command: Configuration(Replace("r7.json")) }
+        timetable replace - --at 10.1.0.13:8306 -> Client { replicas: [10.1.0.13:8306], json: false, command: Configuration(Replace("-")) }
+        timetable history --at 10.1.0.13:8306 -> Client { replicas: [10.1.0.13:8306], json: false, command: Configuration(History) }
+        --json timetable diff r7.json --at 10.1.0.13:8306 -> older
+        timetable diff r7.json --at 10.1.0.13:8306 --json -> Client { replicas: [10.1.0.13:8306], json: true, command: Configuration(Diff("r7.json")) }
+        keys --at 10.1.0.13:8306 -> Client { replicas: [10.1.0.13:8306], json: false, command: KeyCounts }
+        keys k-5512 --at [::1]:8306 -> Client { replicas: [[::1]:8306], json: false, command: Key("k-5512") }
+        keys --at 10.1.0.13:8306 -- --json -> Client { replicas: [10.1.0.13:8306], json: false, command: Key("--json") }
+        budget --at 10.1.0.13:8306 -> Client { replicas: [10.1.0.13:8306], json: false, command: Budget }
+        session count --at 10.1.0.13:8306 -> Client { replicas: [10.1.0.13:8306], json: false, command: SessionCounts }
+        session show p-17 --service cobro --header X-Person --at 10.1.0.13:8306 -> Client { replicas: [10.1.0.13:8306], json: false, command: Session(SessionCommand { action: Show, id: "p-17", service: "cobro", header: "X-Person" }) }
+        session move p-17 --to 10.1.0.14:8300 --service cobro --header X-Person --at 10.1.0.13:8306 -> Client { replicas: [10.1.0.13:8306], json: false, command: Session(SessionCommand { action: Move { target: 10.1.0.14:8300 }, id: "p-17", service: "cobro", header: "X-Person" }) }
+        drain i-7f3a91c2 --at 10.1.0.13:8306 -> Client { replicas: [10.1.0.13:8306], json: false, command: Drain { upstream: "i-7f3a91c2" } }
+        members replace m.json --at 10.1.0.13:8306 -> Client { replicas: [10.1.0.13:8306], json: false, command: Members(Replace("m.json")) }
+        member norte plan r7.json --key=k --at 10.1.0.13:8306 -> Client { replicas: [10.1.0.13:8306], json: false, command: Member { name: "norte", command: Plan("r7.json"), key_file: Some("k") } }
+        member norte undo --at 10.1.0.13:8306 -> Client { replicas: [10.1.0.13:8306], json: false, command: Member { name: "norte", command: Undo, key_file: None } }
+        drain --help -> help: ochreshed drain UPSTREAM --at ADDRESS [--at ADDRESS] [--json]
+        timetable replace -h --wrong -> help: ochreshed timetable read --at ADDRESS [--at ADDRESS] [--json]
+    "#]].assert_eq(&outcomes_of(&lines));
 }
 
 #[test]
-fn what_is_not_understood_is_named() {
+fn names_what_was_not_understood() {
     let lines = [
         "attendant a.toml",
         "attendant --setings a.toml",
@@ -134,14 +139,14 @@
             member norte plan --at 10.1.0.13:8306 -> member wants a FILE to plan with; see `ochreshed member --help`
             member norte setle --key a --at 10.1.0.13:8306 -> member has no setle; settle is near; see `ochreshed member --help`
             member norte undo --key a --key b --at 10.1.0.13:8306 -> --key is given more than once; see `ochreshed member --help`
-        "#]].assert_eq(&said(&lines));
+        "#]].assert_eq(&outcomes_of(&lines));
 }
 
 #[test]
-fn the_rest_is_left_to_the_older_line() {
+fn leaves_other_commands_to_the_older_command_line() {
     let lines =
         ["", "serve", "fleet --at 127.0.0.1:7000", "check", "snapshot show x", "--help", "-V", "moon"];
-    assert!(lines.iter().all(|line| parsed(line).is_none()), "{}", said(&lines));
+    assert!(lines.iter().all(|line| parse_line(line).is_none()), "{}", outcomes_of(&lines));
     expect![[r#"
             stewrad -> there is no command stewrad; steward is near; see `ochreshed help`
             atendant --settings x -> there is no command atendant; attendant is near; see `ochreshed help`
@@ -150,16 +155,16 @@
             chek -> older
             key -> there is no command key; keys is near; see `ochreshed help`
         "#]]
-    .assert_eq(&said(&["stewrad", "atendant --settings x", "node", "serv", "chek", "key"]));
+    .assert_eq(&outcomes_of(&["stewrad", "atendant --settings x", "node", "serv", "chek", "key"]));
 }
 
 #[test]
 #[cfg(unix)]
-fn any_bytes_are_taken() {
+fn accepts_arguments_that_are_not_utf8() {
     use std::os::unix::ffi::OsStringExt;
     let odd = || OsString::from_vec(vec![b'-', 0xff]);
     assert_eq!(parse(vec![odd()]), None);
-    for (name, _) in WORDS {
+    for name in Subcommand::ALL.map(Subcommand::name) {
         for before in [None, Some("--at"), Some("--settings"), Some("--"), Some("replace")] {
             let args = [Some(OsString::from(name)), before.map(OsString::from), Some(odd())];
             let args: Vec<_> = args.into_iter().flatten().collect();
@@ -172,8 +177,8 @@
 }
 
 #[test]
-fn every_command_has_its_help() {
-    for (name, page) in WORDS {
+fn every_command_has_a_help_page() {
+    for (name, page) in Subcommand::ALL.map(|command| (command.name(), command.help())) {
         assert!(page.starts_with(&format!("ochreshed {name}")), "{name}");
         assert!(HELP.contains(&format!("    ochreshed {name} ")), "{name}");
         assert!(page.lines().chain(HELP.lines()).all(|line| line.len() <= 120), "{name}");
--- a/balancer/src/mesh/hollow.rs
+++ b/balancer/src/mesh/hollow.rs
@@ -33,7 +33,7 @@
 
 /// What is asked for on the command line.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Wanted {
+pub struct HollowOptions {
     /// How many attendants.
     pub count: usize,
     /// The number of the first one, so that several processes have different ones.
@@ -41,7 +41,7 @@
     /// Control addresses of stewards.
     pub seeds: Vec<SocketAddr>,
     /// The port that the system's own processes use on all machines.
-    pub inner: u16,
+    pub internal_port: u16,
     /// How many services the upstreams are of.
     pub services: usize,
 }
@@ -49,7 +49,7 @@
 /// All hollow attendants of this process.
 struct Fleet {
     branches: Vec<Arc<Branch>>,
-    wanted: Wanted,
+    options: HollowOptions,
     changes_per_s: AtomicUsize,
     claims_per_s: AtomicUsize,
     claimed: AtomicU64,
@@ -59,20 +59,20 @@
     claim_time: AtomicU64,
 }
 
-pub fn run(wanted: Wanted) -> Result<ExitCode, SettingsError> {
-    let settings = Settings::parse(&settings_of(&wanted)).map_err(SettingsError::Invalid)?;
+pub fn run(options: HollowOptions) -> Result<ExitCode, SettingsError> {
+    let settings = Settings::parse(&settings_of(&options)).map_err(SettingsError::Invalid)?;
     start::logs();
     log::set_max_level(log::LevelFilter::Warn);
-    Ok(start::block_on(load(wanted, settings)))
+    Ok(start::block_on(load(options, settings)))
 }
 
-fn settings_of(wanted: &Wanted) -> String {
-    let seeds: Vec<String> = wanted.seeds.iter().map(|seed| format!("\"{seed}\"")).collect();
+fn settings_of(options: &HollowOptions) -> String {
+    let seeds: Vec<String> = options.seeds.iter().map(|seed| format!("\"{seed}\"")).collect();
     format!(
         "station = \"hollow\"\nrole = \"hollow\"\nip = \"127.0.0.1\"\nzone = \"a\"\nregion = \"r\"\n\
          inner_ports = [{inner}, {inner}]\nseed_stations = [{seeds}]\nline = \"s0\"\napp = \"127.0.0.1:1\"\n\
          [tolerate]\nmachines = 1\n",
-        inner = wanted.inner,
+        inner = options.internal_port,
         seeds = seeds.join(", "),
     )
 }
@@ -83,16 +83,16 @@
     SocketAddr::from((Ipv4Addr::new(127, 200 + b, c, d), 9))
 }
 
-async fn load(wanted: Wanted, settings: Settings) -> ExitCode {
+async fn load(options: HollowOptions, settings: Settings) -> ExitCode {
     let clock = Clock::new();
-    let branches = (0..wanted.count).map(|nth| {
-        let branch = Branch::new(settings.clone(), address(wanted.first + nth), clock);
+    let branches = (0..options.count).map(|nth| {
+        let branch = Branch::new(settings.clone(), address(options.first + nth), clock);
         branch.door.serving.store(true, Relaxed);
         branch
     });
     let fleet = Arc::new(Fleet {
         branches: branches.collect(),
-        wanted,
+        options,
         changes_per_s: AtomicUsize::new(0),
         claims_per_s: AtomicUsize::new(0),
         claimed: AtomicU64::new(0),
@@ -145,11 +145,11 @@
 
     /// The upstream beside an attendant begins another life.
     fn new_life(&self, nth: usize, life: u64) {
-        let number = self.wanted.first + nth;
+        let number = self.options.first + nth;
         let beat = format!(
             r#"{{"address":"127.0.0.1:1","notice":{{"line":"s{}","edition":"v1","zone":"a","pigeonholes":{SLOTS}}},
             "status":{{"state":"open_for_post","postmark_seq":1,"cold_left_ms":0}}}}"#,
-            number % self.wanted.services
+            number % self.options.services
         );
         if let Err(why) = self.branches[nth].door.beat(&format!("h-{number}-{life}"), beat.as_bytes()) {
             eprintln!("a beat was refused: {why}");
--- a/balancer/src/mesh/mod.rs
+++ b/balancer/src/mesh/mod.rs
@@ -38,21 +38,21 @@
 
 use std::process::ExitCode;
 
-use command_line::{Command, LineError};
+use command_line::{Command, CommandLineError};
 pub use command_line::{HELP, parse};
 
 /// Carries out a command of the mesh's; an error is a plain line for whoever started the program.
-pub fn run(command: Result<Command, LineError>) -> Result<ExitCode, String> {
+pub fn run(command: Result<Command, CommandLineError>) -> Result<ExitCode, String> {
     match command {
         Ok(Command::Attendant { settings }) => attendant::run(settings).map_err(|why| why.to_string()),
         Ok(Command::Steward { settings }) => steward::run(settings).map_err(|why| why.to_string()),
         Ok(Command::Settings { settings }) => {
             operator_client::settings(settings).map_err(|why| why.to_string())
         }
-        Ok(Command::Hollow(wanted)) => hollow::run(wanted).map_err(|why| why.to_string()),
-        Ok(Command::Client { at, json, what }) => operator_client::ask(&at, json, what),
-        Err(LineError::Help(text)) => {
-            print!("{text}");
+        Ok(Command::Hollow(options)) => hollow::run(options).map_err(|why| why.to_string()),
+        Ok(Command::Client { replicas, json, command }) => operator_client::ask(&replicas, json, command),
+        Err(CommandLineError::HelpRequested { page }) => {
+            print!("{page}");
             Ok(ExitCode::SUCCESS)
         }
         Err(why) => Err(why.to_string()),
--- a/balancer/src/mesh/operator_client/member_documents.rs
+++ b/balancer/src/mesh/operator_client/member_documents.rs
@@ -22,7 +22,7 @@
 use ochreshed_mesh::members::{self, MemberDocument};
 use serde_json::Value;
 
-use super::super::command_line::{Own, Register};
+use super::super::command_line::{MemberCommand, RegisterCommand};
 use super::{
     Call, Paper, bytes, call, call_with, cell, cells, checked, differing, escaped, history, known, print,
     replace,
@@ -65,11 +65,11 @@
     }
 }
 
-pub fn register(at: &[SocketAddr], json: bool, what: Register) -> Result<ExitCode, String> {
+pub fn register(at: &[SocketAddr], json: bool, what: RegisterCommand) -> Result<ExitCode, String> {
     let page = match what {
-        Register::Read => text(call(at, REGISTER.read, None)?.1)?,
-        Register::Replace(file) => return replace(at, json, &file, &REGISTER),
-        Register::Diff(file) => {
+        RegisterCommand::Read => text(call(at, REGISTER.read, None)?.1)?,
+        RegisterCommand::Replace(file) => return replace(at, json, &file, &REGISTER),
+        RegisterCommand::Diff(file) => {
             let new = checked(&file, members::MemberRegister::read(&bytes(&file)?))?;
             let (at, held) = call(at, REGISTER.read, None)?;
             let old = known(at, REGISTER.name, members::MemberRegister::read(&held))?;
@@ -84,7 +84,7 @@
     at: &[SocketAddr],
     json: bool,
     name: &str,
-    what: Own,
+    what: MemberCommand,
     key: Option<&Path>,
 ) -> Result<ExitCode, String> {
     let key = key.map(Key::read).transpose()?;
@@ -103,8 +103,8 @@
         if json { Ok(answer) } else { Ok(page(&value(&answer)?)) }
     };
     let page = match what {
-        Own::Read => ask("read")?,
-        Own::Plan(file) => {
+        MemberCommand::Read => ask("read")?,
+        MemberCommand::Plan(file) => {
             let sent = bytes(&file)?;
             checked(&file, MemberDocument::read(&sent))?;
             let answer = text(asked("plan", &sent)?.1)?;
@@ -112,22 +112,22 @@
             print(&shown(answer, plan)?)?;
             return Ok(if forbidden { ExitCode::FAILURE } else { ExitCode::SUCCESS });
         }
-        Own::Replace(file) => {
+        MemberCommand::Replace(file) => {
             let sent = bytes(&file)?;
             checked(&file, MemberDocument::read(&sent))?;
             shown(change("replace", &sent)?, taken)?
         }
-        Own::Diff(file) => {
+        MemberCommand::Diff(file) => {
             let new = checked(&file, MemberDocument::read(&bytes(&file)?))?;
             let (at, held) = asked("read", &[])?;
             let old = known(at, "document", MemberDocument::read(&held))?;
             differing(json, (old.version, new.version), apart(&old, &new))
         }
-        Own::Status => shown(ask("status")?, status)?,
-        Own::History => shown(ask("history")?, history)?,
-        Own::Undo => shown(change("undo", &[])?, taken)?,
-        Own::Settle => shown(change("settle", &[])?, taken)?,
-        Own::Withdraw => shown(change("withdraw", &[])?, taken)?,
+        MemberCommand::Status => shown(ask("status")?, status)?,
+        MemberCommand::History => shown(ask("history")?, history)?,
+        MemberCommand::Undo => shown(change("undo", &[])?, taken)?,
+        MemberCommand::Settle => shown(change("settle", &[])?, taken)?,
+        MemberCommand::Withdraw => shown(change("withdraw", &[])?, taken)?,
     };
     print(&page)?;
     Ok(ExitCode::SUCCESS)
--- a/balancer/src/mesh/operator_client/mod.rs
+++ b/balancer/src/mesh/operator_client/mod.rs
@@ -14,7 +14,7 @@
 
 use member_documents::Key;
 
-use super::command_line::{SessionCall, What};
+use super::command_line::{ClientCommand, ConfigurationCommand, SessionAction, SessionCommand};
 use super::sessions;
 use super::settings::{Settings, SettingsError, SettingsIssue};
 use crate::asking::{self, AskError};
@@ -125,29 +125,41 @@
     page
 }
 
-pub fn ask(at: &[SocketAddr], json: bool, what: What) -> Result<ExitCode, String> {
-    let page = match what {
-        What::Nodes => list(at, json, "nodes.list", "attendants", nodes)?,
-        What::Upstreams => list(at, json, "upstreams.list", "upstreams", upstreams)?,
-        What::TimetableRead => text(call(at, "timetable.read", None)?.1)?,
-        What::TimetableReplace(file) => return replace(at, json, &file, &TIMETABLE),
-        What::TimetableHistory => one(at, json, "timetable.history", history)?,
-        What::TimetableDiff(file) => diff(at, json, &file)?,
-        What::Keys(None) => one(at, json, "keys.count", keys)?,
-        What::Keys(Some(key)) => one(at, json, &format!("keys.show&of={}", escaped(&key)), key_shown)?,
-        What::Session(None) => one(at, json, "sessions.count", session_counts)?,
-        What::Session(Some(SessionCall { verb, id, service, header, to })) => {
+pub fn ask(at: &[SocketAddr], json: bool, command: ClientCommand) -> Result<ExitCode, String> {
+    let page = match command {
+        ClientCommand::Nodes => list(at, json, "nodes.list", "attendants", nodes)?,
+        ClientCommand::Upstreams => list(at, json, "upstreams.list", "upstreams", upstreams)?,
+        ClientCommand::Configuration(ConfigurationCommand::Read) => {
+            text(call(at, "timetable.read", None)?.1)?
+        }
+        ClientCommand::Configuration(ConfigurationCommand::Replace(file)) => {
+            return replace(at, json, &file, &TIMETABLE);
+        }
+        ClientCommand::Configuration(ConfigurationCommand::History) => {
+            one(at, json, "timetable.history", history)?
+        }
+        ClientCommand::Configuration(ConfigurationCommand::Diff(file)) => diff(at, json, &file)?,
+        ClientCommand::KeyCounts => one(at, json, "keys.count", keys)?,
+        ClientCommand::Key(key) => one(at, json, &format!("keys.show&of={}", escaped(&key)), key_shown)?,
+        ClientCommand::SessionCounts => one(at, json, "sessions.count", session_counts)?,
+        ClientCommand::Session(SessionCommand { action, id, service, header }) => {
             // The value that names a person goes no further than this.
             let of = sessions::name(&service, &header, &id);
-            let to = to.map(|to| format!("&to={to}")).unwrap_or_default();
-            one(at, json, &format!("sessions.{verb}&of={of:032x}{to}"), session_shown)?
+            let what = match action {
+                SessionAction::Show => format!("sessions.show&of={of:032x}"),
+                SessionAction::Move { target } => format!("sessions.move&of={of:032x}&to={target}"),
+                SessionAction::Forget => format!("sessions.forget&of={of:032x}"),
+            };
+            one(at, json, &what, session_shown)?
+        }
+        ClientCommand::Budget => one(at, json, "budget.list", budget)?,
+        ClientCommand::Members(what) => return member_documents::register(at, json, what),
+        ClientCommand::Member { name, command, key_file } => {
+            return member_documents::own(at, json, &name, command, key_file.as_deref());
         }
-        What::Budget => one(at, json, "budget.list", budget)?,
-        What::Members(what) => return member_documents::register(at, json, what),
-        What::Member { name, what, key } => {
-            return member_documents::own(at, json, &name, what, key.as_deref());
+        ClientCommand::Drain { upstream } => {
+            one(at, json, &format!("upstreams.drain&of={}", escaped(&upstream)), drained)?
         }
-        What::Drain(id) => one(at, json, &format!("upstreams.drain&of={}", escaped(&id)), drained)?,
     };
     print(&page)?;
     Ok(ExitCode::SUCCESS)
--- a/balancer/src/mesh/operator_client/tests/member_documents_tests.rs
+++ b/balancer/src/mesh/operator_client/tests/member_documents_tests.rs
@@ -1,7 +1,7 @@
 use super::super::member_documents::{own, plan, status, taken};
 use super::super::value;
 use crate::asking::stand_in;
-use crate::mesh::command_line::Own;
+use crate::mesh::command_line::MemberCommand;
 use expect_test::expect;
 use serde_json::Value;
 use std::net::SocketAddr;
@@ -92,15 +92,15 @@
     let busy = stand_in(vec![answer(503, "not safe yet"); 2]);
     let well = stand_in(vec![answer(200, r#"{"member":"norte","edition":"r9","state":"settled"}"#)]);
     let dead = SocketAddr::from(([127, 0, 0, 1], 1));
-    let done = |at: &[SocketAddr], what: Own| match own(at, true, "norte", what, None) {
+    let done = |at: &[SocketAddr], what: MemberCommand| match own(at, true, "norte", what, None) {
         Ok(_) => "done".to_owned(),
         Err(why) => why.replace(&busy.to_string(), "BUSY").replace(&dead.to_string(), "DEAD"),
     };
     let doc = File::new("doc", br#"{"edition":"r9","routes":[]}"#);
     let all = [
-        done(&[dead, busy, well], Own::Undo),
-        done(&[busy, dead], Own::Replace(doc.0.clone())),
-        done(&[dead, well], Own::Undo),
+        done(&[dead, busy, well], MemberCommand::Undo),
+        done(&[busy, dead], MemberCommand::Replace(doc.0.clone())),
+        done(&[dead, well], MemberCommand::Undo),
     ];
     expect![[r#"
             DEAD: Connection refused (os error 111)
@@ -121,7 +121,7 @@
     let (at, seen) = crate::asking::stand_in_that_tells(vec![answer(200, "{}")]);
     let told = |text: &[u8]| {
         std::fs::write(&file.0, text).expect("written");
-        let done = own(&[at], true, "no rte", Own::Status, Some(&file.0));
+        let done = own(&[at], true, "no rte", MemberCommand::Status, Some(&file.0));
         done.map(|_| "done".to_owned())
             .unwrap_or_else(|why| why.replace(&file.0.display().to_string(), "FILE"))
     };
