--- a/balancer/src/mesh/attendant.rs
+++ b/balancer/src/mesh/attendant.rs
@@ -34,18 +34,20 @@
 
 use super::carry::{Flow, Line};
 use super::desk::{self, Desk, Plan, Seat, Told};
-use super::docs::Docs;
 use super::door::{Door, Site};
 use super::entry::{self, Ajar, Bounds, Came, say};
-use super::full::Full;
 use super::keys::Stewards;
 use super::seats::Seats;
 use super::sessions::Sessions;
 use super::settings::{Settings, SettingsError};
 use super::wire::Callers;
-use super::{full, gate, metrics, news, start};
+use super::{gate, news, start};
 use crate::clock::Clock;
 use crate::link::held;
+use crate::mesh::control::member_documents::Docs;
+use crate::mesh::control::metrics;
+use crate::mesh::control::recovery_time as full;
+use crate::mesh::control::recovery_time::Full;
 
 /// Descriptors kept for what is neither a caller's connection nor one of ours to a door or upstream.
 const SPARE: u64 = 300;
--- a/balancer/src/mesh/members.rs
+++ b/balancer/src/mesh/control/admin_api/members.rs
@@ -25,12 +25,13 @@
 use tokio::sync::Semaphore;
 use tokio::time::{Instant, sleep};
 
-use super::carry::Flow;
-use super::docs::{self, Docs, Own, REGISTER};
-use super::entry::{Came, json as answer, say};
-use super::steward::{OPERATOR, Office, read_body};
-use super::wire::{InternalRequest, InternalResponse};
 use crate::link::held;
+use crate::mesh::carry::Flow;
+use crate::mesh::control::member_documents as docs;
+use crate::mesh::control::member_documents::{Docs, Own, REGISTER};
+use crate::mesh::control::replica::{OPERATOR, Office, read_body};
+use crate::mesh::entry::{Came, json as answer, say};
+use crate::mesh::wire::{InternalRequest, InternalResponse};
 
 const KEY: &str = "ochreshed-member-key";
 const MINUTE: Duration = Duration::from_secs(60);
@@ -159,7 +160,7 @@
 }
 
 /// The calls that begin with `member`.
-pub async fn call(
+pub(in crate::mesh::control) async fn call(
     office: Arc<Office>,
     call: &str,
     of: Option<String>,
@@ -472,7 +473,7 @@
 }
 
 /// Keeps what is read of the papers as new as what is safe here, and ends the trials that fall to this steward.
-pub async fn duty(office: Arc<Office>) {
+pub(in crate::mesh::control) async fn duty(office: Arc<Office>) {
     let mut changes = office.watch();
     // Since when, and how often they were looked at.
     let mut began: HashMap<(Name, u64), (Instant, u32)> = HashMap::new();
--- a/balancer/src/mesh/pages.rs
+++ b/balancer/src/mesh/control/admin_api/mod.rs
@@ -2,6 +2,9 @@
 //! shape of these answers and their bounds. It works on plain values that the steward fills in, and must never change
 //! any of them, nor tell what this steward does not know itself.
 
+pub mod members;
+pub mod sessions;
+
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::path::Path;
@@ -15,9 +18,9 @@
 use ochreshed_mesh::outlier_detection::UpstreamHealth;
 use serde::Serialize;
 
-use super::keys;
-use super::report::Gathered;
-use super::settings::Bounds;
+use crate::mesh::control::budget_reports::Gathered;
+use crate::mesh::keys;
+use crate::mesh::settings::Bounds;
 
 const MS: Nanos = 1_000_000;
 /// Rows in one answer; the rest is asked for with `after`.
--- a/balancer/src/mesh/steward.rs
+++ b/balancer/src/mesh/control/replica.rs
@@ -29,22 +29,27 @@
 use tokio::sync::{Semaphore, mpsc, oneshot, watch};
 use tokio::time::{Instant, sleep, timeout};
 
-use super::attendant::seeds;
-use super::carry::Flow;
-use super::docs;
-use super::door::call_of;
-use super::entry::{self, Ajar, Bad, Bounds, Came, json, say};
-use super::full::{self, Full};
-use super::members::{self, Members};
-use super::metrics::{self, Figures};
-use super::pages::{self, Facts, Query, Seen};
-use super::report::{self, Gathered};
-use super::session_calls;
-use super::settings::{Settings, SettingsError};
-use super::start;
-use super::wire::{self, Callers, InternalRequest, InternalResponse, WatchRequest, WatchResponse};
 use crate::clock::Clock;
 use crate::link::held;
+use crate::mesh::attendant::seeds;
+use crate::mesh::carry::Flow;
+use crate::mesh::control::admin_api as pages;
+use crate::mesh::control::admin_api::members;
+use crate::mesh::control::admin_api::members::Members;
+use crate::mesh::control::admin_api::sessions as session_calls;
+use crate::mesh::control::admin_api::{Facts, Query, Seen};
+use crate::mesh::control::budget_reports as report;
+use crate::mesh::control::budget_reports::Gathered;
+use crate::mesh::control::member_documents as docs;
+use crate::mesh::control::metrics;
+use crate::mesh::control::metrics::Figures;
+use crate::mesh::control::recovery_time as full;
+use crate::mesh::control::recovery_time::Full;
+use crate::mesh::door::call_of;
+use crate::mesh::entry::{self, Ajar, Bad, Bounds, Came, json, say};
+use crate::mesh::settings::{Settings, SettingsError};
+use crate::mesh::start;
+use crate::mesh::wire::{self, Callers, InternalRequest, InternalResponse, WatchRequest, WatchResponse};
 
 const MS: Nanos = 1_000_000;
 /// Claims are kept for so much longer than the window in which a key runs once.
@@ -53,7 +58,7 @@
 const LOST: Nanos = 5_000 * MS;
 const LOOK: Duration = Duration::from_nanos(watch_server::SUSPECT_CHECK_INTERVAL);
 /// An operator's call is answered within this.
-pub(super) const OPERATOR: Duration = Duration::from_millis(2_500);
+pub(in crate::mesh::control) const OPERATOR: Duration = Duration::from_millis(2_500);
 const UNSETTLED: Duration = Duration::from_millis(800);
 /// A refused write is tried again after this.
 const WRITE_AGAIN: Duration = Duration::from_millis(50);
@@ -77,7 +82,7 @@
 
 /// What the core has come to, for readers.
 #[derive(Clone, Default)]
-pub(super) struct Stand {
+pub(in crate::mesh::control) struct Stand {
     pub safe: Option<Arc<RegisterValue>>,
     pub stewards: Vec<SocketAddr>,
     pub settled: bool,
@@ -102,14 +107,14 @@
 
 /// The papers that are safe.
 #[derive(Default)]
-pub(super) struct Safe {
+pub(in crate::mesh::control) struct Safe {
     pub all: Vec<NamedRegister>,
     pub number: u64,
     /// Of the core, when they were taken from it.
     changes: u64,
 }
 
-pub(super) struct Office {
+pub(in crate::mesh::control) struct Office {
     pub clock: Clock,
     pub at: SocketAddr,
     pub settings: ArcSwap<Settings>,
@@ -393,7 +398,7 @@
 }
 
 /// The body of an operator's call.
-pub(super) async fn read_body(
+pub(in crate::mesh::control) async fn read_body(
     came: Came,
     bodies: &Arc<Semaphore>,
     clock: Clock,
--- a/balancer/src/mesh/mod.rs
+++ b/balancer/src/mesh/mod.rs
@@ -7,14 +7,13 @@
 #[cfg(test)]
 mod carry_tests;
 mod client;
+mod control;
 mod desk;
 #[cfg(test)]
 mod desk_tests;
-mod docs;
 mod door;
 mod entry;
 mod fence;
-mod full;
 mod gate;
 #[cfg(test)]
 mod gate_tests;
@@ -23,17 +22,11 @@
 mod inbound_request;
 mod keys;
 mod line;
-mod members;
-mod metrics;
 mod news;
-mod pages;
-mod report;
 mod seats;
-mod session_calls;
 mod sessions;
 mod settings;
 mod start;
-mod steward;
 mod wire;
 
 use std::process::ExitCode;
@@ -45,7 +38,7 @@
 pub fn run(command: Result<Command, LineError>) -> Result<ExitCode, String> {
     match command {
         Ok(Command::Attendant { settings }) => attendant::run(settings).map_err(|why| why.to_string()),
-        Ok(Command::Steward { settings }) => steward::run(settings).map_err(|why| why.to_string()),
+        Ok(Command::Steward { settings }) => control::run(settings).map_err(|why| why.to_string()),
         Ok(Command::Settings { settings }) => client::settings(settings).map_err(|why| why.to_string()),
         Ok(Command::Hollow(wanted)) => hollow::run(wanted).map_err(|why| why.to_string()),
         Ok(Command::Client { at, json, what }) => client::ask(&at, json, what),
--- a/balancer/src/mesh/news.rs
+++ b/balancer/src/mesh/news.rs
@@ -12,8 +12,8 @@
 use tokio::time::sleep;
 
 use super::attendant::Branch;
-use super::report::Telling;
 use super::wire::{InternalRequest, InternalResponse, WatchRequest, WatchResponse};
+use crate::mesh::control::budget_reports::Telling;
 
 const PAUSE: Duration = Duration::from_nanos(watch_client::RETRY_INTERVAL);
 /// A configuration that has not come by then is fetched from another steward.
