--- a/balancer/src/mesh/attendant.rs
+++ b/balancer/src/mesh/attendant.rs
@@ -44,10 +44,9 @@
 use super::{gate, news, start};
 use crate::clock::Clock;
 use crate::link::held;
-use crate::mesh::control::member_documents::Docs;
+use crate::mesh::control::member_documents::{MemberDocumentStore, MemberEdition, NodeConfiguration};
 use crate::mesh::control::metrics;
-use crate::mesh::control::recovery_time as full;
-use crate::mesh::control::recovery_time::Full;
+use crate::mesh::control::recovery_time::RecoveryTime;
 
 /// Descriptors kept for what is neither a caller's connection nor one of ours to a door or upstream.
 const SPARE: u64 = 300;
@@ -80,11 +79,11 @@
     plans: BTreeMap<Seat, Plan>,
     shares: Arc<RetryShares>,
     /// The edition in force here of each member's routes, and whether it is on trial.
-    editions: BTreeMap<Name, (u64, bool)>,
+    editions: BTreeMap<Name, MemberEdition>,
 }
 
 impl InForce {
-    pub fn new(timetable: Configuration, editions: BTreeMap<Name, (u64, bool)>) -> InForce {
+    pub fn new(timetable: Configuration, editions: BTreeMap<Name, MemberEdition>) -> InForce {
         let plans = Plan::all(&timetable).into_iter().map(|plan| (plan.seat(), plan)).collect();
         let shares = Arc::new(retry_shares::of(&timetable));
         InForce { timetable, plans, shares, editions }
@@ -93,8 +92,8 @@
     /// Whose route it is, and the edition of it that is in force.
     pub fn edition(&self, route: &Route) -> Option<RouteEdition> {
         let member = route.share.as_ref()?.member.clone();
-        let (number, trial) = self.editions.get(&member).copied().unwrap_or_default();
-        Some(RouteEdition { member, version: number, canary: trial })
+        let MemberEdition { version, canary } = self.editions.get(&member).copied().unwrap_or_default();
+        Some(RouteEdition { member, version, canary })
     }
 }
 
@@ -118,7 +117,7 @@
     pub stewards: Arc<Stewards>,
     pub timetable: ArcSwapOption<InForce>,
     /// The platform's configuration and the papers on members: what is in force is laid out of them.
-    bases: Mutex<(Option<Configuration>, Docs)>,
+    bases: Mutex<(Option<Configuration>, MemberDocumentStore)>,
     /// The configuration in force as it was sent, and the rank of the one that is being fetched.
     sheet: Mutex<(Option<Arc<RegisterValue>>, Revision)>,
     rows: Mutex<EndpointView>,
@@ -145,7 +144,7 @@
     ends_by: AtomicU64,
     over: watch::Sender<bool>,
     /// From the start to full service, in ms.
-    full: Full,
+    recovery_time: RecoveryTime,
 }
 
 impl Branch {
@@ -192,7 +191,7 @@
             leaving: AtomicBool::new(false),
             ends_by: AtomicU64::new(Nanos::MAX),
             over: watch::Sender::new(false),
-            full: Full::default(),
+            recovery_time: RecoveryTime::default(),
             settings: ArcSwap::from_pointee(settings),
         });
         branch.know_stewards(Vec::new());
@@ -358,7 +357,7 @@
         });
         all.truncate(MOST_SERVICES);
         let members = held(&self.fares).counts(self.clock.now());
-        BudgetReport { services: all, recovery_ms: self.full.get().copied(), outcomes: members }
+        BudgetReport { services: all, recovery_ms: self.recovery_time.recorded_ms(), outcomes: members }
     }
 
     /// How much of its time a client had used up before this try: the most that was left on this route of late, less
@@ -419,17 +418,17 @@
     fn lay(&self) {
         let bases = held(&self.bases);
         let (Some(base), docs) = &*bases else { return };
-        let (laid, editions) = docs.laid(base, self.door_at);
-        for trim in laid.violations.iter().take(MOST_TRIMS) {
+        let NodeConfiguration { effective, editions } = docs.configuration_at(base, self.door_at);
+        for trim in effective.violations.iter().take(MOST_TRIMS) {
             log::warn!("trimmed: {trim}");
         }
         let before = self.timetable.load();
         let was = |member: &Name| before.as_ref().and_then(|before| before.editions.get(member));
         let fresh = editions.iter().filter(|(member, edition)| was(member) != Some(*edition));
-        for (member, (edition, trial)) in fresh.take(MOST_TRIMS) {
-            log::info!("member {member} r{edition} in force{}", if *trial { ", on trial" } else { "" });
+        for (member, MemberEdition { version, canary }) in fresh.take(MOST_TRIMS) {
+            log::info!("member {member} r{version} in force{}", if *canary { ", on trial" } else { "" });
         }
-        self.timetable.store(Some(Arc::new(InForce::new(laid.configuration, editions))));
+        self.timetable.store(Some(Arc::new(InForce::new(effective.configuration, editions))));
         drop(bases);
         self.seat();
     }
@@ -437,7 +436,7 @@
     /// Those of the papers told that are not here, with the ranks of what is.
     pub fn papers_wanted(&self, told: &[(Name, Revision)]) -> Vec<(Name, Revision)> {
         let bases = held(&self.bases);
-        let here = told.iter().map(|(name, rank)| (name, bases.1.rank(name), rank));
+        let here = told.iter().map(|(name, rank)| (name, bases.1.revision(name), rank));
         here.filter(|(_, here, rank)| here < rank).map(|(name, here, _)| (name.clone(), here)).collect()
     }
 
@@ -445,7 +444,7 @@
     pub fn take_papers(&self, papers: &[NamedRegister]) -> bool {
         let taken = {
             let mut bases = held(&self.bases);
-            papers.iter().filter(|paper| bases.1.take(&paper.name, &paper.value)).count()
+            papers.iter().filter(|paper| bases.1.apply(&paper.name, &paper.value)).count()
         };
         if taken > 0 {
             self.lay();
@@ -457,7 +456,7 @@
     pub fn carried(&self) -> AppliedEditions {
         let timetable = self.timetable.load();
         let editions = timetable.iter().flat_map(|timetable| &timetable.editions);
-        editions.map(|(member, (edition, trial))| (member.clone(), *edition, *trial)).collect()
+        editions.map(|(member, edition)| (member.clone(), edition.version, edition.canary)).collect()
     }
 
     pub fn take_rows(&self, which: usize, rows: Vec<EndpointRecord>, quiet: HashSet<SocketAddr>) {
@@ -523,7 +522,7 @@
         let sums = held(&self.seats).figures();
         let sum = |of: fn(&AttemptCounts) -> u32| sums.values().map(|figures| f64::from(of(figures))).sum();
         let sessions = self.door.sessions.counts();
-        metrics::Figures::of("attendant")
+        metrics::MetricsPage::for_role("attendant")
             .gauge("ready", "1 while it is ready", f64::from(u8::from(self.ready())))
             .gauge("configuration_version", "Version of the configuration in force", version as f64)
             .gauge("endpoint_records", "Records of upstreams that are known", self.records() as f64)
@@ -542,7 +541,7 @@
             .gauge("sessions", "Sessions held", sessions.held as f64)
             .counter("sessions_moved", "Sessions that came from another gate", sessions.moves)
             .counter("requests", "Requests answered", self.served.load(Relaxed))
-            .page()
+            .into_response()
     }
 
     fn ready(&self) -> bool {
@@ -709,7 +708,8 @@
 
 /// Ready, and there is an upstream to serve.
 async fn full_service(branch: Arc<Branch>) {
-    let full_ms = full::within(&branch.clock, &branch.full, || branch.ready() && branch.door.knows()).await;
+    let full_ms =
+        branch.recovery_time.record_when(&branch.clock, || branch.ready() && branch.door.knows()).await;
     let timetable = branch.timetable.load().as_ref().map_or(0, |timetable| timetable.version);
     let rows = held(&branch.rows).len();
     log::info!("full service after {full_ms} ms: timetable r{timetable}, {rows} attendants, an upstream");
--- /dev/null
+++ b/balancer/src/mesh/control/admin_api/leases.rs
@@ -0,0 +1,88 @@
+//! `keys.count` and `keys.show`: the leases on idempotency keys.
+//!
+//! Invariants: the fields and words of the JSON are part of the operators' interface.
+
+use ochreshed::Nanos;
+use ochreshed_consensus::messages::LeaseOutcome;
+use serde::Serialize;
+
+use super::response::AdminResponse;
+use super::snapshot::ReplicaSnapshot;
+use crate::mesh::control::replica_status::StoredLease;
+use crate::mesh::keys;
+
+const NANOS_PER_MS: Nanos = 1_000_000;
+/// The token of a lease for which two replicas reported different holders; see `LeaseToken`.
+const DISPUTED_TOKEN: u64 = 0;
+
+#[derive(Serialize)]
+struct LeaseCountsEntry {
+    open: usize,
+    unknown: usize,
+    done: usize,
+    oldest_open_ms: Option<u64>,
+    answer_bytes: usize,
+    most_answer_bytes: usize,
+    /// Since the replica's start.
+    answers_dropped: u64,
+    disk_writes: u64,
+    disk_records: u64,
+}
+
+#[derive(Serialize)]
+struct LeaseEntry<'q> {
+    key: &'q str,
+    hashed: String,
+    state: &'static str,
+    known_ms: Option<u64>,
+    /// Two leases met, and either may have been granted.
+    disputed: bool,
+    /// Status and length of the stored response.
+    status: Option<u16>,
+    bytes: Option<usize>,
+}
+
+/// Answers `keys.count`.
+pub fn count(snapshot: &ReplicaSnapshot) -> AdminResponse {
+    let status = &snapshot.status;
+    AdminResponse::json(&LeaseCountsEntry {
+        open: status.lease_counts.pending,
+        unknown: status.lease_counts.indeterminate,
+        done: status.lease_counts.completed,
+        oldest_open_ms: status.oldest_pending_lease_age.map(|age| age / NANOS_PER_MS),
+        answer_bytes: status.response_cache.bytes,
+        most_answer_bytes: status.response_cache.max_bytes,
+        answers_dropped: status.response_cache.dropped,
+        disk_writes: snapshot.disk_writes,
+        disk_records: snapshot.disk_records,
+    })
+}
+
+/// Answers `keys.show`.
+pub fn show(key: &str, stored: Option<&StoredLease>) -> AdminResponse {
+    let mut entry = LeaseEntry {
+        key,
+        hashed: format!("{:032x}", keys::key(key)),
+        state: "none",
+        known_ms: stored.map(|stored| stored.age / NANOS_PER_MS),
+        disputed: false,
+        status: None,
+        bytes: None,
+    };
+    match stored.map(|stored| &stored.lease) {
+        None => {}
+        Some(lease) => match &lease.outcome {
+            LeaseOutcome::Pending => {
+                entry.state = "open";
+                entry.disputed = lease.token == DISPUTED_TOKEN;
+            }
+            LeaseOutcome::Indeterminate => entry.state = "unknown",
+            LeaseOutcome::Completed(response) => {
+                entry.state = "done";
+                entry.status = Some(response.status);
+                entry.bytes = Some(response.body.len());
+            }
+        },
+    }
+    AdminResponse::json(&entry)
+}
--- a/balancer/src/mesh/control/admin_api/sessions.rs
+++ b/balancer/src/mesh/control/admin_api/sessions.rs
@@ -1,90 +1,110 @@
-//! Operators' calls on sessions at a steward: reading, moving and forgetting one, and figures. It owns their shape, in and
-//! out. It must never be told the value that names a person: the client sends its hash.
+//! `sessions.show`, `sessions.move`, `sessions.forget` and `sessions.count`: the sessions of clients.
+//!
+//! Invariants: the value that identifies a person is never sent here, only its hash, which the operators' client computes.
 
 use std::net::SocketAddr;
 
+use hyper::Uri;
 use ochreshed_consensus::core::SessionCounts;
 use ochreshed_consensus::messages::{
-    CommittedSession, CoreRequest, CoreResponse, SessionId, SessionOwner, SessionRequest,
+    CommittedSession, CoreRequest, CoreResponse, SessionBinding, SessionId, SessionOwner, SessionRequest,
 };
+use thiserror::Error;
 
-/// What is wanted of one session: `sessions.show`, `sessions.forget`, and `sessions.move`, which wants the door `to` as
-/// well; `of` is the session in hex.
-pub fn read(uri: &hyper::Uri) -> Result<CoreRequest, &'static str> {
-    let pairs = || uri.query().unwrap_or_default().split('&').filter_map(|pair| pair.split_once('='));
-    let told = |name| pairs().find(|(other, _)| *other == name).map(|(_, value)| value);
-    let of = told("of").filter(|of| of.len() <= 32).and_then(|of| SessionId::from_str_radix(of, 16).ok());
-    let session = of.ok_or("of: is no session in up to 32 hex digits")?;
-    let wish = match told("call") {
+use super::request::parameter;
+use super::response::AdminResponse;
+use crate::mesh::control::replica_server::{ADMIN_CALL_TIMEOUT, ReplicaServer};
+
+/// A session's id is at most 128 bits, in hex.
+const MAX_SESSION_DIGITS: usize = 32;
+
+/// Why a call on a session can't be parsed.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+pub enum SessionCallError {
+    #[error("of: is no session in up to 32 hex digits")]
+    InvalidSession,
+    #[error("to: is no address of a door")]
+    InvalidTarget,
+}
+
+/// Answers a call on one session.
+pub async fn handle(server: &ReplicaServer, uri: &Uri) -> AdminResponse {
+    match parse(uri) {
+        Ok(request) => response(&server.request(request, ADMIN_CALL_TIMEOUT).await),
+        Err(error) => AdminResponse::error(400, error.to_string()),
+    }
+}
+
+/// Answers `sessions.count`.
+pub async fn count(server: &ReplicaServer) -> AdminResponse {
+    match server.status(None).await {
+        Some(status) => AdminResponse::Json(counts_json(&status.sessions)),
+        None => AdminResponse::busy(),
+    }
+}
+
+/// The request that a call makes: `of` is the session in hex, and `to` for `sessions.move` the proxy that is to own it.
+fn parse(uri: &Uri) -> Result<CoreRequest, SessionCallError> {
+    let digits = parameter(uri, "of").filter(|digits| digits.len() <= MAX_SESSION_DIGITS);
+    let session = digits.and_then(|digits| SessionId::from_str_radix(digits, 16).ok());
+    let session = session.ok_or(SessionCallError::InvalidSession)?;
+    let request = match parameter(uri, "call") {
         Some("sessions.show") => SessionRequest::Read,
         Some("sessions.forget") => SessionRequest::Forget,
         _ => {
-            let gate: Option<SocketAddr> = told("to").and_then(|to| to.parse().ok());
-            SessionRequest::Acquire {
-                outbound_proxy: gate.ok_or("to: is no address of a door")?,
-                above_term: 0,
-            }
+            let target: Option<SocketAddr> = parameter(uri, "to").and_then(|target| target.parse().ok());
+            let outbound_proxy = target.ok_or(SessionCallError::InvalidTarget)?;
+            SessionRequest::Acquire { outbound_proxy, above_term: 0 }
         }
     };
-    Ok(CoreRequest::Session(session, wish))
+    Ok(CoreRequest::Session(session, request))
 }
 
-/// What came of it, as a status and a text: JSON with 200.
-pub fn told(got: &CoreResponse) -> (u16, String) {
-    let holder = |holder: Option<SessionOwner>| match holder {
-        Some(holder) => {
-            jzon::object! { "door": holder.outbound_proxy.to_string(), "since": holder.since_term }
-        }
-        None => jzon::Null,
-    };
-    match got {
-        CoreResponse::Session(Some(CommittedSession { term: epoch, ownership: holding, .. })) => {
-            let tie = match &holding.binding {
-                Some(tie) => {
-                    jzon::object! { "upstream": tie.upstream_id.as_str(), "door": tie.inbound_proxy.to_string() }
-                }
-                None => jzon::Null,
-            };
-            let page = jzon::object! {
-                "epoch": *epoch,
-                "holder": holder(holding.owner),
-                "before": holder(holding.previous_owner),
-                "tie": tie,
-            };
-            (200, jzon::stringify(page))
-        }
-        CoreResponse::Session(None) => (404, "nobody has that session".into()),
-        _ => (503, "more than half of the core is not reached: ask again".into()),
+fn response(response: &CoreResponse) -> AdminResponse {
+    match response {
+        CoreResponse::Session(Some(session)) => AdminResponse::Json(session_json(session)),
+        CoreResponse::Session(None) => AdminResponse::error(404, "nobody has that session"),
+        _ => AdminResponse::error(503, "more than half of the core is not reached: ask again"),
     }
 }
 
-/// What one steward holds, and what was changed through it since its start.
-pub fn counts(of: &SessionCounts) -> String {
+fn session_json(session: &CommittedSession) -> String {
+    let ownership = &session.ownership;
     jzon::stringify(jzon::object! {
-        "sessions": of.sessions, "moves": of.moves, "ties": of.ties, "dropped": of.dropped,
+        "epoch": session.term,
+        "holder": owner_json(ownership.owner),
+        "before": owner_json(ownership.previous_owner),
+        "tie": binding_json(ownership.binding.as_ref()),
     })
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
+fn owner_json(owner: Option<SessionOwner>) -> jzon::JsonValue {
+    match owner {
+        Some(owner) => jzon::object! { "door": owner.outbound_proxy.to_string(), "since": owner.since_term },
+        None => jzon::Null,
+    }
+}
 
-    #[test]
-    fn a_call_names_a_session_by_its_hash_and_a_move_its_door() {
-        let read = |query: &str| read(&format!("/api/rpc?call=sessions.{query}").parse().expect("a path"));
-        let door = SocketAddr::from(([127, 0, 0, 1], 8300));
-        let wish = |query: &str| match read(query) {
-            Ok(CoreRequest::Session(session, wish)) => Ok((session, wish)),
-            Ok(_) => Err("another want"),
-            Err(why) => Err(why),
-        };
-        assert_eq!(wish("show&of=ff"), Ok((255, SessionRequest::Read)));
-        assert_eq!(wish("forget&of=0a"), Ok((10, SessionRequest::Forget)));
-        let moved = SessionRequest::Acquire { outbound_proxy: door, above_term: 0 };
-        assert_eq!(wish("move&of=1&to=127.0.0.1:8300"), Ok((1, moved)));
-        for wrong in ["show", "show&of=", "show&of=person-7", "move&of=1", "move&of=1&to=here"] {
-            assert!(wish(wrong).is_err(), "{wrong}");
-        }
-        assert!(wish(&format!("show&of={}", "f".repeat(33))).is_err());
+fn binding_json(binding: Option<&SessionBinding>) -> jzon::JsonValue {
+    match binding {
+        Some(binding) => jzon::object! {
+            "upstream": binding.upstream_id.as_str(),
+            "door": binding.inbound_proxy.to_string(),
+        },
+        None => jzon::Null,
     }
 }
+
+/// What this replica holds, and what was changed through it since its start.
+fn counts_json(counts: &SessionCounts) -> String {
+    jzon::stringify(jzon::object! {
+        "sessions": counts.sessions,
+        "moves": counts.moves,
+        "ties": counts.ties,
+        "dropped": counts.dropped,
+    })
+}
+
+#[cfg(test)]
+#[path = "../tests/sessions_tests.rs"]
+mod sessions_tests;
--- /dev/null
+++ b/balancer/src/mesh/control/admin_api/snapshot.rs
@@ -0,0 +1,100 @@
+//! What the answer to a query is made of, taken from the replica at one moment.
+//!
+//! Main types: [`ReplicaSnapshot`], and [`EndpointStatus`] for each proxy that is listed.
+//!
+//! Invariants: a snapshot holds plain values, so that answers are computed without I/O; it tells only what this replica
+//! knows itself or was told by others just now.
+
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+
+use ochreshed::Nanos;
+use ochreshed_mesh::endpoints::{EndpointRecord, EndpointTable, UpstreamState};
+
+use super::configuration::StoredVersion;
+use super::request::{AdminQuery, AdminQueryKind};
+use crate::mesh::control::budget_reports::CollectedReports;
+use crate::mesh::control::replica_status::ReplicaStatus;
+use crate::mesh::settings::Bounds;
+
+/// Entries in one answer. The rest of a list is asked for with `after`.
+pub const MAX_ENTRIES: usize = 1_000;
+
+/// An endpoint's record, and when its proxy was heard.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct EndpointStatus {
+    pub record: EndpointRecord,
+    pub last_heard_ms_ago: u32,
+    pub suspected: bool,
+}
+
+/// What a query is answered from.
+#[derive(Clone, Debug)]
+pub struct ReplicaSnapshot {
+    /// The address of the replica that answers.
+    pub replica: SocketAddr,
+    pub status: ReplicaStatus,
+    /// As [`select_endpoints`] gives them.
+    pub endpoints: Vec<EndpointStatus>,
+    /// Versions of the configuration on this disk; empty unless the query needs them.
+    pub stored_versions: Vec<StoredVersion>,
+    /// Empty unless the query needs them.
+    pub reports: CollectedReports,
+    pub limits: Bounds,
+    /// Writes to disk since the start.
+    pub disk_writes: u64,
+    /// Log records in these writes.
+    pub disk_records: u64,
+}
+
+/// One page of the list of endpoints.
+pub struct EndpointPage<'s> {
+    pub endpoints: &'s [EndpointStatus],
+    /// What to pass as `after` for the next page, if there is one.
+    pub next: Option<SocketAddr>,
+}
+
+impl ReplicaSnapshot {
+    /// The first page of the selected endpoints.
+    #[must_use]
+    pub fn endpoint_page(&self) -> EndpointPage<'_> {
+        let endpoints = &self.endpoints[..self.endpoints.len().min(MAX_ENTRIES)];
+        let last = endpoints.last().filter(|_| self.endpoints.len() > MAX_ENTRIES);
+        EndpointPage { endpoints, next: last.map(|last| last.record.inbound_proxy) }
+    }
+}
+
+/// The endpoints that the query's answer needs, by the address of their inbound proxies. For a list these are one more
+/// than fit on a page, which shows whether there is a next one.
+#[must_use]
+pub fn select_endpoints(query: &AdminQuery, table: &EndpointTable, now: Nanos) -> Vec<EndpointStatus> {
+    let max_endpoints = match query.kind {
+        AdminQueryKind::Nodes | AdminQueryKind::Upstreams => MAX_ENTRIES + 1,
+        AdminQueryKind::Budgets | AdminQueryKind::DrainUpstream(_) => usize::MAX,
+        AdminQueryKind::ConfigurationHistory | AdminQueryKind::LeaseCounts | AdminQueryKind::Lease(_) => {
+            return Vec::new();
+        }
+    };
+    let is_behind = |record: &&EndpointRecord| Some(record.inbound_proxy) > query.after;
+    let mut records: Vec<&EndpointRecord> = table.records().filter(is_behind).collect();
+    records.sort_by_key(|record| record.inbound_proxy);
+    records.truncate(max_endpoints);
+    let last_heard: BTreeMap<SocketAddr, u32> = table.last_heard_ms_ago(now).into_iter().collect();
+    let suspects = table.suspects();
+    let status = |record: &EndpointRecord| EndpointStatus {
+        record: record.clone(),
+        last_heard_ms_ago: last_heard.get(&record.inbound_proxy).copied().unwrap_or(0),
+        suspected: suspects.binary_search(&record.inbound_proxy).is_ok(),
+    };
+    records.into_iter().map(status).collect()
+}
+
+/// The operators' word for the state of an upstream.
+#[must_use]
+pub fn upstream_state_name(state: UpstreamState) -> &'static str {
+    match state {
+        UpstreamState::Serving => "open",
+        UpstreamState::Draining => "closing",
+        UpstreamState::Absent => "gone",
+    }
+}
--- /dev/null
+++ b/balancer/src/mesh/control/admin_api/upstreams.rs
@@ -0,0 +1,59 @@
+//! `upstreams.list`: the upstreams that proxies have registered.
+//!
+//! Invariants: the fields of the JSON are part of the operators' interface.
+
+use std::net::SocketAddr;
+
+use ochreshed_mesh::outlier_detection::UpstreamHealth;
+use serde::Serialize;
+
+use super::response::AdminResponse;
+use super::snapshot::{EndpointStatus, ReplicaSnapshot, upstream_state_name};
+
+#[derive(Serialize)]
+struct UpstreamList<'s> {
+    upstreams: Vec<UpstreamEntry<'s>>,
+    next: Option<SocketAddr>,
+}
+
+#[derive(Serialize)]
+struct UpstreamEntry<'s> {
+    id: &'s str,
+    line: &'s str,
+    zone: &'s str,
+    edition: &'s str,
+    state: &'static str,
+    slots: u32,
+    cold_ms: u64,
+    /// Its failures and slowness as its inbound proxy sees them; left out if there are neither.
+    #[serde(rename = "ill", skip_serializing_if = "UpstreamHealth::is_healthy")]
+    health: UpstreamHealth,
+    door: SocketAddr,
+    serving: bool,
+    quiet: bool,
+}
+
+/// Answers from the snapshot's endpoints. Those without an upstream are left out, so a page may be short.
+pub fn list(snapshot: &ReplicaSnapshot) -> AdminResponse {
+    let page = snapshot.endpoint_page();
+    let with_upstream = page.endpoints.iter().filter(|endpoint| !endpoint.record.upstream_id.is_empty());
+    let upstreams = with_upstream.map(upstream_entry).collect();
+    AdminResponse::json(&UpstreamList { upstreams, next: page.next })
+}
+
+fn upstream_entry(endpoint: &EndpointStatus) -> UpstreamEntry<'_> {
+    let record = &endpoint.record;
+    UpstreamEntry {
+        id: &record.upstream_id,
+        line: &record.service,
+        zone: &record.zone,
+        edition: &record.software_version,
+        state: upstream_state_name(record.state),
+        slots: record.concurrency_limit,
+        cold_ms: record.warming_up_ms,
+        health: record.health,
+        door: record.inbound_proxy,
+        serving: record.accepts_clients,
+        quiet: endpoint.suspected,
+    }
+}
--- a/balancer/src/mesh/control/budget_reports.rs
+++ b/balancer/src/mesh/control/budget_reports.rs
@@ -1,6 +1,11 @@
-//! How gates report to stewards: what their budgets of repeats were used for, when they came to full service; and how a
-//! steward puts together what all were told. It owns when there is something to tell; the counts are of
-//! `ochreshed-mesh`. It must never make a gate ask more often than it does for its news.
+//! Reports of proxies on their retry budgets and recovery times: when a proxy sends one, and how a replica of the control
+//! plane collects what all replicas have received.
+//!
+//! Main types: [`BudgetReporter`], kept by a proxy for each replica it watches, and [`CollectedReports`], what an
+//! operator's call or the canary monitor works on. The counts themselves are of `ochreshed_mesh::retry_budget`.
+//!
+//! Invariants: a report travels only with a watch request that is sent anyway; a replica that did not answer is named as
+//! unreachable, so that partial sums are never taken for complete ones.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -14,113 +19,107 @@
 use ochreshed_mesh::watch_server;
 use tokio::time::Instant;
 
-use crate::mesh::wire::{Callers, InternalRequest, InternalResponse, WatchRequest};
+use crate::mesh::wire::{Callers, InternalRequest, InternalResponse, WatchRequest, WatchResponse};
 
-/// Other stewards are waited for so long when an operator asks.
-const GATHER: Duration = Duration::from_millis(400);
-/// A gate tells this many times in a window, if anything has changed.
-const TIMES: u32 = 4;
+const NANOS_PER_MS: Nanos = 1_000_000;
+/// How long other replicas are waited for when reports are collected.
+const COLLECT_TIMEOUT: Duration = Duration::from_millis(400);
+/// How many times a proxy may report in one window of its retry budget.
+const REPORTS_PER_WINDOW: u32 = 4;
 
-/// What one steward knows of a gate's report.
+/// Decides when a proxy's report is sent to one replica.
 #[derive(Default)]
-pub struct Telling {
-    known: Option<BudgetReport>,
-    out: Option<BudgetReport>,
-    at: Option<Instant>,
+pub struct BudgetReporter {
+    /// The last report that the replica acknowledged.
+    acknowledged: Option<BudgetReport>,
+    /// The report that went with the request that is under way.
+    in_flight: Option<BudgetReport>,
+    last_sent: Option<Instant>,
 }
 
-impl Telling {
-    /// What is to go with the next ask: what changed, not more often than it is worth.
-    pub fn news(&mut self, window: Duration, now: impl FnOnce() -> BudgetReport) -> Option<BudgetReport> {
-        // What went with an ask that was given up may not have come.
-        self.out = None;
-        if self.known.is_some() && self.at.is_some_and(|at| at.elapsed() < window / TIMES) {
+impl BudgetReporter {
+    /// The report to send with the next watch request: the present one if it differs from what the replica has, and if
+    /// the last one was sent long enough ago. `window` is the window of the retry budget.
+    #[must_use]
+    pub fn next_report(
+        &mut self,
+        window: Duration,
+        present: impl FnOnce() -> BudgetReport,
+    ) -> Option<BudgetReport> {
+        // A report whose request was cancelled may not have arrived.
+        self.in_flight = None;
+        let min_interval = window / REPORTS_PER_WINDOW;
+        let sent_lately = self.last_sent.is_some_and(|sent| sent.elapsed() < min_interval);
+        if self.acknowledged.is_some() && sent_lately {
             return None;
         }
-        let now = now();
-        self.out = (self.known.as_ref() != Some(&now)).then_some(now);
-        self.at = Some(Instant::now());
-        self.out.clone()
+        let report = present();
+        self.in_flight = (self.acknowledged.as_ref() != Some(&report)).then_some(report);
+        self.last_sent = Some(Instant::now());
+        self.in_flight.clone()
     }
 
-    /// An ask was answered by a steward that knows this gate, or not.
-    pub fn answered(&mut self, knows: bool) {
-        let out = self.out.take();
-        self.known = if knows { out.or(self.known.take()) } else { None };
+    /// Notes the end of a watch request. `proxy_known` is false if the request failed, or if the replica does not know
+    /// this proxy, as after its restart: then the next report is sent whatever went before.
+    pub fn request_finished(&mut self, proxy_known: bool) {
+        let in_flight = self.in_flight.take();
+        let acknowledged = in_flight.or(self.acknowledged.take());
+        self.acknowledged = acknowledged.filter(|_| proxy_known);
     }
 }
 
-/// What stewards were told, as far as they answered.
+/// What proxies reported to all replicas that answered.
 #[derive(Clone, Debug, Default)]
-pub struct Gathered {
+pub struct CollectedReports {
     pub reports: BudgetReports,
-    /// When stewards came to full service, in ms from their start.
-    pub full: BTreeMap<SocketAddr, u32>,
-    /// Those that gave no answer.
-    pub silent: Vec<SocketAddr>,
+    /// Milliseconds that each replica took from its start to full service.
+    pub replica_recovery_ms: BTreeMap<SocketAddr, u32>,
+    /// Replicas that did not answer, sorted.
+    pub unreachable_replicas: Vec<SocketAddr>,
 }
 
-/// Asks the other stewards what they were told, and adds it.
-pub async fn gather(callers: &Callers, others: Vec<SocketAddr>, now: Nanos, mut all: Gathered) -> Gathered {
-    let mut asks: FuturesUnordered<_> = others
-        .into_iter()
-        .map(|at| async move {
-            let whole = watch_server::replica_watch_request(TablePosition::default());
-            let ask = WatchRequest { max_wait_ms: 0, reports_only: true, ..whole };
-            (at, callers.to(at).call(InternalRequest::Watch(ask), GATHER).await)
-        })
-        .collect();
-    while let Some((at, reply)) = asks.next().await {
-        // An older program tells none.
-        let told = reply.ok().and_then(|reply| match reply {
-            InternalResponse::Watch(news) => Some((*news.reports?, news.outcomes)),
-            _ => None,
-        });
-        let Some(((reports, full_ms), members)) = told else {
-            all.silent.push(at);
-            continue;
+impl CollectedReports {
+    /// Adds one replica's answer; none if it did not answer, or runs a version that sends no reports.
+    fn add_answer(&mut self, now: Nanos, replica: SocketAddr, answer: Option<WatchResponse>) {
+        let Some(WatchResponse { reports: Some(reports), outcomes, .. }) = answer else {
+            self.unreachable_replicas.push(replica);
+            return;
         };
-        let mut members: HashMap<SocketAddr, EditionOutcomes> = members.into_iter().collect();
-        for (door, age, mut report) in reports {
-            report.outcomes = members.remove(&door).unwrap_or_default();
-            all.reports.store(now, door, report, Nanos::from(age) * 1_000_000);
+        let (reports, recovery_ms) = *reports;
+        let mut outcomes: HashMap<SocketAddr, EditionOutcomes> = outcomes.into_iter().collect();
+        for (proxy, age_ms, mut report) in reports {
+            report.outcomes = outcomes.remove(&proxy).unwrap_or_default();
+            self.reports.store(now, proxy, report, Nanos::from(age_ms) * NANOS_PER_MS);
         }
-        all.full.extend(full_ms.map(|full_ms| (at, full_ms)));
+        self.replica_recovery_ms.extend(recovery_ms.map(|recovery_ms| (replica, recovery_ms)));
     }
-    all.silent.sort();
-    all
 }
 
-#[cfg(test)]
-mod tests {
-    use ochreshed_mesh::retry_budget::AttemptCounts;
-
-    use super::*;
-
-    const WINDOW: Duration = Duration::from_secs(10);
-
-    fn spending(first: u32) -> BudgetReport {
-        let figures = AttemptCounts { first, ..AttemptCounts::default() };
-        BudgetReport { services: vec![("a".into(), figures)], ..BudgetReport::default() }
+/// Adds to `collected` what the `peers` have received, in the order in which they answer.
+pub async fn collect_from_peers(
+    callers: &Callers,
+    peers: Vec<SocketAddr>,
+    now: Nanos,
+    mut collected: CollectedReports,
+) -> CollectedReports {
+    let mut requests: FuturesUnordered<_> =
+        peers.into_iter().map(|peer| async move { (peer, request_reports(callers, peer).await) }).collect();
+    while let Some((peer, answer)) = requests.next().await {
+        collected.add_answer(now, peer, answer);
     }
+    collected.unreachable_replicas.sort();
+    collected
+}
 
-    #[tokio::test(start_paused = true)]
-    async fn a_gate_tells_what_changed_four_times_a_window_and_anew_to_one_that_forgot() {
-        let mut telling = Telling::default();
-        assert_eq!(telling.news(WINDOW, || spending(1)), Some(spending(1)));
-        telling.answered(true);
-        assert_eq!(telling.news(WINDOW, || spending(2)), None, "too soon");
-        tokio::time::advance(WINDOW / 4).await;
-        assert_eq!(telling.news(WINDOW, || spending(1)), None, "nothing new");
-        telling.answered(true);
-        tokio::time::advance(WINDOW / 4).await;
-        assert_eq!(telling.news(WINDOW, || spending(2)), Some(spending(2)));
-        assert_eq!(telling.news(WINDOW, || spending(2)), None, "given up, and too soon for another");
-        telling.answered(true);
-        tokio::time::advance(WINDOW / 4).await;
-        assert_eq!(telling.news(WINDOW, || spending(2)), Some(spending(2)));
-        // Lost on the way, or answered by one that has started anew.
-        telling.answered(false);
-        assert_eq!(telling.news(WINDOW, || spending(2)), Some(spending(2)));
+async fn request_reports(callers: &Callers, peer: SocketAddr) -> Option<WatchResponse> {
+    let watch = watch_server::replica_watch_request(TablePosition::default());
+    let request = WatchRequest { max_wait_ms: 0, reports_only: true, ..watch };
+    match callers.to(peer).call(InternalRequest::Watch(request), COLLECT_TIMEOUT).await {
+        Ok(InternalResponse::Watch(response)) => Some(*response),
+        _ => None,
     }
 }
+
+#[cfg(test)]
+#[path = "tests/budget_reports_tests.rs"]
+mod budget_reports_tests;
--- /dev/null
+++ b/balancer/src/mesh/control/disk_writer.rs
@@ -0,0 +1,139 @@
+//! The thread that writes log records to disk and acknowledges them to the event loop.
+//!
+//! Main types: [`DiskWriter`], the event loop's end; [`WriteBatch`], what goes in; [`PersistedBatches`], what comes back;
+//! and [`DiskWriteCounts`] for operators.
+//!
+//! Invariants: batches are written and acknowledged in the order in which they were submitted; a batch's messages come
+//! back only after its records, and those of all earlier batches, are synced.
+
+use std::net::SocketAddr;
+use std::sync::Arc;
+use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
+use std::sync::mpsc::{Receiver, Sender, channel};
+use std::time::Duration;
+
+use ochreshed_consensus::messages::{LogRecord, Message};
+use ochreshed_storage::Store;
+use tokio::sync::mpsc;
+
+/// How long the thread waits before it repeats a write that failed.
+const WRITE_RETRY_INTERVAL: Duration = Duration::from_millis(50);
+
+/// Log records, and the messages that may be sent once the records are safe.
+#[derive(Default)]
+pub struct WriteBatch {
+    pub records: Vec<LogRecord>,
+    pub messages: Vec<(SocketAddr, Message)>,
+}
+
+impl WriteBatch {
+    #[must_use]
+    pub fn is_empty(&self) -> bool {
+        self.records.is_empty() && self.messages.is_empty()
+    }
+
+    fn append(&mut self, next: WriteBatch) {
+        self.records.extend(next.records);
+        self.messages.extend(next.messages);
+    }
+}
+
+/// One or more batches that are safe on disk.
+pub struct PersistedBatches {
+    /// How many batches were written together.
+    pub count: usize,
+    /// The messages of all of them, in order.
+    pub messages: Vec<(SocketAddr, Message)>,
+}
+
+/// Totals since the process's start.
+#[derive(Default)]
+pub struct DiskWriteCounts {
+    writes: AtomicU64,
+    records: AtomicU64,
+}
+
+impl DiskWriteCounts {
+    /// Writes, each of them synced.
+    #[must_use]
+    pub fn writes(&self) -> u64 {
+        self.writes.load(Relaxed)
+    }
+
+    /// Log records in all writes.
+    #[must_use]
+    pub fn records(&self) -> u64 {
+        self.records.load(Relaxed)
+    }
+
+    fn add_write(&self, records: usize) {
+        self.writes.fetch_add(1, Relaxed);
+        self.records.fetch_add(records as u64, Relaxed);
+    }
+}
+
+/// The event loop's end of the writer thread. The thread ends when this is dropped.
+pub struct DiskWriter {
+    batches: Sender<WriteBatch>,
+    persisted: mpsc::UnboundedReceiver<PersistedBatches>,
+}
+
+impl DiskWriter {
+    /// Starts the thread that writes to `store`.
+    #[must_use]
+    pub fn spawn(store: Store, counts: Arc<DiskWriteCounts>) -> DiskWriter {
+        let (batches, submitted) = channel();
+        let (acknowledge, persisted) = mpsc::unbounded_channel();
+        std::thread::spawn(move || write_batches(store, &submitted, &acknowledge, &counts));
+        DiskWriter { batches, persisted }
+    }
+
+    /// Queues a batch. It never blocks.
+    pub fn submit(&self, batch: WriteBatch) {
+        // The thread lives as long as this does, so there is always a receiver.
+        let _ = self.batches.send(batch);
+    }
+
+    /// Waits for the next batches that are safe on disk. May be cancelled without losing any.
+    pub async fn next_persisted(&mut self) -> Option<PersistedBatches> {
+        self.persisted.recv().await
+    }
+}
+
+/// Writes all batches that are waiting as one, because each write costs a sync.
+fn write_batches(
+    mut store: Store,
+    submitted: &Receiver<WriteBatch>,
+    acknowledge: &mpsc::UnboundedSender<PersistedBatches>,
+    counts: &DiskWriteCounts,
+) {
+    while let Ok(mut batch) = submitted.recv() {
+        let mut count = 1;
+        while let Ok(next) = submitted.try_recv() {
+            batch.append(next);
+            count += 1;
+        }
+        if !batch.records.is_empty() {
+            write_until_persisted(&mut store, &batch.records);
+            counts.add_write(batch.records.len());
+        }
+        if acknowledge.send(PersistedBatches { count, messages: batch.messages }).is_err() {
+            return;
+        }
+    }
+}
+
+/// Repeats a write until it succeeds: nothing may be acknowledged before, and a replica can't do without its disk.
+fn write_until_persisted(store: &mut Store, records: &[LogRecord]) {
+    let mut failures = 0_u64;
+    while let Err(error) = store.write(records) {
+        if failures == 0 {
+            log::warn!("disk: write failed, repeated until it succeeds: error={error}");
+        }
+        failures += 1;
+        std::thread::sleep(WRITE_RETRY_INTERVAL);
+    }
+    if failures > 0 {
+        log::info!("disk: write succeeded: failures={failures}");
+    }
+}
--- /dev/null
+++ b/balancer/src/mesh/control/member_error.rs
@@ -0,0 +1,90 @@
+//! Why a call on the platform's members is rejected, with the status that it is answered by.
+//!
+//! Main type: [`MemberError`]. Its texts are part of the operators' interface: they never change.
+
+use std::time::Duration;
+
+use thiserror::Error;
+
+/// A rejected call of a member, or of the platform on its members.
+#[derive(Debug, Error)]
+pub enum MemberError {
+    #[error("no such call here")]
+    UnknownCall,
+    #[error("this is not the key of a member by that name")]
+    Unauthorized,
+    #[error("more than {max_per_minute} changes in a minute")]
+    RateLimited { max_per_minute: u32, retry_after: Duration },
+    #[error("the document did not come whole")]
+    IncompleteDocument,
+    /// The document can't be read or exceeds what the member may do; one line for each fault.
+    #[error("{}", .0.join("\n"))]
+    InvalidDocument(Vec<String>),
+    #[error("none was ever taken")]
+    NoDocument,
+    #[error("there is no timetable yet")]
+    NoConfiguration,
+    #[error("another document was taken under this edition")]
+    VersionTaken,
+    #[error("edition: r{highest_version} was taken already")]
+    VersionTooLow { highest_version: u64 },
+    #[error("no trial runs")]
+    NoCanary,
+    #[error("nothing was ever settled")]
+    NothingSettled,
+    #[error("this steward has no earlier document on its disk")]
+    NoEarlierDocument,
+    #[error("the earlier document can't be read")]
+    EarlierDocumentUnreadable,
+    #[error("too long, or the core holds too many documents")]
+    CapacityExceeded,
+    /// A committed document can't be read here: the process that committed it runs another version of the program.
+    #[error("what the core holds is of a build that differs")]
+    UnreadableDocument,
+    #[error("the disk can't be read now")]
+    DiskUnreadable,
+    #[error("more than half of the core is not reached")]
+    NoQuorum,
+    /// No quorum acknowledged the document in time. It may yet be committed.
+    #[error("not safe on more than half of the core yet: send it again")]
+    NotCommitted,
+}
+
+impl MemberError {
+    /// An invalid document with the faults that were found.
+    pub fn invalid(faults: impl IntoIterator<Item = impl ToString>) -> MemberError {
+        MemberError::InvalidDocument(faults.into_iter().map(|fault| fault.to_string()).collect())
+    }
+
+    /// The status of the answer, as in HTTP.
+    #[must_use]
+    pub fn status(&self) -> u16 {
+        match self {
+            MemberError::IncompleteDocument | MemberError::InvalidDocument(_) => 400,
+            MemberError::Unauthorized => 401,
+            MemberError::UnknownCall | MemberError::NoDocument => 404,
+            MemberError::NoConfiguration
+            | MemberError::VersionTaken
+            | MemberError::VersionTooLow { .. }
+            | MemberError::NoCanary
+            | MemberError::NothingSettled
+            | MemberError::NoEarlierDocument
+            | MemberError::EarlierDocumentUnreadable => 409,
+            MemberError::CapacityExceeded => 413,
+            MemberError::RateLimited { .. } => 429,
+            MemberError::UnreadableDocument
+            | MemberError::DiskUnreadable
+            | MemberError::NoQuorum
+            | MemberError::NotCommitted => 503,
+        }
+    }
+
+    /// After how many seconds the call may be repeated, if that is known.
+    #[must_use]
+    pub fn retry_after_s(&self) -> Option<u64> {
+        match self {
+            MemberError::RateLimited { retry_after, .. } => Some(retry_after.as_secs() + 1),
+            _ => None,
+        }
+    }
+}
--- a/balancer/src/mesh/control/recovery_time.rs
+++ b/balancer/src/mesh/control/recovery_time.rs
@@ -1,5 +1,9 @@
-//! The time from a process's start to its full service. It owns when that is looked for and the figure; what full service
-//! is, each role says. It must never cost a process that does not come to it more than a look a second.
+//! How long a process took from its start to full service, for its log and the operators.
+//!
+//! Main type: [`RecoveryTime`]. Each role says what full service means to it.
+//!
+//! Invariants: the time is recorded once and then never changes; a process that does not reach full service is polled
+//! no more than once a second in the long run.
 
 use std::sync::OnceLock;
 use std::time::Duration;
@@ -8,21 +12,30 @@
 
 use crate::clock::Clock;
 
-/// In ms, once it has come to that.
-pub type Full = OnceLock<u32>;
+/// The poll interval is this fraction of the process's age, so that the recorded time is exact to 5%.
+const POLL_INTERVAL_DIVISOR: u32 = 20;
+const MIN_POLL_INTERVAL: Duration = Duration::from_millis(5);
+const MAX_POLL_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The figure is as exact as this part of it, and so much.
-const PART: u32 = 20;
-const LEAST: Duration = Duration::from_millis(5);
-const MOST: Duration = Duration::from_secs(1);
+/// The time from the process's start to its full service, once it has reached that.
+#[derive(Debug, Default)]
+pub struct RecoveryTime(OnceLock<u32>);
 
-/// Waits until it is full, and gives the ms since the clock's start, which is the process's.
-pub async fn within(clock: &Clock, full: &Full, is: impl Fn() -> bool) -> u32 {
-    loop {
-        if is() {
-            let ms = clock.age().as_millis().min(u128::from(u32::MAX)) as u32;
-            return *full.get_or_init(|| ms);
+impl RecoveryTime {
+    /// The recorded time in milliseconds; `None` until the process has reached full service.
+    #[must_use]
+    pub fn recorded_ms(&self) -> Option<u32> {
+        self.0.get().copied()
+    }
+
+    /// Polls until `in_full_service` holds, records the clock's age and returns it in milliseconds. The clock is started
+    /// with the process.
+    pub async fn record_when(&self, clock: &Clock, in_full_service: impl Fn() -> bool) -> u32 {
+        while !in_full_service() {
+            let interval = clock.age() / POLL_INTERVAL_DIVISOR;
+            sleep(interval.clamp(MIN_POLL_INTERVAL, MAX_POLL_INTERVAL)).await;
         }
-        sleep((clock.age() / PART).clamp(LEAST, MOST)).await;
+        let age_ms = clock.age().as_millis().min(u128::from(u32::MAX)) as u32;
+        *self.0.get_or_init(|| age_ms)
     }
 }
--- /dev/null
+++ b/balancer/src/mesh/control/startup.rs
@@ -0,0 +1,208 @@
+//! Start and end of the control plane's process.
+//!
+//! Main function: [`run`]. It opens the disk and the sockets, starts the tasks around a [`ReplicaServer`] and waits for
+//! SIGTERM. Then the replica announces its departure and stays until enough others hold what it holds.
+//!
+//! Invariants: the core starts from what the disk holds, before any message is taken; both sockets are bound before the
+//! first effect of the core is carried out.
+
+use std::net::SocketAddr;
+use std::path::PathBuf;
+use std::process::ExitCode;
+use std::sync::Arc;
+use std::time::Duration;
+
+use ochreshed::Nanos;
+use ochreshed_consensus::core::{Config, Core};
+use ochreshed_consensus::messages::{Effect, PersistedState};
+use ochreshed_mesh::watch_server;
+use ochreshed_storage::{Store, StoreError};
+use thiserror::Error;
+use tokio::net::TcpListener;
+use tokio::signal::unix::{Signal, SignalKind, signal};
+use tokio::sync::{Semaphore, mpsc, watch};
+use tokio::time::{Instant, sleep};
+
+use super::disk_writer::DiskWriter;
+use super::replica::Replica;
+use super::replica_server::{ReplicaEvent, ReplicaServer};
+use super::{admin_api, canary_monitor, peer_watch, settings_reload, suspect_monitor};
+use crate::clock::Clock;
+use crate::mesh::attendant::seeds;
+use crate::mesh::entry::{self, Ajar, Bounds};
+use crate::mesh::settings::{Settings, SettingsError};
+use crate::mesh::{start, wire};
+
+/// Leases are kept for so much longer than the window in which a key runs once, since the clocks and timeouts of the
+/// proxies are not exact.
+const LEASE_TTL_MARGIN: Duration = Duration::from_secs(20);
+/// A member of whom nothing was heard for so long may be replaced by another replica, in nanoseconds.
+const MEMBER_TIMEOUT: Nanos = 5_000_000_000;
+/// Events that may wait for the event loop.
+const EVENT_QUEUE_CAPACITY: usize = 16_384;
+/// Connections of operators at a time.
+const MAX_ADMIN_CONNECTIONS: usize = 256;
+/// How long an operator's request may take to send its head, and how long a connection may be idle.
+const ADMIN_HEAD_TIMEOUT: Duration = Duration::from_secs(20);
+/// How long a replica that was asked to stop waits at most for others to hold what it holds.
+const MAX_HANDOVER: Duration = Duration::from_millis(5_000);
+/// The share of `grace_s` that the handover may take.
+const HANDOVER_SHARE_OF_GRACE: f64 = 5.0 / 6.0;
+const HANDOVER_CHECK_INTERVAL: Duration = Duration::from_nanos(watch_server::SUSPECT_CHECK_INTERVAL / 4);
+/// What responses under way have left once the handover is over.
+const RESPONSE_DRAIN: Duration = Duration::from_millis(100);
+
+/// Why a replica did not start.
+#[derive(Debug, Error)]
+enum StartError {
+    #[error("{address}: {source}")]
+    Bind { address: SocketAddr, source: std::io::Error },
+    #[error("data folder: {0}")]
+    Disk(#[source] StoreError),
+    #[error("no signals: {0}")]
+    Signals(#[source] std::io::Error),
+}
+
+/// Runs the role until the process is asked to stop.
+pub fn run(path: Option<PathBuf>) -> Result<ExitCode, SettingsError> {
+    let path = Settings::path(path)?;
+    let settings = Settings::read(&path)?;
+    settings.need_sorting().map_err(SettingsError::Bad)?;
+    start::logs();
+    Ok(start::block_on(serve(path, settings)))
+}
+
+async fn serve(path: PathBuf, settings: Settings) -> ExitCode {
+    match start_and_serve(path, settings).await {
+        Ok(()) => ExitCode::SUCCESS,
+        Err(error) => {
+            log::error!("{error}");
+            ExitCode::FAILURE
+        }
+    }
+}
+
+async fn start_and_serve(path: PathBuf, settings: Settings) -> Result<(), StartError> {
+    let clock = Clock::new();
+    let address = SocketAddr::new(settings.ip, settings.inner_ports.0);
+    let (Some(admin_address), Some(data_dir)) = (settings.control_gate, settings.data_dir.clone()) else {
+        // `need_sorting` has refused such settings.
+        return Ok(());
+    };
+    let (store, persisted) = Store::open(&data_dir).map_err(StartError::Disk)?;
+    log_disk(&store);
+    log_start(&settings, admin_address, &persisted);
+    let (events, incoming) = mpsc::channel(EVENT_QUEUE_CAPACITY);
+    let mut effects = Vec::new();
+    let core = start_core(clock.now(), address, &settings, persisted, &mut effects);
+    let bodies = Arc::new(Semaphore::new(settings.limits.sorting().bodies));
+    let server = Arc::new(ReplicaServer::new(clock, address, settings, events));
+    let internal_listener = bind(address).await?;
+    let admin_listener = bind(admin_address).await?;
+    let (admin_state, admin_state_receiver) = watch::channel(Ajar::Open);
+    spawn_admin_api(&server, admin_listener, admin_state_receiver, bodies);
+    spawn_tasks(&server, internal_listener, path);
+    let mut terminate = signal(SignalKind::terminate()).map_err(StartError::Signals)?;
+    let disk = DiskWriter::spawn(store, server.disk_writes.clone());
+    let replica = Replica::new(server.clone(), core, disk);
+    let event_loop = tokio::spawn(replica.run(incoming, effects));
+    hand_over_when_terminated(&server, &mut terminate, &admin_state).await;
+    event_loop.abort();
+    Ok(())
+}
+
+async fn bind(address: SocketAddr) -> Result<TcpListener, StartError> {
+    TcpListener::bind(address).await.map_err(|source| StartError::Bind { address, source })
+}
+
+fn log_disk(store: &Store) {
+    for finding in store.found() {
+        log::warn!("disk: {finding}");
+    }
+    log::info!("disk opened: bytes={}", store.bytes());
+}
+
+fn log_start(settings: &Settings, admin_address: SocketAddr, persisted: &PersistedState) {
+    log::info!(
+        "replica starts: name={} admin_address={admin_address} configuration_version={} leases={}",
+        settings.station,
+        persisted.configuration.as_ref().map_or(0, |configuration| configuration.version),
+        persisted.leases.len(),
+    );
+}
+
+fn start_core(
+    now: Nanos,
+    address: SocketAddr,
+    settings: &Settings,
+    persisted: PersistedState,
+    effects: &mut Vec<Effect>,
+) -> Core {
+    let limits = settings.limits.sorting();
+    let config = Config {
+        lease_ttl: (settings.bounds.stamp_window + LEASE_TTL_MARGIN).as_nanos() as Nanos,
+        member_timeout: MEMBER_TIMEOUT,
+        target_members: 2 * settings.tolerate.machines + 1,
+        max_leases: limits.claims,
+        max_response_bytes: limits.answers,
+        tolerated_zone_losses: settings.tolerate.zones,
+        zone: settings.zone.clone(),
+    };
+    let first_start = settings.first_start;
+    Core::new(now, rand::random(), address, first_start, &seeds(settings), persisted, config, effects)
+}
+
+fn spawn_admin_api(
+    server: &Arc<ReplicaServer>,
+    listener: TcpListener,
+    state: watch::Receiver<Ajar>,
+    bodies: Arc<Semaphore>,
+) {
+    let limits = Bounds { callers: MAX_ADMIN_CONNECTIONS, head: ADMIN_HEAD_TIMEOUT };
+    let (clock, server) = (server.clock, server.clone());
+    let handle = move |received| admin_api::handle(server.clone(), received, bodies.clone());
+    tokio::spawn(entry::keep(listener, clock, limits, state, Arc::default(), handle));
+}
+
+fn spawn_tasks(server: &Arc<ReplicaServer>, internal_listener: TcpListener, settings_path: PathBuf) {
+    let internal_server = server.clone();
+    tokio::spawn(wire::answer(internal_listener, move |request| internal_server.clone().handle(request)));
+    tokio::spawn(suspect_monitor::monitor_suspects(server.clone()));
+    tokio::spawn(peer_watch::watch_peers(server.clone()));
+    tokio::spawn(settings_reload::reload_settings(server.clone(), settings_path));
+    tokio::spawn(record_recovery_time(server.clone()));
+    tokio::spawn(canary_monitor::monitor_canaries(server.clone()));
+}
+
+/// Waits for SIGTERM and then until others hold what this replica holds, or the time for that is over.
+async fn hand_over_when_terminated(
+    server: &ReplicaServer,
+    terminate: &mut Signal,
+    admin_state: &watch::Sender<Ajar>,
+) {
+    terminate.recv().await;
+    log::info!("termination requested");
+    server.send_event(ReplicaEvent::Leave).await;
+    let began = Instant::now();
+    let grace = server.settings.load().bounds.grace;
+    let handover = MAX_HANDOVER.min(grace.mul_f64(HANDOVER_SHARE_OF_GRACE));
+    while began.elapsed() < handover && !server.published().may_stop {
+        sleep(HANDOVER_CHECK_INTERVAL).await;
+    }
+    admin_state.send_replace(Ajar::Closed);
+    sleep(RESPONSE_DRAIN).await;
+    log::info!("stopped: after_ms={}", began.elapsed().as_millis());
+}
+
+/// A replica is in full service when it votes and hears a quorum. A spare reaches that when it is voted in.
+async fn record_recovery_time(server: Arc<ReplicaServer>) {
+    let in_full_service = || {
+        let published = server.published();
+        published.voter && published.has_quorum
+    };
+    let recovery_ms = server.recovery_time.record_when(&server.clock, in_full_service).await;
+    let published = server.published();
+    let epoch = published.membership.as_ref().map_or(0, |membership| membership.epoch);
+    let version = published.configuration_revision().map_or(0, |revision| revision.version);
+    log::info!("full service after {recovery_ms} ms: epoch={epoch} configuration_version={version}");
+}
--- a/balancer/src/mesh/gate_tests.rs
+++ b/balancer/src/mesh/gate_tests.rs
@@ -25,6 +25,7 @@
 use super::wire::{self, InternalRequest, InternalResponse};
 use crate::clock::Clock;
 use crate::link::held;
+use crate::mesh::control::member_documents::MemberEdition;
 
 /// What a stand-in door does with a req that has come whole.
 #[derive(Clone)]
@@ -158,7 +159,7 @@
     let base = Configuration::read(&timetable().bytes).expect("a timetable");
     let laid = overlay(&base, &register, &members.iter().map(doc).collect());
     assert_eq!(laid.violations, []);
-    InForce::new(laid.configuration, [("norte".into(), (4, true))].into())
+    InForce::new(laid.configuration, [("norte".into(), MemberEdition { version: 4, canary: true })].into())
 }
 
 impl Rig {
--- a/balancer/src/mesh/news.rs
+++ b/balancer/src/mesh/news.rs
@@ -13,7 +13,7 @@
 
 use super::attendant::Branch;
 use super::wire::{InternalRequest, InternalResponse, WatchRequest, WatchResponse};
-use crate::mesh::control::budget_reports::Telling;
+use crate::mesh::control::budget_reports::BudgetReporter;
 
 const PAUSE: Duration = Duration::from_nanos(watch_client::RETRY_INTERVAL);
 /// A configuration that has not come by then is fetched from another steward.
@@ -23,7 +23,7 @@
 pub async fn ask(branch: Arc<Branch>, which: usize, many: usize) {
     let mut asker = Watcher::new(which, many);
     let has_sheet = || branch.timetable.load().is_some();
-    let mut reports: HashMap<SocketAddr, Telling> = HashMap::new();
+    let mut reports: HashMap<SocketAddr, BudgetReporter> = HashMap::new();
     loop {
         let stewards = branch.stewards.all();
         reports.retain(|at, _| stewards.contains(at));
@@ -33,7 +33,7 @@
         };
         let report = reports.entry(steward).or_default();
         let window = branch.settings.load().bounds.retry_window;
-        let told = (which == 0).then(|| report.news(window, || branch.report())).flatten();
+        let told = (which == 0).then(|| report.next_report(window, || branch.report())).flatten();
         let row = branch.door.row();
         let rank = row.record_version();
         let ask = WatchRequest {
@@ -57,13 +57,13 @@
                     }
                 }
                 branch.heard_core(reply.has_quorum);
-                report.answered(reply.known_incarnation.is_some());
+                report.request_finished(reply.known_incarnation.is_some());
                 let quiet = asker.handle_response(branch.clock.now(), steward, rank, has_sheet(), &reply);
                 take(&branch, (which, steward), *reply, quiet);
             }
             _ => {
                 asker.request_failed(branch.clock.now(), steward, has_sheet(), stewards.len());
-                report.answered(false);
+                report.request_finished(false);
                 branch.silent(which);
                 sleep(PAUSE).await;
             }
