--- /dev/null
+++ b/balancer/src/mesh/control/admin_api/members.rs
@@ -0,0 +1,22 @@
+//! `members.read` and `members.replace`: the platform's register of its members.
+//!
+//! Invariants: a register is validated before the core sees it.
+
+use ochreshed_catalog::members::MemberRegister;
+
+use crate::mesh::control::member_changes::{commit_document, read_document};
+use crate::mesh::control::member_documents::DocumentName;
+use crate::mesh::control::member_error::MemberError;
+use crate::mesh::control::replica_server::ReplicaServer;
+
+/// Answers `members.read` with the register as it was sent.
+pub async fn read(server: &ReplicaServer) -> Result<String, MemberError> {
+    read_document(server, DocumentName::MemberRegister).await
+}
+
+/// Answers `members.replace`.
+pub async fn replace(server: &ReplicaServer, bytes: Vec<u8>) -> Result<String, MemberError> {
+    let register = MemberRegister::read(&bytes).map_err(MemberError::invalid)?;
+    commit_document(server, DocumentName::MemberRegister, register.version, bytes).await?;
+    Ok("{}".into())
+}
--- /dev/null
+++ b/balancer/src/mesh/control/admin_api/mod.rs
@@ -0,0 +1,169 @@
+//! The operators' interface of the control plane: calls at the control listener, one submodule a group of calls.
+//!
+//! Main function: [`handle`]. A call is parsed into an [`AdminCall`]; queries are answered from a [`ReplicaSnapshot`].
+//!
+//! Invariants: names, texts and JSON of calls never change, tools of the operators read them; nothing is acknowledged
+//! before a quorum holds it; an answer tells only what this replica knows or was just told by others.
+
+use std::sync::Arc;
+use std::time::Duration;
+
+use hyper::Response;
+use ochreshed::Nanos;
+use tokio::sync::Semaphore;
+use tokio::time::{Instant, sleep, timeout};
+
+use super::budget_reports::CollectedReports;
+use super::member_error::MemberError;
+use super::metrics;
+use super::replica_server::{ADMIN_CALL_TIMEOUT, ReplicaServer};
+use crate::clock::Clock;
+use crate::mesh::carry::Flow;
+use crate::mesh::door::call_of;
+use crate::mesh::entry::{self, Came};
+
+mod budget;
+mod configuration;
+mod drain;
+mod leases;
+mod member_calls;
+mod members;
+mod nodes;
+mod replica_metrics;
+mod request;
+mod response;
+mod sessions;
+mod snapshot;
+mod upstreams;
+
+use configuration::StoredVersion;
+use drain::DrainOutcome;
+use request::{AdminCall, AdminQuery, AdminQueryKind};
+use response::AdminResponse;
+use snapshot::ReplicaSnapshot;
+
+/// The longest body of a call.
+const MAX_BODY_BYTES: u64 = 32 << 20;
+/// How long the first part of a body may take.
+const BODY_TIMEOUT: Duration = Duration::from_secs(10);
+/// How often the endpoint table is looked at while a drain is pending.
+const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(100);
+
+/// Answers a request at the control listener.
+pub async fn handle(server: Arc<ReplicaServer>, received: Came, bodies: Arc<Semaphore>) -> Response<Flow> {
+    if received.req.uri().path() == metrics::PATH {
+        return replica_metrics::respond(&server).await;
+    }
+    handle_call(&server, received, &bodies).await.into()
+}
+
+async fn handle_call(server: &ReplicaServer, received: Came, bodies: &Arc<Semaphore>) -> AdminResponse {
+    let (name, of) = call_of(received.req.uri());
+    match AdminCall::from_name(&name) {
+        AdminCall::ReadConfiguration => configuration::read(server).await,
+        AdminCall::ReplaceConfiguration => match read_body(received, bodies, server.clock).await {
+            Ok(bytes) => configuration::replace(server, bytes).await,
+            Err(response) => response,
+        },
+        AdminCall::CountSessions => sessions::count(server).await,
+        AdminCall::Session => sessions::handle(server, received.req.uri()).await,
+        AdminCall::ReadMemberRegister => member_response(members::read(server).await),
+        AdminCall::ReplaceMemberRegister => match read_body(received, bodies, server.clock).await {
+            Ok(bytes) => member_response(members::replace(server, bytes).await),
+            Err(response) => response,
+        },
+        AdminCall::Member(call) => {
+            let member = of.unwrap_or_default();
+            member_response(member_calls::handle(server, call, &member, received, bodies).await)
+        }
+        AdminCall::UnknownMemberCall => MemberError::UnknownCall.into(),
+        AdminCall::Query => match AdminQuery::parse(received.req.uri()) {
+            Ok(query) => handle_query(server, &query).await,
+            Err(error) => error.into(),
+        },
+    }
+}
+
+fn member_response(result: Result<String, MemberError>) -> AdminResponse {
+    result.map_or_else(AdminResponse::from, AdminResponse::Json)
+}
+
+/// Reads the body of a call; the error is the answer to it.
+async fn read_body(received: Came, bodies: &Arc<Semaphore>, clock: Clock) -> Result<Vec<u8>, AdminResponse> {
+    let (message, _permit) = entry::message(received, bodies, clock, MAX_BODY_BYTES, BODY_TIMEOUT).await?;
+    Ok(entry::whole(message, MAX_BODY_BYTES).await?)
+}
+
+/// Answers a query from a snapshot. A drain is answered once the upstream's record says that it drains, and until then
+/// takes one snapshot after another.
+async fn handle_query(server: &ReplicaServer, query: &AdminQuery) -> AdminResponse {
+    let deadline = Instant::now() + ADMIN_CALL_TIMEOUT;
+    loop {
+        let snapshot = match take_snapshot(server, query).await {
+            Ok(snapshot) => snapshot,
+            Err(response) => return response,
+        };
+        match answer(query, &snapshot) {
+            DrainOutcome::Answered(response) => return response,
+            DrainOutcome::Pending { .. } if Instant::now() >= deadline => return drain::not_drained_yet(),
+            DrainOutcome::Pending { inbound_proxy, upstream_id } => {
+                server.request_drain(inbound_proxy, &upstream_id);
+                sleep(DRAIN_CHECK_INTERVAL).await;
+            }
+        }
+    }
+}
+
+/// Takes what the query needs; the error is the answer if that can't be had.
+async fn take_snapshot(server: &ReplicaServer, query: &AdminQuery) -> Result<ReplicaSnapshot, AdminResponse> {
+    let status = server.status(query.lease_key()).await.ok_or_else(AdminResponse::busy)?;
+    let now = server.clock.now();
+    let endpoints = server.read_endpoints(|table| snapshot::select_endpoints(query, table, now));
+    let limits = server.settings.load().bounds;
+    let (disk_writes, disk_records) = (server.disk_writes.writes(), server.disk_writes.records());
+    Ok(ReplicaSnapshot {
+        replica: server.address,
+        status,
+        endpoints,
+        limits,
+        disk_writes,
+        disk_records,
+        reports: collect_reports(server, query, now).await,
+        stored_versions: read_stored_versions(server, query).await?,
+    })
+}
+
+async fn collect_reports(server: &ReplicaServer, query: &AdminQuery, now: Nanos) -> CollectedReports {
+    if query.needs_reports() { server.collect_reports(now).await } else { CollectedReports::default() }
+}
+
+async fn read_stored_versions(
+    server: &ReplicaServer,
+    query: &AdminQuery,
+) -> Result<Vec<StoredVersion>, AdminResponse> {
+    let data_dir = server.settings.load().data_dir.clone().filter(|_| query.needs_stored_versions());
+    let Some(data_dir) = data_dir else { return Ok(Vec::new()) };
+    let read = tokio::task::spawn_blocking(move || configuration::stored_versions(&data_dir));
+    match timeout(ADMIN_CALL_TIMEOUT, read).await {
+        Ok(Ok(Ok(versions))) => Ok(versions),
+        _ => Err(AdminResponse::error(503, "the disk can't be read now")),
+    }
+}
+
+/// Answers a query from a snapshot, without I/O.
+fn answer(query: &AdminQuery, snapshot: &ReplicaSnapshot) -> DrainOutcome {
+    let response = match &query.kind {
+        AdminQueryKind::Nodes => nodes::list(snapshot),
+        AdminQueryKind::Upstreams => upstreams::list(snapshot),
+        AdminQueryKind::ConfigurationHistory => configuration::history(snapshot),
+        AdminQueryKind::LeaseCounts => leases::count(snapshot),
+        AdminQueryKind::Lease(key) => leases::show(key, snapshot.status.lease.as_ref()),
+        AdminQueryKind::Budgets => budget::list(snapshot),
+        AdminQueryKind::DrainUpstream(upstream_id) => return drain::drain(upstream_id, &snapshot.endpoints),
+    };
+    DrainOutcome::Answered(response)
+}
+
+#[cfg(test)]
+#[path = "../tests/admin_api_tests.rs"]
+mod admin_api_tests;
--- /dev/null
+++ b/balancer/src/mesh/control/metrics.rs
@@ -0,0 +1,60 @@
+//! The metrics page of a role, in the OpenMetrics text format: `GET /metrics` at the control listener.
+//!
+//! Main type: [`MetricsPage`], which a role fills at each fetch. The names and help texts belong to the role.
+//!
+//! Invariants: nothing is computed or stored between fetches, so metrics cost nothing while nobody fetches them.
+
+use hyper::Response;
+use hyper::header::HeaderValue;
+use prometheus_client::encoding::text::encode;
+use prometheus_client::metrics::counter::ConstCounter;
+use prometheus_client::metrics::gauge::ConstGauge;
+use prometheus_client::registry::Registry;
+
+use crate::mesh::carry::Flow;
+use crate::mesh::entry::say;
+
+/// The path at which metrics are fetched.
+pub const PATH: &str = "/metrics";
+/// The media type that OpenMetrics prescribes for its text format.
+pub const CONTENT_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
+
+/// The metrics of one fetch, in the order in which they were added.
+pub struct MetricsPage(Registry);
+
+impl MetricsPage {
+    /// An empty page. Each metric's name is prefixed by the program's name and `role`.
+    #[must_use]
+    pub fn for_role(role: &str) -> MetricsPage {
+        MetricsPage(Registry::with_prefix(format!("ochreshed_{role}")))
+    }
+
+    /// Adds a value that may go up and down.
+    #[must_use]
+    pub fn gauge(mut self, name: &str, help: &str, value: f64) -> MetricsPage {
+        self.0.register(name, help, ConstGauge::new(value));
+        self
+    }
+
+    /// Adds a value that only goes up until the process restarts.
+    #[must_use]
+    pub fn counter(mut self, name: &str, help: &str, value: u64) -> MetricsPage {
+        self.0.register(name, help, ConstCounter::new(value));
+        self
+    }
+
+    /// Encodes the page as the response to the fetch.
+    pub fn into_response(self) -> Response<Flow> {
+        let mut text = String::new();
+        if encode(&mut text, &self.0).is_err() {
+            return say(500, "the figures can't be written");
+        }
+        let mut response = Response::new(Flow::of(text));
+        response.headers_mut().insert("content-type", HeaderValue::from_static(CONTENT_TYPE));
+        response
+    }
+}
+
+#[cfg(test)]
+#[path = "tests/metrics_tests.rs"]
+mod metrics_tests;
--- a/balancer/src/mesh/mod.rs
+++ b/balancer/src/mesh/mod.rs
@@ -7,14 +7,13 @@
 #[cfg(test)]
 mod carry_tests;
 mod command_line;
+mod control;
 mod desk;
 #[cfg(test)]
 mod desk_tests;
-mod docs;
 mod door;
 mod entry;
 mod fence;
-mod full;
 mod gate;
 #[cfg(test)]
 mod gate_tests;
@@ -22,18 +21,12 @@
 mod hollow;
 mod inbound_request;
 mod keys;
-mod members;
-mod metrics;
 mod news;
 mod operator_client;
-mod pages;
-mod report;
 mod seats;
-mod session_calls;
 mod sessions;
 mod settings;
 mod start;
-mod steward;
 mod wire;
 
 use std::process::ExitCode;
@@ -45,7 +38,7 @@
 pub fn run(command: Result<Command, CommandLineError>) -> Result<ExitCode, String> {
     match command {
         Ok(Command::Attendant { settings }) => attendant::run(settings).map_err(|why| why.to_string()),
-        Ok(Command::Steward { settings }) => steward::run(settings).map_err(|why| why.to_string()),
+        Ok(Command::Steward { settings }) => control::run(settings).map_err(|why| why.to_string()),
         Ok(Command::Settings { settings }) => {
             operator_client::settings(settings).map_err(|why| why.to_string())
         }
