--- a/balancer/src/mesh/client.rs
+++ b/balancer/src/mesh/client.rs
@@ -15,9 +15,9 @@
 use members::Key;
 
 use super::line::{SessionCall, What};
-use super::sessions;
 use super::settings::{Fault, Settings, SettingsError};
 use crate::asking::{self, AskError};
+use crate::mesh::proxy::session_affinity;
 
 /// A timetable is no longer than this.
 const MOST_FILE: u64 = 32 << 20;
@@ -120,7 +120,7 @@
         What::Session(None) => one(at, json, "sessions.count", session_counts)?,
         What::Session(Some(SessionCall { verb, id, service, header, to })) => {
             // The value that names a person goes no further than this.
-            let of = sessions::name(&service, &header, &id);
+            let of = session_affinity::name(&service, &header, &id);
             let to = to.map(|to| format!("&to={to}")).unwrap_or_default();
             one(at, json, &format!("sessions.{verb}&of={of:032x}{to}"), session_shown)?
         }
--- a/balancer/src/mesh/hollow.rs
+++ b/balancer/src/mesh/hollow.rs
@@ -16,10 +16,11 @@
 use tokio::sync::mpsc;
 use tokio::time::{Instant, sleep, sleep_until};
 
-use super::attendant::Branch;
+use super::proxy::{control_plane_watch, lease_client};
 use super::settings::{Settings, SettingsError};
-use super::{keys, news, start};
+use super::start;
 use crate::clock::Clock;
+use crate::mesh::proxy::node::Branch;
 
 /// How often it is looked whether all have a configuration.
 const LOOK: Duration = Duration::from_millis(5);
@@ -136,7 +137,8 @@
         for (nth, branch) in self.branches.iter().enumerate() {
             self.new_life(nth, 0);
             let many = 2;
-            (0..many).for_each(|which| drop(tokio::spawn(news::ask(branch.clone(), which, many))));
+            (0..many)
+                .for_each(|which| drop(tokio::spawn(control_plane_watch::ask(branch.clone(), which, many))));
             if nth % STARTED_AT_ONCE == STARTED_AT_ONCE - 1 {
                 sleep(START_PAUSE).await;
             }
@@ -205,12 +207,12 @@
         let token: LeaseToken = branch.draw();
         let key = u128::from(token) << 64 | u128::from(number);
         let began = Instant::now();
-        let got = keys::claim(&branch.stewards, &branch.callers, (key, token), 900, CLAIM).await;
+        let got = lease_client::claim(&branch.stewards, &branch.callers, (key, token), 900, CLAIM).await;
         self.claim_time.fetch_add(began.elapsed().as_nanos() as u64, Relaxed);
         self.claimed.fetch_add(1, Relaxed);
         if got == CoreResponse::LeaseGranted {
             let settled = Some(LeaseOutcome::Indeterminate);
-            keys::settle(branch.stewards.clone(), branch.callers.clone(), (key, token), settled);
+            lease_client::settle(branch.stewards.clone(), branch.callers.clone(), (key, token), settled);
         } else {
             self.missed.fetch_add(1, Relaxed);
         }
--- a/balancer/src/mesh/members.rs
+++ b/balancer/src/mesh/members.rs
@@ -25,12 +25,12 @@
 use tokio::sync::Semaphore;
 use tokio::time::{Instant, sleep};
 
-use super::carry::Flow;
 use super::docs::{self, Docs, Own, REGISTER};
-use super::entry::{Came, json as answer, say};
 use super::steward::{OPERATOR, Office, read_body};
-use super::wire::{InternalRequest, InternalResponse};
 use crate::link::held;
+use crate::mesh::proxy::connection_pool::Flow;
+use crate::mesh::proxy::listener::{Came, json as answer, say};
+use crate::mesh::rpc::{InternalRequest, InternalResponse};
 
 const KEY: &str = "ochreshed-member-key";
 const MINUTE: Duration = Duration::from_secs(60);
--- a/balancer/src/mesh/metrics.rs
+++ b/balancer/src/mesh/metrics.rs
@@ -8,8 +8,8 @@
 use prometheus_client::metrics::gauge::ConstGauge;
 use prometheus_client::registry::Registry;
 
-use super::carry::Flow;
-use super::entry::say;
+use crate::mesh::proxy::connection_pool::Flow;
+use crate::mesh::proxy::listener::say;
 
 /// Where they are fetched.
 pub const PATH: &str = "/metrics";
--- a/balancer/src/mesh/mod.rs
+++ b/balancer/src/mesh/mod.rs
@@ -1,40 +1,21 @@
 //! The mesh's roles on sockets: the attendant beside an upstream and its clients, and the steward of the core. It owns
 //! how they start; what they decide together is in `ochreshed-mesh` and in the module.
 
-mod attendant;
-mod berths;
-mod carry;
-#[cfg(test)]
-mod carry_tests;
 mod client;
-mod desk;
-#[cfg(test)]
-mod desk_tests;
 mod docs;
-mod door;
-mod entry;
-mod fence;
 mod full;
-mod gate;
-#[cfg(test)]
-mod gate_tests;
-mod headers;
 mod hollow;
-mod inbound_request;
-mod keys;
 mod line;
 mod members;
 mod metrics;
-mod news;
 mod pages;
+mod proxy;
 mod report;
-mod seats;
+mod rpc;
 mod session_calls;
-mod sessions;
 mod settings;
 mod start;
 mod steward;
-mod wire;
 
 use std::process::ExitCode;
 
@@ -44,7 +25,7 @@
 /// Carries out a command of the mesh's; an error is a plain line for whoever started the program.
 pub fn run(command: Result<Command, LineError>) -> Result<ExitCode, String> {
     match command {
-        Ok(Command::Attendant { settings }) => attendant::run(settings).map_err(|why| why.to_string()),
+        Ok(Command::Attendant { settings }) => proxy::run(settings).map_err(|why| why.to_string()),
         Ok(Command::Steward { settings }) => steward::run(settings).map_err(|why| why.to_string()),
         Ok(Command::Settings { settings }) => client::settings(settings).map_err(|why| why.to_string()),
         Ok(Command::Hollow(wanted)) => hollow::run(wanted).map_err(|why| why.to_string()),
--- a/balancer/src/mesh/pages.rs
+++ b/balancer/src/mesh/pages.rs
@@ -15,9 +15,9 @@
 use ochreshed_mesh::outlier_detection::UpstreamHealth;
 use serde::Serialize;
 
-use super::keys;
 use super::report::Gathered;
 use super::settings::Bounds;
+use crate::mesh::proxy::lease_client;
 
 const MS: Nanos = 1_000_000;
 /// Rows in one answer; the rest is asked for with `after`.
@@ -103,7 +103,7 @@
     /// The key whose claim the answer wants.
     pub fn key(&self) -> Option<LeaseKey> {
         match &self.call {
-            Call::Show(key) => Some(keys::key(key)),
+            Call::Show(key) => Some(lease_client::key(key)),
             _ => None,
         }
     }
@@ -593,7 +593,7 @@
 fn show<'a>(key: &'a str, claim: Option<&(Lease, Nanos)>) -> Shown<'a> {
     let mut shown = Shown {
         key,
-        hashed: format!("{:032x}", keys::key(key)),
+        hashed: format!("{:032x}", lease_client::key(key)),
         state: "none",
         known_ms: claim.map(|(_, age)| age / MS),
         disputed: false,
--- a/balancer/src/mesh/news.rs
+++ b/balancer/src/mesh/proxy/control_plane_watch.rs
@@ -11,9 +11,9 @@
 use ochreshed_mesh::watch_client::{self, Watcher};
 use tokio::time::sleep;
 
-use super::attendant::Branch;
-use super::report::Telling;
-use super::wire::{InternalRequest, InternalResponse, WatchRequest, WatchResponse};
+use crate::mesh::proxy::node::Branch;
+use crate::mesh::report::Telling;
+use crate::mesh::rpc::{InternalRequest, InternalResponse, WatchRequest, WatchResponse};
 
 const PAUSE: Duration = Duration::from_nanos(watch_client::RETRY_INTERVAL);
 /// A configuration that has not come by then is fetched from another steward.
--- a/balancer/src/mesh/door.rs
+++ b/balancer/src/mesh/proxy/inbound.rs
@@ -23,16 +23,16 @@
 use tokio::sync::{Semaphore, oneshot};
 use tokio::time::timeout_at;
 
-use super::berths::Berths;
-use super::carry::{Fail, Flow, Lane, Line};
-use super::entry::{self, Bad, Came, field, say};
-use super::fence::{Fence, Pass};
-use super::headers::*;
-use super::inbound_request::{InboundRequest, MAX_LEFT_MS, Terms};
-use super::sessions::Sessions;
 use crate::body::Message;
 use crate::clock::Clock;
 use crate::link::held;
+use crate::mesh::proxy::connection_limit::Berths;
+use crate::mesh::proxy::connection_pool::{Fail, Flow, Lane, Line};
+use crate::mesh::proxy::fencing::{Fence, Pass};
+use crate::mesh::proxy::headers::*;
+use crate::mesh::proxy::inbound_request::{InboundRequest, MAX_LEFT_MS, Terms};
+use crate::mesh::proxy::listener::{self, Bad, Came, field, say};
+use crate::mesh::proxy::session_affinity::Sessions;
 
 /// How a door says that a later holder of a session is known, and since when that holds it.
 const FENCED: &str = "fenced-";
@@ -431,21 +431,22 @@
         match (call.as_str(), of) {
             ("offices.beat", Some(of)) => {
                 let bodies = Arc::new(Semaphore::new(1 << 16));
-                let read = entry::message(came, &bodies, self.clock, MOST_BEAT, Duration::from_secs(1)).await;
+                let read =
+                    listener::message(came, &bodies, self.clock, MOST_BEAT, Duration::from_secs(1)).await;
                 let beat = match read {
                     Ok((message, _room)) => self.beat(&of, &message.first),
                     Err(Bad(status, line)) => return say(status, line),
                 };
                 match beat {
-                    Ok(()) => entry::json(200, "{}".into()),
+                    Ok(()) => listener::json(200, "{}".into()),
                     Err(why) => say(400, why),
                 }
             }
             ("offices.sign_off", Some(of)) => {
                 self.sign_off(&of);
-                entry::json(200, "{}".into())
+                listener::json(200, "{}".into())
             }
-            ("sessions.count", _) => entry::json(200, self.sessions.page(self.fence.turned())),
+            ("sessions.count", _) => listener::json(200, self.sessions.page(self.fence.turned())),
             _ => say(404, "no such call here"),
         }
     }
@@ -828,7 +829,7 @@
         let pass = Pass::read(fence);
         let Terms { aim_ms, turned, tied, again, call, large, part } = Terms::read(headers, left);
         let caller = headers.get(&CALLER).cloned().unwrap_or(HeaderValue::from_static(""));
-        let read = entry::message(came, &bodies, self.clock, u64::MAX, Duration::from_secs(10)).await;
+        let read = listener::message(came, &bodies, self.clock, u64::MAX, Duration::from_secs(10)).await;
         let (mut message, _room) = match read {
             Ok(read) => read,
             Err(Bad(status, line)) => return self.way(say(status, line), "unsent"),
@@ -880,5 +881,5 @@
 }
 
 #[cfg(test)]
-#[path = "door_tests.rs"]
+#[path = "tests/inbound_tests.rs"]
 mod tests;
--- a/balancer/src/mesh/inbound_request.rs
+++ b/balancer/src/mesh/proxy/inbound_request.rs
@@ -7,9 +7,9 @@
 use ochreshed::Nanos;
 use ochreshed_mesh::admission::MemberShare;
 
-use super::fence::Pass;
-use super::headers::TERMS;
 use crate::body::Message;
+use crate::mesh::proxy::fencing::Pass;
+use crate::mesh::proxy::headers::TERMS;
 
 const MS: Nanos = 1_000_000;
 /// The longest that a client may say it waits, in ms.
--- a/balancer/src/mesh/keys.rs
+++ b/balancer/src/mesh/proxy/lease_client.rs
@@ -12,9 +12,9 @@
 use tokio::time::{sleep, sleep_until};
 use xxhash_rust::xxh3::xxh3_128;
 
-use super::wire::{Callers, InternalRequest, InternalResponse};
 use crate::clock::Clock;
 use crate::link::held;
+use crate::mesh::rpc::{Callers, InternalRequest, InternalResponse};
 
 /// A claim goes to the next steward too when the one before has not replied within this.
 const HEDGE: Duration = Duration::from_millis(90);
--- a/balancer/src/mesh/entry.rs
+++ b/balancer/src/mesh/proxy/listener.rs
@@ -23,11 +23,11 @@
 use tokio::task::JoinSet;
 use tokio::time::{sleep, timeout};
 
-use super::carry::{Flow, Place};
 use crate::body::{Long, Message};
 use crate::clock::Clock;
 use crate::figures::Coming;
 use crate::link::{MOST_HEAD, Meter, Wire, drop_hop_fields};
+use crate::mesh::proxy::connection_pool::{Flow, Place};
 use crate::start::{MOST_BODY, PER_LONG};
 
 /// How long to wait when no descriptor is left for a new connection.
@@ -250,40 +250,5 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use bytes::Bytes;
-    use tokio::io::{AsyncReadExt, AsyncWriteExt};
-
-    use super::*;
-    use crate::body::Pieces;
-
-    /// Time is the test's own: it goes on at once when nobody has anything to do.
-    #[tokio::test(start_paused = true)]
-    async fn a_long_answer_that_is_on_its_way_at_the_end_goes_whole() {
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let at = listener.local_addr().expect("its address");
-        let (ajar, watch_ajar) = watch::channel(Ajar::Open);
-        let (pass, pieces) = Pieces::new(Bytes::from_static(b"begins, "), Some(17));
-        let once = Arc::new(std::sync::Mutex::new(Some(pieces)));
-        let answer = move |_: Came| {
-            let pieces = once.lock().expect("a lock").take().expect("one req");
-            async move { Response::new(Flow::Long { pieces, hold: None, paced: None }) }
-        };
-        let bounds = Bounds { callers: 4, head: Duration::from_secs(60) };
-        let door = tokio::spawn(keep(listener, Clock::new(), bounds, watch_ajar, Arc::default(), answer));
-        let mut client = TcpStream::connect(at).await.expect("a connection");
-        client.write_all(b"GET / HTTP/1.1\r\nhost: a\r\n\r\n").await.expect("written");
-        let mut got = Vec::new();
-        while !got.ends_with(b"begins, ") {
-            got.push(client.read_u8().await.expect("a byte"));
-        }
-        ajar.send_replace(Ajar::Closed);
-        sleep(UNFINISHED * 5).await;
-        pass.send(Some(Bytes::from_static(b"ends well"))).await.expect("somebody reads");
-        // Its length was told: nobody asks for its end.
-        let _ = pass.send(None).await;
-        client.read_to_end(&mut got).await.expect("an end");
-        assert!(got.ends_with(b"begins, ends well"), "{}", String::from_utf8_lossy(&got));
-        door.await.expect("no panic");
-    }
-}
+#[path = "tests/listener_tests.rs"]
+mod tests;
--- a/balancer/src/mesh/attendant.rs
+++ b/balancer/src/mesh/proxy/node.rs
@@ -32,20 +32,24 @@
 use tokio::sync::{Semaphore, watch};
 use tokio::time::{Instant, sleep, timeout_at};
 
-use super::carry::{Flow, Line};
-use super::desk::{self, Desk, Plan, Seat, Told};
-use super::docs::Docs;
-use super::door::{Door, Site};
-use super::entry::{self, Ajar, Bounds, Came, say};
-use super::full::Full;
-use super::keys::Stewards;
-use super::seats::Seats;
-use super::sessions::Sessions;
-use super::settings::{Settings, SettingsError};
-use super::wire::Callers;
-use super::{full, gate, metrics, news, start};
 use crate::clock::Clock;
 use crate::link::held;
+use crate::mesh::docs::Docs;
+use crate::mesh::full;
+use crate::mesh::full::Full;
+use crate::mesh::metrics;
+use crate::mesh::proxy::connection_pool::{Flow, Line};
+use crate::mesh::proxy::control_plane_watch;
+use crate::mesh::proxy::inbound::{Door, Site};
+use crate::mesh::proxy::lease_client::Stewards;
+use crate::mesh::proxy::listener::{self, Ajar, Bounds, Came, say};
+use crate::mesh::proxy::outbound;
+use crate::mesh::proxy::request_scheduler::{self, Desk, Plan, Seat, Told};
+use crate::mesh::proxy::scheduler_set::Seats;
+use crate::mesh::proxy::session_affinity::Sessions;
+use crate::mesh::rpc::Callers;
+use crate::mesh::settings::{Settings, SettingsError};
+use crate::mesh::start;
 
 /// Descriptors kept for what is neither a caller's connection nor one of ours to a door or upstream.
 const SPARE: u64 = 300;
@@ -311,7 +315,7 @@
 
     /// The desk for the reqs of a route that go to this service.
     pub fn desk(&self, line: &Name, route: &Route) -> Option<Arc<Desk>> {
-        let seat = desk::seat(line, route);
+        let seat = request_scheduler::seat(line, route);
         let desk = held(&self.seats).desk(&seat);
         if desk.is_some() || seat.2.is_none() {
             return desk;
@@ -613,24 +617,24 @@
     };
     let count = || Arc::new(AtomicUsize::new(0));
     let doors = [
-        tokio::spawn(entry::keep(at_inbound, clock, bounds(sockets / 4), watch_ajar.clone(), count(), {
+        tokio::spawn(listener::keep(at_inbound, clock, bounds(sockets / 4), watch_ajar.clone(), count(), {
             let (door, bodies) = (door.clone(), branch.bodies.clone());
             move |came: Came| door.clone().answer(came, bodies.clone())
         })),
-        tokio::spawn(entry::keep(at_outbound, clock, bounds(sockets / 3), watch_ajar.clone(), count(), {
+        tokio::spawn(listener::keep(at_outbound, clock, bounds(sockets / 3), watch_ajar.clone(), count(), {
             let branch = branch.clone();
             move |came: Came| {
                 let branch = branch.clone();
                 async move {
                     let inside = Inside::new(&branch);
-                    gate::answer(branch.clone(), came).await.map(|flow| flow.holding(inside))
+                    outbound::answer(branch.clone(), came).await.map(|flow| flow.holding(inside))
                 }
             }
         })),
     ];
     for (listener, control) in [(at_control, true), (at_ready, false)] {
         let (branch, door, watch_ajar) = (branch.clone(), door.clone(), watch_ajar.clone());
-        tokio::spawn(entry::keep(
+        tokio::spawn(listener::keep(
             listener,
             clock,
             bounds(sockets / 32),
@@ -651,7 +655,7 @@
     door.serving.store(true, Relaxed);
     let many = (branch.settings.load().tolerate.machines + 1).max(2);
     for which in 0..many {
-        tokio::spawn(news::ask(branch.clone(), which, many));
+        tokio::spawn(control_plane_watch::ask(branch.clone(), which, many));
     }
     tokio::spawn(tidy(branch.clone(), path));
     tokio::spawn(full_service(branch.clone()));
--- a/balancer/src/mesh/gate.rs
+++ b/balancer/src/mesh/proxy/outbound.rs
@@ -16,18 +16,18 @@
 use ochreshed_mesh::outcome_counts::{OutcomeCounts, RouteEdition};
 use tokio::sync::oneshot;
 
-use super::attendant::{Branch, Inside};
-use super::carry::{Fail, Flow};
-use super::desk::{self, Desk, Place, Step, Turn};
-use super::door::End;
-use super::entry::{self, Bad, Came, field, say};
-use super::fence::Pass;
-use super::headers::{ADDRESSEE, CALLER, ID, KEY, LEFT, SESSION_FENCE, TERMS, WAY};
-use super::inbound_request::{InboundRequest, MAX_LEFT_MS};
-use super::keys;
-use super::sessions::{self, Bound};
 use crate::body::Message;
 use crate::link::held;
+use crate::mesh::proxy::connection_pool::{Fail, Flow};
+use crate::mesh::proxy::fencing::Pass;
+use crate::mesh::proxy::headers::{ADDRESSEE, CALLER, ID, KEY, LEFT, SESSION_FENCE, TERMS, WAY};
+use crate::mesh::proxy::inbound::End;
+use crate::mesh::proxy::inbound_request::{InboundRequest, MAX_LEFT_MS};
+use crate::mesh::proxy::lease_client;
+use crate::mesh::proxy::listener::{self, Bad, Came, field, say};
+use crate::mesh::proxy::node::{Branch, Inside};
+use crate::mesh::proxy::request_scheduler::{self, Desk, Place, Step, Turn};
+use crate::mesh::proxy::session_affinity::{self, Bound};
 
 const MS: Nanos = 1_000_000;
 /// What an answer may need on its way back to the client.
@@ -65,12 +65,12 @@
         route.session.as_ref().and_then(|name| headers.get(&**name)).and_then(|value| value.to_str().ok());
     let person = person.filter(|person| !person.is_empty()).map(str::to_owned);
     let left = field(headers, &LEFT).parse::<u64>().unwrap_or(route.deadline_ms).min(MAX_LEFT_MS);
-    let key = Some(field(headers, &KEY)).filter(|key| !key.is_empty()).map(keys::key);
+    let key = Some(field(headers, &KEY)).filter(|key| !key.is_empty()).map(lease_client::key);
     let at = came.at;
     let call = branch.saw(&id);
     let limits = timetable.limits();
     let slow = Duration::from_millis(limits.label_ms.max(left));
-    let read = entry::message(came, &branch.bodies, branch.clock, limits.parcel_bytes, slow).await;
+    let read = listener::message(came, &branch.bodies, branch.clock, limits.parcel_bytes, slow).await;
     let (mut message, room) = match read {
         Ok(read) => read,
         Err(Bad(status, line)) => return say(status, line),
@@ -154,7 +154,7 @@
     let wait = held(&branch.claims).wait(now, left, branch.core_away());
     let left_ms = (left / MS).min(u64::from(u32::MAX)) as u32;
     let within = Duration::from_nanos(wait);
-    let got = keys::claim(&branch.stewards, &branch.callers, (key, token), left_ms, within).await;
+    let got = lease_client::claim(&branch.stewards, &branch.callers, (key, token), left_ms, within).await;
     match got {
         CoreResponse::Unavailable => {
             let ended = branch.clock.now();
@@ -162,8 +162,9 @@
         }
         _ => held(&branch.claims).answered(),
     }
-    let settle =
-        |outcome| keys::settle(branch.stewards.clone(), branch.callers.clone(), (key, token), outcome);
+    let settle = |outcome| {
+        lease_client::settle(branch.stewards.clone(), branch.callers.clone(), (key, token), outcome)
+    };
     match got {
         CoreResponse::LeaseGranted => {}
         other => {
@@ -290,8 +291,8 @@
         let mut bound = self.session(&desk, &line, !large).await;
         let pass = bound.as_ref().map(|bound| bound.pass);
         let _at_work =
-            pass.zip(self.key).map(|(pass, key)| sessions::at_work(&self.branch, pass.session, key));
-        let rule_set: Name = desk::shape(&self.route).as_str().into();
+            pass.zip(self.key).map(|(pass, key)| session_affinity::at_work(&self.branch, pass.session, key));
+        let rule_set: Name = request_scheduler::shape(&self.route).as_str().into();
         let mut req = Req::new(0, rule_set, "".into(), self.at, self.ends);
         req.again = self.again;
         req.coming = self.message.long.is_some();
@@ -319,7 +320,7 @@
                         continue;
                     };
                     if let Some(bound) = bound.as_mut().filter(|_| !large)
-                        && !sessions::begins(&self.branch, &desk, bound, &place).await
+                        && !session_affinity::begins(&self.branch, &desk, bound, &place).await
                     {
                         // It comes again, and finds where its person is.
                         turn.ended(number, How::NotSent, 0, false, None);
@@ -344,7 +345,7 @@
                         End::Ran(head, flow) if well(&head) => {
                             turn.ended(number, How::Done, took, true, inside);
                             if let Some(bound) = bound.as_ref().filter(|_| !large) {
-                                sessions::served(&self.branch, bound, &place);
+                                session_affinity::served(&self.branch, bound, &place);
                             }
                             return Outcomes::Answer(head, flow);
                         }
@@ -403,7 +404,7 @@
     /// The session of the person that it is of, where its route names one.
     async fn session(&self, desk: &Desk, line: &Name, ties: bool) -> Option<Bound> {
         let (header, person) = (self.route.session.as_ref()?, self.person.as_ref()?);
-        sessions::take(&self.branch, desk, sessions::name(line, header, person), ties).await
+        session_affinity::take(&self.branch, desk, session_affinity::name(line, header, person), ties).await
     }
 
     /// One dispatch, and how many reqs its door has inside; nothing if the module recalled it.
--- a/balancer/src/mesh/desk.rs
+++ b/balancer/src/mesh/proxy/request_scheduler.rs
@@ -14,9 +14,9 @@
 use tokio::sync::{Notify, mpsc};
 use tokio::time::sleep_until;
 
-use super::settings::Bounds;
 use crate::clock::Clock;
 use crate::link::held;
+use crate::mesh::settings::Bounds;
 
 const MS: Nanos = 1_000_000;
 /// A srv that has just started counts as cold for so long at most, and does this part of its work at first.
--- a/balancer/src/mesh/seats.rs
+++ b/balancer/src/mesh/proxy/scheduler_set.rs
@@ -9,8 +9,8 @@
 use ochreshed_mesh::retry_budget::AttemptCounts;
 use ochreshed_mesh::retry_shares::{RetryPool, RetryShares};
 
-use super::desk::{Desk, Plan, Seat};
 use crate::link::held;
+use crate::mesh::proxy::request_scheduler::{Desk, Plan, Seat};
 
 /// Members' desks beyond so many go once they have had nothing for the budget's window.
 const MOST_IDLE: usize = 256;
--- a/balancer/src/mesh/sessions.rs
+++ b/balancer/src/mesh/proxy/session_affinity.rs
@@ -17,14 +17,14 @@
 use tokio::sync::OwnedMutexGuard;
 use tokio::time::{Instant, timeout};
 
-use super::attendant::Branch;
-use super::desk::{Desk, Place};
-use super::entry::field;
-use super::fence::Pass;
-use super::headers::{SESSION_FENCE, WAY};
-use super::wire::{InternalRequest, InternalResponse};
 use crate::body::Message;
 use crate::link::held;
+use crate::mesh::proxy::fencing::Pass;
+use crate::mesh::proxy::headers::{SESSION_FENCE, WAY};
+use crate::mesh::proxy::listener::field;
+use crate::mesh::proxy::node::Branch;
+use crate::mesh::proxy::request_scheduler::{Desk, Place};
+use crate::mesh::rpc::{InternalRequest, InternalResponse};
 
 const MS: Nanos = 1_000_000;
 /// A req waits so long for the core, and one steward is waited for so long.
@@ -419,19 +419,5 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn a_session_is_named_by_all_three_and_each_by_itself() {
-        let names = [
-            name("cobro", "X-Person", "17"),
-            name("cobro", "X-Person", "18"),
-            name("cobro", "X-Other", "17"),
-            name("booking", "X-Person", "17"),
-            name("cobr", "oX-Person", "17"),
-        ];
-        assert_eq!(names.iter().collect::<BTreeSet<_>>().len(), names.len());
-        assert_eq!(names[0], name("cobro", "x-person", "17"));
-    }
-}
+#[path = "tests/session_affinity_tests.rs"]
+mod tests;
--- a/balancer/src/mesh/carry_tests.rs
+++ b/balancer/src/mesh/proxy/tests/connection_pool_tests.rs
@@ -12,10 +12,10 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::Semaphore;
 
-use super::carry::{Fail, Line};
-use super::headers::ID;
 use crate::body::Message;
 use crate::clock::Clock;
+use crate::mesh::proxy::connection_pool::{Fail, Line};
+use crate::mesh::proxy::headers::ID;
 
 const MS: u64 = 1_000_000;
 
--- /dev/null
+++ b/balancer/src/mesh/proxy/tests/mod.rs
@@ -0,0 +1,5 @@
+//! Tests of the proxies on loopback, with stand-in upstreams and replicas.
+
+mod connection_pool_tests;
+mod outbound_tests;
+mod request_scheduler_tests;
--- a/balancer/src/mesh/gate_tests.rs
+++ b/balancer/src/mesh/proxy/tests/outbound_tests.rs
@@ -18,13 +18,13 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-use super::attendant::{Branch, InForce, Inside};
-use super::entry::{self, Ajar, Bounds, Came};
-use super::gate;
-use super::settings::Settings;
-use super::wire::{self, InternalRequest, InternalResponse};
 use crate::clock::Clock;
 use crate::link::held;
+use crate::mesh::proxy::listener::{self, Ajar, Bounds, Came};
+use crate::mesh::proxy::node::{Branch, InForce, Inside};
+use crate::mesh::proxy::outbound;
+use crate::mesh::rpc::{self, InternalRequest, InternalResponse};
+use crate::mesh::settings::Settings;
 
 /// What a stand-in door does with a req that has come whole.
 #[derive(Clone)]
@@ -202,7 +202,7 @@
         }
         let (inner, steward) = listen().await;
         let asked = seen.clone();
-        tokio::spawn(wire::answer(inner, move |ask| {
+        tokio::spawn(rpc::answer(inner, move |ask| {
             let got = steward_says(&mut held(&asked), ask);
             async move { got.map(InternalResponse::Core) }
         }));
@@ -218,11 +218,11 @@
         let of = branch.clone();
         tokio::spawn(async move {
             let _open = ajar;
-            entry::keep(outer, clock, bounds, ajar_now, Arc::default(), move |came: Came| {
+            listener::keep(outer, clock, bounds, ajar_now, Arc::default(), move |came: Came| {
                 let branch = of.clone();
                 async move {
                     let inside = Inside::new(&branch);
-                    gate::answer(branch.clone(), came).await.map(|flow| flow.holding(inside))
+                    outbound::answer(branch.clone(), came).await.map(|flow| flow.holding(inside))
                 }
             })
             .await;
--- a/balancer/src/mesh/desk_tests.rs
+++ b/balancer/src/mesh/proxy/tests/request_scheduler_tests.rs
@@ -10,10 +10,10 @@
 use ochreshed_mesh::retry_budget::AttemptCounts;
 use ochreshed_mesh::retry_shares::RetryPool;
 
-use super::desk::{Desk, Plan, Step, Told, Turn};
-use super::settings::Bounds;
 use crate::clock::Clock;
 use crate::link::held;
+use crate::mesh::proxy::request_scheduler::{Desk, Plan, Step, Told, Turn};
+use crate::mesh::settings::Bounds;
 
 const MS: Nanos = 1_000_000;
 
--- a/balancer/src/mesh/report.rs
+++ b/balancer/src/mesh/report.rs
@@ -14,7 +14,7 @@
 use ochreshed_mesh::watch_server;
 use tokio::time::Instant;
 
-use super::wire::{Callers, InternalRequest, InternalResponse, WatchRequest};
+use crate::mesh::rpc::{Callers, InternalRequest, InternalResponse, WatchRequest};
 
 /// Other stewards are waited for so long when an operator asks.
 const GATHER: Duration = Duration::from_millis(400);
--- a/balancer/src/mesh/steward.rs
+++ b/balancer/src/mesh/steward.rs
@@ -29,11 +29,7 @@
 use tokio::sync::{Semaphore, mpsc, oneshot, watch};
 use tokio::time::{Instant, sleep, timeout};
 
-use super::attendant::seeds;
-use super::carry::Flow;
 use super::docs;
-use super::door::call_of;
-use super::entry::{self, Ajar, Bad, Bounds, Came, json, say};
 use super::full::{self, Full};
 use super::members::{self, Members};
 use super::metrics::{self, Figures};
@@ -42,9 +38,13 @@
 use super::session_calls;
 use super::settings::{Settings, SettingsError};
 use super::start;
-use super::wire::{self, Callers, InternalRequest, InternalResponse, WatchRequest, WatchResponse};
 use crate::clock::Clock;
 use crate::link::held;
+use crate::mesh::proxy::connection_pool::Flow;
+use crate::mesh::proxy::inbound::call_of;
+use crate::mesh::proxy::listener::{self, Ajar, Bad, Bounds, Came, json, say};
+use crate::mesh::proxy::node::seeds;
+use crate::mesh::rpc::{self, Callers, InternalRequest, InternalResponse, WatchRequest, WatchResponse};
 
 const MS: Nanos = 1_000_000;
 /// Claims are kept for so much longer than the window in which a key runs once.
@@ -400,8 +400,8 @@
 ) -> Result<Vec<u8>, Response<Flow>> {
     let bad = |Bad(status, line)| say(status, line);
     let (message, _room) =
-        entry::message(came, bodies, clock, MOST_BODY, Duration::from_secs(10)).await.map_err(bad)?;
-    entry::whole(message, MOST_BODY).await.map_err(bad)
+        listener::message(came, bodies, clock, MOST_BODY, Duration::from_secs(10)).await.map_err(bad)?;
+    listener::whole(message, MOST_BODY).await.map_err(bad)
 }
 
 pub fn run(path: Option<PathBuf>) -> Result<ExitCode, SettingsError> {
@@ -493,11 +493,11 @@
     let outer = TcpListener::bind(control).await.map_err(|why| Failed::Socket(control, why))?;
     let (ajar, watch_ajar) = watch::channel(Ajar::Open);
     let bounds = Bounds { callers: 256, head: Duration::from_secs(20) };
-    tokio::spawn(entry::keep(outer, clock, bounds, watch_ajar, Arc::default(), {
+    tokio::spawn(listener::keep(outer, clock, bounds, watch_ajar, Arc::default(), {
         let office = office.clone();
         move |came| office.clone().operator(came, bodies.clone())
     }));
-    tokio::spawn(wire::answer(inner, {
+    tokio::spawn(rpc::answer(inner, {
         let office = office.clone();
         move |ask| office.clone().answer(ask)
     }));
