--- a/balancer/src/mesh/client.rs
+++ b/balancer/src/mesh/client.rs
@@ -120,7 +120,7 @@
         What::Session(None) => one(at, json, "sessions.count", session_counts)?,
         What::Session(Some(SessionCall { verb, id, service, header, to })) => {
             // The value that names a person goes no further than this.
-            let of = session_affinity::name(&service, &header, &id);
+            let of = session_affinity::session_id(&service, &header, &id);
             let to = to.map(|to| format!("&to={to}")).unwrap_or_default();
             one(at, json, &format!("sessions.{verb}&of={of:032x}{to}"), session_shown)?
         }
--- a/balancer/src/mesh/hollow.rs
+++ b/balancer/src/mesh/hollow.rs
@@ -20,7 +20,7 @@
 use super::settings::{Settings, SettingsError};
 use super::start;
 use crate::clock::Clock;
-use crate::mesh::proxy::node::Branch;
+use crate::mesh::proxy::node::Node;
 
 /// How often it is looked whether all have a configuration.
 const LOOK: Duration = Duration::from_millis(5);
@@ -49,7 +49,7 @@
 
 /// All hollow attendants of this process.
 struct Fleet {
-    branches: Vec<Arc<Branch>>,
+    branches: Vec<Arc<Node>>,
     wanted: Wanted,
     changes_per_s: AtomicUsize,
     claims_per_s: AtomicUsize,
@@ -87,8 +87,8 @@
 async fn load(wanted: Wanted, settings: Settings) -> ExitCode {
     let clock = Clock::new();
     let branches = (0..wanted.count).map(|nth| {
-        let branch = Branch::new(settings.clone(), address(wanted.first + nth), clock);
-        branch.door.serving.store(true, Relaxed);
+        let branch = Node::new(settings.clone(), address(wanted.first + nth), clock);
+        branch.inbound.serving.store(true, Relaxed);
         branch
     });
     let fleet = Arc::new(Fleet {
@@ -138,7 +138,7 @@
             self.new_life(nth, 0);
             let many = 2;
             (0..many)
-                .for_each(|which| drop(tokio::spawn(control_plane_watch::ask(branch.clone(), which, many))));
+                .for_each(|which| drop(tokio::spawn(control_plane_watch::run(branch.clone(), which, many))));
             if nth % STARTED_AT_ONCE == STARTED_AT_ONCE - 1 {
                 sleep(START_PAUSE).await;
             }
@@ -153,15 +153,18 @@
             "status":{{"state":"open_for_post","postmark_seq":1,"cold_left_ms":0}}}}"#,
             number % self.wanted.services
         );
-        if let Err(why) = self.branches[nth].door.beat(&format!("h-{number}-{life}"), beat.as_bytes()) {
+        if let Err(why) =
+            self.branches[nth].inbound.handle_heartbeat(&format!("h-{number}-{life}"), beat.as_bytes())
+        {
             eprintln!("a beat was refused: {why}");
         }
     }
 
     /// Prints each version once all have it in force, with the time of day in ms.
     async fn tell_versions(self: Arc<Self>) {
-        let version =
-            |branch: &Arc<Branch>| branch.timetable.load().as_ref().map_or(0, |timetable| timetable.version);
+        let version = |branch: &Arc<Node>| {
+            branch.configuration.load().as_ref().map_or(0, |timetable| timetable.version)
+        };
         let mut told = 0;
         loop {
             let least = self.branches.iter().map(version).min().unwrap_or(0);
@@ -204,15 +207,15 @@
 
     async fn claim_one(self: Arc<Self>, number: u64) {
         let branch = &self.branches[number as usize % self.branches.len()];
-        let token: LeaseToken = branch.draw();
+        let token: LeaseToken = branch.new_token();
         let key = u128::from(token) << 64 | u128::from(number);
         let began = Instant::now();
-        let got = lease_client::claim(&branch.stewards, &branch.callers, (key, token), 900, CLAIM).await;
+        let got = lease_client::acquire_lease(&branch.replicas, &branch.rpc, (key, token), 900, CLAIM).await;
         self.claim_time.fetch_add(began.elapsed().as_nanos() as u64, Relaxed);
         self.claimed.fetch_add(1, Relaxed);
         if got == CoreResponse::LeaseGranted {
             let settled = Some(LeaseOutcome::Indeterminate);
-            lease_client::settle(branch.stewards.clone(), branch.callers.clone(), (key, token), settled);
+            lease_client::complete_lease(branch.replicas.clone(), branch.rpc.clone(), (key, token), settled);
         } else {
             self.missed.fetch_add(1, Relaxed);
         }
--- a/balancer/src/mesh/members.rs
+++ b/balancer/src/mesh/members.rs
@@ -28,8 +28,8 @@
 use super::docs::{self, Docs, Own, REGISTER};
 use super::steward::{OPERATOR, Office, read_body};
 use crate::link::held;
-use crate::mesh::proxy::connection_pool::Flow;
-use crate::mesh::proxy::listener::{Came, json as answer, say};
+use crate::mesh::proxy::connection_pool::ResponseBody;
+use crate::mesh::proxy::listener::{ReceivedRequest, json_response as answer, plain_response};
 use crate::mesh::rpc::{InternalRequest, InternalResponse};
 
 const KEY: &str = "ochreshed-member-key";
@@ -126,8 +126,8 @@
         Refused::new(status, lines.collect::<Vec<_>>().join("\n"))
     }
 
-    fn told(self) -> Response<Flow> {
-        let mut answer = say(self.0, &self.1);
+    fn told(self) -> Response<ResponseBody> {
+        let mut answer = plain_response(self.0, &self.1);
         if let Some(after) = self.2.and_then(|after| HeaderValue::try_from(after.to_string()).ok()) {
             answer.headers_mut().insert("retry-after", after);
         }
@@ -163,9 +163,9 @@
     office: Arc<Office>,
     call: &str,
     of: Option<String>,
-    came: Came,
+    came: ReceivedRequest,
     bodies: Arc<Semaphore>,
-) -> Response<Flow> {
+) -> Response<ResponseBody> {
     let answered = match call {
         "members.read" => read(&office, REGISTER.into()).await,
         "members.replace" => match read_body(came, &bodies, office.clock).await {
@@ -205,13 +205,19 @@
     }
 }
 
-async fn own(office: &Arc<Office>, call: &str, of: String, came: Came, bodies: Arc<Semaphore>) -> Answer {
+async fn own(
+    office: &Arc<Office>,
+    call: &str,
+    of: String,
+    came: ReceivedRequest,
+    bodies: Arc<Semaphore>,
+) -> Answer {
     let verb = call.strip_prefix("member.").unwrap_or_default();
     let changes = ["replace", "undo", "settle", "withdraw"].contains(&verb);
     if !changes && !["read", "plan", "status", "history"].contains(&verb) {
         return Err(Refused::new(404, "no such call here"));
     }
-    let key = came.req.headers().get(KEY).map(|key| key.as_bytes().to_vec()).unwrap_or_default();
+    let key = came.request.headers().get(KEY).map(|key| key.as_bytes().to_vec()).unwrap_or_default();
     let allowed = |member: Option<&Arc<Member>>| match member {
         Some(member) if is_key(member, &key) => Ok(member.clone()),
         _ => Err(Refused::new(401, "this is not the key of a member by that name")),
--- a/balancer/src/mesh/metrics.rs
+++ b/balancer/src/mesh/metrics.rs
@@ -8,8 +8,8 @@
 use prometheus_client::metrics::gauge::ConstGauge;
 use prometheus_client::registry::Registry;
 
-use crate::mesh::proxy::connection_pool::Flow;
-use crate::mesh::proxy::listener::say;
+use crate::mesh::proxy::connection_pool::ResponseBody;
+use crate::mesh::proxy::listener::plain_response;
 
 /// Where they are fetched.
 pub const PATH: &str = "/metrics";
@@ -36,12 +36,12 @@
         self
     }
 
-    pub fn page(self) -> Response<Flow> {
+    pub fn page(self) -> Response<ResponseBody> {
         let mut text = String::new();
         if encode(&mut text, &self.0).is_err() {
-            return say(500, "the figures can't be written");
+            return plain_response(500, "the figures can't be written");
         }
-        let mut answer = Response::new(Flow::of(text));
+        let mut answer = Response::new(ResponseBody::of(text));
         answer.headers_mut().insert("content-type", HeaderValue::from_static(CONTENT_TYPE));
         answer
     }
--- a/balancer/src/mesh/pages.rs
+++ b/balancer/src/mesh/pages.rs
@@ -103,7 +103,7 @@
     /// The key whose claim the answer wants.
     pub fn key(&self) -> Option<LeaseKey> {
         match &self.call {
-            Call::Show(key) => Some(lease_client::key(key)),
+            Call::Show(key) => Some(lease_client::hash_key(key)),
             _ => None,
         }
     }
@@ -593,7 +593,7 @@
 fn show<'a>(key: &'a str, claim: Option<&(Lease, Nanos)>) -> Shown<'a> {
     let mut shown = Shown {
         key,
-        hashed: format!("{:032x}", lease_client::key(key)),
+        hashed: format!("{:032x}", lease_client::hash_key(key)),
         state: "none",
         known_ms: claim.map(|(_, age)| age / MS),
         disputed: false,
--- a/balancer/src/mesh/proxy/connection_limit.rs
+++ b/balancer/src/mesh/proxy/connection_limit.rs
@@ -8,25 +8,25 @@
 
 use crate::link::held;
 
-pub struct Berths {
+pub struct ConnectionLimit {
     room: Arc<Semaphore>,
     own: usize,
     now: Mutex<usize>,
 }
 
-impl Berths {
+impl ConnectionLimit {
     /// `own`: as many as this process can hold.
-    pub fn new(own: usize) -> Berths {
+    pub fn new(own: usize) -> ConnectionLimit {
         let own = own.max(1);
-        Berths { room: Arc::new(Semaphore::new(own)), own, now: Mutex::new(own) }
+        ConnectionLimit { room: Arc::new(Semaphore::new(own)), own, now: Mutex::new(own) }
     }
 
-    pub fn room(&self) -> Arc<Semaphore> {
+    pub fn permits(&self) -> Arc<Semaphore> {
         self.room.clone()
     }
 
     /// The upstream takes so many. Those in use above it stay until they end: to be told again now and then.
-    pub fn cap(&self, cap: usize) {
+    pub fn set_limit(&self, cap: usize) {
         let most = cap.clamp(1, self.own);
         let mut now = held(&self.now);
         if most >= *now {
--- a/balancer/src/mesh/proxy/connection_pool.rs
+++ b/balancer/src/mesh/proxy/connection_pool.rs
@@ -26,33 +26,33 @@
 use crate::link::{Body, Link, drop_hop_fields, held};
 
 const MS: Nanos = 1_000_000;
-const CONNECT: Duration = Duration::from_millis(500);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 /// How long a connection is kept idle where the other side tells nothing, and how long before its end it is left alone.
-const IDLE: Nanos = 4_000 * MS;
-const MARGIN: Nanos = 1_500 * MS;
-const MOST_IDLE: usize = 32;
+const MAX_IDLE_TIME: Nanos = 4_000 * MS;
+const KEEP_ALIVE_MARGIN: Nanos = 1_500 * MS;
+const MAX_IDLE_CONNECTIONS: usize = 32;
 /// To the same machine a new connection costs little: less than a req lost to one that the other side has forgotten.
-const NEAR_IDLE: Nanos = 1_000 * MS;
+const UPSTREAM_MAX_IDLE_TIME: Nanos = 1_000 * MS;
 /// A long answer of which nothing comes for so long, or of which its reader takes nothing, is given up.
-const STANDS: Duration = Duration::from_secs(5);
-const READER_STANDS: Duration = Duration::from_secs(10);
+const UPSTREAM_READ_TIMEOUT: Duration = Duration::from_secs(5);
+const CLIENT_WRITE_TIMEOUT: Duration = Duration::from_secs(10);
 /// Pieces of one answer that may be read ahead, and the size of those that a whole one is cut into.
-const AHEAD_PIECES: usize = 64;
-const PIECE: usize = 16 * 1024;
+const READ_AHEAD_CHUNKS: usize = 64;
+const CHUNK_BYTES: usize = 16 * 1024;
 /// So many large answers go out to other machines at a time; a reader that stands still holds up no more than its turn.
-const AT_ONCE: usize = 2;
+const MAX_CONCURRENT_LARGE_RESPONSES: usize = 2;
 
 /// How an exchange failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fail {
+pub enum ExchangeError {
     /// Nothing of it can have been run: no connection came up, or not all of it was written.
-    NoConnection,
+    ConnectFailed,
     /// Its time was over, or there was no room, before all of it was written.
     NotSent,
     /// It went whole, and no whole answer came.
     Reset,
     /// It went whole, and its time was over.
-    Late,
+    TimedOut,
 }
 
 /// A connection that waits for its next req.
@@ -63,7 +63,7 @@
 }
 
 /// Connections to one address.
-pub struct Line {
+pub struct ConnectionPool {
     to: SocketAddr,
     clock: Clock,
     idle: Mutex<Vec<Idle>>,
@@ -74,22 +74,22 @@
     ahead: Option<Arc<Semaphore>>,
 }
 
-impl Line {
+impl ConnectionPool {
     /// `room` bounds the connections of all lines that share it.
-    pub fn new(to: SocketAddr, clock: Clock, room: Arc<Semaphore>) -> Line {
+    pub fn new(to: SocketAddr, clock: Clock, room: Arc<Semaphore>) -> ConnectionPool {
         let keeps = Mutex::new(idle_limit::IdleLimit::new(Nanos::MAX));
-        Line { to, clock, idle: Mutex::default(), keeps, room, ahead: None }
+        ConnectionPool { to, clock, idle: Mutex::default(), keeps, room, ahead: None }
     }
 
     /// Long answers are read as fast as they come, as long as there is room for it: whoever sends them has done with
     /// them sooner than a slow reader.
-    pub fn reading_ahead(self, ahead: Arc<Semaphore>) -> Line {
-        Line { ahead: Some(ahead), ..self }
+    pub fn reading_ahead(self, ahead: Arc<Semaphore>) -> ConnectionPool {
+        ConnectionPool { ahead: Some(ahead), ..self }
     }
 
     /// It leads to the same machine.
-    pub fn near(self) -> Line {
-        Line { keeps: Mutex::new(idle_limit::IdleLimit::new(NEAR_IDLE)), ..self }
+    pub fn near(self) -> ConnectionPool {
+        ConnectionPool { keeps: Mutex::new(idle_limit::IdleLimit::new(UPSTREAM_MAX_IDLE_TIME)), ..self }
     }
 
     pub fn to(&self) -> SocketAddr {
@@ -128,7 +128,7 @@
 
     fn keep(&self, link: Link, until: Nanos) {
         let (mut idle, since) = (held(&self.idle), self.clock.now());
-        if idle.len() < MOST_IDLE && until > since {
+        if idle.len() < MAX_IDLE_CONNECTIONS && until > since {
             idle.push(Idle { link, since, until });
         }
     }
@@ -141,17 +141,17 @@
         }
     }
 
-    async fn open(&self) -> Result<Link, Fail> {
+    async fn open(&self) -> Result<Link, ExchangeError> {
         let permit = match self.room.clone().try_acquire_owned() {
             Ok(permit) => permit,
             Err(_) => {
                 self.shut();
-                self.room.clone().try_acquire_owned().map_err(|_| Fail::NotSent)?
+                self.room.clone().try_acquire_owned().map_err(|_| ExchangeError::NotSent)?
             }
         };
-        match timeout(CONNECT, Link::open(self.to, self.clock, Some(permit), None)).await {
+        match timeout(CONNECT_TIMEOUT, Link::open(self.to, self.clock, Some(permit), None)).await {
             Ok(Ok(link)) => Ok(link),
-            _ => Err(Fail::NoConnection),
+            _ => Err(ExchangeError::ConnectFailed),
         }
     }
 
@@ -162,9 +162,9 @@
         message: &Arc<Message>,
         fields: &HeaderMap,
         until: Nanos,
-        hold: Option<Hold>,
+        hold: Option<ResponseGuard>,
         check: impl Fn(&Parts) -> bool,
-    ) -> Result<(Parts, Flow), Fail> {
+    ) -> Result<(Parts, ResponseBody), ExchangeError> {
         let at = self.clock.instant(until);
         let (mut link, mut reused) = self.reusable().unzip();
         loop {
@@ -172,10 +172,10 @@
                 Some(on) => on,
                 None => match timeout_at(at, self.open()).await {
                     Ok(opened) => link.insert(opened?),
-                    Err(_) => return Err(Fail::NotSent),
+                    Err(_) => return Err(ExchangeError::NotSent),
                 },
             };
-            let load = message.load().ok_or(Fail::NotSent)?;
+            let load = message.load().ok_or(ExchangeError::NotSent)?;
             let mut req = message.head.clone().map(|()| load);
             for (name, value) in fields {
                 req.headers_mut().insert(name, value.clone());
@@ -183,7 +183,7 @@
             let sent_at = self.clock.now();
             let answer = timeout_at(at, exchange(on, req, message)).await;
             match answer {
-                Ok(Ok((head, _))) if !check(&head) => return Err(Fail::Reset),
+                Ok(Ok((head, _))) if !check(&head) => return Err(ExchangeError::Reset),
                 Ok(Ok((head, body))) => return Ok(self.pass(link, head, body, hold)),
                 // A kept connection that turns out dead before a byte of this was written costs a new one.
                 Ok(Err(())) if reused.is_some() && !on.began() && message.load_again() => {
@@ -193,10 +193,14 @@
                     if on.last_read() < sent_at {
                         self.lost(reused);
                     }
-                    return Err(if on.sent_whole() { Fail::Reset } else { Fail::NoConnection });
+                    return Err(if on.sent_whole() {
+                        ExchangeError::Reset
+                    } else {
+                        ExchangeError::ConnectFailed
+                    });
                 }
-                Err(_) if on.sent_whole() => return Err(Fail::Late),
-                Err(_) => return Err(Fail::NotSent),
+                Err(_) if on.sent_whole() => return Err(ExchangeError::TimedOut),
+                Err(_) => return Err(ExchangeError::NotSent),
             }
         }
     }
@@ -207,8 +211,8 @@
         link: Option<Link>,
         mut head: Parts,
         body: Body,
-        hold: Option<Hold>,
-    ) -> (Parts, Flow) {
+        hold: Option<ResponseGuard>,
+    ) -> (Parts, ResponseBody) {
         let until = self.idle_until(&head);
         drop_hop_fields(&mut head.headers);
         match (body, link) {
@@ -220,11 +224,11 @@
                 {
                     self.keep(link, until);
                 }
-                (head, Flow::Whole(Full::new(bytes)))
+                (head, ResponseBody::Buffered(Full::new(bytes)))
             }
             (Body::Long(first, length, rest), link) => {
                 head.headers.remove(CONTENT_LENGTH);
-                let room = if self.ahead.is_some() { AHEAD_PIECES } else { 1 };
+                let room = if self.ahead.is_some() { READ_AHEAD_CHUNKS } else { 1 };
                 let (pass, pieces) = Pieces::with_room(first.clone(), length, room);
                 if let Some(link) = link {
                     let left = length.map(|length| length.saturating_sub(first.len() as u64));
@@ -234,7 +238,7 @@
                         line.pass_on(link, version, (left, rest), pass, until).await
                     });
                 }
-                (head, Flow::Long { pieces, hold: None, paced: None })
+                (head, ResponseBody::Streaming { pieces, hold: None, paced: None })
             }
         }
     }
@@ -250,12 +254,12 @@
         let mut left = length.unwrap_or(u64::MAX);
         loop {
             let piece = tokio::select! {
-                piece = timeout(STANDS, link.piece(&mut rest)) => piece.ok()?.ok()?,
+                piece = timeout(UPSTREAM_READ_TIMEOUT, link.piece(&mut rest)) => piece.ok()?.ok()?,
                 // One whose length was told listens no more once it has all.
                 () = pass.closed(), if left > 0 => return None,
             };
             let Some(piece) = piece else {
-                let _ = pass.send_timeout(None, READER_STANDS).await;
+                let _ = pass.send_timeout(None, CLIENT_WRITE_TIMEOUT).await;
                 if let Some(until) = until.filter(|_| link.sent_whole() && link.end(version)) {
                     self.keep(link, until);
                 }
@@ -266,7 +270,7 @@
                 Some(ahead) => counted(ahead, piece).await?,
                 None => piece,
             };
-            pass.send_timeout(Some(piece), READER_STANDS).await.ok()?;
+            pass.send_timeout(Some(piece), CLIENT_WRITE_TIMEOUT).await.ok()?;
         }
     }
 
@@ -279,15 +283,17 @@
         let kept = told("keep-alive").into_iter().flat_map(|value| value.split(','));
         let kept =
             kept.filter_map(|part| part.trim().strip_prefix("timeout=")?.trim().parse::<u64>().ok()).next();
-        let idle = kept.map_or(IDLE, |seconds| (seconds.min(3_600) * 1_000 * MS).saturating_sub(MARGIN));
+        let idle = kept.map_or(MAX_IDLE_TIME, |seconds| {
+            (seconds.min(3_600) * 1_000 * MS).saturating_sub(KEEP_ALIVE_MARGIN)
+        });
         Some(self.clock.now() + idle)
     }
 }
 
 /// A piece with its place among those read ahead.
-struct Counted(Bytes, #[allow(dead_code)] Place);
+struct CountedBytes(Bytes, #[allow(dead_code)] Permit);
 
-impl AsRef<[u8]> for Counted {
+impl AsRef<[u8]> for CountedBytes {
     fn as_ref(&self) -> &[u8] {
         &self.0
     }
@@ -295,8 +301,8 @@
 
 async fn counted(ahead: &Arc<Semaphore>, piece: Bytes) -> Option<Bytes> {
     let place = ahead.clone().acquire_many_owned(u32::try_from(piece.len()).ok()?);
-    let place = timeout(READER_STANDS, place).await.ok()?.ok()?;
-    Some(Bytes::from_owner(Counted(piece, place)))
+    let place = timeout(CLIENT_WRITE_TIMEOUT, place).await.ok()?.ok()?;
+    Some(Bytes::from_owner(CountedBytes(piece, place)))
 }
 
 async fn exchange(
@@ -310,23 +316,23 @@
 }
 
 /// An answer's body on its way to whoever asked.
-pub enum Flow {
-    Whole(Full<Bytes>),
-    Long { pieces: Pieces, hold: Option<Hold>, paced: Option<Box<Paced>> },
+pub enum ResponseBody {
+    Buffered(Full<Bytes>),
+    Streaming { pieces: Pieces, hold: Option<ResponseGuard>, paced: Option<Box<PacedBody>> },
 }
 
 /// What all large answers of a machine share: the pace, and who may go.
-pub struct Lane {
+pub struct LargeResponseLane {
     pace: Mutex<LargeResponsePacer>,
     /// A few go at a time, in the order in which they came: each of many would be late.
     turns: Arc<Semaphore>,
     clock: Clock,
 }
 
-impl Lane {
-    pub fn new(link_mbps: f64, clock: Clock) -> Arc<Lane> {
-        let turns = Arc::new(Semaphore::new(AT_ONCE));
-        Arc::new(Lane { pace: Mutex::new(LargeResponsePacer::new(link_mbps)), turns, clock })
+impl LargeResponseLane {
+    pub fn new(link_mbps: f64, clock: Clock) -> Arc<LargeResponseLane> {
+        let turns = Arc::new(Semaphore::new(MAX_CONCURRENT_LARGE_RESPONSES));
+        Arc::new(LargeResponseLane { pace: Mutex::new(LargeResponsePacer::new(link_mbps)), turns, clock })
     }
 
     pub fn pace(&self) -> MutexGuard<'_, LargeResponsePacer> {
@@ -335,32 +341,32 @@
 }
 
 /// A large answer in its lane.
-pub struct Paced {
-    lane: Arc<Lane>,
+pub struct PacedBody {
+    lane: Arc<LargeResponseLane>,
     /// Bytes that it told of and that have not gone.
     left: u64,
-    turn: Turn,
+    turn: TransmitPermit,
     /// A piece that waits for its time.
     waits: Option<(Bytes, Pin<Box<Sleep>>)>,
 }
 
-enum Turn {
-    Waits(Pin<Box<dyn Future<Output = Option<Place>> + Send + Sync>>),
-    Has(#[allow(dead_code)] Option<Place>),
+enum TransmitPermit {
+    Waits(Pin<Box<dyn Future<Output = Option<Permit>> + Send + Sync>>),
+    Has(#[allow(dead_code)] Option<Permit>),
 }
 
-impl Paced {
-    fn new(lane: &Arc<Lane>, length: Option<u64>) -> Box<Paced> {
+impl PacedBody {
+    fn new(lane: &Arc<LargeResponseLane>, length: Option<u64>) -> Box<PacedBody> {
         let (left, turns) = (length.unwrap_or(0), lane.turns.clone());
         lane.pace().begin(left);
-        let turn = Turn::Waits(Box::pin(async move { turns.acquire_owned().await.ok() }));
-        Box::new(Paced { lane: lane.clone(), left, turn, waits: None })
+        let turn = TransmitPermit::Waits(Box::pin(async move { turns.acquire_owned().await.ok() }));
+        Box::new(PacedBody { lane: lane.clone(), left, turn, waits: None })
     }
 
     /// The next of the pieces, once it may go.
     fn poll(&mut self, pieces: &mut Pieces, cx: &mut Context) -> Poll<Option<Result<Bytes, &'static str>>> {
-        if let Turn::Waits(turn) = &mut self.turn {
-            self.turn = Turn::Has(ready!(turn.as_mut().poll(cx)));
+        if let TransmitPermit::Waits(turn) = &mut self.turn {
+            self.turn = TransmitPermit::Has(ready!(turn.as_mut().poll(cx)));
         }
         if self.waits.is_none() {
             let piece = match ready!(pieces.poll(cx)) {
@@ -386,58 +392,58 @@
     }
 }
 
-impl Drop for Paced {
+impl Drop for PacedBody {
     fn drop(&mut self) {
         self.lane.pace().done(self.left);
     }
 }
 
 /// What lasts as long as an answer is on its way.
-pub type Hold = Box<dyn Send + Sync>;
+pub type ResponseGuard = Box<dyn Send + Sync>;
 
-impl Flow {
-    pub fn of(bytes: impl Into<Bytes>) -> Flow {
-        Flow::Whole(Full::new(bytes.into()))
+impl ResponseBody {
+    pub fn of(bytes: impl Into<Bytes>) -> ResponseBody {
+        ResponseBody::Buffered(Full::new(bytes.into()))
     }
 
     /// Lets a large answer go at the pace of all such; a small one goes at once.
-    pub fn paced(self, lane: &Arc<Lane>) -> Flow {
+    pub fn paced(self, lane: &Arc<LargeResponseLane>) -> ResponseBody {
         match self {
-            Flow::Long { pieces, hold, .. } => {
-                let paced = Some(Paced::new(lane, pieces.length));
-                Flow::Long { pieces, hold, paced }
+            ResponseBody::Streaming { pieces, hold, .. } => {
+                let paced = Some(PacedBody::new(lane, pieces.length));
+                ResponseBody::Streaming { pieces, hold, paced }
             }
-            Flow::Whole(body) if body.size_hint().lower() > PIECE as u64 => {
+            ResponseBody::Buffered(body) if body.size_hint().lower() > CHUNK_BYTES as u64 => {
                 let mut left = body.into_inner().unwrap_or_default();
                 let length = Some(left.len() as u64);
-                let (pass, pieces) = Pieces::with_room(Bytes::new(), length, left.len() / PIECE + 2);
+                let (pass, pieces) = Pieces::with_room(Bytes::new(), length, left.len() / CHUNK_BYTES + 2);
                 while !left.is_empty() {
-                    let piece = left.split_to(PIECE.min(left.len()));
+                    let piece = left.split_to(CHUNK_BYTES.min(left.len()));
                     let _ = pass.try_send(Some(piece));
                 }
                 let _ = pass.try_send(None);
-                Flow::Long { pieces, hold: None, paced: Some(Paced::new(lane, length)) }
+                ResponseBody::Streaming { pieces, hold: None, paced: Some(PacedBody::new(lane, length)) }
             }
             whole => whole,
         }
     }
 
     /// Keeps something until the last byte has been taken; of a short answer that is now.
-    pub fn holding(self, thing: impl Send + Sync + 'static) -> Flow {
+    pub fn holding(self, thing: impl Send + Sync + 'static) -> ResponseBody {
         match self {
-            Flow::Long { pieces, hold, paced } => {
-                let hold: Hold = match hold {
+            ResponseBody::Streaming { pieces, hold, paced } => {
+                let hold: ResponseGuard = match hold {
                     Some(before) => Box::new((before, thing)),
                     None => Box::new(thing),
                 };
-                Flow::Long { pieces, hold: Some(hold), paced }
+                ResponseBody::Streaming { pieces, hold: Some(hold), paced }
             }
             whole => whole,
         }
     }
 }
 
-impl HttpBody for Flow {
+impl HttpBody for ResponseBody {
     type Data = Bytes;
     type Error = &'static str;
 
@@ -446,8 +452,8 @@
         cx: &mut Context,
     ) -> Poll<Option<Result<Frame<Bytes>, &'static str>>> {
         match self.get_mut() {
-            Flow::Whole(body) => Pin::new(body).poll_frame(cx).map_err(|never| match never {}),
-            Flow::Long { pieces, paced, .. } => {
+            ResponseBody::Buffered(body) => Pin::new(body).poll_frame(cx).map_err(|never| match never {}),
+            ResponseBody::Streaming { pieces, paced, .. } => {
                 let piece = match paced {
                     Some(paced) => ready!(paced.poll(pieces, cx)),
                     None => ready!(pieces.poll(cx)),
@@ -458,16 +464,18 @@
     }
 
     fn is_end_stream(&self) -> bool {
-        matches!(self, Flow::Whole(body) if body.is_end_stream())
+        matches!(self, ResponseBody::Buffered(body) if body.is_end_stream())
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Flow::Whole(body) => body.size_hint(),
-            Flow::Long { pieces, .. } => pieces.length.map_or_else(SizeHint::default, SizeHint::with_exact),
+            ResponseBody::Buffered(body) => body.size_hint(),
+            ResponseBody::Streaming { pieces, .. } => {
+                pieces.length.map_or_else(SizeHint::default, SizeHint::with_exact)
+            }
         }
     }
 }
 
 /// A place taken in a bounded room for as long as this lives.
-pub type Place = OwnedSemaphorePermit;
+pub type Permit = OwnedSemaphorePermit;
--- a/balancer/src/mesh/proxy/fencing.rs
+++ b/balancer/src/mesh/proxy/fencing.rs
@@ -11,66 +11,69 @@
 use crate::link::held;
 
 /// So many sessions; those that were not heard of for longest go.
-const MOST: usize = 20_000;
+const MAX_SESSIONS: usize = 20_000;
 /// Less than the core keeps a record: one that begins anew at a low epoch finds no higher one here. The core is told of a
 /// session that is used a minute later at most.
-const KEPT: Nanos = SESSION_IDLE - 180_000_000_000;
+const RETENTION: Nanos = SESSION_IDLE - 180_000_000_000;
 
 /// Which session a dispatch is of, and the epoch since which its gate holds it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Pass {
+pub struct FencingToken {
     pub session: SessionId,
-    pub since: u64,
+    pub since_term: u64,
 }
 
-impl Pass {
+impl FencingToken {
     /// As it goes on the wire.
-    pub fn word(&self) -> String {
-        format!("{:032x}.{}", self.session, self.since)
+    pub fn to_header(self) -> String {
+        format!("{:032x}.{}", self.session, self.since_term)
     }
 
-    pub fn read(word: &str) -> Option<Pass> {
+    pub fn from_header(word: &str) -> Option<FencingToken> {
         let (session, since) = word.split_once('.')?;
-        Some(Pass { session: SessionId::from_str_radix(session, 16).ok()?, since: since.parse().ok()? })
+        Some(FencingToken {
+            session: SessionId::from_str_radix(session, 16).ok()?,
+            since_term: since.parse().ok()?,
+        })
     }
 }
 
 #[derive(Default)]
-pub struct Fence(Mutex<Known>);
+pub struct FencingTable(Mutex<KnownOwners>);
 
 #[derive(Default)]
-struct Known {
+struct KnownOwners {
     /// Since when each is held, and until when that is kept.
     all: HashMap<SessionId, (u64, Nanos)>,
     order: BTreeSet<(Nanos, SessionId)>,
     turned: u64,
 }
 
-impl Fence {
+impl FencingTable {
     /// Whether this may pass; the later epoch that is known, where it may not.
-    pub fn check(&self, now: Nanos, pass: Pass) -> Result<(), u64> {
+    pub fn check(&self, now: Nanos, pass: FencingToken) -> Result<(), u64> {
         let mut known = held(&self.0);
         while let Some(&(until, session)) = known.order.first()
-            && (until <= now || known.all.len() > MOST)
+            && (until <= now || known.all.len() > MAX_SESSIONS)
         {
             known.order.remove(&(until, session));
             known.all.remove(&session);
         }
-        let until = now.saturating_add(KEPT);
+        let until = now.saturating_add(RETENTION);
         if let Some((since, before)) = known.all.get(&pass.session).copied() {
-            if since > pass.since {
+            if since > pass.since_term {
                 known.turned += 1;
                 return Err(since);
             }
             known.order.remove(&(before, pass.session));
         }
-        known.all.insert(pass.session, (pass.since, until));
+        known.all.insert(pass.session, (pass.since_term, until));
         known.order.insert((until, pass.session));
         Ok(())
     }
 
     /// How many reqs were turned away in this life.
-    pub fn turned(&self) -> u64 {
+    pub fn rejections(&self) -> u64 {
         held(&self.0).turned
     }
 }
--- a/balancer/src/mesh/proxy/inbound.rs
+++ b/balancer/src/mesh/proxy/inbound.rs
@@ -26,75 +26,77 @@
 use crate::body::Message;
 use crate::clock::Clock;
 use crate::link::held;
-use crate::mesh::proxy::connection_limit::Berths;
-use crate::mesh::proxy::connection_pool::{Fail, Flow, Lane, Line};
-use crate::mesh::proxy::fencing::{Fence, Pass};
+use crate::mesh::proxy::connection_limit::ConnectionLimit;
+use crate::mesh::proxy::connection_pool::{ConnectionPool, ExchangeError, LargeResponseLane, ResponseBody};
+use crate::mesh::proxy::fencing::{FencingTable, FencingToken};
 use crate::mesh::proxy::headers::*;
-use crate::mesh::proxy::inbound_request::{InboundRequest, MAX_LEFT_MS, Terms};
-use crate::mesh::proxy::listener::{self, Bad, Came, field, say};
-use crate::mesh::proxy::session_affinity::Sessions;
+use crate::mesh::proxy::inbound_request::{InboundRequest, MAX_TIME_LEFT_MS, RequestTerms};
+use crate::mesh::proxy::listener::{self, ReceivedRequest, RequestError, header_str, plain_response};
+use crate::mesh::proxy::session_affinity::SessionTable;
 
 /// How a door says that a later holder of a session is known, and since when that holds it.
-const FENCED: &str = "fenced-";
+const FENCED_PREFIX: &str = "fenced-";
 
 const MS: Nanos = 1_000_000;
 /// After its upstream has said that it closes, the door still takes what is on its way, for this part of the time
 /// that the rules give.
-const DRAIN_PART: u32 = 2;
+const DRAIN_DIVISOR: u32 = 2;
 /// How long a probe may take.
-const PROBE: Nanos = 1_000 * MS;
+const PROBE_TIMEOUT: Nanos = 1_000 * MS;
 /// Ids of lives that have ended.
-const MOST_PAST: usize = 32;
-const MOST_BEAT: u64 = 4 * 1024;
+const MAX_PAST_INCARNATIONS: usize = 32;
+const MAX_HEARTBEAT_BYTES: u64 = 4 * 1024;
 /// What a message has on the wire beside its body, about.
-const HEAD_BYTES: usize = 400;
+const HEADER_ESTIMATE_BYTES: usize = 400;
 /// How much of the last large answer's size goes into the mean.
-const LARGE_PART: f64 = 0.1;
+const LARGE_RESPONSE_MEAN_WEIGHT: f64 = 0.1;
 
 /// How a door's part ended.
-pub enum End {
+pub enum UpstreamOutcome {
     /// The upstream ran it, or turned it away for good by an answer of its own.
-    Ran(Parts, Flow),
+    Responded(Parts, ResponseBody),
     /// The upstream turned it away: it has not run.
-    Full,
+    UpstreamFull,
     /// Proved never to have come to the upstream.
-    Turned,
+    Rejected,
     Gone,
     /// Of a session that another gate holds since this epoch.
     Fenced(u64),
-    Unreachable,
-    Unsent,
+    ConnectFailed,
+    NotSent,
     /// It may have run.
     Reset,
-    Late,
+    TimedOut,
 }
 
-impl End {
-    pub fn word(&self) -> &'static str {
+impl UpstreamOutcome {
+    pub fn as_word(&self) -> &'static str {
         match self {
-            End::Ran(..) => "ran",
-            End::Full => "full",
-            End::Turned => "turned",
-            End::Gone => "gone",
-            End::Fenced(_) => "fenced",
-            End::Unreachable => "unreachable",
-            End::Unsent => "unsent",
-            End::Reset => "reset",
-            End::Late => "late",
+            UpstreamOutcome::Responded(..) => "ran",
+            UpstreamOutcome::UpstreamFull => "full",
+            UpstreamOutcome::Rejected => "turned",
+            UpstreamOutcome::Gone => "gone",
+            UpstreamOutcome::Fenced(_) => "fenced",
+            UpstreamOutcome::ConnectFailed => "unreachable",
+            UpstreamOutcome::NotSent => "unsent",
+            UpstreamOutcome::Reset => "reset",
+            UpstreamOutcome::TimedOut => "late",
         }
     }
 
-    pub fn from_word(word: &str, head: Parts, flow: Flow) -> End {
+    pub fn from_word(word: &str, head: Parts, flow: ResponseBody) -> UpstreamOutcome {
         match word {
-            "ran" => End::Ran(head, flow),
-            "full" => End::Full,
-            "turned" => End::Turned,
-            "gone" => End::Gone,
-            word if word.starts_with(FENCED) => End::Fenced(word[FENCED.len()..].parse().unwrap_or(0)),
-            "unreachable" => End::Unreachable,
-            "unsent" => End::Unsent,
-            "late" => End::Late,
-            _ => End::Reset,
+            "ran" => UpstreamOutcome::Responded(head, flow),
+            "full" => UpstreamOutcome::UpstreamFull,
+            "turned" => UpstreamOutcome::Rejected,
+            "gone" => UpstreamOutcome::Gone,
+            word if word.starts_with(FENCED_PREFIX) => {
+                UpstreamOutcome::Fenced(word[FENCED_PREFIX.len()..].parse().unwrap_or(0))
+            }
+            "unreachable" => UpstreamOutcome::ConnectFailed,
+            "unsent" => UpstreamOutcome::NotSent,
+            "late" => UpstreamOutcome::TimedOut,
+            _ => UpstreamOutcome::Reset,
         }
     }
 }
@@ -112,37 +114,37 @@
     cold_ms: u64,
     told: Nanos,
     closing_since: Option<Nanos>,
-    to: Arc<Line>,
+    to: Arc<ConnectionPool>,
 }
 
-impl std::fmt::Debug for Line {
+impl std::fmt::Debug for ConnectionPool {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
         write!(f, "{}", self.to())
     }
 }
 
-struct State {
+struct ProxyState {
     upstream: Option<Upstream>,
     past: VecDeque<String>,
     number: u64,
     life: u64,
 }
 
-impl State {
+impl ProxyState {
     /// Nothing that is told of that life counts from now on.
     fn end_life(&mut self, id: &str) {
         if self.past.iter().any(|past| past == id) {
             return;
         }
         self.past.push_back(id.to_owned());
-        if self.past.len() > MOST_PAST {
+        if self.past.len() > MAX_PAST_INCARNATIONS {
             self.past.pop_front();
         }
     }
 }
 
 /// What a door is told at its start.
-pub struct Site {
+pub struct InboundSettings {
     pub at: SocketAddr,
     pub zone: String,
     /// Where its upstream listens, if that was told.
@@ -155,24 +157,24 @@
     pub link_mbps: f64,
 }
 
-pub struct Door {
+pub struct InboundProxy {
     at: SocketAddr,
     zone: String,
     app: Option<SocketAddr>,
     clock: Clock,
     drain: Duration,
-    state: Mutex<State>,
-    berths: Berths,
+    state: Mutex<ProxyState>,
+    berths: ConnectionLimit,
     /// Reqs that wait for a slot or are in one.
     inside: AtomicUsize,
     /// Those at the upstream now, and who waits to be one of them.
-    slots: Mutex<AdmissionQueue<Waits>>,
+    slots: Mutex<AdmissionQueue<QueuedRequest>>,
     /// How the upstream does, by how its runs end.
     health: Mutex<OutlierDetector>,
     /// What members may have of the slots, by the configuration in force here.
     shares: ArcSwap<RetryShares>,
     /// Where large answers to other machines go, and the mean size of one.
-    lane: Arc<Lane>,
+    lane: Arc<LargeResponseLane>,
     large: Mutex<f64>,
     /// Large answers to other machines that were let in and have not come out of the upstream yet.
     large_inside: AtomicUsize,
@@ -183,18 +185,18 @@
     runs: Mutex<HashMap<Vec<u8>, bool>>,
     pub serving: AtomicBool,
     pub changed: tokio::sync::Notify,
-    /// Sessions that the gate of this machine has, and what is let through of them here.
-    pub sessions: Sessions,
-    pub fence: Fence,
+    /// SessionTable that the gate of this machine has, and what is let through of them here.
+    pub sessions: SessionTable,
+    pub fence: FencingTable,
 }
 
 /// A place at the upstream, and since when; given back when its answer has come, or nobody waits for it any more.
-struct Slot(Arc<Door>, Nanos, Option<Name>);
+struct AdmissionPermit(Arc<InboundProxy>, Nanos, Option<Name>);
 
 /// Who waits for one, and the member whose part that will be of.
-type Waits = (oneshot::Sender<Slot>, Option<Name>);
+type QueuedRequest = (oneshot::Sender<AdmissionPermit>, Option<Name>);
 
-impl Drop for Slot {
+impl Drop for AdmissionPermit {
     fn drop(&mut self) {
         let now = self.0.clock.now();
         let mut slots = held(&self.0.slots);
@@ -211,25 +213,25 @@
 }
 
 /// A large answer that will go out to another machine once the upstream has made it.
-struct Coming(Arc<Door>);
+struct PendingLargeResponse(Arc<InboundProxy>);
 
-impl Coming {
-    fn new(door: &Arc<Door>) -> Coming {
+impl PendingLargeResponse {
+    fn new(door: &Arc<InboundProxy>) -> PendingLargeResponse {
         door.large_inside.fetch_add(1, Relaxed);
-        Coming(door.clone())
+        PendingLargeResponse(door.clone())
     }
 }
 
-impl Drop for Coming {
+impl Drop for PendingLargeResponse {
     fn drop(&mut self) {
         self.0.large_inside.fetch_sub(1, Relaxed);
     }
 }
 
 /// A run at the upstream that is out. Dropped before it has ended, nobody waits for it any more.
-struct Run(Arc<Door>, u64);
+struct UpstreamRun(Arc<InboundProxy>, u64);
 
-impl Run {
+impl UpstreamRun {
     fn ended(self, ran: RunOutcome) {
         let now = self.0.clock.now();
         held(&self.0.health).end(now, self.1, ran);
@@ -237,38 +239,38 @@
     }
 }
 
-impl Drop for Run {
+impl Drop for UpstreamRun {
     fn drop(&mut self) {
         held(&self.0.health).end(self.0.clock.now(), self.1, RunOutcome::Abandoned);
     }
 }
 
-struct Inside(Arc<Door>, Vec<u8>);
+struct RequestGuard(Arc<InboundProxy>, Vec<u8>);
 
-impl Drop for Inside {
+impl Drop for RequestGuard {
     fn drop(&mut self) {
         held(&self.0.runs).remove(&self.1);
         self.0.inside.fetch_sub(1, Relaxed);
     }
 }
 
-impl Door {
-    pub fn new(site: Site, clock: Clock, life: u64) -> Arc<Door> {
-        let Site { at, zone, app, drain, connections, ahead, link_mbps } = site;
-        let state = State { upstream: None, past: VecDeque::new(), number: 1, life };
-        Arc::new(Door {
+impl InboundProxy {
+    pub fn new(site: InboundSettings, clock: Clock, life: u64) -> Arc<InboundProxy> {
+        let InboundSettings { at, zone, app, drain, connections, ahead, link_mbps } = site;
+        let state = ProxyState { upstream: None, past: VecDeque::new(), number: 1, life };
+        Arc::new(InboundProxy {
             at,
             zone,
             app,
             clock,
             drain,
             state: Mutex::new(state),
-            berths: Berths::new(connections),
+            berths: ConnectionLimit::new(connections),
             inside: AtomicUsize::new(0),
             slots: Mutex::default(),
             health: Mutex::default(),
             shares: ArcSwap::default(),
-            lane: Lane::new(link_mbps, clock),
+            lane: LargeResponseLane::new(link_mbps, clock),
             large: Mutex::new(0.0),
             large_inside: AtomicUsize::new(0),
             ahead: Arc::new(Semaphore::new(ahead)),
@@ -276,13 +278,13 @@
             runs: Mutex::default(),
             serving: AtomicBool::new(false),
             changed: tokio::sync::Notify::new(),
-            sessions: Sessions::default(),
-            fence: Fence::default(),
+            sessions: SessionTable::default(),
+            fence: FencingTable::default(),
         })
     }
 
     /// The row that tells of this place.
-    pub fn row(&self) -> EndpointRecord {
+    pub fn endpoint_record(&self) -> EndpointRecord {
         let state = held(&self.state);
         let mut row = EndpointRecord {
             inbound_proxy: self.at,
@@ -312,17 +314,17 @@
     }
 
     /// Whether the upstream beside it has ended in order.
-    pub fn signed_off(&self) -> bool {
+    pub fn upstream_signed_off(&self) -> bool {
         held(&self.state).upstream.as_ref().is_some_and(|upstream| upstream.stand == UpstreamState::Absent)
     }
 
-    pub fn knows(&self) -> bool {
+    pub fn knows_upstream(&self) -> bool {
         held(&self.state).upstream.is_some()
     }
 
     /// After a start: the row that others still hold of this place tells of an upstream, and one probe tells whether it
     /// still stands. Guards against a door that knows nothing until the next beat.
-    pub async fn find_again(self: Arc<Self>, row: EndpointRecord, health: String) {
+    pub async fn probe_upstream(self: Arc<Self>, row: EndpointRecord, health: String) {
         let Some(app) = self.app.filter(|_| row.state != UpstreamState::Absent) else { return };
         let line = self.line_to(app);
         let mut head = hyper::Request::new(());
@@ -334,13 +336,13 @@
             head.headers_mut().insert(HOST, host);
         }
         let message = Arc::new(Message { head, first: bytes::Bytes::new(), length: Some(0), long: None });
-        let until = self.clock.now() + PROBE;
+        let until = self.clock.now() + PROBE_TIMEOUT;
         let Ok((head, _)) = line.exchange(&message, &HeaderMap::new(), until, None, |_| true).await else {
             return;
         };
         // What a health page says of its upstream may be wrong, and a life that closes never opens again. Only the next
         // beat tells.
-        if field(&head.headers, &DELIVERED_BY) != row.upstream_id || !head.status.is_success() {
+        if header_str(&head.headers, &DELIVERED_BY) != row.upstream_id || !head.status.is_success() {
             return;
         }
         let now = self.clock.now();
@@ -365,12 +367,12 @@
         });
         held(&self.slots).set(row.concurrency_limit);
         drop(state);
-        self.touch();
+        self.record_changed();
     }
 
     /// What others hold of this place from an earlier life of this process: a life of the upstream that was closing or
     /// gone then is so now, whatever a beat that came late has told since. The acknowledgement of its drain binds.
-    pub fn heard_of_before(&self, id: &str, stand: UpstreamState) {
+    pub fn restore_upstream_state(&self, id: &str, stand: UpstreamState) {
         let mut state = held(&self.state);
         if stand == UpstreamState::Serving || id.is_empty() {
             return;
@@ -386,16 +388,16 @@
         (upstream.stand, upstream.closing_since) = (stand, Some(over));
         log::info!("upstream {id}: {stand:?} by what was told before this start");
         drop(state);
-        self.touch();
+        self.record_changed();
     }
 
-    pub fn touch(&self) {
+    pub fn record_changed(&self) {
         held(&self.state).number += 1;
         self.changed.notify_waiters();
     }
 
     /// The row is known elsewhere under a later life: what is told from here on must be later still.
-    pub fn outlive(&self, life: u64) {
+    pub fn ensure_incarnation_above(&self, life: u64) {
         let mut state = held(&self.state);
         if life > state.life {
             state.life = life + 1;
@@ -407,7 +409,7 @@
 
     /// A req came to the gate of this machine. One whose id goes on from that of a run inside is a call of that run: the
     /// upstream is no last tier. Told with whether that run was one sent again, so that its calls count as such too.
-    pub fn saw(&self, id: &[u8]) -> Option<bool> {
+    pub fn running_request(&self, id: &[u8]) -> Option<bool> {
         let mut goes_on = id.iter().enumerate().filter(|(_, byte)| !byte.is_ascii_alphanumeric()).take(8);
         let again = {
             let runs = held(&self.runs);
@@ -415,44 +417,52 @@
         };
         if again.is_some() && !self.calls.swap(true, Relaxed) {
             log::info!("the upstream calls other services");
-            self.touch();
+            self.record_changed();
         }
         again
     }
 
-    pub fn line(&self) -> Option<String> {
+    pub fn service(&self) -> Option<String> {
         held(&self.state).upstream.as_ref().map(|upstream| upstream.line.clone())
     }
 
     /// What the upstream says at the control gate.
-    pub async fn control(self: Arc<Self>, came: Came) -> Response<Flow> {
-        let uri = came.req.uri().clone();
-        let (call, of) = call_of(&uri);
+    pub async fn handle_control_call(self: Arc<Self>, came: ReceivedRequest) -> Response<ResponseBody> {
+        let uri = came.request.uri().clone();
+        let (call, of) = call_and_subject(&uri);
         match (call.as_str(), of) {
             ("offices.beat", Some(of)) => {
                 let bodies = Arc::new(Semaphore::new(1 << 16));
-                let read =
-                    listener::message(came, &bodies, self.clock, MOST_BEAT, Duration::from_secs(1)).await;
+                let read = listener::read_message(
+                    came,
+                    &bodies,
+                    self.clock,
+                    MAX_HEARTBEAT_BYTES,
+                    Duration::from_secs(1),
+                )
+                .await;
                 let beat = match read {
-                    Ok((message, _room)) => self.beat(&of, &message.first),
-                    Err(Bad(status, line)) => return say(status, line),
+                    Ok((message, _room)) => self.handle_heartbeat(&of, &message.first),
+                    Err(RequestError(status, line)) => return plain_response(status, line),
                 };
                 match beat {
-                    Ok(()) => listener::json(200, "{}".into()),
-                    Err(why) => say(400, why),
+                    Ok(()) => listener::json_response(200, "{}".into()),
+                    Err(why) => plain_response(400, why),
                 }
             }
             ("offices.sign_off", Some(of)) => {
                 self.sign_off(&of);
-                listener::json(200, "{}".into())
+                listener::json_response(200, "{}".into())
+            }
+            ("sessions.count", _) => {
+                listener::json_response(200, self.sessions.status_json(self.fence.rejections()))
             }
-            ("sessions.count", _) => listener::json(200, self.sessions.page(self.fence.turned())),
-            _ => say(404, "no such call here"),
+            _ => plain_response(404, "no such call here"),
         }
     }
 
     /// What the upstream tells of itself.
-    pub fn beat(self: &Arc<Self>, of: &str, body: &[u8]) -> Result<(), &'static str> {
+    pub fn handle_heartbeat(self: &Arc<Self>, of: &str, body: &[u8]) -> Result<(), &'static str> {
         let text = std::str::from_utf8(body).map_err(|_| "not UTF-8")?;
         let beat = jzon::parse(text).map_err(|_| "no JSON")?;
         let (notice, status) = (&beat["notice"], &beat["status"]);
@@ -528,13 +538,17 @@
             let handed = self.hand_on(&mut all, now);
             drop(all);
             handed.into_iter().for_each(|(waiting, slot)| drop(waiting.send(slot)));
-            self.touch();
+            self.record_changed();
         }
         Ok(())
     }
 
-    fn line_to(&self, address: SocketAddr) -> Arc<Line> {
-        Arc::new(Line::new(address, self.clock, self.berths.room()).near().reading_ahead(self.ahead.clone()))
+    fn line_to(&self, address: SocketAddr) -> Arc<ConnectionPool> {
+        Arc::new(
+            ConnectionPool::new(address, self.clock, self.berths.permits())
+                .near()
+                .reading_ahead(self.ahead.clone()),
+        )
     }
 
     /// That life takes nothing any more, whether it was known here or not: a beat of it may still be on its way.
@@ -549,11 +563,11 @@
         upstream.to.shut();
         log::info!("upstream {of}: signed off");
         drop(state);
-        self.touch();
+        self.record_changed();
     }
 
     /// An operator's word: this life takes nothing new, as if its upstream had said that it closes.
-    pub fn close(&self, id: &str) {
+    pub fn drain(&self, id: &str) {
         let mut state = held(&self.state);
         if let Some(upstream) = &mut state.upstream
             && upstream.id == id
@@ -563,12 +577,12 @@
             upstream.closing_since = Some(self.clock.now());
             log::info!("upstream {id}: drained by an operator");
             drop(state);
-            self.touch();
+            self.record_changed();
         }
     }
 
     /// Closes connections that have been idle for long, and tells when the upstream is cold no more.
-    pub fn sweep(&self) {
+    pub fn close_idle_connections(&self) {
         self.look(self.clock.now());
         let warm = {
             let mut state = held(&self.state);
@@ -580,13 +594,13 @@
             warm
         };
         if warm {
-            self.touch();
+            self.record_changed();
         }
     }
 
     /// The upstream takes so many connections from all its callers, each with one req at a time.
-    pub fn moor(&self, cap: usize) {
-        self.berths.cap(cap);
+    pub fn set_connection_limit(&self, cap: usize) {
+        self.berths.set_limit(cap);
         let slots = held(&self.state).upstream.as_ref().map_or(0, |upstream| upstream.slots);
         if slots as usize > cap {
             held(&self.slots).set(cap.max(1) as u32);
@@ -594,7 +608,7 @@
     }
 
     /// The configuration in force here tells what members may have of the slots.
-    pub fn know_shares(&self, shares: &Arc<RetryShares>) {
+    pub fn set_member_shares(&self, shares: &Arc<RetryShares>) {
         self.shares.store(shares.clone());
     }
 
@@ -606,7 +620,7 @@
     }
 
     /// How many reqs are inside.
-    pub fn busy(&self) -> usize {
+    pub fn requests_in_flight(&self) -> usize {
         self.inside.load(Relaxed)
     }
 
@@ -619,26 +633,26 @@
     /// Gives free places to those that wait, to be sent to them once the lock is free.
     fn hand_on(
         self: &Arc<Self>,
-        slots: &mut AdmissionQueue<Waits>,
+        slots: &mut AdmissionQueue<QueuedRequest>,
         now: Nanos,
-    ) -> Vec<(oneshot::Sender<Slot>, Slot)> {
+    ) -> Vec<(oneshot::Sender<AdmissionPermit>, AdmissionPermit)> {
         let mut handed = Vec::new();
         slots.forget(|(waiting, _)| waiting.is_closed());
         while let Some((waiting, member)) = slots.next(now) {
-            handed.push((waiting, Slot(self.clone(), 0, member)));
+            handed.push((waiting, AdmissionPermit(self.clone(), 0, member)));
         }
         handed
     }
 
     /// Lets a req through to the upstream, if it is the one that was meant.
-    pub async fn pass(self: &Arc<Self>, request: InboundRequest<'_>) -> End {
+    pub async fn forward(self: &Arc<Self>, request: InboundRequest<'_>) -> UpstreamOutcome {
         let InboundRequest {
             message, meant, caller, again, call, large, away, pass, aim, until, part, ..
         } = request;
-        let Some(to) = self.check(meant) else { return End::Gone };
+        let Some(to) = self.check(meant) else { return UpstreamOutcome::Gone };
         let now = self.clock.now();
         if let Err(known) = self.lets(now, pass) {
-            return End::Fenced(known);
+            return UpstreamOutcome::Fenced(known);
         }
         // A large answer is late when its last byte is: what stands before it on the link, which goes while it is made,
         // and its own part.
@@ -647,7 +661,7 @@
         let took = held(&self.slots).took();
         let aim = aim.saturating_sub(span + stands.saturating_sub(took));
         if stands > 0 && now + took > aim {
-            return End::Turned;
+            return UpstreamOutcome::Rejected;
         }
         let (turned, tied) = (request.turned, request.tied);
         let part = part.map(|told| self.part(told));
@@ -667,35 +681,35 @@
                 (send, member.clone())
             });
             match (way, wait) {
-                (Admission::Admitted, _) => Ok(Slot(self.clone(), 0, member)),
+                (Admission::Admitted, _) => Ok(AdmissionPermit(self.clone(), 0, member)),
                 (Admission::Queued(last), Some(wait)) => Err((last, wait)),
-                _ => return End::Turned,
+                _ => return UpstreamOutcome::Rejected,
             }
         };
-        let coming = paced.then(|| Coming::new(self));
+        let coming = paced.then(|| PendingLargeResponse::new(self));
         self.inside.fetch_add(1, Relaxed);
         let id = message.head.headers().get(&ID).cloned();
         let name = id.as_ref().map(|id| id.as_bytes().to_vec()).unwrap_or_default();
         held(&self.runs).insert(name.clone(), again);
-        let inside = Inside(self.clone(), name);
+        let inside = RequestGuard(self.clone(), name);
         let mut slot = match waits {
             Ok(slot) => slot,
             Err((last, wait)) => match timeout_at(self.clock.instant(last), wait).await {
                 Ok(Ok(slot)) => slot,
-                Ok(Err(_)) => return End::Turned,
-                Err(_) => return End::Unsent,
+                Ok(Err(_)) => return UpstreamOutcome::Rejected,
+                Err(_) => return UpstreamOutcome::NotSent,
             },
         };
         if self.check(meant).is_none() {
-            return End::Gone;
+            return UpstreamOutcome::Gone;
         }
         // Its session may have moved while it waited.
         if let Err(known) = self.lets(self.clock.now(), pass) {
-            return End::Fenced(known);
+            return UpstreamOutcome::Fenced(known);
         }
         let left = until.saturating_sub(self.clock.now()) / MS;
         if left == 0 {
-            return End::Unsent;
+            return UpstreamOutcome::NotSent;
         }
         let mut fields = HeaderMap::new();
         fields.insert(LEFT, HeaderValue::from(left));
@@ -712,10 +726,12 @@
             Ok(answer) => answer,
             Err(fail) => {
                 let (ran, end) = match fail {
-                    Fail::NoConnection => (RunOutcome::NoConnection, End::Unreachable),
-                    Fail::NotSent => (RunOutcome::Abandoned, End::Unsent),
-                    Fail::Reset => (RunOutcome::Failed, End::Reset),
-                    Fail::Late => (RunOutcome::Abandoned, End::Late),
+                    ExchangeError::ConnectFailed => {
+                        (RunOutcome::NoConnection, UpstreamOutcome::ConnectFailed)
+                    }
+                    ExchangeError::NotSent => (RunOutcome::Abandoned, UpstreamOutcome::NotSent),
+                    ExchangeError::Reset => (RunOutcome::Failed, UpstreamOutcome::Reset),
+                    ExchangeError::TimedOut => (RunOutcome::Abandoned, UpstreamOutcome::TimedOut),
                 };
                 run.ended(ran);
                 return end;
@@ -723,17 +739,17 @@
         };
         head.headers.remove(&WAY);
         if head.status == StatusCode::MISDIRECTED_REQUEST {
-            return End::Gone;
+            return UpstreamOutcome::Gone;
         }
         if head.headers.contains_key(&NOT_RUN) {
             run.ended(RunOutcome::Failed);
-            return End::Full;
+            return UpstreamOutcome::UpstreamFull;
         }
         let stamped = head.headers.contains_key(&STAMP);
         let coded = head.headers.contains_key(CONTENT_ENCODING);
         if coded || (head.status.is_success() && !stamped) {
             run.ended(RunOutcome::Failed);
-            return End::Reset;
+            return UpstreamOutcome::Reset;
         }
         run.ended(match head.status {
             // At its deadline a run has failed for want of time.
@@ -743,18 +759,18 @@
         });
         if large && let Some(size) = flow.size_hint().exact() {
             let mut mean = held(&self.large);
-            *mean += (size as f64 - *mean) * if *mean > 0.0 { LARGE_PART } else { 1.0 };
+            *mean += (size as f64 - *mean) * if *mean > 0.0 { LARGE_RESPONSE_MEAN_WEIGHT } else { 1.0 };
         }
         let flow = if away { self.paced(flow) } else { flow };
         // From here on it stands in the lane.
         drop(coming);
-        End::Ran(head, flow.holding(inside))
+        UpstreamOutcome::Responded(head, flow.holding(inside))
     }
 
-    fn begins(self: &Arc<Self>, now: Nanos, sort: RequestClass) -> Run {
+    fn begins(self: &Arc<Self>, now: Nanos, sort: RequestClass) -> UpstreamRun {
         let run = held(&self.health).begin(now, sort);
         self.look(now);
-        Run(self.clone(), run)
+        UpstreamRun(self.clone(), run)
     }
 
     /// Tells how the upstream does where that has changed.
@@ -763,20 +779,20 @@
         let (was, ill) = (health.health(), health.update(now));
         drop(health);
         if was != ill {
-            let name = self.line().unwrap_or_default();
+            let name = self.service().unwrap_or_default();
             log::info!(
                 "upstream of {name}: fails at level {}, slow at level {}",
                 ill.failure_level,
                 ill.latency_level
             );
-            self.touch();
+            self.record_changed();
         }
     }
 
-    fn paced(&self, flow: Flow) -> Flow {
+    fn paced(&self, flow: ResponseBody) -> ResponseBody {
         let flow = flow.paced(&self.lane);
-        if let Flow::Whole(body) = &flow {
-            self.goes_out(body.size_hint().lower());
+        if let ResponseBody::Buffered(body) = &flow {
+            self.note_outgoing_bytes(body.size_hint().lower());
         }
         flow
     }
@@ -790,26 +806,26 @@
     }
 
     /// So many bytes go out to other machines, at once.
-    pub fn goes_out(&self, bytes: u64) {
-        self.lane.pace().note(self.clock.now(), bytes as usize + HEAD_BYTES);
+    pub fn note_outgoing_bytes(&self, bytes: u64) {
+        self.lane.pace().note(self.clock.now(), bytes as usize + HEADER_ESTIMATE_BYTES);
     }
 
-    fn lets(&self, now: Nanos, pass: Option<Pass>) -> Result<(), u64> {
+    fn lets(&self, now: Nanos, pass: Option<FencingToken>) -> Result<(), u64> {
         pass.map_or(Ok(()), |pass| self.fence.check(now, pass))
     }
 
     /// Whether this life takes reqs now, and where it is.
-    fn check(&self, meant: &str) -> Option<Arc<Line>> {
+    fn check(&self, meant: &str) -> Option<Arc<ConnectionPool>> {
         let state = held(&self.state);
         let upstream = state.upstream.as_ref()?;
-        let over = |since: Nanos| self.clock.now() > since + (self.drain / DRAIN_PART).as_nanos() as Nanos;
+        let over = |since: Nanos| self.clock.now() > since + (self.drain / DRAIN_DIVISOR).as_nanos() as Nanos;
         let takes = upstream.id == meant
             && upstream.stand != UpstreamState::Absent
             && !upstream.closing_since.is_some_and(over);
         takes.then(|| upstream.to.clone())
     }
 
-    fn way(&self, mut answer: Response<Flow>, word: &str) -> Response<Flow> {
+    fn way(&self, mut answer: Response<ResponseBody>, word: &str) -> Response<ResponseBody> {
         if let Ok(word) = HeaderValue::try_from(format!("{word} {}", self.load())) {
             answer.headers_mut().insert(WAY, word);
         }
@@ -817,22 +833,27 @@
     }
 
     /// A req that a gate elsewhere sent here.
-    pub async fn answer(self: Arc<Self>, came: Came, bodies: Arc<Semaphore>) -> Response<Flow> {
-        let at = came.at;
-        let headers = came.req.headers();
-        let meant = field(headers, &ADDRESSEE).to_owned();
-        let left = field(headers, &LEFT).parse::<u64>().unwrap_or(0).min(MAX_LEFT_MS);
-        let fence = field(headers, &SESSION_FENCE);
-        if let Some(keys) = self.sessions.handed_over(fence) {
-            return self.way(Response::new(Flow::of(keys)), "ran");
-        }
-        let pass = Pass::read(fence);
-        let Terms { aim_ms, turned, tied, again, call, large, part } = Terms::read(headers, left);
+    pub async fn handle_request(
+        self: Arc<Self>,
+        came: ReceivedRequest,
+        bodies: Arc<Semaphore>,
+    ) -> Response<ResponseBody> {
+        let at = came.received_at;
+        let headers = came.request.headers();
+        let meant = header_str(headers, &ADDRESSEE).to_owned();
+        let left = header_str(headers, &LEFT).parse::<u64>().unwrap_or(0).min(MAX_TIME_LEFT_MS);
+        let fence = header_str(headers, &SESSION_FENCE);
+        if let Some(keys) = self.sessions.handle_handover(fence) {
+            return self.way(Response::new(ResponseBody::of(keys)), "ran");
+        }
+        let pass = FencingToken::from_header(fence);
+        let RequestTerms { aim_ms, turned, tied, again, call, large, part } =
+            RequestTerms::from_headers(headers, left);
         let caller = headers.get(&CALLER).cloned().unwrap_or(HeaderValue::from_static(""));
-        let read = listener::message(came, &bodies, self.clock, u64::MAX, Duration::from_secs(10)).await;
+        let read = listener::read_message(came, &bodies, self.clock, u64::MAX, Duration::from_secs(10)).await;
         let (mut message, _room) = match read {
             Ok(read) => read,
-            Err(Bad(status, line)) => return self.way(say(status, line), "unsent"),
+            Err(RequestError(status, line)) => return self.way(plain_response(status, line), "unsent"),
         };
         message.head.headers_mut().remove(&TERMS);
         message.head.headers_mut().remove(&SESSION_FENCE);
@@ -853,18 +874,20 @@
             until,
             part,
         };
-        let end = self.pass(request).await;
-        let word = end.word();
+        let end = self.forward(request).await;
+        let word = end.as_word();
         match end {
-            End::Ran(head, flow) => self.way(Response::from_parts(head, flow), word),
-            End::Fenced(known) => self.way(say(503, word), &format!("{FENCED}{known}")),
-            _ => self.way(say(503, word), word),
+            UpstreamOutcome::Responded(head, flow) => self.way(Response::from_parts(head, flow), word),
+            UpstreamOutcome::Fenced(known) => {
+                self.way(plain_response(503, word), &format!("{FENCED_PREFIX}{known}"))
+            }
+            _ => self.way(plain_response(503, word), word),
         }
     }
 }
 
 /// The call's name and whom it is of.
-pub fn call_of(uri: &hyper::Uri) -> (String, Option<String>) {
+pub fn call_and_subject(uri: &hyper::Uri) -> (String, Option<String>) {
     if uri.path() != "/api/rpc" {
         return (String::new(), None);
     }
--- a/balancer/src/mesh/proxy/inbound_request.rs
+++ b/balancer/src/mesh/proxy/inbound_request.rs
@@ -8,14 +8,14 @@
 use ochreshed_mesh::admission::MemberShare;
 
 use crate::body::Message;
-use crate::mesh::proxy::fencing::Pass;
+use crate::mesh::proxy::fencing::FencingToken;
 use crate::mesh::proxy::headers::TERMS;
 
 const MS: Nanos = 1_000_000;
 /// The longest that a client may say it waits, in ms.
-pub const MAX_LEFT_MS: u64 = 86_400_000;
+pub const MAX_TIME_LEFT_MS: u64 = 86_400_000;
 /// Bytes of a member's name.
-const MAX_NAME: usize = 256;
+const MAX_MEMBER_NAME_BYTES: usize = 256;
 
 /// A request at an inbound proxy.
 pub struct InboundRequest<'a> {
@@ -36,7 +36,7 @@
     /// Its answer goes to another machine.
     pub away: bool,
     /// Its session, where its route names one.
-    pub pass: Option<Pass>,
+    pub pass: Option<FencingToken>,
     /// When its answer is late, and when nobody waits for it any more.
     pub aim: Nanos,
     pub until: Nanos,
@@ -46,7 +46,7 @@
 
 /// What of it is told on the wire.
 #[derive(Debug, PartialEq)]
-pub struct Terms {
+pub struct RequestTerms {
     pub aim_ms: u64,
     pub turned: u32,
     pub tied: bool,
@@ -61,7 +61,7 @@
     /// letters: `a`, it is sent again or called by a run that was; `c`, a run waits for it; `l`, its answer is large; `t`,
     /// its session lives there. On a member's route also the part of the slots that its requests may have, and its name,
     /// which ends with the field. What is left of its time is told by another field.
-    pub fn terms(&self, now: Nanos) -> String {
+    pub fn terms_header(&self, now: Nanos) -> String {
         let mut word = format!("{} {} ", self.aim.saturating_sub(now) / MS, self.turned);
         word.extend(
             [(self.again, 'a'), (self.call, 'c'), (self.large, 'l'), (self.tied, 't')]
@@ -76,20 +76,20 @@
     }
 }
 
-impl Terms {
+impl RequestTerms {
     /// Reads them from a request's fields, with the ms until it is late in place of the time; what is missing or can't be
     /// read is as for a plain request that has `left_ms`.
-    pub fn read(headers: &HeaderMap, left_ms: u64) -> Terms {
+    pub fn from_headers(headers: &HeaderMap, left_ms: u64) -> RequestTerms {
         // A member's name may be in any script.
         let word = headers.get(&TERMS).and_then(|word| std::str::from_utf8(word.as_bytes()).ok());
         let mut parts = word.unwrap_or_default().trim().splitn(5, ' ');
-        let aim_ms = parts.next().and_then(|part| part.parse().ok()).unwrap_or(left_ms).min(MAX_LEFT_MS);
+        let aim_ms = parts.next().and_then(|part| part.parse().ok()).unwrap_or(left_ms).min(MAX_TIME_LEFT_MS);
         let turned = parts.next().and_then(|part| part.parse().ok()).unwrap_or(0);
         let letters = parts.next().unwrap_or_default();
         let [again, call, large, tied] = ['a', 'c', 'l', 't'].map(|letter| letters.contains(letter));
         let share = parts.next().and_then(|part| part.parse().ok());
-        let member = parts.next().filter(|name| !name.is_empty() && name.len() <= MAX_NAME);
+        let member = parts.next().filter(|name| !name.is_empty() && name.len() <= MAX_MEMBER_NAME_BYTES);
         let part = share.zip(member).map(|(share, name)| MemberShare { member: name.into(), share });
-        Terms { aim_ms, turned, tied, again, call, large, part }
+        RequestTerms { aim_ms, turned, tied, again, call, large, part }
     }
 }
--- a/balancer/src/mesh/proxy/lease_client.rs
+++ b/balancer/src/mesh/proxy/lease_client.rs
@@ -14,62 +14,62 @@
 
 use crate::clock::Clock;
 use crate::link::held;
-use crate::mesh::rpc::{Callers, InternalRequest, InternalResponse};
+use crate::mesh::rpc::{InternalRequest, InternalResponse, RpcClients};
 
 /// A claim goes to the next steward too when the one before has not replied within this.
-const HEDGE: Duration = Duration::from_millis(90);
-const SETTLE: Duration = Duration::from_millis(800);
-const SETTLES: u32 = 4;
-const PAUSE: Duration = Duration::from_millis(150);
+const HEDGE_DELAY: Duration = Duration::from_millis(90);
+const COMPLETE_TIMEOUT: Duration = Duration::from_millis(800);
+const MAX_COMPLETE_ATTEMPTS: u32 = 4;
+const RETRY_INTERVAL: Duration = Duration::from_millis(150);
 
-pub fn key(text: &str) -> LeaseKey {
+pub fn hash_key(text: &str) -> LeaseKey {
     xxh3_128(text.as_bytes())
 }
 
 /// The stewards that are known, for all that ask them.
-pub struct Stewards {
+pub struct ReplicaPool {
     clock: Clock,
     known: Mutex<ReplicaDirectory>,
 }
 
-impl Stewards {
-    pub fn new(clock: Clock) -> Stewards {
-        Stewards { clock, known: Mutex::default() }
+impl ReplicaPool {
+    pub fn new(clock: Clock) -> ReplicaPool {
+        ReplicaPool { clock, known: Mutex::default() }
     }
 
-    pub fn know(&self, all: impl IntoIterator<Item = SocketAddr>) {
+    pub fn set_replicas(&self, all: impl IntoIterator<Item = SocketAddr>) {
         held(&self.known).set_replicas(all);
     }
 
-    pub fn all(&self) -> Vec<SocketAddr> {
+    pub fn replicas(&self) -> Vec<SocketAddr> {
         held(&self.known).replicas()
     }
 
-    pub fn failed(&self, steward: SocketAddr) {
+    pub fn request_failed(&self, steward: SocketAddr) {
         held(&self.known).failed(self.clock.now(), steward);
     }
 
-    pub fn replied(&self, steward: SocketAddr) {
+    pub fn response_received(&self, steward: SocketAddr) {
         held(&self.known).replied(steward);
     }
 
     /// In the order in which a key's duty falls to them.
-    pub fn by_key(&self, key: LeaseKey) -> Vec<SocketAddr> {
+    pub fn replicas_for_key(&self, key: LeaseKey) -> Vec<SocketAddr> {
         held(&self.known).replicas_for_key(self.clock.now(), key)
     }
 }
 
 /// Claims a key: the first steward that knows decides how it went. One that is slow to reply is not waited for alone:
 /// the same claim may go through several, since it is one token. `within` is how long that may take in all.
-pub async fn claim(
-    stewards: &Stewards,
-    callers: &Callers,
+pub async fn acquire_lease(
+    stewards: &ReplicaPool,
+    callers: &RpcClients,
     (key, token): (LeaseKey, LeaseToken),
     left_ms: u32,
     within: Duration,
 ) -> CoreResponse {
     let until = tokio::time::Instant::now() + within;
-    let mut next = stewards.by_key(key).into_iter();
+    let mut next = stewards.replicas_for_key(key).into_iter();
     let mut out = FuturesUnordered::new();
     let mut silent = Vec::new();
     loop {
@@ -84,19 +84,19 @@
         } else if out.is_empty() {
             return CoreResponse::Unavailable;
         }
-        let hedge = (tokio::time::Instant::now() + HEDGE).min(until);
+        let hedge = (tokio::time::Instant::now() + HEDGE_DELAY).min(until);
         tokio::select! {
             Some((steward, reply)) = out.next(), if !out.is_empty() => {
                 silent.retain(|silent| *silent != steward);
                 match reply {
                     Ok(InternalResponse::Core(CoreResponse::Unavailable)) => {}
                     Ok(InternalResponse::Core(got)) => {
-                        stewards.replied(steward);
+                        stewards.response_received(steward);
                         // Those asked before it that said nothing: others are asked first for a while.
-                        silent.into_iter().for_each(|silent| stewards.failed(silent));
+                        silent.into_iter().for_each(|silent| stewards.request_failed(silent));
                         return got;
                     }
-                    _ => stewards.failed(steward),
+                    _ => stewards.request_failed(steward),
                 }
             }
             () = sleep_until(hedge) => {}
@@ -108,28 +108,28 @@
 }
 
 /// Tells what came of a claim, until a steward has it.
-pub fn settle(
-    stewards: Arc<Stewards>,
-    callers: Arc<Callers>,
+pub fn complete_lease(
+    stewards: Arc<ReplicaPool>,
+    callers: Arc<RpcClients>,
     (key, token): (LeaseKey, LeaseToken),
     outcome: Option<LeaseOutcome>,
 ) {
     tokio::spawn(async move {
-        for round in 0..SETTLES {
-            for steward in stewards.by_key(key) {
+        for round in 0..MAX_COMPLETE_ATTEMPTS {
+            for steward in stewards.replicas_for_key(key) {
                 let ask = InternalRequest::Core(CoreRequest::CompleteLease {
                     key,
                     token,
                     outcome: outcome.clone(),
                 });
                 if let Ok(InternalResponse::Core(CoreResponse::Accepted)) =
-                    callers.to(steward).call(ask, SETTLE).await
+                    callers.to(steward).call(ask, COMPLETE_TIMEOUT).await
                 {
                     return;
                 }
-                stewards.failed(steward);
+                stewards.request_failed(steward);
             }
-            sleep(PAUSE * (1 << round)).await;
+            sleep(RETRY_INTERVAL * (1 << round)).await;
         }
     });
 }
--- a/balancer/src/mesh/proxy/listener.rs
+++ b/balancer/src/mesh/proxy/listener.rs
@@ -27,68 +27,68 @@
 use crate::clock::Clock;
 use crate::figures::Coming;
 use crate::link::{MOST_HEAD, Meter, Wire, drop_hop_fields};
-use crate::mesh::proxy::connection_pool::{Flow, Place};
+use crate::mesh::proxy::connection_pool::{Permit, ResponseBody};
 use crate::start::{MOST_BODY, PER_LONG};
 
 /// How long to wait when no descriptor is left for a new connection.
-const NO_SOCKET: Duration = Duration::from_millis(50);
+const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(50);
 /// Half a req is waited for so long once the door has closed.
-const UNFINISHED: Duration = Duration::from_secs(1);
+const DRAIN_READ_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Bounds of one door.
+/// ListenerLimits of one door.
 #[derive(Clone)]
-pub struct Bounds {
-    pub callers: usize,
+pub struct ListenerLimits {
+    pub max_connections: usize,
     /// How long a head may take, and a connection stand idle.
-    pub head: Duration,
+    pub header_timeout: Duration,
 }
 
 /// A req as it came, and when.
-pub struct Came {
-    pub req: Request<Incoming>,
+pub struct ReceivedRequest {
+    pub request: Request<Incoming>,
     pub meter: Arc<Meter>,
-    pub at: Nanos,
+    pub received_at: Nanos,
 }
 
 /// What a caller did wrong, as a status and a line.
 #[derive(Debug)]
-pub struct Bad(pub u16, pub &'static str);
+pub struct RequestError(pub u16, pub &'static str);
 
 /// How far a door's end has come: open, answers end their connections, closed.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
-pub enum Ajar {
+pub enum ListenerState {
     Open,
-    Leaving,
+    Draining,
     Closed,
 }
 
 /// Lets callers in until the door is closed, and returns once the last one has gone. `answer` is asked for each req.
-pub async fn keep<F, A>(
+pub async fn serve<F, A>(
     listener: TcpListener,
     clock: Clock,
-    bounds: Bounds,
-    mut ajar: watch::Receiver<Ajar>,
+    bounds: ListenerLimits,
+    mut ajar: watch::Receiver<ListenerState>,
     callers: Arc<AtomicUsize>,
     answer: F,
 ) where
-    F: Fn(Came) -> A + Clone + Send + Sync + 'static,
-    A: Future<Output = Response<Flow>> + Send + 'static,
+    F: Fn(ReceivedRequest) -> A + Clone + Send + Sync + 'static,
+    A: Future<Output = Response<ResponseBody>> + Send + 'static,
 {
     let mut guests = JoinSet::new();
     let closing = ajar.clone();
     let mut closed = pin!(async {
-        let _ = ajar.wait_for(|ajar| *ajar == Ajar::Closed).await;
+        let _ = ajar.wait_for(|ajar| *ajar == ListenerState::Closed).await;
     });
     loop {
         tokio::select! {
             () = &mut closed => break,
             Some(_) = guests.join_next(), if !guests.is_empty() => {}
-            came = listener.accept(), if guests.len() < bounds.callers => match came {
+            came = listener.accept(), if guests.len() < bounds.max_connections => match came {
                 Ok((stream, _)) => {
                     callers.store(guests.len() + 1, Relaxed);
                     guests.spawn(guest(stream, clock, bounds.clone(), closing.clone(), answer.clone()));
                 }
-                Err(_) => sleep(NO_SOCKET).await,
+                Err(_) => sleep(ACCEPT_RETRY_INTERVAL).await,
             }
         }
     }
@@ -97,16 +97,16 @@
 }
 
 /// A req that is answered, or whose answer is on its way.
-struct Work(Arc<AtomicUsize>);
+struct ConnectionGuard(Arc<AtomicUsize>);
 
-impl Work {
-    fn new(count: Arc<AtomicUsize>) -> Work {
+impl ConnectionGuard {
+    fn new(count: Arc<AtomicUsize>) -> ConnectionGuard {
         count.fetch_add(1, Relaxed);
-        Work(count)
+        ConnectionGuard(count)
     }
 }
 
-impl Drop for Work {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Relaxed);
     }
@@ -115,12 +115,12 @@
 async fn guest<F, A>(
     stream: TcpStream,
     clock: Clock,
-    bounds: Bounds,
-    mut ajar: watch::Receiver<Ajar>,
+    bounds: ListenerLimits,
+    mut ajar: watch::Receiver<ListenerState>,
     answer: F,
 ) where
-    F: Fn(Came) -> A + Clone + Send + Sync + 'static,
-    A: Future<Output = Response<Flow>> + Send + 'static,
+    F: Fn(ReceivedRequest) -> A + Clone + Send + Sync + 'static,
+    A: Future<Output = Response<ResponseBody>> + Send + 'static,
 {
     let (wire, meter) = Wire::new(Arc::new(stream), clock, None);
     let leaving = ajar.clone();
@@ -131,27 +131,28 @@
         let meter = meter.clone();
         let (answer, leaving, work) = (answer.clone(), leaving.clone(), work.clone());
         async move {
-            let work = Work::new(work);
-            let answer = answer(Came { req, meter: meter.clone(), at }).await;
+            let work = ConnectionGuard::new(work);
+            let answer =
+                answer(ReceivedRequest { request: req, meter: meter.clone(), received_at: at }).await;
             // A long answer is work until its last byte.
             let mut answer = answer.map(|flow| flow.holding(work));
             meter.take_first();
             meter.next_message();
-            if *leaving.borrow() >= Ajar::Leaving {
+            if *leaving.borrow() >= ListenerState::Draining {
                 answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
             }
             Ok::<_, Infallible>(answer)
         }
     });
     let mut builder = http1::Builder::new();
-    builder.timer(TokioTimer::new()).header_read_timeout(bounds.head).max_buf_size(MOST_HEAD);
+    builder.timer(TokioTimer::new()).header_read_timeout(bounds.header_timeout).max_buf_size(MOST_HEAD);
     let mut connection = pin!(builder.serve_connection(wire, serve));
     tokio::select! {
         _ = connection.as_mut() => return,
-        _ = ajar.wait_for(|ajar| *ajar == Ajar::Closed) => connection.as_mut().graceful_shutdown(),
+        _ = ajar.wait_for(|ajar| *ajar == ListenerState::Closed) => connection.as_mut().graceful_shutdown(),
     }
     // What is answered is waited for; half a req that never comes whole is not.
-    while timeout(UNFINISHED, connection.as_mut()).await.is_err() {
+    while timeout(DRAIN_READ_TIMEOUT, connection.as_mut()).await.is_err() {
         if busy.load(Relaxed) == 0 {
             return;
         }
@@ -159,29 +160,29 @@
 }
 
 /// A req's message as it goes on, and the room that its body holds. The body is read whole where it is short.
-pub async fn message(
-    came: Came,
+pub async fn read_message(
+    came: ReceivedRequest,
     bodies: &Arc<Semaphore>,
     clock: Clock,
     most: u64,
     slow: Duration,
-) -> Result<(Message, Place), Bad> {
-    let Came { req, meter, .. } = came;
+) -> Result<(Message, Permit), RequestError> {
+    let ReceivedRequest { request: req, meter, .. } = came;
     let (mut head, mut body) = req.into_parts();
     let framed = !head.headers.contains_key(TRANSFER_ENCODING);
     if !framed && meter.length_named() {
         // Guards against a req that another one hides in.
-        return Err(Bad(400, "both a length and a transfer encoding"));
+        return Err(RequestError(400, "both a length and a transfer encoding"));
     }
     if body.size_hint().lower() > most {
-        return Err(Bad(413, "body too large"));
+        return Err(RequestError(413, "body too large"));
     }
     let told = body.size_hint().exact();
     let room = told.filter(|length| *length <= MOST_BODY as u64).map_or(PER_LONG, |length| length as u32);
-    let room = bodies.clone().acquire_many_owned(room).await.map_err(|_| Bad(503, "closed"))?;
+    let room = bodies.clone().acquire_many_owned(room).await.map_err(|_| RequestError(503, "closed"))?;
     let (first, whole) = match timeout(slow, first(&mut body)).await {
         Ok(read) => read?,
-        Err(_) => return Err(Bad(408, "body too slow")),
+        Err(_) => return Err(RequestError(408, "body too slow")),
     };
     let long = (!whole).then(|| Long::new(body, clock, Coming::apart()));
     let length = if whole { Some(first.len() as u64) } else { told };
@@ -207,21 +208,21 @@
 }
 
 /// All of a message's body, where it may be long.
-pub async fn whole(message: Message, most: u64) -> Result<Vec<u8>, Bad> {
+pub async fn read_body(message: Message, most: u64) -> Result<Vec<u8>, RequestError> {
     let message = Arc::new(message);
-    let load = message.load().ok_or(Bad(400, "body cut short"))?;
+    let load = message.load().ok_or(RequestError(400, "body cut short"))?;
     let body = http_body_util::Limited::new(load, most.min(usize::MAX as u64) as usize).collect().await;
-    Ok(body.map_err(|_| Bad(400, "body cut short, or too large"))?.to_bytes().to_vec())
+    Ok(body.map_err(|_| RequestError(400, "body cut short, or too large"))?.to_bytes().to_vec())
 }
 
-async fn first(body: &mut Incoming) -> Result<(bytes::Bytes, bool), Bad> {
+async fn first(body: &mut Incoming) -> Result<(bytes::Bytes, bool), RequestError> {
     if body.is_end_stream() {
         return Ok((bytes::Bytes::new(), true));
     }
     let mut bytes = BytesMut::new();
     while bytes.len() <= MOST_BODY {
         let Some(frame) = body.frame().await else { return Ok((bytes.freeze(), true)) };
-        if let Ok(data) = frame.map_err(|_| Bad(400, "body cut short"))?.into_data() {
+        if let Ok(data) = frame.map_err(|_| RequestError(400, "body cut short"))?.into_data() {
             bytes.extend_from_slice(&data);
         }
         if body.is_end_stream() {
@@ -231,21 +232,21 @@
     Ok((bytes.freeze(), false))
 }
 
-pub fn say(status: u16, line: &str) -> Response<Flow> {
-    let mut answer = Response::new(Flow::of(format!("{line}\n")));
+pub fn plain_response(status: u16, line: &str) -> Response<ResponseBody> {
+    let mut answer = Response::new(ResponseBody::of(format!("{line}\n")));
     *answer.status_mut() = StatusCode::from_u16(status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     answer
 }
 
-pub fn json(status: u16, text: String) -> Response<Flow> {
-    let mut answer = Response::new(Flow::of(text));
+pub fn json_response(status: u16, text: String) -> Response<ResponseBody> {
+    let mut answer = Response::new(ResponseBody::of(text));
     *answer.status_mut() = StatusCode::from_u16(status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     answer.headers_mut().insert("content-type", HeaderValue::from_static("application/json"));
     answer
 }
 
 /// A field as text, empty when there is none.
-pub fn field<'a>(headers: &'a HeaderMap, name: &HeaderName) -> &'a str {
+pub fn header_str<'a>(headers: &'a HeaderMap, name: &HeaderName) -> &'a str {
     headers.get(name).and_then(|value| value.to_str().ok()).unwrap_or_default().trim()
 }
 
--- a/balancer/src/mesh/proxy/outbound.rs
+++ b/balancer/src/mesh/proxy/outbound.rs
@@ -18,79 +18,84 @@
 
 use crate::body::Message;
 use crate::link::held;
-use crate::mesh::proxy::connection_pool::{Fail, Flow};
-use crate::mesh::proxy::fencing::Pass;
+use crate::mesh::proxy::connection_pool::{ExchangeError, ResponseBody};
+use crate::mesh::proxy::fencing::FencingToken;
 use crate::mesh::proxy::headers::{ADDRESSEE, CALLER, ID, KEY, LEFT, SESSION_FENCE, TERMS, WAY};
-use crate::mesh::proxy::inbound::End;
-use crate::mesh::proxy::inbound_request::{InboundRequest, MAX_LEFT_MS};
+use crate::mesh::proxy::inbound::UpstreamOutcome;
+use crate::mesh::proxy::inbound_request::{InboundRequest, MAX_TIME_LEFT_MS};
 use crate::mesh::proxy::lease_client;
-use crate::mesh::proxy::listener::{self, Bad, Came, field, say};
-use crate::mesh::proxy::node::{Branch, Inside};
-use crate::mesh::proxy::request_scheduler::{self, Desk, Place, Step, Turn};
-use crate::mesh::proxy::session_affinity::{self, Bound};
+use crate::mesh::proxy::listener::{self, ReceivedRequest, RequestError, header_str, plain_response};
+use crate::mesh::proxy::node::{Node, RequestGuard};
+use crate::mesh::proxy::request_scheduler::{
+    self, Endpoint, RequestScheduler, ScheduledRequest, SchedulerAction,
+};
+use crate::mesh::proxy::session_affinity::{self, BoundSession};
 
 const MS: Nanos = 1_000_000;
 /// What an answer may need on its way back to the client.
-const WAY_BACK: Nanos = 12 * MS;
+const RESPONSE_MARGIN: Nanos = 12 * MS;
 /// A body of an answer that is longer is not kept with its key.
-const MOST_KEPT: usize = 64 * 1024;
+const MAX_STORED_RESPONSE_BYTES: usize = 64 * 1024;
 /// How a client is told to come back where the module says nothing of it.
-const COME_BACK: Nanos = 100 * MS;
+const DEFAULT_RETRY_AFTER: Nanos = 100 * MS;
 /// A large answer is not begun with less time than this before the process gives up what is inside.
-const LARGE_NEEDS: Nanos = 2_400 * MS;
+const MIN_LARGE_RESPONSE_TIME: Nanos = 2_400 * MS;
 /// Nobody is told to come back sooner: a burst that is refused at once would be here again at once.
-const BACK_AT_LEAST: Nanos = 10 * MS;
+const MIN_RETRY_AFTER: Nanos = 10 * MS;
 
 /// What a req came to here.
-enum Outcomes {
-    Answer(Parts, Flow),
+enum RequestOutcome {
+    Response(Parts, ResponseBody),
     /// It has not run and never will.
-    Deny(Nanos),
+    NotRun(Nanos),
     /// It may have run.
-    Abort {
+    MayHaveRun {
         late: bool,
     },
 }
 
-pub async fn answer(branch: Arc<Branch>, came: Came) -> Response<Flow> {
-    let headers = came.req.headers();
-    let Some(id) = headers.get(&ID).cloned() else { return say(400, "no Ochreshed-Consignment-Id") };
-    let Some(timetable) = branch.timetable.load_full() else { return deny(300 * MS) };
-    let host = field(headers, &HOST).to_owned();
-    let path = came.req.uri().path().to_owned();
+pub async fn handle_request(branch: Arc<Node>, came: ReceivedRequest) -> Response<ResponseBody> {
+    let headers = came.request.headers();
+    let Some(id) = headers.get(&ID).cloned() else {
+        return plain_response(400, "no Ochreshed-Consignment-Id");
+    };
+    let Some(timetable) = branch.configuration.load_full() else { return deny(300 * MS) };
+    let host = header_str(headers, &HOST).to_owned();
+    let path = came.request.uri().path().to_owned();
     let Some(route) = timetable.route(&host, &path).cloned() else {
-        return say(404, "no such route");
+        return plain_response(404, "no such route");
     };
     let person =
         route.session.as_ref().and_then(|name| headers.get(&**name)).and_then(|value| value.to_str().ok());
     let person = person.filter(|person| !person.is_empty()).map(str::to_owned);
-    let left = field(headers, &LEFT).parse::<u64>().unwrap_or(route.deadline_ms).min(MAX_LEFT_MS);
-    let key = Some(field(headers, &KEY)).filter(|key| !key.is_empty()).map(lease_client::key);
-    let at = came.at;
-    let call = branch.saw(&id);
+    let left = header_str(headers, &LEFT).parse::<u64>().unwrap_or(route.deadline_ms).min(MAX_TIME_LEFT_MS);
+    let key = Some(header_str(headers, &KEY)).filter(|key| !key.is_empty()).map(lease_client::hash_key);
+    let at = came.received_at;
+    let call = branch.nested_call(&id);
     let limits = timetable.limits();
     let slow = Duration::from_millis(limits.label_ms.max(left));
-    let read = listener::message(came, &branch.bodies, branch.clock, limits.parcel_bytes, slow).await;
+    let read = listener::read_message(came, &branch.bodies, branch.clock, limits.parcel_bytes, slow).await;
     let (mut message, room) = match read {
         Ok(read) => read,
-        Err(Bad(status, line)) => return say(status, line),
+        Err(RequestError(status, line)) => return plain_response(status, line),
     };
     for name in [&ADDRESSEE, &CALLER, &TERMS, &SESSION_FENCE, &WAY] {
         message.head.headers_mut().remove(name);
     }
-    let ends_by = branch.ends_by();
-    if route.kind == RepeatPolicy::OutboundPost && ends_by < at + LARGE_NEEDS {
-        return deny(COME_BACK);
+    let ends_by = branch.shutdown_deadline();
+    if route.kind == RepeatPolicy::OutboundPost && ends_by < at + MIN_LARGE_RESPONSE_TIME {
+        return deny(DEFAULT_RETRY_AFTER);
     }
-    let ends = (at + left.min(route.deadline_ms) * MS).min(ends_by).saturating_sub(WAY_BACK);
-    let aim = (at + route.target_ms * MS).saturating_sub(branch.used(&route, left) * MS + WAY_BACK);
+    let ends = (at + left.min(route.deadline_ms) * MS).min(ends_by).saturating_sub(RESPONSE_MARGIN);
+    let aim =
+        (at + route.target_ms * MS).saturating_sub(branch.time_used_ms(&route, left) * MS + RESPONSE_MARGIN);
     // A call keeps its caller's slot taken, and is of use for as long as that waits.
     let aim = if call.is_some() { aim.max(at + route.deadline_ms * MS * 7 / 10) } else { aim };
     let again = call == Some(true);
     let message = Arc::new(message);
     let (branch_of, route_of, call) = (branch.clone(), route.clone(), call.is_some());
     let edition = timetable.edition(&route);
-    let trip = Trip {
+    let trip = RequestInFlight {
         branch: branch_of,
         route: route_of,
         edition,
@@ -108,10 +113,10 @@
             // Goes on to its end though its client goes: its outcome is its key's.
             let (send, got) = oneshot::channel();
             tokio::spawn(async move {
-                let (_room, _inside) = (room, Inside::new(&trip.branch));
+                let (_room, _inside) = (room, RequestGuard::new(&trip.branch));
                 let _ = send.send(keyed(trip, key).await);
             });
-            got.await.unwrap_or_else(|_| say(502, "it may have run"))
+            got.await.unwrap_or_else(|_| plain_response(502, "it may have run"))
         }
         None => trip.run().await.into_answer(),
     };
@@ -122,48 +127,50 @@
     answer
 }
 
-fn deny(come_back: Nanos) -> Response<Flow> {
-    let mut answer = say(503, "not run: come back");
-    let back = if come_back == 0 { COME_BACK } else { BACK_AT_LEAST + come_back };
+fn deny(come_back: Nanos) -> Response<ResponseBody> {
+    let mut answer = plain_response(503, "not run: come back");
+    let back = if come_back == 0 { DEFAULT_RETRY_AFTER } else { MIN_RETRY_AFTER + come_back };
     if let Ok(value) = HeaderValue::try_from(format!("{:.3}", seconds(back))) {
         answer.headers_mut().insert(RETRY_AFTER, value);
     }
     answer
 }
 
-impl Outcomes {
-    fn into_answer(self) -> Response<Flow> {
+impl RequestOutcome {
+    fn into_answer(self) -> Response<ResponseBody> {
         match self {
-            Outcomes::Answer(mut head, flow) => {
+            RequestOutcome::Response(mut head, flow) => {
                 head.headers.remove(&WAY);
                 Response::from_parts(head, flow)
             }
-            Outcomes::Deny(come_back) => deny(come_back),
-            Outcomes::Abort { late: true } => say(504, "its time is over; it may have run"),
-            Outcomes::Abort { late: false } => say(502, "it may have run"),
+            RequestOutcome::NotRun(come_back) => deny(come_back),
+            RequestOutcome::MayHaveRun { late: true } => {
+                plain_response(504, "its time is over; it may have run")
+            }
+            RequestOutcome::MayHaveRun { late: false } => plain_response(502, "it may have run"),
         }
     }
 }
 
 /// A req with a key: claimed first, run if it was granted, answered from the first one's answer if not.
-async fn keyed(trip: Trip, key: LeaseKey) -> Response<Flow> {
+async fn keyed(trip: RequestInFlight, key: LeaseKey) -> Response<ResponseBody> {
     let branch = trip.branch.clone();
-    let token: LeaseToken = branch.draw();
+    let token: LeaseToken = branch.new_token();
     let now = branch.clock.now();
     let left = trip.ends.saturating_sub(now);
-    let wait = held(&branch.claims).wait(now, left, branch.core_away());
+    let wait = held(&branch.lease_breaker).wait(now, left, branch.quorum_unreachable());
     let left_ms = (left / MS).min(u64::from(u32::MAX)) as u32;
     let within = Duration::from_nanos(wait);
-    let got = lease_client::claim(&branch.stewards, &branch.callers, (key, token), left_ms, within).await;
+    let got = lease_client::acquire_lease(&branch.replicas, &branch.rpc, (key, token), left_ms, within).await;
     match got {
         CoreResponse::Unavailable => {
             let ended = branch.clock.now();
-            held(&branch.claims).unanswered(ended, ended - now);
+            held(&branch.lease_breaker).unanswered(ended, ended - now);
         }
-        _ => held(&branch.claims).answered(),
+        _ => held(&branch.lease_breaker).answered(),
     }
     let settle = |outcome| {
-        lease_client::settle(branch.stewards.clone(), branch.callers.clone(), (key, token), outcome)
+        lease_client::complete_lease(branch.replicas.clone(), branch.rpc.clone(), (key, token), outcome)
     };
     match got {
         CoreResponse::LeaseGranted => {}
@@ -172,26 +179,28 @@
             settle(None);
             return match other {
                 CoreResponse::LeaseHeld(LeaseOutcome::Completed(answer)) => replay(&answer),
-                CoreResponse::LeaseHeld(LeaseOutcome::Pending) => say(409, "a req with this key is at work"),
+                CoreResponse::LeaseHeld(LeaseOutcome::Pending) => {
+                    plain_response(409, "a req with this key is at work")
+                }
                 CoreResponse::LeaseHeld(LeaseOutcome::Indeterminate) => {
-                    say(502, "a req with this key may have run")
+                    plain_response(502, "a req with this key may have run")
                 }
                 _ => deny(200 * MS),
             };
         }
     }
     match trip.run().await {
-        Outcomes::Answer(head, Flow::Whole(body)) => {
+        RequestOutcome::Response(head, ResponseBody::Buffered(body)) => {
             let bytes =
                 http_body_util::BodyExt::collect(body).await.map(|body| body.to_bytes()).unwrap_or_default();
-            if bytes.len() <= MOST_KEPT {
+            if bytes.len() <= MAX_STORED_RESPONSE_BYTES {
                 settle(Some(LeaseOutcome::Completed(Arc::new(kept(&head, &bytes)))));
             } else {
                 settle(Some(LeaseOutcome::Indeterminate));
             }
-            Outcomes::Answer(head, Flow::of(bytes)).into_answer()
+            RequestOutcome::Response(head, ResponseBody::of(bytes)).into_answer()
         }
-        Outcomes::Deny(come_back) => {
+        RequestOutcome::NotRun(come_back) => {
             settle(None);
             deny(come_back)
         }
@@ -211,8 +220,8 @@
     StoredResponse { status: head.status.as_u16(), headers, body: body.to_vec() }
 }
 
-fn replay(answer: &StoredResponse) -> Response<Flow> {
-    let mut again = Response::new(Flow::of(answer.body.clone()));
+fn replay(answer: &StoredResponse) -> Response<ResponseBody> {
+    let mut again = Response::new(ResponseBody::of(answer.body.clone()));
     *again.status_mut() = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::BAD_GATEWAY);
     for (name, value) in &answer.headers {
         if let (Ok(name), Ok(value)) = (HeaderName::try_from(name), HeaderValue::try_from(value)) {
@@ -243,12 +252,12 @@
     again: bool,
     /// Its answer is a large one.
     large: bool,
-    pass: Option<Pass>,
+    pass: Option<FencingToken>,
 }
 
 /// A req on its way.
-struct Trip {
-    branch: Arc<Branch>,
+struct RequestInFlight {
+    branch: Arc<Node>,
     route: Arc<Route>,
     /// Whose routes it is counted with; none of the platform's.
     edition: Option<RouteEdition>,
@@ -266,11 +275,11 @@
     person: Option<String>,
 }
 
-impl Trip {
-    async fn run(&self) -> Outcomes {
-        let outcome = self.go().await;
-        let well = matches!(&outcome, Outcomes::Answer(head, _) if well(head));
-        self.fared(OutcomeCounts {
+impl RequestInFlight {
+    async fn run(&self) -> RequestOutcome {
+        let outcome = self.run_attempts().await;
+        let well = matches!(&outcome, RequestOutcome::Response(head, _) if well(head));
+        self.count(OutcomeCounts {
             succeeded: well.into(),
             failed: (!well).into(),
             ..OutcomeCounts::default()
@@ -278,31 +287,38 @@
         outcome
     }
 
-    fn fared(&self, fared: impl Into<OutcomeCounts>) {
+    fn count(&self, fared: impl Into<OutcomeCounts>) {
         if let Some(edition) = &self.edition {
-            self.branch.fared(edition, fared.into());
+            self.branch.count_outcome(edition, fared.into());
         }
     }
 
-    async fn go(&self) -> Outcomes {
-        let Some(line) = self.branch.split(&self.route) else { return Outcomes::Deny(COME_BACK) };
+    async fn run_attempts(&self) -> RequestOutcome {
+        let Some(line) = self.branch.choose_service(&self.route) else {
+            return RequestOutcome::NotRun(DEFAULT_RETRY_AFTER);
+        };
         let large = self.route.kind == RepeatPolicy::OutboundPost;
-        let Some(desk) = self.branch.desk(&line, &self.route) else { return Outcomes::Deny(COME_BACK) };
+        let Some(desk) = self.branch.scheduler(&line, &self.route) else {
+            return RequestOutcome::NotRun(DEFAULT_RETRY_AFTER);
+        };
         let mut bound = self.session(&desk, &line, !large).await;
-        let pass = bound.as_ref().map(|bound| bound.pass);
-        let _at_work =
-            pass.zip(self.key).map(|(pass, key)| session_affinity::at_work(&self.branch, pass.session, key));
-        let rule_set: Name = request_scheduler::shape(&self.route).as_str().into();
+        let pass = bound.as_ref().map(|bound| bound.token);
+        let _at_work = pass
+            .zip(self.key)
+            .map(|(pass, key)| session_affinity::track_key(&self.branch, pass.session, key));
+        let rule_set: Name = request_scheduler::route_class(&self.route).as_str().into();
         let mut req = Req::new(0, rule_set, "".into(), self.at, self.ends);
         req.again = self.again;
         req.coming = self.message.long.is_some();
-        req.tie =
-            bound.as_ref().and_then(|bound| bound.tie.as_ref()).map(|tie| tie.upstream_id.as_str().into());
-        let mut turn = desk.take(req);
-        let mut last: Option<(Parts, Flow)> = None;
+        req.tie = bound
+            .as_ref()
+            .and_then(|bound| bound.binding.as_ref())
+            .map(|tie| tie.upstream_id.as_str().into());
+        let mut turn = desk.schedule(req);
+        let mut last: Option<(Parts, ResponseBody)> = None;
         // A large answer is wanted from near: the first door may let it wait already.
         let (mut ran, mut sent, mut turned) = (false, 0, u32::from(large));
-        let mut over = pin!(self.branch.over());
+        let mut over = pin!(self.branch.aborted());
         loop {
             let step = tokio::select! {
                 biased;
@@ -310,84 +326,84 @@
                 step = turn.steps.recv() => step,
             };
             match step {
-                Some(Step::Send { number, srv, give_up }) => {
+                Some(SchedulerAction::Send { number, srv, give_up }) => {
                     if sent >= self.route.tries {
                         break;
                     }
                     let began = self.branch.clock.now();
-                    let Some(place) = desk.place(&srv) else {
-                        turn.ended(number, How::NotSent, 0, false, None);
+                    let Some(place) = desk.endpoint(&srv) else {
+                        turn.attempt_ended(number, How::NotSent, 0, false, None);
                         continue;
                     };
                     if let Some(bound) = bound.as_mut().filter(|_| !large)
-                        && !session_affinity::begins(&self.branch, &desk, bound, &place).await
+                        && !session_affinity::attempt_starting(&self.branch, &desk, bound, &place).await
                     {
                         // It comes again, and finds where its person is.
-                        turn.ended(number, How::NotSent, 0, false, None);
-                        turn.end();
+                        turn.attempt_ended(number, How::NotSent, 0, false, None);
+                        turn.finish();
                         break;
                     }
-                    self.fared(turn.goes());
-                    let tied = bound.as_ref().is_some_and(|bound| bound.is_tied(&place.id));
+                    self.count(turn.attempt_started());
+                    let tied = bound.as_ref().is_some_and(|bound| bound.is_bound_to(&place.upstream_id));
                     let attempt = Attempt { turned, tied, again: sent > 0, large, pass };
                     let Some((end, inside)) = self.dispatch(&mut turn, &place, attempt, give_up).await else {
                         ran = true;
-                        turn.ended(number, How::Recalled, 0, false, None);
+                        turn.attempt_ended(number, How::Recalled, 0, false, None);
                         continue;
                     };
-                    sent += u32::from(!matches!(end, End::Turned | End::Fenced(_)));
-                    if matches!(end, End::Turned) {
+                    sent += u32::from(!matches!(end, UpstreamOutcome::Rejected | UpstreamOutcome::Fenced(_)));
+                    if matches!(end, UpstreamOutcome::Rejected) {
                         turned += 1;
-                        self.fared(OutcomeCounts { rejected: 1, ..OutcomeCounts::default() });
+                        self.count(OutcomeCounts { rejected: 1, ..OutcomeCounts::default() });
                     }
                     let took = self.branch.clock.now() - began;
                     let how = match end {
-                        End::Ran(head, flow) if well(&head) => {
-                            turn.ended(number, How::Done, took, true, inside);
+                        UpstreamOutcome::Responded(head, flow) if well(&head) => {
+                            turn.attempt_ended(number, How::Done, took, true, inside);
                             if let Some(bound) = bound.as_ref().filter(|_| !large) {
-                                session_affinity::served(&self.branch, bound, &place);
+                                session_affinity::attempt_succeeded(&self.branch, bound, &place);
                             }
-                            return Outcomes::Answer(head, flow);
+                            return RequestOutcome::Response(head, flow);
                         }
-                        End::Ran(head, flow) => {
+                        UpstreamOutcome::Responded(head, flow) => {
                             ran = true;
                             // It may have run, and such an answer would promise that it did not.
                             let untrue = !self.route.kind.repeatable() && promises(head.status);
                             last = (!untrue).then_some((head, flow));
                             How::Error
                         }
-                        End::Full | End::Gone => How::Full,
-                        End::Turned => How::Turned,
-                        End::Fenced(known) => {
+                        UpstreamOutcome::UpstreamFull | UpstreamOutcome::Gone => How::Full,
+                        UpstreamOutcome::Rejected => How::Turned,
+                        UpstreamOutcome::Fenced(known) => {
                             // Its session went on elsewhere: this is a late one, and whoever means it comes again.
                             pass.into_iter().for_each(|pass| self.branch.sessions().fenced(pass, known));
-                            turn.ended(number, How::Turned, took, false, inside);
-                            turn.end();
+                            turn.attempt_ended(number, How::Turned, took, false, inside);
+                            turn.finish();
                             break;
                         }
-                        End::Unreachable => How::NoConnection,
-                        End::Unsent => How::NotSent,
-                        End::Reset => {
+                        UpstreamOutcome::ConnectFailed => How::NoConnection,
+                        UpstreamOutcome::NotSent => How::NotSent,
+                        UpstreamOutcome::Reset => {
                             ran = true;
                             How::Reset
                         }
-                        End::Late => {
+                        UpstreamOutcome::TimedOut => {
                             ran = true;
                             How::TimedOut
                         }
                     };
-                    turn.ended(number, how, took, false, inside);
+                    turn.attempt_ended(number, how, took, false, inside);
                 }
-                Some(Step::Recall) => {}
-                Some(Step::Deny { come_back }) => {
-                    self.fared(turn.end());
+                Some(SchedulerAction::Cancel) => {}
+                Some(SchedulerAction::Reject { come_back }) => {
+                    self.count(turn.finish());
                     if last.is_none() && !ran {
-                        return Outcomes::Deny(come_back);
+                        return RequestOutcome::NotRun(come_back);
                     }
                     break;
                 }
-                Some(Step::Abort) | None => {
-                    self.fared(turn.end());
+                Some(SchedulerAction::Fail) | None => {
+                    self.count(turn.finish());
                     break;
                 }
             }
@@ -395,28 +411,34 @@
         let late = self.branch.clock.now() >= self.ends;
         match last {
             // The upstream's own word on it, where it has one.
-            Some((head, flow)) => Outcomes::Answer(head, flow),
-            None if !ran => Outcomes::Deny(COME_BACK),
-            None => Outcomes::Abort { late },
+            Some((head, flow)) => RequestOutcome::Response(head, flow),
+            None if !ran => RequestOutcome::NotRun(DEFAULT_RETRY_AFTER),
+            None => RequestOutcome::MayHaveRun { late },
         }
     }
 
     /// The session of the person that it is of, where its route names one.
-    async fn session(&self, desk: &Desk, line: &Name, ties: bool) -> Option<Bound> {
+    async fn session(&self, desk: &RequestScheduler, line: &Name, ties: bool) -> Option<BoundSession> {
         let (header, person) = (self.route.session.as_ref()?, self.person.as_ref()?);
-        session_affinity::take(&self.branch, desk, session_affinity::name(line, header, person), ties).await
+        session_affinity::acquire(
+            &self.branch,
+            desk,
+            session_affinity::session_id(line, header, person),
+            ties,
+        )
+        .await
     }
 
     /// One dispatch, and how many reqs its door has inside; nothing if the module recalled it.
     async fn dispatch(
         &self,
-        turn: &mut Turn,
-        place: &Place,
+        turn: &mut ScheduledRequest,
+        place: &Endpoint,
         attempt: Attempt,
         give_up: Nanos,
-    ) -> Option<(End, Option<f64>)> {
+    ) -> Option<(UpstreamOutcome, Option<f64>)> {
         let work = self.send(place, attempt, give_up.min(self.ends));
-        let mut over = pin!(self.branch.over());
+        let mut over = pin!(self.branch.aborted());
         tokio::pin!(work);
         loop {
             tokio::select! {
@@ -424,7 +446,7 @@
                 step = turn.steps.recv() => match step {
                     // Silence alone is no reason to break one off: its machine must be quiet to others too, and
                     // the req be one that may run again.
-                    Some(Step::Recall) if self.route.kind.repeatable() && self.branch.may_break_off(&place.door) => {
+                    Some(SchedulerAction::Cancel) if self.route.kind.repeatable() && self.branch.is_suspected(&place.inbound_proxy) => {
                         return None;
                     }
                     None => return None,
@@ -435,11 +457,11 @@
         }
     }
 
-    async fn send(&self, place: &Place, attempt: Attempt, until: Nanos) -> (End, Option<f64>) {
+    async fn send(&self, place: &Endpoint, attempt: Attempt, until: Nanos) -> (UpstreamOutcome, Option<f64>) {
         let Attempt { turned, tied, large, pass, .. } = attempt;
         let (branch, again, now) = (&self.branch, attempt.again || self.again, self.branch.clock.now());
-        let (caller, away) = (branch.caller(), place.door != branch.door_at());
-        let (message, meant, aim) = (&self.message, &*place.id, self.aim);
+        let (caller, away) = (branch.caller_header(), place.inbound_proxy != branch.inbound_address());
+        let (message, meant, aim) = (&self.message, &*place.upstream_id, self.aim);
         let part =
             self.route.share.as_ref().map(|of| MemberShare { member: of.member.clone(), share: of.slots });
         let request = InboundRequest {
@@ -458,37 +480,41 @@
             part,
         };
         if !away {
-            let end = branch.door.pass(request).await;
-            return (end, Some(branch.door.load() as f64));
+            let end = branch.inbound.forward(request).await;
+            return (end, Some(branch.inbound.load() as f64));
         }
         let left = until.saturating_sub(now) / MS;
         if left == 0 {
-            return (End::Unsent, None);
+            return (UpstreamOutcome::NotSent, None);
         }
         let mut fields = HeaderMap::new();
         fields.insert(LEFT, HeaderValue::from(left));
-        if let Ok(id) = HeaderValue::try_from(&*place.id) {
+        if let Ok(id) = HeaderValue::try_from(&*place.upstream_id) {
             fields.insert(ADDRESSEE, id);
         }
-        if let Ok(word) = HeaderValue::try_from(request.terms(now)) {
+        if let Ok(word) = HeaderValue::try_from(request.terms_header(now)) {
             fields.insert(TERMS, word);
         }
-        if let Some(Ok(word)) = pass.map(|pass| HeaderValue::try_from(pass.word())) {
+        if let Some(Ok(word)) = pass.map(|pass| HeaderValue::try_from(pass.to_header())) {
             fields.insert(SESSION_FENCE, word);
         }
         fields.insert(CALLER, caller);
-        branch.door.goes_out(message.length.unwrap_or(0));
+        branch.inbound.note_outgoing_bytes(message.length.unwrap_or(0));
         let ours = |head: &Parts| head.headers.contains_key(&WAY);
-        let end = match branch.line_to(place.door).exchange(&self.message, &fields, until, None, ours).await {
+        let end = match branch
+            .connection_pool(place.inbound_proxy)
+            .exchange(&self.message, &fields, until, None, ours)
+            .await
+        {
             Ok((head, flow)) => {
-                let word = field(&head.headers, &WAY).to_owned();
+                let word = header_str(&head.headers, &WAY).to_owned();
                 let (word, inside) = word.split_once(' ').unwrap_or((&word, ""));
-                return (End::from_word(word, head, flow), inside.parse().ok());
+                return (UpstreamOutcome::from_word(word, head, flow), inside.parse().ok());
             }
-            Err(Fail::NoConnection) => End::Unreachable,
-            Err(Fail::NotSent) => End::Unsent,
-            Err(Fail::Reset) => End::Reset,
-            Err(Fail::Late) => End::Late,
+            Err(ExchangeError::ConnectFailed) => UpstreamOutcome::ConnectFailed,
+            Err(ExchangeError::NotSent) => UpstreamOutcome::NotSent,
+            Err(ExchangeError::Reset) => UpstreamOutcome::Reset,
+            Err(ExchangeError::TimedOut) => UpstreamOutcome::TimedOut,
         };
         (end, None)
     }
--- a/balancer/src/mesh/proxy/request_scheduler.rs
+++ b/balancer/src/mesh/proxy/request_scheduler.rs
@@ -20,35 +20,35 @@
 
 const MS: Nanos = 1_000_000;
 /// A srv that has just started counts as cold for so long at most, and does this part of its work at first.
-const COLD: Nanos = 4_000 * MS;
-const COLD_SHARE: f64 = 0.4;
+const SLOW_START: Nanos = 4_000 * MS;
+const SLOW_START_INITIAL_SHARE: f64 = 0.4;
 /// So many doors may turn a req away before it is denied, and so many of one zone before it goes to another.
-const MOST_TURNED: f64 = 4.0;
-const MOST_TURNED_BY_SITE: f64 = 2.0;
+const MAX_REJECTIONS: f64 = 4.0;
+const MAX_REJECTIONS_PER_ZONE: f64 = 2.0;
 /// Upstreams of other zones count with this part of their weight while the near ones stand.
-const FAR: f64 = 0.001;
+const OTHER_ZONE_WEIGHT: f64 = 0.001;
 
 /// What the module wants done for one req.
 #[derive(Debug)]
-pub enum Step {
+pub enum SchedulerAction {
     Send { number: usize, srv: Name, give_up: Nanos },
-    Recall,
-    Deny { come_back: Nanos },
-    Abort,
+    Cancel,
+    Reject { come_back: Nanos },
+    Fail,
 }
 
 /// Which desk: by service, whether for large answers, and whose routes.
-pub type Seat = (Name, bool, Option<Name>);
+pub type SchedulerKey = (Name, bool, Option<Name>);
 
 /// Where the reqs of a route go for a service.
-pub fn seat(line: &Name, route: &Route) -> Seat {
+pub fn scheduler_key(line: &Name, route: &Route) -> SchedulerKey {
     let member = route.share.as_ref().map(|share| share.member.clone());
     (line.clone(), route.kind == RepeatPolicy::OutboundPost, member)
 }
 
 /// What a configuration tells of the reqs for one service, those with large answers and those of each member apart.
 #[derive(Clone, PartialEq, Debug)]
-pub struct Plan {
+pub struct SchedulerPlan {
     pub line: Name,
     /// Reqs with large answers, which stay near while anyone near takes reqs: their bytes cost more than a refusal.
     pub large: bool,
@@ -59,29 +59,29 @@
     tries: u32,
 }
 
-impl Plan {
-    pub fn seat(&self) -> Seat {
+impl SchedulerPlan {
+    pub fn key(&self) -> SchedulerKey {
         (self.line.clone(), self.large, self.member.clone())
     }
 
     /// For all services to which any route goes.
-    pub fn all(timetable: &Configuration) -> Vec<Plan> {
-        let mut plans: BTreeMap<Seat, Plan> = BTreeMap::new();
+    pub fn for_configuration(timetable: &Configuration) -> Vec<SchedulerPlan> {
+        let mut plans: BTreeMap<SchedulerKey, SchedulerPlan> = BTreeMap::new();
         for route in timetable.routes() {
             for (line, _) in &route.lines {
-                let seat = seat(line, route);
-                let plan = plans.entry(seat).or_insert_with_key(|(line, large, member)| Plan {
+                let key = scheduler_key(line, route);
+                let plan = plans.entry(key).or_insert_with_key(|(line, large, member)| SchedulerPlan {
                     line: line.clone(),
                     large: *large,
                     member: member.clone(),
                     shapes: Vec::new(),
                     tries: 1,
                 });
-                plan.shapes.push((shape(route), route.kind.repeatable(), route.target_ms, route.rank));
+                plan.shapes.push((route_class(route), route.kind.repeatable(), route.target_ms, route.rank));
                 plan.tries = plan.tries.max(route.tries);
             }
         }
-        let mut plans: Vec<Plan> = plans.into_values().collect();
+        let mut plans: Vec<SchedulerPlan> = plans.into_values().collect();
         for plan in &mut plans {
             plan.shapes.sort();
             plan.shapes.dedup();
@@ -92,10 +92,10 @@
 
 /// What a service's module is told once and for all.
 #[derive(Clone, PartialEq, Debug)]
-pub struct Told {
-    plan: Plan,
+pub struct ServiceSettings {
+    plan: SchedulerPlan,
     /// How many gates there are, in coarse steps.
-    pub gates: u64,
+    pub outbound_proxies: u64,
     /// Its upstreams call other services.
     pub calls: bool,
     /// What all gates together may send again: a part of the first sends, and so many in the budget's window.
@@ -103,24 +103,24 @@
 }
 
 /// The name of a route's shape.
-pub fn shape(route: &Route) -> String {
+pub fn route_class(route: &Route) -> String {
     format!("{}-{}-{}", if route.kind.repeatable() { "again" } else { "once" }, route.target_ms, route.rank)
 }
 
-impl Told {
-    pub fn new(plan: &Plan, gates: usize, calls: bool, budget: &Bounds) -> Told {
+impl ServiceSettings {
+    pub fn new(plan: &SchedulerPlan, gates: usize, calls: bool, budget: &Bounds) -> ServiceSettings {
         // A new count matters by its size only: each change of these makes the module learn anew.
         let gates = 2u64.pow((gates.max(1) as f64).log2().round() as u32);
         // Half of what the rules leave is kept for what no gate can know: calls of runs elsewhere, gates that have just
         // started, windows that don't fall together.
         let allowance = (budget.retry_ratio / 2.0, budget.retry_slack / 6.0);
-        Told { plan: plan.clone(), gates, calls, allowance }
+        ServiceSettings { plan: plan.clone(), outbound_proxies: gates, calls, allowance }
     }
 
     /// The same bounds as the module reads out of its facts, for the counts that are told.
     fn terms(&self) -> RetryLimits {
         let (part, slack) = self.allowance;
-        let floor = (slack / self.gates.max(1) as f64).min(1.0);
+        let floor = (slack / self.outbound_proxies.max(1) as f64).min(1.0);
         RetryLimits {
             max_attempts: self.plan.tries,
             last_tier: !self.calls,
@@ -145,22 +145,22 @@
             ])
         };
         Facts::from([
-            ("instances".into(), number(self.gates as f64)),
+            ("instances".into(), number(self.outbound_proxies as f64)),
             // What a srv may have at once is held by the door beside it.
             ("level".into(), Value::Text("doors".into())),
             ("report_in_flight".into(), number(0.0)),
             ("again_part".into(), number(self.allowance.0)),
             ("again_floor".into(), number(self.allowance.1)),
-            ("most_turned".into(), number(MOST_TURNED)),
-            ("most_turned_by_site".into(), number(MOST_TURNED_BY_SITE)),
+            ("most_turned".into(), number(MAX_REJECTIONS)),
+            ("most_turned_by_site".into(), number(MAX_REJECTIONS_PER_ZONE)),
             ("tier".into(), number(0.0)),
             ("tiers".into(), number(if self.calls { 2.0 } else { 1.0 })),
             ("max_dispatches".into(), number(f64::from(self.plan.tries))),
             ("may_recall".into(), Value::Flag(true)),
             ("come_back_passed".into(), Value::Flag(true)),
             ("max_come_back".into(), Value::Span(1_000 * MS)),
-            ("cold".into(), Value::Span(COLD)),
-            ("cold_share".into(), number(COLD_SHARE)),
+            ("cold".into(), Value::Span(SLOW_START)),
+            ("cold_share".into(), number(SLOW_START_INITIAL_SHARE)),
             ("rule_sets".into(), Value::List(self.plan.shapes.iter().map(rule_set).collect())),
         ])
     }
@@ -168,61 +168,67 @@
 
 /// Where an upstream is reached.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Place {
-    pub door: SocketAddr,
-    pub id: Name,
+pub struct Endpoint {
+    pub inbound_proxy: SocketAddr,
+    pub upstream_id: Name,
     pub zone: Name,
 }
 
 struct Inner {
     hands: Hands,
-    steps: HashMap<u64, mpsc::UnboundedSender<Step>>,
+    steps: HashMap<u64, mpsc::UnboundedSender<SchedulerAction>>,
     next: u64,
     wake: Nanos,
     listed: HashMap<Name, Listed>,
-    places: HashMap<Name, Place>,
+    places: HashMap<Name, Endpoint>,
     spent: RetryAccount,
     /// Where the service's allowance is divided among members and the platform.
     pool: Option<Arc<Mutex<RetryPool>>>,
 }
 
-pub struct Desk {
-    pub line: Name,
-    pub told: Told,
+pub struct RequestScheduler {
+    pub service: Name,
+    pub settings: ServiceSettings,
     clock: Clock,
     inner: Mutex<Inner>,
     woken: Notify,
 }
 
 /// A req at the module. Dropped, its client has gone.
-pub struct Turn {
-    desk: Arc<Desk>,
+pub struct ScheduledRequest {
+    desk: Arc<RequestScheduler>,
     pub id: u64,
-    pub steps: mpsc::UnboundedReceiver<Step>,
+    pub steps: mpsc::UnboundedReceiver<SchedulerAction>,
     over: bool,
     tally: RequestAttempts,
 }
 
-impl Desk {
+impl RequestScheduler {
     /// The one that stands, where it was told the same; else one whose module begins anew. Its counts go over the
     /// budget's window.
     pub fn of(
-        was: Option<Arc<Desk>>,
-        (line, told): (Name, Told),
+        was: Option<Arc<RequestScheduler>>,
+        (line, told): (Name, ServiceSettings),
         clock: Clock,
         seed: impl FnOnce() -> u64,
         window: Nanos,
-    ) -> Arc<Desk> {
+    ) -> Arc<RequestScheduler> {
         let terms = told.terms();
         let spent = match was {
-            Some(desk) if desk.told == told => return desk,
+            Some(desk) if desk.settings == told => return desk,
             Some(desk) => held(&desk.inner).spent.restart(window, terms),
             None => RetryAccount::new(window, terms),
         };
-        Desk::new(line, told, clock, seed(), spent)
+        RequestScheduler::new(line, told, clock, seed(), spent)
     }
 
-    fn new(line: Name, told: Told, clock: Clock, seed: u64, spent: RetryAccount) -> Arc<Desk> {
+    fn new(
+        line: Name,
+        told: ServiceSettings,
+        clock: Clock,
+        seed: u64,
+        spent: RetryAccount,
+    ) -> Arc<RequestScheduler> {
         let now = clock.now();
         let hands = Hands::new(Balancer::new(now, seed, told.facts()));
         let inner = Inner {
@@ -235,13 +241,19 @@
             spent,
             pool: None,
         };
-        let desk = Arc::new(Desk { line, told, clock, inner: Mutex::new(inner), woken: Notify::new() });
-        tokio::spawn(Desk::tend(Arc::downgrade(&desk)));
+        let desk = Arc::new(RequestScheduler {
+            service: line,
+            settings: told,
+            clock,
+            inner: Mutex::new(inner),
+            woken: Notify::new(),
+        });
+        tokio::spawn(RequestScheduler::tend(Arc::downgrade(&desk)));
         desk
     }
 
     /// Asks the module when it wants to be asked, for as long as the desk is used.
-    async fn tend(desk: Weak<Desk>) {
+    async fn tend(desk: Weak<RequestScheduler>) {
         loop {
             let (clock, wake) = {
                 let Some(desk) = desk.upgrade() else { return };
@@ -258,13 +270,13 @@
     }
 
     /// From now on its part of an allowance that is divided is all it may send again; none: its own as it was told.
-    pub fn draw_on(&self, pool: Option<&Arc<Mutex<RetryPool>>>) {
+    pub fn set_pool(&self, pool: Option<&Arc<Mutex<RetryPool>>>) {
         let mut inner = held(&self.inner);
         match pool {
-            Some(pool) => held(pool).join(self.told.plan.member.as_ref(), &inner.spent),
+            Some(pool) => held(pool).join(self.settings.plan.member.as_ref(), &inner.spent),
             None if inner.pool.is_none() => return,
             None => {
-                let RetryLimits { ratio: part, floor, .. } = self.told.terms();
+                let RetryLimits { ratio: part, floor, .. } = self.settings.terms();
                 inner.hands.allow(part, floor);
                 inner.spent.allow(part, floor);
             }
@@ -275,8 +287,8 @@
     /// Tells the module what it may send again now, where that is divided.
     fn allow(&self, inner: &mut Inner, now: Nanos) {
         let Some(pool) = &inner.pool else { return };
-        let RetryLimits { ratio: part, floor, .. } = self.told.terms();
-        let left = held(pool).left(now, self.told.plan.member.as_ref(), (part, floor));
+        let RetryLimits { ratio: part, floor, .. } = self.settings.terms();
+        let left = held(pool).left(now, self.settings.plan.member.as_ref(), (part, floor));
         // The module goes by what it has sent again itself since it last learnt anew.
         let floor = left + f64::from(inner.spent.policy_counts(now).retried);
         inner.hands.allow(0.0, floor);
@@ -285,7 +297,7 @@
 
     fn count(&self, inner: &Inner, now: Nanos, figures: AttemptCounts) {
         if let Some(pool) = &inner.pool {
-            held(pool).count(now, self.told.plan.member.as_ref(), figures);
+            held(pool).count(now, self.settings.plan.member.as_ref(), figures);
         }
     }
 
@@ -301,12 +313,14 @@
             }
             for act in acts {
                 let (id, step) = match act {
-                    Act::Send { id, number, srv, give_up } => (id, Step::Send { number, srv, give_up }),
-                    Act::Recall { id, .. } => (id, Step::Recall),
-                    Act::Deny { id, come_back } => (id, Step::Deny { come_back }),
-                    Act::Abort { id } => (id, Step::Abort),
+                    Act::Send { id, number, srv, give_up } => {
+                        (id, SchedulerAction::Send { number, srv, give_up })
+                    }
+                    Act::Recall { id, .. } => (id, SchedulerAction::Cancel),
+                    Act::Deny { id, come_back } => (id, SchedulerAction::Reject { come_back }),
+                    Act::Abort { id } => (id, SchedulerAction::Fail),
                     Act::Log(line) => {
-                        log::info!("{}: {line}", self.line);
+                        log::info!("{}: {line}", self.service);
                         continue;
                     }
                     Act::Watch | Act::List | Act::Probe(_) | Act::Close(_) => continue,
@@ -326,7 +340,7 @@
     }
 
     /// Takes a req; what is to be done for it comes as steps.
-    pub fn take(self: &Arc<Self>, mut req: Req) -> Turn {
+    pub fn schedule(self: &Arc<Self>, mut req: Req) -> ScheduledRequest {
         let mut inner = held(&self.inner);
         inner.next += 1;
         let id = inner.next;
@@ -334,7 +348,7 @@
         let (steps, got) = mpsc::unbounded_channel();
         inner.steps.insert(id, steps);
         let now = self.clock.now();
-        let tally = RequestAttempts::new(self.told.repeatable(&req.rule_set), req.ends);
+        let tally = RequestAttempts::new(self.settings.repeatable(&req.rule_set), req.ends);
         if req.again {
             inner.spent.nested_call_retried(now);
             self.count(&inner, now, AttemptCounts { retried: 1, ..AttemptCounts::default() });
@@ -342,25 +356,25 @@
         self.allow(&mut inner, now);
         inner.hands.take(now, req);
         self.settle_and_wake(&mut inner);
-        Turn { desk: self.clone(), id, steps: got, over: false, tally }
+        ScheduledRequest { desk: self.clone(), id, steps: got, over: false, tally }
     }
 
     /// What of this service was sent, sent again and refused for want of allowance in the budget's window.
-    pub fn figures(&self) -> AttemptCounts {
+    pub fn attempt_counts(&self) -> AttemptCounts {
         held(&self.inner).spent.figures(self.clock.now())
     }
 
     /// Whether this one is listed and takes reqs.
-    pub fn takes(&self, srv: &Name) -> bool {
+    pub fn accepts_requests(&self, srv: &Name) -> bool {
         held(&self.inner).listed.get(srv).is_some_and(|listed| listed.state == State::Up)
     }
 
-    pub fn place(&self, srv: &Name) -> Option<Place> {
+    pub fn endpoint(&self, srv: &Name) -> Option<Endpoint> {
         held(&self.inner).places.get(srv).cloned()
     }
 
     /// Tells the module the list as it is now.
-    pub fn list<'a>(
+    pub fn update_endpoints<'a>(
         &self,
         rows: impl Iterator<Item = &'a (EndpointRecord, Nanos)>,
         quiet: &HashSet<SocketAddr>,
@@ -375,7 +389,7 @@
         };
         let near = rows.iter().any(|(row, _)| row.zone == zone && takes(row));
         let mut fresh = HashMap::new();
-        let wanted = |row: &EndpointRecord| !(self.told.plan.large && near) || row.zone == zone;
+        let wanted = |row: &EndpointRecord| !(self.settings.plan.large && near) || row.zone == zone;
         for (row, told) in rows.into_iter().filter(|(row, _)| wanted(row)) {
             let state = if takes(row) {
                 State::Up
@@ -388,14 +402,17 @@
             let was = inner.listed.get(&srv);
             let came_up = was.and_then(|was| was.came_up);
             let warm_at = told + row.warming_up_ms * MS;
-            let came_up = came_up.or((warm_at > now).then(|| warm_at.saturating_sub(COLD)));
+            let came_up = came_up.or((warm_at > now).then(|| warm_at.saturating_sub(SLOW_START)));
             let far = near && row.zone != zone;
-            let weight = f64::from(row.concurrency_limit.max(1)) * if far { FAR } else { 1.0 };
+            let weight = f64::from(row.concurrency_limit.max(1)) * if far { OTHER_ZONE_WEIGHT } else { 1.0 };
             let site: Name = row.zone.as_str().into();
             let listed = Listed { srv: srv.clone(), state, came_up, weight, site: site.clone(), cell: 0 };
-            fresh.insert(srv.clone(), (listed, Place { door: row.inbound_proxy, id: srv, zone: site }));
+            fresh.insert(
+                srv.clone(),
+                (listed, Endpoint { inbound_proxy: row.inbound_proxy, upstream_id: srv, zone: site }),
+            );
         }
-        let same = |(srv, (listed, place)): (&Name, &(Listed, Place))| {
+        let same = |(srv, (listed, place)): (&Name, &(Listed, Endpoint))| {
             let was = inner.listed.get(srv).map(|was| (was.state, was.weight, was.came_up, &was.site));
             was == Some((listed.state, listed.weight, listed.came_up, &listed.site))
                 && inner.places.get(srv) == Some(place)
@@ -412,16 +429,16 @@
 }
 
 #[cfg(test)]
-impl Told {
+impl ServiceSettings {
     /// As if all its routes were this member's, and with so many tries.
     pub fn of_member(&mut self, member: Name, tries: u32) {
         (self.plan.member, self.plan.tries) = (Some(member), tries);
     }
 }
 
-impl Turn {
+impl ScheduledRequest {
     /// A dispatch goes on its way. What was counted for it.
-    pub fn goes(&self) -> AttemptCounts {
+    pub fn attempt_started(&self) -> AttemptCounts {
         let (mut inner, now) = (held(&self.desk.inner), self.desk.clock.now());
         let counted = inner.spent.attempt_started(now, &self.tally);
         self.desk.count(&inner, now, counted);
@@ -429,7 +446,7 @@
     }
 
     /// A dispatch has ended; `closed` when its req has had its final answer by that.
-    pub fn ended(&mut self, number: usize, how: How, took: Nanos, closed: bool, inside: Option<f64>) {
+    pub fn attempt_ended(&mut self, number: usize, how: How, took: Nanos, closed: bool, inside: Option<f64>) {
         let mut inner = held(&self.desk.inner);
         self.tally.ended(how);
         self.over |= closed;
@@ -440,13 +457,13 @@
     }
 
     /// The module has given the req up. What was counted for that.
-    pub fn end(&mut self) -> AttemptCounts {
+    pub fn finish(&mut self) -> AttemptCounts {
         self.over = true;
         held(&self.desk.inner).spent.request_given_up(self.desk.clock.now(), &self.tally)
     }
 }
 
-impl Drop for Turn {
+impl Drop for ScheduledRequest {
     fn drop(&mut self) {
         let mut inner = held(&self.desk.inner);
         inner.steps.remove(&self.id);
--- a/balancer/src/mesh/proxy/scheduler_set.rs
+++ b/balancer/src/mesh/proxy/scheduler_set.rs
@@ -10,28 +10,28 @@
 use ochreshed_mesh::retry_shares::{RetryPool, RetryShares};
 
 use crate::link::held;
-use crate::mesh::proxy::request_scheduler::{Desk, Plan, Seat};
+use crate::mesh::proxy::request_scheduler::{RequestScheduler, SchedulerKey, SchedulerPlan};
 
 /// Members' desks beyond so many go once they have had nothing for the budget's window.
-const MOST_IDLE: usize = 256;
+const MAX_IDLE_MEMBER_SCHEDULERS: usize = 256;
 
 #[derive(Default)]
-pub struct Seats {
-    desks: HashMap<Seat, Arc<Desk>>,
+pub struct SchedulerSet {
+    desks: HashMap<SchedulerKey, Arc<RequestScheduler>>,
     /// Of services to which members' reqs go.
     pools: HashMap<(Name, bool), Arc<Mutex<RetryPool>>>,
 }
 
-impl Seats {
-    pub fn desk(&self, seat: &Seat) -> Option<Arc<Desk>> {
+impl SchedulerSet {
+    pub fn scheduler(&self, seat: &SchedulerKey) -> Option<Arc<RequestScheduler>> {
         self.desks.get(seat).cloned()
     }
 
     /// The desks by these plans, and no others; `make` has what stood before.
     pub fn renew(
         &mut self,
-        plans: &BTreeMap<Seat, Plan>,
-        mut make: impl FnMut(Option<Arc<Desk>>, &Plan) -> Arc<Desk>,
+        plans: &BTreeMap<SchedulerKey, SchedulerPlan>,
+        mut make: impl FnMut(Option<Arc<RequestScheduler>>, &SchedulerPlan) -> Arc<RequestScheduler>,
     ) {
         let mut was = std::mem::take(&mut self.desks);
         for (seat, plan) in plans {
@@ -42,13 +42,13 @@
         }
     }
 
-    pub fn add(&mut self, seat: Seat, desk: Arc<Desk>) {
+    pub fn add(&mut self, seat: SchedulerKey, desk: Arc<RequestScheduler>) {
         self.desks.insert(seat, desk);
     }
 
     /// Divides each service's allowance anew, where reqs of members go to it or went there of late.
-    pub fn divide(&mut self, now: Nanos, shares: &Arc<RetryShares>) {
-        let line = |seat: &Seat| (seat.0.clone(), seat.1);
+    pub fn divide_budgets(&mut self, now: Nanos, shares: &Arc<RetryShares>) {
+        let line = |seat: &SchedulerKey| (seat.0.clone(), seat.1);
         let members = self.desks.keys().filter(|seat| seat.2.is_some());
         for seat in members {
             self.pools.entry(line(seat)).or_default();
@@ -61,13 +61,13 @@
         }
         for (seat, desk) in &self.desks {
             if let Some(pool) = self.pools.get(&line(seat)) {
-                desk.draw_on(Some(pool));
+                desk.set_pool(Some(pool));
             }
         }
     }
 
     /// Ends what members' reqs have left behind and nobody needs any more.
-    pub fn tidy(&mut self, now: Nanos, shares: &Arc<RetryShares>) {
+    pub fn remove_idle(&mut self, now: Nanos, shares: &Arc<RetryShares>) {
         if self.pools.is_empty() {
             return;
         }
@@ -75,8 +75,8 @@
         self.desks.retain(|seat, desk| {
             let idle = seat.2.is_some()
                 && Arc::strong_count(desk) == 1
-                && desk.figures() == AttemptCounts::default();
-            let goes = idle && many > MOST_IDLE;
+                && desk.attempt_counts() == AttemptCounts::default();
+            let goes = idle && many > MAX_IDLE_MEMBER_SCHEDULERS;
             many -= usize::from(goes);
             !goes
         });
@@ -84,22 +84,22 @@
         self.pools.retain(|(name, large), pool| {
             let mut pool = held(pool);
             pool.divide(now, shares);
-            let of_line = |seat: &&Seat| seat.0 == *name && seat.1 == *large;
+            let of_line = |seat: &&SchedulerKey| seat.0 == *name && seat.1 == *large;
             let stays = !pool.idle() || desks.keys().filter(of_line).any(|seat| seat.2.is_some());
             drop(pool);
             if !stays && let Some(desk) = desks.get(&(name.clone(), *large, None)) {
-                desk.draw_on(None);
+                desk.set_pool(None);
             }
             stays
         });
     }
 
     /// What of each service was sent, sent again and refused for want of allowance in the budget's window.
-    pub fn figures(&self) -> HashMap<Name, AttemptCounts> {
+    pub fn attempt_counts(&self) -> HashMap<Name, AttemptCounts> {
         let mut sums: HashMap<Name, AttemptCounts> = HashMap::new();
         for ((name, ..), desk) in &self.desks {
             let sum = sums.entry(name.clone()).or_default();
-            *sum = sum.and(desk.figures());
+            *sum = sum.and(desk.attempt_counts());
         }
         sums
     }
--- a/balancer/src/mesh/proxy/session_affinity.rs
+++ b/balancer/src/mesh/proxy/session_affinity.rs
@@ -19,37 +19,37 @@
 
 use crate::body::Message;
 use crate::link::held;
-use crate::mesh::proxy::fencing::Pass;
+use crate::mesh::proxy::fencing::FencingToken;
 use crate::mesh::proxy::headers::{SESSION_FENCE, WAY};
-use crate::mesh::proxy::listener::field;
-use crate::mesh::proxy::node::Branch;
-use crate::mesh::proxy::request_scheduler::{Desk, Place};
+use crate::mesh::proxy::listener::header_str;
+use crate::mesh::proxy::node::Node;
+use crate::mesh::proxy::request_scheduler::{Endpoint, RequestScheduler};
 use crate::mesh::rpc::{InternalRequest, InternalResponse};
 
 const MS: Nanos = 1_000_000;
 /// A req waits so long for the core, and one steward is waited for so long.
-const WITHIN: Duration = Duration::from_millis(500);
-const ONE: Duration = Duration::from_millis(220);
+const ACQUIRE_TIMEOUT: Duration = Duration::from_millis(500);
+const REPLICA_TIMEOUT: Duration = Duration::from_millis(220);
 /// And so long for the gate that had the session; its keys are safe by their claims.
-const HAND_OVER: Nanos = 150 * MS;
+const HANDOVER_TIMEOUT: Nanos = 150 * MS;
 /// The core is told of a session that is used so often.
-const RENEW: Nanos = 60_000 * MS;
+const RENEW_INTERVAL: Nanos = 60_000 * MS;
 /// What was not used for so long is asked for again: the core may have forgotten it.
-const UNUSED: Nanos = 600_000 * MS;
+const REACQUIRE_AFTER: Nanos = 600_000 * MS;
 /// So many are held; those that were not used for longest are asked for again.
-const MOST: usize = 20_000;
+const MAX_SESSIONS: usize = 20_000;
 /// Others wait so long for the first req of a session, and so many sessions have one.
-const FIRST: Duration = Duration::from_millis(300);
-const MOST_FIRSTS: usize = 4_096;
+const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(300);
+const MAX_FIRST_REQUESTS: usize = 4_096;
 /// Keys told of one session.
-const MOST_KEYS: usize = 64;
+const MAX_HANDED_OVER_KEYS: usize = 64;
 /// Times of moves that are remembered.
-const TIMES: usize = 512;
+const MAX_MOVE_SAMPLES: usize = 512;
 /// What a hand-over says in place of a req's session.
-const MOVED: &str = "moved ";
+const HANDOVER_PREFIX: &str = "moved ";
 
 /// A person's session by its service, the header that names it and that header's value.
-pub fn name(service: &str, header: &str, value: &str) -> SessionId {
+pub fn session_id(service: &str, header: &str, value: &str) -> SessionId {
     let mut sum = Sha256::new();
     for part in [service, &header.to_ascii_lowercase(), value] {
         sum.update((part.len() as u64).to_be_bytes());
@@ -59,7 +59,7 @@
     sum.iter().take(16).fold(0, |all, byte| all << 8 | SessionId::from(*byte))
 }
 
-struct Held {
+struct OwnedSession {
     holder: SessionOwner,
     tie: Option<SessionBinding>,
     /// When the core was last told, and when it was last used.
@@ -68,8 +68,8 @@
 }
 
 #[derive(Default)]
-struct Inner {
-    held: HashMap<SessionId, Held>,
+struct SessionState {
+    held: HashMap<SessionId, OwnedSession>,
     order: BTreeSet<(Nanos, SessionId)>,
     /// Keys that are at work here.
     keys: HashMap<SessionId, Vec<LeaseKey>>,
@@ -77,14 +77,14 @@
     firsts: HashMap<SessionId, Arc<tokio::sync::Mutex<()>>>,
     /// Doors know of a holder since then.
     above: HashMap<SessionId, u64>,
-    counts: Counts,
+    counts: AffinityCounts,
     times: Vec<Nanos>,
 }
 
 /// What this gate has seen of sessions since its start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Counts {
-    /// Held now; taken that nobody had; moved here from another gate, and of these those whose gate did not answer.
+pub struct AffinityCounts {
+    /// OwnedSession now; taken that nobody had; moved here from another gate, and of these those whose gate did not answer.
     pub held: usize,
     pub begun: u64,
     pub moves: u64,
@@ -105,12 +105,12 @@
 }
 
 #[derive(Default)]
-pub struct Sessions(Mutex<Inner>);
+pub struct SessionTable(Mutex<SessionState>);
 
 /// A req's session.
-pub struct Bound {
-    pub pass: Pass,
-    pub tie: Option<SessionBinding>,
+pub struct BoundSession {
+    pub token: FencingToken,
+    pub binding: Option<SessionBinding>,
     holder: SessionOwner,
     /// It is the first of its session here: others wait until it is known where that lives.
     first: Option<OwnedMutexGuard<()>>,
@@ -118,25 +118,25 @@
     unplaced: bool,
 }
 
-impl Bound {
-    fn new(pass: Pass, tie: Option<SessionBinding>, holder: SessionOwner) -> Bound {
-        Bound { pass, tie, holder, first: None, unplaced: false }
+impl BoundSession {
+    fn new(pass: FencingToken, tie: Option<SessionBinding>, holder: SessionOwner) -> BoundSession {
+        BoundSession { token: pass, binding: tie, holder, first: None, unplaced: false }
     }
 
     /// Whether its session is tied to an upstream that takes requests.
-    fn is_placed(&self, desk: &Desk) -> bool {
-        self.tie.as_ref().is_some_and(|tie| desk.takes(&tie.upstream_id.as_str().into()))
+    fn is_placed(&self, desk: &RequestScheduler) -> bool {
+        self.binding.as_ref().is_some_and(|tie| desk.accepts_requests(&tie.upstream_id.as_str().into()))
     }
 
-    pub fn is_tied(&self, srv: &str) -> bool {
-        self.tie.as_ref().is_some_and(|tie| tie.upstream_id == srv)
+    pub fn is_bound_to(&self, srv: &str) -> bool {
+        self.binding.as_ref().is_some_and(|tie| tie.upstream_id == srv)
     }
 }
 
 /// A key at work in a session, until this is dropped.
-pub struct AtWork(Arc<Branch>, SessionId, LeaseKey);
+pub struct KeyInFlight(Arc<Node>, SessionId, LeaseKey);
 
-impl Drop for AtWork {
+impl Drop for KeyInFlight {
     fn drop(&mut self) {
         let mut inner = held(&self.0.sessions().0);
         if let Some(keys) = inner.keys.get_mut(&self.1) {
@@ -148,7 +148,7 @@
     }
 }
 
-impl Inner {
+impl SessionState {
     fn ends(&mut self, session: SessionId) {
         if let Some(was) = self.held.remove(&session) {
             self.order.remove(&(was.used, session));
@@ -157,47 +157,47 @@
 
     fn put(&mut self, now: Nanos, session: SessionId, agreed: &CommittedSession, holder: SessionOwner) {
         self.ends(session);
-        while self.held.len() >= MOST
+        while self.held.len() >= MAX_SESSIONS
             && let Some(&(_, oldest)) = self.order.first()
         {
             self.ends(oldest);
         }
         let tie = agreed.ownership.binding.clone();
-        self.held.insert(session, Held { holder, tie, told: now, used: now });
+        self.held.insert(session, OwnedSession { holder, tie, told: now, used: now });
         self.order.insert((now, session));
     }
 
     /// The hold that stands, and whether the core is to be told that it is used.
-    fn uses(&mut self, now: Nanos, session: SessionId) -> Option<(Bound, bool)> {
+    fn uses(&mut self, now: Nanos, session: SessionId) -> Option<(BoundSession, bool)> {
         let has = self.held.get_mut(&session)?;
-        if now > has.used.saturating_add(UNUSED) {
+        if now > has.used.saturating_add(REACQUIRE_AFTER) {
             self.ends(session);
             return None;
         }
         self.order.remove(&(has.used, session));
         has.used = now;
         self.order.insert((now, session));
-        let renew = now > has.told.saturating_add(RENEW);
+        let renew = now > has.told.saturating_add(RENEW_INTERVAL);
         if renew {
             has.told = now;
         }
-        let pass = Pass { session, since: has.holder.since_term };
-        Some((Bound::new(pass, has.tie.clone(), has.holder), renew))
+        let pass = FencingToken { session, since_term: has.holder.since_term };
+        Some((BoundSession::new(pass, has.tie.clone(), has.holder), renew))
     }
 }
 
-impl Sessions {
-    pub fn counts(&self) -> Counts {
+impl SessionTable {
+    pub fn counts(&self) -> AffinityCounts {
         let inner = held(&self.0);
         let mut times = inner.times.clone();
         times.sort_unstable();
         let at = |part: usize| times.get((times.len() * part / 100).min(times.len().saturating_sub(1)));
         let (half, most) = (at(50).copied().unwrap_or(0), at(99).copied().unwrap_or(0));
-        Counts { held: inner.held.len(), move_half: half, move_most: most, ..inner.counts }
+        AffinityCounts { held: inner.held.len(), move_half: half, move_most: most, ..inner.counts }
     }
 
     /// For operators, with how many reqs the door of this machine has turned away.
-    pub fn page(&self, fenced_here: u64) -> String {
+    pub fn status_json(&self, fenced_here: u64) -> String {
         let counts = self.counts();
         let ms = |nanos: Nanos| nanos as f64 / 1e6;
         jzon::stringify(jzon::object! {
@@ -214,9 +214,9 @@
     }
 
     /// Another gate has taken a session since that epoch: it is let go here. Told with the keys that are at work.
-    pub fn let_go(&self, pass: Pass) -> Vec<LeaseKey> {
+    pub fn release(&self, pass: FencingToken) -> Vec<LeaseKey> {
         let mut inner = held(&self.0);
-        if inner.held.get(&pass.session).is_some_and(|has| has.holder.since_term < pass.since) {
+        if inner.held.get(&pass.session).is_some_and(|has| has.holder.since_term < pass.since_term) {
             inner.ends(pass.session);
             inner.counts.left += 1;
         }
@@ -224,55 +224,61 @@
     }
 
     /// What a hand-over asks at a door, where the field is one.
-    pub fn handed_over(&self, word: &str) -> Option<String> {
-        let pass = Pass::read(word.strip_prefix(MOVED)?)?;
-        Some(self.let_go(pass).iter().map(|key| format!("{key:032x}\n")).collect())
+    pub fn handle_handover(&self, word: &str) -> Option<String> {
+        let pass = FencingToken::from_header(word.strip_prefix(HANDOVER_PREFIX)?)?;
+        Some(self.release(pass).iter().map(|key| format!("{key:032x}\n")).collect())
     }
 
     /// A door turned a req away, for it knows of a later holder.
-    pub fn fenced(&self, pass: Pass, known: u64) {
+    pub fn fenced(&self, pass: FencingToken, known: u64) {
         let mut inner = held(&self.0);
         inner.counts.fenced += 1;
         if inner.held.get(&pass.session).is_some_and(|has| has.holder.since_term < known) {
             inner.ends(pass.session);
         }
-        if inner.above.len() >= MOST {
+        if inner.above.len() >= MAX_SESSIONS {
             inner.above.clear();
         }
         inner.above.insert(pass.session, known);
     }
 
-    fn learn(&self, now: Nanos, session: SessionId, got: &CommittedSession, me: SocketAddr) -> Option<Bound> {
+    fn learn(
+        &self,
+        now: Nanos,
+        session: SessionId,
+        got: &CommittedSession,
+        me: SocketAddr,
+    ) -> Option<BoundSession> {
         let mut inner = held(&self.0);
         let Some(holder) = got.ownership.owner.filter(|holder| holder.outbound_proxy == me) else {
             inner.ends(session);
             return None;
         };
-        let newer = |has: &Held| has.holder.since_term > holder.since_term;
+        let newer = |has: &OwnedSession| has.holder.since_term > holder.since_term;
         if !inner.held.get(&session).is_some_and(newer) {
             inner.put(now, session, got, holder);
         }
         inner.above.remove(&session);
-        let pass = Pass { session, since: holder.since_term };
-        Some(Bound::new(pass, got.ownership.binding.clone(), holder))
+        let pass = FencingToken { session, since_term: holder.since_term };
+        Some(BoundSession::new(pass, got.ownership.binding.clone(), holder))
     }
 }
 
 /// Asks the core, one steward after the other.
-async fn ask(branch: &Branch, session: SessionId, wish: SessionRequest) -> Option<Option<CommittedSession>> {
-    let until = Instant::now() + WITHIN;
-    for steward in branch.stewards.by_key(session) {
+async fn ask(branch: &Node, session: SessionId, wish: SessionRequest) -> Option<Option<CommittedSession>> {
+    let until = Instant::now() + ACQUIRE_TIMEOUT;
+    for steward in branch.replicas.replicas_for_key(session) {
         if Instant::now() >= until {
             break;
         }
         let ask = InternalRequest::Core(CoreRequest::Session(session, wish.clone()));
-        match branch.callers.to(steward).call(ask, ONE).await {
+        match branch.rpc.to(steward).call(ask, REPLICA_TIMEOUT).await {
             Ok(InternalResponse::Core(CoreResponse::Session(agreed))) => {
-                branch.stewards.replied(steward);
+                branch.replicas.response_received(steward);
                 return Some(agreed);
             }
             Ok(InternalResponse::Core(_)) => {}
-            _ => branch.stewards.failed(steward),
+            _ => branch.replicas.request_failed(steward),
         }
     }
     None
@@ -280,7 +286,12 @@
 
 /// The session of a req that came here, taken from whoever had it. None where the core is not there in time: the req
 /// goes on without, for what must run once does so by its key.
-pub async fn take(branch: &Arc<Branch>, desk: &Desk, session: SessionId, ties: bool) -> Option<Bound> {
+pub async fn acquire(
+    branch: &Arc<Node>,
+    desk: &RequestScheduler,
+    session: SessionId,
+    ties: bool,
+) -> Option<BoundSession> {
     let known = || {
         let (bound, renew) = held(&branch.sessions().0).uses(branch.clock.now(), session)?;
         if renew {
@@ -294,12 +305,12 @@
     }
     let first = {
         let mut inner = held(&branch.sessions().0);
-        if inner.firsts.len() >= MOST_FIRSTS {
+        if inner.firsts.len() >= MAX_FIRST_REQUESTS {
             inner.firsts.retain(|_, first| Arc::strong_count(first) > 1);
         }
         inner.firsts.entry(session).or_default().clone()
     };
-    let first = timeout(FIRST, first.lock_owned()).await.ok();
+    let first = timeout(FIRST_REQUEST_TIMEOUT, first.lock_owned()).await.ok();
     let mut bound = match known() {
         Some(bound) => bound,
         None => ask_for(branch, session).await?,
@@ -309,10 +320,10 @@
     Some(bound)
 }
 
-async fn ask_for(branch: &Arc<Branch>, session: SessionId) -> Option<Bound> {
-    let (now, me, all) = (branch.clock.now(), branch.door_at(), branch.sessions());
+async fn ask_for(branch: &Arc<Node>, session: SessionId) -> Option<BoundSession> {
+    let (now, me, all) = (branch.clock.now(), branch.inbound_address(), branch.sessions());
     let above = held(&all.0).above.get(&session).copied().unwrap_or(0);
-    let agreed = match branch.core_away() {
+    let agreed = match branch.quorum_unreachable() {
         true => None,
         false => ask(branch, session, SessionRequest::Acquire { outbound_proxy: me, above_term: above })
             .await
@@ -327,12 +338,12 @@
     let bound = all.learn(now, session, &agreed, me)?;
     match before.filter(|_| fresh) {
         Some(before) => {
-            let heard = hand_over(branch, before.outbound_proxy, bound.pass).await.is_some();
+            let heard = hand_over(branch, before.outbound_proxy, bound.token).await.is_some();
             let took = branch.clock.now().saturating_sub(now);
             let mut inner = held(&all.0);
             inner.counts.moves += 1;
             inner.counts.unheard += u64::from(!heard);
-            let at = inner.counts.moves as usize % TIMES;
+            let at = inner.counts.moves as usize % MAX_MOVE_SAMPLES;
             match inner.times.get_mut(at) {
                 Some(time) => *time = took,
                 None => inner.times.push(took),
@@ -343,75 +354,82 @@
     Some(bound)
 }
 
-async fn renewal(branch: Arc<Branch>, session: SessionId, holder: SessionOwner) {
+async fn renewal(branch: Arc<Node>, session: SessionId, holder: SessionOwner) {
     if let Some(Some(agreed)) = ask(&branch, session, SessionRequest::Renew(holder)).await
         && let Some(other) = agreed.ownership.owner
         && other.since_term > holder.since_term
     {
-        branch.sessions().let_go(Pass { session, since: other.since_term });
+        branch.sessions().release(FencingToken { session, since_term: other.since_term });
     }
 }
 
 /// Asks the gate that had a session to let it go. Told with the keys at work there.
-async fn hand_over(branch: &Arc<Branch>, gate: SocketAddr, pass: Pass) -> Option<Vec<LeaseKey>> {
+async fn hand_over(branch: &Arc<Node>, gate: SocketAddr, pass: FencingToken) -> Option<Vec<LeaseKey>> {
     let mut head = hyper::Request::new(());
     *head.method_mut() = hyper::Method::POST;
     head.headers_mut().insert(HOST, HeaderValue::from_static("ochreshed"));
     let message = Arc::new(Message { head, first: bytes::Bytes::new(), length: Some(0), long: None });
     let mut fields = HeaderMap::new();
-    fields.insert(SESSION_FENCE, HeaderValue::try_from(format!("{MOVED}{}", pass.word())).ok()?);
-    let until = branch.clock.now() + HAND_OVER;
+    fields
+        .insert(SESSION_FENCE, HeaderValue::try_from(format!("{HANDOVER_PREFIX}{}", pass.to_header())).ok()?);
+    let until = branch.clock.now() + HANDOVER_TIMEOUT;
     let ours = |head: &hyper::http::response::Parts| head.headers.contains_key(&WAY);
-    let answer = branch.line_to(gate).exchange(&message, &fields, until, None, ours).await;
+    let answer = branch.connection_pool(gate).exchange(&message, &fields, until, None, ours).await;
     let (head, flow) = answer.ok()?;
-    if field(&head.headers, &WAY).split(' ').next() != Some("ran") {
+    if header_str(&head.headers, &WAY).split(' ').next() != Some("ran") {
         return None; // An older program, which holds no sessions.
     }
     let body = http_body_util::BodyExt::collect(flow).await.ok()?.to_bytes();
     let keys = std::str::from_utf8(&body).ok()?.lines();
-    Some(keys.take(MOST_KEYS).filter_map(|key| LeaseKey::from_str_radix(key, 16).ok()).collect())
+    Some(keys.take(MAX_HANDED_OVER_KEYS).filter_map(|key| LeaseKey::from_str_radix(key, 16).ok()).collect())
 }
 
 /// A key is at work in a session here.
-pub fn at_work(branch: &Arc<Branch>, session: SessionId, key: LeaseKey) -> AtWork {
+pub fn track_key(branch: &Arc<Node>, session: SessionId, key: LeaseKey) -> KeyInFlight {
     let mut inner = held(&branch.sessions().0);
     let keys = inner.keys.entry(session).or_default();
-    if keys.len() < MOST_KEYS {
+    if keys.len() < MAX_HANDED_OVER_KEYS {
         keys.push(key);
     }
-    AtWork(branch.clone(), session, key)
+    KeyInFlight(branch.clone(), session, key)
 }
 
 /// A request is about to go to this place. Where its session is tied to nothing, or to an upstream that is gone, it is
 /// tied here from now on, before anything can have run there: whoever takes the session next finds that. False where
 /// somebody else has it now, or tied it elsewhere.
-pub async fn begins(branch: &Arc<Branch>, desk: &Desk, bound: &mut Bound, place: &Place) -> bool {
+pub async fn attempt_starting(
+    branch: &Arc<Node>,
+    desk: &RequestScheduler,
+    bound: &mut BoundSession,
+    place: &Endpoint,
+) -> bool {
     bound.unplaced |= !bound.is_placed(desk);
     // Without the core nobody is kept waiting for it, as in `ask_for`.
-    if !bound.unplaced || bound.is_tied(&place.id) || branch.core_away() {
+    if !bound.unplaced || bound.is_bound_to(&place.upstream_id) || branch.quorum_unreachable() {
         return true;
     }
-    let tie = SessionBinding { upstream_id: place.id.to_string(), inbound_proxy: place.door };
-    let was = bound.tie.as_ref().map(|tie| tie.upstream_id.clone());
+    let tie =
+        SessionBinding { upstream_id: place.upstream_id.to_string(), inbound_proxy: place.inbound_proxy };
+    let was = bound.binding.as_ref().map(|tie| tie.upstream_id.clone());
     let succeeds = was.is_some() && !bound.is_placed(desk);
     let wish = SessionRequest::Bind { owner: bound.holder, current_upstream_id: was, binding: tie.clone() };
-    let Some(Some(agreed)) = ask(branch, bound.pass.session, wish).await else { return true };
-    branch.sessions().learn(branch.clock.now(), bound.pass.session, &agreed, branch.door_at());
+    let Some(Some(agreed)) = ask(branch, bound.token.session, wish).await else { return true };
+    branch.sessions().learn(branch.clock.now(), bound.token.session, &agreed, branch.inbound_address());
     bound.first = None;
     let ours =
         agreed.ownership.owner == Some(bound.holder) && agreed.ownership.binding.as_ref() == Some(&tie);
     if ours && succeeds {
         held(&branch.sessions().0).counts.gone += 1;
     }
-    bound.tie = agreed.ownership.binding;
+    bound.binding = agreed.ownership.binding;
     ours
 }
 
-/// Counts a request of a session that ran well at this place.
-pub fn served(branch: &Branch, bound: &Bound, place: &Place) {
+/// AffinityCounts a request of a session that ran well at this place.
+pub fn attempt_succeeded(branch: &Node, bound: &BoundSession, place: &Endpoint) {
     let counts = &mut held(&branch.sessions().0).counts;
-    match &bound.tie {
-        Some(tie) if *tie.upstream_id == *place.id => counts.kept += 1,
+    match &bound.binding {
+        Some(tie) if *tie.upstream_id == *place.upstream_id => counts.kept += 1,
         // The instance lives on there: it is but at capacity, or failed this once.
         Some(_) => counts.crowded += 1,
         None => {}
--- a/balancer/src/mesh/proxy/tests/connection_pool_tests.rs
+++ b/balancer/src/mesh/proxy/tests/connection_pool_tests.rs
@@ -14,7 +14,7 @@
 
 use crate::body::Message;
 use crate::clock::Clock;
-use crate::mesh::proxy::connection_pool::{Fail, Line};
+use crate::mesh::proxy::connection_pool::{ConnectionPool, ExchangeError};
 use crate::mesh::proxy::headers::ID;
 
 const MS: u64 = 1_000_000;
@@ -113,20 +113,23 @@
 
 /// What the second of two exchanges came to, and a third one after it: the bodies taken, or how they failed, and the
 /// requests that arrived.
-async fn play(second: Second, checks: bool) -> (Result<String, Fail>, Result<String, Fail>, Vec<String>) {
+async fn play(
+    second: Second,
+    checks: bool,
+) -> (Result<String, ExchangeError>, Result<String, ExchangeError>, Vec<String>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let at = listener.local_addr().expect("its address");
     let (send, mut came) = tokio::sync::mpsc::unbounded_channel();
     let served = tokio::spawn(upstream(listener, second, send));
     let clock = Clock::new();
-    let line = Arc::new(Line::new(at, clock, Arc::new(Semaphore::new(8))));
+    let line = Arc::new(ConnectionPool::new(at, clock, Arc::new(Semaphore::new(8))));
     let exchange = |id: &'static str, body: usize| {
         let line = line.clone();
         async move {
             let until = clock.now() + 300 * MS;
             let ours = |head: &Parts| !checks || head.headers.get(&ID).is_some_and(|told| told == id);
             let (_, flow) = line.exchange(&message(id, body), &HeaderMap::new(), until, None, ours).await?;
-            let bytes = flow.collect().await.map_err(|_| Fail::Reset)?.to_bytes();
+            let bytes = flow.collect().await.map_err(|_| ExchangeError::Reset)?.to_bytes();
             Ok(String::from_utf8(bytes.to_vec()).expect("text"))
         }
     };
@@ -153,11 +156,11 @@
         (Second::AnsweredTwice, well("two")),
         (Second::ClosedIdle, well("two")),
         (Second::Early, well("two")),
-        (Second::SurplusLate, Err(Fail::Reset)),
-        (Second::AnswersAnother, Err(Fail::Reset)),
-        (Second::Resets, Err(Fail::Reset)),
-        (Second::HalfCloses, Err(Fail::Reset)),
-        (Second::Silent, Err(Fail::Late)),
+        (Second::SurplusLate, Err(ExchangeError::Reset)),
+        (Second::AnswersAnother, Err(ExchangeError::Reset)),
+        (Second::Resets, Err(ExchangeError::Reset)),
+        (Second::HalfCloses, Err(ExchangeError::Reset)),
+        (Second::Silent, Err(ExchangeError::TimedOut)),
     ] {
         let (got, three, arrived) = play(second, true).await;
         assert_eq!(got, two, "{second:?}");
--- a/balancer/src/mesh/proxy/tests/inbound_tests.rs
+++ b/balancer/src/mesh/proxy/tests/inbound_tests.rs
@@ -8,40 +8,45 @@
 use super::*;
 
 /// A door beside an upstream of so many slots that answers when told to, and how many reqs have come to that.
-async fn door(slots: u32) -> (Arc<Door>, TcpListener) {
+async fn door(slots: u32) -> (Arc<InboundProxy>, TcpListener) {
     let (door, listener, app) = silent_door().await;
     beat(&door, app, "i-1", 1, slots, "open_for_post");
     (door, listener)
 }
 
 /// One whose upstream has not told of itself.
-async fn silent_door() -> (Arc<Door>, TcpListener, SocketAddr) {
+async fn silent_door() -> (Arc<InboundProxy>, TcpListener, SocketAddr) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let app = listener.local_addr().expect("its address");
     let at = SocketAddr::from(([127, 0, 0, 1], 1));
     let (zone, drain, connections, ahead) = ("a".into(), Duration::from_secs(2), 64, 1 << 20);
-    let site = Site { at, zone, app: Some(app), drain, connections, ahead, link_mbps: 1_000.0 };
-    (Door::new(site, Clock::new(), 1), listener, app)
+    let site = InboundSettings { at, zone, app: Some(app), drain, connections, ahead, link_mbps: 1_000.0 };
+    (InboundProxy::new(site, Clock::new(), 1), listener, app)
 }
 
-fn beat(door: &Arc<Door>, app: SocketAddr, id: &str, number: u64, slots: u32, state: &str) {
+fn beat(door: &Arc<InboundProxy>, app: SocketAddr, id: &str, number: u64, slots: u32, state: &str) {
     let notice = format!(r#"{{"line":"x","edition":"v1","zone":"a","pigeonholes":{slots}}}"#);
     let status = format!(r#"{{"state":"{state}","postmark_seq":{number},"cold_left_ms":0}}"#);
     let beat = format!(r#"{{"address":"{app}","notice":{notice},"status":{status}}}"#);
-    door.beat(id, beat.as_bytes()).expect("a beat that can be read");
+    door.handle_heartbeat(id, beat.as_bytes()).expect("a beat that can be read");
 }
 
 /// Knocks with a req that is late after so many ms, turned away before as often as said.
-fn knock(door: &Arc<Door>, id: &str, turned: u32, late_ms: u64) -> tokio::task::JoinHandle<&'static str> {
+fn knock(
+    door: &Arc<InboundProxy>,
+    id: &str,
+    turned: u32,
+    late_ms: u64,
+) -> tokio::task::JoinHandle<&'static str> {
     knock_of(door, id, (turned, late_ms), None, None)
 }
 
 /// The same of a session or a member.
 fn knock_of(
-    door: &Arc<Door>,
+    door: &Arc<InboundProxy>,
     id: &str,
     (turned, late_ms): (u32, u64),
-    pass: Option<Pass>,
+    pass: Option<FencingToken>,
     part: Option<MemberShare>,
 ) -> tokio::task::JoinHandle<&'static str> {
     let mut head = hyper::Request::new(());
@@ -66,7 +71,7 @@
             until,
             part,
         };
-        door.pass(request).await.word()
+        door.forward(request).await.as_word()
     })
 }
 
@@ -92,8 +97,8 @@
     stream.write_all(answer.as_bytes()).await.expect("written");
 }
 
-async fn inside(door: &Door, count: usize) {
-    while door.busy() != count {
+async fn inside(door: &InboundProxy, count: usize) {
+    while door.requests_in_flight() != count {
         tokio::task::yield_now().await;
     }
 }
@@ -140,7 +145,7 @@
 #[tokio::test]
 async fn what_a_gate_sends_that_has_lost_the_session_never_runs() {
     let (door, upstream) = door(1).await;
-    let of = |since| Some(Pass { session: 7, since });
+    let of = |since| Some(FencingToken { session: 7, since_term: since });
     let first = knock_of(&door, "a", (0, 10_000), of(2), None);
     let at_upstream = next(&upstream).await;
     let waits = knock_of(&door, "b", (3, 9_000), of(2), None);
@@ -176,7 +181,7 @@
     }
     // The configuration in force here gives it less: one has to go before the one that waits may come in.
     let share = Share { member: "norte".into(), retry: 0.0, slots: 0.25 };
-    door.know_shares(&Arc::new([(share.member.clone(), Arc::new(share))].into()));
+    door.set_member_shares(&Arc::new([(share.member.clone(), Arc::new(share))].into()));
     runs.push(knock_of(&door, "f", (3, 9_000), None, part(0.5)));
     inside(&door, 4).await;
     answer(hang.remove(0)).await;
@@ -202,7 +207,8 @@
             TERMS,
             HeaderValue::from_str(word).or(HeaderValue::from_bytes(word.as_bytes())).expect("a field"),
         );
-        let Terms { aim_ms, turned, tied, again, call, large, part } = Terms::read(&headers, 700);
+        let RequestTerms { aim_ms, turned, tied, again, call, large, part } =
+            RequestTerms::from_headers(&headers, 700);
         assert_eq!(tied, word.split(' ').nth(2).is_some_and(|letters| letters.contains('t')), "{word}");
         (aim_ms, turned, again, call, large, part.map(|part| (part.share, part.member.to_string())))
     };
@@ -230,17 +236,17 @@
         }
     };
     ran(40, &|_| "200 OK").await;
-    let number = door.row().sequence;
-    assert!(door.row().health.is_healthy());
+    let number = door.endpoint_record().sequence;
+    assert!(door.endpoint_record().health.is_healthy());
     ran(24, &|nth| ["500 Broken", "200 OK"][nth % 2]).await;
-    let row = door.row();
+    let row = door.endpoint_record();
     assert!(row.health.failure_level >= 1 && row.sequence > number, "{row:?}");
     // Beats say that it is well, and count for nothing here.
     let app = upstream.local_addr().expect("its address");
     beat(&door, app, "i-1", 2, 2, "open_for_post");
-    assert_eq!(door.row().health, row.health);
+    assert_eq!(door.endpoint_record().health, row.health);
     beat(&door, app, "i-2", 1, 2, "open_for_post");
-    assert!(door.row().health.is_healthy());
+    assert!(door.endpoint_record().health.is_healthy());
 }
 
 #[tokio::test]
@@ -252,7 +258,7 @@
     // A late beat of the life before brings nothing back.
     beat(&door, app, "i-1", 9, 2, "open_for_post");
     assert_eq!(knock(&door, "a", 0, 10_000).await.expect("no panic"), "gone");
-    assert_eq!(door.row().upstream_id, "i-2");
+    assert_eq!(door.endpoint_record().upstream_id, "i-2");
 }
 
 /// Guards against an upstream that signs off without a word of closing, whose last beat comes seconds late: to this
@@ -273,16 +279,16 @@
     for stand in [UpstreamState::Absent, UpstreamState::Draining] {
         let (door, _, app) = silent_door().await;
         beat(&door, app, "i-1", 9, 2, "open_for_post");
-        assert_eq!(door.row().state, UpstreamState::Serving);
-        door.heard_of_before("i-1", stand);
+        assert_eq!(door.endpoint_record().state, UpstreamState::Serving);
+        door.restore_upstream_state("i-1", stand);
         beat(&door, app, "i-1", 10, 2, "open_for_post");
         assert_eq!(knock(&door, "a", 0, 10_000).await.expect("no panic"), "gone", "{stand:?}");
         // Another life is not meant.
         beat(&door, app, "i-2", 1, 2, "open_for_post");
-        assert_eq!(door.row().state, UpstreamState::Serving);
+        assert_eq!(door.endpoint_record().state, UpstreamState::Serving);
     }
     let (door, _, app) = silent_door().await;
-    door.heard_of_before("i-1", UpstreamState::Absent);
+    door.restore_upstream_state("i-1", UpstreamState::Absent);
     beat(&door, app, "i-1", 9, 2, "open_for_post");
     assert_eq!(knock(&door, "a", 0, 10_000).await.expect("no panic"), "gone");
 }
@@ -292,11 +298,18 @@
     let (door, upstream) = door(2).await;
     let run = knock(&door, "f00", 0, 10_000);
     let at_upstream = next(&upstream).await;
-    assert_eq!((door.saw(b"f00"), door.saw(b"f001.2"), door.row().calls_services), (None, None, false));
-    assert_eq!((door.saw(b"f00.2"), door.row().calls_services), (Some(false), true));
+    assert_eq!(
+        (
+            door.running_request(b"f00"),
+            door.running_request(b"f001.2"),
+            door.endpoint_record().calls_services
+        ),
+        (None, None, false)
+    );
+    assert_eq!((door.running_request(b"f00.2"), door.endpoint_record().calls_services), (Some(false), true));
     answer(at_upstream).await;
     assert_eq!(run.await.expect("no panic"), "ran");
-    assert_eq!(door.saw(b"f00.3"), None);
+    assert_eq!(door.running_request(b"f00.3"), None);
 }
 
 /// Guards against an upstream that is shut out for its life, or let in under another's name, by one word of its health
@@ -317,20 +330,20 @@
             upstream_id: "i-1".into(),
             state: stand,
             concurrency_limit: 1,
-            ..door.row()
+            ..door.endpoint_record()
         };
-        let finds = tokio::spawn(door.clone().find_again(row, "/health".into()));
+        let finds = tokio::spawn(door.clone().probe_upstream(row, "/health".into()));
         let (mut stream, _) = upstream.accept().await.expect("a probe");
         let head = format!("HTTP/1.1 {status}\r\nochreshed-delivered-by: {by}\r\nconnection: close");
         let answer = format!("{head}\r\ncontent-length: 0\r\n\r\n");
         stream.write_all(answer.as_bytes()).await.expect("written");
         finds.await.expect("no panic");
-        assert_eq!(door.row().state, found, "{status} of {by}");
+        assert_eq!(door.endpoint_record().state, found, "{status} of {by}");
         // What it tells itself counts; only what closes stays closed.
         beat(&door, app, "i-1", 1, 1, "open_for_post");
         let takes = stand == UpstreamState::Serving;
         assert_eq!(
-            door.row().state,
+            door.endpoint_record().state,
             if takes { UpstreamState::Serving } else { UpstreamState::Draining },
             "{status} of {by}"
         );
--- a/balancer/src/mesh/proxy/tests/listener_tests.rs
+++ b/balancer/src/mesh/proxy/tests/listener_tests.rs
@@ -11,23 +11,23 @@
 async fn a_long_answer_that_is_on_its_way_at_the_end_goes_whole() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let at = listener.local_addr().expect("its address");
-    let (ajar, watch_ajar) = watch::channel(Ajar::Open);
+    let (ajar, watch_ajar) = watch::channel(ListenerState::Open);
     let (pass, pieces) = Pieces::new(Bytes::from_static(b"begins, "), Some(17));
     let once = Arc::new(std::sync::Mutex::new(Some(pieces)));
-    let answer = move |_: Came| {
+    let answer = move |_: ReceivedRequest| {
         let pieces = once.lock().expect("a lock").take().expect("one req");
-        async move { Response::new(Flow::Long { pieces, hold: None, paced: None }) }
+        async move { Response::new(ResponseBody::Streaming { pieces, hold: None, paced: None }) }
     };
-    let bounds = Bounds { callers: 4, head: Duration::from_secs(60) };
-    let door = tokio::spawn(keep(listener, Clock::new(), bounds, watch_ajar, Arc::default(), answer));
+    let bounds = ListenerLimits { max_connections: 4, header_timeout: Duration::from_secs(60) };
+    let door = tokio::spawn(serve(listener, Clock::new(), bounds, watch_ajar, Arc::default(), answer));
     let mut client = TcpStream::connect(at).await.expect("a connection");
     client.write_all(b"GET / HTTP/1.1\r\nhost: a\r\n\r\n").await.expect("written");
     let mut got = Vec::new();
     while !got.ends_with(b"begins, ") {
         got.push(client.read_u8().await.expect("a byte"));
     }
-    ajar.send_replace(Ajar::Closed);
-    sleep(UNFINISHED * 5).await;
+    ajar.send_replace(ListenerState::Closed);
+    sleep(DRAIN_READ_TIMEOUT * 5).await;
     pass.send(Some(Bytes::from_static(b"ends well"))).await.expect("somebody reads");
     // Its length was told: nobody asks for its end.
     let _ = pass.send(None).await;
--- a/balancer/src/mesh/proxy/tests/outbound_tests.rs
+++ b/balancer/src/mesh/proxy/tests/outbound_tests.rs
@@ -20,8 +20,8 @@
 
 use crate::clock::Clock;
 use crate::link::held;
-use crate::mesh::proxy::listener::{self, Ajar, Bounds, Came};
-use crate::mesh::proxy::node::{Branch, InForce, Inside};
+use crate::mesh::proxy::listener::{self, ListenerLimits, ListenerState, ReceivedRequest};
+use crate::mesh::proxy::node::{AppliedConfiguration, Node, RequestGuard};
 use crate::mesh::proxy::outbound;
 use crate::mesh::rpc::{self, InternalRequest, InternalResponse};
 use crate::mesh::settings::Settings;
@@ -90,7 +90,7 @@
 
 /// All that stands around the gate.
 struct Rig {
-    branch: Arc<Branch>,
+    branch: Arc<Node>,
     gate: SocketAddr,
     seen: Arc<Mutex<Seen>>,
     go: watch::Sender<bool>,
@@ -137,7 +137,7 @@
 
 /// That with routes of members laid over it, at places of their own and to one service with the platform: each with its
 /// name, its share of repeats and the target of its reqs in ms.
-fn of_members(members: &[(&str, f64, u64)]) -> InForce {
+fn of_members(members: &[(&str, f64, u64)]) -> AppliedConfiguration {
     let member = |(name, share, _): &(&str, f64, u64)| {
         format!(
             r#"{{"name":"{name}","key_sha256":"{:064x}","places":[{{"host":"one.example","prefix":"/{name}/"}}],
@@ -158,7 +158,7 @@
     let base = Configuration::read(&timetable().bytes).expect("a timetable");
     let laid = overlay(&base, &register, &members.iter().map(doc).collect());
     assert_eq!(laid.violations, []);
-    InForce::new(laid.configuration, [("norte".into(), (4, true))].into())
+    AppliedConfiguration::new(laid.configuration, [("norte".into(), (4, true))].into())
 }
 
 impl Rig {
@@ -166,12 +166,12 @@
         Rig::over(script, claims, None).await
     }
 
-    async fn over(script: &[Does], claims: &[CoreResponse], laid: Option<InForce>) -> Rig {
+    async fn over(script: &[Does], claims: &[CoreResponse], laid: Option<AppliedConfiguration>) -> Rig {
         let text = "station = \"s\"\nrole = \"r\"\nip = \"127.0.0.1\"\nzone = \"a\"\nregion = \"r\"\n\
              inner_ports = [1, 1]\nline = \"beta\"\napp = \"127.0.0.1:1\"\n";
         let settings = Settings::parse(text).expect("settings");
         let clock = Clock::new();
-        let branch = Branch::new(settings, SocketAddr::from(([127, 0, 0, 1], 1)), clock);
+        let branch = Node::new(settings, SocketAddr::from(([127, 0, 0, 1], 1)), clock);
         let seen = Seen { script: script.to_vec().into(), claims: claims.to_vec().into(), ..Seen::default() };
         let seen = Arc::new(Mutex::new(seen));
         let (go, wait) = watch::channel(false);
@@ -206,23 +206,23 @@
             let got = steward_says(&mut held(&asked), ask);
             async move { got.map(InternalResponse::Core) }
         }));
-        branch.know_stewards(vec![steward]);
-        branch.take_sheet(timetable());
+        branch.set_replicas(vec![steward]);
+        branch.apply_configuration(timetable());
         if let Some(laid) = laid {
-            branch.timetable.store(Some(Arc::new(laid)));
+            branch.configuration.store(Some(Arc::new(laid)));
         }
-        branch.take_rows(0, rows, HashSet::new());
+        branch.merge_records(0, rows, HashSet::new());
         let (outer, gate) = listen().await;
-        let bounds = Bounds { callers: 64, head: Duration::from_secs(20) };
-        let (ajar, ajar_now) = watch::channel(Ajar::Open);
+        let bounds = ListenerLimits { max_connections: 64, header_timeout: Duration::from_secs(20) };
+        let (ajar, ajar_now) = watch::channel(ListenerState::Open);
         let of = branch.clone();
         tokio::spawn(async move {
             let _open = ajar;
-            listener::keep(outer, clock, bounds, ajar_now, Arc::default(), move |came: Came| {
+            listener::serve(outer, clock, bounds, ajar_now, Arc::default(), move |came: ReceivedRequest| {
                 let branch = of.clone();
                 async move {
-                    let inside = Inside::new(&branch);
-                    outbound::answer(branch.clone(), came).await.map(|flow| flow.holding(inside))
+                    let inside = RequestGuard::new(&branch);
+                    outbound::handle_request(branch.clone(), came).await.map(|flow| flow.holding(inside))
                 }
             })
             .await;
@@ -231,7 +231,7 @@
     }
 
     async fn send(&self, bytes: &[u8]) -> TcpStream {
-        self.branch.heard_core(true);
+        self.branch.control_plane_heard(true);
         let mut stream = TcpStream::connect(self.gate).await.expect("a connection");
         stream.write_all(bytes).await.expect("sent");
         stream
@@ -338,9 +338,9 @@
         let rig = Rig::new(&[Waits(200, "late")], &[CoreResponse::LeaseGranted]).await;
         let mut stream = rig.send(req(path, more).as_bytes()).await;
         rig.until(|seen| !seen.came.is_empty()).await;
-        rig.branch.leave(Duration::from_secs(5));
+        rig.branch.start_draining(Duration::from_secs(5));
         let large = rig.call("/large/", "").await;
-        rig.branch.give_up();
+        rig.branch.abort_requests();
         let answer = read(&mut stream).await.expect("an answer");
         let back = large.field("retry-after").is_some();
         all += &format!("{path}: {}, large {}, come back {back}\n", answer.status(), large.status());
@@ -354,7 +354,7 @@
     .assert_eq(&all);
     // Less time is left than a large answer needs, and than the client would wait.
     let rig = Rig::new(&[Waits(200, "late")], &[]).await;
-    rig.branch.leave(Duration::from_millis(300));
+    rig.branch.start_draining(Duration::from_millis(300));
     assert_eq!(rig.call("/large/", "").await.status(), "503");
     assert_eq!(rig.call("/once/", "").await.status(), "504");
 }
@@ -504,7 +504,7 @@
 async fn keyed_requests_are_refused_soon_while_claims_stay_unanswered() {
     let rig = Rig::new(&[], &[]).await;
     let silent = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    rig.branch.know_stewards(vec![silent.local_addr().expect("its address")]);
+    rig.branch.set_replicas(vec![silent.local_addr().expect("its address")]);
     let took = async |key: &str| {
         let began = tokio::time::Instant::now();
         let fields = format!("Ochreshed-Tracking-Key: {key}\r\nOchreshed-Time-Left-Ms: 2000\r\n");
@@ -693,7 +693,7 @@
             .all(|knock| knock.split(' ').count() == 3 - usize::from(!knock.ends_with('a')))
     );
     // What is told of it: by service in all, and by member.
-    let report = rig.branch.report();
+    let report = rig.branch.budget_report();
     let again = (norte - 100) as u32;
     let figures: Vec<_> = report.services.iter().map(|(name, of)| (&**name, of.first, of.retried)).collect();
     assert_eq!(figures, [("alpha", 260, again + 4)]);
@@ -724,8 +724,8 @@
     let rig = Rig::over(&[], &[], Some(of_members(&[("norte", 0.2, 20_000), ("sul", 0.2, 20_000)]))).await;
     let paths = ["/again/x", "/sul/x", "/norte/x"];
     let desks = || {
-        let timetable = rig.branch.timetable.load_full().expect("a timetable");
-        let desk = |path: &str| rig.branch.desk(&"alpha".into(), timetable.route("one.example", path)?);
+        let timetable = rig.branch.configuration.load_full().expect("a timetable");
+        let desk = |path: &str| rig.branch.scheduler(&"alpha".into(), timetable.route("one.example", path)?);
         paths.map(desk)
     };
     for path in paths {
@@ -735,9 +735,9 @@
     assert!(before.iter().all(Option::is_some));
     let mut quiet = 0;
     let mut changed = |members: &[(&str, f64, u64)]| {
-        rig.branch.timetable.store(Some(Arc::new(of_members(members))));
+        rig.branch.configuration.store(Some(Arc::new(of_members(members))));
         quiet += 1;
-        rig.branch.take_rows(0, Vec::new(), [SocketAddr::from(([10, 0, 0, 1], quiet))].into());
+        rig.branch.merge_records(0, Vec::new(), [SocketAddr::from(([10, 0, 0, 1], quiet))].into());
         let after = desks();
         let same = |nth: usize| {
             before[nth].as_ref().zip(after[nth].as_ref()).is_some_and(|(one, other)| Arc::ptr_eq(one, other))
--- a/balancer/src/mesh/proxy/tests/request_scheduler_tests.rs
+++ b/balancer/src/mesh/proxy/tests/request_scheduler_tests.rs
@@ -12,23 +12,25 @@
 
 use crate::clock::Clock;
 use crate::link::held;
-use crate::mesh::proxy::request_scheduler::{Desk, Plan, Step, Told, Turn};
+use crate::mesh::proxy::request_scheduler::{
+    RequestScheduler, ScheduledRequest, SchedulerAction, SchedulerPlan, ServiceSettings,
+};
 use crate::mesh::settings::Bounds;
 
 const MS: Nanos = 1_000_000;
 
 /// One service, whose reqs may run more than once.
-fn told(gates: usize, calls: bool) -> Told {
+fn told(gates: usize, calls: bool) -> ServiceSettings {
     let route = r#"{"category":"routes","label":{"name":"r"},"manifest":{"depot":"one.example","lane_prefix":"/",
         "route_kind":"resendable","deadline_ms":20000,"target_ms":10000,"post_class":1,"line":"a","tries":2}}"#;
     let line = r#"{"category":"mail_lines","label":{"name":"a"},"manifest":{"health":"/h","berth_cap":9}}"#;
     let text = format!(r#"{{"edition":"r1","consignments":[{route},{line}]}}"#);
     let timetable = Configuration::read(text.as_bytes()).expect("a timetable");
-    Told::new(&Plan::all(&timetable)[0], gates, calls, &Bounds::default())
+    ServiceSettings::new(&SchedulerPlan::for_configuration(&timetable)[0], gates, calls, &Bounds::default())
 }
 
-fn desk(was: Option<Arc<Desk>>, told: Told) -> Arc<Desk> {
-    Desk::of(was, ("a".into(), told), Clock::new(), || 7, 10_000 * MS)
+fn desk(was: Option<Arc<RequestScheduler>>, told: ServiceSettings) -> Arc<RequestScheduler> {
+    RequestScheduler::of(was, ("a".into(), told), Clock::new(), || 7, 10_000 * MS)
 }
 
 fn row(host: u8, zone: &str, stand: UpstreamState) -> EndpointRecord {
@@ -53,38 +55,38 @@
     SocketAddr::from(([10, 1, 0, host], 8300))
 }
 
-fn list(desk: &Desk, rows: &[EndpointRecord], quiet: &[u8]) {
+fn list(desk: &RequestScheduler, rows: &[EndpointRecord], quiet: &[u8]) {
     let rows: Vec<(EndpointRecord, Nanos)> = rows.iter().map(|row| (row.clone(), 1)).collect();
     let quiet: HashSet<SocketAddr> = quiet.iter().map(|host| door(*host)).collect();
-    desk.list(rows.iter(), &quiet, "a");
+    desk.update_endpoints(rows.iter(), &quiet, "a");
 }
 
-fn take(desk: &Arc<Desk>, again: bool) -> Turn {
+fn take(desk: &Arc<RequestScheduler>, again: bool) -> ScheduledRequest {
     let now = Clock::new().now();
     let mut req = Req::new(0, "again-10000-1".into(), "".into(), now, now + 20_000 * MS);
     req.again = again;
-    desk.take(req)
+    desk.schedule(req)
 }
 
 /// Where it goes next, if it goes.
-async fn goes(turn: &mut Turn) -> Option<(usize, String)> {
+async fn goes(turn: &mut ScheduledRequest) -> Option<(usize, String)> {
     match turn.steps.recv().await {
-        Some(Step::Send { number, srv, .. }) => {
-            turn.goes();
+        Some(SchedulerAction::Send { number, srv, .. }) => {
+            turn.attempt_started();
             Some((number, srv.to_string()))
         }
-        Some(Step::Deny { .. } | Step::Abort) => {
-            turn.end();
+        Some(SchedulerAction::Reject { .. } | SchedulerAction::Fail) => {
+            turn.finish();
             None
         }
         other => panic!("{other:?}"),
     }
 }
 
-async fn one(desk: &Arc<Desk>, how: How) -> String {
+async fn one(desk: &Arc<RequestScheduler>, how: How) -> String {
     let mut turn = take(desk, false);
     let (number, srv) = goes(&mut turn).await.expect("sent");
-    turn.ended(number, how, MS, how == How::Done, None);
+    turn.attempt_ended(number, how, MS, how == How::Done, None);
     srv
 }
 
@@ -124,8 +126,8 @@
     list(&desk, &rows, &[1, 4, 5]);
     let mut turn = take(&desk, false);
     let step = turn.steps.try_recv();
-    assert!(!matches!(step, Ok(Step::Send { .. })), "{step:?}");
-    assert_eq!(desk.place(&"i-5".into()).map(|place| place.door), Some(door(5)));
+    assert!(!matches!(step, Ok(SchedulerAction::Send { .. })), "{step:?}");
+    assert_eq!(desk.endpoint(&"i-5".into()).map(|place| place.inbound_proxy), Some(door(5)));
 }
 
 /// Guards against a door asked twice for one req, and against turned reqs that use up the allowance.
@@ -138,11 +140,11 @@
         let mut to = BTreeSet::new();
         while let Some((number, srv)) = goes(&mut turn).await {
             assert!(to.insert(srv), "twice to the same");
-            turn.ended(number, How::Turned, MS, false, None);
+            turn.attempt_ended(number, How::Turned, MS, false, None);
         }
         assert!(to.len() >= 2, "{to:?}");
     }
-    assert_eq!(desk.figures(), AttemptCounts { first: 20, retried: 0, denied: 0 });
+    assert_eq!(desk.attempt_counts(), AttemptCounts { first: 20, retried: 0, denied: 0 });
 }
 
 /// Guards against a member's desk that adds to what a service's reqs may be sent again, or takes others' part of it;
@@ -159,20 +161,20 @@
     let shares = Arc::new([(share.member.clone(), Arc::new(share))].into());
     let pool = Arc::new(Mutex::new(RetryPool::default()));
     held(&pool).divide(1, &shares);
-    let draws = |desk: Arc<Desk>| {
+    let draws = |desk: Arc<RequestScheduler>| {
         list(&desk, &rows, &[]);
-        desk.draw_on(Some(&pool));
+        desk.set_pool(Some(&pool));
         desk
     };
     let plain = draws(desk(None, told(1, false)));
     let mut norte = draws(desk(None, member(2)));
-    let fails = async |desk: &Arc<Desk>| {
+    let fails = async |desk: &Arc<RequestScheduler>| {
         let mut turn = take(desk, false);
         let (number, _) = goes(&mut turn).await.expect("sent");
-        turn.ended(number, How::Reset, MS, false, None);
+        turn.attempt_ended(number, How::Reset, MS, false, None);
         let again = goes(&mut turn).await;
         if let Some((number, _)) = again {
-            turn.ended(number, How::Reset, MS, true, None);
+            turn.attempt_ended(number, How::Reset, MS, true, None);
         }
         again.is_some()
     };
@@ -184,7 +186,7 @@
         fails(&norte).await;
     }
     // A quarter of a tenth of a hundred, and of one.
-    assert_eq!(norte.figures(), AttemptCounts { first: 100, retried: 2, denied: 98 });
+    assert_eq!(norte.attempt_counts(), AttemptCounts { first: 100, retried: 2, denied: 98 });
     // The platform has the rest of it, and of what it sends itself.
     let mut again = 0;
     for _ in 0..30 {
@@ -192,7 +194,7 @@
     }
     assert!((9..=10).contains(&again), "{again}");
     // With nothing divided any more it goes by its own.
-    plain.draw_on(None);
+    plain.set_pool(None);
     assert!(!fails(&plain).await);
 }
 
@@ -201,10 +203,10 @@
 #[tokio::test]
 async fn calls_of_runs_sent_again_use_up_the_allowance() {
     let rows = [1, 2].map(|host| row(host, "a", UpstreamState::Serving));
-    let fails = async |desk: &Arc<Desk>| {
+    let fails = async |desk: &Arc<RequestScheduler>| {
         let mut turn = take(desk, false);
         let (number, _) = goes(&mut turn).await.expect("sent");
-        turn.ended(number, How::Reset, MS, false, None);
+        turn.attempt_ended(number, How::Reset, MS, false, None);
         goes(&mut turn).await.is_some()
     };
     // One may be sent again in a window at a gate that has sent little.
@@ -212,22 +214,22 @@
     list(&fresh, &rows, &[]);
     assert!(fails(&fresh).await);
     assert!(!fails(&fresh).await);
-    assert_eq!(fresh.figures(), AttemptCounts { first: 2, retried: 1, denied: 1 });
+    assert_eq!(fresh.attempt_counts(), AttemptCounts { first: 2, retried: 1, denied: 1 });
     // A call of a run that was sent again has taken that.
     let called = desk(None, told(1, false));
     list(&called, &rows, &[]);
     let mut call = take(&called, true);
     let (number, _) = goes(&mut call).await.expect("sent");
-    call.ended(number, How::Done, MS, true, None);
+    call.attempt_ended(number, How::Done, MS, true, None);
     assert!(!fails(&called).await);
-    assert_eq!(called.figures(), AttemptCounts { first: 2, retried: 1, denied: 1 });
+    assert_eq!(called.attempt_counts(), AttemptCounts { first: 2, retried: 1, denied: 1 });
     // Where it calls others itself its errors are not ours to send again, whatever is allowed.
     let middle = desk(Some(called), told(1, true));
     list(&middle, &rows, &[]);
     let mut turn = take(&middle, false);
     let (number, _) = goes(&mut turn).await.expect("sent");
-    turn.ended(number, How::Error, MS, false, None);
+    turn.attempt_ended(number, How::Error, MS, false, None);
     assert_eq!(goes(&mut turn).await, None);
     // What was counted before the module began anew is still told.
-    assert_eq!(middle.figures(), AttemptCounts { first: 3, retried: 1, denied: 1 });
+    assert_eq!(middle.attempt_counts(), AttemptCounts { first: 3, retried: 1, denied: 1 });
 }
--- a/balancer/src/mesh/report.rs
+++ b/balancer/src/mesh/report.rs
@@ -14,7 +14,7 @@
 use ochreshed_mesh::watch_server;
 use tokio::time::Instant;
 
-use crate::mesh::rpc::{Callers, InternalRequest, InternalResponse, WatchRequest};
+use crate::mesh::rpc::{InternalRequest, InternalResponse, RpcClients, WatchRequest};
 
 /// Other stewards are waited for so long when an operator asks.
 const GATHER: Duration = Duration::from_millis(400);
@@ -61,7 +61,12 @@
 }
 
 /// Asks the other stewards what they were told, and adds it.
-pub async fn gather(callers: &Callers, others: Vec<SocketAddr>, now: Nanos, mut all: Gathered) -> Gathered {
+pub async fn gather(
+    callers: &RpcClients,
+    others: Vec<SocketAddr>,
+    now: Nanos,
+    mut all: Gathered,
+) -> Gathered {
     let mut asks: FuturesUnordered<_> = others
         .into_iter()
         .map(|at| async move {
--- a/balancer/src/mesh/rpc.rs
+++ b/balancer/src/mesh/rpc.rs
@@ -22,30 +22,30 @@
 
 use crate::link::held;
 
-const CONNECT: Duration = Duration::from_millis(250);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 /// Bytes that nobody acknowledges for so long end the connection.
-const UNHEARD: Duration = Duration::from_millis(1_500);
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Frames that wait to be written, and callers at one door.
-const MAILBOX: usize = 4_096;
-const MOST_CALLERS: usize = 2_048;
+const MAX_QUEUED_FRAMES: usize = 4_096;
+const MAX_CONNECTIONS: usize = 2_048;
 /// After a failed connection the next one waits this long.
-const PAUSE: Duration = Duration::from_millis(60);
+const RECONNECT_INTERVAL: Duration = Duration::from_millis(60);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum CallError {
+pub enum RpcError {
     /// No connection came up, or none has room.
     NotSent,
     /// The connection ended before a reply.
-    Broken,
-    Late,
+    ConnectionLost,
+    TimedOut,
 }
 
-impl fmt::Display for CallError {
+impl fmt::Display for RpcError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.write_str(match self {
-            CallError::NotSent => "not sent",
-            CallError::Broken => "the connection broke",
-            CallError::Late => "no reply in time",
+            RpcError::NotSent => "not sent",
+            RpcError::ConnectionLost => "the connection broke",
+            RpcError::TimedOut => "no reply in time",
         })
     }
 }
@@ -78,7 +78,7 @@
 pub fn tune(stream: &TcpStream) {
     let _ = stream.set_nodelay(true);
     let socket = socket2::SockRef::from(stream);
-    let _ = socket.set_tcp_user_timeout(Some(UNHEARD));
+    let _ = socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT));
     let alive = socket2::TcpKeepalive::new()
         .with_time(Duration::from_secs(1))
         .with_interval(Duration::from_millis(1_000));
@@ -88,36 +88,36 @@
 type Pending = Arc<Mutex<HashMap<u64, oneshot::Sender<InternalResponse>>>>;
 
 /// Calls to one process.
-pub struct Caller {
+pub struct RpcClient {
     to: SocketAddr,
     ids: AtomicU64,
-    open: Mutex<Option<Open>>,
+    open: Mutex<Option<OpenConnection>>,
     connecting: tokio::sync::Mutex<Option<tokio::time::Instant>>,
 }
 
 #[derive(Clone)]
-struct Open {
+struct OpenConnection {
     frames: mpsc::Sender<Vec<u8>>,
     pending: Pending,
 }
 
-impl Caller {
-    pub fn new(to: SocketAddr) -> Arc<Caller> {
-        Arc::new(Caller { to, ids: 1.into(), open: Mutex::default(), connecting: Default::default() })
+impl RpcClient {
+    pub fn new(to: SocketAddr) -> Arc<RpcClient> {
+        Arc::new(RpcClient { to, ids: 1.into(), open: Mutex::default(), connecting: Default::default() })
     }
 
-    pub async fn call(&self, ask: InternalRequest, within: Duration) -> Result<InternalResponse, CallError> {
+    pub async fn call(&self, ask: InternalRequest, within: Duration) -> Result<InternalResponse, RpcError> {
         let work = async {
-            let open = self.open().await.ok_or(CallError::NotSent)?;
+            let open = self.open().await.ok_or(RpcError::NotSent)?;
             let id = self.ids.fetch_add(1, Relaxed);
-            let bytes = encode(&Frame { id, payload: ask }).ok_or(CallError::NotSent)?;
+            let bytes = encode(&Frame { id, payload: ask }).ok_or(RpcError::NotSent)?;
             let (reply, replied) = oneshot::channel();
             held(&open.pending).insert(id, reply);
-            let _waits = Waits { id, pending: open.pending.clone() };
-            open.frames.send(bytes).await.map_err(|_| CallError::Broken)?;
-            replied.await.map_err(|_| CallError::Broken)
+            let _waits = PendingReply { id, pending: open.pending.clone() };
+            open.frames.send(bytes).await.map_err(|_| RpcError::ConnectionLost)?;
+            replied.await.map_err(|_| RpcError::ConnectionLost)
         };
-        timeout(within, work).await.unwrap_or(Err(CallError::Late))
+        timeout(within, work).await.unwrap_or(Err(RpcError::TimedOut))
     }
 
     /// Sends a letter, which may get lost. One connection is tried for at a time.
@@ -132,13 +132,13 @@
         }
         let caller = self.clone();
         tokio::spawn(async move {
-            if let Ok(Some(open)) = timeout(CONNECT, caller.open()).await {
+            if let Ok(Some(open)) = timeout(CONNECT_TIMEOUT, caller.open()).await {
                 let _ = open.frames.try_send(bytes);
             }
         });
     }
 
-    async fn open(&self) -> Option<Open> {
+    async fn open(&self) -> Option<OpenConnection> {
         let standing = || held(&self.open).clone().filter(|open| !open.frames.is_closed());
         if let Some(open) = standing() {
             return Some(open);
@@ -147,10 +147,10 @@
         if let Some(open) = standing() {
             return Some(open);
         }
-        if failed.is_some_and(|at| at.elapsed() < PAUSE) {
+        if failed.is_some_and(|at| at.elapsed() < RECONNECT_INTERVAL) {
             return None;
         }
-        let stream = match timeout(CONNECT, TcpStream::connect(self.to)).await {
+        let stream = match timeout(CONNECT_TIMEOUT, TcpStream::connect(self.to)).await {
             Ok(Ok(stream)) => stream,
             _ => {
                 *failed = Some(tokio::time::Instant::now());
@@ -160,9 +160,9 @@
         *failed = None;
         tune(&stream);
         let (from, to) = stream.into_split();
-        let (frames, waiting) = mpsc::channel(MAILBOX);
+        let (frames, waiting) = mpsc::channel(MAX_QUEUED_FRAMES);
         let pending = Pending::default();
-        let open = Open { frames, pending: pending.clone() };
+        let open = OpenConnection { frames, pending: pending.clone() };
         let writer = tokio::spawn(write(to, waiting));
         tokio::spawn(async move {
             let mut from = BufReader::new(from);
@@ -180,24 +180,24 @@
 }
 
 /// A call that waits; its place is freed when it is given up.
-struct Waits {
+struct PendingReply {
     id: u64,
     pending: Pending,
 }
 
-impl Drop for Waits {
+impl Drop for PendingReply {
     fn drop(&mut self) {
         held(&self.pending).remove(&self.id);
     }
 }
 
-/// Callers by address.
+/// RpcClients by address.
 #[derive(Default)]
-pub struct Callers(Mutex<HashMap<SocketAddr, Arc<Caller>>>);
+pub struct RpcClients(Mutex<HashMap<SocketAddr, Arc<RpcClient>>>);
 
-impl Callers {
-    pub fn to(&self, address: SocketAddr) -> Arc<Caller> {
-        held(&self.0).entry(address).or_insert_with(|| Caller::new(address)).clone()
+impl RpcClients {
+    pub fn to(&self, address: SocketAddr) -> Arc<RpcClient> {
+        held(&self.0).entry(address).or_insert_with(|| RpcClient::new(address)).clone()
     }
 }
 
@@ -211,11 +211,11 @@
     loop {
         tokio::select! {
             Some(_) = guests.join_next(), if !guests.is_empty() => {}
-            came = listener.accept(), if guests.len() < MOST_CALLERS => match came {
+            came = listener.accept(), if guests.len() < MAX_CONNECTIONS => match came {
                 Ok((stream, _)) => {
                     guests.spawn(guest(stream, answer.clone()));
                 }
-                Err(_) => tokio::time::sleep(PAUSE).await,
+                Err(_) => tokio::time::sleep(RECONNECT_INTERVAL).await,
             }
         }
     }
@@ -228,7 +228,7 @@
 {
     tune(&stream);
     let (from, to) = stream.into_split();
-    let (frames, waiting) = mpsc::channel(MAILBOX);
+    let (frames, waiting) = mpsc::channel(MAX_QUEUED_FRAMES);
     let writer = tokio::spawn(write(to, waiting));
     let mut from = BufReader::new(from);
     // What is still being answered ends with the connection.
