--- a/balancer/src/mesh/steward.rs
+++ b/balancer/src/mesh/steward.rs
@@ -40,11 +40,13 @@
 use super::start;
 use crate::clock::Clock;
 use crate::link::held;
-use crate::mesh::proxy::connection_pool::Flow;
-use crate::mesh::proxy::inbound::call_of;
-use crate::mesh::proxy::listener::{self, Ajar, Bad, Bounds, Came, json, say};
+use crate::mesh::proxy::connection_pool::ResponseBody;
+use crate::mesh::proxy::inbound::call_and_subject;
+use crate::mesh::proxy::listener::{
+    self, ListenerLimits, ListenerState, ReceivedRequest, RequestError, json_response, plain_response,
+};
 use crate::mesh::proxy::node::seeds;
-use crate::mesh::rpc::{self, Callers, InternalRequest, InternalResponse, WatchRequest, WatchResponse};
+use crate::mesh::rpc::{self, InternalRequest, InternalResponse, RpcClients, WatchRequest, WatchResponse};
 
 const MS: Nanos = 1_000_000;
 /// Claims are kept for so much longer than the window in which a key runs once.
@@ -124,7 +126,7 @@
     /// Goes up with whatever readers may wait for.
     changed: watch::Sender<u64>,
     events: mpsc::Sender<Event>,
-    pub callers: Callers,
+    pub callers: RpcClients,
     parcels: UpdateCache,
     packing: tokio::sync::Mutex<()>,
 }
@@ -238,11 +240,15 @@
     }
 
     /// The operators' calls.
-    async fn operator(self: Arc<Self>, came: Came, bodies: Arc<Semaphore>) -> Response<Flow> {
-        if came.req.uri().path() == metrics::PATH {
+    async fn operator(
+        self: Arc<Self>,
+        came: ReceivedRequest,
+        bodies: Arc<Semaphore>,
+    ) -> Response<ResponseBody> {
+        if came.request.uri().path() == metrics::PATH {
             return self.metrics().await;
         }
-        let (call, of) = call_of(came.req.uri());
+        let (call, of) = call_and_subject(came.request.uri());
         match call.as_str() {
             "timetable.replace" => match read_body(came, &bodies, self.clock).await {
                 Ok(bytes) => self.replace(bytes).await,
@@ -251,40 +257,42 @@
             call if call.starts_with("member") => members::call(self, call, of, came, bodies).await,
             "timetable.read" => match self.want(CoreRequest::ReadConfiguration, OPERATOR).await {
                 CoreResponse::Register(Some(sheet)) => {
-                    json(200, String::from_utf8_lossy(&sheet.bytes).into_owned())
+                    json_response(200, String::from_utf8_lossy(&sheet.bytes).into_owned())
                 }
-                CoreResponse::Register(None) => say(404, "no timetable was ever taken"),
-                _ => say(503, "more than half of the core is not reached"),
+                CoreResponse::Register(None) => plain_response(404, "no timetable was ever taken"),
+                _ => plain_response(503, "more than half of the core is not reached"),
             },
             "sessions.count" => {
                 let (reply, seen) = oneshot::channel();
                 let _ = self.events.send(Event::Look(None, reply)).await;
                 match timeout(OPERATOR, seen).await {
-                    Ok(Ok(seen)) => json(200, session_calls::counts(&seen.sessions)),
-                    _ => say(503, "busy: ask again"),
+                    Ok(Ok(seen)) => json_response(200, session_calls::counts(&seen.sessions)),
+                    _ => plain_response(503, "busy: ask again"),
                 }
             }
             "sessions.show" | "sessions.move" | "sessions.forget" => {
-                match session_calls::read(came.req.uri()) {
+                match session_calls::read(came.request.uri()) {
                     Ok(want) => match session_calls::told(&self.want(want, OPERATOR).await) {
-                        (200, text) => json(200, text),
-                        (status, line) => say(status, &line),
+                        (200, text) => json_response(200, text),
+                        (status, line) => plain_response(status, &line),
                     },
-                    Err(why) => say(400, why),
+                    Err(why) => plain_response(400, why),
                 }
             }
-            _ => match Query::read(came.req.uri()) {
+            _ => match Query::read(came.request.uri()) {
                 Ok(query) => self.page(query).await,
-                Err(why) => say(why.status(), why.line()),
+                Err(why) => plain_response(why.status(), why.line()),
             },
         }
     }
 
     /// This replica's figures, for operators' tools.
-    async fn metrics(&self) -> Response<Flow> {
+    async fn metrics(&self) -> Response<ResponseBody> {
         let (reply, seen) = oneshot::channel();
         let _ = self.events.send(Event::Look(None, reply)).await;
-        let Ok(Ok(seen)) = timeout(OPERATOR, seen).await else { return say(503, "busy: ask again") };
+        let Ok(Ok(seen)) = timeout(OPERATOR, seen).await else {
+            return plain_response(503, "busy: ask again");
+        };
         let members = seen.stewards.iter().filter(|known| known.member);
         let voters = members.clone().filter(|known| known.voter);
         let flag = |is: bool| f64::from(u8::from(is));
@@ -321,12 +329,14 @@
     }
 
     /// What the operators' client asks. A drain is answered once the upstream's row says that it was taken.
-    async fn page(&self, query: Query) -> Response<Flow> {
+    async fn page(&self, query: Query) -> Response<ResponseBody> {
         let until = Instant::now() + OPERATOR;
         loop {
             let (reply, seen) = oneshot::channel();
             let _ = self.events.send(Event::Look(query.key(), reply)).await;
-            let Ok(Ok(seen)) = timeout(OPERATOR, seen).await else { return say(503, "busy: ask again") };
+            let Ok(Ok(seen)) = timeout(OPERATOR, seen).await else {
+                return plain_response(503, "busy: ask again");
+            };
             let now = self.clock.now();
             let rows = query.pick(&held(&self.news).table, now);
             let mut facts = Facts {
@@ -345,7 +355,7 @@
                 let read = tokio::task::spawn_blocking(move || pages::history(&dir));
                 match timeout(OPERATOR, read).await {
                     Ok(Ok(Ok(versions))) => facts.versions = versions,
-                    _ => return say(503, "the disk can't be read now"),
+                    _ => return plain_response(503, "the disk can't be read now"),
                 }
             }
             let page = pages::answer(&query, &facts);
@@ -356,8 +366,8 @@
                     }
                     sleep(LOOK / 2).await;
                 }
-                _ if page.status == 200 => return json(200, page.text),
-                _ => return say(page.status, &page.text),
+                _ if page.status == 200 => return json_response(200, page.text),
+                _ => return plain_response(page.status, &page.text),
             }
         }
     }
@@ -371,13 +381,13 @@
         report::gather(&self.callers, others, now, own).await
     }
 
-    async fn replace(&self, bytes: Vec<u8>) -> Response<Flow> {
+    async fn replace(&self, bytes: Vec<u8>) -> Response<ResponseBody> {
         let version = match Configuration::read(&bytes) {
             Ok(timetable) => timetable.version,
             Err(why) => {
                 log::info!("timetable refused: {} ({} errors)", why[0], why.len());
                 let lines: Vec<String> = why.iter().map(ToString::to_string).collect();
-                return say(400, &lines.join("\n"));
+                return plain_response(400, &lines.join("\n"));
             }
         };
         let within = if self.stand.load().settled { OPERATOR } else { UNSETTLED };
@@ -385,23 +395,25 @@
             .want(CoreRequest::ReplaceConfiguration(Arc::new(RegisterValue::new(version, bytes))), within)
             .await
         {
-            CoreResponse::Accepted => json(200, "{}".into()),
-            CoreResponse::Conflict => say(409, "another configuration was taken under this edition"),
-            _ => say(503, "not safe on more than half of the core yet: send it again"),
+            CoreResponse::Accepted => json_response(200, "{}".into()),
+            CoreResponse::Conflict => {
+                plain_response(409, "another configuration was taken under this edition")
+            }
+            _ => plain_response(503, "not safe on more than half of the core yet: send it again"),
         }
     }
 }
 
 /// The body of an operator's call.
 pub(super) async fn read_body(
-    came: Came,
+    came: ReceivedRequest,
     bodies: &Arc<Semaphore>,
     clock: Clock,
-) -> Result<Vec<u8>, Response<Flow>> {
-    let bad = |Bad(status, line)| say(status, line);
+) -> Result<Vec<u8>, Response<ResponseBody>> {
+    let bad = |RequestError(status, line)| plain_response(status, line);
     let (message, _room) =
-        listener::message(came, bodies, clock, MOST_BODY, Duration::from_secs(10)).await.map_err(bad)?;
-    listener::whole(message, MOST_BODY).await.map_err(bad)
+        listener::read_message(came, bodies, clock, MOST_BODY, Duration::from_secs(10)).await.map_err(bad)?;
+    listener::read_body(message, MOST_BODY).await.map_err(bad)
 }
 
 pub fn run(path: Option<PathBuf>) -> Result<ExitCode, SettingsError> {
@@ -484,16 +496,16 @@
         written: Arc::default(),
         changed: watch::Sender::new(0),
         events: events.clone(),
-        callers: Callers::default(),
+        callers: RpcClients::default(),
         parcels: UpdateCache::default(),
         packing: tokio::sync::Mutex::default(),
         settings: ArcSwap::from_pointee(settings),
     });
     let inner = TcpListener::bind(at).await.map_err(|why| Failed::Socket(at, why))?;
     let outer = TcpListener::bind(control).await.map_err(|why| Failed::Socket(control, why))?;
-    let (ajar, watch_ajar) = watch::channel(Ajar::Open);
-    let bounds = Bounds { callers: 256, head: Duration::from_secs(20) };
-    tokio::spawn(listener::keep(outer, clock, bounds, watch_ajar, Arc::default(), {
+    let (ajar, watch_ajar) = watch::channel(ListenerState::Open);
+    let bounds = ListenerLimits { max_connections: 256, header_timeout: Duration::from_secs(20) };
+    tokio::spawn(listener::serve(outer, clock, bounds, watch_ajar, Arc::default(), {
         let office = office.clone();
         move |came| office.clone().operator(came, bodies.clone())
     }));
@@ -520,7 +532,7 @@
     while began.elapsed() < hand_over && !office.stand.load().gone {
         sleep(LOOK / 4).await;
     }
-    ajar.send_replace(Ajar::Closed);
+    ajar.send_replace(ListenerState::Closed);
     sleep(Duration::from_millis(100)).await;
     work.abort();
     log::info!("ended after {} ms", began.elapsed().as_millis());
