--- a/balancer/src/mesh/proxy/connection_pool.rs
+++ b/balancer/src/mesh/proxy/connection_pool.rs
@@ -184,7 +184,7 @@
             let answer = timeout_at(at, exchange(on, req, message)).await;
             match answer {
                 Ok(Ok((head, _))) if !check(&head) => return Err(ExchangeError::Reset),
-                Ok(Ok((head, body))) => return Ok(self.pass(link, head, body, hold)),
+                Ok(Ok((head, body))) => return Ok(self.response_body(link, head, body, hold)),
                 // A kept connection that turns out dead before a byte of this was written costs a new one.
                 Ok(Err(())) if reused.is_some() && !on.began() && message.load_again() => {
                     (link, reused) = (None, None)
@@ -206,7 +206,7 @@
     }
 
     /// Hands on a head and a body, and keeps the connection when all has come.
-    fn pass(
+    fn response_body(
         self: &Arc<Self>,
         link: Option<Link>,
         mut head: Parts,
@@ -229,13 +229,13 @@
             (Body::Long(first, length, rest), link) => {
                 head.headers.remove(CONTENT_LENGTH);
                 let room = if self.ahead.is_some() { READ_AHEAD_CHUNKS } else { 1 };
-                let (pass, pieces) = Pieces::with_room(first.clone(), length, room);
+                let (sender, pieces) = Pieces::with_room(first.clone(), length, room);
                 if let Some(link) = link {
                     let left = length.map(|length| length.saturating_sub(first.len() as u64));
                     let (line, version) = (self.clone(), head.version);
                     tokio::spawn(async move {
                         let _hold = hold;
-                        line.pass_on(link, version, (left, rest), pass, until).await
+                        line.pass_on(link, version, (left, rest), sender, until).await
                     });
                 }
                 (head, ResponseBody::Streaming { pieces, hold: None, paced: None })
@@ -248,7 +248,7 @@
         mut link: Link,
         version: hyper::Version,
         (length, mut rest): (Option<u64>, Incoming),
-        pass: Pass,
+        sender: Pass,
         until: Option<Nanos>,
     ) -> Option<()> {
         let mut left = length.unwrap_or(u64::MAX);
@@ -256,10 +256,10 @@
             let piece = tokio::select! {
                 piece = timeout(UPSTREAM_READ_TIMEOUT, link.piece(&mut rest)) => piece.ok()?.ok()?,
                 // One whose length was told listens no more once it has all.
-                () = pass.closed(), if left > 0 => return None,
+                () = sender.closed(), if left > 0 => return None,
             };
             let Some(piece) = piece else {
-                let _ = pass.send_timeout(None, CLIENT_WRITE_TIMEOUT).await;
+                let _ = sender.send_timeout(None, CLIENT_WRITE_TIMEOUT).await;
                 if let Some(until) = until.filter(|_| link.sent_whole() && link.end(version)) {
                     self.keep(link, until);
                 }
@@ -270,7 +270,7 @@
                 Some(ahead) => counted(ahead, piece).await?,
                 None => piece,
             };
-            pass.send_timeout(Some(piece), CLIENT_WRITE_TIMEOUT).await.ok()?;
+            sender.send_timeout(Some(piece), CLIENT_WRITE_TIMEOUT).await.ok()?;
         }
     }
 
@@ -342,10 +342,10 @@
 
 /// A large answer in its lane.
 pub struct PacedBody {
-    lane: Arc<LargeResponseLane>,
+    large_responses: Arc<LargeResponseLane>,
     /// Bytes that it told of and that have not gone.
     left: u64,
-    turn: TransmitPermit,
+    scheduled: TransmitPermit,
     /// A piece that waits for its time.
     waits: Option<(Bytes, Pin<Box<Sleep>>)>,
 }
@@ -356,26 +356,26 @@
 }
 
 impl PacedBody {
-    fn new(lane: &Arc<LargeResponseLane>, length: Option<u64>) -> Box<PacedBody> {
-        let (left, turns) = (length.unwrap_or(0), lane.turns.clone());
-        lane.pace().begin(left);
-        let turn = TransmitPermit::Waits(Box::pin(async move { turns.acquire_owned().await.ok() }));
-        Box::new(PacedBody { lane: lane.clone(), left, turn, waits: None })
+    fn new(large_responses: &Arc<LargeResponseLane>, length: Option<u64>) -> Box<PacedBody> {
+        let (left, turns) = (length.unwrap_or(0), large_responses.turns.clone());
+        large_responses.pace().begin(left);
+        let scheduled = TransmitPermit::Waits(Box::pin(async move { turns.acquire_owned().await.ok() }));
+        Box::new(PacedBody { large_responses: large_responses.clone(), left, scheduled, waits: None })
     }
 
     /// The next of the pieces, once it may go.
     fn poll(&mut self, pieces: &mut Pieces, cx: &mut Context) -> Poll<Option<Result<Bytes, &'static str>>> {
-        if let TransmitPermit::Waits(turn) = &mut self.turn {
-            self.turn = TransmitPermit::Has(ready!(turn.as_mut().poll(cx)));
+        if let TransmitPermit::Waits(scheduled) = &mut self.scheduled {
+            self.scheduled = TransmitPermit::Has(ready!(scheduled.as_mut().poll(cx)));
         }
         if self.waits.is_none() {
             let piece = match ready!(pieces.poll(cx)) {
                 Some(Ok(piece)) => piece,
                 end => return Poll::Ready(end),
             };
-            let (now, long) = (self.lane.clock.now(), piece.len() as u64);
+            let (now, long) = (self.large_responses.clock.now(), piece.len() as u64);
             let at = {
-                let mut pace = self.lane.pace();
+                let mut pace = self.large_responses.pace();
                 pace.done(long.min(self.left));
                 self.left = self.left.saturating_sub(long);
                 pace.reserve(now, piece.len())
@@ -383,7 +383,7 @@
             if at <= now + MS {
                 return Poll::Ready(Some(Ok(piece)));
             }
-            self.waits = Some((piece, Box::pin(sleep_until(self.lane.clock.instant(at)))));
+            self.waits = Some((piece, Box::pin(sleep_until(self.large_responses.clock.instant(at)))));
         }
         if let Some((_, sleep)) = &mut self.waits {
             ready!(sleep.as_mut().poll(cx));
@@ -394,7 +394,7 @@
 
 impl Drop for PacedBody {
     fn drop(&mut self) {
-        self.lane.pace().done(self.left);
+        self.large_responses.pace().done(self.left);
     }
 }
 
@@ -407,22 +407,26 @@
     }
 
     /// Lets a large answer go at the pace of all such; a small one goes at once.
-    pub fn paced(self, lane: &Arc<LargeResponseLane>) -> ResponseBody {
+    pub fn paced(self, large_responses: &Arc<LargeResponseLane>) -> ResponseBody {
         match self {
             ResponseBody::Streaming { pieces, hold, .. } => {
-                let paced = Some(PacedBody::new(lane, pieces.length));
+                let paced = Some(PacedBody::new(large_responses, pieces.length));
                 ResponseBody::Streaming { pieces, hold, paced }
             }
             ResponseBody::Buffered(body) if body.size_hint().lower() > CHUNK_BYTES as u64 => {
                 let mut left = body.into_inner().unwrap_or_default();
                 let length = Some(left.len() as u64);
-                let (pass, pieces) = Pieces::with_room(Bytes::new(), length, left.len() / CHUNK_BYTES + 2);
+                let (sender, pieces) = Pieces::with_room(Bytes::new(), length, left.len() / CHUNK_BYTES + 2);
                 while !left.is_empty() {
                     let piece = left.split_to(CHUNK_BYTES.min(left.len()));
-                    let _ = pass.try_send(Some(piece));
+                    let _ = sender.try_send(Some(piece));
+                }
+                let _ = sender.try_send(None);
+                ResponseBody::Streaming {
+                    pieces,
+                    hold: None,
+                    paced: Some(PacedBody::new(large_responses, length)),
                 }
-                let _ = pass.try_send(None);
-                ResponseBody::Streaming { pieces, hold: None, paced: Some(PacedBody::new(lane, length)) }
             }
             whole => whole,
         }
--- a/balancer/src/mesh/proxy/control_plane_watch.rs
+++ b/balancer/src/mesh/proxy/control_plane_watch.rs
@@ -20,30 +20,29 @@
 const FETCH_TIMEOUT: Duration = Duration::from_millis(900);
 
 /// Asks one of the watchers, for good: the one whose turn is `which` among those that reply.
-pub async fn run(branch: Arc<Node>, which: usize, many: usize) {
+pub async fn run(node: Arc<Node>, which: usize, many: usize) {
     let mut asker = Watcher::new(which, many);
-    let has_sheet = || branch.configuration.load().is_some();
+    let has_sheet = || node.configuration.load().is_some();
     let mut reports: HashMap<SocketAddr, Telling> = HashMap::new();
     loop {
-        let stewards = branch.replicas.replicas();
-        reports.retain(|at, _| stewards.contains(at));
-        let Some(steward) = asker.next_replica(branch.clock.now(), branch.inbound_address(), &stewards)
-        else {
+        let replicas = node.replicas.replicas();
+        reports.retain(|at, _| replicas.contains(at));
+        let Some(replica) = asker.next_replica(node.clock.now(), node.inbound_address(), &replicas) else {
             sleep(RETRY_INTERVAL).await;
             continue;
         };
-        let report = reports.entry(steward).or_default();
-        let window = branch.settings.load().bounds.retry_window;
-        let told = (which == 0).then(|| report.news(window, || branch.budget_report())).flatten();
-        let row = branch.inbound.endpoint_record();
-        let rank = row.record_version();
+        let report = reports.entry(replica).or_default();
+        let window = node.settings.load().bounds.retry_window;
+        let told = (which == 0).then(|| report.news(window, || node.budget_report())).flatten();
+        let record = node.inbound.endpoint_record();
+        let revision = record.record_version();
         let ask = WatchRequest {
             outcomes: told.as_ref().map(|report| report.outcomes.clone()).unwrap_or_default(),
             report: told,
-            ..asker.request(steward, row, branch.configuration_revision(), branch.applied_editions())
+            ..asker.request(replica, record, node.configuration_revision(), node.applied_editions())
         };
-        let caller = branch.rpc.to(steward);
-        let changed = branch.inbound.changed.notified();
+        let caller = node.rpc.to(replica);
+        let changed = node.inbound.changed.notified();
         let reply = tokio::select! {
             reply = caller.call(InternalRequest::Watch(ask), Duration::from_nanos(watch_client::MAX_WAIT + watch_client::RESPONSE_GRACE)) => reply,
             () = changed => continue,
@@ -51,21 +50,22 @@
         match reply {
             Ok(InternalResponse::Watch(mut reply)) => {
                 if let Some((number, ranks)) = reply.registers.take() {
-                    if fetch_registers(&branch, steward, ranks).await {
-                        asker.registers_applied(steward, number);
+                    if fetch_registers(&node, replica, ranks).await {
+                        asker.registers_applied(replica, number);
                     } else {
                         sleep(RETRY_INTERVAL).await;
                     }
                 }
-                branch.control_plane_heard(reply.has_quorum);
+                node.control_plane_heard(reply.has_quorum);
                 report.answered(reply.known_incarnation.is_some());
-                let quiet = asker.handle_response(branch.clock.now(), steward, rank, has_sheet(), &reply);
-                apply_response(&branch, (which, steward), *reply, quiet);
+                let suspected =
+                    asker.handle_response(node.clock.now(), replica, revision, has_sheet(), &reply);
+                apply_response(&node, (which, replica), *reply, suspected);
             }
             _ => {
-                asker.request_failed(branch.clock.now(), steward, has_sheet(), stewards.len());
+                asker.request_failed(node.clock.now(), replica, has_sheet(), replicas.len());
                 report.answered(false);
-                branch.watch_lost(which);
+                node.watch_lost(which);
                 sleep(RETRY_INTERVAL).await;
             }
         }
@@ -73,38 +73,38 @@
 }
 
 fn apply_response(
-    branch: &Arc<Node>,
-    (which, steward): (usize, SocketAddr),
+    node: &Arc<Node>,
+    (which, replica): (usize, SocketAddr),
     reply: WatchResponse,
-    quiet: HashSet<SocketAddr>,
+    suspected: HashSet<SocketAddr>,
 ) {
-    if let Some(life) = reply.known_incarnation {
-        branch.inbound.ensure_incarnation_above(life);
+    if let Some(incarnation) = reply.known_incarnation {
+        node.inbound.ensure_incarnation_above(incarnation);
     }
-    if let Some(rank) = reply.configuration.filter(|rank| branch.start_fetch(*rank)) {
-        tokio::spawn(fetch_configuration(branch.clone(), steward, rank));
+    if let Some(revision) = reply.configuration.filter(|revision| node.start_fetch(*revision)) {
+        tokio::spawn(fetch_configuration(node.clone(), replica, revision));
     }
     for (door, id, _) in &reply.drains {
-        if *door == branch.inbound_address() {
-            branch.inbound.drain(id);
+        if *door == node.inbound_address() {
+            node.inbound.drain(id);
         }
     }
     if !reply.replicas.is_empty() {
-        branch.set_replicas(reply.replicas);
+        node.set_replicas(reply.replicas);
     }
-    branch.merge_records(which, reply.records, quiet);
+    node.merge_records(which, reply.records, suspected);
 }
 
 /// Gets the papers that are newer there, until none is; whether that was to be had.
-async fn fetch_registers(branch: &Arc<Node>, steward: SocketAddr, ranks: Vec<(Name, Revision)>) -> bool {
+async fn fetch_registers(node: &Arc<Node>, replica: SocketAddr, ranks: Vec<(Name, Revision)>) -> bool {
     loop {
-        let wanted = branch.outdated_registers(&ranks);
+        let wanted = node.outdated_registers(&ranks);
         if wanted.is_empty() {
             return true;
         }
-        let reply = branch.rpc.to(steward).call(InternalRequest::Registers(wanted), FETCH_TIMEOUT).await;
-        let Ok(InternalResponse::Registers(papers)) = reply else { return false };
-        if !branch.apply_registers(&papers) {
+        let reply = node.rpc.to(replica).call(InternalRequest::Registers(wanted), FETCH_TIMEOUT).await;
+        let Ok(InternalResponse::Registers(registers)) = reply else { return false };
+        if !node.apply_registers(&registers) {
             return false;
         }
     }
@@ -112,19 +112,19 @@
 
 /// Gets a configuration from the steward that told of it: what differs from the one that is here, and whole where that
 /// does not open. If it fails, the next news tells of it again.
-async fn fetch_configuration(branch: Arc<Node>, steward: SocketAddr, rank: Revision) {
-    let here = branch.configuration_value();
+async fn fetch_configuration(node: Arc<Node>, replica: SocketAddr, revision: Revision) {
+    let here = node.configuration_value();
     for from in [here.as_deref(), None] {
         let have = from.map_or(Revision::NONE, |from| from.revision());
-        let reply = branch.rpc.to(steward).call(InternalRequest::Configuration(have), FETCH_TIMEOUT).await;
+        let reply = node.rpc.to(replica).call(InternalRequest::Configuration(have), FETCH_TIMEOUT).await;
         let Ok(InternalResponse::Configuration(Some(parcel))) = reply else { break };
         match parcel.open(from) {
             Ok(sheet) => {
-                branch.apply_configuration(sheet);
+                node.apply_configuration(sheet);
                 break;
             }
-            Err(why) => log::warn!("timetable r{}: what differs {why}", rank.version),
+            Err(why) => log::warn!("timetable r{}: what differs {why}", revision.version),
         }
     }
-    branch.fetch_ended(rank);
+    node.fetch_ended(revision);
 }
--- a/balancer/src/mesh/proxy/fencing.rs
+++ b/balancer/src/mesh/proxy/fencing.rs
@@ -51,7 +51,7 @@
 
 impl FencingTable {
     /// Whether this may pass; the later epoch that is known, where it may not.
-    pub fn check(&self, now: Nanos, pass: FencingToken) -> Result<(), u64> {
+    pub fn check(&self, now: Nanos, fencing_token: FencingToken) -> Result<(), u64> {
         let mut known = held(&self.0);
         while let Some(&(until, session)) = known.order.first()
             && (until <= now || known.all.len() > MAX_SESSIONS)
@@ -60,15 +60,15 @@
             known.all.remove(&session);
         }
         let until = now.saturating_add(RETENTION);
-        if let Some((since, before)) = known.all.get(&pass.session).copied() {
-            if since > pass.since_term {
+        if let Some((since, before)) = known.all.get(&fencing_token.session).copied() {
+            if since > fencing_token.since_term {
                 known.turned += 1;
                 return Err(since);
             }
-            known.order.remove(&(before, pass.session));
+            known.order.remove(&(before, fencing_token.session));
         }
-        known.all.insert(pass.session, (pass.since_term, until));
-        known.order.insert((until, pass.session));
+        known.all.insert(fencing_token.session, (fencing_token.since_term, until));
+        known.order.insert((until, fencing_token.session));
         Ok(())
     }
 
--- a/balancer/src/mesh/proxy/inbound.rs
+++ b/balancer/src/mesh/proxy/inbound.rs
@@ -127,7 +127,7 @@
     upstream: Option<Upstream>,
     past: VecDeque<String>,
     number: u64,
-    life: u64,
+    incarnation: u64,
 }
 
 impl ProxyState {
@@ -164,7 +164,7 @@
     clock: Clock,
     drain: Duration,
     state: Mutex<ProxyState>,
-    berths: ConnectionLimit,
+    connection_limit: ConnectionLimit,
     /// Reqs that wait for a slot or are in one.
     inside: AtomicUsize,
     /// Those at the upstream now, and who waits to be one of them.
@@ -174,7 +174,7 @@
     /// What members may have of the slots, by the configuration in force here.
     shares: ArcSwap<RetryShares>,
     /// Where large answers to other machines go, and the mean size of one.
-    lane: Arc<LargeResponseLane>,
+    large_responses: Arc<LargeResponseLane>,
     large: Mutex<f64>,
     /// Large answers to other machines that were let in and have not come out of the upstream yet.
     large_inside: AtomicUsize,
@@ -255,9 +255,9 @@
 }
 
 impl InboundProxy {
-    pub fn new(site: InboundSettings, clock: Clock, life: u64) -> Arc<InboundProxy> {
+    pub fn new(site: InboundSettings, clock: Clock, incarnation: u64) -> Arc<InboundProxy> {
         let InboundSettings { at, zone, app, drain, connections, ahead, link_mbps } = site;
-        let state = ProxyState { upstream: None, past: VecDeque::new(), number: 1, life };
+        let state = ProxyState { upstream: None, past: VecDeque::new(), number: 1, incarnation };
         Arc::new(InboundProxy {
             at,
             zone,
@@ -265,12 +265,12 @@
             clock,
             drain,
             state: Mutex::new(state),
-            berths: ConnectionLimit::new(connections),
+            connection_limit: ConnectionLimit::new(connections),
             inside: AtomicUsize::new(0),
             slots: Mutex::default(),
             health: Mutex::default(),
             shares: ArcSwap::default(),
-            lane: LargeResponseLane::new(link_mbps, clock),
+            large_responses: LargeResponseLane::new(link_mbps, clock),
             large: Mutex::new(0.0),
             large_inside: AtomicUsize::new(0),
             ahead: Arc::new(Semaphore::new(ahead)),
@@ -286,9 +286,9 @@
     /// The row that tells of this place.
     pub fn endpoint_record(&self) -> EndpointRecord {
         let state = held(&self.state);
-        let mut row = EndpointRecord {
+        let mut record = EndpointRecord {
             inbound_proxy: self.at,
-            incarnation: state.life,
+            incarnation: state.incarnation,
             sequence: state.number,
             zone: self.zone.clone(),
             service: String::new(),
@@ -302,15 +302,15 @@
             health: held(&self.health).health(),
         };
         if let Some(upstream) = &state.upstream {
-            row.service = upstream.line.clone();
-            row.upstream_id = upstream.id.clone();
-            row.software_version = upstream.edition.clone();
-            row.state = upstream.stand;
-            row.concurrency_limit = upstream.slots;
+            record.service = upstream.line.clone();
+            record.upstream_id = upstream.id.clone();
+            record.software_version = upstream.edition.clone();
+            record.state = upstream.stand;
+            record.concurrency_limit = upstream.slots;
             let since = (self.clock.now() - upstream.told) / MS;
-            row.warming_up_ms = upstream.cold_ms.saturating_sub(since);
+            record.warming_up_ms = upstream.cold_ms.saturating_sub(since);
         }
-        row
+        record
     }
 
     /// Whether the upstream beside it has ended in order.
@@ -324,8 +324,8 @@
 
     /// After a start: the row that others still hold of this place tells of an upstream, and one probe tells whether it
     /// still stands. Guards against a door that knows nothing until the next beat.
-    pub async fn probe_upstream(self: Arc<Self>, row: EndpointRecord, health: String) {
-        let Some(app) = self.app.filter(|_| row.state != UpstreamState::Absent) else { return };
+    pub async fn probe_upstream(self: Arc<Self>, record: EndpointRecord, health: String) {
+        let Some(app) = self.app.filter(|_| record.state != UpstreamState::Absent) else { return };
         let line = self.line_to(app);
         let mut head = hyper::Request::new(());
         match health.parse() {
@@ -342,22 +342,22 @@
         };
         // What a health page says of its upstream may be wrong, and a life that closes never opens again. Only the next
         // beat tells.
-        if header_str(&head.headers, &DELIVERED_BY) != row.upstream_id || !head.status.is_success() {
+        if header_str(&head.headers, &DELIVERED_BY) != record.upstream_id || !head.status.is_success() {
             return;
         }
         let now = self.clock.now();
         let mut state = held(&self.state);
-        if state.upstream.is_some() || state.past.contains(&row.upstream_id) {
+        if state.upstream.is_some() || state.past.contains(&record.upstream_id) {
             return;
         }
-        let (stand, closing) = (row.state, row.state == UpstreamState::Draining);
-        log::info!("upstream {} of {}: found again, {stand:?}", row.upstream_id, row.service);
+        let (stand, closing) = (record.state, record.state == UpstreamState::Draining);
+        log::info!("upstream {} of {}: found again, {stand:?}", record.upstream_id, record.service);
         state.upstream = Some(Upstream {
-            id: row.upstream_id,
-            line: row.service,
-            zone: row.zone,
-            edition: row.software_version,
-            slots: row.concurrency_limit,
+            id: record.upstream_id,
+            line: record.service,
+            zone: record.zone,
+            edition: record.software_version,
+            slots: record.concurrency_limit,
             stand,
             number: 0,
             cold_ms: 0,
@@ -365,7 +365,7 @@
             closing_since: closing.then_some(now),
             to: line,
         });
-        held(&self.slots).set(row.concurrency_limit);
+        held(&self.slots).set(record.concurrency_limit);
         drop(state);
         self.record_changed();
     }
@@ -397,10 +397,10 @@
     }
 
     /// The row is known elsewhere under a later life: what is told from here on must be later still.
-    pub fn ensure_incarnation_above(&self, life: u64) {
+    pub fn ensure_incarnation_above(&self, incarnation: u64) {
         let mut state = held(&self.state);
-        if life > state.life {
-            state.life = life + 1;
+        if incarnation > state.incarnation {
+            state.incarnation = incarnation + 1;
             state.number += 1;
             drop(state);
             self.changed.notify_waiters();
@@ -427,14 +427,14 @@
     }
 
     /// What the upstream says at the control gate.
-    pub async fn handle_control_call(self: Arc<Self>, came: ReceivedRequest) -> Response<ResponseBody> {
-        let uri = came.request.uri().clone();
+    pub async fn handle_control_call(self: Arc<Self>, received: ReceivedRequest) -> Response<ResponseBody> {
+        let uri = received.request.uri().clone();
         let (call, of) = call_and_subject(&uri);
         match (call.as_str(), of) {
             ("offices.beat", Some(of)) => {
                 let bodies = Arc::new(Semaphore::new(1 << 16));
                 let read = listener::read_message(
-                    came,
+                    received,
                     &bodies,
                     self.clock,
                     MAX_HEARTBEAT_BYTES,
@@ -545,7 +545,7 @@
 
     fn line_to(&self, address: SocketAddr) -> Arc<ConnectionPool> {
         Arc::new(
-            ConnectionPool::new(address, self.clock, self.berths.permits())
+            ConnectionPool::new(address, self.clock, self.connection_limit.permits())
                 .near()
                 .reading_ahead(self.ahead.clone()),
         )
@@ -600,7 +600,7 @@
 
     /// The upstream takes so many connections from all its callers, each with one req at a time.
     pub fn set_connection_limit(&self, cap: usize) {
-        self.berths.set_limit(cap);
+        self.connection_limit.set_limit(cap);
         let slots = held(&self.state).upstream.as_ref().map_or(0, |upstream| upstream.slots);
         if slots as usize > cap {
             held(&self.slots).set(cap.max(1) as u32);
@@ -647,11 +647,22 @@
     /// Lets a req through to the upstream, if it is the one that was meant.
     pub async fn forward(self: &Arc<Self>, request: InboundRequest<'_>) -> UpstreamOutcome {
         let InboundRequest {
-            message, meant, caller, again, call, large, away, pass, aim, until, part, ..
+            message,
+            meant,
+            caller,
+            again,
+            call,
+            large,
+            away,
+            fencing_token,
+            target,
+            until,
+            part,
+            ..
         } = request;
         let Some(to) = self.check(meant) else { return UpstreamOutcome::Gone };
         let now = self.clock.now();
-        if let Err(known) = self.lets(now, pass) {
+        if let Err(known) = self.lets(now, fencing_token) {
             return UpstreamOutcome::Fenced(known);
         }
         // A large answer is late when its last byte is: what stands before it on the link, which goes while it is made,
@@ -659,8 +670,8 @@
         let paced = large && away;
         let (stands, span) = if paced { self.on_the_way(now) } else { (0, 0) };
         let took = held(&self.slots).took();
-        let aim = aim.saturating_sub(span + stands.saturating_sub(took));
-        if stands > 0 && now + took > aim {
+        let target = target.saturating_sub(span + stands.saturating_sub(took));
+        if stands > 0 && now + took > target {
             return UpstreamOutcome::Rejected;
         }
         let (turned, tied) = (request.turned, request.tied);
@@ -672,7 +683,7 @@
                 is_nested: call,
                 rejections: turned,
                 has_affinity: tied,
-                target: aim,
+                target,
                 deadline: until,
             };
             let way = held(&self.slots).ask_of(now, &asker, part.as_ref(), || {
@@ -704,7 +715,7 @@
             return UpstreamOutcome::Gone;
         }
         // Its session may have moved while it waited.
-        if let Err(known) = self.lets(self.clock.now(), pass) {
+        if let Err(known) = self.lets(self.clock.now(), fencing_token) {
             return UpstreamOutcome::Fenced(known);
         }
         let left = until.saturating_sub(self.clock.now()) / MS;
@@ -790,7 +801,7 @@
     }
 
     fn paced(&self, flow: ResponseBody) -> ResponseBody {
-        let flow = flow.paced(&self.lane);
+        let flow = flow.paced(&self.large_responses);
         if let ResponseBody::Buffered(body) = &flow {
             self.note_outgoing_bytes(body.size_hint().lower());
         }
@@ -801,17 +812,17 @@
     fn on_the_way(&self, now: Nanos) -> (Nanos, Nanos) {
         let mean = *held(&self.large);
         let coming = self.large_inside.load(Relaxed) as f64 * mean;
-        let pace = self.lane.pace();
+        let pace = self.large_responses.pace();
         (pace.wait(now) + pace.span(coming), pace.span(mean))
     }
 
     /// So many bytes go out to other machines, at once.
     pub fn note_outgoing_bytes(&self, bytes: u64) {
-        self.lane.pace().note(self.clock.now(), bytes as usize + HEADER_ESTIMATE_BYTES);
+        self.large_responses.pace().note(self.clock.now(), bytes as usize + HEADER_ESTIMATE_BYTES);
     }
 
-    fn lets(&self, now: Nanos, pass: Option<FencingToken>) -> Result<(), u64> {
-        pass.map_or(Ok(()), |pass| self.fence.check(now, pass))
+    fn lets(&self, now: Nanos, fencing_token: Option<FencingToken>) -> Result<(), u64> {
+        fencing_token.map_or(Ok(()), |fencing_token| self.fence.check(now, fencing_token))
     }
 
     /// Whether this life takes reqs now, and where it is.
@@ -835,22 +846,23 @@
     /// A req that a gate elsewhere sent here.
     pub async fn handle_request(
         self: Arc<Self>,
-        came: ReceivedRequest,
+        received: ReceivedRequest,
         bodies: Arc<Semaphore>,
     ) -> Response<ResponseBody> {
-        let at = came.received_at;
-        let headers = came.request.headers();
+        let at = received.received_at;
+        let headers = received.request.headers();
         let meant = header_str(headers, &ADDRESSEE).to_owned();
         let left = header_str(headers, &LEFT).parse::<u64>().unwrap_or(0).min(MAX_TIME_LEFT_MS);
         let fence = header_str(headers, &SESSION_FENCE);
         if let Some(keys) = self.sessions.handle_handover(fence) {
             return self.way(Response::new(ResponseBody::of(keys)), "ran");
         }
-        let pass = FencingToken::from_header(fence);
-        let RequestTerms { aim_ms, turned, tied, again, call, large, part } =
+        let fencing_token = FencingToken::from_header(fence);
+        let RequestTerms { target_ms, turned, tied, again, call, large, part } =
             RequestTerms::from_headers(headers, left);
         let caller = headers.get(&CALLER).cloned().unwrap_or(HeaderValue::from_static(""));
-        let read = listener::read_message(came, &bodies, self.clock, u64::MAX, Duration::from_secs(10)).await;
+        let read =
+            listener::read_message(received, &bodies, self.clock, u64::MAX, Duration::from_secs(10)).await;
         let (mut message, _room) = match read {
             Ok(read) => read,
             Err(RequestError(status, line)) => return self.way(plain_response(status, line), "unsent"),
@@ -858,7 +870,7 @@
         message.head.headers_mut().remove(&TERMS);
         message.head.headers_mut().remove(&SESSION_FENCE);
         let (message, meant, caller, away) = (&Arc::new(message), &*meant, &caller, true);
-        let (aim, until) = (at + aim_ms * MS, at + left * MS);
+        let (target, until) = (at + target_ms * MS, at + left * MS);
         let request = InboundRequest {
             message,
             meant,
@@ -869,8 +881,8 @@
             call,
             large,
             away,
-            pass,
-            aim,
+            fencing_token,
+            target,
             until,
             part,
         };
--- a/balancer/src/mesh/proxy/inbound_request.rs
+++ b/balancer/src/mesh/proxy/inbound_request.rs
@@ -36,9 +36,9 @@
     /// Its answer goes to another machine.
     pub away: bool,
     /// Its session, where its route names one.
-    pub pass: Option<FencingToken>,
+    pub fencing_token: Option<FencingToken>,
     /// When its answer is late, and when nobody waits for it any more.
-    pub aim: Nanos,
+    pub target: Nanos,
     pub until: Nanos,
     /// What the member whose route it came by may have here.
     pub part: Option<MemberShare>,
@@ -47,7 +47,7 @@
 /// What of it is told on the wire.
 #[derive(Debug, PartialEq)]
 pub struct RequestTerms {
-    pub aim_ms: u64,
+    pub target_ms: u64,
     pub turned: u32,
     pub tied: bool,
     pub again: bool,
@@ -62,7 +62,7 @@
     /// its session lives there. On a member's route also the part of the slots that its requests may have, and its name,
     /// which ends with the field. What is left of its time is told by another field.
     pub fn terms_header(&self, now: Nanos) -> String {
-        let mut word = format!("{} {} ", self.aim.saturating_sub(now) / MS, self.turned);
+        let mut word = format!("{} {} ", self.target.saturating_sub(now) / MS, self.turned);
         word.extend(
             [(self.again, 'a'), (self.call, 'c'), (self.large, 'l'), (self.tied, 't')]
                 .iter()
@@ -83,13 +83,14 @@
         // A member's name may be in any script.
         let word = headers.get(&TERMS).and_then(|word| std::str::from_utf8(word.as_bytes()).ok());
         let mut parts = word.unwrap_or_default().trim().splitn(5, ' ');
-        let aim_ms = parts.next().and_then(|part| part.parse().ok()).unwrap_or(left_ms).min(MAX_TIME_LEFT_MS);
+        let target_ms =
+            parts.next().and_then(|part| part.parse().ok()).unwrap_or(left_ms).min(MAX_TIME_LEFT_MS);
         let turned = parts.next().and_then(|part| part.parse().ok()).unwrap_or(0);
         let letters = parts.next().unwrap_or_default();
         let [again, call, large, tied] = ['a', 'c', 'l', 't'].map(|letter| letters.contains(letter));
         let share = parts.next().and_then(|part| part.parse().ok());
         let member = parts.next().filter(|name| !name.is_empty() && name.len() <= MAX_MEMBER_NAME_BYTES);
         let part = share.zip(member).map(|(share, name)| MemberShare { member: name.into(), share });
-        RequestTerms { aim_ms, turned, tied, again, call, large, part }
+        RequestTerms { target_ms, turned, tied, again, call, large, part }
     }
 }
--- a/balancer/src/mesh/proxy/lease_client.rs
+++ b/balancer/src/mesh/proxy/lease_client.rs
@@ -45,12 +45,12 @@
         held(&self.known).replicas()
     }
 
-    pub fn request_failed(&self, steward: SocketAddr) {
-        held(&self.known).failed(self.clock.now(), steward);
+    pub fn request_failed(&self, replica: SocketAddr) {
+        held(&self.known).failed(self.clock.now(), replica);
     }
 
-    pub fn response_received(&self, steward: SocketAddr) {
-        held(&self.known).replied(steward);
+    pub fn response_received(&self, replica: SocketAddr) {
+        held(&self.known).replied(replica);
     }
 
     /// In the order in which a key's duty falls to them.
@@ -62,41 +62,41 @@
 /// Claims a key: the first steward that knows decides how it went. One that is slow to reply is not waited for alone:
 /// the same claim may go through several, since it is one token. `within` is how long that may take in all.
 pub async fn acquire_lease(
-    stewards: &ReplicaPool,
+    replicas: &ReplicaPool,
     callers: &RpcClients,
     (key, token): (LeaseKey, LeaseToken),
     left_ms: u32,
     within: Duration,
 ) -> CoreResponse {
     let until = tokio::time::Instant::now() + within;
-    let mut next = stewards.replicas_for_key(key).into_iter();
+    let mut next = replicas.replicas_for_key(key).into_iter();
     let mut out = FuturesUnordered::new();
     let mut silent = Vec::new();
     loop {
-        if let Some(steward) = next.next() {
+        if let Some(replica) = next.next() {
             let call = async move {
                 let ask =
                     InternalRequest::Core(CoreRequest::AcquireLease { key, token, time_left_ms: left_ms });
-                (steward, callers.to(steward).call(ask, within).await)
+                (replica, callers.to(replica).call(ask, within).await)
             };
-            silent.push(steward);
+            silent.push(replica);
             out.push(call);
         } else if out.is_empty() {
             return CoreResponse::Unavailable;
         }
         let hedge = (tokio::time::Instant::now() + HEDGE_DELAY).min(until);
         tokio::select! {
-            Some((steward, reply)) = out.next(), if !out.is_empty() => {
-                silent.retain(|silent| *silent != steward);
+            Some((replica, reply)) = out.next(), if !out.is_empty() => {
+                silent.retain(|silent| *silent != replica);
                 match reply {
                     Ok(InternalResponse::Core(CoreResponse::Unavailable)) => {}
                     Ok(InternalResponse::Core(got)) => {
-                        stewards.response_received(steward);
+                        replicas.response_received(replica);
                         // Those asked before it that said nothing: others are asked first for a while.
-                        silent.into_iter().for_each(|silent| stewards.request_failed(silent));
+                        silent.into_iter().for_each(|silent| replicas.request_failed(silent));
                         return got;
                     }
-                    _ => stewards.request_failed(steward),
+                    _ => replicas.request_failed(replica),
                 }
             }
             () = sleep_until(hedge) => {}
@@ -109,25 +109,25 @@
 
 /// Tells what came of a claim, until a steward has it.
 pub fn complete_lease(
-    stewards: Arc<ReplicaPool>,
+    replicas: Arc<ReplicaPool>,
     callers: Arc<RpcClients>,
     (key, token): (LeaseKey, LeaseToken),
     outcome: Option<LeaseOutcome>,
 ) {
     tokio::spawn(async move {
         for round in 0..MAX_COMPLETE_ATTEMPTS {
-            for steward in stewards.replicas_for_key(key) {
+            for replica in replicas.replicas_for_key(key) {
                 let ask = InternalRequest::Core(CoreRequest::CompleteLease {
                     key,
                     token,
                     outcome: outcome.clone(),
                 });
                 if let Ok(InternalResponse::Core(CoreResponse::Accepted)) =
-                    callers.to(steward).call(ask, COMPLETE_TIMEOUT).await
+                    callers.to(replica).call(ask, COMPLETE_TIMEOUT).await
                 {
                     return;
                 }
-                stewards.request_failed(steward);
+                replicas.request_failed(replica);
             }
             sleep(RETRY_INTERVAL * (1 << round)).await;
         }
--- a/balancer/src/mesh/proxy/listener.rs
+++ b/balancer/src/mesh/proxy/listener.rs
@@ -83,7 +83,7 @@
         tokio::select! {
             () = &mut closed => break,
             Some(_) = guests.join_next(), if !guests.is_empty() => {}
-            came = listener.accept(), if guests.len() < bounds.max_connections => match came {
+            received = listener.accept(), if guests.len() < bounds.max_connections => match received {
                 Ok((stream, _)) => {
                     callers.store(guests.len() + 1, Relaxed);
                     guests.spawn(guest(stream, clock, bounds.clone(), closing.clone(), answer.clone()));
@@ -161,13 +161,13 @@
 
 /// A req's message as it goes on, and the room that its body holds. The body is read whole where it is short.
 pub async fn read_message(
-    came: ReceivedRequest,
+    received: ReceivedRequest,
     bodies: &Arc<Semaphore>,
     clock: Clock,
     most: u64,
     slow: Duration,
 ) -> Result<(Message, Permit), RequestError> {
-    let ReceivedRequest { request: req, meter, .. } = came;
+    let ReceivedRequest { request: req, meter, .. } = received;
     let (mut head, mut body) = req.into_parts();
     let framed = !head.headers.contains_key(TRANSFER_ENCODING);
     if !framed && meter.length_named() {
--- a/balancer/src/mesh/proxy/node.rs
+++ b/balancer/src/mesh/proxy/node.rs
@@ -80,7 +80,7 @@
 
 /// A configuration as this machine goes by it.
 pub struct AppliedConfiguration {
-    timetable: Configuration,
+    configuration: Configuration,
     plans: BTreeMap<SchedulerKey, SchedulerPlan>,
     shares: Arc<RetryShares>,
     /// The edition in force here of each member's routes, and whether it is on trial.
@@ -88,11 +88,13 @@
 }
 
 impl AppliedConfiguration {
-    pub fn new(timetable: Configuration, editions: BTreeMap<Name, (u64, bool)>) -> AppliedConfiguration {
-        let plans =
-            SchedulerPlan::for_configuration(&timetable).into_iter().map(|plan| (plan.key(), plan)).collect();
-        let shares = Arc::new(retry_shares::of(&timetable));
-        AppliedConfiguration { timetable, plans, shares, editions }
+    pub fn new(configuration: Configuration, editions: BTreeMap<Name, (u64, bool)>) -> AppliedConfiguration {
+        let plans = SchedulerPlan::for_configuration(&configuration)
+            .into_iter()
+            .map(|plan| (plan.key(), plan))
+            .collect();
+        let shares = Arc::new(retry_shares::of(&configuration));
+        AppliedConfiguration { configuration, plans, shares, editions }
     }
 
     /// Whose route it is, and the edition of it that is in force.
@@ -107,7 +109,7 @@
     type Target = Configuration;
 
     fn deref(&self) -> &Configuration {
-        &self.timetable
+        &self.configuration
     }
 }
 
@@ -126,9 +128,9 @@
     bases: Mutex<(Option<Configuration>, Docs)>,
     /// The configuration in force as it was sent, and the rank of the one that is being fetched.
     sheet: Mutex<(Option<Arc<RegisterValue>>, Revision)>,
-    rows: Mutex<EndpointView>,
+    records: Mutex<EndpointView>,
     /// Doors whose attendants no watcher that replies has heard of late.
-    quiet: ArcSwap<HashSet<SocketAddr>>,
+    suspected: ArcSwap<HashSet<SocketAddr>>,
     seats: Mutex<SchedulerSet>,
     /// How the reqs on members' routes fared here.
     fares: Mutex<OutcomeCounter>,
@@ -161,7 +163,7 @@
             .clamp(1 << 20, 1 << 29);
         let ahead = ((settings.limits.memory_mb as f64 * READ_AHEAD_MEMORY_SHARE * 1e6) as usize)
             .clamp(1 << 20, 1 << 28);
-        let life = clock.now() / 1_000_000;
+        let incarnation = clock.now() / 1_000_000;
         let mut chance = ChaCha8Rng::seed_from_u64(rand::random());
         let seed: u64 = chance.random();
         let site = InboundSettings {
@@ -173,7 +175,7 @@
             ahead,
             link_mbps: settings.limits.link_mbps,
         };
-        let branch = Arc::new(Node {
+        let node = Arc::new(Node {
             clock,
             rpc: Arc::default(),
             lease_breaker: Mutex::default(),
@@ -181,14 +183,14 @@
             configuration: ArcSwapOption::empty(),
             bases: Mutex::default(),
             sheet: Mutex::default(),
-            rows: Mutex::default(),
-            quiet: ArcSwap::default(),
+            records: Mutex::default(),
+            suspected: ArcSwap::default(),
             seats: Mutex::default(),
             fares: Mutex::new(OutcomeCounter::over(settings.bounds.retry_window.as_nanos() as Nanos)),
             lefts: Mutex::default(),
             lines: Mutex::default(),
             room: Arc::new(Semaphore::new(sockets / 4)),
-            inbound: InboundProxy::new(site, clock, life),
+            inbound: InboundProxy::new(site, clock, incarnation),
             inbound_address: door_at,
             bodies: Arc::new(Semaphore::new(bodies)),
             chance: Mutex::new(ChaCha8Rng::seed_from_u64(seed)),
@@ -202,8 +204,8 @@
             full: Full::default(),
             settings: ArcSwap::from_pointee(settings),
         });
-        branch.set_replicas(Vec::new());
-        branch
+        node.set_replicas(Vec::new());
+        node
     }
 
     /// What the gate of this machine holds of people's sessions; its door is told when they go elsewhere.
@@ -232,18 +234,18 @@
     }
 
     /// Whether the configuration of this rank is to be fetched now: it is later, and nobody fetches it.
-    pub fn start_fetch(&self, rank: Revision) -> bool {
-        let later = rank > self.configuration_revision();
+    pub fn start_fetch(&self, revision: Revision) -> bool {
+        let later = revision > self.configuration_revision();
         if later {
-            held(&self.sheet).1 = rank;
+            held(&self.sheet).1 = revision;
         }
         later
     }
 
     /// What was being fetched has come, or won't.
-    pub fn fetch_ended(&self, rank: Revision) {
+    pub fn fetch_ended(&self, revision: Revision) {
         let mut sheet = held(&self.sheet);
-        if sheet.1 == rank {
+        if sheet.1 == revision {
             sheet.1 = Revision::NONE;
         }
     }
@@ -321,39 +323,40 @@
     /// The desk for the reqs of a route that go to this service.
     pub fn scheduler(&self, line: &Name, route: &Route) -> Option<Arc<RequestScheduler>> {
         let seat = request_scheduler::scheduler_key(line, route);
-        let desk = held(&self.seats).scheduler(&seat);
-        if desk.is_some() || seat.2.is_none() {
-            return desk;
+        let scheduler = held(&self.seats).scheduler(&seat);
+        if scheduler.is_some() || seat.2.is_none() {
+            return scheduler;
         }
         // The configuration is looked at under the locks: whoever brings in a later one seats all anew after that.
-        let rows = held(&self.rows);
+        let records = held(&self.records);
         let mut seats = held(&self.seats);
-        let timetable = self.configuration.load_full()?;
-        if let Some(desk) = seats.scheduler(&seat) {
-            return Some(desk);
+        let configuration = self.configuration.load_full()?;
+        if let Some(scheduler) = seats.scheduler(&seat) {
+            return Some(scheduler);
         }
-        let desk = self.make_scheduler(&rows, rows.client_proxies(), None, timetable.plans.get(&seat)?);
-        seats.add(seat, desk.clone());
-        seats.divide_budgets(self.clock.now(), &timetable.shares);
-        Some(desk)
+        let scheduler =
+            self.make_scheduler(&records, records.client_proxies(), None, configuration.plans.get(&seat)?);
+        seats.add(seat, scheduler.clone());
+        seats.divide_budgets(self.clock.now(), &configuration.shares);
+        Some(scheduler)
     }
 
     /// The desk of a plan; the one that was, where it was told the same.
     fn make_scheduler(
         &self,
-        rows: &EndpointView,
+        records: &EndpointView,
         gates: usize,
         was: Option<Arc<RequestScheduler>>,
         plan: &SchedulerPlan,
     ) -> Arc<RequestScheduler> {
         let settings = self.settings.load();
-        let of = || rows.records().filter(|(row, _)| *row.service == *plan.line);
-        let calls = of().any(|(row, _)| row.calls_services);
+        let of = || records.records().filter(|(record, _)| *record.service == *plan.line);
+        let calls = of().any(|(record, _)| record.calls_services);
         let told = (plan.line.clone(), ServiceSettings::new(plan, gates, calls, &settings.bounds));
         let window = settings.bounds.retry_window.as_nanos() as Nanos;
-        let desk = RequestScheduler::of(was, told, self.clock, || self.new_token(), window);
-        desk.update_endpoints(of(), &self.quiet.load(), &settings.zone);
-        desk
+        let scheduler = RequestScheduler::of(was, told, self.clock, || self.new_token(), window);
+        scheduler.update_endpoints(of(), &self.suspected.load(), &settings.zone);
+        scheduler
     }
 
     /// Counts how reqs on a member's routes fared.
@@ -392,7 +395,7 @@
 
     /// Whether what is out at this door may be given up there: nobody hears of its machine, and ours is not ending.
     pub fn is_suspected(&self, door: &SocketAddr) -> bool {
-        !self.leaving.load(Relaxed) && self.quiet.load().contains(door)
+        !self.leaving.load(Relaxed) && self.suspected.load().contains(door)
     }
 
     pub fn connection_pool(&self, door: SocketAddr) -> Arc<ConnectionPool> {
@@ -413,9 +416,13 @@
             return;
         }
         match Configuration::read(&sheet.bytes) {
-            Ok(timetable) => {
-                log::info!("timetable r{} in force, {} routes", sheet.version, timetable.routes().count());
-                held(&self.bases).0 = Some(timetable);
+            Ok(configuration) => {
+                log::info!(
+                    "timetable r{} in force, {} routes",
+                    sheet.version,
+                    configuration.routes().count()
+                );
+                held(&self.bases).0 = Some(configuration);
                 here.0 = Some(Arc::new(sheet));
                 drop(here);
                 self.apply_overlays();
@@ -450,15 +457,17 @@
     /// Those of the papers told that are not here, with the ranks of what is.
     pub fn outdated_registers(&self, told: &[(Name, Revision)]) -> Vec<(Name, Revision)> {
         let bases = held(&self.bases);
-        let here = told.iter().map(|(name, rank)| (name, bases.1.rank(name), rank));
-        here.filter(|(_, here, rank)| here < rank).map(|(name, here, _)| (name.clone(), here)).collect()
+        let here = told.iter().map(|(name, revision)| (name, bases.1.rank(name), revision));
+        here.filter(|(_, here, revision)| here < revision)
+            .map(|(name, here, _)| (name.clone(), here))
+            .collect()
     }
 
     /// Takes papers, those that are later; whether any was.
-    pub fn apply_registers(&self, papers: &[NamedRegister]) -> bool {
+    pub fn apply_registers(&self, registers: &[NamedRegister]) -> bool {
         let taken = {
             let mut bases = held(&self.bases);
-            papers.iter().filter(|paper| bases.1.take(&paper.name, &paper.value)).count()
+            registers.iter().filter(|register| bases.1.take(&register.name, &register.value)).count()
         };
         if taken > 0 {
             self.apply_overlays();
@@ -468,56 +477,60 @@
 
     /// The editions of members' routes that are in force here, and whether they are on trial.
     pub fn applied_editions(&self) -> AppliedEditions {
-        let timetable = self.configuration.load();
-        let editions = timetable.iter().flat_map(|timetable| &timetable.editions);
+        let configuration = self.configuration.load();
+        let editions = configuration.iter().flat_map(|configuration| &configuration.editions);
         editions.map(|(member, (edition, trial))| (member.clone(), *edition, *trial)).collect()
     }
 
-    pub fn merge_records(&self, which: usize, rows: Vec<EndpointRecord>, quiet: HashSet<SocketAddr>) {
-        for row in &rows {
-            if row.inbound_proxy != self.inbound_address || row.upstream_id.is_empty() {
+    pub fn merge_records(&self, which: usize, records: Vec<EndpointRecord>, suspected: HashSet<SocketAddr>) {
+        for record in &records {
+            if record.inbound_proxy != self.inbound_address || record.upstream_id.is_empty() {
                 continue;
             }
-            self.inbound.restore_upstream_state(&row.upstream_id, row.state);
+            self.inbound.restore_upstream_state(&record.upstream_id, record.state);
             if !self.inbound.knows_upstream() {
-                tokio::spawn(self.inbound.clone().probe_upstream(row.clone(), self.health_of(&row.service)));
+                tokio::spawn(
+                    self.inbound.clone().probe_upstream(record.clone(), self.health_of(&record.service)),
+                );
             }
         }
-        let changed = held(&self.rows).merge(self.clock.now(), which, rows, quiet);
+        let changed = held(&self.records).merge(self.clock.now(), which, records, suspected);
         if changed {
             self.update_schedulers();
         }
     }
 
     fn health_of(&self, line: &str) -> String {
-        let timetable = self.configuration.load();
-        let service = timetable.as_ref().and_then(|timetable| timetable.service(line));
+        let configuration = self.configuration.load();
+        let service = configuration.as_ref().and_then(|configuration| configuration.service(line));
         service.map_or("/health".into(), |service| service.health.clone())
     }
 
     /// A watcher gives no reply: what it held for quiet counts no more.
     pub fn watch_lost(&self, which: usize) {
-        held(&self.rows).watch_lost(which);
+        held(&self.records).watch_lost(which);
     }
 
     /// Brings the desks in line with the configuration and the list.
     fn update_schedulers(&self) {
-        let Some(timetable) = self.configuration.load_full() else { return };
-        let rows = held(&self.rows);
-        self.quiet.store(Arc::new(rows.suspects()));
-        let (gates, mut seats) = (rows.client_proxies(), held(&self.seats));
-        seats.renew(&timetable.plans, |was, plan| self.make_scheduler(&rows, gates, was, plan));
-        seats.divide_budgets(self.clock.now(), &timetable.shares);
+        let Some(configuration) = self.configuration.load_full() else { return };
+        let records = held(&self.records);
+        self.suspected.store(Arc::new(records.suspects()));
+        let (gates, mut seats) = (records.client_proxies(), held(&self.seats));
+        seats.renew(&configuration.plans, |was, plan| self.make_scheduler(&records, gates, was, plan));
+        seats.divide_budgets(self.clock.now(), &configuration.shares);
         drop(seats);
-        self.inbound.set_member_shares(&timetable.shares);
+        self.inbound.set_member_shares(&configuration.shares);
         self.update_connection_limit();
     }
 
     /// Tells the door how many connections the upstream beside it takes.
     fn update_connection_limit(&self) {
-        let (timetable, line) = (self.configuration.load(), self.inbound.service());
-        let service =
-            timetable.as_ref().zip(line).and_then(|(timetable, line)| timetable.service(&line).cloned());
+        let (configuration, line) = (self.configuration.load(), self.inbound.service());
+        let service = configuration
+            .as_ref()
+            .zip(line)
+            .and_then(|(configuration, line)| configuration.service(&line).cloned());
         if let Some(service) = service {
             self.inbound.set_connection_limit(service.berth_cap as usize);
         }
@@ -525,14 +538,14 @@
 
     /// How many records of other places it has.
     pub fn records(&self) -> usize {
-        held(&self.rows).len()
+        held(&self.records).len()
     }
 
     /// This machine's figures, for operators' tools.
     fn metrics(&self) -> Response<ResponseBody> {
         let now = self.clock.now();
         let age = |since: &AtomicU64| now.saturating_sub(since.load(Relaxed)) as f64 / 1e9;
-        let version = self.configuration.load().as_ref().map_or(0, |timetable| timetable.version);
+        let version = self.configuration.load().as_ref().map_or(0, |configuration| configuration.version);
         let sums = held(&self.seats).attempt_counts();
         let sum = |of: fn(&AttemptCounts) -> u32| sums.values().map(|figures| f64::from(of(figures))).sum();
         let sessions = self.inbound.sessions.counts();
@@ -540,7 +553,7 @@
             .gauge("ready", "1 while it is ready", f64::from(u8::from(self.ready())))
             .gauge("configuration_version", "Version of the configuration in force", version as f64)
             .gauge("endpoint_records", "Records of upstreams that are known", self.records() as f64)
-            .gauge("unreachable", "Machines that nobody heard of late", self.quiet.load().len() as f64)
+            .gauge("unreachable", "Machines that nobody heard of late", self.suspected.load().len() as f64)
             .gauge("control_heard_seconds", "Since a replica of the control plane answered", age(&self.heard))
             .gauge(
                 "quorum_heard_seconds",
@@ -562,7 +575,7 @@
         !self.leaving.load(Relaxed)
             && !self.control_plane_silent()
             && self.configuration.load().is_some()
-            && !held(&self.rows).is_empty()
+            && !held(&self.records).is_empty()
     }
 }
 
@@ -570,9 +583,9 @@
 pub struct RequestGuard(Arc<Node>);
 
 impl RequestGuard {
-    pub fn new(branch: &Arc<Node>) -> RequestGuard {
-        branch.inside.fetch_add(1, Relaxed);
-        RequestGuard(branch.clone())
+    pub fn new(node: &Arc<Node>) -> RequestGuard {
+        node.inside.fetch_add(1, Relaxed);
+        RequestGuard(node.clone())
     }
 }
 
@@ -607,8 +620,8 @@
     else {
         return ExitCode::FAILURE;
     };
-    let branch = Node::new(settings, inbound, clock);
-    let (door, sockets) = (branch.inbound.clone(), sockets(&branch.settings.load()));
+    let node = Node::new(settings, inbound, clock);
+    let (door, sockets) = (node.inbound.clone(), sockets(&node.settings.load()));
     let (ajar, watch_ajar) = watch::channel(ListenerState::Open);
     let mut listeners = Vec::new();
     for at in [inbound, outbound, ready, control] {
@@ -632,8 +645,8 @@
     let count = || Arc::new(AtomicUsize::new(0));
     let doors = [
         tokio::spawn(listener::serve(at_inbound, clock, bounds(sockets / 4), watch_ajar.clone(), count(), {
-            let (door, bodies) = (door.clone(), branch.bodies.clone());
-            move |came: ReceivedRequest| door.clone().handle_request(came, bodies.clone())
+            let (door, bodies) = (door.clone(), node.bodies.clone());
+            move |received: ReceivedRequest| door.clone().handle_request(received, bodies.clone())
         })),
         tokio::spawn(listener::serve(
             at_outbound,
@@ -642,45 +655,47 @@
             watch_ajar.clone(),
             count(),
             {
-                let branch = branch.clone();
-                move |came: ReceivedRequest| {
-                    let branch = branch.clone();
+                let node = node.clone();
+                move |received: ReceivedRequest| {
+                    let node = node.clone();
                     async move {
-                        let inside = RequestGuard::new(&branch);
-                        outbound::handle_request(branch.clone(), came).await.map(|flow| flow.holding(inside))
+                        let inside = RequestGuard::new(&node);
+                        outbound::handle_request(node.clone(), received)
+                            .await
+                            .map(|flow| flow.holding(inside))
                     }
                 }
             },
         )),
     ];
     for (listener, control) in [(at_control, true), (at_ready, false)] {
-        let (branch, door, watch_ajar) = (branch.clone(), door.clone(), watch_ajar.clone());
+        let (node, door, watch_ajar) = (node.clone(), door.clone(), watch_ajar.clone());
         tokio::spawn(listener::serve(
             listener,
             clock,
             bounds(sockets / 32),
             watch_ajar,
             count(),
-            move |came: ReceivedRequest| {
-                let (branch, door) = (branch.clone(), door.clone());
+            move |received: ReceivedRequest| {
+                let (node, door) = (node.clone(), door.clone());
                 async move {
                     match control {
-                        true if came.request.uri().path() == metrics::PATH => branch.metrics(),
-                        true => door.handle_control_call(came).await,
-                        false => ready_page(&branch, &came),
+                        true if received.request.uri().path() == metrics::PATH => node.metrics(),
+                        true => door.handle_control_call(received).await,
+                        false => ready_page(&node, &received),
                     }
                 }
             },
         ));
     }
     door.serving.store(true, Relaxed);
-    let many = (branch.settings.load().tolerate.machines + 1).max(2);
+    let many = (node.settings.load().tolerate.machines + 1).max(2);
     for which in 0..many {
-        tokio::spawn(control_plane_watch::run(branch.clone(), which, many));
+        tokio::spawn(control_plane_watch::run(node.clone(), which, many));
     }
-    tokio::spawn(housekeeping(branch.clone(), path));
-    tokio::spawn(full_service(branch.clone()));
-    log::info!("attendant {} at {outbound}, door {inbound}", branch.settings.load().station);
+    tokio::spawn(housekeeping(node.clone(), path));
+    tokio::spawn(full_service(node.clone()));
+    log::info!("attendant {} at {outbound}, door {inbound}", node.settings.load().station);
     let mut end = match signal(SignalKind::terminate()) {
         Ok(end) => end,
         Err(why) => {
@@ -689,19 +704,19 @@
         }
     };
     end.recv().await;
-    log::info!("asked to end, {} reqs inside", branch.inside.load(Relaxed) + door.requests_in_flight());
+    log::info!("asked to end, {} reqs inside", node.inside.load(Relaxed) + door.requests_in_flight());
     // Clients are sent elsewhere, and whoever still comes is served. The door stays in use for a while longer: what
     // the upstream can do is lost to all from then on.
     let began = Instant::now();
-    let grace = branch.settings.load().bounds.grace.saturating_sub(SHUTDOWN_MARGIN);
-    branch.start_draining(grace);
+    let grace = node.settings.load().bounds.grace.saturating_sub(SHUTDOWN_MARGIN);
+    node.start_draining(grace);
     ajar.send_replace(ListenerState::Draining);
     // Where clients come to the end, what they ask last still needs time.
     let last_call = grace.saturating_sub(CONNECTION_CLOSE_MARGIN);
     // Where its upstream has ended, this machine goes for good, and the platform may still send clients here when few
     // others of the zone are in: it stays for as long as it may.
     let linger = if door.upstream_signed_off() { last_call } else { MIN_DRAIN_TIME.min(last_call) };
-    let busy = || branch.inside.load(Relaxed) + door.requests_in_flight() > 0;
+    let busy = || node.inside.load(Relaxed) + door.requests_in_flight() > 0;
     while began.elapsed() < last_call && (began.elapsed() < linger || busy()) {
         if began.elapsed() + RECORD_PROPAGATION >= linger && door.serving.swap(false, Relaxed) {
             door.record_changed();
@@ -715,32 +730,34 @@
         }
     });
     if timeout_at(began + grace, all.as_mut()).await.is_err() {
-        branch.abort_requests();
+        node.abort_requests();
         let _ = timeout_at(began + grace + SHUTDOWN_MARGIN / 2, all).await;
     }
-    log::info!("ended after {} ms, {} reqs served", began.elapsed().as_millis(), branch.served.load(Relaxed));
+    log::info!("ended after {} ms, {} reqs served", began.elapsed().as_millis(), node.served.load(Relaxed));
     ExitCode::SUCCESS
 }
 
-fn ready_page(branch: &Node, came: &ReceivedRequest) -> Response<ResponseBody> {
-    match came.request.uri().path() {
-        "/api/ready" if branch.ready() => plain_response(200, "ready"),
+fn ready_page(node: &Node, received: &ReceivedRequest) -> Response<ResponseBody> {
+    match received.request.uri().path() {
+        "/api/ready" if node.ready() => plain_response(200, "ready"),
         "/api/ready" => plain_response(503, "not ready"),
         _ => plain_response(404, "no such page here"),
     }
 }
 
 /// Ready, and there is an upstream to serve.
-async fn full_service(branch: Arc<Node>) {
+async fn full_service(node: Arc<Node>) {
     let full_ms =
-        full::within(&branch.clock, &branch.full, || branch.ready() && branch.inbound.knows_upstream()).await;
-    let timetable = branch.configuration.load().as_ref().map_or(0, |timetable| timetable.version);
-    let rows = held(&branch.rows).len();
-    log::info!("full service after {full_ms} ms: timetable r{timetable}, {rows} attendants, an upstream");
+        full::within(&node.clock, &node.full, || node.ready() && node.inbound.knows_upstream()).await;
+    let configuration = node.configuration.load().as_ref().map_or(0, |configuration| configuration.version);
+    let records = held(&node.records).len();
+    log::info!(
+        "full service after {full_ms} ms: timetable r{configuration}, {records} attendants, an upstream"
+    );
 }
 
 /// What is looked at now and then: idle connections, and the settings file, which may change without a signal.
-async fn housekeeping(branch: Arc<Node>, path: PathBuf) {
+async fn housekeeping(node: Arc<Node>, path: PathBuf) {
     let Ok(mut again) = signal(SignalKind::hangup()) else { return };
     let mut looked = Instant::now();
     loop {
@@ -748,23 +765,23 @@
             Some(()) = again.recv() => true,
             () = sleep(Duration::from_millis(1_000)) => false,
         };
-        let now = branch.clock.now();
-        branch.inbound.close_idle_connections();
-        branch.update_connection_limit();
-        if let Some(timetable) = branch.configuration.load_full() {
-            held(&branch.seats).remove_idle(now, &timetable.shares);
+        let now = node.clock.now();
+        node.inbound.close_idle_connections();
+        node.update_connection_limit();
+        if let Some(configuration) = node.configuration.load_full() {
+            held(&node.seats).remove_idle(now, &configuration.shares);
         }
-        held(&branch.lines).retain(|_, line| !line.sweep(now) || Arc::strong_count(line) > 1);
+        held(&node.lines).retain(|_, line| !line.sweep(now) || Arc::strong_count(line) > 1);
         if told || looked.elapsed() >= SETTINGS_RELOAD_INTERVAL {
             looked = Instant::now();
             match Settings::read(&path) {
                 Ok(settings) => {
-                    if settings.seeds != branch.settings.load().seeds {
+                    if settings.seeds != node.settings.load().seeds {
                         log::info!("settings: {} seeds", settings.seeds.len());
                     }
-                    branch.settings.store(Arc::new(settings));
-                    let known = branch.replicas.replicas();
-                    branch.set_replicas(known);
+                    node.settings.store(Arc::new(settings));
+                    let known = node.replicas.replicas();
+                    node.set_replicas(known);
                 }
                 Err(why) => log::warn!("settings not taken: {why}"),
             }
--- a/balancer/src/mesh/proxy/outbound.rs
+++ b/balancer/src/mesh/proxy/outbound.rs
@@ -54,15 +54,15 @@
     },
 }
 
-pub async fn handle_request(branch: Arc<Node>, came: ReceivedRequest) -> Response<ResponseBody> {
-    let headers = came.request.headers();
+pub async fn handle_request(node: Arc<Node>, received: ReceivedRequest) -> Response<ResponseBody> {
+    let headers = received.request.headers();
     let Some(id) = headers.get(&ID).cloned() else {
         return plain_response(400, "no Ochreshed-Consignment-Id");
     };
-    let Some(timetable) = branch.configuration.load_full() else { return deny(300 * MS) };
+    let Some(configuration) = node.configuration.load_full() else { return deny(300 * MS) };
     let host = header_str(headers, &HOST).to_owned();
-    let path = came.request.uri().path().to_owned();
-    let Some(route) = timetable.route(&host, &path).cloned() else {
+    let path = received.request.uri().path().to_owned();
+    let Some(route) = configuration.route(&host, &path).cloned() else {
         return plain_response(404, "no such route");
     };
     let person =
@@ -70,11 +70,11 @@
     let person = person.filter(|person| !person.is_empty()).map(str::to_owned);
     let left = header_str(headers, &LEFT).parse::<u64>().unwrap_or(route.deadline_ms).min(MAX_TIME_LEFT_MS);
     let key = Some(header_str(headers, &KEY)).filter(|key| !key.is_empty()).map(lease_client::hash_key);
-    let at = came.received_at;
-    let call = branch.nested_call(&id);
-    let limits = timetable.limits();
+    let at = received.received_at;
+    let call = node.nested_call(&id);
+    let limits = configuration.limits();
     let slow = Duration::from_millis(limits.label_ms.max(left));
-    let read = listener::read_message(came, &branch.bodies, branch.clock, limits.parcel_bytes, slow).await;
+    let read = listener::read_message(received, &node.bodies, node.clock, limits.parcel_bytes, slow).await;
     let (mut message, room) = match read {
         Ok(read) => read,
         Err(RequestError(status, line)) => return plain_response(status, line),
@@ -82,27 +82,27 @@
     for name in [&ADDRESSEE, &CALLER, &TERMS, &SESSION_FENCE, &WAY] {
         message.head.headers_mut().remove(name);
     }
-    let ends_by = branch.shutdown_deadline();
+    let ends_by = node.shutdown_deadline();
     if route.kind == RepeatPolicy::OutboundPost && ends_by < at + MIN_LARGE_RESPONSE_TIME {
         return deny(DEFAULT_RETRY_AFTER);
     }
     let ends = (at + left.min(route.deadline_ms) * MS).min(ends_by).saturating_sub(RESPONSE_MARGIN);
-    let aim =
-        (at + route.target_ms * MS).saturating_sub(branch.time_used_ms(&route, left) * MS + RESPONSE_MARGIN);
+    let target =
+        (at + route.target_ms * MS).saturating_sub(node.time_used_ms(&route, left) * MS + RESPONSE_MARGIN);
     // A call keeps its caller's slot taken, and is of use for as long as that waits.
-    let aim = if call.is_some() { aim.max(at + route.deadline_ms * MS * 7 / 10) } else { aim };
+    let target = if call.is_some() { target.max(at + route.deadline_ms * MS * 7 / 10) } else { target };
     let again = call == Some(true);
     let message = Arc::new(message);
-    let (branch_of, route_of, call) = (branch.clone(), route.clone(), call.is_some());
-    let edition = timetable.edition(&route);
-    let trip = RequestInFlight {
-        branch: branch_of,
+    let (branch_of, route_of, call) = (node.clone(), route.clone(), call.is_some());
+    let edition = configuration.edition(&route);
+    let in_flight = RequestInFlight {
+        node: branch_of,
         route: route_of,
         edition,
         message,
         ends,
         at,
-        aim,
+        target,
         again,
         call,
         key,
@@ -113,12 +113,12 @@
             // Goes on to its end though its client goes: its outcome is its key's.
             let (send, got) = oneshot::channel();
             tokio::spawn(async move {
-                let (_room, _inside) = (room, RequestGuard::new(&trip.branch));
-                let _ = send.send(keyed(trip, key).await);
+                let (_room, _inside) = (room, RequestGuard::new(&in_flight.node));
+                let _ = send.send(keyed(in_flight, key).await);
             });
             got.await.unwrap_or_else(|_| plain_response(502, "it may have run"))
         }
-        None => trip.run().await.into_answer(),
+        None => in_flight.run().await.into_answer(),
     };
     let mut answer = answer;
     if !answer.headers().contains_key(&ID) {
@@ -153,24 +153,24 @@
 }
 
 /// A req with a key: claimed first, run if it was granted, answered from the first one's answer if not.
-async fn keyed(trip: RequestInFlight, key: LeaseKey) -> Response<ResponseBody> {
-    let branch = trip.branch.clone();
-    let token: LeaseToken = branch.new_token();
-    let now = branch.clock.now();
-    let left = trip.ends.saturating_sub(now);
-    let wait = held(&branch.lease_breaker).wait(now, left, branch.quorum_unreachable());
+async fn keyed(in_flight: RequestInFlight, key: LeaseKey) -> Response<ResponseBody> {
+    let node = in_flight.node.clone();
+    let token: LeaseToken = node.new_token();
+    let now = node.clock.now();
+    let left = in_flight.ends.saturating_sub(now);
+    let wait = held(&node.lease_breaker).wait(now, left, node.quorum_unreachable());
     let left_ms = (left / MS).min(u64::from(u32::MAX)) as u32;
     let within = Duration::from_nanos(wait);
-    let got = lease_client::acquire_lease(&branch.replicas, &branch.rpc, (key, token), left_ms, within).await;
+    let got = lease_client::acquire_lease(&node.replicas, &node.rpc, (key, token), left_ms, within).await;
     match got {
         CoreResponse::Unavailable => {
-            let ended = branch.clock.now();
-            held(&branch.lease_breaker).unanswered(ended, ended - now);
+            let ended = node.clock.now();
+            held(&node.lease_breaker).unanswered(ended, ended - now);
         }
-        _ => held(&branch.lease_breaker).answered(),
+        _ => held(&node.lease_breaker).answered(),
     }
     let settle = |outcome| {
-        lease_client::complete_lease(branch.replicas.clone(), branch.rpc.clone(), (key, token), outcome)
+        lease_client::complete_lease(node.replicas.clone(), node.rpc.clone(), (key, token), outcome)
     };
     match got {
         CoreResponse::LeaseGranted => {}
@@ -189,7 +189,7 @@
             };
         }
     }
-    match trip.run().await {
+    match in_flight.run().await {
         RequestOutcome::Response(head, ResponseBody::Buffered(body)) => {
             let bytes =
                 http_body_util::BodyExt::collect(body).await.map(|body| body.to_bytes()).unwrap_or_default();
@@ -252,12 +252,12 @@
     again: bool,
     /// Its answer is a large one.
     large: bool,
-    pass: Option<FencingToken>,
+    fencing_token: Option<FencingToken>,
 }
 
 /// A req on its way.
 struct RequestInFlight {
-    branch: Arc<Node>,
+    node: Arc<Node>,
     route: Arc<Route>,
     /// Whose routes it is counted with; none of the platform's.
     edition: Option<RouteEdition>,
@@ -265,7 +265,7 @@
     ends: Nanos,
     at: Nanos,
     /// When an answer is late.
-    aim: Nanos,
+    target: Nanos,
     /// It was called by a run that was sent again.
     again: bool,
     /// It was called by a run.
@@ -289,23 +289,23 @@
 
     fn count(&self, fared: impl Into<OutcomeCounts>) {
         if let Some(edition) = &self.edition {
-            self.branch.count_outcome(edition, fared.into());
+            self.node.count_outcome(edition, fared.into());
         }
     }
 
     async fn run_attempts(&self) -> RequestOutcome {
-        let Some(line) = self.branch.choose_service(&self.route) else {
+        let Some(line) = self.node.choose_service(&self.route) else {
             return RequestOutcome::NotRun(DEFAULT_RETRY_AFTER);
         };
         let large = self.route.kind == RepeatPolicy::OutboundPost;
-        let Some(desk) = self.branch.scheduler(&line, &self.route) else {
+        let Some(scheduler) = self.node.scheduler(&line, &self.route) else {
             return RequestOutcome::NotRun(DEFAULT_RETRY_AFTER);
         };
-        let mut bound = self.session(&desk, &line, !large).await;
-        let pass = bound.as_ref().map(|bound| bound.token);
-        let _at_work = pass
+        let mut bound = self.session(&scheduler, &line, !large).await;
+        let fencing_token = bound.as_ref().map(|bound| bound.token);
+        let _at_work = fencing_token
             .zip(self.key)
-            .map(|(pass, key)| session_affinity::track_key(&self.branch, pass.session, key));
+            .map(|(fencing_token, key)| session_affinity::track_key(&self.node, fencing_token.session, key));
         let rule_set: Name = request_scheduler::route_class(&self.route).as_str().into();
         let mut req = Req::new(0, rule_set, "".into(), self.at, self.ends);
         req.again = self.again;
@@ -313,42 +313,43 @@
         req.tie = bound
             .as_ref()
             .and_then(|bound| bound.binding.as_ref())
-            .map(|tie| tie.upstream_id.as_str().into());
-        let mut turn = desk.schedule(req);
+            .map(|binding| binding.upstream_id.as_str().into());
+        let mut scheduled = scheduler.schedule(req);
         let mut last: Option<(Parts, ResponseBody)> = None;
         // A large answer is wanted from near: the first door may let it wait already.
         let (mut ran, mut sent, mut turned) = (false, 0, u32::from(large));
-        let mut over = pin!(self.branch.aborted());
+        let mut over = pin!(self.node.aborted());
         loop {
             let step = tokio::select! {
                 biased;
                 () = &mut over => None,
-                step = turn.steps.recv() => step,
+                step = scheduled.steps.recv() => step,
             };
             match step {
                 Some(SchedulerAction::Send { number, srv, give_up }) => {
                     if sent >= self.route.tries {
                         break;
                     }
-                    let began = self.branch.clock.now();
-                    let Some(place) = desk.endpoint(&srv) else {
-                        turn.attempt_ended(number, How::NotSent, 0, false, None);
+                    let began = self.node.clock.now();
+                    let Some(place) = scheduler.endpoint(&srv) else {
+                        scheduled.attempt_ended(number, How::NotSent, 0, false, None);
                         continue;
                     };
                     if let Some(bound) = bound.as_mut().filter(|_| !large)
-                        && !session_affinity::attempt_starting(&self.branch, &desk, bound, &place).await
+                        && !session_affinity::attempt_starting(&self.node, &scheduler, bound, &place).await
                     {
                         // It comes again, and finds where its person is.
-                        turn.attempt_ended(number, How::NotSent, 0, false, None);
-                        turn.finish();
+                        scheduled.attempt_ended(number, How::NotSent, 0, false, None);
+                        scheduled.finish();
                         break;
                     }
-                    self.count(turn.attempt_started());
+                    self.count(scheduled.attempt_started());
                     let tied = bound.as_ref().is_some_and(|bound| bound.is_bound_to(&place.upstream_id));
-                    let attempt = Attempt { turned, tied, again: sent > 0, large, pass };
-                    let Some((end, inside)) = self.dispatch(&mut turn, &place, attempt, give_up).await else {
+                    let attempt = Attempt { turned, tied, again: sent > 0, large, fencing_token };
+                    let Some((end, inside)) = self.dispatch(&mut scheduled, &place, attempt, give_up).await
+                    else {
                         ran = true;
-                        turn.attempt_ended(number, How::Recalled, 0, false, None);
+                        scheduled.attempt_ended(number, How::Recalled, 0, false, None);
                         continue;
                     };
                     sent += u32::from(!matches!(end, UpstreamOutcome::Rejected | UpstreamOutcome::Fenced(_)));
@@ -356,12 +357,12 @@
                         turned += 1;
                         self.count(OutcomeCounts { rejected: 1, ..OutcomeCounts::default() });
                     }
-                    let took = self.branch.clock.now() - began;
+                    let took = self.node.clock.now() - began;
                     let how = match end {
                         UpstreamOutcome::Responded(head, flow) if well(&head) => {
-                            turn.attempt_ended(number, How::Done, took, true, inside);
+                            scheduled.attempt_ended(number, How::Done, took, true, inside);
                             if let Some(bound) = bound.as_ref().filter(|_| !large) {
-                                session_affinity::attempt_succeeded(&self.branch, bound, &place);
+                                session_affinity::attempt_succeeded(&self.node, bound, &place);
                             }
                             return RequestOutcome::Response(head, flow);
                         }
@@ -376,9 +377,11 @@
                         UpstreamOutcome::Rejected => How::Turned,
                         UpstreamOutcome::Fenced(known) => {
                             // Its session went on elsewhere: this is a late one, and whoever means it comes again.
-                            pass.into_iter().for_each(|pass| self.branch.sessions().fenced(pass, known));
-                            turn.attempt_ended(number, How::Turned, took, false, inside);
-                            turn.finish();
+                            fencing_token
+                                .into_iter()
+                                .for_each(|fencing_token| self.node.sessions().fenced(fencing_token, known));
+                            scheduled.attempt_ended(number, How::Turned, took, false, inside);
+                            scheduled.finish();
                             break;
                         }
                         UpstreamOutcome::ConnectFailed => How::NoConnection,
@@ -392,23 +395,23 @@
                             How::TimedOut
                         }
                     };
-                    turn.attempt_ended(number, how, took, false, inside);
+                    scheduled.attempt_ended(number, how, took, false, inside);
                 }
                 Some(SchedulerAction::Cancel) => {}
                 Some(SchedulerAction::Reject { come_back }) => {
-                    self.count(turn.finish());
+                    self.count(scheduled.finish());
                     if last.is_none() && !ran {
                         return RequestOutcome::NotRun(come_back);
                     }
                     break;
                 }
                 Some(SchedulerAction::Fail) | None => {
-                    self.count(turn.finish());
+                    self.count(scheduled.finish());
                     break;
                 }
             }
         }
-        let late = self.branch.clock.now() >= self.ends;
+        let late = self.node.clock.now() >= self.ends;
         match last {
             // The upstream's own word on it, where it has one.
             Some((head, flow)) => RequestOutcome::Response(head, flow),
@@ -418,11 +421,11 @@
     }
 
     /// The session of the person that it is of, where its route names one.
-    async fn session(&self, desk: &RequestScheduler, line: &Name, ties: bool) -> Option<BoundSession> {
+    async fn session(&self, scheduler: &RequestScheduler, line: &Name, ties: bool) -> Option<BoundSession> {
         let (header, person) = (self.route.session.as_ref()?, self.person.as_ref()?);
         session_affinity::acquire(
-            &self.branch,
-            desk,
+            &self.node,
+            scheduler,
             session_affinity::session_id(line, header, person),
             ties,
         )
@@ -432,21 +435,21 @@
     /// One dispatch, and how many reqs its door has inside; nothing if the module recalled it.
     async fn dispatch(
         &self,
-        turn: &mut ScheduledRequest,
+        scheduled: &mut ScheduledRequest,
         place: &Endpoint,
         attempt: Attempt,
         give_up: Nanos,
     ) -> Option<(UpstreamOutcome, Option<f64>)> {
         let work = self.send(place, attempt, give_up.min(self.ends));
-        let mut over = pin!(self.branch.aborted());
+        let mut over = pin!(self.node.aborted());
         tokio::pin!(work);
         loop {
             tokio::select! {
                 end = &mut work => return Some(end),
-                step = turn.steps.recv() => match step {
+                step = scheduled.steps.recv() => match step {
                     // Silence alone is no reason to break one off: its machine must be quiet to others too, and
                     // the req be one that may run again.
-                    Some(SchedulerAction::Cancel) if self.route.kind.repeatable() && self.branch.is_suspected(&place.inbound_proxy) => {
+                    Some(SchedulerAction::Cancel) if self.route.kind.repeatable() && self.node.is_suspected(&place.inbound_proxy) => {
                         return None;
                     }
                     None => return None,
@@ -458,10 +461,10 @@
     }
 
     async fn send(&self, place: &Endpoint, attempt: Attempt, until: Nanos) -> (UpstreamOutcome, Option<f64>) {
-        let Attempt { turned, tied, large, pass, .. } = attempt;
-        let (branch, again, now) = (&self.branch, attempt.again || self.again, self.branch.clock.now());
-        let (caller, away) = (branch.caller_header(), place.inbound_proxy != branch.inbound_address());
-        let (message, meant, aim) = (&self.message, &*place.upstream_id, self.aim);
+        let Attempt { turned, tied, large, fencing_token, .. } = attempt;
+        let (node, again, now) = (&self.node, attempt.again || self.again, self.node.clock.now());
+        let (caller, away) = (node.caller_header(), place.inbound_proxy != node.inbound_address());
+        let (message, meant, target) = (&self.message, &*place.upstream_id, self.target);
         let part =
             self.route.share.as_ref().map(|of| MemberShare { member: of.member.clone(), share: of.slots });
         let request = InboundRequest {
@@ -474,14 +477,14 @@
             call: self.call,
             large,
             away,
-            pass,
-            aim,
+            fencing_token,
+            target,
             until,
             part,
         };
         if !away {
-            let end = branch.inbound.forward(request).await;
-            return (end, Some(branch.inbound.load() as f64));
+            let end = node.inbound.forward(request).await;
+            return (end, Some(node.inbound.load() as f64));
         }
         let left = until.saturating_sub(now) / MS;
         if left == 0 {
@@ -495,13 +498,15 @@
         if let Ok(word) = HeaderValue::try_from(request.terms_header(now)) {
             fields.insert(TERMS, word);
         }
-        if let Some(Ok(word)) = pass.map(|pass| HeaderValue::try_from(pass.to_header())) {
+        if let Some(Ok(word)) =
+            fencing_token.map(|fencing_token| HeaderValue::try_from(fencing_token.to_header()))
+        {
             fields.insert(SESSION_FENCE, word);
         }
         fields.insert(CALLER, caller);
-        branch.inbound.note_outgoing_bytes(message.length.unwrap_or(0));
+        node.inbound.note_outgoing_bytes(message.length.unwrap_or(0));
         let ours = |head: &Parts| head.headers.contains_key(&WAY);
-        let end = match branch
+        let end = match node
             .connection_pool(place.inbound_proxy)
             .exchange(&self.message, &fields, until, None, ours)
             .await
--- a/balancer/src/mesh/proxy/request_scheduler.rs
+++ b/balancer/src/mesh/proxy/request_scheduler.rs
@@ -65,9 +65,9 @@
     }
 
     /// For all services to which any route goes.
-    pub fn for_configuration(timetable: &Configuration) -> Vec<SchedulerPlan> {
+    pub fn for_configuration(configuration: &Configuration) -> Vec<SchedulerPlan> {
         let mut plans: BTreeMap<SchedulerKey, SchedulerPlan> = BTreeMap::new();
-        for route in timetable.routes() {
+        for route in configuration.routes() {
             for (line, _) in &route.lines {
                 let key = scheduler_key(line, route);
                 let plan = plans.entry(key).or_insert_with_key(|(line, large, member)| SchedulerPlan {
@@ -196,7 +196,7 @@
 
 /// A req at the module. Dropped, its client has gone.
 pub struct ScheduledRequest {
-    desk: Arc<RequestScheduler>,
+    scheduler: Arc<RequestScheduler>,
     pub id: u64,
     pub steps: mpsc::UnboundedReceiver<SchedulerAction>,
     over: bool,
@@ -215,8 +215,8 @@
     ) -> Arc<RequestScheduler> {
         let terms = told.terms();
         let spent = match was {
-            Some(desk) if desk.settings == told => return desk,
-            Some(desk) => held(&desk.inner).spent.restart(window, terms),
+            Some(scheduler) if scheduler.settings == told => return scheduler,
+            Some(scheduler) => held(&scheduler.inner).spent.restart(window, terms),
             None => RetryAccount::new(window, terms),
         };
         RequestScheduler::new(line, told, clock, seed(), spent)
@@ -241,27 +241,27 @@
             spent,
             pool: None,
         };
-        let desk = Arc::new(RequestScheduler {
+        let scheduler = Arc::new(RequestScheduler {
             service: line,
             settings: told,
             clock,
             inner: Mutex::new(inner),
             woken: Notify::new(),
         });
-        tokio::spawn(RequestScheduler::tend(Arc::downgrade(&desk)));
-        desk
+        tokio::spawn(RequestScheduler::tend(Arc::downgrade(&scheduler)));
+        scheduler
     }
 
     /// Asks the module when it wants to be asked, for as long as the desk is used.
-    async fn tend(desk: Weak<RequestScheduler>) {
+    async fn tend(scheduler: Weak<RequestScheduler>) {
         loop {
             let (clock, wake) = {
-                let Some(desk) = desk.upgrade() else { return };
-                let wake = desk.settle(&mut held(&desk.inner));
-                (desk.clock, wake)
+                let Some(scheduler) = scheduler.upgrade() else { return };
+                let wake = scheduler.settle(&mut held(&scheduler.inner));
+                (scheduler.clock, wake)
             };
             let at = clock.instant(wake.min(clock.now() + 2_000 * MS));
-            let Some(held) = desk.upgrade() else { return };
+            let Some(held) = scheduler.upgrade() else { return };
             tokio::select! {
                 () = sleep_until(at) => {}
                 () = held.woken.notified() => {}
@@ -356,7 +356,7 @@
         self.allow(&mut inner, now);
         inner.hands.take(now, req);
         self.settle_and_wake(&mut inner);
-        ScheduledRequest { desk: self.clone(), id, steps: got, over: false, tally }
+        ScheduledRequest { scheduler: self.clone(), id, steps: got, over: false, tally }
     }
 
     /// What of this service was sent, sent again and refused for want of allowance in the budget's window.
@@ -376,40 +376,43 @@
     /// Tells the module the list as it is now.
     pub fn update_endpoints<'a>(
         &self,
-        rows: impl Iterator<Item = &'a (EndpointRecord, Nanos)>,
-        quiet: &HashSet<SocketAddr>,
+        records: impl Iterator<Item = &'a (EndpointRecord, Nanos)>,
+        suspected: &HashSet<SocketAddr>,
         zone: &str,
     ) {
         let mut inner = held(&self.inner);
         let now = self.clock.now();
-        let rows: Vec<&(EndpointRecord, Nanos)> =
-            rows.filter(|(row, _)| !row.upstream_id.is_empty()).collect();
-        let takes = |row: &EndpointRecord| {
-            row.accepts_clients && row.state == UpstreamState::Serving && !quiet.contains(&row.inbound_proxy)
+        let records: Vec<&(EndpointRecord, Nanos)> =
+            records.filter(|(record, _)| !record.upstream_id.is_empty()).collect();
+        let takes = |record: &EndpointRecord| {
+            record.accepts_clients
+                && record.state == UpstreamState::Serving
+                && !suspected.contains(&record.inbound_proxy)
         };
-        let near = rows.iter().any(|(row, _)| row.zone == zone && takes(row));
+        let near = records.iter().any(|(record, _)| record.zone == zone && takes(record));
         let mut fresh = HashMap::new();
-        let wanted = |row: &EndpointRecord| !(self.settings.plan.large && near) || row.zone == zone;
-        for (row, told) in rows.into_iter().filter(|(row, _)| wanted(row)) {
-            let state = if takes(row) {
+        let wanted = |record: &EndpointRecord| !(self.settings.plan.large && near) || record.zone == zone;
+        for (record, told) in records.into_iter().filter(|(record, _)| wanted(record)) {
+            let state = if takes(record) {
                 State::Up
-            } else if row.state == UpstreamState::Absent || !row.accepts_clients {
+            } else if record.state == UpstreamState::Absent || !record.accepts_clients {
                 State::Gone
             } else {
                 State::Draining
             };
-            let srv: Name = row.upstream_id.as_str().into();
+            let srv: Name = record.upstream_id.as_str().into();
             let was = inner.listed.get(&srv);
             let came_up = was.and_then(|was| was.came_up);
-            let warm_at = told + row.warming_up_ms * MS;
+            let warm_at = told + record.warming_up_ms * MS;
             let came_up = came_up.or((warm_at > now).then(|| warm_at.saturating_sub(SLOW_START)));
-            let far = near && row.zone != zone;
-            let weight = f64::from(row.concurrency_limit.max(1)) * if far { OTHER_ZONE_WEIGHT } else { 1.0 };
-            let site: Name = row.zone.as_str().into();
+            let far = near && record.zone != zone;
+            let weight =
+                f64::from(record.concurrency_limit.max(1)) * if far { OTHER_ZONE_WEIGHT } else { 1.0 };
+            let site: Name = record.zone.as_str().into();
             let listed = Listed { srv: srv.clone(), state, came_up, weight, site: site.clone(), cell: 0 };
             fresh.insert(
                 srv.clone(),
-                (listed, Endpoint { inbound_proxy: row.inbound_proxy, upstream_id: srv, zone: site }),
+                (listed, Endpoint { inbound_proxy: record.inbound_proxy, upstream_id: srv, zone: site }),
             );
         }
         let same = |(srv, (listed, place)): (&Name, &(Listed, Endpoint))| {
@@ -439,36 +442,36 @@
 impl ScheduledRequest {
     /// A dispatch goes on its way. What was counted for it.
     pub fn attempt_started(&self) -> AttemptCounts {
-        let (mut inner, now) = (held(&self.desk.inner), self.desk.clock.now());
+        let (mut inner, now) = (held(&self.scheduler.inner), self.scheduler.clock.now());
         let counted = inner.spent.attempt_started(now, &self.tally);
-        self.desk.count(&inner, now, counted);
+        self.scheduler.count(&inner, now, counted);
         counted
     }
 
     /// A dispatch has ended; `closed` when its req has had its final answer by that.
     pub fn attempt_ended(&mut self, number: usize, how: How, took: Nanos, closed: bool, inside: Option<f64>) {
-        let mut inner = held(&self.desk.inner);
+        let mut inner = held(&self.scheduler.inner);
         self.tally.ended(how);
         self.over |= closed;
-        let now = self.desk.clock.now();
-        self.desk.allow(&mut inner, now);
+        let now = self.scheduler.clock.now();
+        self.scheduler.allow(&mut inner, now);
         inner.hands.ended(now, self.id, number, End { how, took, closed, report: inside.as_slice() });
-        self.desk.settle_and_wake(&mut inner);
+        self.scheduler.settle_and_wake(&mut inner);
     }
 
     /// The module has given the req up. What was counted for that.
     pub fn finish(&mut self) -> AttemptCounts {
         self.over = true;
-        held(&self.desk.inner).spent.request_given_up(self.desk.clock.now(), &self.tally)
+        held(&self.scheduler.inner).spent.request_given_up(self.scheduler.clock.now(), &self.tally)
     }
 }
 
 impl Drop for ScheduledRequest {
     fn drop(&mut self) {
-        let mut inner = held(&self.desk.inner);
+        let mut inner = held(&self.scheduler.inner);
         inner.steps.remove(&self.id);
         if !self.over {
-            let now = self.desk.clock.now();
+            let now = self.scheduler.clock.now();
             inner.hands.left(now, self.id);
             // Its dispatch, if one is out, ends with it.
             for number in 0..64 {
@@ -479,7 +482,7 @@
                     End { how: How::Recalled, took: 0, closed: true, report: &[] },
                 );
             }
-            self.desk.settle_and_wake(&mut inner);
+            self.scheduler.settle_and_wake(&mut inner);
         }
     }
 }
--- a/balancer/src/mesh/proxy/scheduler_set.rs
+++ b/balancer/src/mesh/proxy/scheduler_set.rs
@@ -42,8 +42,8 @@
         }
     }
 
-    pub fn add(&mut self, seat: SchedulerKey, desk: Arc<RequestScheduler>) {
-        self.desks.insert(seat, desk);
+    pub fn add(&mut self, seat: SchedulerKey, scheduler: Arc<RequestScheduler>) {
+        self.desks.insert(seat, scheduler);
     }
 
     /// Divides each service's allowance anew, where reqs of members go to it or went there of late.
@@ -59,9 +59,9 @@
         for pool in self.pools.values() {
             held(pool).divide(now, shares);
         }
-        for (seat, desk) in &self.desks {
+        for (seat, scheduler) in &self.desks {
             if let Some(pool) = self.pools.get(&line(seat)) {
-                desk.set_pool(Some(pool));
+                scheduler.set_pool(Some(pool));
             }
         }
     }
@@ -72,10 +72,10 @@
             return;
         }
         let mut many = self.desks.keys().filter(|seat| seat.2.is_some()).count();
-        self.desks.retain(|seat, desk| {
+        self.desks.retain(|seat, scheduler| {
             let idle = seat.2.is_some()
-                && Arc::strong_count(desk) == 1
-                && desk.attempt_counts() == AttemptCounts::default();
+                && Arc::strong_count(scheduler) == 1
+                && scheduler.attempt_counts() == AttemptCounts::default();
             let goes = idle && many > MAX_IDLE_MEMBER_SCHEDULERS;
             many -= usize::from(goes);
             !goes
@@ -87,8 +87,8 @@
             let of_line = |seat: &&SchedulerKey| seat.0 == *name && seat.1 == *large;
             let stays = !pool.idle() || desks.keys().filter(of_line).any(|seat| seat.2.is_some());
             drop(pool);
-            if !stays && let Some(desk) = desks.get(&(name.clone(), *large, None)) {
-                desk.set_pool(None);
+            if !stays && let Some(scheduler) = desks.get(&(name.clone(), *large, None)) {
+                scheduler.set_pool(None);
             }
             stays
         });
@@ -97,9 +97,9 @@
     /// What of each service was sent, sent again and refused for want of allowance in the budget's window.
     pub fn attempt_counts(&self) -> HashMap<Name, AttemptCounts> {
         let mut sums: HashMap<Name, AttemptCounts> = HashMap::new();
-        for ((name, ..), desk) in &self.desks {
+        for ((name, ..), scheduler) in &self.desks {
             let sum = sums.entry(name.clone()).or_default();
-            *sum = sum.and(desk.attempt_counts());
+            *sum = sum.and(scheduler.attempt_counts());
         }
         sums
     }
--- a/balancer/src/mesh/proxy/session_affinity.rs
+++ b/balancer/src/mesh/proxy/session_affinity.rs
@@ -60,8 +60,8 @@
 }
 
 struct OwnedSession {
-    holder: SessionOwner,
-    tie: Option<SessionBinding>,
+    owner: SessionOwner,
+    binding: Option<SessionBinding>,
     /// When the core was last told, and when it was last used.
     told: Nanos,
     used: Nanos,
@@ -111,7 +111,7 @@
 pub struct BoundSession {
     pub token: FencingToken,
     pub binding: Option<SessionBinding>,
-    holder: SessionOwner,
+    owner: SessionOwner,
     /// It is the first of its session here: others wait until it is known where that lives.
     first: Option<OwnedMutexGuard<()>>,
     /// Its session was tied to no open upstream when it came: it writes the tie before it is sent.
@@ -119,17 +119,23 @@
 }
 
 impl BoundSession {
-    fn new(pass: FencingToken, tie: Option<SessionBinding>, holder: SessionOwner) -> BoundSession {
-        BoundSession { token: pass, binding: tie, holder, first: None, unplaced: false }
+    fn new(
+        fencing_token: FencingToken,
+        binding: Option<SessionBinding>,
+        owner: SessionOwner,
+    ) -> BoundSession {
+        BoundSession { token: fencing_token, binding, owner, first: None, unplaced: false }
     }
 
     /// Whether its session is tied to an upstream that takes requests.
-    fn is_placed(&self, desk: &RequestScheduler) -> bool {
-        self.binding.as_ref().is_some_and(|tie| desk.accepts_requests(&tie.upstream_id.as_str().into()))
+    fn is_placed(&self, scheduler: &RequestScheduler) -> bool {
+        self.binding
+            .as_ref()
+            .is_some_and(|binding| scheduler.accepts_requests(&binding.upstream_id.as_str().into()))
     }
 
     pub fn is_bound_to(&self, srv: &str) -> bool {
-        self.binding.as_ref().is_some_and(|tie| tie.upstream_id == srv)
+        self.binding.as_ref().is_some_and(|binding| binding.upstream_id == srv)
     }
 }
 
@@ -155,15 +161,15 @@
         }
     }
 
-    fn put(&mut self, now: Nanos, session: SessionId, agreed: &CommittedSession, holder: SessionOwner) {
+    fn put(&mut self, now: Nanos, session: SessionId, agreed: &CommittedSession, owner: SessionOwner) {
         self.ends(session);
         while self.held.len() >= MAX_SESSIONS
             && let Some(&(_, oldest)) = self.order.first()
         {
             self.ends(oldest);
         }
-        let tie = agreed.ownership.binding.clone();
-        self.held.insert(session, OwnedSession { holder, tie, told: now, used: now });
+        let binding = agreed.ownership.binding.clone();
+        self.held.insert(session, OwnedSession { owner, binding, told: now, used: now });
         self.order.insert((now, session));
     }
 
@@ -181,8 +187,8 @@
         if renew {
             has.told = now;
         }
-        let pass = FencingToken { session, since_term: has.holder.since_term };
-        Some((BoundSession::new(pass, has.tie.clone(), has.holder), renew))
+        let fencing_token = FencingToken { session, since_term: has.owner.since_term };
+        Some((BoundSession::new(fencing_token, has.binding.clone(), has.owner), renew))
     }
 }
 
@@ -214,32 +220,36 @@
     }
 
     /// Another gate has taken a session since that epoch: it is let go here. Told with the keys that are at work.
-    pub fn release(&self, pass: FencingToken) -> Vec<LeaseKey> {
+    pub fn release(&self, fencing_token: FencingToken) -> Vec<LeaseKey> {
         let mut inner = held(&self.0);
-        if inner.held.get(&pass.session).is_some_and(|has| has.holder.since_term < pass.since_term) {
-            inner.ends(pass.session);
+        if inner
+            .held
+            .get(&fencing_token.session)
+            .is_some_and(|has| has.owner.since_term < fencing_token.since_term)
+        {
+            inner.ends(fencing_token.session);
             inner.counts.left += 1;
         }
-        inner.keys.get(&pass.session).cloned().unwrap_or_default()
+        inner.keys.get(&fencing_token.session).cloned().unwrap_or_default()
     }
 
     /// What a hand-over asks at a door, where the field is one.
     pub fn handle_handover(&self, word: &str) -> Option<String> {
-        let pass = FencingToken::from_header(word.strip_prefix(HANDOVER_PREFIX)?)?;
-        Some(self.release(pass).iter().map(|key| format!("{key:032x}\n")).collect())
+        let fencing_token = FencingToken::from_header(word.strip_prefix(HANDOVER_PREFIX)?)?;
+        Some(self.release(fencing_token).iter().map(|key| format!("{key:032x}\n")).collect())
     }
 
     /// A door turned a req away, for it knows of a later holder.
-    pub fn fenced(&self, pass: FencingToken, known: u64) {
+    pub fn fenced(&self, fencing_token: FencingToken, known: u64) {
         let mut inner = held(&self.0);
         inner.counts.fenced += 1;
-        if inner.held.get(&pass.session).is_some_and(|has| has.holder.since_term < known) {
-            inner.ends(pass.session);
+        if inner.held.get(&fencing_token.session).is_some_and(|has| has.owner.since_term < known) {
+            inner.ends(fencing_token.session);
         }
         if inner.above.len() >= MAX_SESSIONS {
             inner.above.clear();
         }
-        inner.above.insert(pass.session, known);
+        inner.above.insert(fencing_token.session, known);
     }
 
     fn learn(
@@ -250,35 +260,35 @@
         me: SocketAddr,
     ) -> Option<BoundSession> {
         let mut inner = held(&self.0);
-        let Some(holder) = got.ownership.owner.filter(|holder| holder.outbound_proxy == me) else {
+        let Some(owner) = got.ownership.owner.filter(|owner| owner.outbound_proxy == me) else {
             inner.ends(session);
             return None;
         };
-        let newer = |has: &OwnedSession| has.holder.since_term > holder.since_term;
+        let newer = |has: &OwnedSession| has.owner.since_term > owner.since_term;
         if !inner.held.get(&session).is_some_and(newer) {
-            inner.put(now, session, got, holder);
+            inner.put(now, session, got, owner);
         }
         inner.above.remove(&session);
-        let pass = FencingToken { session, since_term: holder.since_term };
-        Some(BoundSession::new(pass, got.ownership.binding.clone(), holder))
+        let fencing_token = FencingToken { session, since_term: owner.since_term };
+        Some(BoundSession::new(fencing_token, got.ownership.binding.clone(), owner))
     }
 }
 
 /// Asks the core, one steward after the other.
-async fn ask(branch: &Node, session: SessionId, wish: SessionRequest) -> Option<Option<CommittedSession>> {
+async fn ask(node: &Node, session: SessionId, wish: SessionRequest) -> Option<Option<CommittedSession>> {
     let until = Instant::now() + ACQUIRE_TIMEOUT;
-    for steward in branch.replicas.replicas_for_key(session) {
+    for replica in node.replicas.replicas_for_key(session) {
         if Instant::now() >= until {
             break;
         }
         let ask = InternalRequest::Core(CoreRequest::Session(session, wish.clone()));
-        match branch.rpc.to(steward).call(ask, REPLICA_TIMEOUT).await {
+        match node.rpc.to(replica).call(ask, REPLICA_TIMEOUT).await {
             Ok(InternalResponse::Core(CoreResponse::Session(agreed))) => {
-                branch.replicas.response_received(steward);
+                node.replicas.response_received(replica);
                 return Some(agreed);
             }
             Ok(InternalResponse::Core(_)) => {}
-            _ => branch.replicas.request_failed(steward),
+            _ => node.replicas.request_failed(replica),
         }
     }
     None
@@ -287,24 +297,24 @@
 /// The session of a req that came here, taken from whoever had it. None where the core is not there in time: the req
 /// goes on without, for what must run once does so by its key.
 pub async fn acquire(
-    branch: &Arc<Node>,
-    desk: &RequestScheduler,
+    node: &Arc<Node>,
+    scheduler: &RequestScheduler,
     session: SessionId,
     ties: bool,
 ) -> Option<BoundSession> {
     let known = || {
-        let (bound, renew) = held(&branch.sessions().0).uses(branch.clock.now(), session)?;
+        let (bound, renew) = held(&node.sessions().0).uses(node.clock.now(), session)?;
         if renew {
-            tokio::spawn(renewal(branch.clone(), session, bound.holder));
+            tokio::spawn(renewal(node.clone(), session, bound.owner));
         }
         Some(bound)
     };
     let had = known();
-    if had.as_ref().is_some_and(|bound| bound.is_placed(desk) || !ties) {
+    if had.as_ref().is_some_and(|bound| bound.is_placed(scheduler) || !ties) {
         return had;
     }
     let first = {
-        let mut inner = held(&branch.sessions().0);
+        let mut inner = held(&node.sessions().0);
         if inner.firsts.len() >= MAX_FIRST_REQUESTS {
             inner.firsts.retain(|_, first| Arc::strong_count(first) > 1);
         }
@@ -313,19 +323,19 @@
     let first = timeout(FIRST_REQUEST_TIMEOUT, first.lock_owned()).await.ok();
     let mut bound = match known() {
         Some(bound) => bound,
-        None => ask_for(branch, session).await?,
+        None => ask_for(node, session).await?,
     };
-    bound.unplaced = ties && !bound.is_placed(desk);
+    bound.unplaced = ties && !bound.is_placed(scheduler);
     bound.first = first.filter(|_| bound.unplaced);
     Some(bound)
 }
 
-async fn ask_for(branch: &Arc<Node>, session: SessionId) -> Option<BoundSession> {
-    let (now, me, all) = (branch.clock.now(), branch.inbound_address(), branch.sessions());
+async fn ask_for(node: &Arc<Node>, session: SessionId) -> Option<BoundSession> {
+    let (now, me, all) = (node.clock.now(), node.inbound_address(), node.sessions());
     let above = held(&all.0).above.get(&session).copied().unwrap_or(0);
-    let agreed = match branch.quorum_unreachable() {
+    let agreed = match node.quorum_unreachable() {
         true => None,
-        false => ask(branch, session, SessionRequest::Acquire { outbound_proxy: me, above_term: above })
+        false => ask(node, session, SessionRequest::Acquire { outbound_proxy: me, above_term: above })
             .await
             .flatten(),
     };
@@ -334,12 +344,12 @@
         return None;
     };
     let before = agreed.ownership.previous_owner.filter(|before| before.outbound_proxy != me);
-    let fresh = agreed.ownership.owner.is_some_and(|holder| holder.since_term == agreed.term);
+    let fresh = agreed.ownership.owner.is_some_and(|owner| owner.since_term == agreed.term);
     let bound = all.learn(now, session, &agreed, me)?;
     match before.filter(|_| fresh) {
         Some(before) => {
-            let heard = hand_over(branch, before.outbound_proxy, bound.token).await.is_some();
-            let took = branch.clock.now().saturating_sub(now);
+            let heard = hand_over(node, before.outbound_proxy, bound.token).await.is_some();
+            let took = node.clock.now().saturating_sub(now);
             let mut inner = held(&all.0);
             inner.counts.moves += 1;
             inner.counts.unheard += u64::from(!heard);
@@ -354,27 +364,29 @@
     Some(bound)
 }
 
-async fn renewal(branch: Arc<Node>, session: SessionId, holder: SessionOwner) {
-    if let Some(Some(agreed)) = ask(&branch, session, SessionRequest::Renew(holder)).await
+async fn renewal(node: Arc<Node>, session: SessionId, owner: SessionOwner) {
+    if let Some(Some(agreed)) = ask(&node, session, SessionRequest::Renew(owner)).await
         && let Some(other) = agreed.ownership.owner
-        && other.since_term > holder.since_term
+        && other.since_term > owner.since_term
     {
-        branch.sessions().release(FencingToken { session, since_term: other.since_term });
+        node.sessions().release(FencingToken { session, since_term: other.since_term });
     }
 }
 
 /// Asks the gate that had a session to let it go. Told with the keys at work there.
-async fn hand_over(branch: &Arc<Node>, gate: SocketAddr, pass: FencingToken) -> Option<Vec<LeaseKey>> {
+async fn hand_over(node: &Arc<Node>, gate: SocketAddr, fencing_token: FencingToken) -> Option<Vec<LeaseKey>> {
     let mut head = hyper::Request::new(());
     *head.method_mut() = hyper::Method::POST;
     head.headers_mut().insert(HOST, HeaderValue::from_static("ochreshed"));
     let message = Arc::new(Message { head, first: bytes::Bytes::new(), length: Some(0), long: None });
     let mut fields = HeaderMap::new();
-    fields
-        .insert(SESSION_FENCE, HeaderValue::try_from(format!("{HANDOVER_PREFIX}{}", pass.to_header())).ok()?);
-    let until = branch.clock.now() + HANDOVER_TIMEOUT;
+    fields.insert(
+        SESSION_FENCE,
+        HeaderValue::try_from(format!("{HANDOVER_PREFIX}{}", fencing_token.to_header())).ok()?,
+    );
+    let until = node.clock.now() + HANDOVER_TIMEOUT;
     let ours = |head: &hyper::http::response::Parts| head.headers.contains_key(&WAY);
-    let answer = branch.connection_pool(gate).exchange(&message, &fields, until, None, ours).await;
+    let answer = node.connection_pool(gate).exchange(&message, &fields, until, None, ours).await;
     let (head, flow) = answer.ok()?;
     if header_str(&head.headers, &WAY).split(' ').next() != Some("ran") {
         return None; // An older program, which holds no sessions.
@@ -385,51 +397,52 @@
 }
 
 /// A key is at work in a session here.
-pub fn track_key(branch: &Arc<Node>, session: SessionId, key: LeaseKey) -> KeyInFlight {
-    let mut inner = held(&branch.sessions().0);
+pub fn track_key(node: &Arc<Node>, session: SessionId, key: LeaseKey) -> KeyInFlight {
+    let mut inner = held(&node.sessions().0);
     let keys = inner.keys.entry(session).or_default();
     if keys.len() < MAX_HANDED_OVER_KEYS {
         keys.push(key);
     }
-    KeyInFlight(branch.clone(), session, key)
+    KeyInFlight(node.clone(), session, key)
 }
 
 /// A request is about to go to this place. Where its session is tied to nothing, or to an upstream that is gone, it is
 /// tied here from now on, before anything can have run there: whoever takes the session next finds that. False where
 /// somebody else has it now, or tied it elsewhere.
 pub async fn attempt_starting(
-    branch: &Arc<Node>,
-    desk: &RequestScheduler,
+    node: &Arc<Node>,
+    scheduler: &RequestScheduler,
     bound: &mut BoundSession,
     place: &Endpoint,
 ) -> bool {
-    bound.unplaced |= !bound.is_placed(desk);
+    bound.unplaced |= !bound.is_placed(scheduler);
     // Without the core nobody is kept waiting for it, as in `ask_for`.
-    if !bound.unplaced || bound.is_bound_to(&place.upstream_id) || branch.quorum_unreachable() {
+    if !bound.unplaced || bound.is_bound_to(&place.upstream_id) || node.quorum_unreachable() {
         return true;
     }
-    let tie =
+    let binding =
         SessionBinding { upstream_id: place.upstream_id.to_string(), inbound_proxy: place.inbound_proxy };
-    let was = bound.binding.as_ref().map(|tie| tie.upstream_id.clone());
-    let succeeds = was.is_some() && !bound.is_placed(desk);
-    let wish = SessionRequest::Bind { owner: bound.holder, current_upstream_id: was, binding: tie.clone() };
-    let Some(Some(agreed)) = ask(branch, bound.token.session, wish).await else { return true };
-    branch.sessions().learn(branch.clock.now(), bound.token.session, &agreed, branch.inbound_address());
+    let was = bound.binding.as_ref().map(|binding| binding.upstream_id.clone());
+    let succeeds = was.is_some() && !bound.is_placed(scheduler);
+    let wish =
+        SessionRequest::Bind { owner: bound.owner, current_upstream_id: was, binding: binding.clone() };
+    let Some(Some(agreed)) = ask(node, bound.token.session, wish).await else { return true };
+    node.sessions().learn(node.clock.now(), bound.token.session, &agreed, node.inbound_address());
     bound.first = None;
     let ours =
-        agreed.ownership.owner == Some(bound.holder) && agreed.ownership.binding.as_ref() == Some(&tie);
+        agreed.ownership.owner == Some(bound.owner) && agreed.ownership.binding.as_ref() == Some(&binding);
     if ours && succeeds {
-        held(&branch.sessions().0).counts.gone += 1;
+        held(&node.sessions().0).counts.gone += 1;
     }
     bound.binding = agreed.ownership.binding;
     ours
 }
 
 /// AffinityCounts a request of a session that ran well at this place.
-pub fn attempt_succeeded(branch: &Node, bound: &BoundSession, place: &Endpoint) {
-    let counts = &mut held(&branch.sessions().0).counts;
+pub fn attempt_succeeded(node: &Node, bound: &BoundSession, place: &Endpoint) {
+    let counts = &mut held(&node.sessions().0).counts;
     match &bound.binding {
-        Some(tie) if *tie.upstream_id == *place.upstream_id => counts.kept += 1,
+        Some(binding) if *binding.upstream_id == *place.upstream_id => counts.kept += 1,
         // The instance lives on there: it is but at capacity, or failed this once.
         Some(_) => counts.crowded += 1,
         None => {}
--- a/balancer/src/mesh/proxy/tests/connection_pool_tests.rs
+++ b/balancer/src/mesh/proxy/tests/connection_pool_tests.rs
@@ -75,13 +75,17 @@
 }
 
 /// Serves connections one after the other; tells which requests arrived whole, or their heads where it answers early.
-async fn upstream(listener: TcpListener, second: Second, came: tokio::sync::mpsc::UnboundedSender<String>) {
+async fn upstream(
+    listener: TcpListener,
+    second: Second,
+    received: tokio::sync::mpsc::UnboundedSender<String>,
+) {
     let mut first = true;
     while let Ok((mut stream, _)) = listener.accept().await {
-        let (came, on_first) = (came.clone(), std::mem::take(&mut first));
+        let (received, on_first) = (received.clone(), std::mem::take(&mut first));
         tokio::spawn(async move {
             let Some(id) = request(&mut stream, true).await else { return };
-            let _ = came.send(id.clone());
+            let _ = received.send(id.clone());
             answer(&mut stream, &id).await;
             if !on_first {
                 return;
@@ -92,7 +96,7 @@
                 _ => {}
             }
             let Some(next) = request(&mut stream, second != Second::Early).await else { return };
-            let _ = came.send(next.clone());
+            let _ = received.send(next.clone());
             match second {
                 Second::Answers => return answer(&mut stream, &next).await,
                 Second::Early => answer(&mut stream, &next).await,
@@ -119,7 +123,7 @@
 ) -> (Result<String, ExchangeError>, Result<String, ExchangeError>, Vec<String>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let at = listener.local_addr().expect("its address");
-    let (send, mut came) = tokio::sync::mpsc::unbounded_channel();
+    let (send, mut received) = tokio::sync::mpsc::unbounded_channel();
     let served = tokio::spawn(upstream(listener, second, send));
     let clock = Clock::new();
     let line = Arc::new(ConnectionPool::new(at, clock, Arc::new(Semaphore::new(8))));
@@ -140,7 +144,7 @@
     let (two, three) = (exchange("two", body).await, exchange("three", 3).await);
     served.abort();
     let mut arrived = Vec::new();
-    while let Ok(id) = came.try_recv() {
+    while let Ok(id) = received.try_recv() {
         arrived.push(id);
     }
     (two, three, arrived)
--- a/balancer/src/mesh/proxy/tests/inbound_tests.rs
+++ b/balancer/src/mesh/proxy/tests/inbound_tests.rs
@@ -46,7 +46,7 @@
     door: &Arc<InboundProxy>,
     id: &str,
     (turned, late_ms): (u32, u64),
-    pass: Option<FencingToken>,
+    fencing_token: Option<FencingToken>,
     part: Option<MemberShare>,
 ) -> tokio::task::JoinHandle<&'static str> {
     let mut head = hyper::Request::new(());
@@ -55,7 +55,7 @@
     let door = door.clone();
     tokio::spawn(async move {
         let (caller, now) = (HeaderValue::from_static("y"), door.clock.now());
-        let (aim, until) = (now + late_ms * MS, now + 20_000 * MS);
+        let (target, until) = (now + late_ms * MS, now + 20_000 * MS);
         let request = InboundRequest {
             message: &message,
             meant: "i-1",
@@ -66,8 +66,8 @@
             call: false,
             large: false,
             away: false,
-            pass,
-            aim,
+            fencing_token,
+            target,
             until,
             part,
         };
@@ -87,8 +87,8 @@
     (id.to_owned(), stream)
 }
 
-async fn answer(came: (String, tokio::net::TcpStream)) {
-    answer_with(came, "200 OK").await;
+async fn answer(received: (String, tokio::net::TcpStream)) {
+    answer_with(received, "200 OK").await;
 }
 
 async fn answer_with((id, mut stream): (String, tokio::net::TcpStream), status: &str) {
@@ -189,9 +189,9 @@
     assert_eq!((door.load(), held(&door.slots).waiting()), (3, 2));
     answer(hang.remove(0)).await;
     for id in ["f", "c"] {
-        let came = next(&upstream).await;
-        assert_eq!(came.0, id);
-        answer(came).await;
+        let received = next(&upstream).await;
+        assert_eq!(received.0, id);
+        answer(received).await;
     }
     for run in runs {
         assert_eq!(run.await.expect("no panic"), "ran");
@@ -207,10 +207,10 @@
             TERMS,
             HeaderValue::from_str(word).or(HeaderValue::from_bytes(word.as_bytes())).expect("a field"),
         );
-        let RequestTerms { aim_ms, turned, tied, again, call, large, part } =
+        let RequestTerms { target_ms, turned, tied, again, call, large, part } =
             RequestTerms::from_headers(&headers, 700);
         assert_eq!(tied, word.split(' ').nth(2).is_some_and(|letters| letters.contains('t')), "{word}");
-        (aim_ms, turned, again, call, large, part.map(|part| (part.share, part.member.to_string())))
+        (target_ms, turned, again, call, large, part.map(|part| (part.share, part.member.to_string())))
     };
     let of = |share, name: &str| Some((share, name.to_owned()));
     assert_eq!(read("250 2 acl"), (250, 2, true, true, true, None));
@@ -239,12 +239,12 @@
     let number = door.endpoint_record().sequence;
     assert!(door.endpoint_record().health.is_healthy());
     ran(24, &|nth| ["500 Broken", "200 OK"][nth % 2]).await;
-    let row = door.endpoint_record();
-    assert!(row.health.failure_level >= 1 && row.sequence > number, "{row:?}");
+    let record = door.endpoint_record();
+    assert!(record.health.failure_level >= 1 && record.sequence > number, "{record:?}");
     // Beats say that it is well, and count for nothing here.
     let app = upstream.local_addr().expect("its address");
     beat(&door, app, "i-1", 2, 2, "open_for_post");
-    assert_eq!(door.endpoint_record().health, row.health);
+    assert_eq!(door.endpoint_record().health, record.health);
     beat(&door, app, "i-2", 1, 2, "open_for_post");
     assert!(door.endpoint_record().health.is_healthy());
 }
@@ -325,14 +325,14 @@
     ];
     for (status, by, stand, found) in cases {
         let (door, upstream, app) = silent_door().await;
-        let row = EndpointRecord {
+        let record = EndpointRecord {
             service: "x".into(),
             upstream_id: "i-1".into(),
             state: stand,
             concurrency_limit: 1,
             ..door.endpoint_record()
         };
-        let finds = tokio::spawn(door.clone().probe_upstream(row, "/health".into()));
+        let finds = tokio::spawn(door.clone().probe_upstream(record, "/health".into()));
         let (mut stream, _) = upstream.accept().await.expect("a probe");
         let head = format!("HTTP/1.1 {status}\r\nochreshed-delivered-by: {by}\r\nconnection: close");
         let answer = format!("{head}\r\ncontent-length: 0\r\n\r\n");
--- a/balancer/src/mesh/proxy/tests/listener_tests.rs
+++ b/balancer/src/mesh/proxy/tests/listener_tests.rs
@@ -12,7 +12,7 @@
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let at = listener.local_addr().expect("its address");
     let (ajar, watch_ajar) = watch::channel(ListenerState::Open);
-    let (pass, pieces) = Pieces::new(Bytes::from_static(b"begins, "), Some(17));
+    let (sender, pieces) = Pieces::new(Bytes::from_static(b"begins, "), Some(17));
     let once = Arc::new(std::sync::Mutex::new(Some(pieces)));
     let answer = move |_: ReceivedRequest| {
         let pieces = once.lock().expect("a lock").take().expect("one req");
@@ -28,9 +28,9 @@
     }
     ajar.send_replace(ListenerState::Closed);
     sleep(DRAIN_READ_TIMEOUT * 5).await;
-    pass.send(Some(Bytes::from_static(b"ends well"))).await.expect("somebody reads");
+    sender.send(Some(Bytes::from_static(b"ends well"))).await.expect("somebody reads");
     // Its length was told: nobody asks for its end.
-    let _ = pass.send(None).await;
+    let _ = sender.send(None).await;
     client.read_to_end(&mut got).await.expect("an end");
     assert!(got.ends_with(b"begins, ends well"), "{}", String::from_utf8_lossy(&got));
     door.await.expect("no panic");
--- a/balancer/src/mesh/proxy/tests/outbound_tests.rs
+++ b/balancer/src/mesh/proxy/tests/outbound_tests.rs
@@ -90,7 +90,7 @@
 
 /// All that stands around the gate.
 struct Rig {
-    branch: Arc<Node>,
+    node: Arc<Node>,
     gate: SocketAddr,
     seen: Arc<Mutex<Seen>>,
     go: watch::Sender<bool>,
@@ -100,11 +100,11 @@
 struct Seen {
     script: VecDeque<Does>,
     /// What came to doors, with the upstream's life beside each, and how often a connection ended before all had come.
-    came: Vec<(&'static str, Message)>,
+    received: Vec<(&'static str, Message)>,
     cut: usize,
     /// Connections that ended before the answer.
     left: usize,
-    claims: VecDeque<CoreResponse>,
+    leases: VecDeque<CoreResponse>,
     asked: usize,
     settled: Vec<Option<LeaseOutcome>>,
     /// What comes by this path fails, whatever is to be done with others.
@@ -113,7 +113,7 @@
 
 const UPSTREAMS: [(&str, &str); 3] = [("i-1", "alpha"), ("i-2", "alpha"), ("i-3", "omega")];
 
-fn timetable() -> RegisterValue {
+fn configuration() -> RegisterValue {
     let route = |name: &str, host: &str, prefix: &str, kind: &str, line: &str| {
         format!(
             r#"{{"category":"routes","label":{{"name":"{name}"}},"manifest":{{"depot":"{host}","lane_prefix":"{prefix}",
@@ -155,24 +155,24 @@
         );
         (Name::from(*name), Arc::new(MemberDocument::read(text.as_bytes()).expect("a document")))
     };
-    let base = Configuration::read(&timetable().bytes).expect("a timetable");
+    let base = Configuration::read(&configuration().bytes).expect("a timetable");
     let laid = overlay(&base, &register, &members.iter().map(doc).collect());
     assert_eq!(laid.violations, []);
     AppliedConfiguration::new(laid.configuration, [("norte".into(), (4, true))].into())
 }
 
 impl Rig {
-    async fn new(script: &[Does], claims: &[CoreResponse]) -> Rig {
-        Rig::over(script, claims, None).await
+    async fn new(script: &[Does], leases: &[CoreResponse]) -> Rig {
+        Rig::over(script, leases, None).await
     }
 
-    async fn over(script: &[Does], claims: &[CoreResponse], laid: Option<AppliedConfiguration>) -> Rig {
+    async fn over(script: &[Does], leases: &[CoreResponse], laid: Option<AppliedConfiguration>) -> Rig {
         let text = "station = \"s\"\nrole = \"r\"\nip = \"127.0.0.1\"\nzone = \"a\"\nregion = \"r\"\n\
              inner_ports = [1, 1]\nline = \"beta\"\napp = \"127.0.0.1:1\"\n";
         let settings = Settings::parse(text).expect("settings");
         let clock = Clock::new();
-        let branch = Node::new(settings, SocketAddr::from(([127, 0, 0, 1], 1)), clock);
-        let seen = Seen { script: script.to_vec().into(), claims: claims.to_vec().into(), ..Seen::default() };
+        let node = Node::new(settings, SocketAddr::from(([127, 0, 0, 1], 1)), clock);
+        let seen = Seen { script: script.to_vec().into(), leases: leases.to_vec().into(), ..Seen::default() };
         let seen = Arc::new(Mutex::new(seen));
         let (go, wait) = watch::channel(false);
         let listen = || async {
@@ -180,11 +180,11 @@
             let at = listener.local_addr().expect("its address");
             (listener, at)
         };
-        let mut rows = Vec::new();
+        let mut records = Vec::new();
         for (id, line) in UPSTREAMS {
             let (listener, door) = listen().await;
             tokio::spawn(doors(listener, id, seen.clone(), wait.clone()));
-            rows.push(EndpointRecord {
+            records.push(EndpointRecord {
                 inbound_proxy: door,
                 incarnation: 1,
                 sequence: 1,
@@ -200,38 +200,47 @@
                 health: Default::default(),
             });
         }
-        let (inner, steward) = listen().await;
+        let (inner, replica) = listen().await;
         let asked = seen.clone();
         tokio::spawn(rpc::answer(inner, move |ask| {
             let got = steward_says(&mut held(&asked), ask);
             async move { got.map(InternalResponse::Core) }
         }));
-        branch.set_replicas(vec![steward]);
-        branch.apply_configuration(timetable());
+        node.set_replicas(vec![replica]);
+        node.apply_configuration(configuration());
         if let Some(laid) = laid {
-            branch.configuration.store(Some(Arc::new(laid)));
+            node.configuration.store(Some(Arc::new(laid)));
         }
-        branch.merge_records(0, rows, HashSet::new());
+        node.merge_records(0, records, HashSet::new());
         let (outer, gate) = listen().await;
         let bounds = ListenerLimits { max_connections: 64, header_timeout: Duration::from_secs(20) };
         let (ajar, ajar_now) = watch::channel(ListenerState::Open);
-        let of = branch.clone();
+        let of = node.clone();
         tokio::spawn(async move {
             let _open = ajar;
-            listener::serve(outer, clock, bounds, ajar_now, Arc::default(), move |came: ReceivedRequest| {
-                let branch = of.clone();
-                async move {
-                    let inside = RequestGuard::new(&branch);
-                    outbound::handle_request(branch.clone(), came).await.map(|flow| flow.holding(inside))
-                }
-            })
+            listener::serve(
+                outer,
+                clock,
+                bounds,
+                ajar_now,
+                Arc::default(),
+                move |received: ReceivedRequest| {
+                    let node = of.clone();
+                    async move {
+                        let inside = RequestGuard::new(&node);
+                        outbound::handle_request(node.clone(), received)
+                            .await
+                            .map(|flow| flow.holding(inside))
+                    }
+                },
+            )
             .await;
         });
-        Rig { branch, gate, seen, go }
+        Rig { node, gate, seen, go }
     }
 
     async fn send(&self, bytes: &[u8]) -> TcpStream {
-        self.branch.control_plane_heard(true);
+        self.node.control_plane_heard(true);
         let mut stream = TcpStream::connect(self.gate).await.expect("a connection");
         stream.write_all(bytes).await.expect("sent");
         stream
@@ -246,8 +255,8 @@
         self.answer(req(path, more).as_bytes()).await
     }
 
-    fn came(&self) -> Vec<(&'static str, Message)> {
-        held(&self.seen).came.clone()
+    fn received(&self) -> Vec<(&'static str, Message)> {
+        held(&self.seen).received.clone()
     }
 
     async fn until(&self, is: impl Fn(&Seen) -> bool) {
@@ -265,7 +274,7 @@
     match ask {
         InternalRequest::Core(CoreRequest::AcquireLease { .. }) => {
             seen.asked += 1;
-            Some(seen.claims.pop_front().unwrap_or(CoreResponse::Unavailable))
+            Some(seen.leases.pop_front().unwrap_or(CoreResponse::Unavailable))
         }
         InternalRequest::Core(CoreRequest::CompleteLease { outcome, .. }) => {
             seen.settled.push(outcome);
@@ -296,7 +305,7 @@
         let does = {
             let mut seen = held(&seen);
             let fails = seen.fails.is_some_and(|path| message.head.starts_with(&format!("POST {path}")));
-            seen.came.push((id, message));
+            seen.received.push((id, message));
             let does = if fails { Some(Does::Ran(500, "broken")) } else { seen.script.pop_front() };
             does.unwrap_or(Does::Ran(200, "well"))
         };
@@ -337,10 +346,10 @@
     for (path, more) in [("/again/", ""), ("/once/", ""), ("/keyed/", "Ochreshed-Tracking-Key: k\r\n")] {
         let rig = Rig::new(&[Waits(200, "late")], &[CoreResponse::LeaseGranted]).await;
         let mut stream = rig.send(req(path, more).as_bytes()).await;
-        rig.until(|seen| !seen.came.is_empty()).await;
-        rig.branch.start_draining(Duration::from_secs(5));
+        rig.until(|seen| !seen.received.is_empty()).await;
+        rig.node.start_draining(Duration::from_secs(5));
         let large = rig.call("/large/", "").await;
-        rig.branch.abort_requests();
+        rig.node.abort_requests();
         let answer = read(&mut stream).await.expect("an answer");
         let back = large.field("retry-after").is_some();
         all += &format!("{path}: {}, large {}, come back {back}\n", answer.status(), large.status());
@@ -354,7 +363,7 @@
     .assert_eq(&all);
     // Less time is left than a large answer needs, and than the client would wait.
     let rig = Rig::new(&[Waits(200, "late")], &[]).await;
-    rig.branch.start_draining(Duration::from_millis(300));
+    rig.node.start_draining(Duration::from_millis(300));
     assert_eq!(rig.call("/large/", "").await.status(), "503");
     assert_eq!(rig.call("/once/", "").await.status(), "504");
 }
@@ -388,7 +397,7 @@
     for (path, script) in cases {
         let rig = Rig::new(script, &[]).await;
         let answer = rig.call(path, "").await;
-        let came = rig.came();
+        let received = rig.received();
         let back = if answer.field("retry-after").is_some() { ", come back" } else { "" };
         let said = String::from_utf8_lossy(&answer.body).trim().to_owned();
         let told: Vec<String> = script
@@ -400,10 +409,14 @@
                 _ => "a stranger's 200".into(),
             })
             .collect();
-        all +=
-            &format!("{path} {}: {} {said:?}{back}, {} sent\n", told.join(", "), answer.status(), came.len());
+        all += &format!(
+            "{path} {}: {} {said:?}{back}, {} sent\n",
+            told.join(", "),
+            answer.status(),
+            received.len()
+        );
         assert_eq!(answer.field("ochreshed-consignment-id"), Some("7"));
-        assert!(came.windows(2).all(|two| two[0].0 != two[1].0), "each to another upstream");
+        assert!(received.windows(2).all(|two| two[0].0 != two[1].0), "each to another upstream");
     }
     expect![[r#"
         /once/ full, full: 503 "not run: come back", come back, 2 sent
@@ -477,7 +490,7 @@
         let body = String::from_utf8_lossy(&answer.body);
         let body: String = body.trim().chars().take(40).collect();
         let stamp = answer.field("ochreshed-postmark").map_or("no", |_| "a");
-        let sent = rig.came().len();
+        let sent = rig.received().len();
         all += &format!("{got}: {} {body:?}, {stamp} stamp, {sent} sent, {settled}\n", answer.status());
     }
     expect![[r#"
@@ -504,7 +517,7 @@
 async fn keyed_requests_are_refused_soon_while_claims_stay_unanswered() {
     let rig = Rig::new(&[], &[]).await;
     let silent = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    rig.branch.set_replicas(vec![silent.local_addr().expect("its address")]);
+    rig.node.set_replicas(vec![silent.local_addr().expect("its address")]);
     let took = async |key: &str| {
         let began = tokio::time::Instant::now();
         let fields = format!("Ochreshed-Tracking-Key: {key}\r\nOchreshed-Time-Left-Ms: 2000\r\n");
@@ -520,7 +533,7 @@
         soon += u32::from(took(&format!("k-{nth}")).await < first / 2);
     }
     assert!(soon >= 4, "{soon}");
-    assert!(rig.came().is_empty());
+    assert!(rig.received().is_empty());
 }
 
 /// Guards against reqs that go to another route's service, or on where there is no route.
@@ -540,11 +553,13 @@
     ];
     let mut all = String::new();
     for (host, path) in cases {
-        let before = rig.came().len();
+        let before = rig.received().len();
         let head = format!("GET {path} HTTP/1.1\r\nHost: {host}\r\nOchreshed-Consignment-Id: 7\r\n\r\n");
         let answer = rig.answer(head.as_bytes()).await;
-        let to =
-            rig.came().get(before).map_or("nobody", |(id, _)| if *id == "i-3" { "omega" } else { "alpha" });
+        let to = rig
+            .received()
+            .get(before)
+            .map_or("nobody", |(id, _)| if *id == "i-3" { "omega" } else { "alpha" });
         all += &format!("{host} {path}: {} {to}\n", answer.status());
     }
     expect![[r#"
@@ -582,7 +597,7 @@
     }
     let no_id = "GET /again/ HTTP/1.1\r\nHost: one.example\r\n\r\n";
     assert_eq!(rig.answer(no_id.as_bytes()).await.status(), "400");
-    assert_eq!(rig.came(), []);
+    assert_eq!(rig.received(), []);
     // A body in pieces, and a long one, come whole.
     let pieces =
         req("/again/", "Transfer-Encoding: chunked\r\n") + "5\r\nhello\r\n6;x=y\r\n world\r\n0\r\n\r\n";
@@ -591,7 +606,7 @@
     let mut bytes = req("/once/", "Content-Length: 300000\r\n").into_bytes();
     bytes.extend_from_slice(&long);
     assert_eq!(rig.answer(&bytes).await.status(), "200");
-    let bodies: Vec<Vec<u8>> = rig.came().into_iter().map(|(_, message)| message.body).collect();
+    let bodies: Vec<Vec<u8>> = rig.received().into_iter().map(|(_, message)| message.body).collect();
     assert!(
         bodies == [b"hello world".to_vec(), long],
         "{:?}",
@@ -606,7 +621,7 @@
     drop(rig.send(&bytes[..200_000]).await);
     rig.until(|seen| seen.cut > before).await;
     assert_eq!(rig.call("/again/", "").await.status(), "200");
-    assert_eq!(rig.came().len(), 3);
+    assert_eq!(rig.received().len(), 3);
 }
 
 /// Guards against a client that speaks for the system, and against fields of one connection that go on.
@@ -616,12 +631,12 @@
     let lies = "Ochreshed-Caller: nobody\r\nOchreshed-Addressee: i-9\r\nOchreshed-Knock: 1 9 acl\r\n\
         Ochreshed-Way: ran\r\nX-More: kept\r\nConnection: x-hop\r\nX-Hop: 1\r\nOchreshed-Time-Left-Ms: 5000\r\n";
     let answer = rig.call("/again/a%20b/?c=%2F", lies).await;
-    let (id, came) = rig.came().remove(0);
-    let field = |name| came.field(name).unwrap_or("-").to_owned();
+    let (id, received) = rig.received().remove(0);
+    let field = |name| received.field(name).unwrap_or("-").to_owned();
     let told =
         ["ochreshed-caller", "ochreshed-addressee", "x-more", "x-hop", "ochreshed-consignment-id"].map(field);
     assert_eq!(told, ["beta", id, "kept", "-", "7"]);
-    assert!(came.head.starts_with("POST /again/a%20b/?c=%2F HTTP/1.1\r\n"), "{}", came.head);
+    assert!(received.head.starts_with("POST /again/a%20b/?c=%2F HTTP/1.1\r\n"), "{}", received.head);
     // How late it may be, and that no door turned it away; none of the letters that the client wrote.
     let knock = field("ochreshed-knock");
     assert!(knock.split_once(' ').is_some_and(|(_, turned)| turned == "0"), "{knock}");
@@ -635,13 +650,13 @@
 async fn a_client_that_leaves_ends_its_req_unless_it_has_a_key() {
     let rig = Rig::new(&[Does::Waits(200, "late")], &[]).await;
     let stream = rig.send(req("/once/", "").as_bytes()).await;
-    rig.until(|seen| seen.came.len() == 1).await;
+    rig.until(|seen| seen.received.len() == 1).await;
     drop(stream);
     rig.until(|seen| seen.left == 1).await;
 
     let rig = Rig::new(&[Does::Waits(200, "late")], &[CoreResponse::LeaseGranted]).await;
     let stream = rig.send(req("/keyed/", "Ochreshed-Tracking-Key: k-1\r\n").as_bytes()).await;
-    rig.until(|seen| seen.came.len() == 1).await;
+    rig.until(|seen| seen.received.len() == 1).await;
     drop(stream);
     // Its gate looks at other reqs meanwhile, and has seen that it has gone.
     assert_eq!(rig.call("/again/", "").await.status(), "200");
@@ -678,13 +693,20 @@
         }
     }
     // A tenth of 260, and one; a fifth of that is the member's.
-    let sent = |path: &str| rig.came().iter().filter(|(_, came)| came.head.contains(path)).count();
+    let sent =
+        |path: &str| rig.received().iter().filter(|(_, received)| received.head.contains(path)).count();
     let (norte, sul, plain) = (sent("/norte/"), sent("/sul/"), sent("/again/"));
     assert!((104..=106).contains(&norte) && (sul, plain) == (52, 112), "{norte} {sul} {plain}");
     // Doors are told whose a req is and its part of the slots, for members' reqs only.
     let knocks = |path: &str| {
-        let came = rig.came().into_iter().filter(|(_, came)| came.head.contains(path)).map(|(_, came)| came);
-        came.map(|came| came.field("ochreshed-knock").unwrap_or_default().to_owned()).collect::<Vec<_>>()
+        let received = rig
+            .received()
+            .into_iter()
+            .filter(|(_, received)| received.head.contains(path))
+            .map(|(_, received)| received);
+        received
+            .map(|received| received.field("ochreshed-knock").unwrap_or_default().to_owned())
+            .collect::<Vec<_>>()
     };
     assert!(knocks("/sul/").iter().all(|knock| knock.ends_with(" 0.5 sul")), "{:?}", knocks("/sul/"));
     assert!(
@@ -693,7 +715,7 @@
             .all(|knock| knock.split(' ').count() == 3 - usize::from(!knock.ends_with('a')))
     );
     // What is told of it: by service in all, and by member.
-    let report = rig.branch.budget_report();
+    let report = rig.node.budget_report();
     let again = (norte - 100) as u32;
     let figures: Vec<_> = report.services.iter().map(|(name, of)| (&**name, of.first, of.retried)).collect();
     assert_eq!(figures, [("alpha", 260, again + 4)]);
@@ -724,20 +746,21 @@
     let rig = Rig::over(&[], &[], Some(of_members(&[("norte", 0.2, 20_000), ("sul", 0.2, 20_000)]))).await;
     let paths = ["/again/x", "/sul/x", "/norte/x"];
     let desks = || {
-        let timetable = rig.branch.configuration.load_full().expect("a timetable");
-        let desk = |path: &str| rig.branch.scheduler(&"alpha".into(), timetable.route("one.example", path)?);
-        paths.map(desk)
+        let configuration = rig.node.configuration.load_full().expect("a timetable");
+        let scheduler =
+            |path: &str| rig.node.scheduler(&"alpha".into(), configuration.route("one.example", path)?);
+        paths.map(scheduler)
     };
     for path in paths {
         assert_eq!(rig.call(path, "").await.status(), "200");
     }
     let before = desks();
     assert!(before.iter().all(Option::is_some));
-    let mut quiet = 0;
+    let mut suspected = 0;
     let mut changed = |members: &[(&str, f64, u64)]| {
-        rig.branch.configuration.store(Some(Arc::new(of_members(members))));
-        quiet += 1;
-        rig.branch.merge_records(0, Vec::new(), [SocketAddr::from(([10, 0, 0, 1], quiet))].into());
+        rig.node.configuration.store(Some(Arc::new(of_members(members))));
+        suspected += 1;
+        rig.node.merge_records(0, Vec::new(), [SocketAddr::from(([10, 0, 0, 1], suspected))].into());
         let after = desks();
         let same = |nth: usize| {
             before[nth].as_ref().zip(after[nth].as_ref()).is_some_and(|(one, other)| Arc::ptr_eq(one, other))
--- a/balancer/src/mesh/proxy/tests/request_scheduler_tests.rs
+++ b/balancer/src/mesh/proxy/tests/request_scheduler_tests.rs
@@ -25,15 +25,20 @@
         "route_kind":"resendable","deadline_ms":20000,"target_ms":10000,"post_class":1,"line":"a","tries":2}}"#;
     let line = r#"{"category":"mail_lines","label":{"name":"a"},"manifest":{"health":"/h","berth_cap":9}}"#;
     let text = format!(r#"{{"edition":"r1","consignments":[{route},{line}]}}"#);
-    let timetable = Configuration::read(text.as_bytes()).expect("a timetable");
-    ServiceSettings::new(&SchedulerPlan::for_configuration(&timetable)[0], gates, calls, &Bounds::default())
+    let configuration = Configuration::read(text.as_bytes()).expect("a timetable");
+    ServiceSettings::new(
+        &SchedulerPlan::for_configuration(&configuration)[0],
+        gates,
+        calls,
+        &Bounds::default(),
+    )
 }
 
-fn desk(was: Option<Arc<RequestScheduler>>, told: ServiceSettings) -> Arc<RequestScheduler> {
+fn scheduler(was: Option<Arc<RequestScheduler>>, told: ServiceSettings) -> Arc<RequestScheduler> {
     RequestScheduler::of(was, ("a".into(), told), Clock::new(), || 7, 10_000 * MS)
 }
 
-fn row(host: u8, zone: &str, stand: UpstreamState) -> EndpointRecord {
+fn record(host: u8, zone: &str, stand: UpstreamState) -> EndpointRecord {
     EndpointRecord {
         inbound_proxy: door(host),
         incarnation: 1,
@@ -55,63 +60,63 @@
     SocketAddr::from(([10, 1, 0, host], 8300))
 }
 
-fn list(desk: &RequestScheduler, rows: &[EndpointRecord], quiet: &[u8]) {
-    let rows: Vec<(EndpointRecord, Nanos)> = rows.iter().map(|row| (row.clone(), 1)).collect();
-    let quiet: HashSet<SocketAddr> = quiet.iter().map(|host| door(*host)).collect();
-    desk.update_endpoints(rows.iter(), &quiet, "a");
+fn list(scheduler: &RequestScheduler, records: &[EndpointRecord], suspected: &[u8]) {
+    let records: Vec<(EndpointRecord, Nanos)> = records.iter().map(|record| (record.clone(), 1)).collect();
+    let suspected: HashSet<SocketAddr> = suspected.iter().map(|host| door(*host)).collect();
+    scheduler.update_endpoints(records.iter(), &suspected, "a");
 }
 
-fn take(desk: &Arc<RequestScheduler>, again: bool) -> ScheduledRequest {
+fn take(scheduler: &Arc<RequestScheduler>, again: bool) -> ScheduledRequest {
     let now = Clock::new().now();
     let mut req = Req::new(0, "again-10000-1".into(), "".into(), now, now + 20_000 * MS);
     req.again = again;
-    desk.schedule(req)
+    scheduler.schedule(req)
 }
 
 /// Where it goes next, if it goes.
-async fn goes(turn: &mut ScheduledRequest) -> Option<(usize, String)> {
-    match turn.steps.recv().await {
+async fn goes(scheduled: &mut ScheduledRequest) -> Option<(usize, String)> {
+    match scheduled.steps.recv().await {
         Some(SchedulerAction::Send { number, srv, .. }) => {
-            turn.attempt_started();
+            scheduled.attempt_started();
             Some((number, srv.to_string()))
         }
         Some(SchedulerAction::Reject { .. } | SchedulerAction::Fail) => {
-            turn.finish();
+            scheduled.finish();
             None
         }
         other => panic!("{other:?}"),
     }
 }
 
-async fn one(desk: &Arc<RequestScheduler>, how: How) -> String {
-    let mut turn = take(desk, false);
-    let (number, srv) = goes(&mut turn).await.expect("sent");
-    turn.attempt_ended(number, how, MS, how == How::Done, None);
+async fn one(scheduler: &Arc<RequestScheduler>, how: How) -> String {
+    let mut scheduled = take(scheduler, false);
+    let (number, srv) = goes(&mut scheduled).await.expect("sent");
+    scheduled.attempt_ended(number, how, MS, how == How::Done, None);
     srv
 }
 
 /// Guards against reqs for upstreams that take none: closing, gone, beside an attendant that leaves or is quiet.
 #[tokio::test]
 async fn the_module_sends_only_to_those_that_take_reqs() {
-    let desk = desk(None, told(4, false));
-    let mut leaving = row(3, "a", UpstreamState::Serving);
+    let scheduler = scheduler(None, told(4, false));
+    let mut leaving = record(3, "a", UpstreamState::Serving);
     leaving.accepts_clients = false;
-    let mut none = row(6, "a", UpstreamState::Absent);
+    let mut none = record(6, "a", UpstreamState::Absent);
     none.upstream_id = String::new();
-    let rows = [
-        row(1, "a", UpstreamState::Serving),
-        row(2, "a", UpstreamState::Draining),
+    let records = [
+        record(1, "a", UpstreamState::Serving),
+        record(2, "a", UpstreamState::Draining),
         leaving,
-        row(4, "a", UpstreamState::Serving),
-        row(5, "b", UpstreamState::Serving),
+        record(4, "a", UpstreamState::Serving),
+        record(5, "b", UpstreamState::Serving),
         none,
-        row(7, "a", UpstreamState::Absent),
+        record(7, "a", UpstreamState::Absent),
     ];
-    let sent = async |quiet: &[u8]| {
-        list(&desk, &rows, quiet);
+    let sent = async |suspected: &[u8]| {
+        list(&scheduler, &records, suspected);
         let mut to = BTreeSet::new();
         for _ in 0..40 {
-            to.insert(one(&desk, How::Done).await);
+            to.insert(one(&scheduler, How::Done).await);
         }
         to
     };
@@ -123,35 +128,35 @@
     let back = sent(&[4]).await;
     assert!(back.contains("i-1") && !back.contains("i-4"), "{back:?}");
     // Nobody is left.
-    list(&desk, &rows, &[1, 4, 5]);
-    let mut turn = take(&desk, false);
-    let step = turn.steps.try_recv();
+    list(&scheduler, &records, &[1, 4, 5]);
+    let mut scheduled = take(&scheduler, false);
+    let step = scheduled.steps.try_recv();
     assert!(!matches!(step, Ok(SchedulerAction::Send { .. })), "{step:?}");
-    assert_eq!(desk.endpoint(&"i-5".into()).map(|place| place.inbound_proxy), Some(door(5)));
+    assert_eq!(scheduler.endpoint(&"i-5".into()).map(|place| place.inbound_proxy), Some(door(5)));
 }
 
 /// Guards against a door asked twice for one req, and against turned reqs that use up the allowance.
 #[tokio::test]
 async fn one_that_is_turned_away_goes_to_others_at_no_cost() {
-    let desk = desk(None, told(4, false));
-    list(&desk, &[1, 2, 3].map(|host| row(host, "a", UpstreamState::Serving)), &[]);
+    let scheduler = scheduler(None, told(4, false));
+    list(&scheduler, &[1, 2, 3].map(|host| record(host, "a", UpstreamState::Serving)), &[]);
     for _ in 0..20 {
-        let mut turn = take(&desk, false);
+        let mut scheduled = take(&scheduler, false);
         let mut to = BTreeSet::new();
-        while let Some((number, srv)) = goes(&mut turn).await {
+        while let Some((number, srv)) = goes(&mut scheduled).await {
             assert!(to.insert(srv), "twice to the same");
-            turn.attempt_ended(number, How::Turned, MS, false, None);
+            scheduled.attempt_ended(number, How::Turned, MS, false, None);
         }
         assert!(to.len() >= 2, "{to:?}");
     }
-    assert_eq!(desk.attempt_counts(), AttemptCounts { first: 20, retried: 0, denied: 0 });
+    assert_eq!(scheduler.attempt_counts(), AttemptCounts { first: 20, retried: 0, denied: 0 });
 }
 
 /// Guards against a member's desk that adds to what a service's reqs may be sent again, or takes others' part of it;
 /// that holds however often its module begins anew.
 #[tokio::test]
 async fn desks_of_one_service_have_what_one_would_have() {
-    let rows = [1, 2].map(|host| row(host, "a", UpstreamState::Serving));
+    let records = [1, 2].map(|host| record(host, "a", UpstreamState::Serving));
     let member = |tries| {
         let mut told = told(1, false);
         told.of_member("norte".into(), tries);
@@ -161,27 +166,27 @@
     let shares = Arc::new([(share.member.clone(), Arc::new(share))].into());
     let pool = Arc::new(Mutex::new(RetryPool::default()));
     held(&pool).divide(1, &shares);
-    let draws = |desk: Arc<RequestScheduler>| {
-        list(&desk, &rows, &[]);
-        desk.set_pool(Some(&pool));
-        desk
+    let draws = |scheduler: Arc<RequestScheduler>| {
+        list(&scheduler, &records, &[]);
+        scheduler.set_pool(Some(&pool));
+        scheduler
     };
-    let plain = draws(desk(None, told(1, false)));
-    let mut norte = draws(desk(None, member(2)));
-    let fails = async |desk: &Arc<RequestScheduler>| {
-        let mut turn = take(desk, false);
-        let (number, _) = goes(&mut turn).await.expect("sent");
-        turn.attempt_ended(number, How::Reset, MS, false, None);
-        let again = goes(&mut turn).await;
+    let plain = draws(scheduler(None, told(1, false)));
+    let mut norte = draws(scheduler(None, member(2)));
+    let fails = async |scheduler: &Arc<RequestScheduler>| {
+        let mut scheduled = take(scheduler, false);
+        let (number, _) = goes(&mut scheduled).await.expect("sent");
+        scheduled.attempt_ended(number, How::Reset, MS, false, None);
+        let again = goes(&mut scheduled).await;
         if let Some((number, _)) = again {
-            turn.attempt_ended(number, How::Reset, MS, true, None);
+            scheduled.attempt_ended(number, How::Reset, MS, true, None);
         }
         again.is_some()
     };
     // All of the member's fail, and its routes change all the time.
     for round in 0..100 {
         if round % 10 == 9 {
-            norte = draws(desk(Some(norte), member(2 + round)));
+            norte = draws(scheduler(Some(norte), member(2 + round)));
         }
         fails(&norte).await;
     }
@@ -202,34 +207,34 @@
 /// from what the module goes by.
 #[tokio::test]
 async fn calls_of_runs_sent_again_use_up_the_allowance() {
-    let rows = [1, 2].map(|host| row(host, "a", UpstreamState::Serving));
-    let fails = async |desk: &Arc<RequestScheduler>| {
-        let mut turn = take(desk, false);
-        let (number, _) = goes(&mut turn).await.expect("sent");
-        turn.attempt_ended(number, How::Reset, MS, false, None);
-        goes(&mut turn).await.is_some()
+    let records = [1, 2].map(|host| record(host, "a", UpstreamState::Serving));
+    let fails = async |scheduler: &Arc<RequestScheduler>| {
+        let mut scheduled = take(scheduler, false);
+        let (number, _) = goes(&mut scheduled).await.expect("sent");
+        scheduled.attempt_ended(number, How::Reset, MS, false, None);
+        goes(&mut scheduled).await.is_some()
     };
     // One may be sent again in a window at a gate that has sent little.
-    let fresh = desk(None, told(1, false));
-    list(&fresh, &rows, &[]);
+    let fresh = scheduler(None, told(1, false));
+    list(&fresh, &records, &[]);
     assert!(fails(&fresh).await);
     assert!(!fails(&fresh).await);
     assert_eq!(fresh.attempt_counts(), AttemptCounts { first: 2, retried: 1, denied: 1 });
     // A call of a run that was sent again has taken that.
-    let called = desk(None, told(1, false));
-    list(&called, &rows, &[]);
+    let called = scheduler(None, told(1, false));
+    list(&called, &records, &[]);
     let mut call = take(&called, true);
     let (number, _) = goes(&mut call).await.expect("sent");
     call.attempt_ended(number, How::Done, MS, true, None);
     assert!(!fails(&called).await);
     assert_eq!(called.attempt_counts(), AttemptCounts { first: 2, retried: 1, denied: 1 });
     // Where it calls others itself its errors are not ours to send again, whatever is allowed.
-    let middle = desk(Some(called), told(1, true));
-    list(&middle, &rows, &[]);
-    let mut turn = take(&middle, false);
-    let (number, _) = goes(&mut turn).await.expect("sent");
-    turn.attempt_ended(number, How::Error, MS, false, None);
-    assert_eq!(goes(&mut turn).await, None);
+    let middle = scheduler(Some(called), told(1, true));
+    list(&middle, &records, &[]);
+    let mut scheduled = take(&middle, false);
+    let (number, _) = goes(&mut scheduled).await.expect("sent");
+    scheduled.attempt_ended(number, How::Error, MS, false, None);
+    assert_eq!(goes(&mut scheduled).await, None);
     // What was counted before the module began anew is still told.
     assert_eq!(middle.attempt_counts(), AttemptCounts { first: 3, retried: 1, denied: 1 });
 }
