--- a/balancer/src/mesh/control/admin_api/leases.rs
+++ b/balancer/src/mesh/control/admin_api/leases.rs
@@ -9,7 +9,7 @@
 use super::response::AdminResponse;
 use super::snapshot::ReplicaSnapshot;
 use crate::mesh::control::replica_status::StoredLease;
-use crate::mesh::keys;
+use crate::mesh::proxy::lease_client;
 
 const NANOS_PER_MS: Nanos = 1_000_000;
 /// The token of a lease for which two replicas reported different holders; see `LeaseToken`.
@@ -62,7 +62,7 @@
 pub fn show(key: &str, stored: Option<&StoredLease>) -> AdminResponse {
     let mut entry = LeaseEntry {
         key,
-        hashed: format!("{:032x}", keys::key(key)),
+        hashed: format!("{:032x}", lease_client::hash_key(key)),
         state: "none",
         known_ms: stored.map(|stored| stored.age / NANOS_PER_MS),
         disputed: false,
--- a/balancer/src/mesh/control/admin_api/member_calls.rs
+++ b/balancer/src/mesh/control/admin_api/member_calls.rs
@@ -26,8 +26,8 @@
 use crate::mesh::control::member_documents::{DocumentName, MemberDocumentStore, MemberEdition};
 use crate::mesh::control::member_error::MemberError;
 use crate::mesh::control::replica_server::ReplicaServer;
-use crate::mesh::entry::Came;
-use crate::mesh::wire::{InternalRequest, InternalResponse};
+use crate::mesh::proxy::listener::ReceivedRequest;
+use crate::mesh::rpc::{InternalRequest, InternalResponse};
 
 const KEY_HEADER: &str = "ochreshed-member-key";
 /// How long other replicas are waited for when nodes are asked for.
@@ -52,10 +52,11 @@
     server: &ReplicaServer,
     call: MemberCall,
     member_name: &str,
-    received: Came,
+    received: ReceivedRequest,
     bodies: &Arc<Semaphore>,
 ) -> Result<String, MemberError> {
-    let key = received.req.headers().get(KEY_HEADER).map(|key| key.as_bytes().to_vec()).unwrap_or_default();
+    let key =
+        received.request.headers().get(KEY_HEADER).map(|key| key.as_bytes().to_vec()).unwrap_or_default();
     let member = authenticate(server, member_name, &key).await?;
     let limiter = server.members.change_limiter(&member.name);
     if call.is_change() {
@@ -138,7 +139,7 @@
 
 async fn read_sent_document(
     server: &ReplicaServer,
-    received: Came,
+    received: ReceivedRequest,
     bodies: &Arc<Semaphore>,
 ) -> Result<SentDocument, MemberError> {
     let bytes = read_body(received, bodies, server.clock).await;
--- a/balancer/src/mesh/control/admin_api/mod.rs
+++ b/balancer/src/mesh/control/admin_api/mod.rs
@@ -18,9 +18,9 @@
 use super::metrics;
 use super::replica_server::{ADMIN_CALL_TIMEOUT, ReplicaServer};
 use crate::clock::Clock;
-use crate::mesh::carry::Flow;
-use crate::mesh::door::call_of;
-use crate::mesh::entry::{self, Came};
+use crate::mesh::proxy::connection_pool::ResponseBody;
+use crate::mesh::proxy::inbound::call_and_subject;
+use crate::mesh::proxy::listener::{self, ReceivedRequest};
 
 mod budget;
 mod configuration;
@@ -50,15 +50,23 @@
 const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Answers a request at the control listener.
-pub async fn handle(server: Arc<ReplicaServer>, received: Came, bodies: Arc<Semaphore>) -> Response<Flow> {
-    if received.req.uri().path() == metrics::PATH {
+pub async fn handle(
+    server: Arc<ReplicaServer>,
+    received: ReceivedRequest,
+    bodies: Arc<Semaphore>,
+) -> Response<ResponseBody> {
+    if received.request.uri().path() == metrics::PATH {
         return replica_metrics::respond(&server).await;
     }
     handle_call(&server, received, &bodies).await.into()
 }
 
-async fn handle_call(server: &ReplicaServer, received: Came, bodies: &Arc<Semaphore>) -> AdminResponse {
-    let (name, of) = call_of(received.req.uri());
+async fn handle_call(
+    server: &ReplicaServer,
+    received: ReceivedRequest,
+    bodies: &Arc<Semaphore>,
+) -> AdminResponse {
+    let (name, of) = call_and_subject(received.request.uri());
     match AdminCall::from_name(&name) {
         AdminCall::ReadConfiguration => configuration::read(server).await,
         AdminCall::ReplaceConfiguration => match read_body(received, bodies, server.clock).await {
@@ -66,7 +74,7 @@
             Err(response) => response,
         },
         AdminCall::CountSessions => sessions::count(server).await,
-        AdminCall::Session => sessions::handle(server, received.req.uri()).await,
+        AdminCall::Session => sessions::handle(server, received.request.uri()).await,
         AdminCall::ReadMemberRegister => member_response(members::read(server).await),
         AdminCall::ReplaceMemberRegister => match read_body(received, bodies, server.clock).await {
             Ok(bytes) => member_response(members::replace(server, bytes).await),
@@ -77,7 +85,7 @@
             member_response(member_calls::handle(server, call, &member, received, bodies).await)
         }
         AdminCall::UnknownMemberCall => MemberError::UnknownCall.into(),
-        AdminCall::Query => match AdminQuery::parse(received.req.uri()) {
+        AdminCall::Query => match AdminQuery::parse(received.request.uri()) {
             Ok(query) => handle_query(server, &query).await,
             Err(error) => error.into(),
         },
@@ -89,9 +97,14 @@
 }
 
 /// Reads the body of a call; the error is the answer to it.
-async fn read_body(received: Came, bodies: &Arc<Semaphore>, clock: Clock) -> Result<Vec<u8>, AdminResponse> {
-    let (message, _permit) = entry::message(received, bodies, clock, MAX_BODY_BYTES, BODY_TIMEOUT).await?;
-    Ok(entry::whole(message, MAX_BODY_BYTES).await?)
+async fn read_body(
+    received: ReceivedRequest,
+    bodies: &Arc<Semaphore>,
+    clock: Clock,
+) -> Result<Vec<u8>, AdminResponse> {
+    let (message, _permit) =
+        listener::read_message(received, bodies, clock, MAX_BODY_BYTES, BODY_TIMEOUT).await?;
+    Ok(listener::read_body(message, MAX_BODY_BYTES).await?)
 }
 
 /// Answers a query from a snapshot. A drain is answered once the upstream's record says that it drains, and until then
--- a/balancer/src/mesh/control/admin_api/replica_metrics.rs
+++ b/balancer/src/mesh/control/admin_api/replica_metrics.rs
@@ -6,17 +6,17 @@
 use ochreshed_consensus::core::PeerStatus;
 
 use super::response::AdminResponse;
-use crate::mesh::carry::Flow;
 use crate::mesh::control::metrics::MetricsPage;
 use crate::mesh::control::replica_server::ReplicaServer;
 use crate::mesh::control::replica_status::ReplicaStatus;
+use crate::mesh::proxy::connection_pool::ResponseBody;
 
 /// The role's prefix of metrics' names.
 const ROLE: &str = "steward";
 const NANOS_PER_S: f64 = 1e9;
 
 /// Answers the fetch.
-pub async fn respond(server: &ReplicaServer) -> Response<Flow> {
+pub async fn respond(server: &ReplicaServer) -> Response<ResponseBody> {
     let Some(status) = server.status(None).await else { return AdminResponse::busy().into() };
     let endpoints = server.read_endpoints(|table| table.len());
     let suspects = server.suspects().len();
--- a/balancer/src/mesh/control/admin_api/request.rs
+++ b/balancer/src/mesh/control/admin_api/request.rs
@@ -11,7 +11,7 @@
 use ochreshed_consensus::messages::LeaseKey;
 use thiserror::Error;
 
-use crate::mesh::keys;
+use crate::mesh::proxy::lease_client;
 
 const RPC_PATH: &str = "/api/rpc";
 /// The longest key or id. No header that holds one is longer.
@@ -170,7 +170,7 @@
     #[must_use]
     pub fn lease_key(&self) -> Option<LeaseKey> {
         match &self.kind {
-            AdminQueryKind::Lease(key) => Some(keys::key(key)),
+            AdminQueryKind::Lease(key) => Some(lease_client::hash_key(key)),
             _ => None,
         }
     }
--- a/balancer/src/mesh/control/admin_api/response.rs
+++ b/balancer/src/mesh/control/admin_api/response.rs
@@ -9,9 +9,9 @@
 use serde::Serialize;
 
 use super::request::AdminRequestError;
-use crate::mesh::carry::Flow;
 use crate::mesh::control::member_error::MemberError;
-use crate::mesh::entry::{self, Bad, say};
+use crate::mesh::proxy::connection_pool::ResponseBody;
+use crate::mesh::proxy::listener::{self, RequestError, plain_response};
 
 /// The answer to an operator's call.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -63,18 +63,18 @@
     }
 }
 
-impl From<Bad> for AdminResponse {
-    fn from(Bad(status, message): Bad) -> AdminResponse {
+impl From<RequestError> for AdminResponse {
+    fn from(RequestError(status, message): RequestError) -> AdminResponse {
         AdminResponse::error(status, message)
     }
 }
 
-impl From<AdminResponse> for Response<Flow> {
-    fn from(response: AdminResponse) -> Response<Flow> {
+impl From<AdminResponse> for Response<ResponseBody> {
+    fn from(response: AdminResponse) -> Response<ResponseBody> {
         match response {
-            AdminResponse::Json(text) => entry::json(200, text),
+            AdminResponse::Json(text) => listener::json_response(200, text),
             AdminResponse::Error { status, message, retry_after_s } => {
-                let mut response = say(status, &message);
+                let mut response = plain_response(status, &message);
                 if let Some(seconds) = retry_after_s {
                     response.headers_mut().insert(RETRY_AFTER, HeaderValue::from(seconds));
                 }
--- a/balancer/src/mesh/control/budget_reports.rs
+++ b/balancer/src/mesh/control/budget_reports.rs
@@ -20,7 +20,7 @@
 use ochreshed_traffic::retry_budget::BudgetReports;
 use tokio::time::Instant;
 
-use crate::mesh::wire::{Callers, InternalRequest, InternalResponse, WatchRequest, WatchResponse};
+use crate::mesh::rpc::{InternalRequest, InternalResponse, RpcClients, WatchRequest, WatchResponse};
 
 const NANOS_PER_MS: Nanos = 1_000_000;
 /// How long other replicas are waited for when reports are collected.
@@ -98,7 +98,7 @@
 
 /// Adds to `collected` what the `peers` have received, in the order in which they answer.
 pub async fn collect_from_peers(
-    callers: &Callers,
+    callers: &RpcClients,
     peers: Vec<SocketAddr>,
     now: Nanos,
     mut collected: CollectedReports,
@@ -112,7 +112,7 @@
     collected
 }
 
-async fn request_reports(callers: &Callers, peer: SocketAddr) -> Option<WatchResponse> {
+async fn request_reports(callers: &RpcClients, peer: SocketAddr) -> Option<WatchResponse> {
     let watch = watch_server::replica_watch_request(TablePosition::default());
     let request = WatchRequest { max_wait_ms: 0, reports_only: true, ..watch };
     match callers.to(peer).call(InternalRequest::Watch(request), COLLECT_TIMEOUT).await {
--- a/balancer/src/mesh/control/metrics.rs
+++ b/balancer/src/mesh/control/metrics.rs
@@ -11,8 +11,8 @@
 use prometheus_client::metrics::gauge::ConstGauge;
 use prometheus_client::registry::Registry;
 
-use crate::mesh::carry::Flow;
-use crate::mesh::entry::say;
+use crate::mesh::proxy::connection_pool::ResponseBody;
+use crate::mesh::proxy::listener::plain_response;
 
 /// The path at which metrics are fetched.
 pub const PATH: &str = "/metrics";
@@ -44,12 +44,12 @@
     }
 
     /// Encodes the page as the response to the fetch.
-    pub fn into_response(self) -> Response<Flow> {
+    pub fn into_response(self) -> Response<ResponseBody> {
         let mut text = String::new();
         if encode(&mut text, &self.0).is_err() {
-            return say(500, "the figures can't be written");
+            return plain_response(500, "the figures can't be written");
         }
-        let mut response = Response::new(Flow::of(text));
+        let mut response = Response::new(ResponseBody::of(text));
         response.headers_mut().insert("content-type", HeaderValue::from_static(CONTENT_TYPE));
         response
     }
--- a/balancer/src/mesh/control/peer_watch.rs
+++ b/balancer/src/mesh/control/peer_watch.rs
@@ -16,7 +16,7 @@
 use tokio::time::sleep;
 
 use super::replica_server::ReplicaServer;
-use crate::mesh::wire::{InternalRequest, InternalResponse, WatchResponse};
+use crate::mesh::rpc::{InternalRequest, InternalResponse, WatchResponse};
 
 /// How often the set of peers is compared with the replicas that the core knows.
 const PEERS_CHECK_INTERVAL: Duration = Duration::from_nanos(watch_server::SUSPECT_CHECK_INTERVAL);
--- a/balancer/src/mesh/control/replica_server.rs
+++ b/balancer/src/mesh/control/replica_server.rs
@@ -33,8 +33,8 @@
 use super::replica_status::ReplicaStatus;
 use crate::clock::Clock;
 use crate::link::held;
+use crate::mesh::rpc::{InternalRequest, InternalResponse, RpcClients, WatchRequest, WatchResponse};
 use crate::mesh::settings::Settings;
-use crate::mesh::wire::{Callers, InternalRequest, InternalResponse, WatchRequest, WatchResponse};
 
 /// How long another process may wait for the core's response.
 const CORE_REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
@@ -67,7 +67,7 @@
     pub recovery_time: RecoveryTime,
     pub disk_writes: Arc<DiskWriteCounts>,
     /// Connections to other processes.
-    pub callers: Callers,
+    pub callers: RpcClients,
     published: ArcSwap<PublishedState>,
     watches: Mutex<WatchServer>,
     /// What proxies reported to this replica.
@@ -94,7 +94,7 @@
             members: MemberDirectory::default(),
             recovery_time: RecoveryTime::default(),
             disk_writes: Arc::default(),
-            callers: Callers::default(),
+            callers: RpcClients::default(),
             published: ArcSwap::default(),
             watches: Mutex::new(WatchServer::new(rand::random())),
             reports: Mutex::default(),
--- a/balancer/src/mesh/control/settings_reload.rs
+++ b/balancer/src/mesh/control/settings_reload.rs
@@ -12,7 +12,7 @@
 use tokio::time::sleep;
 
 use super::replica_server::{ReplicaEvent, ReplicaServer};
-use crate::mesh::attendant::seeds;
+use crate::mesh::proxy::node::seeds;
 use crate::mesh::settings::Settings;
 
 /// How often the file is read without a signal.
--- a/balancer/src/mesh/control/startup.rs
+++ b/balancer/src/mesh/control/startup.rs
@@ -28,10 +28,10 @@
 use super::replica_server::{ReplicaEvent, ReplicaServer};
 use super::{admin_api, canary_monitor, peer_watch, settings_reload, suspect_monitor};
 use crate::clock::Clock;
-use crate::mesh::attendant::seeds;
-use crate::mesh::entry::{self, Ajar, Bounds};
+use crate::mesh::proxy::listener::{self, ListenerLimits, ListenerState};
+use crate::mesh::proxy::node::seeds;
 use crate::mesh::settings::{Settings, SettingsError};
-use crate::mesh::{start, wire};
+use crate::mesh::{rpc, start};
 
 /// Leases are kept for so much longer than the window in which a key runs once, since the clocks and timeouts of the
 /// proxies are not exact.
@@ -99,7 +99,7 @@
     let server = Arc::new(ReplicaServer::new(clock, address, settings, events));
     let internal_listener = bind(address).await?;
     let admin_listener = bind(admin_address).await?;
-    let (admin_state, admin_state_receiver) = watch::channel(Ajar::Open);
+    let (admin_state, admin_state_receiver) = watch::channel(ListenerState::Open);
     spawn_admin_api(&server, admin_listener, admin_state_receiver, bodies);
     spawn_tasks(&server, internal_listener, path);
     let mut terminate = signal(SignalKind::terminate()).map_err(StartError::Signals)?;
@@ -155,18 +155,19 @@
 fn spawn_admin_api(
     server: &Arc<ReplicaServer>,
     listener: TcpListener,
-    state: watch::Receiver<Ajar>,
+    state: watch::Receiver<ListenerState>,
     bodies: Arc<Semaphore>,
 ) {
-    let limits = Bounds { callers: MAX_ADMIN_CONNECTIONS, head: ADMIN_HEAD_TIMEOUT };
+    let limits =
+        ListenerLimits { max_connections: MAX_ADMIN_CONNECTIONS, header_timeout: ADMIN_HEAD_TIMEOUT };
     let (clock, server) = (server.clock, server.clone());
     let handle = move |received| admin_api::handle(server.clone(), received, bodies.clone());
-    tokio::spawn(entry::keep(listener, clock, limits, state, Arc::default(), handle));
+    tokio::spawn(listener::serve(listener, clock, limits, state, Arc::default(), handle));
 }
 
 fn spawn_tasks(server: &Arc<ReplicaServer>, internal_listener: TcpListener, settings_path: PathBuf) {
     let internal_server = server.clone();
-    tokio::spawn(wire::answer(internal_listener, move |request| internal_server.clone().handle(request)));
+    tokio::spawn(rpc::answer(internal_listener, move |request| internal_server.clone().handle(request)));
     tokio::spawn(suspect_monitor::monitor_suspects(server.clone()));
     tokio::spawn(peer_watch::watch_peers(server.clone()));
     tokio::spawn(settings_reload::reload_settings(server.clone(), settings_path));
@@ -178,7 +179,7 @@
 async fn hand_over_when_terminated(
     server: &ReplicaServer,
     terminate: &mut Signal,
-    admin_state: &watch::Sender<Ajar>,
+    admin_state: &watch::Sender<ListenerState>,
 ) {
     terminate.recv().await;
     log::info!("termination requested");
@@ -189,7 +190,7 @@
     while began.elapsed() < handover && !server.published().may_stop {
         sleep(HANDOVER_CHECK_INTERVAL).await;
     }
-    admin_state.send_replace(Ajar::Closed);
+    admin_state.send_replace(ListenerState::Closed);
     sleep(RESPONSE_DRAIN).await;
     log::info!("stopped: after_ms={}", began.elapsed().as_millis());
 }
--- a/balancer/src/mesh/mod.rs
+++ b/balancer/src/mesh/mod.rs
@@ -1,33 +1,14 @@
 //! The mesh's roles on sockets: the attendant beside an upstream and its clients, and the steward of the core. It owns
 //! how they start; what they decide together is in `ochreshed-catalog`, `ochreshed-traffic` and in the module.
 
-mod attendant;
-mod berths;
-mod carry;
-#[cfg(test)]
-mod carry_tests;
 mod command_line;
 mod control;
-mod desk;
-#[cfg(test)]
-mod desk_tests;
-mod door;
-mod entry;
-mod fence;
-mod gate;
-#[cfg(test)]
-mod gate_tests;
-mod headers;
 mod hollow;
-mod inbound_request;
-mod keys;
-mod news;
 mod operator_client;
-mod seats;
-mod sessions;
+mod proxy;
+mod rpc;
 mod settings;
 mod start;
-mod wire;
 
 use std::process::ExitCode;
 
@@ -37,7 +18,7 @@
 /// Carries out a command of the mesh's; an error is a plain line for whoever started the program.
 pub fn run(command: Result<Command, CommandLineError>) -> Result<ExitCode, String> {
     match command {
-        Ok(Command::Attendant { settings }) => attendant::run(settings).map_err(|why| why.to_string()),
+        Ok(Command::Attendant { settings }) => proxy::run(settings).map_err(|why| why.to_string()),
         Ok(Command::Steward { settings }) => control::run(settings).map_err(|why| why.to_string()),
         Ok(Command::Settings { settings }) => {
             operator_client::settings(settings).map_err(|why| why.to_string())
--- a/balancer/src/mesh/operator_client/mod.rs
+++ b/balancer/src/mesh/operator_client/mod.rs
@@ -15,9 +15,9 @@
 use member_documents::Key;
 
 use super::command_line::{ClientCommand, ConfigurationCommand, SessionAction, SessionCommand};
-use super::sessions;
 use super::settings::{Settings, SettingsError, SettingsIssue};
 use crate::asking::{self, AskError};
+use crate::mesh::proxy::session_affinity;
 
 /// A timetable is no longer than this.
 const MOST_FILE: u64 = 32 << 20;
@@ -144,7 +144,7 @@
         ClientCommand::SessionCounts => one(at, json, "sessions.count", session_counts)?,
         ClientCommand::Session(SessionCommand { action, id, service, header }) => {
             // The value that names a person goes no further than this.
-            let of = sessions::name(&service, &header, &id);
+            let of = session_affinity::session_id(&service, &header, &id);
             let what = match action {
                 SessionAction::Show => format!("sessions.show&of={of:032x}"),
                 SessionAction::Move { target } => format!("sessions.move&of={of:032x}&to={target}"),
