--- /dev/null
+++ b/balancer/src/mesh/control/admin_api/body.rs
@@ -0,0 +1,28 @@
+//! Reads the bodies of operators' calls.
+//!
+//! Invariants: a body longer than [`MAX_BODY_BYTES`] is rejected, before it is read if its length is announced.
+
+use std::sync::Arc;
+use std::time::Duration;
+
+use tokio::sync::Semaphore;
+
+use super::response::AdminResponse;
+use crate::clock::Clock;
+use crate::mesh::entry::{self, Came};
+
+/// The longest body of a call.
+const MAX_BODY_BYTES: u64 = 32 << 20;
+/// How long the first part of a body may take.
+const BODY_TIMEOUT: Duration = Duration::from_secs(10);
+
+/// Reads the body of a call; the error is the answer to it. `bodies` limits the memory of all bodies that are read at a
+/// time.
+pub async fn read_body(
+    received: Came,
+    bodies: &Arc<Semaphore>,
+    clock: Clock,
+) -> Result<Vec<u8>, AdminResponse> {
+    let (message, _permit) = entry::message(received, bodies, clock, MAX_BODY_BYTES, BODY_TIMEOUT).await?;
+    Ok(entry::whole(message, MAX_BODY_BYTES).await?)
+}
--- a/balancer/src/mesh/control/admin_api/budget.rs
+++ b/balancer/src/mesh/control/admin_api/budget.rs
@@ -25,9 +25,11 @@
     window_ms: u64,
     retry_ratio: f64,
     retry_slack: f64,
-    /// Proxies that accept clients, and how many reports are summed up.
-    gates: usize,
-    gates_told: usize,
+    /// Proxies that accept clients, and how many proxies' reports are summed up.
+    #[serde(rename = "gates")]
+    proxies: usize,
+    #[serde(rename = "gates_told")]
+    reporting_proxies: usize,
     /// Replicas that could not be asked for the reports that they received.
     #[serde(rename = "silent")]
     unreachable_replicas: &'s [SocketAddr],
@@ -41,14 +43,20 @@
 struct MemberEntry {
     member: Name,
     edition: String,
-    trial: bool,
-    /// First attempts in the window, then retries, retries denied for want of budget, and requests rejected.
-    first: u32,
-    again: u32,
-    refused: u32,
-    turned: u32,
-    /// Requests that succeeded and that failed.
-    well: u32,
+    #[serde(rename = "trial")]
+    canary: bool,
+    /// In the window of the budget.
+    #[serde(rename = "first")]
+    first_attempts: u32,
+    #[serde(rename = "again")]
+    retries: u32,
+    /// Retries that the budget did not allow.
+    #[serde(rename = "refused")]
+    denied_retries: u32,
+    #[serde(rename = "turned")]
+    rejected: u32,
+    #[serde(rename = "well")]
+    succeeded: u32,
     failed: u32,
 }
 
@@ -57,12 +65,12 @@
         MemberEntry {
             member: edition.member,
             edition: format!("r{}", edition.version),
-            trial: edition.canary,
-            first: counts.first,
-            again: counts.retried,
-            refused: counts.denied,
-            turned: counts.rejected,
-            well: counts.succeeded,
+            canary: edition.canary,
+            first_attempts: counts.first,
+            retries: counts.retried,
+            denied_retries: counts.denied,
+            rejected: counts.rejected,
+            succeeded: counts.succeeded,
             failed: counts.failed,
         }
     }
@@ -72,13 +80,19 @@
 struct ServiceEntry {
     service: String,
     upstreams: usize,
-    /// First attempts in the window, then retries, and retries denied for want of budget.
-    first: u32,
-    again: u32,
-    refused: u32,
-    /// How many retries the budget allows in the window, and how many of them are left.
-    allowed: f64,
-    left: f64,
+    /// In the window of the budget.
+    #[serde(rename = "first")]
+    first_attempts: u32,
+    #[serde(rename = "again")]
+    retries: u32,
+    /// Retries that the budget did not allow.
+    #[serde(rename = "refused")]
+    denied_retries: u32,
+    /// How many retries the budget allows in the window, and that less those made; may be below zero.
+    #[serde(rename = "allowed")]
+    retries_allowed: f64,
+    #[serde(rename = "left")]
+    retries_left: f64,
 }
 
 /// A service's upstreams and attempts.
@@ -103,8 +117,8 @@
         window_ms,
         retry_ratio: limits.retry_ratio,
         retry_slack: limits.retry_slack,
-        gates: serving_proxies.count(),
-        gates_told: reporting_proxies,
+        proxies: serving_proxies.count(),
+        reporting_proxies,
         unreachable_replicas: &snapshot.reports.unreachable_replicas,
         services: services.map(|(service, usage)| service_entry(service, &usage, limits)).collect(),
         members: outcomes.into_iter().take(MAX_ENTRIES).map(MemberEntry::from).collect(),
@@ -140,11 +154,11 @@
     ServiceEntry {
         service,
         upstreams: usage.upstreams,
-        first: attempts.first,
-        again: attempts.retried,
-        refused: attempts.denied,
-        allowed: round_to_tenths(allowed),
-        left: round_to_tenths(left),
+        first_attempts: attempts.first,
+        retries: attempts.retried,
+        denied_retries: attempts.denied,
+        retries_allowed: round_to_tenths(allowed),
+        retries_left: round_to_tenths(left),
     }
 }
 
--- a/balancer/src/mesh/control/admin_api/configuration.rs
+++ b/balancer/src/mesh/control/admin_api/configuration.rs
@@ -1,39 +1,22 @@
 //! `timetable.replace`, `timetable.read` and `timetable.history`: the operator's configuration.
 //!
-//! Main type: [`StoredVersion`], a version on this replica's disk.
-//!
 //! Invariants: a configuration is validated before the core sees it, and acknowledged only once a quorum holds it on disk.
 
-use std::ffi::OsStr;
-use std::path::Path;
 use std::sync::Arc;
-use std::time::{Duration, UNIX_EPOCH};
+use std::time::Duration;
 
-use ochreshed_consensus::messages::{CoreRequest, CoreResponse, RegisterValue, Revision};
+use ochreshed_consensus::messages::{CoreRequest, CoreResponse, RegisterValue};
 use ochreshed_mesh::configuration::Configuration;
 use serde::Serialize;
 
+use super::configuration_history::StoredVersion;
 use super::response::AdminResponse;
 use super::snapshot::{MAX_ENTRIES, ReplicaSnapshot};
 use crate::mesh::control::replica_server::{ADMIN_CALL_TIMEOUT, ReplicaServer};
 
-/// The folder of the configuration's versions within `data_dir`.
-const HISTORY_FOLDER: &str = "timetable";
-/// How many files of that folder are looked at.
-const MAX_HISTORY_FILES: usize = 1_000;
 /// How long a change waits for the core while this replica hears no quorum: most likely there is none to wait for.
 const NO_QUORUM_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// A version of the configuration in a file on this disk.
-#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct StoredVersion {
-    pub revision: Revision,
-    /// The file's length.
-    pub bytes: u64,
-    /// When the file was written, by this machine's clock, in Unix milliseconds.
-    pub written_ms: u64,
-}
-
 #[derive(Serialize)]
 struct HistoryList {
     versions: Vec<VersionEntry>,
@@ -94,32 +77,3 @@
     let versions = snapshot.stored_versions.iter().take(MAX_ENTRIES).map(entry).collect();
     AdminResponse::json(&HistoryList { versions })
 }
-
-/// The versions whose files are complete by their names, the latest first. It blocks on the disk, so it is to be called
-/// off the runtime's thread.
-pub fn stored_versions(data_dir: &Path) -> std::io::Result<Vec<StoredVersion>> {
-    let mut versions = Vec::new();
-    for file in std::fs::read_dir(data_dir.join(HISTORY_FOLDER))?.take(MAX_HISTORY_FILES) {
-        let file = file?;
-        let Some(revision) = revision_of_file(&file.file_name()) else { continue };
-        // The file may have been removed in the meantime.
-        let Ok(metadata) = file.metadata() else { continue };
-        let written = metadata.modified().ok().and_then(|time| time.duration_since(UNIX_EPOCH).ok());
-        let written_ms = written.map_or(0, |since_epoch| since_epoch.as_millis() as u64);
-        versions.push(StoredVersion { revision, bytes: metadata.len(), written_ms });
-    }
-    versions.sort();
-    versions.reverse();
-    Ok(versions)
-}
-
-/// The revision in the name of a file, as in `r12-00000000000000ff.json`.
-fn revision_of_file(name: &OsStr) -> Option<Revision> {
-    let revision = name.to_str()?.strip_prefix('r')?.strip_suffix(".json")?;
-    let (version, digest) = revision.split_once('-')?;
-    let is_hex = |text: &str| text.bytes().all(|byte| byte.is_ascii_hexdigit());
-    if !is_hex(version) || !is_hex(digest) {
-        return None;
-    }
-    Some(Revision::new(version.parse().ok()?, u64::from_str_radix(digest, 16).ok()?))
-}
--- a/balancer/src/mesh/control/admin_api/leases.rs
+++ b/balancer/src/mesh/control/admin_api/leases.rs
@@ -17,14 +17,21 @@
 
 #[derive(Serialize)]
 struct LeaseCountsEntry {
-    open: usize,
-    unknown: usize,
-    done: usize,
-    oldest_open_ms: Option<u64>,
-    answer_bytes: usize,
-    most_answer_bytes: usize,
+    #[serde(rename = "open")]
+    pending: usize,
+    #[serde(rename = "unknown")]
+    indeterminate: usize,
+    #[serde(rename = "done")]
+    completed: usize,
+    #[serde(rename = "oldest_open_ms")]
+    oldest_pending_ms: Option<u64>,
+    #[serde(rename = "answer_bytes")]
+    response_bytes: usize,
+    #[serde(rename = "most_answer_bytes")]
+    max_response_bytes: usize,
     /// Since the replica's start.
-    answers_dropped: u64,
+    #[serde(rename = "answers_dropped")]
+    responses_dropped: u64,
     disk_writes: u64,
     disk_records: u64,
 }
@@ -46,13 +53,13 @@
 pub fn count(snapshot: &ReplicaSnapshot) -> AdminResponse {
     let status = &snapshot.status;
     AdminResponse::json(&LeaseCountsEntry {
-        open: status.lease_counts.pending,
-        unknown: status.lease_counts.indeterminate,
-        done: status.lease_counts.completed,
-        oldest_open_ms: status.oldest_pending_lease_age.map(|age| age / NANOS_PER_MS),
-        answer_bytes: status.response_cache.bytes,
-        most_answer_bytes: status.response_cache.max_bytes,
-        answers_dropped: status.response_cache.dropped,
+        pending: status.lease_counts.pending,
+        indeterminate: status.lease_counts.indeterminate,
+        completed: status.lease_counts.completed,
+        oldest_pending_ms: status.oldest_pending_lease_age.map(|age| age / NANOS_PER_MS),
+        response_bytes: status.response_cache.bytes,
+        max_response_bytes: status.response_cache.max_bytes,
+        responses_dropped: status.response_cache.dropped,
         disk_writes: snapshot.disk_writes,
         disk_records: snapshot.disk_records,
     })
--- a/balancer/src/mesh/control/admin_api/member_calls.rs
+++ b/balancer/src/mesh/control/admin_api/member_calls.rs
@@ -19,7 +19,7 @@
 use sha2::{Digest, Sha256};
 use tokio::sync::{MutexGuard, Semaphore};
 
-use super::read_body;
+use super::body::read_body;
 use super::request::MemberCall;
 use crate::mesh::control::member_changes::{self, CommittedMember, DocumentChange};
 use crate::mesh::control::member_directory::ChangeLimiter;
--- a/balancer/src/mesh/control/admin_api/mod.rs
+++ b/balancer/src/mesh/control/admin_api/mod.rs
@@ -17,13 +17,14 @@
 use super::member_error::MemberError;
 use super::metrics;
 use super::replica_server::{ADMIN_CALL_TIMEOUT, ReplicaServer};
-use crate::clock::Clock;
 use crate::mesh::carry::Flow;
 use crate::mesh::door::call_of;
-use crate::mesh::entry::{self, Came};
+use crate::mesh::entry::Came;
 
+mod body;
 mod budget;
 mod configuration;
+mod configuration_history;
 mod drain;
 mod leases;
 mod member_calls;
@@ -36,16 +37,12 @@
 mod snapshot;
 mod upstreams;
 
-use configuration::StoredVersion;
-use drain::DrainOutcome;
+use body::read_body;
+use configuration_history::StoredVersion;
 use request::{AdminCall, AdminQuery, AdminQueryKind};
-use response::AdminResponse;
+use response::{AdminResponse, QueryOutcome};
 use snapshot::ReplicaSnapshot;
 
-/// The longest body of a call.
-const MAX_BODY_BYTES: u64 = 32 << 20;
-/// How long the first part of a body may take.
-const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 /// How often the endpoint table is looked at while a drain is pending.
 const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
@@ -88,12 +85,6 @@
     result.map_or_else(AdminResponse::from, AdminResponse::Json)
 }
 
-/// Reads the body of a call; the error is the answer to it.
-async fn read_body(received: Came, bodies: &Arc<Semaphore>, clock: Clock) -> Result<Vec<u8>, AdminResponse> {
-    let (message, _permit) = entry::message(received, bodies, clock, MAX_BODY_BYTES, BODY_TIMEOUT).await?;
-    Ok(entry::whole(message, MAX_BODY_BYTES).await?)
-}
-
 /// Answers a query from a snapshot. A drain is answered once the upstream's record says that it drains, and until then
 /// takes one snapshot after another.
 async fn handle_query(server: &ReplicaServer, query: &AdminQuery) -> AdminResponse {
@@ -104,9 +95,11 @@
             Err(response) => return response,
         };
         match answer(query, &snapshot) {
-            DrainOutcome::Answered(response) => return response,
-            DrainOutcome::Pending { .. } if Instant::now() >= deadline => return drain::not_drained_yet(),
-            DrainOutcome::Pending { inbound_proxy, upstream_id } => {
+            QueryOutcome::Answered(response) => return response,
+            QueryOutcome::DrainPending { .. } if Instant::now() >= deadline => {
+                return drain::not_drained_yet();
+            }
+            QueryOutcome::DrainPending { inbound_proxy, upstream_id } => {
                 server.request_drain(inbound_proxy, &upstream_id);
                 sleep(DRAIN_CHECK_INTERVAL).await;
             }
@@ -143,7 +136,7 @@
 ) -> Result<Vec<StoredVersion>, AdminResponse> {
     let data_dir = server.settings.load().data_dir.clone().filter(|_| query.needs_stored_versions());
     let Some(data_dir) = data_dir else { return Ok(Vec::new()) };
-    let read = tokio::task::spawn_blocking(move || configuration::stored_versions(&data_dir));
+    let read = tokio::task::spawn_blocking(move || configuration_history::stored_versions(&data_dir));
     match timeout(ADMIN_CALL_TIMEOUT, read).await {
         Ok(Ok(Ok(versions))) => Ok(versions),
         _ => Err(AdminResponse::error(503, "the disk can't be read now")),
@@ -151,7 +144,7 @@
 }
 
 /// Answers a query from a snapshot, without I/O.
-fn answer(query: &AdminQuery, snapshot: &ReplicaSnapshot) -> DrainOutcome {
+fn answer(query: &AdminQuery, snapshot: &ReplicaSnapshot) -> QueryOutcome {
     let response = match &query.kind {
         AdminQueryKind::Nodes => nodes::list(snapshot),
         AdminQueryKind::Upstreams => upstreams::list(snapshot),
@@ -161,7 +154,7 @@
         AdminQueryKind::Budgets => budget::list(snapshot),
         AdminQueryKind::DrainUpstream(upstream_id) => return drain::drain(upstream_id, &snapshot.endpoints),
     };
-    DrainOutcome::Answered(response)
+    QueryOutcome::Answered(response)
 }
 
 #[cfg(test)]
--- a/balancer/src/mesh/control/admin_api/nodes.rs
+++ b/balancer/src/mesh/control/admin_api/nodes.rs
@@ -16,12 +16,12 @@
 
 #[derive(Serialize)]
 struct NodeList<'s> {
-    /// The replica that answers.
-    asked: SocketAddr,
-    /// Its epoch.
-    view: u64,
-    /// It hears a quorum.
-    settled: bool,
+    #[serde(rename = "asked")]
+    answering_replica: SocketAddr,
+    #[serde(rename = "view")]
+    epoch: u64,
+    #[serde(rename = "settled")]
+    has_quorum: bool,
     #[serde(rename = "stewards")]
     replicas: Vec<ReplicaEntry<'s>>,
     #[serde(rename = "attendants")]
@@ -34,26 +34,36 @@
     address: SocketAddr,
     zone: &'s str,
     /// The identity of its disk in hex; 0 is that of the first start.
-    disk: String,
+    #[serde(rename = "disk")]
+    disk_id: String,
     member: bool,
     voter: bool,
-    view: u64,
-    heard_ms: Option<u64>,
+    #[serde(rename = "view")]
+    epoch: u64,
+    #[serde(rename = "heard_ms")]
+    last_heard_ms_ago: Option<u64>,
     leaving: bool,
     /// From its start to full service.
-    full_ms: Option<u32>,
+    #[serde(rename = "full_ms")]
+    recovery_ms: Option<u32>,
 }
 
 #[derive(Serialize)]
 struct ProxyEntry<'s> {
-    door: SocketAddr,
+    #[serde(rename = "door")]
+    inbound_proxy: SocketAddr,
     zone: &'s str,
-    serving: bool,
-    quiet: bool,
-    heard_ms: u32,
+    #[serde(rename = "serving")]
+    accepts_clients: bool,
+    #[serde(rename = "quiet")]
+    suspected: bool,
+    #[serde(rename = "heard_ms")]
+    last_heard_ms_ago: u32,
     service: &'s str,
-    upstream: &'s str,
-    full_ms: Option<u32>,
+    #[serde(rename = "upstream")]
+    upstream_id: &'s str,
+    #[serde(rename = "full_ms")]
+    recovery_ms: Option<u32>,
 }
 
 /// Answers from the snapshot's status, endpoints and reports.
@@ -62,9 +72,9 @@
     let page = snapshot.endpoint_page();
     let replicas = status.replicas.iter().take(MAX_ENTRIES);
     AdminResponse::json(&NodeList {
-        asked: snapshot.replica,
-        view: status.epoch,
-        settled: status.has_quorum,
+        answering_replica: snapshot.replica,
+        epoch: status.epoch,
+        has_quorum: status.has_quorum,
         replicas: replicas.map(|replica| replica_entry(replica, reports)).collect(),
         proxies: page.endpoints.iter().map(|endpoint| proxy_entry(endpoint, reports)).collect(),
         next: page.next,
@@ -75,26 +85,26 @@
     ReplicaEntry {
         address: status.replica.address,
         zone: &status.zone,
-        disk: format!("{:x}", status.replica.disk_id),
+        disk_id: format!("{:x}", status.replica.disk_id),
         member: status.member,
         voter: status.member && status.voter,
-        view: status.epoch,
-        heard_ms: status.heard_ago.map(|ago| ago / NANOS_PER_MS),
+        epoch: status.epoch,
+        last_heard_ms_ago: status.heard_ago.map(|ago| ago / NANOS_PER_MS),
         leaving: status.leaving,
-        full_ms: reports.replica_recovery_ms.get(&status.replica.address).copied(),
+        recovery_ms: reports.replica_recovery_ms.get(&status.replica.address).copied(),
     }
 }
 
 fn proxy_entry<'s>(endpoint: &'s EndpointStatus, reports: &CollectedReports) -> ProxyEntry<'s> {
     let record = &endpoint.record;
     ProxyEntry {
-        door: record.inbound_proxy,
+        inbound_proxy: record.inbound_proxy,
         zone: &record.zone,
-        serving: record.accepts_clients,
-        quiet: endpoint.suspected,
-        heard_ms: endpoint.last_heard_ms_ago,
+        accepts_clients: record.accepts_clients,
+        suspected: endpoint.suspected,
+        last_heard_ms_ago: endpoint.last_heard_ms_ago,
         service: &record.service,
-        upstream: &record.upstream_id,
-        full_ms: reports.reports.report(record.inbound_proxy).and_then(|report| report.recovery_ms),
+        upstream_id: &record.upstream_id,
+        recovery_ms: reports.reports.report(record.inbound_proxy).and_then(|report| report.recovery_ms),
     }
 }
--- a/balancer/src/mesh/control/admin_api/response.rs
+++ b/balancer/src/mesh/control/admin_api/response.rs
@@ -1,9 +1,11 @@
 //! The answer to an operator's call.
 //!
-//! Main type: [`AdminResponse`].
+//! Main types: [`AdminResponse`], and [`QueryOutcome`] for a query that may have to wait for a drain.
 //!
 //! Invariants: an answer of status 200 is JSON; any other is one or more lines of plain text.
 
+use std::net::SocketAddr;
+
 use hyper::Response;
 use hyper::header::{HeaderValue, RETRY_AFTER};
 use serde::Serialize;
@@ -26,6 +28,17 @@
     },
 }
 
+/// What a query comes to on one snapshot.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum QueryOutcome {
+    Answered(AdminResponse),
+    /// The upstream to be drained still serves: its proxy is to be asked, and the query repeated on a new snapshot.
+    DrainPending {
+        inbound_proxy: SocketAddr,
+        upstream_id: String,
+    },
+}
+
 impl AdminResponse {
     #[must_use]
     pub fn error(status: u16, message: impl Into<String>) -> AdminResponse {
--- a/balancer/src/mesh/control/admin_api/snapshot.rs
+++ b/balancer/src/mesh/control/admin_api/snapshot.rs
@@ -11,7 +11,7 @@
 use ochreshed::Nanos;
 use ochreshed_mesh::endpoints::{EndpointRecord, EndpointTable, UpstreamState};
 
-use super::configuration::StoredVersion;
+use super::configuration_history::StoredVersion;
 use super::request::{AdminQuery, AdminQueryKind};
 use crate::mesh::control::budget_reports::CollectedReports;
 use crate::mesh::control::replica_status::ReplicaStatus;
--- a/balancer/src/mesh/control/admin_api/upstreams.rs
+++ b/balancer/src/mesh/control/admin_api/upstreams.rs
@@ -19,18 +19,25 @@
 #[derive(Serialize)]
 struct UpstreamEntry<'s> {
     id: &'s str,
-    line: &'s str,
+    #[serde(rename = "line")]
+    service: &'s str,
     zone: &'s str,
-    edition: &'s str,
+    #[serde(rename = "edition")]
+    software_version: &'s str,
     state: &'static str,
-    slots: u32,
-    cold_ms: u64,
+    #[serde(rename = "slots")]
+    concurrency_limit: u32,
+    #[serde(rename = "cold_ms")]
+    warming_up_ms: u64,
     /// Its failures and slowness as its inbound proxy sees them; left out if there are neither.
     #[serde(rename = "ill", skip_serializing_if = "UpstreamHealth::is_healthy")]
     health: UpstreamHealth,
-    door: SocketAddr,
-    serving: bool,
-    quiet: bool,
+    #[serde(rename = "door")]
+    inbound_proxy: SocketAddr,
+    #[serde(rename = "serving")]
+    accepts_clients: bool,
+    #[serde(rename = "quiet")]
+    suspected: bool,
 }
 
 /// Answers from the snapshot's endpoints. Those without an upstream are left out, so a page may be short.
@@ -45,15 +52,15 @@
     let record = &endpoint.record;
     UpstreamEntry {
         id: &record.upstream_id,
-        line: &record.service,
+        service: &record.service,
         zone: &record.zone,
-        edition: &record.software_version,
+        software_version: &record.software_version,
         state: upstream_state_name(record.state),
-        slots: record.concurrency_limit,
-        cold_ms: record.warming_up_ms,
+        concurrency_limit: record.concurrency_limit,
+        warming_up_ms: record.warming_up_ms,
         health: record.health,
-        door: record.inbound_proxy,
-        serving: record.accepts_clients,
-        quiet: endpoint.suspected,
+        inbound_proxy: record.inbound_proxy,
+        accepts_clients: record.accepts_clients,
+        suspected: endpoint.suspected,
     }
 }
--- a/balancer/src/mesh/control/disk_writer.rs
+++ b/balancer/src/mesh/control/disk_writer.rs
@@ -137,3 +137,7 @@
         log::info!("disk: write succeeded: failures={failures}");
     }
 }
+
+#[cfg(test)]
+#[path = "tests/disk_writer_tests.rs"]
+mod disk_writer_tests;
--- a/balancer/src/mesh/control/member_documents.rs
+++ b/balancer/src/mesh/control/member_documents.rs
@@ -238,3 +238,7 @@
         .cloned()
         .collect()
 }
+
+#[cfg(test)]
+#[path = "tests/member_documents_tests.rs"]
+mod member_documents_tests;
--- a/balancer/src/mesh/control/mod.rs
+++ b/balancer/src/mesh/control/mod.rs
@@ -17,8 +17,10 @@
 //! Members of the platform change their own documents the same way: [`admin_api`], [`member_changes`], the core. Their
 //! canaries are judged by [`canary_monitor`].
 //!
-//! Imports go one way: `startup`, then `admin_api`, `canary_monitor`, `peer_watch` and the other tasks, then
-//! `member_changes`, then `replica`, `replica_server`, and at the end the modules that hold plain state.
+//! Imports between these files go one way, without a circle: [`startup`] starts everything. [`replica`] and the tasks
+//! ([`admin_api`], [`canary_monitor`], [`peer_watch`], [`settings_reload`], [`suspect_monitor`]) don't know each other,
+//! they meet in [`replica_server`]. That imports only modules that hold state or I/O of one kind, such as
+//! [`committed_state`], [`disk_writer`] and [`member_directory`].
 //!
 //! Invariants: nothing is acknowledged before it is synced to the disks of a quorum; readers see only committed state, or
 //! after a start what this disk holds.
--- a/balancer/src/mesh/control/tests/admin_api_tests.rs
+++ b/balancer/src/mesh/control/tests/admin_api_tests.rs
@@ -12,10 +12,10 @@
 use ochreshed_mesh::retry_budget::{AttemptCounts, BudgetReport, BudgetReports};
 
 use super::answer;
-use super::configuration::{StoredVersion, stored_versions};
-use super::drain::{DrainOutcome, not_drained_yet};
+use super::configuration_history::{StoredVersion, stored_versions};
+use super::drain::not_drained_yet;
 use super::request::{AdminQuery, AdminRequestError};
-use super::response::AdminResponse;
+use super::response::{AdminResponse, QueryOutcome};
 use super::snapshot::{EndpointStatus, ReplicaSnapshot, select_endpoints};
 use crate::mesh::control::budget_reports::CollectedReports;
 use crate::mesh::control::replica_status::{LeaseCounts, ReplicaStatus, ResponseCacheUsage, StoredLease};
@@ -131,8 +131,8 @@
         Err(error) => return line(error.into(), ""),
     };
     match answer(&query, snapshot) {
-        DrainOutcome::Answered(response) => line(response, ""),
-        DrainOutcome::Pending { inbound_proxy, upstream_id } => {
+        QueryOutcome::Answered(response) => line(response, ""),
+        QueryOutcome::DrainPending { inbound_proxy, upstream_id } => {
             line(not_drained_yet(), &format!(" drain {upstream_id} at {inbound_proxy}"))
         }
     }
@@ -235,7 +235,7 @@
     for page_length in [1_000, 1_000, 500] {
         let query = parse(&path).expect("a query");
         let endpoints = select_endpoints(&query, &table, 1);
-        let DrainOutcome::Answered(AdminResponse::Json(text)) =
+        let QueryOutcome::Answered(AdminResponse::Json(text)) =
             answer(&query, &ReplicaSnapshot { endpoints, ..snapshot() })
         else {
             panic!("no JSON");
