--- a/balancer/src/mesh/control/admin_api/member_calls.rs
+++ b/balancer/src/mesh/control/admin_api/member_calls.rs
@@ -55,13 +55,11 @@
     received: Came,
     bodies: &Arc<Semaphore>,
 ) -> Result<String, MemberError> {
-    let key = received.req.headers().get(KEY_HEADER).map(|key| key.as_bytes().to_vec()).unwrap_or_default();
+    let key = sent_key(&received);
     let member = authenticate(server, member_name, &key).await?;
     let limiter = server.members.change_limiter(&member.name);
     if call.is_change() {
-        let max_per_minute = member.limits.changes_per_minute;
-        let admitted = limiter.admit(max_per_minute);
-        admitted.map_err(|retry_after| MemberError::RateLimited { max_per_minute, retry_after })?;
+        admit_change(&limiter, &member)?;
     }
     let name = &member.name;
     let change = match call {
@@ -96,6 +94,18 @@
     Ok(change_json(&change))
 }
 
+/// The key that came with the call; empty if there is none.
+fn sent_key(received: &Came) -> Vec<u8> {
+    received.req.headers().get(KEY_HEADER).map(|key| key.as_bytes().to_vec()).unwrap_or_default()
+}
+
+/// Counts a change against the member's limit.
+fn admit_change(limiter: &ChangeLimiter, member: &Member) -> Result<(), MemberError> {
+    let max_per_minute = member.limits.changes_per_minute;
+    let admitted = limiter.admit(max_per_minute);
+    admitted.map_err(|retry_after| MemberError::RateLimited { max_per_minute, retry_after })
+}
+
 /// Waits until the member's earlier changes are over, reads what a change is checked against, and checks the key by the
 /// newest register: until here it was checked by the one that is known to this replica.
 async fn lock_and_load<'l>(
--- a/balancer/src/mesh/control/admin_api/request.rs
+++ b/balancer/src/mesh/control/admin_api/request.rs
@@ -45,6 +45,7 @@
 }
 
 impl AdminCall {
+    /// Any name has a call: unknown ones are `UnknownMemberCall` or `Query`, which answer so.
     #[must_use]
     pub fn from_name(name: &str) -> AdminCall {
         match name {
@@ -146,6 +147,7 @@
 }
 
 impl AdminQuery {
+    /// Parses the parameters `call`, `of` and `after`.
     pub fn parse(uri: &Uri) -> Result<AdminQuery, AdminRequestError> {
         if uri.path() != RPC_PATH {
             return Err(AdminRequestError::UnknownCall);
@@ -224,3 +226,7 @@
     }
     String::from_utf8(decoded).map_err(|_| AdminRequestError::NotText)
 }
+
+#[cfg(test)]
+#[path = "../tests/request_tests.rs"]
+mod request_tests;
--- a/balancer/src/mesh/control/admin_api/response.rs
+++ b/balancer/src/mesh/control/admin_api/response.rs
@@ -40,6 +40,7 @@
 }
 
 impl AdminResponse {
+    /// An error that says nothing about when to repeat the call.
     #[must_use]
     pub fn error(status: u16, message: impl Into<String>) -> AdminResponse {
         AdminResponse::Error { status, message: message.into(), retry_after_s: None }
@@ -51,6 +52,7 @@
         AdminResponse::error(503, "busy: ask again")
     }
 
+    /// A value as JSON.
     #[must_use]
     pub fn json(value: &impl Serialize) -> AdminResponse {
         match serde_json::to_string(value) {
--- a/balancer/src/mesh/control/committed_state.rs
+++ b/balancer/src/mesh/control/committed_state.rs
@@ -41,6 +41,7 @@
         }
     }
 
+    /// The revision of `configuration`, if there is one.
     #[must_use]
     pub fn configuration_revision(&self) -> Option<Revision> {
         self.configuration.as_ref().map(|configuration| configuration.revision())
--- a/balancer/src/mesh/control/disk_writer.rs
+++ b/balancer/src/mesh/control/disk_writer.rs
@@ -27,6 +27,7 @@
 }
 
 impl WriteBatch {
+    /// Whether there is neither a record nor a message.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.records.is_empty() && self.messages.is_empty()
--- a/balancer/src/mesh/control/member_error.rs
+++ b/balancer/src/mesh/control/member_error.rs
@@ -88,3 +88,7 @@
         }
     }
 }
+
+#[cfg(test)]
+#[path = "tests/member_error_tests.rs"]
+mod member_error_tests;
--- a/balancer/src/mesh/control/replica.rs
+++ b/balancer/src/mesh/control/replica.rs
@@ -44,6 +44,8 @@
 }
 
 impl Replica {
+    /// Takes the core as it was started from the disk.
+    #[must_use]
     pub fn new(server: Arc<ReplicaServer>, core: Core, disk: DiskWriter) -> Replica {
         let stored =
             core.registers().filter_map(|register| Some((register.name, register.stored?.revision())));
--- a/balancer/src/mesh/control/replica_server.rs
+++ b/balancer/src/mesh/control/replica_server.rs
@@ -80,6 +80,8 @@
 }
 
 impl ReplicaServer {
+    /// A server that knows nothing yet but its settings. `events` leads to the event loop.
+    #[must_use]
     pub fn new(
         clock: Clock,
         address: SocketAddr,
