--- a/balancer/src/mesh/control/admin_api/drain.rs
+++ b/balancer/src/mesh/control/admin_api/drain.rs
@@ -30,7 +30,7 @@
     AdminResponse::error(503, "its attendant has not taken the drain yet: ask again")
 }
 
-/// Looks up the upstream. If several have the id, as after a restart elsewhere, the one that serves is meant.
+/// Looks up the upstream. If several records have the id, the one that serves is meant.
 pub fn drain(upstream_id: &str, endpoints: &[EndpointStatus]) -> QueryOutcome {
     let has_id = |endpoint: &&EndpointStatus| endpoint.record.upstream_id == upstream_id;
     let serving = endpoints.iter().filter(has_id).find(|endpoint| is_serving(endpoint));
--- a/balancer/src/mesh/control/startup.rs
+++ b/balancer/src/mesh/control/startup.rs
@@ -33,8 +33,7 @@
 use crate::mesh::settings::{Settings, SettingsError};
 use crate::mesh::{start, wire};
 
-/// Leases are kept for so much longer than the window in which a key runs once, since the clocks and timeouts of the
-/// proxies are not exact.
+/// Leases are kept for so much longer than the window in which a key runs once (`stamp_window`).
 const LEASE_TTL_MARGIN: Duration = Duration::from_secs(20);
 /// A member of whom nothing was heard for so long may be replaced by another replica, in nanoseconds.
 const MEMBER_TIMEOUT: Nanos = 5_000_000_000;
