--- a/balancer/src/mesh/control/admin_api/response.rs
+++ b/balancer/src/mesh/control/admin_api/response.rs
@@ -1,9 +1,11 @@
 //! The answer to an operator's call.
 //!
-//! Main type: [`AdminResponse`].
+//! Main types: [`AdminResponse`], and [`QueryOutcome`] for a query that may have to wait for a drain.
 //!
 //! Invariants: an answer of status 200 is JSON; any other is one or more lines of plain text.
 
+use std::net::SocketAddr;
+
 use hyper::Response;
 use hyper::header::{HeaderValue, RETRY_AFTER};
 use serde::Serialize;
@@ -26,7 +28,19 @@
     },
 }
 
+/// What a query comes to on one snapshot.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum QueryOutcome {
+    Answered(AdminResponse),
+    /// The upstream to be drained still serves: its proxy is to be asked, and the query repeated on a new snapshot.
+    DrainPending {
+        inbound_proxy: SocketAddr,
+        upstream_id: String,
+    },
+}
+
 impl AdminResponse {
+    /// An error that says nothing about when to repeat the call.
     #[must_use]
     pub fn error(status: u16, message: impl Into<String>) -> AdminResponse {
         AdminResponse::Error { status, message: message.into(), retry_after_s: None }
@@ -38,6 +52,7 @@
         AdminResponse::error(503, "busy: ask again")
     }
 
+    /// A value as JSON.
     #[must_use]
     pub fn json(value: &impl Serialize) -> AdminResponse {
         match serde_json::to_string(value) {
--- a/balancer/src/mesh/control/disk_writer.rs
+++ b/balancer/src/mesh/control/disk_writer.rs
@@ -27,6 +27,7 @@
 }
 
 impl WriteBatch {
+    /// Whether there is neither a record nor a message.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.records.is_empty() && self.messages.is_empty()
@@ -137,3 +138,7 @@
         log::info!("disk: write succeeded: failures={failures}");
     }
 }
+
+#[cfg(test)]
+#[path = "tests/disk_writer_tests.rs"]
+mod disk_writer_tests;
