--- a/balancer/src/mesh/pages.rs
+++ b/balancer/src/mesh/pages.rs
@@ -8,7 +8,7 @@
 use std::time::UNIX_EPOCH;
 
 use ochreshed::{Name, Nanos};
-use ochreshed_consensus::core::{Core, PeerStatus, SessionCounts};
+use ochreshed_consensus::core::{Core, LeaseCounts, PeerStatus, ResponseCacheUsage, SessionCounts};
 use ochreshed_consensus::messages::{Lease, LeaseKey, LeaseOutcome, Revision};
 use ochreshed_mesh::fared::{Edition, Fared};
 use ochreshed_mesh::health::Ill;
@@ -179,9 +179,9 @@
     pub safe: Option<Revision>,
     pub stewards: Vec<PeerStatus>,
     /// Open, unknown, done.
-    pub keys: (usize, usize, usize),
+    pub keys: LeaseCounts,
     /// Bytes of kept answers, how many may be, and answers dropped for want of room.
-    pub answers: (usize, usize, u64),
+    pub answers: ResponseCacheUsage,
     pub oldest_open: Option<Nanos>,
     pub sessions: SessionCounts,
     /// Of the key that was asked for, and for how long it is known here.
@@ -471,8 +471,12 @@
             Page::json(&History { versions: facts.versions.iter().take(MOST_ROWS).map(kept).collect() })
         }
         Call::Count => {
-            let (open, unknown, done) = facts.seen.keys;
-            let (answer_bytes, most_answer_bytes, answers_dropped) = facts.seen.answers;
+            let LeaseCounts { pending: open, indeterminate: unknown, completed: done } = facts.seen.keys;
+            let ResponseCacheUsage {
+                bytes: answer_bytes,
+                max_bytes: most_answer_bytes,
+                evicted: answers_dropped,
+            } = facts.seen.answers;
             let oldest_open_ms = facts.seen.oldest_open.map(|age| age / MS);
             let count = Count {
                 open,
@@ -667,8 +671,8 @@
                 settled: true,
                 safe: Some(Revision::new(7, 0xff)),
                 stewards: vec![known(13, true, Some(0)), known(14, false, None)],
-                keys: (2, 1, 40),
-                answers: (12_040, 51_200_000, 3),
+                keys: LeaseCounts { pending: 2, indeterminate: 1, completed: 40 },
+                answers: ResponseCacheUsage { bytes: 12_040, max_bytes: 51_200_000, evicted: 3 },
                 sessions: SessionCounts::default(),
                 oldest_open: Some(1_250 * MS),
                 claim: None,
--- a/balancer/src/mesh/steward.rs
+++ b/balancer/src/mesh/steward.rs
@@ -13,7 +13,7 @@
 use arc_swap::ArcSwap;
 use hyper::Response;
 use ochreshed::{Name, Nanos};
-use ochreshed_consensus::core::{Config, Core};
+use ochreshed_consensus::core::{Config, Core, LeaseCounts, StartOptions};
 use ochreshed_consensus::messages::Revision;
 use ochreshed_consensus::messages::{
     CoreRequest, CoreResponse, Effect, LeaseKey, LogRecord, Membership, Message, NamedRegister, RegisterValue,
@@ -276,7 +276,7 @@
         let members = seen.stewards.iter().filter(|known| known.member);
         let voters = members.clone().filter(|known| known.voter);
         let flag = |is: bool| f64::from(u8::from(is));
-        let (open, unknown, done) = seen.keys;
+        let LeaseCounts { pending: open, indeterminate: unknown, completed: done } = seen.keys;
         let (records, unreachable) = {
             let news = held(&self.news);
             (news.table.len(), news.quiet().len())
@@ -299,7 +299,7 @@
                 "Age of the oldest key at work",
                 seen.oldest_open.unwrap_or(0) as f64 / 1e9,
             )
-            .gauge("kept_answer_bytes", "Bytes of kept answers", seen.answers.0 as f64)
+            .gauge("kept_answer_bytes", "Bytes of kept answers", seen.answers.bytes as f64)
             .gauge("sessions", "Sessions held", seen.sessions.sessions as f64)
             .gauge("endpoint_records", "Records of upstreams", records as f64)
             .gauge("unreachable", "Machines not heard of late", unreachable as f64)
@@ -450,16 +450,16 @@
     };
     let mut out = Vec::new();
     let found = (saved.configuration.as_ref().map_or(0, |sheet| sheet.version), saved.leases.len());
-    let core = Core::new(
-        clock.now(),
-        rand::random(),
-        at,
-        settings.first_start,
-        &seeds(&settings),
+    let options = StartOptions {
+        now: clock.now(),
+        seed: rand::random(),
+        address: at,
+        first_start: settings.first_start,
+        seeds: &seeds(&settings),
         saved,
         config,
-        &mut out,
-    );
+    };
+    let core = Core::new(options, &mut out);
     log::info!("steward {} at {control}, found r{} and {} claims", settings.station, found.0, found.1);
     let office = Arc::new(Office {
         clock,
@@ -666,7 +666,7 @@
                         let _ = reply.send(got);
                     }
                 }
-                Effect::Log(line) => log::info!("core: {line}"),
+                Effect::Log(event) => log::info!("core: {event}"),
             }
         }
         if batch.records.is_empty() && self.unsafe_writes == 0 {
--- a/consensus/src/core.rs
+++ b/consensus/src/core.rs
@@ -23,10 +23,18 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
+use crate::core::leases::{LeaseUpdate, PendingLease, StoredLease};
+use crate::core::membership::{CatchUp, MembershipProposal, SnapshotContent};
+use crate::core::named_registers::{NamedRegisters, RegistersReport};
+use crate::core::register_paxos::RegisterPaxos;
+use crate::core::registers::{PendingRead, PendingWrite, Register};
+use crate::core::response_cache::ResponseCache;
+use crate::core::sessions::{PendingSessionChange, Sessions};
 use crate::messages::{
-    Ballot, CoreRequest, CoreResponse, Effect, Lease, LeaseKey, LeaseOutcome, LeaseToken, LeaseVote,
-    LogRecord, Membership, MembershipBallotState, Message, MessageBody, NamedRegister, PersistedState,
-    RegisterName, RegisterValue, ReplicaId, Revision, SessionMessage,
+    AcceptedMembership, Ballot, CoreEvent, CoreRequest, CoreResponse, Effect, LeaseCompletion, LeaseEntry,
+    LeaseKey, LeaseOutcome, LeaseRequest, LeaseToken, LeaseVote, LeaseVoteReply, LogRecord, Membership,
+    MembershipBallotState, Message, MessageBody, NamedRegister, PersistedState, RegisterName, RegisterValue,
+    ReplicaId, Revision, SessionEntry, SessionMessage,
 };
 
 mod leases;
@@ -40,9 +48,10 @@
 mod sessions;
 mod zone_spread;
 
-pub use leases::outcome_wait;
+pub use leases::{LeaseCounts, outcome_wait};
 #[doc(hidden)]
 pub use mutation::Mutation;
+pub use response_cache::ResponseCacheUsage;
 pub use sessions::{SESSION_IDLE, SessionCounts};
 
 /// A point in time or a duration in nanoseconds. Points count from an epoch of the caller's choice, which stays the
@@ -102,6 +111,25 @@
     pub zone: String,
 }
 
+/// What a replica starts with.
+#[derive(Debug)]
+pub struct StartOptions<'a> {
+    /// The time of the start.
+    pub now: Nanos,
+    /// The seed of the replica's random numbers. It has to differ between replicas and between starts.
+    pub seed: u64,
+    /// The address at which other replicas reach this one.
+    pub address: SocketAddr,
+    /// No replica of this cluster has ever run.
+    pub first_start: bool,
+    /// The addresses of the first members. They receive heartbeats although they were never heard.
+    pub seeds: &'a [SocketAddr],
+    /// What the disk held.
+    pub saved: PersistedState,
+    /// Settings.
+    pub config: Config,
+}
+
 /// What this replica knows of another one.
 #[derive(Clone, Debug)]
 struct Peer {
@@ -191,20 +219,30 @@
 /// Items for one address that are sent together by the next `flush`.
 #[derive(Clone, Debug, Default)]
 struct Outbox {
-    completions: Vec<(LeaseKey, LeaseToken, Option<LeaseOutcome>)>,
-    lease_requests: Vec<(u64, LeaseKey, LeaseToken, u32)>,
-    lease_votes: Vec<(u64, LeaseVote)>,
+    completions: Vec<LeaseCompletion>,
+    lease_requests: Vec<LeaseRequest>,
+    lease_votes: Vec<LeaseVoteReply>,
     session_requests: Vec<SessionMessage>,
     session_replies: Vec<SessionMessage>,
 }
 
+/// Who sent a message.
+#[derive(Clone, Copy, Debug)]
+struct Sender {
+    replica: ReplicaId,
+    /// The message carries this replica's epoch.
+    same_epoch: bool,
+    /// The message carries this replica's epoch, and the sender is a member of it.
+    is_member: bool,
+}
+
 /// A call that waits for its answer.
 #[derive(Clone, Debug)]
 enum Call {
-    Lease(leases::PendingLease),
-    Replace(registers::PendingWrite),
-    Read(registers::PendingRead),
-    Session(Box<sessions::PendingSessionChange>),
+    Lease(PendingLease),
+    Replace(PendingWrite),
+    Read(PendingRead),
+    Session(Box<PendingSessionChange>),
 }
 
 /// The state of one replica. The caller feeds it messages, requests and the time, and carries out the effects that it
@@ -225,13 +263,13 @@
     membership: Membership,
     voter: bool,
     promised_ballot: Ballot,
-    accepted_membership: Option<(Ballot, Membership)>,
-    membership_proposal: Option<membership::MembershipProposal>,
+    accepted_membership: Option<AcceptedMembership>,
+    membership_proposal: Option<MembershipProposal>,
     next_proposal_at: Nanos,
     /// The last tick wanted a change of the membership too. The wait before the first proposal is drawn only once.
     change_wanted: bool,
     highest_round: u64,
-    catch_up: Option<membership::CatchUp>,
+    catch_up: Option<CatchUp>,
     /// The epoch in which this replica stopped voting: it voted until that epoch began, so it may serve its snapshot
     /// to the new member of that epoch.
     stopped_voting_in: Option<u64>,
@@ -241,21 +279,21 @@
     barred_from_serving: bool,
 
     /// The register that holds the operator's configuration.
-    configuration: registers::Register,
+    configuration: Register,
     /// All other registers.
-    named_registers: named_registers::NamedRegisters,
+    named_registers: NamedRegisters,
     /// Proposals and acceptor states for versions that are not decided yet.
-    register_paxos: register_paxos::RegisterPaxos,
+    register_paxos: RegisterPaxos,
 
-    leases: BTreeMap<LeaseKey, leases::StoredLease>,
-    response_cache: response_cache::ResponseCache,
+    leases: BTreeMap<LeaseKey, StoredLease>,
+    response_cache: ResponseCache,
     lease_expiry: BTreeSet<(Nanos, LeaseKey)>,
     released_tokens: BTreeMap<LeaseToken, Nanos>,
     /// Replicas whose lease request was refused by a pending lease; they are told its outcome.
     outcome_watchers: BTreeSet<(LeaseKey, SocketAddr)>,
     released_order: VecDeque<(Nanos, LeaseToken)>,
-    lease_updates: VecDeque<(Nanos, leases::LeaseUpdate)>,
-    sessions: sessions::Sessions,
+    lease_updates: VecDeque<(Nanos, LeaseUpdate)>,
+    sessions: Sessions,
 
     pending_calls: BTreeMap<u64, Call>,
     register_calls: BTreeSet<u64>,
@@ -279,17 +317,8 @@
     /// Starts a replica with what its disk held. With `first_start`, no replica of this cluster has ever run, and
     /// `seeds` are the members of the first epoch. A replica with an empty disk that is not on its first start gets a
     /// new disk identity.
-    #[allow(clippy::too_many_arguments)]
-    pub fn new(
-        now: Nanos,
-        seed: u64,
-        address: SocketAddr,
-        first_start: bool,
-        seeds: &[SocketAddr],
-        saved: PersistedState,
-        config: Config,
-        out: &mut Vec<Effect>,
-    ) -> Core {
+    pub fn new(options: StartOptions<'_>, out: &mut Vec<Effect>) -> Core {
+        let StartOptions { now, seed, address, first_start, seeds, saved, config } = options;
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let fresh = saved.membership_ballot.is_none();
         let ballots = saved.membership_ballot.unwrap_or_else(|| {
@@ -340,17 +369,17 @@
             next_proposal_at: now,
             change_wanted: false,
             catch_up: None,
-            configuration: registers::Register::with_value(saved.configuration),
-            named_registers: named_registers::NamedRegisters::with_values(saved.registers),
-            register_paxos: register_paxos::RegisterPaxos::default(),
+            configuration: Register::with_value(saved.configuration),
+            named_registers: NamedRegisters::with_values(saved.registers),
+            register_paxos: RegisterPaxos::default(),
             leases: BTreeMap::new(),
-            response_cache: response_cache::ResponseCache::default(),
+            response_cache: ResponseCache::default(),
             lease_expiry: BTreeSet::new(),
             released_tokens: BTreeMap::new(),
             outcome_watchers: BTreeSet::new(),
             released_order: VecDeque::new(),
             lease_updates: VecDeque::new(),
-            sessions: sessions::Sessions::default(),
+            sessions: Sessions::default(),
             pending_calls: BTreeMap::new(),
             register_calls: BTreeSet::new(),
             timers: BTreeSet::new(),
@@ -360,10 +389,10 @@
             mutation: None,
             eager_rollback: false,
         };
-        for (key, lease) in saved.leases {
+        for LeaseEntry { key, lease } in saved.leases {
             core.insert_lease(key, lease);
         }
-        for (session, record) in saved.sessions {
+        for SessionEntry { session, record } in saved.sessions {
             core.insert_session(session, record);
         }
         core.load_acceptors(saved.acceptors);
@@ -371,10 +400,8 @@
         if fresh || replica_id != ballots.replica {
             core.persist_ballot_state(out);
         }
-        out.push(Effect::Log(format!(
-            "core: {replica_id:?}, voter {}, view {:?}",
-            core.voter, core.membership
-        )));
+        let (voter, membership) = (core.voter, core.membership.clone());
+        out.push(Effect::Log(CoreEvent::Started { replica: replica_id, voter, membership }));
         core.enter_epoch(now, out);
         core
     }
@@ -392,6 +419,7 @@
         }
         let same_epoch = epoch == self.membership.epoch;
         let from_member = same_epoch && self.is_member(&from);
+        let sender = Sender { replica: from, same_epoch, is_member: from_member };
         match body {
             MessageBody::Heartbeat {
                 voter,
@@ -424,15 +452,13 @@
                 self.handle_promise(from, ballot, accepted, true, out)
             }
             MessageBody::Preempted(ballot) if same_epoch => self.handle_preempted(now, ballot),
-            MessageBody::RequestLeases(list) if same_epoch => {
-                self.handle_lease_requests(now, from, list, out)
-            }
+            MessageBody::RequestLeases(list) if same_epoch => self.handle_lease_requests(from, list, out),
             MessageBody::LeaseVotes(list) if from_member || self.breaks(Mutation::CountStaleLeaseVotes) => {
                 self.handle_lease_votes(now, from, list, out)
             }
             MessageBody::CompleteLeases(list) => {
-                for (key, token, outcome) in list {
-                    self.apply_completion(now, key, token, outcome, out);
+                for completion in list {
+                    self.apply_completion(now, completion, out);
                 }
             }
             MessageBody::StoreConfiguration(value) => {
@@ -442,16 +468,14 @@
                 self.handle_fetch_configuration(from, same_epoch, read_id, known, out)
             }
             MessageBody::ConfigurationStored { read_id, revision } => {
-                self.handle_configuration_stored(now, from, from_member, read_id, revision, out)
+                self.handle_configuration_stored(now, sender, read_id, revision, out)
             }
             MessageBody::FetchSnapshot { from_key, catch_up_id, from_register }
                 if from_member || self.breaks(Mutation::ServeSnapshotInAnyEpoch) =>
             {
                 self.serve_snapshot(from, from_key, catch_up_id, from_register, out);
             }
-            MessageBody::Sessions(list) => {
-                self.handle_session_messages(now, from, (same_epoch, from_member), list, out)
-            }
+            MessageBody::Sessions(list) => self.handle_session_messages(now, sender, list, out),
             MessageBody::SnapshotChunk {
                 catch_up_id,
                 leases,
@@ -462,13 +486,19 @@
                 next_register,
                 acceptors,
             } if same_epoch || self.breaks(Mutation::ServeSnapshotInAnyEpoch) => {
-                let content =
-                    membership::SnapshotContent { leases, sessions, configuration, registers, acceptors };
-                self.handle_snapshot_chunk(now, from, catch_up_id, content, (next_key, next_register), out);
-            }
-            MessageBody::RegisterPaxos(message) => {
-                self.handle_register_paxos(now, from, (same_epoch, from_member), message, out)
-            }
+                let content = SnapshotContent {
+                    catch_up_id,
+                    leases,
+                    sessions,
+                    configuration,
+                    registers,
+                    acceptors,
+                    next_key,
+                    next_register,
+                };
+                self.handle_snapshot_chunk(now, from, content, out);
+            }
+            MessageBody::RegisterPaxos(message) => self.handle_register_paxos(now, sender, message, out),
             MessageBody::StoreRegisters(registers) => {
                 self.handle_store_registers(from, same_epoch, registers, out)
             }
@@ -476,7 +506,9 @@
                 self.handle_fetch_registers(from, same_epoch, read_id, known, out)
             }
             MessageBody::RegistersStored { read_id, voter, revisions, next } => {
-                self.handle_registers_stored(now, from, from_member && voter, read_id, revisions, next, out);
+                let from_voter = from_member && voter;
+                let report = RegistersReport { from, from_voter, read_id, revisions, next };
+                self.handle_registers_stored(now, report, out);
             }
             MessageBody::ListRegisters(first) => self.handle_list_registers(from, &first, out),
             _ => {}
@@ -495,7 +527,7 @@
                 self.begin_lease(now, call, key, token, time_left_ms, out)
             }
             CoreRequest::CompleteLease { key, token, outcome } => {
-                self.handle_completion(now, call, key, token, outcome, out)
+                self.handle_completion(now, call, LeaseCompletion { key, token, outcome }, out)
             }
             CoreRequest::ReplaceConfiguration(value) => {
                 self.begin_write(now, call, CONFIGURATION.into(), value, out)
@@ -582,16 +614,15 @@
     /// `handle_request`.
     pub fn flush(&mut self, out: &mut Vec<Effect>) {
         for (address, queued) in std::mem::take(&mut self.outbox) {
-            let completion_bytes = |(_, _, outcome): &(LeaseKey, LeaseToken, Option<LeaseOutcome>)| {
-                outcome.as_ref().map_or(0, payload_bytes)
-            };
+            let completion_bytes =
+                |completion: &LeaseCompletion| completion.outcome.as_ref().map_or(0, payload_bytes);
             for batch in split_into_batches(queued.completions, completion_bytes) {
                 out.push(Effect::SendNow(address, self.message(MessageBody::CompleteLeases(batch))));
             }
             for batch in split_into_batches(queued.lease_requests, |_| 0) {
                 out.push(Effect::SendNow(address, self.message(MessageBody::RequestLeases(batch))));
             }
-            let vote_bytes = |(_, vote): &(u64, LeaseVote)| match vote {
+            let vote_bytes = |reply: &LeaseVoteReply| match &reply.vote {
                 LeaseVote::Held(lease) => payload_bytes(&lease.outcome),
                 LeaseVote::Granted | LeaseVote::TokenReleased => 0,
             };
--- a/consensus/src/core/leases.rs
+++ b/consensus/src/core/leases.rs
@@ -8,7 +8,15 @@
 //! - A replica never releases a lease of its own accord, because the same token may have been granted it through
 //!   another replica.
 
-use super::*;
+use std::collections::{BTreeMap, BTreeSet};
+use std::net::SocketAddr;
+
+use crate::core::mutation::Mutation;
+use crate::core::{Call, Core, MAX_CALLS, MISSED_MESSAGES_AFTER, MS, Nanos, RETRY_INTERVAL};
+use crate::messages::{
+    CoreResponse, Effect, Lease, LeaseCompletion, LeaseKey, LeaseOutcome, LeaseRequest, LeaseToken,
+    LeaseVote, LeaseVoteReply, LogRecord, ReplicaId,
+};
 
 /// Members that were not asked for a vote at first are asked after this time.
 const HEDGE_DELAY: Nanos = 50 * MS;
@@ -40,13 +48,13 @@
 /// What the other members were told about a lease, to be sent again to peers that missed it.
 #[derive(Clone, Debug)]
 pub(super) enum LeaseUpdate {
-    Requested(LeaseKey, LeaseToken, u32),
-    Completed(LeaseKey, LeaseToken, Option<LeaseOutcome>),
+    Requested { key: LeaseKey, token: LeaseToken, time_left_ms: u32 },
+    Completed(LeaseCompletion),
 }
 
 impl LeaseUpdate {
     pub fn outcome(&self) -> Option<&LeaseOutcome> {
-        if let LeaseUpdate::Completed(_, _, outcome) = self { outcome.as_ref() } else { None }
+        if let LeaseUpdate::Completed(completion) = self { completion.outcome.as_ref() } else { None }
     }
 }
 
@@ -66,6 +74,17 @@
     refused_by: BTreeMap<ReplicaId, Option<Lease>>,
 }
 
+/// How many leases a replica stores, by outcome.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct LeaseCounts {
+    /// Leases whose request may be running.
+    pub pending: usize,
+    /// Leases whose request may have run, with a response that is not known.
+    pub indeterminate: usize,
+    /// Leases whose request ran, with its response.
+    pub completed: usize,
+}
+
 /// How long a call waits for another lease's outcome if its request has `time_left_ms` milliseconds left.
 pub fn outcome_wait(time_left_ms: u32) -> Nanos {
     (u64::from(time_left_ms) * MS / OUTCOME_WAIT_DIVISOR).min(MAX_OUTCOME_WAIT)
@@ -82,14 +101,15 @@
 
 impl Core {
     /// Counts the stored leases by outcome.
-    pub fn lease_counts(&self) -> (usize, usize, usize) {
+    #[must_use]
+    pub fn lease_counts(&self) -> LeaseCounts {
         let mut count = [0; 3];
         for stored in self.leases.values() {
             if let Some(count) = count.get_mut(outcome_rank(&stored.lease.outcome) as usize) {
                 *count += 1;
             }
         }
-        (count[0], count[1], count[2])
+        LeaseCounts { pending: count[0], indeterminate: count[1], completed: count[2] }
     }
 
     /// The lease stored for a key.
@@ -148,35 +168,27 @@
         &mut self,
         now: Nanos,
         call: u64,
-        key: LeaseKey,
-        token: LeaseToken,
-        outcome: Option<LeaseOutcome>,
+        completion: LeaseCompletion,
         out: &mut Vec<Effect>,
     ) {
-        self.apply_completion(now, key, token, outcome.clone(), out);
-        self.announce_completion(now, key, token, outcome);
+        self.apply_completion(now, completion.clone(), out);
+        self.announce_completion(now, completion);
         out.push(Effect::Respond { call, response: CoreResponse::Accepted });
     }
 
-    fn announce_completion(
-        &mut self,
-        now: Nanos,
-        key: LeaseKey,
-        token: LeaseToken,
-        outcome: Option<LeaseOutcome>,
-    ) {
+    fn announce_completion(&mut self, now: Nanos, completion: LeaseCompletion) {
         let mut others: Vec<ReplicaId> = self.others().collect();
-        if matches!(outcome, Some(LeaseOutcome::Completed(_))) {
+        if matches!(completion.outcome, Some(LeaseOutcome::Completed(_))) {
             // Only as many members keep a response as it takes to survive the loss of the others: those that are
             // placed nearest to the key. A member that is asked for the lease later finds the response while it
             // collects votes.
-            others.sort_by_key(|replica| crate::placement::place(replica.address, key));
+            others.sort_by_key(|replica| crate::placement::place(replica.address, completion.key));
             others.truncate(self.membership.members.len() / 2);
         }
         for replica in others {
-            self.outbox.entry(replica.address).or_default().completions.push((key, token, outcome.clone()));
+            self.outbox.entry(replica.address).or_default().completions.push(completion.clone());
         }
-        self.retain_lease_update(now, LeaseUpdate::Completed(key, token, outcome));
+        self.retain_lease_update(now, LeaseUpdate::Completed(completion));
     }
 
     /// Sends the lease updates again that a peer may have missed while it was silent since `since`.
@@ -190,12 +202,15 @@
         {
             match update {
                 _ if at.saturating_add(LEASE_UPDATE_RETENTION) < self.now => {}
-                LeaseUpdate::Requested(key, token, time_left_ms) => {
-                    queued.lease_requests.push((!self.call_id_mask, *key, *token, *time_left_ms))
-                }
-                LeaseUpdate::Completed(key, token, outcome) => {
-                    queued.completions.push((*key, *token, outcome.clone()))
+                LeaseUpdate::Requested { key, token, time_left_ms } => {
+                    queued.lease_requests.push(LeaseRequest {
+                        call: !self.call_id_mask,
+                        key: *key,
+                        token: *token,
+                        time_left_ms: *time_left_ms,
+                    })
                 }
+                LeaseUpdate::Completed(completion) => queued.completions.push(completion.clone()),
             }
         }
     }
@@ -226,31 +241,19 @@
             });
             voters.truncate(self.majority());
         }
-        let id = call ^ self.call_id_mask;
+        let request = LeaseRequest { call: call ^ self.call_id_mask, key, token, time_left_ms };
         for replica in voters {
             if replica == self.replica_id {
-                self.vote_on_lease(id, key, token, time_left_ms, self.replica_id, out);
+                self.vote_on_lease(request.clone(), self.replica_id, out);
             } else {
-                self.outbox.entry(replica.address).or_default().lease_requests.push((
-                    id,
-                    key,
-                    token,
-                    time_left_ms,
-                ));
+                self.outbox.entry(replica.address).or_default().lease_requests.push(request.clone());
             }
         }
     }
 
     /// Votes on whether `token` holds the lease. A replica that may not vote stays silent.
-    fn vote_on_lease(
-        &mut self,
-        id: u64,
-        key: LeaseKey,
-        token: LeaseToken,
-        time_left_ms: u32,
-        to: ReplicaId,
-        out: &mut Vec<Effect>,
-    ) {
+    fn vote_on_lease(&mut self, request: LeaseRequest, to: ReplicaId, out: &mut Vec<Effect>) {
+        let LeaseRequest { call, key, token, time_left_ms } = request;
         if !self.voter || token == NOBODY {
             return;
         }
@@ -275,18 +278,17 @@
                 LeaseVote::Granted
             }
         };
-        self.outbox.entry(to.address).or_default().lease_votes.push((id, vote));
+        self.outbox.entry(to.address).or_default().lease_votes.push(LeaseVoteReply { call, vote });
     }
 
     pub(super) fn handle_lease_requests(
         &mut self,
-        _now: Nanos,
         from: ReplicaId,
-        requests: Vec<(u64, LeaseKey, LeaseToken, u32)>,
+        requests: Vec<LeaseRequest>,
         out: &mut Vec<Effect>,
     ) {
-        for (id, key, token, time_left_ms) in requests {
-            self.vote_on_lease(id, key, token, time_left_ms, from, out);
+        for request in requests {
+            self.vote_on_lease(request, from, out);
         }
     }
 
@@ -294,11 +296,11 @@
         &mut self,
         now: Nanos,
         from: ReplicaId,
-        votes: Vec<(u64, LeaseVote)>,
+        replies: Vec<LeaseVoteReply>,
         out: &mut Vec<Effect>,
     ) {
-        for (id, vote) in votes {
-            let call = id ^ self.call_id_mask;
+        for LeaseVoteReply { call, vote } in replies {
+            let call = call ^ self.call_id_mask;
             let Some(Call::Lease(pending)) = self.pending_calls.get_mut(&call) else { continue };
             let ask_all = pending.quorum_only && vote != LeaseVote::Granted;
             pending.quorum_only &= !ask_all;
@@ -335,7 +337,7 @@
             self.respond(call, CoreResponse::LeaseHeld(outcome), out);
         } else if pending.granted_by.len() >= self.majority() && voters > 0 {
             if pending.granted_by.len() < voters {
-                let update = LeaseUpdate::Requested(key, token, pending.time_left_ms);
+                let update = LeaseUpdate::Requested { key, token, time_left_ms: pending.time_left_ms };
                 self.retain_lease_update(now, update);
             }
             self.respond(call, CoreResponse::LeaseGranted, out);
@@ -344,9 +346,10 @@
         {
             let lease = lease.clone();
             self.respond(call, CoreResponse::LeaseHeld(lease.outcome.clone()), out);
-            self.apply_completion(now, key, lease.token, Some(lease.outcome), out);
+            let completion = LeaseCompletion { key, token: lease.token, outcome: Some(lease.outcome) };
+            self.apply_completion(now, completion, out);
         } else if voters > 0 && voters.saturating_sub(pending.refused_by.len()) < self.majority() {
-            let other = pending.refused_by.values().any(|lease| lease.is_some());
+            let other = pending.refused_by.values().any(Option::is_some);
             if !other {
                 self.respond(call, CoreResponse::Unavailable, out);
             } else if now >= pending.wait_until {
@@ -355,8 +358,9 @@
         } else if now >= pending.started_at.saturating_add(LEASE_TIMEOUT) {
             self.respond(call, CoreResponse::Unavailable, out);
             if self.breaks(Mutation::ReleaseOnTimeout) {
-                self.apply_completion(now, key, token, None, out);
-                self.announce_completion(now, key, token, None);
+                let release = LeaseCompletion { key, token, outcome: None };
+                self.apply_completion(now, release.clone(), out);
+                self.announce_completion(now, release);
             }
         }
     }
@@ -375,7 +379,7 @@
 
     /// Discards all votes after a change of the membership or of this replica's right to vote, because votes count
     /// only in the epoch in which they were given.
-    pub(super) fn restart_lease_calls(&mut self, _now: Nanos, out: &mut Vec<Effect>) {
+    pub(super) fn restart_lease_calls(&mut self, out: &mut Vec<Effect>) {
         let calls: Vec<u64> = self.calls_by_key.values().flatten().copied().collect();
         for call in calls {
             let keeps_votes = self.breaks(Mutation::CountStaleLeaseVotes);
@@ -408,7 +412,8 @@
     /// Tells the replicas that were refused by a pending lease what became of it, since calls may wait there.
     fn notify_outcome_watchers(&mut self, key: LeaseKey, token: LeaseToken, outcome: &LeaseOutcome) {
         for watcher in self.take_outcome_watchers(key) {
-            self.outbox.entry(watcher.1).or_default().completions.push((key, token, Some(outcome.clone())));
+            let completion = LeaseCompletion { key, token, outcome: Some(outcome.clone()) };
+            self.outbox.entry(watcher.1).or_default().completions.push(completion);
         }
     }
 
@@ -417,11 +422,10 @@
     pub(super) fn apply_completion(
         &mut self,
         now: Nanos,
-        key: LeaseKey,
-        token: LeaseToken,
-        outcome: Option<LeaseOutcome>,
+        completion: LeaseCompletion,
         out: &mut Vec<Effect>,
     ) {
+        let LeaseCompletion { key, token, outcome } = completion;
         let stored =
             self.leases.get(&key).map(|stored| (stored.lease.token, outcome_rank(&stored.lease.outcome)));
         let ours = stored.filter(|(holder, _)| {
@@ -483,8 +487,13 @@
         for call in self.calls_by_key.get(&key).cloned().unwrap_or_default() {
             self.resolve_lease_call(now, call, out);
             if let Some(Call::Lease(pending)) = self.pending_calls.get(&call) {
-                let (token, time_left_ms) = (pending.token, pending.time_left_ms);
-                self.vote_on_lease(call ^ self.call_id_mask, key, token, time_left_ms, self.replica_id, out);
+                let request = LeaseRequest {
+                    call: call ^ self.call_id_mask,
+                    key,
+                    token: pending.token,
+                    time_left_ms: pending.time_left_ms,
+                };
+                self.vote_on_lease(request, self.replica_id, out);
             }
         }
     }
--- a/consensus/src/core/membership.rs
+++ b/consensus/src/core/membership.rs
@@ -6,8 +6,20 @@
 //! - A replica never answers for an epoch that it has left.
 //! - A replica votes only if its disk holds everything that may have been committed in earlier epochs.
 
-use super::*;
-use crate::messages::{AcceptorState, SessionId, SessionRecord};
+use std::collections::{BTreeMap, BTreeSet};
+use std::sync::Arc;
+
+use rand::Rng;
+
+use crate::core::mutation::Mutation;
+use crate::core::{
+    CONFIGURATION, Core, MAX_ITEMS_PER_MESSAGE, MAX_MESSAGE_BYTES, MS, Nanos, Peer, payload_bytes,
+};
+use crate::messages::{
+    AcceptedMembership, AcceptorState, Ballot, CoreEvent, Effect, LeaseEntry, LeaseKey, LogRecord,
+    Membership, MembershipBallotState, MessageBody, NamedRegister, RegisterName, RegisterValue, ReplicaId,
+    SessionEntry,
+};
 
 /// A proposal for the next membership is abandoned after this time.
 const PROPOSAL_TIMEOUT: Nanos = 400 * MS;
@@ -24,7 +36,7 @@
     wanted: Membership,
     /// The proposal returns to the previous members, by a majority of these.
     rollback: bool,
-    promises: BTreeMap<ReplicaId, Option<(Ballot, Membership)>>,
+    promises: BTreeMap<ReplicaId, Option<AcceptedMembership>>,
     /// What acceptors are asked to accept, once a quorum has promised.
     chosen: Option<Membership>,
     acceptances: BTreeSet<ReplicaId>,
@@ -67,12 +79,17 @@
 
 /// The content of one chunk of a snapshot.
 pub(super) struct SnapshotContent {
-    pub leases: Vec<(LeaseKey, Lease)>,
-    pub sessions: Vec<(SessionId, SessionRecord)>,
+    pub catch_up_id: u64,
+    pub leases: Vec<LeaseEntry>,
+    pub sessions: Vec<SessionEntry>,
     pub configuration: Option<Arc<RegisterValue>>,
     pub registers: Vec<NamedRegister>,
     /// What the sender accepted for versions that are not decided yet.
     pub acceptors: Vec<AcceptorState>,
+    /// The key from which on leases and sessions are still to be sent.
+    pub next_key: Option<LeaseKey>,
+    /// The name from which on registers are still to be sent.
+    pub next_register: Option<RegisterName>,
 }
 
 impl Core {
@@ -120,10 +137,13 @@
             self.drop_pending_leases(out);
         }
         self.persist_ballot_state(out);
-        out.push(Effect::Log(format!("core: voter {}, view {:?}", self.voter, self.membership)));
+        out.push(Effect::Log(CoreEvent::MembershipChanged {
+            voter: self.voter,
+            membership: self.membership.clone(),
+        }));
         self.enter_epoch(now, out);
         self.heartbeat_requested = true;
-        self.restart_lease_calls(now, out);
+        self.restart_lease_calls(out);
         self.restart_session_calls(out);
         self.restart_register_calls(now, out);
     }
@@ -201,13 +221,13 @@
                 break;
             }
             bytes += payload_bytes(&stored.lease.outcome);
-            leases.push((*key, stored.lease.clone()));
+            leases.push(LeaseEntry { key: *key, lease: stored.lease.clone() });
         }
         let (sessions, next_key) = match &from_register {
             None => self.sessions_from(from_key, next_key),
             Some(_) => (Vec::new(), None),
         };
-        leases.retain(|(key, _)| next_key.is_none_or(|next| *key < next));
+        leases.retain(|entry| next_key.is_none_or(|next| entry.key < next));
         let is_last_of_leases = next_key.is_none() && from_register.is_none();
         let configuration = self.configuration.stored.clone().filter(|_| is_last_of_leases);
         let acceptors = if is_last_of_leases { self.accepted_acceptors() } else { Vec::new() };
@@ -229,16 +249,14 @@
     }
 
     /// Takes over a chunk. Once enough sources have sent everything, this replica votes.
-    #[allow(clippy::too_many_arguments)]
     pub(super) fn handle_snapshot_chunk(
         &mut self,
         now: Nanos,
         from: ReplicaId,
-        catch_up_id: u64,
         content: SnapshotContent,
-        next: (Option<LeaseKey>, Option<RegisterName>),
         out: &mut Vec<Effect>,
     ) {
+        let catch_up_id = content.catch_up_id;
         let needed_sources =
             self.membership.members.len() + 1 - self.majority().min(self.membership.members.len());
         let Some(catch_up) = &mut self.catch_up else { return };
@@ -249,7 +267,7 @@
         if *progress == CatchUpProgress::Complete {
             return;
         }
-        let next = match next {
+        let next = match (content.next_key, content.next_register) {
             (Some(key), _) => CatchUpProgress::Leases(key),
             (None, Some(name)) => CatchUpProgress::Registers(name),
             (None, _) => CatchUpProgress::Complete,
@@ -262,10 +280,10 @@
         let complete =
             catch_up.sources.values().filter(|progress| **progress == CatchUpProgress::Complete).count()
                 >= needed_sources;
-        for (key, lease) in content.leases {
+        for LeaseEntry { key, lease } in content.leases {
             self.merge_lease(key, lease, out);
         }
-        for (session, record) in content.sessions {
+        for SessionEntry { session, record } in content.sessions {
             self.merge_session(session, record, out);
         }
         if let Some(value) = content.configuration {
@@ -283,10 +301,10 @@
             self.catch_up = None;
             self.voter = true;
             self.persist_ballot_state(out);
-            out.push(Effect::Log(format!("core: caught up in epoch {}", self.membership.epoch)));
+            out.push(Effect::Log(CoreEvent::CaughtUp { epoch: self.membership.epoch }));
             self.acknowledge_to_self(out);
             self.heartbeat_requested = true;
-            self.restart_lease_calls(now, out);
+            self.restart_lease_calls(out);
             self.restart_session_calls(out);
             self.restart_register_calls(now, out);
         } else if let Some(request) = next.next_request(catch_up_id).filter(|_| advanced) {
@@ -484,7 +502,7 @@
         &mut self,
         from: ReplicaId,
         ballot: Ballot,
-        accepted: Option<(Ballot, Membership)>,
+        accepted: Option<AcceptedMembership>,
         for_rollback: bool,
         out: &mut Vec<Effect>,
     ) {
@@ -515,9 +533,9 @@
     /// Chooses the membership of the highest ballot that any promise reports, or else the wanted one (Paxos Made
     /// Simple, phase 2).
     fn choose_membership(&self, proposal: &mut MembershipProposal, out: &mut Vec<Effect>) {
-        let highest = proposal.promises.values().flatten().max_by_key(|(ballot, _)| *ballot);
+        let highest = proposal.promises.values().flatten().max_by_key(|accepted| accepted.ballot);
         let chosen = match highest {
-            Some((_, membership)) if !self.breaks(Mutation::IgnoreAcceptedMembership) => membership.clone(),
+            Some(accepted) if !self.breaks(Mutation::IgnoreAcceptedMembership) => accepted.membership.clone(),
             _ => proposal.wanted.clone(),
         };
         proposal.chosen = Some(chosen.clone());
@@ -549,11 +567,11 @@
             self.send_now(from.address, MessageBody::Preempted(self.promised_ballot), out);
             return;
         }
-        if self.accepted_membership.as_ref().is_none_or(|(earlier, _)| *earlier != ballot)
+        if self.accepted_membership.as_ref().is_none_or(|earlier| earlier.ballot != ballot)
             || self.promised_ballot != ballot
         {
             self.promised_ballot = ballot;
-            self.accepted_membership = Some((ballot, membership));
+            self.accepted_membership = Some(AcceptedMembership { ballot, membership });
             self.persist_ballot_state(out);
         }
         self.send_after_persist(from.address, MessageBody::Accepted(ballot), out);
--- a/consensus/src/core/named_registers.rs
+++ b/consensus/src/core/named_registers.rs
@@ -10,9 +10,18 @@
 //! - The value of one name never counts for another.
 //! - A new member receives all committed registers, however many there are.
 
+use std::collections::BTreeMap;
 use std::ops::Bound;
+use std::sync::Arc;
 
-use super::*;
+use crate::core::mutation::Mutation;
+use crate::core::registers::Register;
+use crate::core::{
+    CONFIGURATION, Core, MAX_ITEMS_PER_MESSAGE, MAX_MESSAGE_BYTES, MIN_SEND_INTERVAL, Nanos, mark_if_due,
+};
+use crate::messages::{
+    Effect, MessageBody, NamedRegister, RegisterName, RegisterRevision, RegisterValue, ReplicaId, Revision,
+};
 
 /// How many registers may be written.
 pub const MAX_NAMES: usize = 4_096;
@@ -29,7 +38,7 @@
 /// All registers but the configuration.
 #[derive(Clone, Debug, Default)]
 pub(super) struct NamedRegisters {
-    by_name: BTreeMap<RegisterName, registers::Register>,
+    by_name: BTreeMap<RegisterName, Register>,
     /// The sum of the digests of all stored values.
     digest: u128,
     /// The size of all stored values.
@@ -58,7 +67,7 @@
         all
     }
 
-    pub fn get(&self, name: &str) -> Option<&registers::Register> {
+    pub fn get(&self, name: &str) -> Option<&Register> {
         self.by_name.get(name)
     }
 
@@ -126,7 +135,7 @@
 
     /// Discards all acknowledgements.
     pub fn clear_acknowledgements(&mut self) {
-        self.by_name.values_mut().for_each(registers::Register::clear_acknowledgements);
+        self.by_name.values_mut().for_each(Register::clear_acknowledgements);
     }
 
     /// The stored values from a name on.
@@ -139,12 +148,12 @@
 
     /// The revisions of the stored values from a name on, as many as fit in a message, and the name at which the rest
     /// begins.
-    pub fn revisions_from(&self, name: &str) -> (Vec<(RegisterName, Revision)>, Option<RegisterName>) {
+    pub fn revisions_from(&self, name: &str) -> (Vec<RegisterRevision>, Option<RegisterName>) {
         let mut rest = self.iter_from(name);
         let revisions = rest
             .by_ref()
             .take(MAX_ITEMS_PER_MESSAGE)
-            .map(|named| (named.name, named.value.revision()))
+            .map(|named| RegisterRevision { revision: named.value.revision(), name: named.name })
             .collect();
         (revisions, rest.next().map(|named| named.name))
     }
@@ -164,6 +173,18 @@
     }
 }
 
+/// What a peer reports of the registers that it stores.
+pub(super) struct RegistersReport {
+    pub from: ReplicaId,
+    /// The peer votes in this epoch.
+    pub from_voter: bool,
+    /// The read that the report answers; 0 if it answers none.
+    pub read_id: u64,
+    pub revisions: Vec<RegisterRevision>,
+    /// The name at which further revisions begin, if there are more.
+    pub next: Option<RegisterName>,
+}
+
 /// What a replica knows of one register.
 #[derive(Clone, Debug)]
 pub struct RegisterStatus {
@@ -262,12 +283,14 @@
             return;
         }
         let registers = &self.named_registers;
-        let stored_here =
-            |name: &str| registers.get(name).map_or(Revision::NONE, registers::Register::stored_revision);
+        let stored_here = |name: &str| registers.get(name).map_or(Revision::NONE, Register::stored_revision);
         peer.wanted_registers
             .retain(|name, revision| !arrived.contains(name) && stored_here(name) < *revision);
-        let known: Vec<(RegisterName, Revision)> =
-            peer.wanted_registers.keys().map(|name| (name.clone(), stored_here(name))).collect();
+        let known: Vec<RegisterRevision> = peer
+            .wanted_registers
+            .keys()
+            .map(|name| RegisterRevision { name: name.clone(), revision: stored_here(name) })
+            .collect();
         if !known.is_empty() {
             self.send_now(from.address, MessageBody::FetchRegisters { read_id: 0, known }, out);
         }
@@ -279,19 +302,20 @@
         from: ReplicaId,
         same_epoch: bool,
         read_id: u64,
-        known: Vec<(RegisterName, Revision)>,
+        known: Vec<RegisterRevision>,
         out: &mut Vec<Effect>,
     ) {
         let mut bytes = 0;
-        let newer = known.iter().take(MAX_ITEMS_PER_MESSAGE).filter_map(|(name, revision)| {
-            let value = self
-                .named_registers
-                .get(name)?
-                .stored
-                .clone()
-                .filter(|value| value.revision() > *revision)?;
-            Some(NamedRegister { name: name.clone(), value })
-        });
+        let newer =
+            known.iter().take(MAX_ITEMS_PER_MESSAGE).filter_map(|RegisterRevision { name, revision }| {
+                let value = self
+                    .named_registers
+                    .get(name)?
+                    .stored
+                    .clone()
+                    .filter(|value| value.revision() > *revision)?;
+                Some(NamedRegister { name: name.clone(), value })
+            });
         // Values that don't fit are requested again.
         let fits = |named: &NamedRegister| {
             let before = bytes;
@@ -303,7 +327,7 @@
             self.send_now(from.address, MessageBody::StoreRegisters(newer), out);
         }
         if same_epoch && self.voter {
-            let names: Vec<RegisterName> = known.into_iter().map(|(name, _)| name).collect();
+            let names: Vec<RegisterName> = known.into_iter().map(|known| known.name).collect();
             self.acknowledge_stored(from, read_id, &names, out);
         }
     }
@@ -311,10 +335,13 @@
     /// Acknowledges the stored revisions of these registers.
     fn acknowledge_stored(&self, to: ReplicaId, read_id: u64, names: &[RegisterName], out: &mut Vec<Effect>) {
         let stored = |name: &RegisterName| {
-            self.named_registers.get(name).map_or(Revision::NONE, registers::Register::stored_revision)
+            self.named_registers.get(name).map_or(Revision::NONE, Register::stored_revision)
         };
-        let revisions =
-            names.iter().take(MAX_ITEMS_PER_MESSAGE).map(|name| (name.clone(), stored(name))).collect();
+        let revisions = names
+            .iter()
+            .take(MAX_ITEMS_PER_MESSAGE)
+            .map(|name| RegisterRevision { name: name.clone(), revision: stored(name) })
+            .collect();
         let body = MessageBody::RegistersStored { read_id, voter: true, revisions, next: None };
         if self.breaks(Mutation::AcknowledgeBeforePersist) {
             self.send_now(to.address, body, out);
@@ -325,19 +352,15 @@
 
     /// Handles the revisions that a peer stores: fetches newer ones, and counts them as acknowledgements if
     /// `from_voter`, which means that the peer votes in this epoch.
-    #[allow(clippy::too_many_arguments)]
     pub(super) fn handle_registers_stored(
         &mut self,
         now: Nanos,
-        from: ReplicaId,
-        from_voter: bool,
-        read_id: u64,
-        revisions: Vec<(RegisterName, Revision)>,
-        next: Option<RegisterName>,
+        report: RegistersReport,
         out: &mut Vec<Effect>,
     ) {
+        let RegistersReport { from, from_voter, read_id, revisions, next } = report;
         let mut known = Vec::new();
-        for (name, revision) in revisions.iter().take(MAX_ITEMS_PER_MESSAGE) {
+        for RegisterRevision { name, revision } in revisions.iter().take(MAX_ITEMS_PER_MESSAGE) {
             if from_voter || self.breaks(Mutation::CountAcknowledgementsOfNonVoters) {
                 self.named_registers.record_acknowledgement(from, name, *revision);
                 self.record_read_reply(from, name, read_id, *revision);
@@ -346,25 +369,24 @@
                 }
             }
             let stored_here =
-                self.named_registers.get(name).map_or(Revision::NONE, registers::Register::stored_revision);
+                self.named_registers.get(name).map_or(Revision::NONE, Register::stored_revision);
             if *revision > stored_here && name.len() <= MAX_NAME_BYTES && self.may_fetch(now, from, name) {
-                known.push((name.clone(), stored_here));
+                known.push(RegisterRevision { name: name.clone(), revision: stored_here });
             }
         }
         if !known.is_empty() {
-            let offered = |name: &str| {
-                revisions.iter().find(|(other, _)| **other == *name).map(|(_, revision)| *revision)
-            };
-            let wanted = known.iter().filter_map(|(name, _)| Some((name.clone(), offered(name)?)));
+            let offered =
+                |name: &str| revisions.iter().find(|offer| *offer.name == *name).map(|offer| offer.revision);
+            let wanted = known.iter().filter_map(|known| Some((known.name.clone(), offered(&known.name)?)));
             if let Some(peer) = self.peers.get_mut(&from) {
                 peer.wanted_registers = wanted.collect();
             }
             self.send_now(from.address, MessageBody::FetchRegisters { read_id: 0, known }, out);
         }
-        for (name, _) in revisions.iter().take(MAX_ITEMS_PER_MESSAGE) {
+        for RegisterRevision { name, .. } in revisions.iter().take(MAX_ITEMS_PER_MESSAGE) {
             self.update_committed(name, out);
         }
-        if let Some(next) = next.filter(|next| revisions.last().is_some_and(|(last, _)| last < next)) {
+        if let Some(next) = next.filter(|next| revisions.last().is_some_and(|last| last.name < *next)) {
             self.send_now(from.address, MessageBody::ListRegisters(next), out);
         }
     }
--- a/consensus/src/core/register_paxos.rs
+++ b/consensus/src/core/register_paxos.rs
@@ -22,8 +22,18 @@
 //! it refuses ballots on it for good, because a replica never stores less than before, so no second content can find
 //! a majority.
 
-use super::*;
-use crate::messages::{AcceptorState, ProposalNumber, RegisterPaxosMessage};
+use std::collections::{BTreeMap, BTreeSet};
+use std::sync::Arc;
+
+use rand::Rng;
+
+use crate::core::mutation::Mutation;
+use crate::core::named_registers::MAX_NAME_BYTES;
+use crate::core::{Call, Core, MS, Nanos, Sender};
+use crate::messages::{
+    AcceptedValue, AcceptorState, Ballot, CoreResponse, Effect, LogRecord, MessageBody, ProposalNumber,
+    RegisterName, RegisterPaxosMessage, RegisterValue, ReplicaId,
+};
 
 /// A message that was not answered is sent again after this time.
 const RESEND: Nanos = 120 * MS;
@@ -36,13 +46,20 @@
 /// How many bytes of accepted, undecided content an acceptor keeps.
 const MAX_ACCEPTED_BYTES: usize = 64 << 20;
 
+/// The proposal that an answer of an acceptor belongs to.
+struct ProposalId {
+    name: RegisterName,
+    version: u64,
+    number: ProposalNumber,
+}
+
 /// A proposal of this replica for a version of a register.
 #[derive(Clone, Debug)]
 pub(super) struct RegisterProposal {
     number: ProposalNumber,
     /// The content that a call wants; another one may be chosen.
     value: Arc<RegisterValue>,
-    promises: BTreeMap<ReplicaId, Option<(ProposalNumber, Arc<RegisterValue>)>>,
+    promises: BTreeMap<ReplicaId, Option<AcceptedValue>>,
     /// What acceptors are asked to accept, once a majority has promised.
     chosen: Option<Arc<RegisterValue>>,
     acceptances: BTreeSet<ReplicaId>,
@@ -66,7 +83,7 @@
 impl RegisterPaxos {
     fn accepted_bytes(&self) -> usize {
         let accepted = self.acceptors.values().filter_map(|acceptor| acceptor.accepted.as_ref());
-        accepted.map(|(_, value)| value.bytes.len()).sum()
+        accepted.map(|accepted| accepted.value.bytes.len()).sum()
     }
 }
 
@@ -107,13 +124,13 @@
     pub(super) fn merge_acceptors(&mut self, theirs: Vec<AcceptorState>, out: &mut Vec<Effect>) {
         let mut changed = false;
         for AcceptorState { register: name, version, accepted, .. } in theirs {
-            let Some((number, value)) = accepted else { continue };
+            let Some(AcceptedValue { number, value }) = accepted else { continue };
             if !self.is_newer(&name, version) {
                 continue;
             }
             let acceptor = self.acceptor_mut(&name, version);
-            if acceptor.accepted.as_ref().is_none_or(|(own, _)| *own < number) {
-                acceptor.accepted = Some((number, value));
+            if acceptor.accepted.as_ref().is_none_or(|own| own.number < number) {
+                acceptor.accepted = Some(AcceptedValue { number, value });
                 acceptor.promised = acceptor.promised.max(number);
                 changed = true;
             }
@@ -257,29 +274,38 @@
     pub(super) fn handle_register_paxos(
         &mut self,
         now: Nanos,
-        from: ReplicaId,
-        (same_epoch, from_member): (bool, bool),
+        sender: Sender,
         message: RegisterPaxosMessage,
         out: &mut Vec<Effect>,
     ) {
         match message {
-            RegisterPaxosMessage::Prepare { register: name, version, number } if same_epoch => {
-                self.handle_acceptor_request(from, name, version, number, None, out);
+            RegisterPaxosMessage::Prepare { register: name, version, number } if sender.same_epoch => {
+                self.handle_acceptor_request(sender.replica, name, version, number, None, out);
             }
-            RegisterPaxosMessage::Accept { register: name, number, value } if same_epoch => {
-                self.handle_acceptor_request(from, name, value.version, number, Some(value), out);
+            RegisterPaxosMessage::Accept { register: name, number, value } if sender.same_epoch => {
+                self.handle_acceptor_request(sender.replica, name, value.version, number, Some(value), out);
             }
-            RegisterPaxosMessage::Promise { register: name, version, number, accepted } if from_member => {
-                self.handle_register_promise(now, from, name, version, number, accepted, out);
+            RegisterPaxosMessage::Promise { register: name, version, number, accepted }
+                if sender.is_member =>
+            {
+                self.handle_register_promise(
+                    now,
+                    sender.replica,
+                    ProposalId { name, version, number },
+                    accepted,
+                    out,
+                );
             }
-            RegisterPaxosMessage::Accepted { register: name, version, number } if from_member => {
-                self.handle_register_accepted(now, from, name, version, number, out);
+            RegisterPaxosMessage::Accepted { register: name, version, number } if sender.is_member => {
+                self.handle_register_accepted(now, sender.replica, ProposalId { name, version, number }, out);
             }
-            RegisterPaxosMessage::Preempted { register: name, version, number, promised } if from_member => {
-                self.handle_register_preempted(now, name, version, number, promised);
+            RegisterPaxosMessage::Preempted { register: name, version, number, promised }
+                if sender.is_member =>
+            {
+                self.handle_register_preempted(now, ProposalId { name, version, number }, promised);
             }
-            RegisterPaxosMessage::Superseded { register: name, version, digest, .. } if from_member => {
-                self.handle_register_superseded(now, from, name, version, digest, out);
+            RegisterPaxosMessage::Superseded { register: name, version, digest, .. } if sender.is_member => {
+                self.handle_register_superseded(now, sender.replica, name, version, digest, out);
             }
             _ => {}
         }
@@ -296,10 +322,7 @@
         value: Option<Arc<RegisterValue>>,
         out: &mut Vec<Effect>,
     ) {
-        if !self.voter
-            || name.len() > named_registers::MAX_NAME_BYTES
-            || number.epoch != self.proposal_epoch()
-        {
+        if !self.voter || name.len() > MAX_NAME_BYTES || number.epoch != self.proposal_epoch() {
             return;
         }
         if !self.is_newer(&name, version) && !self.breaks(Mutation::AcceptStoredVersion) {
@@ -332,8 +355,8 @@
         acceptor.promised = number.max(acceptor.promised);
         let reply = match value {
             Some(value) => {
-                changed |= acceptor.accepted.as_ref().is_none_or(|(accepted, _)| *accepted != number);
-                acceptor.accepted = Some((number, value));
+                changed |= acceptor.accepted.as_ref().is_none_or(|accepted| accepted.number != number);
+                acceptor.accepted = Some(AcceptedValue { number, value });
                 RegisterPaxosMessage::Accepted { register: name, version, number }
             }
             None => RegisterPaxosMessage::Promise {
@@ -350,72 +373,55 @@
     }
 
     /// The proposal that an answer belongs to.
-    fn proposal_of(
-        &mut self,
-        name: &RegisterName,
-        version: u64,
-        number: ProposalNumber,
-    ) -> Option<&mut RegisterProposal> {
-        let proposal = self.register_paxos.proposals.get_mut(name)?;
-        (proposal.value.version == version && proposal.number == number && !proposal.preempted)
+    fn proposal_of(&mut self, id: &ProposalId) -> Option<&mut RegisterProposal> {
+        let proposal = self.register_paxos.proposals.get_mut(&id.name)?;
+        (proposal.value.version == id.version && proposal.number == id.number && !proposal.preempted)
             .then_some(proposal)
     }
 
-    #[allow(clippy::too_many_arguments)]
     fn handle_register_promise(
         &mut self,
         now: Nanos,
         from: ReplicaId,
-        name: RegisterName,
-        version: u64,
-        number: ProposalNumber,
-        accepted: Option<(ProposalNumber, Arc<RegisterValue>)>,
+        id: ProposalId,
+        accepted: Option<AcceptedValue>,
         out: &mut Vec<Effect>,
     ) {
         let (majority, ignores_accepted) = (self.majority(), self.breaks(Mutation::IgnoreAcceptedValue));
-        let Some(proposal) = self.proposal_of(&name, version, number) else { return };
+        let Some(proposal) = self.proposal_of(&id) else { return };
         proposal.promises.insert(from, accepted);
         if proposal.chosen.is_some() || proposal.promises.len() < majority {
             return;
         }
-        let binding = proposal.promises.values().flatten().max_by_key(|(number, _)| *number);
-        let binding = binding.map(|(_, value)| value.clone()).filter(|_| !ignores_accepted);
+        let binding = proposal.promises.values().flatten().max_by_key(|accepted| accepted.number);
+        let binding = binding.map(|accepted| accepted.value.clone()).filter(|_| !ignores_accepted);
         proposal.chosen = Some(binding.unwrap_or_else(|| proposal.value.clone()));
-        self.drive_register_proposal(now, &name, out);
+        self.drive_register_proposal(now, &id.name, out);
     }
 
     fn handle_register_accepted(
         &mut self,
         now: Nanos,
         from: ReplicaId,
-        name: RegisterName,
-        version: u64,
-        number: ProposalNumber,
+        id: ProposalId,
         out: &mut Vec<Effect>,
     ) {
         let majority = self.majority();
-        let Some(proposal) = self.proposal_of(&name, version, number) else { return };
+        let Some(proposal) = self.proposal_of(&id) else { return };
         let Some(chosen) = proposal.chosen.clone() else { return };
         proposal.acceptances.insert(from);
         if proposal.acceptances.len() < majority {
             return;
         }
-        self.store_value(&name, chosen, out);
-        self.replicate_value(now, &name, out);
-        self.resolve_register_calls(&name, out);
+        self.store_value(&id.name, chosen, out);
+        self.replicate_value(now, &id.name, out);
+        self.resolve_register_calls(&id.name, out);
     }
 
-    fn handle_register_preempted(
-        &mut self,
-        now: Nanos,
-        name: RegisterName,
-        version: u64,
-        number: ProposalNumber,
-        promised: ProposalNumber,
-    ) {
+    fn handle_register_preempted(&mut self, now: Nanos, id: ProposalId, promised: ProposalNumber) {
         self.register_paxos.highest_round = self.register_paxos.highest_round.max(promised.ballot.round);
         let jitter = self.rng.random_range(0..=BASE_BACKOFF);
-        let Some(proposal) = self.proposal_of(&name, version, number) else { return };
+        let Some(proposal) = self.proposal_of(&id) else { return };
         let doublings = proposal.attempts.min(MAX_BACKOFF_DOUBLINGS);
         proposal.attempts += 1;
         proposal.preempted = true;
--- a/consensus/src/core/registers.rs
+++ b/consensus/src/core/registers.rs
@@ -8,7 +8,18 @@
 //! - Only content that was decided for its version (`register_paxos`) is stored, so no two replicas ever store
 //!   different content under one version.
 
-use super::*;
+use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use std::sync::Arc;
+
+use crate::core::mutation::Mutation;
+use crate::core::{
+    CONFIGURATION, Call, Core, MAX_REGISTER_CALLS, MIN_SEND_INTERVAL, MS, Nanos, RETRY_INTERVAL, Sender,
+    mark_if_due,
+};
+use crate::messages::{
+    CoreResponse, Effect, LogRecord, MessageBody, NamedRegister, RegisterName, RegisterRevision,
+    RegisterValue, ReplicaId, Revision,
+};
 
 /// A write that is not committed within this time is answered `Unavailable`.
 const WRITE_TIMEOUT: Nanos = 3000 * MS;
@@ -149,7 +160,10 @@
 fn fetch_message(name: &str, read_id: u64, known: Revision) -> MessageBody {
     match name {
         CONFIGURATION => MessageBody::FetchConfiguration { read_id, known },
-        name => MessageBody::FetchRegisters { read_id, known: vec![(name.into(), known)] },
+        name => MessageBody::FetchRegisters {
+            read_id,
+            known: vec![RegisterRevision { name: name.into(), revision: known }],
+        },
     }
 }
 
@@ -160,7 +174,7 @@
         name => MessageBody::RegistersStored {
             read_id,
             voter: true,
-            revisions: vec![(name.into(), revision)],
+            revisions: vec![RegisterRevision { name: name.into(), revision }],
             next: None,
         },
     }
@@ -337,21 +351,19 @@
         }
     }
 
-    #[allow(clippy::too_many_arguments)]
     pub(super) fn handle_configuration_stored(
         &mut self,
         now: Nanos,
-        from: ReplicaId,
-        from_member: bool,
+        sender: Sender,
         read_id: u64,
         revision: Revision,
         out: &mut Vec<Effect>,
     ) {
-        if from_member || self.breaks(Mutation::CountStaleAcknowledgements) {
-            self.configuration.record_acknowledgement(from, revision);
-            self.record_read_reply(from, CONFIGURATION, read_id, revision);
+        if sender.is_member || self.breaks(Mutation::CountStaleAcknowledgements) {
+            self.configuration.record_acknowledgement(sender.replica, revision);
+            self.record_read_reply(sender.replica, CONFIGURATION, read_id, revision);
         }
-        self.fetch_if_newer(now, from, revision, out);
+        self.fetch_if_newer(now, sender.replica, revision, out);
         self.update_committed(CONFIGURATION, out);
     }
 
--- a/consensus/src/core/response_cache.rs
+++ b/consensus/src/core/response_cache.rs
@@ -6,7 +6,12 @@
 //! Invariants:
 //! - Eviction removes only the response. The lease stays as `Indeterminate`, so that its request does not run again.
 
-use super::*;
+use std::collections::BTreeSet;
+
+use crate::core::leases::{LEASE_UPDATE_RETENTION, LeaseUpdate, MAX_LEASE_UPDATES};
+use crate::core::mutation::Mutation;
+use crate::core::{Core, Nanos, payload_bytes};
+use crate::messages::{Effect, Lease, LeaseKey, LeaseOutcome, LogRecord};
 
 /// Memory that a response takes beside its bytes, and that each of its headers takes beside its own.
 const RESPONSE_OVERHEAD_BYTES: usize = 160;
@@ -14,6 +19,17 @@
 /// Responses in retained lease updates may take this fraction of the cache's size.
 const LEASE_UPDATES_DIVISOR: usize = 8;
 
+/// How full the response cache is.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct ResponseCacheUsage {
+    /// Bytes that the responses take.
+    pub bytes: usize,
+    /// Bytes that they may take.
+    pub max_bytes: usize,
+    /// Responses that were evicted since the start.
+    pub evicted: u64,
+}
+
 /// Accounts for the responses that are kept in leases.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ResponseCache {
@@ -52,8 +68,13 @@
 
 impl Core {
     /// How full the response cache is.
-    pub fn response_cache_usage(&self) -> (usize, usize, u64) {
-        (self.response_cache.bytes, self.config.max_response_bytes, self.response_cache.evicted)
+    #[must_use]
+    pub fn response_cache_usage(&self) -> ResponseCacheUsage {
+        ResponseCacheUsage {
+            bytes: self.response_cache.bytes,
+            max_bytes: self.config.max_response_bytes,
+            evicted: self.response_cache.evicted,
+        }
     }
 
     /// Drops a response that exceeds the cache by itself, so that it does not evict all others.
@@ -82,14 +103,14 @@
     }
 
     /// Retains what the other members were told, within bounds on age, number and bytes.
-    pub(super) fn retain_lease_update(&mut self, now: Nanos, update: leases::LeaseUpdate) {
+    pub(super) fn retain_lease_update(&mut self, now: Nanos, update: LeaseUpdate) {
         self.response_cache.lease_update_bytes += update.outcome().map_or(0, cached_bytes);
         self.lease_updates.push_back((now, update));
         let max_bytes = self.config.max_response_bytes / LEASE_UPDATES_DIVISOR;
         while let Some((at, first)) = self.lease_updates.front()
-            && (self.lease_updates.len() > leases::MAX_LEASE_UPDATES
+            && (self.lease_updates.len() > MAX_LEASE_UPDATES
                 || self.response_cache.lease_update_bytes > max_bytes
-                || at.saturating_add(leases::LEASE_UPDATE_RETENTION) < now)
+                || at.saturating_add(LEASE_UPDATE_RETENTION) < now)
         {
             self.response_cache.lease_update_bytes = self
                 .response_cache
--- a/consensus/src/core/sessions.rs
+++ b/consensus/src/core/sessions.rs
@@ -14,10 +14,15 @@
 //! come back with a higher term than what was committed since. If it receives two tokens for one term, it gives the
 //! term to neither.
 
-use super::*;
+use std::collections::{BTreeMap, BTreeSet};
+
+use rand::Rng;
+
+use crate::core::mutation::Mutation;
+use crate::core::{Call, Core, MAX_ITEMS_PER_MESSAGE, MS, Nanos, RETRY_INTERVAL, Sender};
 use crate::messages::{
-    CommittedSession, SessionId, SessionMessage, SessionOwner, SessionOwnership, SessionRecord,
-    SessionRequest,
+    CommittedSession, CoreResponse, Effect, LeaseToken, LogRecord, ReplicaId, SessionEntry, SessionId,
+    SessionMessage, SessionOwner, SessionOwnership, SessionRecord, SessionRequest,
 };
 
 /// A session that nobody has used for this long is forgotten.
@@ -211,24 +216,29 @@
     pub(super) fn handle_session_messages(
         &mut self,
         now: Nanos,
-        from: ReplicaId,
-        (same_epoch, from_member): (bool, bool),
+        sender: Sender,
         messages: Vec<SessionMessage>,
         out: &mut Vec<Effect>,
     ) {
         for message in messages {
             match message {
-                SessionMessage::Prepare { .. } | SessionMessage::Accept { .. } if same_epoch => {
-                    self.handle_session_acceptor_request(from, message, out)
+                SessionMessage::Prepare { .. } | SessionMessage::Accept { .. } if sender.same_epoch => {
+                    self.handle_session_acceptor_request(sender.replica, message, out)
                 }
-                SessionMessage::Promise { call, term, accepted } if from_member => {
-                    self.handle_session_promise(call ^ self.call_id_mask, from, term, accepted, out);
+                SessionMessage::Promise { call, term, accepted } if sender.is_member => {
+                    self.handle_session_promise(
+                        call ^ self.call_id_mask,
+                        sender.replica,
+                        term,
+                        accepted,
+                        out,
+                    );
                 }
-                SessionMessage::Accepted { call, term } if from_member => {
-                    self.handle_session_accepted(call ^ self.call_id_mask, from, term, out);
+                SessionMessage::Accepted { call, term } if sender.is_member => {
+                    self.handle_session_accepted(call ^ self.call_id_mask, sender.replica, term, out);
                 }
-                SessionMessage::Preempted { call, term } if from_member => {
-                    self.handle_session_preempted(now, call ^ self.call_id_mask, from, term, out);
+                SessionMessage::Preempted { call, term } if sender.is_member => {
+                    self.handle_session_preempted(now, call ^ self.call_id_mask, sender.replica, term, out);
                 }
                 SessionMessage::Renew(session) => self.renew_session(session),
                 _ => {}
@@ -384,11 +394,7 @@
     }
 
     /// The part of a snapshot between two keys, and the key at which the rest begins if it does not fit.
-    pub(super) fn sessions_from(
-        &self,
-        from: u128,
-        to: Option<u128>,
-    ) -> (Vec<(SessionId, SessionRecord)>, Option<u128>) {
+    pub(super) fn sessions_from(&self, from: u128, to: Option<u128>) -> (Vec<SessionEntry>, Option<u128>) {
         let mut batch = Vec::new();
         for (session, (record, _)) in self.sessions.records.range(from..) {
             if to.is_some_and(|to| *session >= to) {
@@ -397,7 +403,7 @@
             if batch.len() >= MAX_ITEMS_PER_MESSAGE {
                 return (batch, Some(*session));
             }
-            batch.push((*session, record.clone()));
+            batch.push(SessionEntry { session: *session, record: record.clone() });
         }
         (batch, to)
     }
--- a/consensus/src/core/zone_spread.rs
+++ b/consensus/src/core/zone_spread.rs
@@ -3,7 +3,10 @@
 //! Invariants:
 //! - A lost member is replaced by whichever replica is reachable; it never waits for a better spread.
 
-use super::*;
+use std::collections::BTreeMap;
+
+use crate::core::{Core, Nanos, Peer};
+use crate::messages::ReplicaId;
 
 impl Core {
     /// The zone of a replica; empty if unknown.
--- a/consensus/src/lib.rs
+++ b/consensus/src/lib.rs
@@ -8,6 +8,9 @@
 //! - The crate does no I/O and reads no clock. Callers pass the time and a seed, and carry out the effects that the
 //!   core returns.
 
+#![warn(missing_docs)]
+#![warn(clippy::wildcard_imports, clippy::enum_glob_use, clippy::redundant_closure_for_method_calls)]
+
 pub mod core;
 pub mod messages;
 pub mod placement;
--- /dev/null
+++ b/consensus/src/messages/effects.rs
@@ -0,0 +1,77 @@
+//! What the caller of the core has to carry out.
+//!
+//! Main types: `Effect`, `CoreEvent`.
+//!
+//! Invariants: the caller carries out effects in the order in which the core returned them.
+
+use std::fmt;
+use std::net::SocketAddr;
+
+use super::membership::{Membership, ReplicaId};
+use super::records::LogRecord;
+use super::replicas::Message;
+use super::requests::CoreResponse;
+
+/// Something that the caller of the core has to do, in the order given.
+#[derive(Clone, Debug)]
+pub enum Effect {
+    /// Writes the record to the log. Later effects of the same batch need not wait for it unless they say so.
+    Persist(LogRecord),
+    /// Sends the message once all records persisted before are safe on disk. The receiver may be the replica itself.
+    SendAfterPersist(SocketAddr, Message),
+    /// Sends the message at once.
+    SendNow(SocketAddr, Message),
+    /// Answers the request that was handed in under this number.
+    Respond {
+        /// The number under which the request was handed in.
+        call: u64,
+        /// The answer.
+        response: CoreResponse,
+    },
+    /// Reports an event for the log. It changes nothing.
+    Log(CoreEvent),
+}
+
+/// What happened in a core, for logs.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum CoreEvent {
+    /// The replica started with what its disk held.
+    Started {
+        /// The replica.
+        replica: ReplicaId,
+        /// Whether it votes.
+        voter: bool,
+        /// The membership of its epoch.
+        membership: Membership,
+    },
+    /// The replica adopted another membership.
+    MembershipChanged {
+        /// Whether it votes in the new epoch.
+        voter: bool,
+        /// The new membership.
+        membership: Membership,
+    },
+    /// The replica has caught up and votes.
+    CaughtUp {
+        /// Its epoch.
+        epoch: u64,
+    },
+}
+
+impl fmt::Display for CoreEvent {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            CoreEvent::Started { replica, voter, membership } => write!(
+                f,
+                "replica {} with disk {} started in epoch {}, voter {voter}, members {:?}",
+                replica.address, replica.disk_id, membership.epoch, membership.members
+            ),
+            CoreEvent::MembershipChanged { voter, membership } => write!(
+                f,
+                "membership changed to epoch {}, voter {voter}, members {:?}, rolled back {}",
+                membership.epoch, membership.members, membership.rolled_back
+            ),
+            CoreEvent::CaughtUp { epoch } => write!(f, "caught up in epoch {epoch}"),
+        }
+    }
+}
--- /dev/null
+++ b/consensus/src/messages/replicas.rs
@@ -0,0 +1,224 @@
+//! Messages between replicas.
+//!
+//! Main types: `Message`, `MessageBody`.
+//!
+//! Invariants: tags on the wire stay as `serde(rename)` gives them, because replicas of neighbouring versions talk to
+//! each other.
+
+use std::sync::Arc;
+
+use serde::{Deserialize, Serialize};
+
+use super::leases::{LeaseCompletion, LeaseEntry, LeaseRequest, LeaseVoteReply};
+use super::membership::{AcceptedMembership, Ballot, Membership, ReplicaId};
+use super::registers::{
+    AcceptedValue, AcceptorState, NamedRegister, RegisterName, RegisterPaxosMessage, RegisterRevision,
+    RegisterValue, Revision,
+};
+use super::sessions::{SessionEntry, SessionMessage};
+
+/// A message between replicas.
+#[derive(Clone, Debug, Serialize, Deserialize)]
+pub struct Message {
+    /// The sender.
+    pub from: ReplicaId,
+    /// The sender's epoch.
+    #[serde(rename = "view")]
+    pub epoch: u64,
+    /// What it says.
+    pub body: MessageBody,
+}
+
+/// What a message between replicas says.
+#[derive(Clone, Debug, Serialize, Deserialize)]
+pub enum MessageBody {
+    /// Sent at intervals: the sender is up, and what it stores.
+    #[serde(rename = "Beat")]
+    Heartbeat {
+        /// Whether the sender votes in its epoch.
+        voter: bool,
+        /// Revision of the configuration that the sender stores.
+        #[serde(rename = "sheet")]
+        configuration: Revision,
+        /// Revision of the newest configuration that the sender knows to be committed.
+        #[serde(rename = "safe")]
+        committed_configuration: Revision,
+        /// The sender will stop and wants to be replaced.
+        leaving: bool,
+        /// Sent only if members are spread over zones.
+        #[serde(default, skip_serializing_if = "String::is_empty")]
+        zone: String,
+        /// Digest of all named registers that the sender stores; 0 if it stores none.
+        #[serde(rename = "papers", default, skip_serializing_if = "is_zero")]
+        registers_digest: u128,
+    },
+    /// The sender's membership.
+    #[serde(rename = "Holds")]
+    MembershipAnnouncement(Membership),
+    /// Paxos on the membership that follows the one of the message's epoch.
+    Prepare(Ballot),
+    /// Promise to accept no lower ballot, with what the sender accepted last.
+    Promise {
+        /// The ballot that is promised.
+        ballot: Ballot,
+        /// What the sender accepted last, if anything.
+        accepted: Option<AcceptedMembership>,
+    },
+    /// Asks the receiver to accept this membership under this ballot.
+    Accept(Ballot, Membership),
+    /// The sender accepted the membership of this ballot.
+    Accepted(Ballot),
+    /// Like `Prepare`, to return to the previous members.
+    #[serde(rename = "Bar")]
+    PrepareRollback(Ballot),
+    /// Promise of a replica that has sent its snapshot to nobody in this epoch, and won't.
+    #[serde(rename = "Barred")]
+    RollbackPromise {
+        /// The ballot that is promised.
+        ballot: Ballot,
+        /// What the sender accepted last, if anything.
+        accepted: Option<AcceptedMembership>,
+    },
+    /// The sender has promised a higher ballot.
+    #[serde(rename = "Outbid")]
+    Preempted(Ballot),
+    /// Leases to be stored, each with the number of the call that wants it.
+    #[serde(rename = "Grant")]
+    RequestLeases(Vec<LeaseRequest>),
+    /// Votes on leases, by the number of the call.
+    #[serde(rename = "Granted")]
+    LeaseVotes(Vec<LeaseVoteReply>),
+    /// Reports on leases by their holders.
+    #[serde(rename = "Settle")]
+    CompleteLeases(Vec<LeaseCompletion>),
+    /// A configuration to be stored.
+    #[serde(rename = "Hold")]
+    StoreConfiguration(Arc<RegisterValue>),
+    /// Asks for a configuration newer than this revision. A voter also answers what it stores, with the same `read_id`.
+    #[serde(rename = "WantSheet")]
+    FetchConfiguration {
+        /// Identifies the read that the answer is for; 0 if there is none.
+        #[serde(rename = "ask")]
+        read_id: u64,
+        /// What the sender stores.
+        #[serde(rename = "have")]
+        known: Revision,
+    },
+    /// The revision that a voter stores, safe on disk. `read_id` is 0 if nobody asked.
+    #[serde(rename = "Held")]
+    ConfigurationStored {
+        /// Identifies the read that the answer is for; 0 if there is none.
+        #[serde(rename = "ask")]
+        read_id: u64,
+        /// The revision that is stored.
+        #[serde(rename = "rank")]
+        revision: Revision,
+    },
+    /// A member that catches up asks for the next chunk of the receiver's state.
+    #[serde(rename = "WantState")]
+    FetchSnapshot {
+        /// The key from which on leases and sessions are wanted.
+        #[serde(rename = "from")]
+        from_key: u128,
+        /// Tells apart the attempts of one replica to catch up.
+        #[serde(rename = "round")]
+        catch_up_id: u64,
+        /// Set once all leases have arrived: the register from which on registers are wanted.
+        #[serde(rename = "papers", default, skip_serializing_if = "Option::is_none")]
+        from_register: Option<RegisterName>,
+    },
+    /// A part of the sender's snapshot, in the order of keys, then of names.
+    #[serde(rename = "State")]
+    SnapshotChunk {
+        /// Identifies the catch-up of the receiver.
+        #[serde(rename = "round")]
+        catch_up_id: u64,
+        /// Leases in the order of their keys.
+        #[serde(rename = "part")]
+        leases: Vec<LeaseEntry>,
+        /// The key from which on leases and sessions are still to be sent.
+        #[serde(rename = "next")]
+        next_key: Option<u128>,
+        /// The stored configuration; sent with the last chunk of leases.
+        #[serde(rename = "sheet")]
+        configuration: Option<Arc<RegisterValue>>,
+        /// Sessions in the order of their ids.
+        #[serde(default, skip_serializing_if = "Vec::is_empty")]
+        sessions: Vec<SessionEntry>,
+        /// Registers in the order of their names; sent after all leases.
+        #[serde(rename = "papers", default, skip_serializing_if = "Vec::is_empty")]
+        registers: Vec<NamedRegister>,
+        /// The name from which on registers are still to be sent; set with and after the last chunk of leases.
+        #[serde(rename = "next_paper", default, skip_serializing_if = "Option::is_none")]
+        next_register: Option<RegisterName>,
+        /// What the sender accepted for undecided versions; sent with the last chunk of leases.
+        #[serde(rename = "version_ballots", default, skip_serializing_if = "Vec::is_empty")]
+        acceptors: Vec<AcceptorState>,
+    },
+    /// Paxos on sessions.
+    Sessions(Vec<SessionMessage>),
+    /// Paxos on the content of a version of a register.
+    #[serde(rename = "Version")]
+    RegisterPaxos(RegisterPaxosMessage),
+    /// Registers to be stored.
+    #[serde(rename = "HoldPapers")]
+    StoreRegisters(Vec<NamedRegister>),
+    /// Asks for registers newer than these revisions. A voter also answers what it stores, with the same `read_id`.
+    #[serde(rename = "WantPapers")]
+    FetchRegisters {
+        /// Identifies the read that the answer is for; 0 if there is none.
+        #[serde(rename = "ask")]
+        read_id: u64,
+        /// What the sender stores.
+        #[serde(rename = "have")]
+        known: Vec<RegisterRevision>,
+    },
+    /// The revisions of registers that the sender stores, safe on disk. `read_id` is 0 if nobody asked.
+    #[serde(rename = "PapersHeld")]
+    RegistersStored {
+        /// Identifies the read that the answer is for; 0 if there is none.
+        #[serde(rename = "ask")]
+        read_id: u64,
+        /// Whether the sender votes in its epoch.
+        voter: bool,
+        /// The revisions that are stored.
+        #[serde(rename = "ranks")]
+        revisions: Vec<RegisterRevision>,
+        /// If a list was asked for: the name from which on there are more.
+        #[serde(default, skip_serializing_if = "Option::is_none")]
+        next: Option<RegisterName>,
+    },
+    /// Asks for the revisions of all registers from this name on, as many as fit in a message.
+    #[serde(rename = "ListPapers")]
+    ListRegisters(RegisterName),
+}
+
+impl Message {
+    /// Whether every value in the message matches its digest. To be checked for each message from another process before
+    /// it is handled: values are stored under their digests and sent on.
+    pub fn is_intact(&self) -> bool {
+        let intact = |value: &Arc<RegisterValue>| value.is_intact();
+        let registers_intact =
+            |registers: &[NamedRegister]| registers.iter().all(|named| intact(&named.value));
+        match &self.body {
+            MessageBody::StoreConfiguration(value) => intact(value),
+            MessageBody::StoreRegisters(registers) => registers_intact(registers),
+            MessageBody::SnapshotChunk { configuration, registers, acceptors, .. } => {
+                let accepted = acceptors.iter().filter_map(|acceptor| acceptor.accepted.as_ref());
+                configuration.iter().all(intact)
+                    && registers_intact(registers)
+                    && accepted.map(|accepted| &accepted.value).all(intact)
+            }
+            MessageBody::RegisterPaxos(RegisterPaxosMessage::Accept { value, .. }) => intact(value),
+            MessageBody::RegisterPaxos(RegisterPaxosMessage::Promise {
+                accepted: Some(AcceptedValue { value, .. }),
+                ..
+            }) => intact(value),
+            _ => true,
+        }
+    }
+}
+
+fn is_zero(digest: &u128) -> bool {
+    *digest == 0
+}
--- a/consensus/src/messages/session.rs
+++ b/consensus/src/messages/sessions.rs
@@ -5,7 +5,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::LeaseToken;
+use super::leases::LeaseToken;
 
 /// Identifies a session: a hash of its service, the header's name and the header's value. The value itself is never sent.
 pub type SessionId = u128;
@@ -16,6 +16,7 @@
     /// The incarnation of the upstream.
     #[serde(rename = "id")]
     pub upstream_id: String,
+    /// The address of the upstream's inbound proxy.
     #[serde(rename = "door")]
     pub inbound_proxy: SocketAddr,
 }
@@ -26,6 +27,7 @@
     /// The address at which other nodes reach the proxy.
     #[serde(rename = "gate")]
     pub outbound_proxy: SocketAddr,
+    /// The term of the change that made it the owner.
     #[serde(rename = "since")]
     pub since_term: u64,
 }
@@ -33,11 +35,13 @@
 /// Who owns a session, and what it is bound to.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SessionOwnership {
+    /// The upstream that the session is bound to, if any.
     #[serde(rename = "tie", default, skip_serializing_if = "Option::is_none")]
     pub binding: Option<SessionBinding>,
     /// `None` after an operator made the control plane forget the session.
     #[serde(rename = "holder", default, skip_serializing_if = "Option::is_none")]
     pub owner: Option<SessionOwner>,
+    /// Who owned the session before, if anybody.
     #[serde(rename = "before", default, skip_serializing_if = "Option::is_none")]
     pub previous_owner: Option<SessionOwner>,
 }
@@ -45,9 +49,12 @@
 /// A committed change of a session. Terms go up with each change; each term belongs to one token.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CommittedSession {
+    /// The term of the change.
     #[serde(rename = "epoch")]
     pub term: u64,
+    /// Whose proposal has the term.
     pub token: LeaseToken,
+    /// What the change led to.
     #[serde(rename = "holding")]
     pub ownership: SessionOwnership,
 }
@@ -71,6 +78,7 @@
     /// The proxy wants to own the session, and keeps it if it already does.
     #[serde(rename = "Take")]
     Acquire {
+        /// The proxy that wants to own the session.
         #[serde(rename = "gate")]
         outbound_proxy: SocketAddr,
         /// Inbound proxies know of an owner since this term.
@@ -80,16 +88,19 @@
     /// The owner wants the session bound to another upstream, provided that it is still bound to the current one.
     #[serde(rename = "Tie")]
     Bind {
+        /// The owner, with the term in which it acquired the session.
         #[serde(rename = "holder")]
         owner: SessionOwner,
         /// Id of the upstream that the owner believes the session to be bound to, if any.
         #[serde(rename = "was")]
         current_upstream_id: Option<String>,
+        /// The upstream that the session is bound to, if any.
         #[serde(rename = "tie")]
         binding: SessionBinding,
     },
     /// The owner has used the session lately. Answered by what the asked replica stores, which may be outdated.
     Renew(SessionOwner),
+    /// Reads the committed state.
     Read,
     /// Removes owner and binding: the next proxy begins anew, in a later term.
     #[serde(rename = "Drop")]
@@ -102,43 +113,69 @@
     /// Asks for the promise to accept nothing of a lower term.
     #[serde(rename = "Ask")]
     Prepare {
+        /// The number of the call that the answer belongs to.
         call: u64,
+        /// The session.
         session: SessionId,
+        /// The term of the change.
         #[serde(rename = "epoch")]
         term: u64,
+        /// Whose proposal has the term.
         token: LeaseToken,
     },
     /// The promise, with the change that the sender accepted last.
     #[serde(rename = "Heard")]
     Promise {
+        /// The number of the call that the answer belongs to.
         call: u64,
+        /// The term of the change.
         #[serde(rename = "epoch")]
         term: u64,
+        /// The change that the sender accepted last, if any.
         #[serde(rename = "taken")]
         accepted: Option<CommittedSession>,
     },
     /// Asks the receiver to store a change.
     #[serde(rename = "Hold")]
     Accept {
+        /// The number of the call that the answer belongs to.
         call: u64,
+        /// The session.
         session: SessionId,
+        /// The change.
         #[serde(rename = "agreed")]
         change: CommittedSession,
     },
     /// The change is safe on the sender's disk.
     #[serde(rename = "Held")]
     Accepted {
+        /// The number of the call that the answer belongs to.
         call: u64,
+        /// The term of the change.
         #[serde(rename = "epoch")]
         term: u64,
     },
     /// The sender has promised a higher term, or this term to another token.
     #[serde(rename = "Outbid")]
     Preempted {
+        /// The number of the call that the answer belongs to.
         call: u64,
+        /// The term of the change.
         #[serde(rename = "epoch")]
         term: u64,
     },
     /// The session was used.
     Renew(SessionId),
 }
+
+/// A session with its record.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(from = "(SessionId, SessionRecord)", into = "(SessionId, SessionRecord)")]
+pub struct SessionEntry {
+    /// The session.
+    pub session: SessionId,
+    /// What the replica stores of it.
+    pub record: SessionRecord,
+}
+
+encoded_as_tuple!(SessionEntry { session: SessionId, record: SessionRecord });
--- a/consensus/tests/cluster/mod.rs
+++ b/consensus/tests/cluster/mod.rs
@@ -9,7 +9,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use ochreshed_consensus::core::{Config, Core, Mutation};
+use ochreshed_consensus::core::{Config, Core, Mutation, StartOptions};
 use ochreshed_consensus::messages::*;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -62,8 +62,13 @@
     }
 
     fn saved(&self) -> PersistedState {
-        let lease = self.leases.iter().map(|(key, lease)| (*key, lease.clone())).collect();
-        let sessions = self.sessions.iter().map(|(session, entry)| (*session, entry.clone())).collect();
+        let leases =
+            self.leases.iter().map(|(key, lease)| LeaseEntry { key: *key, lease: lease.clone() }).collect();
+        let sessions = self
+            .sessions
+            .iter()
+            .map(|(session, record)| SessionEntry { session: *session, record: record.clone() })
+            .collect();
         let registers = self
             .registers
             .iter()
@@ -74,7 +79,7 @@
             membership_ballot: ballots,
             acceptors: version_ballots,
             configuration: self.configuration.clone(),
-            leases: lease,
+            leases,
             sessions,
             registers,
         }
@@ -266,7 +271,16 @@
         let saved = self.nodes[node].disk.saved();
         let seed = self.rng.random();
         let config = Config { zone: zone(node).into(), ..self.config.clone() };
-        let mut core = Core::new(self.now, seed, at(node), first, &self.seeds, saved, config, &mut out);
+        let options = StartOptions {
+            now: self.now,
+            seed,
+            address: at(node),
+            first_start: first,
+            seeds: &self.seeds,
+            saved,
+            config,
+        };
+        let mut core = Core::new(options, &mut out);
         (core.mutation, core.eager_rollback) = (self.mutation, self.eager_rollback);
         self.nodes[node].core = Some(core);
         self.nodes[node].incarnation += 1;
--- a/consensus/tests/frozen_forms.rs
+++ b/consensus/tests/frozen_forms.rs
@@ -8,10 +8,11 @@
 
 use frozen::FrozenForms;
 use ochreshed_consensus::messages::{
-    AcceptorState, Ballot, CommittedSession, CoreRequest, CoreResponse, Lease, LeaseOutcome, LeaseVote,
-    LogRecord, Membership, MembershipBallotState, Message, MessageBody, NamedRegister, ProposalNumber,
-    RegisterPaxosMessage, RegisterValue, ReplicaId, Revision, SessionBinding, SessionMessage, SessionOwner,
-    SessionOwnership, SessionRecord, SessionRequest, StoredResponse,
+    AcceptedMembership, AcceptedValue, AcceptorState, Ballot, CommittedSession, CoreRequest, CoreResponse,
+    Lease, LeaseCompletion, LeaseEntry, LeaseOutcome, LeaseRequest, LeaseVote, LeaseVoteReply, LogRecord,
+    Membership, MembershipBallotState, Message, MessageBody, NamedRegister, ProposalNumber,
+    RegisterPaxosMessage, RegisterRevision, RegisterValue, ReplicaId, Revision, SessionBinding, SessionEntry,
+    SessionMessage, SessionOwner, SessionOwnership, SessionRecord, SessionRequest, StoredResponse,
 };
 
 fn address(last: u8) -> SocketAddr {
@@ -80,8 +81,12 @@
     SessionRecord { term: 4, token: 78, accepted: Some(committed()) }
 }
 
+fn accepted_membership() -> AcceptedMembership {
+    AcceptedMembership { ballot: ballot(), membership: membership() }
+}
+
 fn version_ballot() -> AcceptorState {
-    let accepted = Some((number(), content()));
+    let accepted = Some(AcceptedValue { number: number(), value: content() });
     AcceptorState { register: "members".into(), version: 13, promised: number(), accepted }
 }
 
@@ -103,7 +108,7 @@
         membership: membership(),
         voter: true,
         promised: ballot(),
-        accepted: Some((ballot(), membership())),
+        accepted: Some(accepted_membership()),
         served_snapshot: true,
         barred_from_serving: true,
     };
@@ -205,7 +210,7 @@
         membership: membership(),
         voter: true,
         promised: ballot(),
-        accepted: Some((ballot(), membership())),
+        accepted: Some(accepted_membership()),
         served_snapshot: true,
         barred_from_serving: false,
     };
@@ -281,7 +286,7 @@
                 register: name(),
                 version,
                 number,
-                accepted: Some((number, content())),
+                accepted: Some(AcceptedValue { number, value: content() }),
             },
         ),
         (
@@ -312,23 +317,26 @@
         registers_digest: papers,
     };
     let grants = vec![
-        (1, LeaseVote::Granted),
-        (2, LeaseVote::Held(lease(LeaseOutcome::Pending))),
-        (3, LeaseVote::Held(lease(LeaseOutcome::Completed(answer())))),
-        (4, LeaseVote::TokenReleased),
+        LeaseVoteReply { call: 1, vote: LeaseVote::Granted },
+        LeaseVoteReply { call: 2, vote: LeaseVote::Held(lease(LeaseOutcome::Pending)) },
+        LeaseVoteReply { call: 3, vote: LeaseVote::Held(lease(LeaseOutcome::Completed(answer()))) },
+        LeaseVoteReply { call: 4, vote: LeaseVote::TokenReleased },
     ];
     let settles = vec![
-        (KEY, 99, None),
-        (1, 98, Some(LeaseOutcome::Pending)),
-        (2, 97, Some(LeaseOutcome::Indeterminate)),
-        (3, 96, Some(LeaseOutcome::Completed(answer()))),
+        LeaseCompletion { key: KEY, token: 99, outcome: None },
+        LeaseCompletion { key: 1, token: 98, outcome: Some(LeaseOutcome::Pending) },
+        LeaseCompletion { key: 2, token: 97, outcome: Some(LeaseOutcome::Indeterminate) },
+        LeaseCompletion { key: 3, token: 96, outcome: Some(LeaseOutcome::Completed(answer())) },
     ];
     let state_all = MessageBody::SnapshotChunk {
         catch_up_id: 7,
-        leases: vec![(KEY, lease(LeaseOutcome::Pending)), (1, lease(LeaseOutcome::Completed(answer())))],
+        leases: vec![
+            LeaseEntry { key: KEY, lease: lease(LeaseOutcome::Pending) },
+            LeaseEntry { key: 1, lease: lease(LeaseOutcome::Completed(answer())) },
+        ],
         next_key: Some(KEY),
         configuration: Some(content()),
-        sessions: vec![(SESSION, session_record())],
+        sessions: vec![SessionEntry { session: SESSION, record: session_record() }],
         registers: vec![named()],
         next_register: Some("n".into()),
         acceptors: vec![version_ballot()],
@@ -343,24 +351,32 @@
         next_register: None,
         acceptors: Vec::new(),
     };
-    let ranks = || vec![("members".into(), RANK)];
+    let ranks = || vec![RegisterRevision { name: "members".into(), revision: RANK }];
     let all = vec![
         ("beat_all", beat("zone-a", u128::MAX)),
         ("beat_least", beat("", 0)),
         ("holds", MessageBody::MembershipAnnouncement(membership())),
         ("prepare", MessageBody::Prepare(ballot())),
-        ("promise_all", MessageBody::Promise { ballot: ballot(), accepted: Some((ballot(), membership())) }),
+        ("promise_all", MessageBody::Promise { ballot: ballot(), accepted: Some(accepted_membership()) }),
         ("promise_least", MessageBody::Promise { ballot: ballot(), accepted: None }),
         ("accept", MessageBody::Accept(ballot(), membership())),
         ("accepted", MessageBody::Accepted(ballot())),
         ("bar", MessageBody::PrepareRollback(ballot())),
         (
             "barred_all",
-            MessageBody::RollbackPromise { ballot: ballot(), accepted: Some((ballot(), membership())) },
+            MessageBody::RollbackPromise { ballot: ballot(), accepted: Some(accepted_membership()) },
         ),
         ("barred_least", MessageBody::RollbackPromise { ballot: ballot(), accepted: None }),
         ("outbid", MessageBody::Preempted(ballot())),
-        ("grant", MessageBody::RequestLeases(vec![(1, KEY, 99, 70_000)])),
+        (
+            "grant",
+            MessageBody::RequestLeases(vec![LeaseRequest {
+                call: 1,
+                key: KEY,
+                token: 99,
+                time_left_ms: 70_000,
+            }]),
+        ),
         ("granted", MessageBody::LeaseVotes(grants)),
         ("settle", MessageBody::CompleteLeases(settles)),
         ("hold", MessageBody::StoreConfiguration(content())),
--- a/consensus/tests/protocol_scenarios.rs
+++ b/consensus/tests/protocol_scenarios.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 use cluster::{MS, World, at, response_of};
-use ochreshed_consensus::core::{Core, Mutation};
+use ochreshed_consensus::core::{Core, LeaseCounts, Mutation, ResponseCacheUsage};
 use ochreshed_consensus::messages::*;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -24,6 +24,10 @@
     world.request(node, CoreRequest::CompleteLease { key, token, outcome });
 }
 
+fn counts(pending: usize, indeterminate: usize, completed: usize) -> LeaseCounts {
+    LeaseCounts { pending, indeterminate, completed }
+}
+
 fn core(world: &World, node: usize) -> &Core {
     world.nodes[node].core.as_ref().unwrap()
 }
@@ -40,7 +44,7 @@
     assert_eq!(holders.len(), 2);
     for node in holders {
         assert_eq!(core(&world, node).lease(7).unwrap().token, 21);
-        assert_eq!(core(&world, node).lease_counts(), (1, 0, 0));
+        assert_eq!(core(&world, node).lease_counts(), counts(1, 0, 0));
         assert!(world.nodes[node].disk.leases.contains_key(&7));
     }
 }
@@ -103,7 +107,7 @@
     let late = acquire_lease(&mut world, 0, 7, 24);
     world.run_without_faults(50 * MS);
     assert_eq!(world.responses[&late], CoreResponse::LeaseHeld(LeaseOutcome::Completed(response_of(21))));
-    assert_eq!(core(&world, 0).lease_counts(), (0, 0, 1));
+    assert_eq!(core(&world, 0).lease_counts(), counts(0, 0, 1));
 }
 
 /// Guards against responses that take all memory, and against requests that run again because theirs was evicted.
@@ -122,8 +126,11 @@
         );
         world.run_without_faults(100 * MS);
     }
-    assert_eq!(core(&world, 0).response_cache_usage(), (336, 400, 1));
-    assert_eq!(core(&world, 0).lease_counts(), (0, 1, 2));
+    assert_eq!(
+        core(&world, 0).response_cache_usage(),
+        ResponseCacheUsage { bytes: 336, max_bytes: 400, evicted: 1 }
+    );
+    assert_eq!(core(&world, 0).lease_counts(), counts(0, 1, 2));
     let calls = [1, 2, 3].map(|key| acquire_lease(&mut world, 0, key, 20 + key as LeaseToken));
     world.run_without_faults(100 * MS);
     assert_eq!(world.responses[&calls[0]], CoreResponse::LeaseHeld(LeaseOutcome::Indeterminate));
@@ -133,7 +140,10 @@
     world.config.max_response_bytes = 200;
     world.start(0, false);
     world.deliver_everything();
-    assert_eq!(core(&world, 0).response_cache_usage(), (168, 200, 1));
+    assert_eq!(
+        core(&world, 0).response_cache_usage(),
+        ResponseCacheUsage { bytes: 168, max_bytes: 200, evicted: 1 }
+    );
     assert_eq!(world.nodes[0].disk.leases[&2].outcome, LeaseOutcome::Indeterminate);
     // A response that exceeds the cache by itself.
     let long = StoredResponse { status: 200, headers: Vec::new(), body: vec![0; 300] };
@@ -142,7 +152,7 @@
     complete_lease(&mut world, 0, 9, 9, Some(LeaseOutcome::Completed(Arc::new(long))));
     world.run_without_faults(100 * MS);
     assert_eq!(core(&world, 0).lease(9).unwrap().outcome, LeaseOutcome::Indeterminate);
-    assert_eq!(core(&world, 0).response_cache_usage().0, 168);
+    assert_eq!(core(&world, 0).response_cache_usage().bytes, 168);
 }
 
 #[test]
@@ -211,9 +221,9 @@
     }
     complete_lease(&mut world, 1, 8, 22, Some(LeaseOutcome::Indeterminate));
     world.deliver_everything();
-    assert_eq!(core(&world, 1).lease_counts(), (1, 1, 0));
+    assert_eq!(core(&world, 1).lease_counts(), counts(1, 1, 0));
     world.run_without_faults(600 * MS);
-    assert_eq!(core(&world, 2).lease_counts(), (1, 1, 0));
+    assert_eq!(core(&world, 2).lease_counts(), counts(1, 1, 0));
 }
 
 #[test]
@@ -224,7 +234,7 @@
     world.now += world.config.lease_ttl;
     world.run_without_faults(400 * MS);
     for node in 0..3 {
-        assert_eq!(core(&world, node).lease_counts(), (0, 0, 0));
+        assert_eq!(core(&world, node).lease_counts(), counts(0, 0, 0));
         assert!(world.nodes[node].disk.leases.is_empty());
     }
 }
@@ -533,13 +543,13 @@
     assert!(back.is_voting());
     assert_eq!(back.membership().epoch, 2);
     assert_ne!(back.replica().disk_id, 0);
-    assert_eq!(back.lease_counts(), (600, 0, 0));
+    assert_eq!(back.lease_counts(), counts(600, 0, 0));
     assert_eq!(back.committed_configuration(), Some(&value));
     assert!((0..3).all(|node| core(&world, node).membership() == back.membership()));
     // And the next one may be lost.
     world.wipe(0);
     world.run_without_faults(1500 * MS);
-    assert_eq!(core(&world, 0).lease_counts(), (600, 0, 0));
+    assert_eq!(core(&world, 0).lease_counts(), counts(600, 0, 0));
     assert!(core(&world, 0).is_voting());
 }
 
@@ -560,7 +570,7 @@
         core(&world, 0).membership().members.iter().map(|station| station.address).collect();
     assert_eq!(members, [at(0), at(2), at(3)]);
     assert!(core(&world, 3).is_voting());
-    assert_eq!(core(&world, 3).lease_counts(), (1, 0, 0));
+    assert_eq!(core(&world, 3).lease_counts(), counts(1, 0, 0));
     // The one that was lost comes back and is told that it is out.
     world.run_without_faults(500 * MS);
     assert!(!core(&world, 1).is_voting());
@@ -581,7 +591,7 @@
     world.run_without_faults(3_000 * MS);
     for node in 0..5 {
         assert!(core(&world, node).is_voting());
-        assert_eq!(core(&world, node).lease_counts(), (1, 0, 0));
+        assert_eq!(core(&world, node).lease_counts(), counts(1, 0, 0));
         assert_eq!(core(&world, node).membership().epoch, 3);
     }
 }
@@ -620,7 +630,7 @@
     for node in 0..3 {
         assert_eq!(core(&world, node).membership().members.len(), 3);
         assert!(core(&world, node).is_voting());
-        assert_eq!(core(&world, node).lease_counts(), (1, 0, 0));
+        assert_eq!(core(&world, node).lease_counts(), counts(1, 0, 0));
         assert_eq!(core(&world, node).replica_addresses(), [at(0), at(1), at(2)]);
     }
 }
@@ -669,7 +679,7 @@
     world.nodes[0].core.as_mut().unwrap().cancel_request(call);
     world.run_without_faults(300 * MS);
     assert!(!world.responses.contains_key(&call));
-    assert_eq!((0..3).filter(|node| core(&world, *node).lease_counts() == (1, 0, 0)).count(), 2);
+    assert_eq!((0..3).filter(|node| core(&world, *node).lease_counts() == counts(1, 0, 0)).count(), 2);
 }
 
 /// Guards against a cluster that stops for good, and against one that forgets what was committed in the last epoch. A
@@ -709,7 +719,7 @@
             .membership_ballot
             .as_ref()
             .and_then(|ballots| ballots.accepted.clone())
-            .map(|(_, membership)| membership)
+            .map(|accepted| accepted.membership)
     };
     let next = accepted(&world, 1).expect("a vote");
     assert_eq!(
@@ -777,7 +787,7 @@
             register: name,
             version,
             number: at,
-            accepted: Some((promised, value)),
+            accepted: Some(AcceptedValue { number: promised, value }),
         },
         2 => RegisterPaxosMessage::Accept { register: name, number: at, value },
         3 => RegisterPaxosMessage::Accepted { register: name, version, number: at },
@@ -833,10 +843,14 @@
     let revision = (number(c), number(c));
     let name = ["m/a", "", "members"][c.random_range(0..3)].into();
     let named = NamedRegister { name, value: value.clone() };
+    let stored = |name: &str| RegisterRevision { name: name.into(), revision: revision.into() };
     let body = match c.random_range(0..24) {
         22 | 23 => MessageBody::RegisterPaxos(garbage_of_versions(c, value)),
         16 => MessageBody::PrepareRollback(ballot(c)),
-        17 => MessageBody::RollbackPromise { ballot: ballot(c), accepted: Some((ballot(c), membership(c))) },
+        17 => MessageBody::RollbackPromise {
+            ballot: ballot(c),
+            accepted: Some(AcceptedMembership { ballot: ballot(c), membership: membership(c) }),
+        },
         0 => MessageBody::Heartbeat {
             voter: c.random(),
             configuration: revision.into(),
@@ -847,16 +861,28 @@
         },
         1 => MessageBody::MembershipAnnouncement(membership(c)),
         2 => MessageBody::Prepare(ballot(c)),
-        3 => MessageBody::Promise { ballot: ballot(c), accepted: Some((ballot(c), membership(c))) },
+        3 => MessageBody::Promise {
+            ballot: ballot(c),
+            accepted: Some(AcceptedMembership { ballot: ballot(c), membership: membership(c) }),
+        },
         4 => MessageBody::Accept(ballot(c), membership(c)),
         5 => MessageBody::Accepted(ballot(c)),
         6 => MessageBody::Preempted(ballot(c)),
-        7 => MessageBody::RequestLeases(vec![(number(c), key(c), number(c), u32::MAX)]),
+        7 => MessageBody::RequestLeases(vec![LeaseRequest {
+            call: number(c),
+            key: key(c),
+            token: number(c),
+            time_left_ms: u32::MAX,
+        }]),
         8 => MessageBody::LeaseVotes(vec![
-            (number(c), LeaseVote::Held(lease)),
-            (number(c), LeaseVote::TokenReleased),
+            LeaseVoteReply { call: number(c), vote: LeaseVote::Held(lease) },
+            LeaseVoteReply { call: number(c), vote: LeaseVote::TokenReleased },
         ]),
-        9 => MessageBody::CompleteLeases(vec![(key(c), number(c), c.random::<bool>().then(|| outcome(c)))]),
+        9 => MessageBody::CompleteLeases(vec![LeaseCompletion {
+            key: key(c),
+            token: number(c),
+            outcome: c.random::<bool>().then(|| outcome(c)),
+        }]),
         10 => MessageBody::StoreConfiguration(value),
         11 => MessageBody::FetchConfiguration { read_id: number(c), known: revision.into() },
         12 => MessageBody::ConfigurationStored { read_id: number(c), revision: revision.into() },
@@ -867,33 +893,33 @@
         },
         14 => MessageBody::Sessions(vec![said(c)]),
         18 => MessageBody::StoreRegisters(vec![named]),
-        19 => MessageBody::FetchRegisters {
-            read_id: number(c),
-            known: vec![("m/a".into(), revision.into()), ("".into(), revision.into())],
-        },
+        19 => MessageBody::FetchRegisters { read_id: number(c), known: vec![stored("m/a"), stored("")] },
         20 => MessageBody::RegistersStored {
             read_id: number(c),
             voter: c.random(),
-            revisions: vec![("m/b".into(), revision.into()), ("".into(), revision.into())],
+            revisions: vec![stored("m/b"), stored("")],
             next: c.random::<bool>().then(|| "x".into()),
         },
         21 => MessageBody::ListRegisters("m/".into()),
         _ => MessageBody::SnapshotChunk {
             catch_up_id: number(c),
-            leases: vec![(key(c), lease)],
+            leases: vec![LeaseEntry { key: key(c), lease }],
             next_key: c.random::<bool>().then(|| key(c)),
             configuration: Some(value),
             registers: vec![named],
             next_register: c.random::<bool>().then(|| "x".into()),
-            sessions: vec![(key(c), SessionRecord { term: number(c), token: number(c), accepted: None })],
+            sessions: vec![SessionEntry {
+                session: key(c),
+                record: SessionRecord { term: number(c), token: number(c), accepted: None },
+            }],
             acceptors: vec![AcceptorState {
                 register: "m/a".into(),
                 version: number(c),
                 promised: ProposalNumber { epoch: number(c), ballot: ballot(c) },
-                accepted: Some((
-                    ProposalNumber { epoch: number(c), ballot: ballot(c) },
-                    Arc::new(RegisterValue::new(1, Vec::new())),
-                )),
+                accepted: Some(AcceptedValue {
+                    number: ProposalNumber { epoch: number(c), ballot: ballot(c) },
+                    value: Arc::new(RegisterValue::new(1, Vec::new())),
+                }),
             }],
         },
     };
--- a/emulator/src/mesh/steward.rs
+++ b/emulator/src/mesh/steward.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use ochreshed_consensus::core::{Config, Core, Mutation};
+use ochreshed_consensus::core::{Config, Core, Mutation, StartOptions};
 use ochreshed_consensus::messages::*;
 use ochreshed_mesh::calls::{Ask, NewsReply, Reply};
 use ochreshed_mesh::list::Mark;
@@ -55,8 +55,13 @@
     }
 
     fn saved(&self) -> PersistedState {
-        let claims = self.claims.iter().map(|(key, claim)| (*key, claim.clone())).collect();
-        let sessions = self.sessions.iter().map(|(session, entry)| (*session, entry.clone())).collect();
+        let claims =
+            self.claims.iter().map(|(key, claim)| LeaseEntry { key: *key, lease: claim.clone() }).collect();
+        let sessions = self
+            .sessions
+            .iter()
+            .map(|(session, entry)| SessionEntry { session: *session, record: entry.clone() })
+            .collect();
         let paper = |(name, sheet): (&RegisterName, &Arc<RegisterValue>)| NamedRegister {
             name: name.clone(),
             value: sheet.clone(),
@@ -135,16 +140,16 @@
 impl Steward {
     pub fn start(start: Start, hand: &mut Hand) -> Steward {
         let mut acts = Vec::new();
-        let mut core = Core::new(
-            hand.now,
-            start.seed,
-            start.at,
-            start.first,
-            start.seeds,
-            start.kept.saved(),
-            start.config,
-            &mut acts,
-        );
+        let options = StartOptions {
+            now: hand.now,
+            seed: start.seed,
+            address: start.at,
+            first_start: start.first,
+            seeds: start.seeds,
+            saved: start.kept.saved(),
+            config: start.config,
+        };
+        let mut core = Core::new(options, &mut acts);
         core.mutation = start.mutation;
         let mut steward = Steward {
             at: start.at,
--- a/storage/src/store.rs
+++ b/storage/src/store.rs
@@ -219,8 +219,8 @@
             membership_ballot: ballots,
             acceptors: version_ballots,
             configuration: sheet,
-            leases: claims,
-            sessions,
+            leases: claims.into_iter().map(Into::into).collect(),
+            sessions: sessions.into_iter().map(Into::into).collect(),
             registers: papers,
         };
         // Names may be newer than what lasts: a process that was killed left them so.
--- a/storage/src/store/tests.rs
+++ b/storage/src/store/tests.rs
@@ -5,7 +5,8 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
 use ochreshed_consensus::messages::{
-    AcceptorState, Ballot, LeaseOutcome, Membership, ProposalNumber, ReplicaId, StoredResponse,
+    AcceptedMembership, AcceptedValue, AcceptorState, Ballot, LeaseOutcome, Membership, ProposalNumber,
+    ReplicaId, StoredResponse,
 };
 
 use super::ballots::SLOTS;
@@ -360,7 +361,7 @@
         rolled_back: true,
     };
     let promised = Ballot { round, proposer: 3 };
-    let accepted = Some((promised, view.clone()));
+    let accepted = Some(AcceptedMembership { ballot: promised, membership: view.clone() });
     MembershipBallotState {
         replica: me,
         membership: view,
@@ -375,7 +376,7 @@
 fn version_ballots(turn: u64) -> LogRecord {
     let promised = ProposalNumber { epoch: turn / 2, ballot: Ballot { round: turn, proposer: 9 } };
     let sheet = Arc::new(RegisterValue::new(turn, vec![turn as u8; 40]));
-    let accepted = turn.is_multiple_of(2).then_some((promised, sheet));
+    let accepted = turn.is_multiple_of(2).then_some(AcceptedValue { number: promised, value: sheet });
     let one = AcceptorState { register: "m/a".into(), version: turn, promised, accepted };
     LogRecord::RegisterAcceptors(vec![one; turn as usize % 3])
 }
@@ -414,7 +415,7 @@
 
 impl Held {
     fn of(saved: &PersistedState) -> Held {
-        let claims = saved.leases.iter().cloned().collect();
+        let claims = saved.leases.iter().cloned().map(|entry| (entry.key, entry.lease)).collect();
         let papers = saved.registers.iter().map(|paper| (paper.name.to_string(), paper.value.clone()));
         let (ballots, sheet) = (saved.membership_ballot.clone(), saved.configuration.clone());
         let version_ballots = saved.acceptors.clone();
@@ -879,7 +880,8 @@
     println!("{} bytes for {} records of sessions", store.bytes() - before, records.len());
     drop(store);
     let (_, saved) = Store::open(&dir).expect("opens");
-    let held: Vec<(SessionId, u64)> = saved.sessions.iter().map(|(id, entry)| (*id, entry.term)).collect();
+    let held: Vec<(SessionId, u64)> =
+        saved.sessions.iter().map(|entry| (entry.session, entry.record.term)).collect();
     assert_eq!(held, [(0, 3_995), (1, 3_996), (3, 3_998), (4, 3_999)]);
     assert_eq!(saved.leases.len(), 2);
     let (_, alone) = Store::start(Box::new(Folder::new(dir.clone())), LIMITS).expect("opens");
--- a/storage/tests/frozen_data_dir.rs
+++ b/storage/tests/frozen_data_dir.rs
@@ -8,9 +8,9 @@
 use std::sync::Arc;
 
 use ochreshed_consensus::messages::{
-    AcceptorState, Ballot, CommittedSession, Lease, LeaseOutcome, LogRecord, Membership,
-    MembershipBallotState, NamedRegister, ProposalNumber, RegisterValue, ReplicaId, SessionBinding,
-    SessionOwner, SessionOwnership, SessionRecord, StoredResponse,
+    AcceptedMembership, AcceptedValue, AcceptorState, Ballot, CommittedSession, Lease, LeaseEntry,
+    LeaseOutcome, LogRecord, Membership, MembershipBallotState, NamedRegister, ProposalNumber, RegisterValue,
+    ReplicaId, SessionBinding, SessionEntry, SessionOwner, SessionOwnership, SessionRecord, StoredResponse,
 };
 use ochreshed_storage::{Store, history};
 
@@ -55,7 +55,10 @@
         membership: membership(epoch),
         voter: true,
         promised: Ballot { round: 9, proposer: 2 },
-        accepted: Some((Ballot { round: 8, proposer: 1 }, membership(epoch + 1))),
+        accepted: Some(AcceptedMembership {
+            ballot: Ballot { round: 8, proposer: 1 },
+            membership: membership(epoch + 1),
+        }),
         served_snapshot: true,
         barred_from_serving: true,
     }
@@ -64,7 +67,8 @@
 fn version_ballots() -> Vec<AcceptorState> {
     let number = |round| ProposalNumber { epoch: 7, ballot: Ballot { round, proposer: 3 } };
     let accepted = |version, text: &str| {
-        Some((number(4), Arc::new(RegisterValue::new(version, text.as_bytes().to_vec()))))
+        let value = Arc::new(RegisterValue::new(version, text.as_bytes().to_vec()));
+        Some(AcceptedValue { number: number(4), value })
     };
     vec![
         AcceptorState {
@@ -237,12 +241,12 @@
         (5, lease(15, LeaseOutcome::Pending)),
         (u128::MAX, lease(13, LeaseOutcome::Indeterminate)),
     ];
-    assert_eq!(saved.leases, leases);
+    assert_eq!(saved.leases, leases.map(LeaseEntry::from));
     let mut papers = saved.registers;
     papers.sort_by(|a, b| a.name.cmp(&b.name));
     assert_eq!(papers, [named("m/banco-norte", 1), named("members", 2)]);
     let sessions = [(3, SessionRecord { term: 5, token: 0, accepted: None }), (1 << 100, session_record(4))];
-    assert_eq!(saved.sessions, sessions);
+    assert_eq!(saved.sessions, sessions.map(SessionEntry::from));
     let versions: Vec<RegisterValue> = history(&folder.0, "members").expect("read");
     assert_eq!(versions, [2, 1].map(|version| RegisterValue::clone(&named("members", version).value)));
     // Reading writes the ballots once more and changes no name.
