--- a/balancer/src/mesh/control/admin_api/leases.rs
+++ b/balancer/src/mesh/control/admin_api/leases.rs
@@ -59,7 +59,7 @@
         oldest_pending_ms: status.oldest_pending_lease_age.map(|age| age / NANOS_PER_MS),
         response_bytes: status.response_cache.bytes,
         max_response_bytes: status.response_cache.max_bytes,
-        responses_dropped: status.response_cache.dropped,
+        responses_dropped: status.response_cache.evicted,
         disk_writes: snapshot.disk_writes,
         disk_records: snapshot.disk_records,
     })
--- a/balancer/src/mesh/control/startup.rs
+++ b/balancer/src/mesh/control/startup.rs
@@ -14,7 +14,7 @@
 
 use ochreshed::Nanos;
 use ochreshed_catalog::watch_server;
-use ochreshed_consensus::core::{Config, Core};
+use ochreshed_consensus::core::{Config, Core, StartOptions};
 use ochreshed_consensus::messages::{Effect, PersistedState};
 use ochreshed_storage::{Store, StoreError};
 use thiserror::Error;
@@ -147,8 +147,16 @@
         tolerated_zone_losses: settings.fault_tolerance.zones,
         zone: settings.zone.clone(),
     };
-    let first_start = settings.bootstrap;
-    Core::new(now, rand::random(), address, first_start, &seeds(settings), persisted, config, effects)
+    let options = StartOptions {
+        now,
+        seed: rand::random(),
+        address,
+        first_start: settings.bootstrap,
+        seeds: &seeds(settings),
+        saved: persisted,
+        config,
+    };
+    Core::new(options, effects)
 }
 
 fn spawn_admin_api(
--- a/balancer/src/mesh/control/tests/admin_api_tests.rs
+++ b/balancer/src/mesh/control/tests/admin_api_tests.rs
@@ -8,7 +8,7 @@
 use ochreshed_catalog::endpoints::{EndpointRecord, EndpointTable, UpstreamState};
 use ochreshed_catalog::traffic_reports::{AttemptCounts, BudgetReport};
 use ochreshed_catalog::traffic_reports::{OutcomeCounts, RouteEdition};
-use ochreshed_consensus::core::{PeerStatus, SessionCounts};
+use ochreshed_consensus::core::{LeaseCounts, PeerStatus, ResponseCacheUsage, SessionCounts};
 use ochreshed_consensus::messages::{Lease, LeaseOutcome, ReplicaId, Revision, StoredResponse};
 use ochreshed_traffic::retry_budget::BudgetReports;
 
@@ -19,7 +19,7 @@
 use super::response::{AdminResponse, QueryOutcome};
 use super::snapshot::{EndpointStatus, ReplicaSnapshot, select_endpoints};
 use crate::mesh::control::budget_reports::CollectedReports;
-use crate::mesh::control::replica_status::{LeaseCounts, ReplicaStatus, ResponseCacheUsage, StoredLease};
+use crate::mesh::control::replica_status::{ReplicaStatus, StoredLease};
 use crate::mesh::settings::OperatingBounds;
 
 const MS: Nanos = 1_000_000;
@@ -65,7 +65,7 @@
         committed_configuration: Some(Revision::new(7, 0xff)),
         replicas: vec![replica(13, true, Some(0)), replica(14, false, None)],
         lease_counts: LeaseCounts { pending: 2, indeterminate: 1, completed: 40 },
-        response_cache: ResponseCacheUsage { bytes: 12_040, max_bytes: 51_200_000, dropped: 3 },
+        response_cache: ResponseCacheUsage { bytes: 12_040, max_bytes: 51_200_000, evicted: 3 },
         sessions: SessionCounts::default(),
         oldest_pending_lease_age: Some(1_250 * MS),
         lease: None,
--- a/storage/src/store.rs
+++ b/storage/src/store.rs
@@ -68,13 +68,14 @@
         let ballot_state = ballots.state().cloned();
         let (membership_ballot, acceptors) =
             ballot_state.map_or((None, Vec::new()), |state| (Some(state.membership_ballot), state.acceptors));
+        let recovered_sessions = recovered_sessions.unwrap_or(recovered.sessions);
         let persisted = PersistedState {
             membership_ballot,
             acceptors,
             configuration,
-            leases: recovered.leases,
+            leases: recovered.leases.into_iter().map(Into::into).collect(),
             registers: named_registers,
-            sessions: recovered_sessions.unwrap_or(recovered.sessions),
+            sessions: recovered_sessions.into_iter().map(Into::into).collect(),
         };
         Ok((Store { directory, ballots, registers, leases, sessions }, persisted))
     }
--- a/storage/tests/frozen_data_dir.rs
+++ b/storage/tests/frozen_data_dir.rs
@@ -12,9 +12,9 @@
 use std::sync::Arc;
 
 use ochreshed_consensus::messages::{
-    AcceptorState, Ballot, CommittedSession, Lease, LeaseOutcome, LogRecord, Membership,
-    MembershipBallotState, NamedRegister, ProposalNumber, RegisterValue, ReplicaId, SessionBinding,
-    SessionOwner, SessionOwnership, SessionRecord, StoredResponse,
+    AcceptedMembership, AcceptedValue, AcceptorState, Ballot, CommittedSession, Lease, LeaseEntry,
+    LeaseOutcome, LogRecord, Membership, MembershipBallotState, NamedRegister, ProposalNumber, RegisterValue,
+    ReplicaId, SessionBinding, SessionEntry, SessionOwner, SessionOwnership, SessionRecord, StoredResponse,
 };
 use ochreshed_storage::{Store, read_register_history};
 
@@ -61,7 +61,10 @@
         membership: membership(epoch),
         voter: true,
         promised: Ballot { round: 9, proposer: 2 },
-        accepted: Some((Ballot { round: 8, proposer: 1 }, membership(epoch + 1))),
+        accepted: Some(AcceptedMembership {
+            ballot: Ballot { round: 8, proposer: 1 },
+            membership: membership(epoch + 1),
+        }),
         served_snapshot: true,
         barred_from_serving: true,
     }
@@ -70,7 +73,8 @@
 fn acceptors() -> Vec<AcceptorState> {
     let number = |round| ProposalNumber { epoch: 7, ballot: Ballot { round, proposer: 3 } };
     let accepted = |version, text: &str| {
-        Some((number(4), Arc::new(RegisterValue::new(version, text.as_bytes().to_vec()))))
+        let value = Arc::new(RegisterValue::new(version, text.as_bytes().to_vec()));
+        Some(AcceptedValue { number: number(4), value })
     };
     vec![
         AcceptorState {
@@ -222,12 +226,12 @@
         (5, lease(15, LeaseOutcome::Pending)),
         (u128::MAX, lease(13, LeaseOutcome::Indeterminate)),
     ];
-    assert_eq!(saved.leases, leases);
+    assert_eq!(saved.leases, leases.map(LeaseEntry::from));
     let mut registers = saved.registers;
     registers.sort_by(|a, b| a.name.cmp(&b.name));
     assert_eq!(registers, [named("m/banco-norte", 1), named("members", 2)]);
     let sessions = [(3, SessionRecord { term: 5, token: 0, accepted: None }), (1 << 100, session_record(4))];
-    assert_eq!(saved.sessions, sessions);
+    assert_eq!(saved.sessions, sessions.map(SessionEntry::from));
     let versions: Vec<RegisterValue> = read_register_history(directory.path(), "members").expect("read");
     assert_eq!(versions, [2, 1].map(|version| RegisterValue::clone(&named("members", version).value)));
     // Recovery writes the ballots once more and changes no name.
--- a/storage/tests/store/os_directory.rs
+++ b/storage/tests/store/os_directory.rs
@@ -93,7 +93,7 @@
     drop(store);
     let (_, persisted) = Store::open(dir.path()).expect("opens");
     let terms: Vec<(SessionId, u64)> =
-        persisted.sessions.iter().map(|(id, record)| (*id, record.term)).collect();
+        persisted.sessions.iter().map(|entry| (entry.session, entry.record.term)).collect();
     assert_eq!(terms, [(0, 3_995), (1, 3_996), (3, 3_998), (4, 3_999)]);
     assert_eq!(persisted.leases.len(), 2);
     // Without the subdirectory, the lease log is all that is left.
--- a/storage/tests/store/records.rs
+++ b/storage/tests/store/records.rs
@@ -4,8 +4,9 @@
 use std::sync::Arc;
 
 use ochreshed_consensus::messages::{
-    AcceptorState, Ballot, Lease, LeaseOutcome, LeaseToken, LogRecord, Membership, MembershipBallotState,
-    NamedRegister, ProposalNumber, RegisterValue, ReplicaId, StoredResponse,
+    AcceptedMembership, AcceptedValue, AcceptorState, Ballot, Lease, LeaseOutcome, LeaseToken, LogRecord,
+    Membership, MembershipBallotState, NamedRegister, ProposalNumber, RegisterValue, ReplicaId,
+    StoredResponse,
 };
 
 pub fn membership_ballot(round: u64) -> MembershipBallotState {
@@ -17,7 +18,7 @@
         rolled_back: true,
     };
     let promised = Ballot { round, proposer: 3 };
-    let accepted = Some((promised, membership.clone()));
+    let accepted = Some(AcceptedMembership { ballot: promised, membership: membership.clone() });
     MembershipBallotState {
         replica,
         membership,
@@ -32,7 +33,7 @@
 pub fn register_acceptors(version: u64) -> LogRecord {
     let promised = ProposalNumber { epoch: version / 2, ballot: Ballot { round: version, proposer: 9 } };
     let value = Arc::new(RegisterValue::new(version, vec![version as u8; 40]));
-    let accepted = version.is_multiple_of(2).then_some((promised, value));
+    let accepted = version.is_multiple_of(2).then_some(AcceptedValue { number: promised, value });
     let acceptor = AcceptorState { register: "m/a".into(), version, promised, accepted };
     LogRecord::RegisterAcceptors(vec![acceptor; version as usize % 3])
 }
--- a/storage/tests/store/replica_state.rs
+++ b/storage/tests/store/replica_state.rs
@@ -24,7 +24,7 @@
             membership_ballot: persisted.membership_ballot.clone(),
             acceptors: persisted.acceptors.clone(),
             configuration: persisted.configuration.clone(),
-            leases: persisted.leases.iter().cloned().collect(),
+            leases: persisted.leases.iter().map(|entry| (entry.key, entry.lease.clone())).collect(),
             registers: registers
                 .map(|register| (register.name.to_string(), register.value.clone()))
                 .collect(),
