--- a/balancer/src/mesh/attendant.rs
+++ b/balancer/src/mesh/attendant.rs
@@ -20,7 +20,7 @@
 use ochreshed_catalog::internal_rpc::AppliedEditions;
 use ochreshed_catalog::traffic_reports::{AttemptCounts, BudgetReport, ServiceAttempts};
 use ochreshed_catalog::traffic_reports::{OutcomeCounts, RouteEdition};
-use ochreshed_catalog::watch_client::EndpointView;
+use ochreshed_catalog::watch_client::{EndpointView, ReceivedRecord};
 use ochreshed_consensus::messages::Revision;
 use ochreshed_consensus::messages::{NamedRegister, RegisterValue};
 use ochreshed_traffic::lease_circuit_breaker::LeaseCircuitBreaker;
@@ -334,8 +334,8 @@
     /// The desk of a plan; the one that was, where it was told the same.
     fn make(&self, rows: &EndpointView, gates: usize, was: Option<Arc<Desk>>, plan: &Plan) -> Arc<Desk> {
         let settings = self.settings.load();
-        let of = || rows.records().filter(|(row, _)| *row.service == *plan.line);
-        let calls = of().any(|(row, _)| row.calls_services);
+        let of = || rows.records().filter(|ReceivedRecord { record: row, .. }| *row.service == *plan.line);
+        let calls = of().any(|ReceivedRecord { record: row, .. }| row.calls_services);
         let told = (plan.line.clone(), Told::new(plan, gates, calls, &settings.bounds));
         let window = settings.bounds.retry_window.as_nanos() as Nanos;
         let desk = Desk::of(was, told, self.clock, || self.draw(), window);
@@ -457,7 +457,13 @@
     pub fn carried(&self) -> AppliedEditions {
         let timetable = self.timetable.load();
         let editions = timetable.iter().flat_map(|timetable| &timetable.editions);
-        editions.map(|(member, (edition, trial))| (member.clone(), *edition, *trial)).collect()
+        editions
+            .map(|(member, (edition, trial))| RouteEdition {
+                member: member.clone(),
+                version: *edition,
+                canary: *trial,
+            })
+            .collect()
     }
 
     pub fn take_rows(&self, which: usize, rows: Vec<EndpointRecord>, quiet: HashSet<SocketAddr>) {
--- a/balancer/src/mesh/desk.rs
+++ b/balancer/src/mesh/desk.rs
@@ -9,6 +9,7 @@
 use ochreshed_catalog::configuration::{Configuration, RepeatPolicy, Route};
 use ochreshed_catalog::endpoints::{EndpointRecord, UpstreamState};
 use ochreshed_catalog::traffic_reports::AttemptCounts;
+use ochreshed_catalog::watch_client::ReceivedRecord;
 use ochreshed_hands::{Act, End, Hands};
 use ochreshed_traffic::retry_budget::{RequestAttempts, RetryAccount, RetryLimits};
 use ochreshed_traffic::retry_shares::RetryPool;
@@ -373,21 +374,23 @@
     /// Tells the module the list as it is now.
     pub fn list<'a>(
         &self,
-        rows: impl Iterator<Item = &'a (EndpointRecord, Nanos)>,
+        rows: impl Iterator<Item = &'a ReceivedRecord>,
         quiet: &HashSet<SocketAddr>,
         zone: &str,
     ) {
         let mut inner = held(&self.inner);
         let now = self.clock.now();
-        let rows: Vec<&(EndpointRecord, Nanos)> =
-            rows.filter(|(row, _)| !row.upstream_id.is_empty()).collect();
+        let rows: Vec<&ReceivedRecord> =
+            rows.filter(|ReceivedRecord { record: row, .. }| !row.upstream_id.is_empty()).collect();
         let takes = |row: &EndpointRecord| {
             row.accepts_clients && row.state == UpstreamState::Serving && !quiet.contains(&row.inbound_proxy)
         };
-        let near = rows.iter().any(|(row, _)| row.zone == zone && takes(row));
+        let near = rows.iter().any(|ReceivedRecord { record: row, .. }| row.zone == zone && takes(row));
         let mut fresh = HashMap::new();
         let wanted = |row: &EndpointRecord| !(self.told.plan.large && near) || row.zone == zone;
-        for (row, told) in rows.into_iter().filter(|(row, _)| wanted(row)) {
+        for ReceivedRecord { record: row, received_at: told } in
+            rows.into_iter().filter(|ReceivedRecord { record: row, .. }| wanted(row))
+        {
             let state = if takes(row) {
                 State::Up
             } else if row.state == UpstreamState::Absent || !row.accepts_clients {
--- a/balancer/src/mesh/desk_tests.rs
+++ b/balancer/src/mesh/desk_tests.rs
@@ -8,6 +8,7 @@
 use ochreshed_catalog::configuration::{Configuration, MemberShares};
 use ochreshed_catalog::endpoints::{EndpointRecord, UpstreamState};
 use ochreshed_catalog::traffic_reports::AttemptCounts;
+use ochreshed_catalog::watch_client::ReceivedRecord;
 use ochreshed_traffic::retry_shares::RetryPool;
 
 use super::desk::{Desk, Plan, Step, Told, Turn};
@@ -54,7 +55,8 @@
 }
 
 fn list(desk: &Desk, rows: &[EndpointRecord], quiet: &[u8]) {
-    let rows: Vec<(EndpointRecord, Nanos)> = rows.iter().map(|row| (row.clone(), 1)).collect();
+    let rows: Vec<ReceivedRecord> =
+        rows.iter().map(|row| ReceivedRecord { record: row.clone(), received_at: 1 }).collect();
     let quiet: HashSet<SocketAddr> = quiet.iter().map(|host| door(*host)).collect();
     desk.list(rows.iter(), &quiet, "a");
 }
--- a/balancer/src/mesh/members.rs
+++ b/balancer/src/mesh/members.rs
@@ -14,7 +14,7 @@
 use hyper::header::HeaderValue;
 use ochreshed::Name;
 use ochreshed_catalog::configuration::Configuration;
-use ochreshed_catalog::internal_rpc::AppliedEditions;
+use ochreshed_catalog::internal_rpc::{AppliedEditions, NodeEdition};
 use ochreshed_catalog::members::{Member, MemberDocument, MemberRegister};
 use ochreshed_catalog::overlay;
 use ochreshed_catalog::traffic_reports::{OutcomeCounts, RouteEdition};
@@ -91,11 +91,11 @@
         held(&self.carried).retain(|door, _| is_there(*door));
     }
 
-    pub fn nodes_of(&self, member: &str) -> Vec<(SocketAddr, u64, bool)> {
+    pub fn nodes_of(&self, member: &str) -> Vec<NodeEdition> {
         let carried = held(&self.carried);
         let of = |(door, all): (&SocketAddr, &AppliedEditions)| {
-            let (_, edition, trial) = all.iter().find(|(name, ..)| **name == *member)?;
-            Some((*door, *edition, *trial))
+            let edition = all.iter().find(|edition| *edition.member == *member)?;
+            Some(NodeEdition { inbound_proxy: *door, version: edition.version, canary: edition.canary })
         };
         carried.iter().filter_map(of).collect()
     }
@@ -428,11 +428,12 @@
     });
     for reply in futures_util::future::join_all(asks).await {
         if let Ok(InternalResponse::AppliedEditions(told)) = reply {
-            nodes.extend(told.into_iter().map(|(door, edition, trial)| (door, (edition, trial))));
+            nodes.extend(told.into_iter().map(|node| (node.inbound_proxy, (node.version, node.canary))));
         }
     }
     // Another steward may have been told earlier: the higher edition is the later word.
-    for (door, edition, trial) in office.members.nodes_of(name) {
+    for NodeEdition { inbound_proxy: door, version: edition, canary: trial } in office.members.nodes_of(name)
+    {
         let known = nodes.entry(door).or_insert((edition, trial));
         *known = (*known).max((edition, trial));
     }
--- a/balancer/src/mesh/news.rs
+++ b/balancer/src/mesh/news.rs
@@ -7,6 +7,7 @@
 use std::time::Duration;
 
 use ochreshed::Name;
+use ochreshed_catalog::internal_rpc::RegisterList;
 use ochreshed_catalog::watch_client::{self, Watcher};
 use ochreshed_consensus::messages::Revision;
 use tokio::time::sleep;
@@ -49,9 +50,9 @@
         };
         match reply {
             Ok(InternalResponse::Watch(mut reply)) => {
-                if let Some((number, ranks)) = reply.registers.take() {
-                    if fetch_papers(&branch, steward, ranks).await {
-                        asker.registers_applied(steward, number);
+                if let Some(RegisterList { digest, revisions }) = reply.registers.take() {
+                    if fetch_papers(&branch, steward, revisions).await {
+                        asker.registers_applied(steward, digest);
                     } else {
                         sleep(PAUSE).await;
                     }
@@ -83,9 +84,9 @@
     if let Some(rank) = reply.configuration.filter(|rank| branch.to_fetch(*rank)) {
         tokio::spawn(fetch(branch.clone(), steward, rank));
     }
-    for (door, id, _) in &reply.drains {
-        if *door == branch.door_at() {
-            branch.door.close(id);
+    for drain in &reply.drains {
+        if drain.inbound_proxy == branch.door_at() {
+            branch.door.close(&drain.upstream_id);
         }
     }
     if !reply.replicas.is_empty() {
--- a/balancer/src/mesh/report.rs
+++ b/balancer/src/mesh/report.rs
@@ -9,6 +9,7 @@
 use futures_util::stream::{FuturesUnordered, StreamExt};
 use ochreshed::Nanos;
 use ochreshed_catalog::endpoints::TablePosition;
+use ochreshed_catalog::internal_rpc::{CollectedReport, CollectedReports};
 use ochreshed_catalog::traffic_reports::BudgetReport;
 use ochreshed_catalog::traffic_reports::EditionOutcomes;
 use ochreshed_catalog::watch_server;
@@ -77,12 +78,12 @@
             InternalResponse::Watch(news) => Some((*news.reports?, news.outcomes)),
             _ => None,
         });
-        let Some(((reports, full_ms), members)) = told else {
+        let Some((CollectedReports { reports, recovery_ms: full_ms }, members)) = told else {
             all.silent.push(at);
             continue;
         };
         let mut members: HashMap<SocketAddr, EditionOutcomes> = members.into_iter().collect();
-        for (door, age, mut report) in reports {
+        for CollectedReport { inbound_proxy: door, age_ms: age, mut report } in reports {
             report.outcomes = members.remove(&door).unwrap_or_default();
             all.reports.store(now, door, report, Nanos::from(age) * 1_000_000);
         }
--- a/balancer/src/mesh/steward.rs
+++ b/balancer/src/mesh/steward.rs
@@ -16,7 +16,7 @@
 use ochreshed_catalog::configuration::Configuration;
 use ochreshed_catalog::configuration_update::{ConfigurationUpdate, UpdateCache};
 use ochreshed_catalog::endpoints::TablePosition;
-use ochreshed_catalog::traffic_reports::BudgetReport;
+use ochreshed_catalog::internal_rpc::{CollectedReport, CollectedReports};
 use ochreshed_catalog::watch_server;
 use ochreshed_consensus::core::{Config, Core};
 use ochreshed_consensus::messages::Revision;
@@ -91,7 +91,8 @@
 impl Stand {
     fn told(&self) -> watch_server::CommittedState<'_> {
         let safe = self.safe.as_ref().map(|sheet| sheet.revision());
-        let papers = (self.papers.number, &*self.papers.all);
+        let papers =
+            watch_server::CommittedRegisters { digest: self.papers.number, registers: &self.papers.all };
         watch_server::CommittedState {
             configuration: safe,
             replicas: &self.stewards,
@@ -160,7 +161,7 @@
         if news {
             self.change();
         }
-        let until = Instant::now() + Duration::from_nanos(waiting.hold);
+        let until = Instant::now() + Duration::from_nanos(waiting.max_wait);
         let door = ask.record.as_ref().map(|row| row.inbound_proxy).or(ask.inbound_proxy);
         if let (Some(door), Some(mut report)) = (door, ask.report) {
             report.outcomes = ask.outcomes;
@@ -169,12 +170,16 @@
         if let (Some(door), Some(carried)) = (door, ask.applied_editions) {
             self.members.carry(door, carried);
         }
-        let told = || (held(&self.reports).collect(self.clock.now()), self.full.get().copied());
+        let told = || CollectedReports {
+            reports: held(&self.reports).collect(self.clock.now()),
+            recovery_ms: self.full.get().copied(),
+        };
         let told = ask.reports_only.then(|| Box::new(told()));
-        let beside = |(door, _, report): &(SocketAddr, u32, BudgetReport)| {
-            (!report.outcomes.is_empty()).then(|| (*door, report.outcomes.clone()))
+        let beside = |told: &CollectedReport| {
+            let outcomes = &told.report.outcomes;
+            (!outcomes.is_empty()).then(|| (told.inbound_proxy, outcomes.clone()))
         };
-        let members: Vec<_> = told.iter().flat_map(|told| told.0.iter().filter_map(beside)).collect();
+        let members: Vec<_> = told.iter().flat_map(|told| told.reports.iter().filter_map(beside)).collect();
         loop {
             changed.mark_unchanged();
             let stand = self.stand.load_full();
--- a/balancer/src/mesh/wire.rs
+++ b/balancer/src/mesh/wire.rs
@@ -10,7 +10,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use ochreshed_catalog::internal_rpc::{Frame, MOST_FRAME, encode};
+use ochreshed_catalog::internal_rpc::{Frame, MAX_FRAME_BYTES, encode};
 pub use ochreshed_catalog::internal_rpc::{InternalRequest, InternalResponse, WatchRequest, WatchResponse};
 use ochreshed_consensus::messages::Message;
 use serde::de::DeserializeOwned;
@@ -52,7 +52,7 @@
 
 async fn read<T: DeserializeOwned>(from: &mut BufReader<OwnedReadHalf>) -> io::Result<T> {
     let length = from.read_u32().await? as usize;
-    if length > MOST_FRAME {
+    if length > MAX_FRAME_BYTES {
         return Err(io::Error::other("a frame too long"));
     }
     let mut bytes = Vec::with_capacity(length.min(64 * 1024));
--- a/catalog/src/endpoints.rs
+++ b/catalog/src/endpoints.rs
@@ -1,10 +1,12 @@
-//! The list of branches and their upstreams. It owns the rows, which of two copies of a row is the later one, and what
-//! has changed since a version. It must never judge whether a row is worth sending to: that is the sender's.
+//! The table of all nodes of the mesh and their upstreams, as one replica of the control plane holds it.
 //!
-//! An operator's wish that a life be drained stands beside the row, for the attendant may forget it and its row with it.
+//! Each node writes one [`EndpointRecord`] about itself, and the record with the higher [`RecordVersion`] replaces the
+//! other wherever both are known. A replica keeps the records in an [`EndpointTable`], which numbers its changes: a reader
+//! names the [`TablePosition`] up to which it has them and gets what came after. An operator's request to drain an upstream
+//! is kept beside the record, because a node that restarts forgets it.
 //!
-//! A row has one writer, the attendant it is about. A steward keeps the rows it was told by attendants and by other
-//! stewards, and numbers its changes; whoever asks with the number it has gets what came after.
+//! Invariants: a table never goes back to a lower version of a record; whether an upstream should get requests is not
+//! decided here but by the sender.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::SocketAddr;
@@ -12,19 +14,24 @@
 use ochreshed::Nanos;
 use serde::{Deserialize, Serialize};
 
-/// A row of which nothing was heard for so long is forgotten.
-const FORGET: Nanos = 90_000_000_000;
-/// More rows than these are not kept.
-const MOST: usize = 20_000;
+pub use ochreshed_consensus::placement::place;
+
+/// A record is removed when its node has not been heard from for this long.
+const RECORD_TTL: Nanos = 90_000_000_000;
+/// The most records of a table; records of further nodes are not taken.
+const MAX_RECORDS: usize = 20_000;
+const NANOS_PER_MS: Nanos = 1_000_000;
 
+/// Whether an upstream takes requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum UpstreamState {
+    /// The upstream takes requests.
     #[serde(rename = "Open")]
     Serving,
-    /// It takes nothing new.
+    /// The upstream finishes its requests and takes no new ones.
     #[serde(rename = "Closing")]
     Draining,
-    /// There is none beside that attendant, or it has ended.
+    /// The node has no upstream, or it has ended.
     #[serde(rename = "None")]
     Absent,
 }
@@ -49,256 +56,305 @@
     }
 }
 
-/// What an attendant tells of itself and of the upstream beside it.
+/// What a node says of itself and of its upstream.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndpointRecord {
-    /// The address of the inbound proxy.
+    /// The address of the inbound proxy, which identifies the node.
     #[serde(rename = "door")]
     pub inbound_proxy: SocketAddr,
-    /// The life of the attendant's process, and a number that goes up with each change: the later row is the higher one.
+    /// The incarnation of the node's process; a process that starts takes a higher one than any before it.
     #[serde(rename = "life")]
     pub incarnation: u64,
+    /// Goes up with each change within one incarnation.
     #[serde(rename = "number")]
     pub sequence: u64,
+    /// The zone of the node.
     pub zone: String,
-    /// The upstream's service, its life's id, and its version of software.
+    /// The service of the upstream.
     #[serde(rename = "line")]
     pub service: String,
+    /// The identity of the upstream's process; empty where no upstream is known.
     #[serde(rename = "id")]
     pub upstream_id: String,
+    /// The version of the upstream's software.
     #[serde(rename = "edition")]
     pub software_version: String,
+    /// Whether the upstream takes requests.
     #[serde(rename = "stand")]
     pub state: UpstreamState,
+    /// The most requests that the upstream runs at once.
     #[serde(rename = "slots")]
     pub concurrency_limit: u32,
-    /// How much longer it is slow, when this was told.
+    /// How much longer the upstream is warming up, in milliseconds from the time at which the record was sent.
     #[serde(rename = "cold_ms")]
     pub warming_up_ms: u64,
-    /// It was seen to call other services.
+    /// Whether the upstream has been seen to call other services.
     #[serde(rename = "calls")]
     pub calls_services: bool,
-    /// The attendant is there and serves its gate.
+    /// Whether the node's outbound proxy takes requests of clients.
     #[serde(rename = "serving")]
     pub accepts_clients: bool,
-    /// How the upstream does by what its door saw. Older programs neither tell nor read it.
+    /// The health of the upstream. Older programs neither send nor read it.
     #[serde(rename = "ill", default, skip_serializing_if = "UpstreamHealth::is_healthy")]
     pub health: UpstreamHealth,
 }
 
 impl EndpointRecord {
-    pub fn record_version(&self) -> (u64, u64) {
-        (self.incarnation, self.sequence)
+    /// The version of the record, by which two records of one node are compared.
+    pub fn record_version(&self) -> RecordVersion {
+        RecordVersion { incarnation: self.incarnation, sequence: self.sequence }
+    }
+
+    /// Whether the upstream may be the one with this identity: it is, or the node does not know its upstream yet.
+    fn may_be_upstream(&self, upstream_id: &str) -> bool {
+        let is_running = self.upstream_id == upstream_id && self.state != UpstreamState::Absent;
+        is_running || self.upstream_id.is_empty()
     }
 }
 
-/// Where a reader stands in a table: the table's life and the number of the last change it has.
+/// The version of a node's record; the default is below that of any record.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
+pub struct RecordVersion {
+    /// The incarnation of the node's process.
+    pub incarnation: u64,
+    /// The number of the change within the incarnation.
+    pub sequence: u64,
+}
+
+/// How far a reader has the changes of a table.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TablePosition {
+    /// The incarnation of the table; positions of another incarnation say nothing.
     #[serde(rename = "life")]
     pub incarnation: u64,
+    /// The number of the last change that the reader has; 0 for none.
     #[serde(rename = "number")]
     pub sequence: u64,
 }
 
-struct Held {
-    row: EndpointRecord,
-    /// The table's number at its last change.
-    number: u64,
-    heard: Nanos,
-    quiet: bool,
-    /// The upstream's life that an operator wants drained: kept while that life lasts, also while an attendant that has
-    /// just started does not know of it.
-    drained: Option<String>,
-}
-
-impl Held {
-    /// Whether the row may still be about this life.
-    fn may_be(row: &EndpointRecord, id: &str) -> bool {
-        row.upstream_id == id && row.state != UpstreamState::Absent || row.upstream_id.is_empty()
-    }
+/// A record with what the table knows of its node.
+struct TableEntry {
+    record: EndpointRecord,
+    /// The number of the last change of the entry.
+    sequence: u64,
+    last_heard: Nanos,
+    suspected: bool,
+    /// The identity of the upstream that an operator wants drained. It is kept as long as that upstream runs, also while a
+    /// node that has just started does not know of the request.
+    drain_request: Option<String>,
 }
 
-/// A steward's rows.
+/// The records of all nodes that a replica knows.
 pub struct EndpointTable {
-    mark: TablePosition,
-    rows: HashMap<SocketAddr, Held>,
+    position: TablePosition,
+    entries: HashMap<SocketAddr, TableEntry>,
+    /// The node of each change; of each node only the last one.
     changes: BTreeMap<u64, SocketAddr>,
-    /// Forgotten while they were quiet and seemed to take reqs; and that one of them has come back since the last look.
-    gone: BTreeSet<SocketAddr>,
-    returned: bool,
+    /// The nodes whose records were removed while they seemed to take requests. Readers keep those records, so these nodes
+    /// stay suspected until they return.
+    removed: BTreeSet<SocketAddr>,
+    /// Whether a removed node has returned since the suspects were last updated.
+    has_returned: bool,
 }
 
 impl EndpointTable {
-    /// `life` differs from that of any table that stood here before.
-    pub fn new(life: u64) -> EndpointTable {
+    /// An empty table. The incarnation differs from that of any table that this replica had before.
+    pub fn new(incarnation: u64) -> EndpointTable {
         EndpointTable {
-            mark: TablePosition { incarnation: life, sequence: 0 },
-            rows: HashMap::new(),
+            position: TablePosition { incarnation, sequence: 0 },
+            entries: HashMap::new(),
             changes: BTreeMap::new(),
-            gone: BTreeSet::new(),
-            returned: false,
+            removed: BTreeSet::new(),
+            has_returned: false,
         }
     }
 
+    /// The position of a reader that has all changes.
     pub fn position(&self) -> TablePosition {
-        self.mark
+        self.position
     }
 
-    fn changed(&mut self, door: SocketAddr) -> u64 {
-        self.mark.sequence += 1;
-        self.changes.insert(self.mark.sequence, door);
-        self.mark.sequence
+    fn add_change(&mut self, inbound_proxy: SocketAddr) -> u64 {
+        self.position.sequence += 1;
+        self.changes.insert(self.position.sequence, inbound_proxy);
+        self.position.sequence
     }
 
-    /// Takes a row; whether it is news. `heard` tells how long ago its attendant was heard of.
-    pub fn merge(&mut self, now: Nanos, row: &EndpointRecord, heard: Nanos) -> bool {
-        let heard = now.saturating_sub(heard);
-        if let Some(held) = self.rows.get_mut(&row.inbound_proxy) {
-            if row.record_version() == held.row.record_version() {
-                held.heard = held.heard.max(heard);
+    /// Takes a record if it is newer than the one in the table, and returns whether it was. The node was last heard from
+    /// `age` before `now`.
+    pub fn merge(&mut self, now: Nanos, record: &EndpointRecord, age: Nanos) -> bool {
+        let last_heard = now.saturating_sub(age);
+        if let Some(entry) = self.entries.get_mut(&record.inbound_proxy) {
+            if record.record_version() == entry.record.record_version() {
+                entry.last_heard = entry.last_heard.max(last_heard);
             }
-            if row.record_version() <= held.row.record_version() {
+            if record.record_version() <= entry.record.record_version() {
                 return false;
             }
-        } else if self.rows.len() >= MOST {
+        } else if self.entries.len() >= MAX_RECORDS {
             return false;
         }
-        let number = self.changed(row.inbound_proxy);
-        self.returned |= self.gone.remove(&row.inbound_proxy);
-        // One that was quiet is so until the next look, which then tells that it is not any more.
-        let quiet = self.rows.get(&row.inbound_proxy).is_some_and(|was| was.quiet);
-        let held = Held { row: row.clone(), number, heard, quiet, drained: None };
-        if let Some(was) = self.rows.insert(row.inbound_proxy, held) {
-            self.changes.remove(&was.number);
-            let drained = was.drained.filter(|id| Held::may_be(row, id));
-            if let Some(held) = self.rows.get_mut(&row.inbound_proxy) {
-                held.drained = drained;
-            }
-        }
+        self.replace_record(record, last_heard);
         true
     }
 
-    /// An operator, or another steward that was told by one, wants this life drained; whether that is news, which goes
-    /// round with the row.
-    pub fn drain(&mut self, door: SocketAddr, id: &str) -> bool {
-        let wanted = self.rows.get(&door).is_some_and(|held| {
-            !id.is_empty() && Held::may_be(&held.row, id) && held.drained.as_deref() != Some(id)
+    fn replace_record(&mut self, record: &EndpointRecord, last_heard: Nanos) {
+        let sequence = self.add_change(record.inbound_proxy);
+        self.has_returned |= self.removed.remove(&record.inbound_proxy);
+        let previous = self.entries.remove(&record.inbound_proxy);
+        if let Some(previous) = &previous {
+            self.changes.remove(&previous.sequence);
+        }
+        let entry = TableEntry {
+            record: record.clone(),
+            sequence,
+            last_heard,
+            // A suspected node stays so until the next update, which then tells readers that it is not any more.
+            suspected: previous.as_ref().is_some_and(|previous| previous.suspected),
+            drain_request: previous
+                .and_then(|previous| previous.drain_request)
+                .filter(|upstream_id| record.may_be_upstream(upstream_id)),
+        };
+        self.entries.insert(record.inbound_proxy, entry);
+    }
+
+    /// Takes an operator's request to drain an upstream, directly or from another replica. Returns whether it is new; it
+    /// then goes to readers with the record.
+    pub fn drain(&mut self, inbound_proxy: SocketAddr, upstream_id: &str) -> bool {
+        let is_new = self.entries.get(&inbound_proxy).is_some_and(|entry| {
+            !upstream_id.is_empty()
+                && entry.record.may_be_upstream(upstream_id)
+                && entry.drain_request.as_deref() != Some(upstream_id)
         });
-        if wanted {
-            let number = self.changed(door);
-            if let Some(held) = self.rows.get_mut(&door) {
-                self.changes.remove(&held.number);
-                (held.number, held.drained) = (number, Some(id.to_owned()));
-            }
+        if !is_new {
+            return false;
         }
-        wanted
+        let sequence = self.add_change(inbound_proxy);
+        if let Some(entry) = self.entries.get_mut(&inbound_proxy) {
+            self.changes.remove(&entry.sequence);
+            entry.sequence = sequence;
+            entry.drain_request = Some(upstream_id.to_owned());
+        }
+        true
     }
 
-    /// The life that an attendant is to drain and has not yet.
-    pub fn requested_drain(&self, door: SocketAddr) -> Option<&str> {
-        let held = self.rows.get(&door)?;
-        held.drained
-            .as_deref()
-            .filter(|id| held.row.upstream_id == *id && held.row.state == UpstreamState::Serving)
+    /// The upstream that a node is to drain and does not drain yet.
+    pub fn requested_drain(&self, inbound_proxy: SocketAddr) -> Option<&str> {
+        let entry = self.entries.get(&inbound_proxy)?;
+        let is_serving =
+            |id: &&str| entry.record.upstream_id == *id && entry.record.state == UpstreamState::Serving;
+        entry.drain_request.as_deref().filter(is_serving)
     }
 
-    /// The lives to be drained among those rows that came after a mark.
-    pub fn drains_since(&self, mark: TablePosition) -> Vec<(SocketAddr, String)> {
-        let drained = |held: &Held| Some((held.row.inbound_proxy, held.drained.clone()?));
-        self.after(mark).filter_map(drained).collect()
+    /// The upstreams to be drained among the records that changed after a position.
+    pub fn drains_since(&self, position: TablePosition) -> Vec<(SocketAddr, String)> {
+        let drain = |entry: &TableEntry| Some((entry.record.inbound_proxy, entry.drain_request.clone()?));
+        self.entries_since(position).filter_map(drain).collect()
     }
 
-    fn after(&self, mark: TablePosition) -> impl Iterator<Item = &Held> {
-        let from = if mark.incarnation == self.mark.incarnation { mark.sequence } else { 0 };
-        self.changes.range(from + 1..).filter_map(|(_, door)| self.rows.get(door))
+    fn entries_since(&self, position: TablePosition) -> impl Iterator<Item = &TableEntry> {
+        let is_of_this_table = position.incarnation == self.position.incarnation;
+        let last_known = if is_of_this_table { position.sequence } else { 0 };
+        let changes = self.changes.range(last_known + 1..);
+        changes.filter_map(|(_, inbound_proxy)| self.entries.get(inbound_proxy))
     }
 
-    /// The life under which an attendant is known here: one that starts must be above it.
-    pub fn known_incarnation(&self, door: SocketAddr) -> Option<u64> {
-        self.rows.get(&door).map(|held| held.row.incarnation)
+    /// The incarnation under which a node is known here; a process that starts there must take a higher one.
+    pub fn known_incarnation(&self, inbound_proxy: SocketAddr) -> Option<u64> {
+        self.entries.get(&inbound_proxy).map(|entry| entry.record.incarnation)
     }
 
-    /// What came after a mark; all of it when the mark is of another table.
-    pub fn since(&self, mark: TablePosition) -> Vec<EndpointRecord> {
-        self.after(mark).map(|held| held.row.clone()).collect()
+    /// The records that changed after a position; all of them where it is a position of another table.
+    pub fn since(&self, position: TablePosition) -> Vec<EndpointRecord> {
+        self.entries_since(position).map(|entry| entry.record.clone()).collect()
     }
 
-    /// How long ago each attendant was heard of.
+    /// How long ago each node was last heard from, in milliseconds.
     pub fn last_heard_ms_ago(&self, now: Nanos) -> Vec<(SocketAddr, u32)> {
-        let age = |held: &Held| (now.saturating_sub(held.heard) / 1_000_000).min(u64::from(u32::MAX)) as u32;
-        self.rows.iter().map(|(door, held)| (*door, age(held))).collect()
+        let age_ms = |entry: &TableEntry| {
+            let age_ms = now.saturating_sub(entry.last_heard) / NANOS_PER_MS;
+            u32::try_from(age_ms).unwrap_or(u32::MAX)
+        };
+        self.entries.iter().map(|(inbound_proxy, entry)| (*inbound_proxy, age_ms(entry))).collect()
+    }
+
+    /// Notes that a node was last heard from `age` before `now`.
+    pub fn heard(&mut self, now: Nanos, inbound_proxy: SocketAddr, age: Nanos) {
+        if let Some(entry) = self.entries.get_mut(&inbound_proxy) {
+            entry.last_heard = entry.last_heard.max(now.saturating_sub(age));
+        }
     }
 
-    pub fn heard(&mut self, now: Nanos, door: SocketAddr, age: Nanos) {
-        if let Some(held) = self.rows.get_mut(&door) {
-            held.heard = held.heard.max(now.saturating_sub(age));
+    /// Suspects the nodes that have not been heard from for `suspect_after`, and no others. Returns whether the suspects
+    /// have changed.
+    pub fn update_suspects(&mut self, now: Nanos, suspect_after: Nanos) -> bool {
+        self.remove_expired(now);
+        let mut changed = std::mem::take(&mut self.has_returned);
+        for entry in self.entries.values_mut() {
+            let suspected = now.saturating_sub(entry.last_heard) > suspect_after;
+            changed |= suspected != entry.suspected;
+            entry.suspected = suspected;
         }
+        changed
     }
 
-    /// Whose quietness has changed: not heard of for `after`, or heard again.
-    pub fn update_suspects(&mut self, now: Nanos, after: Nanos) -> bool {
-        let old: Vec<SocketAddr> = self
-            .rows
+    fn remove_expired(&mut self, now: Nanos) {
+        let is_expired = |entry: &TableEntry| now.saturating_sub(entry.last_heard) > RECORD_TTL;
+        let expired: Vec<SocketAddr> = self
+            .entries
             .iter()
-            .filter(|(_, held)| now.saturating_sub(held.heard) > FORGET)
-            .map(|(door, _)| *door)
+            .filter(|(_, entry)| is_expired(entry))
+            .map(|(inbound_proxy, _)| *inbound_proxy)
             .collect();
-        let mut changed = std::mem::take(&mut self.returned);
-        for door in old {
-            if let Some(held) = self.rows.remove(&door) {
-                self.changes.remove(&held.number);
-                // Readers keep its row: for them it must not seem to be there again.
-                if held.row.accepts_clients
-                    && held.row.state == UpstreamState::Serving
-                    && self.gone.len() < MOST
-                {
-                    self.gone.insert(door);
-                }
+        for inbound_proxy in expired {
+            let Some(entry) = self.entries.remove(&inbound_proxy) else { continue };
+            self.changes.remove(&entry.sequence);
+            let seemed_to_serve =
+                entry.record.accepts_clients && entry.record.state == UpstreamState::Serving;
+            if seemed_to_serve && self.removed.len() < MAX_RECORDS {
+                self.removed.insert(inbound_proxy);
             }
         }
-        for held in self.rows.values_mut() {
-            let quiet = now.saturating_sub(held.heard) > after;
-            changed |= quiet != held.quiet;
-            held.quiet = quiet;
-        }
-        changed
     }
 
-    /// Those of whom nothing was heard of late.
+    /// The nodes that have not been heard from of late, in the order of their addresses.
     pub fn suspects(&self) -> Vec<SocketAddr> {
-        let mut quiet: Vec<SocketAddr> =
-            self.rows.iter().filter(|(_, held)| held.quiet).map(|(door, _)| *door).collect();
-        quiet.extend(&self.gone);
-        quiet.sort();
-        quiet
+        let suspected = self.entries.iter().filter(|(_, entry)| entry.suspected);
+        let mut suspects: Vec<SocketAddr> = suspected.map(|(inbound_proxy, _)| *inbound_proxy).collect();
+        suspects.extend(&self.removed);
+        suspects.sort();
+        suspects
     }
 
-    pub fn record(&self, door: SocketAddr) -> Option<&EndpointRecord> {
-        self.rows.get(&door).map(|held| &held.row)
+    /// The record of a node.
+    pub fn record(&self, inbound_proxy: SocketAddr) -> Option<&EndpointRecord> {
+        self.entries.get(&inbound_proxy).map(|entry| &entry.record)
     }
 
+    /// The number of records.
     pub fn len(&self) -> usize {
-        self.rows.len()
+        self.entries.len()
     }
 
+    /// Whether there are no records.
     pub fn is_empty(&self) -> bool {
-        self.rows.is_empty()
+        self.entries.is_empty()
     }
 
+    /// All records, in no order.
     pub fn records(&self) -> impl Iterator<Item = &EndpointRecord> {
-        self.rows.values().map(|held| &held.row)
+        self.entries.values().map(|entry| &entry.record)
     }
 }
 
-pub use ochreshed_consensus::placement::place;
-
-/// The watchers of a place on the ring: the first so many stewards at or behind it.
-pub fn watching_replicas(place: SocketAddr, stewards: &[SocketAddr], many: usize) -> Vec<SocketAddr> {
-    let at = |address: &SocketAddr| xxhash_rust::xxh3::xxh3_64(address.to_string().as_bytes());
-    let mut ring: Vec<(u64, SocketAddr)> = stewards.iter().map(|steward| (at(steward), *steward)).collect();
+/// The replicas that a node watches: the first `count` at or after the node's place on the hash ring.
+pub fn watching_replicas(node: SocketAddr, replicas: &[SocketAddr], count: usize) -> Vec<SocketAddr> {
+    let ring_hash = |address: &SocketAddr| xxhash_rust::xxh3::xxh3_64(address.to_string().as_bytes());
+    let mut ring: Vec<(u64, SocketAddr)> =
+        replicas.iter().map(|replica| (ring_hash(replica), *replica)).collect();
     ring.sort();
     ring.dedup();
-    let from = ring.partition_point(|(place_of, _)| *place_of < at(&place));
-    ring.iter().cycle().skip(from).take(many.min(ring.len())).map(|(_, steward)| *steward).collect()
+    let first = ring.partition_point(|(hash, _)| *hash < ring_hash(&node));
+    let count = count.min(ring.len());
+    ring.iter().cycle().skip(first).take(count).map(|(_, replica)| *replica).collect()
 }
--- a/catalog/src/internal_rpc.rs
+++ b/catalog/src/internal_rpc.rs
@@ -1,299 +1,332 @@
-//! The words of the calls between the system's own processes, and their frames: CBOR behind its length. It owns their
-//! shapes, which older programs read too, and must never decide.
+//! The requests and responses between the system's own processes, and their frames.
+//!
+//! A process sends an [`InternalRequest`] and gets an [`InternalResponse`]; each goes in a [`Frame`] that [`encode`] writes
+//! as CBOR after its length. [`WatchRequest`] and [`WatchResponse`] carry all that changes often: endpoint records, the
+//! versions of the configuration and of registers, suspects, drains and reports.
+//!
+//! Invariants: the encoding stays one that older programs read. Fields and variants keep the names with which they were
+//! first sent, and newer fields are left out where they have their default.
 
 use std::net::SocketAddr;
+use std::ops::Not;
 use std::sync::Arc;
 
+use ochreshed_consensus::messages::{
+    CoreRequest, CoreResponse, Message, NamedRegister, RegisterName, Revision,
+};
 use serde::{Deserialize, Serialize};
 
 use crate::configuration_update::ConfigurationUpdate;
 use crate::endpoints::{EndpointRecord, TablePosition};
-use crate::traffic_reports::BudgetReport;
-use crate::traffic_reports::EditionOutcomes;
-use ochreshed_consensus::messages::Revision;
-use ochreshed_consensus::messages::{CoreRequest, CoreResponse, Message, NamedRegister, RegisterName};
+use crate::traffic_reports::{BudgetReport, EditionOutcomes, RouteEdition};
 
-/// No frame is larger than this, in bytes.
-pub const MOST_FRAME: usize = 40 << 20;
+/// The greatest size of a frame, without its length.
+pub const MAX_FRAME_BYTES: usize = 40 << 20;
 
+/// A request of one process to another.
 #[derive(Debug, Serialize, Deserialize)]
 pub enum InternalRequest {
+    /// Asks a replica for what has changed; answered when there is something.
     #[serde(rename = "News")]
     Watch(WatchRequest),
+    /// Asks for a decision of the control plane.
     Core(CoreRequest),
+    /// Carries a message between replicas; it has no response.
     #[serde(rename = "Letter")]
     ReplicaMessage(Message),
-    /// The newest configuration, from one that has the one of this rank.
+    /// Asks for the newest configuration, from a process that has the one of this revision.
     #[serde(rename = "Sheet")]
     Configuration(Revision),
-    /// Registers of these names that are newer than these.
+    /// Asks for the registers of these names that are newer than these revisions.
     #[serde(rename = "Papers")]
-    Registers(Vec<(RegisterName, Revision)>),
-    /// Which nodes told that they have which edition of a member's routes in force.
+    Registers(RegisterRevisions),
+    /// Asks which nodes have reported which edition of a member's routes in force.
     #[serde(rename = "Carried")]
     AppliedEditions(RegisterName),
 }
 
+/// The response to the [`InternalRequest`] of the same name.
 #[derive(Debug, Serialize, Deserialize)]
 pub enum InternalResponse {
+    /// What has changed.
     #[serde(rename = "News")]
     Watch(Box<WatchResponse>),
+    /// The control plane's answer.
     Core(CoreResponse),
+    /// The newest configuration; none where the asker has it.
     #[serde(rename = "Sheet")]
     Configuration(Option<Arc<ConfigurationUpdate>>),
-    /// As many as go in one reply, and at least one if there are any.
+    /// As many registers as fit in one response, and at least one if any is newer.
     #[serde(rename = "Papers")]
     Registers(Vec<NamedRegister>),
-    /// Doors, the edition there, and whether it is on trial.
+    /// The edition of the member's routes on each node.
     #[serde(rename = "Carried")]
-    AppliedEditions(Vec<(SocketAddr, u64, bool)>),
+    AppliedEditions(Vec<NodeEdition>),
 }
 
-/// What a process has, and wants to be told when there is more.
+/// Revisions of registers by name.
+pub type RegisterRevisions = Vec<(RegisterName, Revision)>;
+
+/// The editions of members' routes that are in force on one node.
+pub type AppliedEditions = Vec<RouteEdition>;
+
+/// The edition of one member's routes that is in force on a node.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(from = "(SocketAddr, u64, bool)", into = "(SocketAddr, u64, bool)")]
+pub struct NodeEdition {
+    /// The node's inbound proxy.
+    pub inbound_proxy: SocketAddr,
+    /// The version of the member's document.
+    pub version: u64,
+    /// Whether it is a canary there.
+    pub canary: bool,
+}
+
+impl From<(SocketAddr, u64, bool)> for NodeEdition {
+    fn from((inbound_proxy, version, canary): (SocketAddr, u64, bool)) -> NodeEdition {
+        NodeEdition { inbound_proxy, version, canary }
+    }
+}
+
+impl From<NodeEdition> for (SocketAddr, u64, bool) {
+    fn from(edition: NodeEdition) -> (SocketAddr, u64, bool) {
+        (edition.inbound_proxy, edition.version, edition.canary)
+    }
+}
+
+/// What a process has, so that it is answered as soon as there is more.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct WatchRequest {
-    /// An attendant's own row.
+    /// A node's own record, where the replica may not have it.
     #[serde(rename = "row")]
     pub record: Option<EndpointRecord>,
-    /// An attendant's door, where its row is known.
+    /// A node's inbound proxy, where the replica has its record.
     #[serde(rename = "door")]
     pub inbound_proxy: Option<SocketAddr>,
+    /// The changes of the replica's table that the asker has.
     #[serde(rename = "mark")]
     pub position: TablePosition,
-    /// Of the configuration that it has or has just asked for.
+    /// The revision of the configuration that the asker has or is fetching.
     #[serde(rename = "sheet")]
     pub configuration: Revision,
-    /// The number of the quiet ones that the asker has.
+    /// The version of the [`SuspectList`] that the asker has.
     #[serde(rename = "quiet")]
     pub suspects_version: u64,
-    /// Answered after so long though there is no news.
+    /// The time after which the request is answered though nothing has changed, in milliseconds.
     #[serde(rename = "hold_ms")]
     pub max_wait_ms: u32,
-    /// A steward asks: it wants to know how long ago attendants were heard.
+    /// Whether a replica asks, which is then told how long ago nodes were heard from.
     #[serde(rename = "steward")]
     pub from_replica: bool,
-    /// What an attendant tells of itself, where that has changed.
+    /// A node's report, where it has changed.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub report: Option<BudgetReport>,
-    /// What of that report goes beside it.
+    /// The outcomes that belong to the report.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     #[serde(rename = "members")]
     pub outcomes: EditionOutcomes,
-    /// The number of the papers that the asker was told of last; 0 where there were none.
-    #[serde(default, skip_serializing_if = "is_none")]
+    /// The digest of the [`RegisterList`] that the asker was last sent; 0 where there was none.
+    #[serde(default, skip_serializing_if = "is_zero")]
     #[serde(rename = "papers")]
     pub registers_digest: u64,
-    /// The editions of members' routes in force at an attendant, and whether they are on trial there, where that has
-    /// changed.
+    /// The editions of members' routes in force on a node, where these have changed.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[serde(rename = "carried")]
     pub applied_editions: Option<AppliedEditions>,
-    /// A steward wants nothing but what was reported.
-    #[serde(default, skip_serializing_if = "std::ops::Not::not")]
+    /// Whether a replica wants the reports alone.
+    #[serde(default, skip_serializing_if = "Not::not")]
     #[serde(rename = "gather")]
     pub reports_only: bool,
 }
 
+/// What has changed since the state in a [`WatchRequest`].
 #[derive(Debug, Serialize, Deserialize)]
 pub struct WatchResponse {
+    /// The position in the replica's table after these records.
     #[serde(rename = "mark")]
     pub position: TablePosition,
+    /// The records that have changed.
     #[serde(rename = "rows")]
     pub records: Vec<EndpointRecord>,
-    /// Of the newest configuration that is safe, if the asker has an older one.
+    /// The revision of the newest committed configuration, where the asker has an older one.
     #[serde(rename = "sheet")]
     pub configuration: Option<Revision>,
+    /// The replicas of the control plane.
     #[serde(rename = "stewards")]
     pub replicas: Vec<SocketAddr>,
-    /// CollectedReports when they have changed.
+    /// The suspected nodes, where these have changed.
     #[serde(rename = "quiet")]
-    pub suspects: Option<(u64, Vec<SocketAddr>)>,
-    /// More than half of the core is heard here.
+    pub suspects: Option<SuspectList>,
+    /// Whether the replica is in touch with a majority of the control plane.
     #[serde(rename = "settled")]
     pub has_quorum: bool,
-    /// The life under which the asker is known.
+    /// The incarnation under which the asking node is known.
     #[serde(rename = "life")]
     pub known_incarnation: Option<u64>,
+    /// How long ago each node was heard from, in milliseconds; for replicas only.
     #[serde(rename = "ages")]
     pub last_heard_ms_ago: Vec<(SocketAddr, u32)>,
-    /// Doors whose upstream's life an operator wants drained, and the ms for which an older program keeps that; to
-    /// stewards those of rows that changed, to an attendant its own until its row says that it was taken.
+    /// The upstreams that an operator wants drained: for replicas those of the records that changed, for a node its own
+    /// until its record says that it is draining.
     #[serde(default)]
-    pub drains: Vec<(SocketAddr, String, u32)>,
-    /// What doors' attendants reported and how many ms ago, and the ms in which this steward came to full service; told
-    /// where it was asked for.
+    pub drains: Vec<DrainRequest>,
+    /// What nodes have reported, where the request was for reports.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[serde(rename = "told")]
     pub reports: Option<Box<CollectedReports>>,
-    /// The number of all papers that are safe, and their ranks, where it is another than the asker's.
+    /// The committed registers, where their digest is not the asker's.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[serde(rename = "papers")]
-    pub registers: Option<(u64, Vec<(RegisterName, Revision)>)>,
-    /// What of those reports goes beside them, where there is any.
+    pub registers: Option<RegisterList>,
+    /// The outcomes that belong to the reports, by inbound proxy.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     #[serde(rename = "members")]
     pub outcomes: Vec<(SocketAddr, EditionOutcomes)>,
 }
 
-fn is_none(papers: &u64) -> bool {
-    *papers == 0
+fn is_zero(digest: &u64) -> bool {
+    *digest == 0
 }
 
-/// The editions of members' routes in force at an attendant, and whether they are on trial there.
-pub type AppliedEditions = Vec<(RegisterName, u64, bool)>;
+/// The nodes that a replica has not heard from of late.
+#[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(from = "(u64, Vec<SocketAddr>)", into = "(u64, Vec<SocketAddr>)")]
+pub struct SuspectList {
+    /// Goes up with each change of the list.
+    pub version: u64,
+    /// The inbound proxies of the nodes.
+    pub inbound_proxies: Vec<SocketAddr>,
+}
 
-/// BudgetReports by door with their ages in ms, and a steward's own time to full service in ms.
-pub type CollectedReports = (Vec<(SocketAddr, u32, BudgetReport)>, Option<u32>);
+impl From<(u64, Vec<SocketAddr>)> for SuspectList {
+    fn from((version, inbound_proxies): (u64, Vec<SocketAddr>)) -> SuspectList {
+        SuspectList { version, inbound_proxies }
+    }
+}
 
-#[derive(Serialize, Deserialize)]
-pub struct Frame<T> {
-    /// 0: no reply is wanted.
-    pub id: u64,
-    #[serde(rename = "say")]
-    pub payload: T,
+impl From<SuspectList> for (u64, Vec<SocketAddr>) {
+    fn from(suspects: SuspectList) -> (u64, Vec<SocketAddr>) {
+        (suspects.version, suspects.inbound_proxies)
+    }
 }
 
-/// A frame with its length before it; none where it would be larger than `MOST_FRAME`.
-pub fn encode<T: Serialize>(say: &T) -> Option<Vec<u8>> {
-    let mut bytes = vec![0; 4];
-    ciborium::into_writer(say, &mut bytes).ok()?;
-    let length = u32::try_from(bytes.len() - 4).ok().filter(|length| *length as usize <= MOST_FRAME)?;
-    bytes[..4].copy_from_slice(&length.to_be_bytes());
-    Some(bytes)
+/// An operator's request that an upstream be drained.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(from = "(SocketAddr, String, u32)", into = "(SocketAddr, String, u32)")]
+pub struct DrainRequest {
+    /// The inbound proxy of the upstream's node.
+    pub inbound_proxy: SocketAddr,
+    /// The identity of the upstream's process.
+    pub upstream_id: String,
+    /// How long an older program keeps the request, in milliseconds.
+    pub ttl_ms: u32,
+}
+
+impl From<(SocketAddr, String, u32)> for DrainRequest {
+    fn from((inbound_proxy, upstream_id, ttl_ms): (SocketAddr, String, u32)) -> DrainRequest {
+        DrainRequest { inbound_proxy, upstream_id, ttl_ms }
+    }
 }
 
-#[cfg(test)]
-mod tests {
-    use crate::traffic_reports::{AttemptCounts, ServiceAttempts};
-    use crate::traffic_reports::{OutcomeCounts, RouteEdition};
-
-    use super::*;
-
-    /// Guards against letters that an older program doesn't read, or that cost more though no paper is held.
-    #[test]
-    fn without_papers_letters_are_as_they_were() {
-        use ochreshed_consensus::messages::{Lease, LeaseKey, MessageBody, RegisterValue};
-        #[derive(Debug, Serialize, Deserialize)]
-        enum Older {
-            Beat {
-                voter: bool,
-                sheet: Revision,
-                safe: Revision,
-                leaving: bool,
-            },
-            WantState {
-                from: u128,
-                round: u64,
-            },
-            State {
-                round: u64,
-                part: Vec<(LeaseKey, Lease)>,
-                next: Option<u128>,
-                sheet: Option<Arc<RegisterValue>>,
-            },
-        }
-        let rank = Revision::new(3, u64::MAX);
-        let older = [
-            Older::Beat { voter: true, sheet: rank, safe: rank, leaving: false },
-            Older::WantState { from: u128::MAX, round: 7 },
-            Older::State { round: 7, part: Vec::new(), next: Some(9), sheet: None },
-        ];
-        let zone = String::new();
-        let newer = [
-            MessageBody::Heartbeat {
-                voter: true,
-                configuration: rank,
-                committed_configuration: rank,
-                leaving: false,
-                zone,
-                registers_digest: 0,
-            },
-            MessageBody::FetchSnapshot { from_key: u128::MAX, catch_up_id: 7, from_register: None },
-            MessageBody::SnapshotChunk {
-                catch_up_id: 7,
-                leases: Vec::new(),
-                next_key: Some(9),
-                configuration: None,
-                sessions: Vec::new(),
-                registers: Vec::new(),
-                next_register: None,
-                acceptors: Vec::new(),
-            },
-        ];
-        for (older, newer) in older.iter().zip(&newer) {
-            let bytes = encode(older).expect("a frame");
-            assert_eq!(encode(newer).as_ref(), Some(&bytes));
-            let read: MessageBody = ciborium::from_reader(&bytes[4..]).expect("read");
-            assert_eq!(encode(&read), Some(bytes));
-        }
+impl From<DrainRequest> for (SocketAddr, String, u32) {
+    fn from(drain: DrainRequest) -> (SocketAddr, String, u32) {
+        (drain.inbound_proxy, drain.upstream_id, drain.ttl_ms)
     }
+}
 
-    /// Guards against news that costs more than it did with each of an attendant's asks, a few a second.
-    #[test]
-    fn the_bytes_of_an_ask() {
-        let door = SocketAddr::from(([10, 1, 0, 8], 8300));
-        let bytes = |spending: Option<ServiceAttempts>| {
-            let mark = TablePosition { incarnation: u64::MAX, sequence: 1_000 };
-            let ask = WatchRequest {
-                record: None,
-                inbound_proxy: Some(door),
-                position: mark,
-                configuration: Revision::new(12, u64::MAX),
-                suspects_version: 3,
-                max_wait_ms: 500,
-                from_replica: false,
-                report: spending.map(|spending| BudgetReport {
-                    services: spending,
-                    recovery_ms: Some(812),
-                    outcomes: EditionOutcomes::new(),
-                }),
-                outcomes: EditionOutcomes::new(),
-                registers_digest: 0,
-                applied_editions: None,
-                reports_only: false,
-            };
-            encode(&Frame { id: 9_000, payload: InternalRequest::Watch(ask) }).map(|bytes| bytes.len())
-        };
-        let figures = AttemptCounts { first: 2_000, retried: 20, denied: 0 };
-        let spent = ["huvo11a", "kafi81c", "wuno96b"].map(|name| (name.into(), figures));
-        assert_eq!((bytes(None), bytes(Some(spent.to_vec()))), (Some(119), Some(176)));
+/// The committed registers by name.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(from = "(u64, RegisterRevisions)", into = "(u64, RegisterRevisions)")]
+pub struct RegisterList {
+    /// The digest of the list, by which two lists are told apart.
+    pub digest: u64,
+    /// The revision of each register.
+    pub revisions: RegisterRevisions,
+}
+
+impl From<(u64, RegisterRevisions)> for RegisterList {
+    fn from((digest, revisions): (u64, RegisterRevisions)) -> RegisterList {
+        RegisterList { digest, revisions }
     }
+}
 
-    /// Guards against a gate with members that an older steward can't read any more: it reads what it knows of.
-    #[test]
-    fn how_members_fared_goes_beside_what_older_programs_read() {
-        #[derive(Deserialize)]
-        struct Older {
-            report: Option<BudgetReport>,
-            gather: bool,
-        }
-        let of = RouteEdition { member: "norte".into(), version: 4, canary: true };
-        let members: EditionOutcomes =
-            vec![(of, OutcomeCounts { first: 9, failed: 2, ..OutcomeCounts::default() })];
-        let report =
-            BudgetReport { recovery_ms: Some(7), outcomes: members.clone(), ..BudgetReport::default() };
-        let ask = WatchRequest {
-            record: None,
-            inbound_proxy: None,
-            position: TablePosition::default(),
-            configuration: Revision::new(1, 1),
-            suspects_version: 0,
-            max_wait_ms: 1,
-            from_replica: false,
-            report: Some(report),
-            outcomes: members,
-            registers_digest: 0,
-            applied_editions: None,
-            reports_only: true,
-        };
-        let mut bytes = Vec::new();
-        ciborium::into_writer(&ask, &mut bytes).expect("written");
-        let older: Older = ciborium::from_reader(&*bytes).expect("read");
-        assert_eq!(
-            (older.report, older.gather),
-            (Some(BudgetReport { recovery_ms: Some(7), ..BudgetReport::default() }), true)
-        );
-        let newer: WatchRequest = ciborium::from_reader(&*bytes).expect("read");
-        assert_eq!(newer.outcomes, ask.outcomes);
+impl From<RegisterList> for (u64, RegisterRevisions) {
+    fn from(registers: RegisterList) -> (u64, RegisterRevisions) {
+        (registers.digest, registers.revisions)
     }
 }
+
+/// The reports that nodes have sent to one replica.
+#[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(from = "CollectedReportsForm", into = "CollectedReportsForm")]
+pub struct CollectedReports {
+    /// The newest report of each node.
+    pub reports: Vec<CollectedReport>,
+    /// The time from the start of the replica's process to full service, in milliseconds; none before that.
+    pub recovery_ms: Option<u32>,
+}
+
+/// The form in which [`CollectedReports`] are sent.
+type CollectedReportsForm = (Vec<CollectedReport>, Option<u32>);
+
+impl From<CollectedReportsForm> for CollectedReports {
+    fn from((reports, recovery_ms): CollectedReportsForm) -> CollectedReports {
+        CollectedReports { reports, recovery_ms }
+    }
+}
+
+impl From<CollectedReports> for CollectedReportsForm {
+    fn from(collected: CollectedReports) -> CollectedReportsForm {
+        (collected.reports, collected.recovery_ms)
+    }
+}
+
+/// The report of one node.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(from = "(SocketAddr, u32, BudgetReport)", into = "(SocketAddr, u32, BudgetReport)")]
+pub struct CollectedReport {
+    /// The node's inbound proxy.
+    pub inbound_proxy: SocketAddr,
+    /// How long ago the node sent the report, in milliseconds.
+    pub age_ms: u32,
+    /// The report.
+    pub report: BudgetReport,
+}
+
+impl From<(SocketAddr, u32, BudgetReport)> for CollectedReport {
+    fn from((inbound_proxy, age_ms, report): (SocketAddr, u32, BudgetReport)) -> CollectedReport {
+        CollectedReport { inbound_proxy, age_ms, report }
+    }
+}
+
+impl From<CollectedReport> for (SocketAddr, u32, BudgetReport) {
+    fn from(collected: CollectedReport) -> (SocketAddr, u32, BudgetReport) {
+        (collected.inbound_proxy, collected.age_ms, collected.report)
+    }
+}
+
+/// A request or response with the number that joins the two.
+#[derive(Serialize, Deserialize)]
+pub struct Frame<T> {
+    /// The same for a request and its response; 0 where no response is wanted.
+    pub id: u64,
+    /// The request or response.
+    #[serde(rename = "say")]
+    pub payload: T,
+}
+
+/// The bytes of a frame: its length as four bytes in network order, then CBOR. None where it would be longer than
+/// [`MAX_FRAME_BYTES`].
+#[must_use]
+pub fn encode<T: Serialize>(frame: &T) -> Option<Vec<u8>> {
+    const LENGTH_BYTES: usize = size_of::<u32>();
+    let mut bytes = vec![0; LENGTH_BYTES];
+    ciborium::into_writer(frame, &mut bytes).ok()?;
+    let length = bytes.len() - LENGTH_BYTES;
+    if length > MAX_FRAME_BYTES {
+        return None;
+    }
+    let length = u32::try_from(length).ok()?;
+    bytes[..LENGTH_BYTES].copy_from_slice(&length.to_be_bytes());
+    Some(bytes)
+}
--- a/catalog/src/watch_client.rs
+++ b/catalog/src/watch_client.rs
@@ -1,279 +1,297 @@
-//! News as an attendant sees them: which steward each of its asks goes to, which is passed over, and what was told of
-//! rows and of who is quiet. It owns the marks of what each steward told. It must never go back to an older row, nor
-//! count as quiet whom a watcher that replies has heard.
+//! The watches of a node: which replicas it asks, and what it knows from their responses.
+//!
+//! A node keeps several [`Watcher`]s, each of which asks one replica at a time and passes over those that do not respond.
+//! [`EndpointView`] joins what they were told of endpoint records and suspected nodes. [`ReplicaDirectory`] orders the
+//! replicas for requests about a key.
+//!
+//! Invariants: a view never goes back to a lower version of a record; a node is suspected only if every watcher that gets
+//! responses was told so.
 
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
 
 use ochreshed::Nanos;
+use ochreshed_consensus::messages::{LeaseKey, Revision};
 
-use crate::endpoints::{EndpointRecord, TablePosition, place, watching_replicas};
+use crate::endpoints::{EndpointRecord, RecordVersion, TablePosition, place, watching_replicas};
 use crate::internal_rpc::{AppliedEditions, WatchRequest, WatchResponse};
-use ochreshed_consensus::messages::LeaseKey;
-use ochreshed_consensus::messages::Revision;
 
 const MS: Nanos = 1_000_000;
-/// An ask is answered after so long though there is no news, and given up so much later.
+/// How long a node's request waits for a change.
 pub const MAX_WAIT: Nanos = 500 * MS;
+/// A request has failed when there is no response for this long after its wait.
 pub const RESPONSE_GRACE: Nanos = 600 * MS;
-/// From an ask that failed to the next.
+/// The pause after a request that failed.
 pub const RETRY_INTERVAL: Nanos = 80 * MS;
-/// A steward that gave no reply is passed over for so long.
-const ASIDE: Nanos = 1_500 * MS;
-/// One that replied to no claim, for so long.
-const CLAIMS_ASIDE: Nanos = 2_000 * MS;
+/// How long watches pass over a replica that did not respond.
+const WATCH_AVOID_TIME: Nanos = 1_500 * MS;
+/// How long requests for leases pass over a replica that did not respond.
+const LEASE_AVOID_TIME: Nanos = 2_000 * MS;
 
-/// What one steward told last.
+/// What one replica and this node know of each other.
 #[derive(Default)]
-struct Heard {
-    mark: TablePosition,
-    quiet: (u64, HashSet<SocketAddr>),
-    row: (u64, u64),
-    aside: Option<Nanos>,
-    /// The number of the papers that it told of, once those are here.
-    papers: u64,
-    /// The editions that it was told, and those that went with the last ask.
-    carried: AppliedEditions,
-    out: AppliedEditions,
+struct ReplicaState {
+    /// The changes of the replica's table that this node has.
+    position: TablePosition,
+    suspects_version: u64,
+    suspects: HashSet<SocketAddr>,
+    /// The version of this node's record that the replica has.
+    known_record: RecordVersion,
+    /// Until when the replica is passed over.
+    avoided_until: Option<Nanos>,
+    /// The digest of the registers that the replica told of, once this node has them.
+    registers_digest: u64,
+    /// The editions that the replica has.
+    known_editions: AppliedEditions,
+    /// The editions in force when the open request was sent.
+    requested_editions: AppliedEditions,
 }
 
-/// One of an attendant's open asks: the one whose turn is `which` of `many`.
+/// One of the watches of a node.
+///
+/// The replicas are divided among a node's watchers, so that no two ask the same one while all respond.
 pub struct Watcher {
-    which: usize,
-    many: usize,
-    heard: HashMap<SocketAddr, Heard>,
+    index: usize,
+    watcher_count: usize,
+    replicas: HashMap<SocketAddr, ReplicaState>,
 }
 
 impl Watcher {
-    pub fn new(which: usize, many: usize) -> Watcher {
-        Watcher { which, many: many.max(1), heard: HashMap::new() }
+    /// The watcher at this index, counted from 0, among so many of one node.
+    pub fn new(index: usize, watcher_count: usize) -> Watcher {
+        Watcher { index, watcher_count: watcher_count.max(1), replicas: HashMap::new() }
     }
 
-    /// Who is asked now: of its own part of the ring first, so that no two ask the same while all reply.
+    /// The replica to ask now: one of the watcher's own part of the ring if any responds, else any other, else the one
+    /// that has been avoided longest. None where there are no replicas.
     pub fn next_replica(
         &mut self,
         now: Nanos,
-        door: SocketAddr,
-        stewards: &[SocketAddr],
+        inbound_proxy: SocketAddr,
+        replicas: &[SocketAddr],
     ) -> Option<SocketAddr> {
-        let ring = watching_replicas(door, stewards, stewards.len());
-        self.heard.retain(|at, _| stewards.contains(at));
-        let until = |at: &SocketAddr| self.heard.get(at).and_then(|heard| heard.aside);
-        let aside = |at: &&SocketAddr| until(at).is_some_and(|until| until > now);
-        let mut mine = ring.iter().skip(self.which).step_by(self.many).chain(ring.iter());
-        mine.find(|at| !aside(at)).or(ring.iter().min_by_key(|at| until(at))).copied()
+        let ring = watching_replicas(inbound_proxy, replicas, replicas.len());
+        self.replicas.retain(|replica, _| replicas.contains(replica));
+        let avoided_until =
+            |replica: &SocketAddr| self.replicas.get(replica).and_then(|state| state.avoided_until);
+        let is_avoided = |replica: &SocketAddr| avoided_until(replica).is_some_and(|until| until > now);
+        let own_part = ring.iter().skip(self.index).step_by(self.watcher_count);
+        let preferred = own_part.chain(ring.iter()).find(|replica| !is_avoided(replica));
+        preferred.or(ring.iter().min_by_key(|replica| avoided_until(replica))).copied()
     }
 
-    /// The ask to that steward: the row and the editions where it may not have them, and the versions it told.
+    /// The request to a replica. The node's record and editions are in it where the replica may not have them.
     pub fn request(
         &mut self,
-        steward: SocketAddr,
-        row: EndpointRecord,
-        sheet: Revision,
-        carried: AppliedEditions,
+        replica: SocketAddr,
+        record: EndpointRecord,
+        configuration: Revision,
+        editions: AppliedEditions,
     ) -> WatchRequest {
-        let known = self.heard.entry(steward).or_default();
-        known.out = carried;
+        let state = self.replicas.entry(replica).or_default();
+        state.requested_editions = editions;
+        let editions_changed = state.known_editions != state.requested_editions;
         WatchRequest {
-            inbound_proxy: Some(row.inbound_proxy),
-            record: (known.row != row.record_version()).then_some(row),
-            position: known.mark,
-            configuration: sheet,
-            suspects_version: known.quiet.0,
+            inbound_proxy: Some(record.inbound_proxy),
+            record: (state.known_record != record.record_version()).then_some(record),
+            position: state.position,
+            configuration,
+            suspects_version: state.suspects_version,
             max_wait_ms: (MAX_WAIT / MS) as u32,
             from_replica: false,
             report: None,
             outcomes: Vec::new(),
-            registers_digest: known.papers,
-            applied_editions: (known.carried != known.out).then(|| known.out.clone()),
+            registers_digest: state.registers_digest,
+            applied_editions: editions_changed.then(|| state.requested_editions.clone()),
             reports_only: false,
         }
     }
 
-    /// A reply to an ask that went out with that row. `has_sheet`: the attendant has a configuration. Hands out whom that
-    /// steward holds for quiet.
+    /// Takes the response to a request that had this version of the node's record. Returns the nodes that the replica
+    /// suspects.
     pub fn handle_response(
         &mut self,
         now: Nanos,
-        steward: SocketAddr,
-        row: (u64, u64),
-        has_sheet: bool,
-        reply: &WatchResponse,
+        replica: SocketAddr,
+        sent_record: RecordVersion,
+        has_configuration: bool,
+        response: &WatchResponse,
     ) -> HashSet<SocketAddr> {
-        let known = self.heard.entry(steward).or_default();
-        // One that is cut off from more than half of the core may not know the newest: others are asked first.
-        let aside = if has_sheet { ASIDE } else { RETRY_INTERVAL };
-        known.aside = (!reply.has_quorum).then_some(now + aside);
-        // One that has forgotten us is told anew.
-        known.row = if reply.known_incarnation.is_some() { row } else { (0, 0) };
-        let out = std::mem::take(&mut known.out);
-        known.carried = if reply.known_incarnation.is_some() { out } else { AppliedEditions::new() };
-        known.mark = reply.position;
-        if let Some((number, quiet)) = &reply.suspects {
-            known.quiet = (*number, quiet.iter().copied().collect());
+        let state = self.replicas.entry(replica).or_default();
+        // A replica without a majority may not know the newest configuration, so that others are asked first.
+        let avoid_time = if has_configuration { WATCH_AVOID_TIME } else { RETRY_INTERVAL };
+        state.avoided_until = (!response.has_quorum).then_some(now + avoid_time);
+        // A replica that has forgotten the node must be sent its record and editions again.
+        let is_known = response.known_incarnation.is_some();
+        let sent_editions = std::mem::take(&mut state.requested_editions);
+        state.known_record = if is_known { sent_record } else { RecordVersion::default() };
+        state.known_editions = if is_known { sent_editions } else { AppliedEditions::new() };
+        state.position = response.position;
+        if let Some(suspects) = &response.suspects {
+            state.suspects_version = suspects.version;
+            state.suspects = suspects.inbound_proxies.iter().copied().collect();
         }
-        known.quiet.1.clone()
+        state.suspects.clone()
     }
 
-    /// The papers of that number, which that steward told of, are here.
-    pub fn registers_applied(&mut self, steward: SocketAddr, number: u64) {
-        self.heard.entry(steward).or_default().papers = number;
+    /// Notes that the node has the registers of this digest, of which the replica told.
+    pub fn registers_applied(&mut self, replica: SocketAddr, digest: u64) {
+        self.replicas.entry(replica).or_default().registers_digest = digest;
     }
 
-    /// No reply came, of so many stewards that are known.
-    pub fn request_failed(&mut self, now: Nanos, steward: SocketAddr, has_sheet: bool, stewards: usize) {
-        let known = self.heard.entry(steward).or_default();
-        // One that has nothing yet asks everybody until it has, one after the other.
-        let all = RETRY_INTERVAL * (stewards as Nanos + 1);
-        known.aside = Some(now + if has_sheet { ASIDE } else { all });
-        // It may have forgotten us.
-        known.row = (0, 0);
-        known.carried.clear();
+    /// Notes that a replica did not respond.
+    pub fn request_failed(
+        &mut self,
+        now: Nanos,
+        replica: SocketAddr,
+        has_configuration: bool,
+        replica_count: usize,
+    ) {
+        let state = self.replicas.entry(replica).or_default();
+        // A node without a configuration asks all replicas in turn until it has one.
+        let one_turn = RETRY_INTERVAL * (replica_count as Nanos + 1);
+        let avoid_time = if has_configuration { WATCH_AVOID_TIME } else { one_turn };
+        state.avoided_until = Some(now + avoid_time);
+        // The replica may have restarted and have forgotten the node.
+        state.known_record = RecordVersion::default();
+        state.known_editions.clear();
     }
 }
 
-/// The rows as they were told, and who is quiet by each watcher.
+/// An endpoint record with the time at which it was received.
+#[derive(Clone, Debug)]
+pub struct ReceivedRecord {
+    /// The record.
+    pub record: EndpointRecord,
+    /// When this node received it.
+    pub received_at: Nanos,
+}
+
+/// The endpoint records that a node knows, and the nodes that each watcher was told to suspect.
 #[derive(Default)]
 pub struct EndpointView {
-    /// With the time at which each was told.
-    rows: HashMap<SocketAddr, (EndpointRecord, Nanos)>,
-    quiet: HashMap<usize, HashSet<SocketAddr>>,
+    records: HashMap<SocketAddr, ReceivedRecord>,
+    /// By the index of the watcher.
+    suspects: HashMap<usize, HashSet<SocketAddr>>,
 }
 
 impl EndpointView {
-    /// Takes what the watcher whose turn is `which` told; whether anything changed.
+    /// Takes what the watcher at this index was told. Returns whether anything has changed.
     pub fn merge(
         &mut self,
         now: Nanos,
-        which: usize,
-        rows: Vec<EndpointRecord>,
-        quiet: HashSet<SocketAddr>,
+        watcher: usize,
+        records: Vec<EndpointRecord>,
+        suspects: HashSet<SocketAddr>,
     ) -> bool {
         let mut changed = false;
-        for row in rows {
-            if self
-                .rows
-                .get(&row.inbound_proxy)
-                .is_none_or(|(was, _)| was.record_version() < row.record_version())
-            {
+        for record in records {
+            let known = self.records.get(&record.inbound_proxy);
+            if known.is_none_or(|known| known.record.record_version() < record.record_version()) {
                 changed = true;
-                self.rows.insert(row.inbound_proxy, (row, now));
+                self.records.insert(record.inbound_proxy, ReceivedRecord { record, received_at: now });
             }
         }
-        if self.quiet.get(&which) != Some(&quiet) {
+        if self.suspects.get(&watcher) != Some(&suspects) {
             changed = true;
-            self.quiet.insert(which, quiet);
+            self.suspects.insert(watcher, suspects);
         }
         changed
     }
 
-    /// A watcher gives no reply: what it held for quiet counts no more.
-    pub fn watch_lost(&mut self, which: usize) {
-        self.quiet.remove(&which);
+    /// Notes that a watcher gets no response; its suspects do not count any more.
+    pub fn watch_lost(&mut self, watcher: usize) {
+        self.suspects.remove(&watcher);
     }
 
-    /// Those whom every watcher that replies has not heard.
+    /// The nodes that every watcher with responses was told to suspect.
     pub fn suspects(&self) -> HashSet<SocketAddr> {
-        let mut quiet: Option<HashSet<SocketAddr>> = None;
-        for told in self.quiet.values() {
-            quiet = Some(match quiet {
-                None => told.clone(),
-                Some(quiet) => quiet.intersection(told).copied().collect(),
-            });
-        }
-        quiet.unwrap_or_default()
+        let intersection = |all: HashSet<SocketAddr>, one: HashSet<SocketAddr>| &all & &one;
+        self.suspects.values().cloned().reduce(intersection).unwrap_or_default()
     }
 
-    /// How many attendants serve a gate.
+    /// The number of nodes whose outbound proxy takes requests of clients.
     pub fn client_proxies(&self) -> usize {
-        self.rows.values().filter(|(row, _)| row.accepts_clients).count()
+        self.records.values().filter(|received| received.record.accepts_clients).count()
     }
 
-    /// With the time at which each was told.
-    pub fn records(&self) -> impl Iterator<Item = &(EndpointRecord, Nanos)> {
-        self.rows.values()
+    /// All records, in no order.
+    pub fn records(&self) -> impl Iterator<Item = &ReceivedRecord> {
+        self.records.values()
     }
 
-    pub fn record(&self, door: SocketAddr) -> Option<&EndpointRecord> {
-        self.rows.get(&door).map(|(row, _)| row)
+    /// The record of a node.
+    pub fn record(&self, inbound_proxy: SocketAddr) -> Option<&EndpointRecord> {
+        self.records.get(&inbound_proxy).map(|received| &received.record)
     }
 
+    /// The number of records.
     pub fn len(&self) -> usize {
-        self.rows.len()
+        self.records.len()
     }
 
+    /// Whether there are no records.
     pub fn is_empty(&self) -> bool {
-        self.rows.is_empty()
+        self.records.is_empty()
     }
 }
 
-/// The stewards that are known, and until when those are passed over that gave no reply of late.
+/// A replica that a node knows.
+struct KnownReplica {
+    address: SocketAddr,
+    /// Until when it is passed over because it did not respond.
+    avoided_until: Option<Nanos>,
+}
+
+/// The replicas that a node knows, in the order in which requests go to them.
 #[derive(Default)]
-pub struct ReplicaDirectory(Vec<(SocketAddr, Option<Nanos>)>);
+pub struct ReplicaDirectory {
+    replicas: Vec<KnownReplica>,
+}
 
 impl ReplicaDirectory {
-    pub fn set_replicas(&mut self, all: impl IntoIterator<Item = SocketAddr>) {
-        let fresh: Vec<SocketAddr> = all.into_iter().collect();
-        self.0.retain(|(at, _)| fresh.contains(at));
-        for at in fresh {
-            if !self.0.iter().any(|(known, _)| *known == at) {
-                self.0.push((at, None));
+    /// Replaces the replicas by these. Those that were known keep their state.
+    pub fn set_replicas(&mut self, replicas: impl IntoIterator<Item = SocketAddr>) {
+        let addresses: Vec<SocketAddr> = replicas.into_iter().collect();
+        self.replicas.retain(|known| addresses.contains(&known.address));
+        for address in addresses {
+            if self.find(address).is_none() {
+                self.replicas.push(KnownReplica { address, avoided_until: None });
             }
         }
     }
 
+    /// The addresses of the replicas.
     pub fn replicas(&self) -> Vec<SocketAddr> {
-        self.0.iter().map(|(at, _)| *at).collect()
+        self.replicas.iter().map(|known| known.address).collect()
     }
 
-    pub fn failed(&mut self, now: Nanos, steward: SocketAddr) {
-        if let Some(known) = self.0.iter_mut().find(|(at, _)| *at == steward) {
-            known.1 = Some(now + CLAIMS_ASIDE);
+    /// Notes that a replica did not respond.
+    pub fn failed(&mut self, now: Nanos, replica: SocketAddr) {
+        if let Some(known) = self.find(replica) {
+            known.avoided_until = Some(now + LEASE_AVOID_TIME);
         }
     }
 
-    pub fn replied(&mut self, steward: SocketAddr) {
-        if let Some(known) = self.0.iter_mut().find(|(at, _)| *at == steward) {
-            known.1 = None;
+    /// Notes that a replica has responded.
+    pub fn replied(&mut self, replica: SocketAddr) {
+        if let Some(known) = self.find(replica) {
+            known.avoided_until = None;
         }
     }
 
-    /// In the order in which a key's duty falls to them: by key, those that gave no reply last.
-    pub fn replicas_for_key(&self, now: Nanos, key: LeaseKey) -> Vec<SocketAddr> {
-        let place_of = |(at, aside): &(SocketAddr, Option<Nanos>)| {
-            (aside.is_some_and(|until| until > now), place(*at, key), *at)
-        };
-        let mut order: Vec<(bool, u64, SocketAddr)> = self.0.iter().map(place_of).collect();
-        order.sort();
-        order.into_iter().map(|(_, _, at)| at).collect()
+    fn find(&mut self, replica: SocketAddr) -> Option<&mut KnownReplica> {
+        self.replicas.iter_mut().find(|known| known.address == replica)
     }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
 
-    /// Guards against an asker that asks the first of its part of the ring for ever though another steward is there.
-    #[test]
-    fn without_a_configuration_everybody_is_asked_in_turn() {
-        let at = |number: u8| SocketAddr::from(([10, 0, 0, number], 8202));
-        let stewards = [at(1), at(2), at(3)];
-        let door = SocketAddr::from(([10, 1, 0, 1], 8300));
-        let ring = watching_replicas(door, &stewards, stewards.len());
-        for which in 0..2 {
-            for there in &ring {
-                let mut asker = Watcher::new(which, 2);
-                let mut now = 0;
-                let asked = (0..4).map(|_| {
-                    let steward = asker.next_replica(now, door, &stewards).expect("a steward");
-                    asker.request_failed(now, steward, false, stewards.len());
-                    // What a refusal takes, and the pause after it.
-                    now += RETRY_INTERVAL + MS;
-                    steward
-                });
-                let asked: Vec<SocketAddr> = asked.collect();
-                assert!(asked.contains(there), "{there} of {ring:?} is not among {asked:?}");
-            }
-        }
+    /// The replicas in the order in which requests about a key go to them: by the key's placement, and those that did not
+    /// respond of late last.
+    pub fn replicas_for_key(&self, now: Nanos, key: LeaseKey) -> Vec<SocketAddr> {
+        let mut replicas: Vec<&KnownReplica> = self.replicas.iter().collect();
+        replicas.sort_by_cached_key(|known| {
+            let is_avoided = known.avoided_until.is_some_and(|until| until > now);
+            (is_avoided, place(known.address, key), known.address)
+        });
+        replicas.into_iter().map(|known| known.address).collect()
     }
 }
--- /dev/null
+++ b/catalog/tests/configuration_update.rs
@@ -0,0 +1,38 @@
+//! Updates of the configuration on their way to nodes.
+
+use std::sync::Arc;
+
+use ochreshed_catalog::configuration_update::{UpdateCache, UpdateError};
+use ochreshed_consensus::messages::{RegisterValue, Revision};
+
+fn configuration(version: u64, routes: usize) -> Arc<RegisterValue> {
+    let text: String =
+        (0..routes).map(|at| format!(r#"{{"route":"r-{at}","version":{}}},"#, at % 9)).collect();
+    Arc::new(RegisterValue::new(version, format!("r{version} {text}").into_bytes()))
+}
+
+#[test]
+fn each_node_gets_the_difference_from_its_version_and_opens_it_to_the_newest() {
+    let cache = UpdateCache::default();
+    let all: Vec<Arc<RegisterValue>> =
+        (1..8).map(|version| configuration(version, 500 + version as usize)).collect();
+    all.iter().for_each(|configuration| cache.note(configuration));
+    let newest = all.last().expect("one");
+    assert!(cache.newest(newest.revision()).is_none());
+    // A node without a version, or with one that is no longer kept, gets the whole configuration.
+    for (have, whole) in [(None, true), (Some(&all[0]), true), (Some(&all[4]), false), (Some(&all[5]), false)]
+    {
+        let current = have.map_or(Revision::NONE, |have| have.revision());
+        let update = cache.newest(current).expect("an update");
+        assert_eq!(update.base == Revision::NONE, whole);
+        assert!(whole || update.compressed.len() < 300, "{} bytes", update.compressed.len());
+        assert_eq!(update.open(have.map(|have| &**have)).as_ref(), Ok(&**newest));
+    }
+    let update = cache.newest(all[5].revision()).expect("an update");
+    assert_eq!(update.open(Some(&all[4])), Err(UpdateError::BaseMismatch));
+    let mut corrupt = (*update).clone();
+    corrupt.revision.digest ^= 1;
+    assert_eq!(corrupt.open(Some(&all[5])), Err(UpdateError::Corrupt));
+    corrupt.compressed.truncate(5);
+    assert_eq!(corrupt.open(Some(&all[5])), Err(UpdateError::Corrupt));
+}
--- /dev/null
+++ b/catalog/tests/delta.rs
@@ -0,0 +1,40 @@
+//! Differences of texts.
+
+use proptest::prelude::*;
+
+use ochreshed_catalog::delta::{DeltaOp, apply, between};
+use xxhash_rust::xxh3::xxh3_64;
+
+fn text(routes: std::ops::Range<u32>) -> String {
+    routes.map(|at| format!(r#"{{"name":"r-{at:x}","prefix":"/p{}/","deadline":500}},"#, at * 7)).collect()
+}
+
+fn size(ops: &[DeltaOp]) -> usize {
+    let op_size = |op: &DeltaOp| if let DeltaOp::Insert(bytes) = op { bytes.len() } else { 8 };
+    ops.iter().map(op_size).sum()
+}
+
+#[test]
+fn a_small_change_of_a_large_text_is_a_small_delta() {
+    let old = text(0..2_000);
+    let new = format!("r8{}{}", text(0..1_000).replacen("500", "700", 1), text(1_001..2_001));
+    let ops = between(old.as_bytes(), new.as_bytes());
+    assert_eq!(apply(old.as_bytes(), &ops, xxh3_64(new.as_bytes())).as_deref(), Some(new.as_bytes()));
+    assert!(size(&ops) < 8_000, "{} of {}", size(&ops), new.len());
+    // Applied to another text, the operations make nothing.
+    assert_eq!(apply(text(1..2_000).as_bytes(), &ops, xxh3_64(new.as_bytes())), None);
+}
+
+proptest! {
+    #![proptest_config(ProptestConfig { cases: 64, failure_persistence: None, ..ProptestConfig::default() })]
+    #[test]
+    fn any_text_is_made_out_of_any_other(
+        old in prop::collection::vec(0..4u8, 0..4_000),
+        new in prop::collection::vec(0..4u8, 0..4_000),
+        keep in 0..4_000usize,
+    ) {
+        let new = [&old[keep.min(old.len())..], &new].concat();
+        let ops = between(&old, &new);
+        prop_assert_eq!(apply(&old, &ops, xxh3_64(&new)), Some(new));
+    }
+}
--- a/catalog/tests/frozen_forms.rs
+++ b/catalog/tests/frozen_forms.rs
@@ -13,11 +13,12 @@
 use frozen::{FrozenForms, writes_fixtures};
 use ochreshed_catalog::configuration::{Configuration, Refusal};
 use ochreshed_catalog::configuration_update::{ConfigurationUpdate, UpdateCache};
-use ochreshed_catalog::delta::DeltaOp;
+use ochreshed_catalog::delta::{ByteRange, DeltaOp};
 use ochreshed_catalog::endpoints::UpstreamHealth;
 use ochreshed_catalog::endpoints::{EndpointRecord, TablePosition, UpstreamState};
 use ochreshed_catalog::internal_rpc::{
-    Frame, InternalRequest, InternalResponse, WatchRequest, WatchResponse, encode,
+    CollectedReport, CollectedReports, DrainRequest, Frame, InternalRequest, InternalResponse, NodeEdition,
+    RegisterList, SuspectList, WatchRequest, WatchResponse, encode,
 };
 use ochreshed_catalog::members::{MemberDocument, MemberRegister};
 use ochreshed_catalog::traffic_reports::{AttemptCounts, BudgetReport};
@@ -85,7 +86,7 @@
         report: Some(report()),
         outcomes: outcome_counts(),
         registers_digest: u64::MAX,
-        applied_editions: Some(vec![("banco-norte".into(), 4, true)]),
+        applied_editions: Some(vec![RouteEdition { member: "banco-norte".into(), version: 4, canary: true }]),
         reports_only: true,
     }
 }
@@ -113,13 +114,20 @@
         records: vec![endpoint(UpstreamState::Serving, UpstreamHealth::default())],
         configuration: Some(RANK),
         replicas: vec![address(1), "[fd00::7]:8307".parse().expect("an address")],
-        suspects: Some((4, vec![address(9)])),
+        suspects: Some(SuspectList { version: 4, inbound_proxies: vec![address(9)] }),
         has_quorum: true,
         known_incarnation: Some(7),
         last_heard_ms_ago: vec![(address(8), 250)],
-        drains: vec![(address(8), "life-1".into(), 60_000)],
-        reports: Some(Box::new((vec![(address(8), 250, report())], Some(900)))),
-        registers: Some((5, vec![("members".into(), RANK)])),
+        drains: vec![DrainRequest {
+            inbound_proxy: address(8),
+            upstream_id: "life-1".into(),
+            ttl_ms: 60_000,
+        }],
+        reports: Some(Box::new(CollectedReports {
+            reports: vec![CollectedReport { inbound_proxy: address(8), age_ms: 250, report: report() }],
+            recovery_ms: Some(900),
+        })),
+        registers: Some(RegisterList { digest: 5, revisions: vec![("members".into(), RANK)] }),
         outcomes: vec![(address(8), outcome_counts())],
     }
 }
@@ -163,7 +171,14 @@
         ("sheet", InternalResponse::Configuration(Some(Arc::new(update())))),
         ("sheet_none", InternalResponse::Configuration(None)),
         ("papers", InternalResponse::Registers(vec![named()])),
-        ("carried", InternalResponse::AppliedEditions(vec![(address(8), 4, true)])),
+        (
+            "carried",
+            InternalResponse::AppliedEditions(vec![NodeEdition {
+                inbound_proxy: address(8),
+                version: 4,
+                canary: true,
+            }]),
+        ),
     ]
 }
 
@@ -232,7 +247,7 @@
     forms.assert_encodes_as("row_well", &endpoint(UpstreamState::Absent, UpstreamHealth::default()));
     forms.assert_encodes_as("mark", &position());
     forms.assert_encodes_as("parcel", &update());
-    forms.assert_encodes_as("piece_old", &DeltaOp::Copy(70_000, 9));
+    forms.assert_encodes_as("piece_old", &DeltaOp::Copy(ByteRange { offset: 70_000, length: 9 }));
     forms.assert_encodes_as("piece_new", &DeltaOp::Insert(vec![0, 1, 255]));
     forms.assert_encodes_as("figures", &AttemptCounts { first: 2_000, retried: 20, denied: 3 });
     forms.assert_encodes_as("report_all", &report());
--- /dev/null
+++ b/catalog/tests/internal_rpc.rs
@@ -0,0 +1,138 @@
+//! The encoding of calls between processes, as older programs read it.
+
+use std::net::SocketAddr;
+use std::sync::Arc;
+
+use ochreshed_catalog::endpoints::TablePosition;
+use ochreshed_catalog::internal_rpc::{Frame, InternalRequest, WatchRequest, encode};
+use ochreshed_catalog::traffic_reports::{
+    AttemptCounts, BudgetReport, EditionOutcomes, OutcomeCounts, RouteEdition, ServiceAttempts,
+};
+use ochreshed_consensus::messages::{Lease, LeaseKey, MessageBody, RegisterValue, Revision};
+use serde::{Deserialize, Serialize};
+
+/// Guards against letters that an older program doesn't read, or that cost more though no paper is held.
+#[test]
+fn without_papers_letters_are_as_they_were() {
+    #[derive(Debug, Serialize, Deserialize)]
+    enum Older {
+        Beat {
+            voter: bool,
+            sheet: Revision,
+            safe: Revision,
+            leaving: bool,
+        },
+        WantState {
+            from: u128,
+            round: u64,
+        },
+        State {
+            round: u64,
+            part: Vec<(LeaseKey, Lease)>,
+            next: Option<u128>,
+            sheet: Option<Arc<RegisterValue>>,
+        },
+    }
+    let rank = Revision::new(3, u64::MAX);
+    let older = [
+        Older::Beat { voter: true, sheet: rank, safe: rank, leaving: false },
+        Older::WantState { from: u128::MAX, round: 7 },
+        Older::State { round: 7, part: Vec::new(), next: Some(9), sheet: None },
+    ];
+    let zone = String::new();
+    let newer = [
+        MessageBody::Heartbeat {
+            voter: true,
+            configuration: rank,
+            committed_configuration: rank,
+            leaving: false,
+            zone,
+            registers_digest: 0,
+        },
+        MessageBody::FetchSnapshot { from_key: u128::MAX, catch_up_id: 7, from_register: None },
+        MessageBody::SnapshotChunk {
+            catch_up_id: 7,
+            leases: Vec::new(),
+            next_key: Some(9),
+            configuration: None,
+            sessions: Vec::new(),
+            registers: Vec::new(),
+            next_register: None,
+            acceptors: Vec::new(),
+        },
+    ];
+    for (older, newer) in older.iter().zip(&newer) {
+        let bytes = encode(older).expect("a frame");
+        assert_eq!(encode(newer).as_ref(), Some(&bytes));
+        let read: MessageBody = ciborium::from_reader(&bytes[4..]).expect("read");
+        assert_eq!(encode(&read), Some(bytes));
+    }
+}
+
+/// Guards against news that costs more than it did with each of an attendant's asks, a few a second.
+#[test]
+fn the_bytes_of_an_ask() {
+    let door = SocketAddr::from(([10, 1, 0, 8], 8300));
+    let bytes = |spending: Option<ServiceAttempts>| {
+        let mark = TablePosition { incarnation: u64::MAX, sequence: 1_000 };
+        let ask = WatchRequest {
+            record: None,
+            inbound_proxy: Some(door),
+            position: mark,
+            configuration: Revision::new(12, u64::MAX),
+            suspects_version: 3,
+            max_wait_ms: 500,
+            from_replica: false,
+            report: spending.map(|spending| BudgetReport {
+                services: spending,
+                recovery_ms: Some(812),
+                outcomes: EditionOutcomes::new(),
+            }),
+            outcomes: EditionOutcomes::new(),
+            registers_digest: 0,
+            applied_editions: None,
+            reports_only: false,
+        };
+        encode(&Frame { id: 9_000, payload: InternalRequest::Watch(ask) }).map(|bytes| bytes.len())
+    };
+    let figures = AttemptCounts { first: 2_000, retried: 20, denied: 0 };
+    let spent = ["huvo11a", "kafi81c", "wuno96b"].map(|name| (name.into(), figures));
+    assert_eq!((bytes(None), bytes(Some(spent.to_vec()))), (Some(119), Some(176)));
+}
+
+/// Guards against a gate with members that an older steward can't read any more: it reads what it knows of.
+#[test]
+fn how_members_fared_goes_beside_what_older_programs_read() {
+    #[derive(Deserialize)]
+    struct Older {
+        report: Option<BudgetReport>,
+        gather: bool,
+    }
+    let of = RouteEdition { member: "norte".into(), version: 4, canary: true };
+    let members: EditionOutcomes =
+        vec![(of, OutcomeCounts { first: 9, failed: 2, ..OutcomeCounts::default() })];
+    let report = BudgetReport { recovery_ms: Some(7), outcomes: members.clone(), ..BudgetReport::default() };
+    let ask = WatchRequest {
+        record: None,
+        inbound_proxy: None,
+        position: TablePosition::default(),
+        configuration: Revision::new(1, 1),
+        suspects_version: 0,
+        max_wait_ms: 1,
+        from_replica: false,
+        report: Some(report),
+        outcomes: members,
+        registers_digest: 0,
+        applied_editions: None,
+        reports_only: true,
+    };
+    let mut bytes = Vec::new();
+    ciborium::into_writer(&ask, &mut bytes).expect("written");
+    let older: Older = ciborium::from_reader(&*bytes).expect("read");
+    assert_eq!(
+        (older.report, older.gather),
+        (Some(BudgetReport { recovery_ms: Some(7), ..BudgetReport::default() }), true)
+    );
+    let newer: WatchRequest = ciborium::from_reader(&*bytes).expect("read");
+    assert_eq!(newer.outcomes, ask.outcomes);
+}
--- a/catalog/tests/watch_server.rs
+++ b/catalog/tests/watch_server.rs
@@ -6,7 +6,7 @@
 use ochreshed_catalog::endpoints::{EndpointRecord, UpstreamState as Up};
 use ochreshed_catalog::internal_rpc::WatchRequest;
 use ochreshed_catalog::watch_client::Watcher;
-use ochreshed_catalog::watch_server::{CommittedState, WatchServer};
+use ochreshed_catalog::watch_server::{CommittedRegisters, CommittedState, WatchServer};
 use ochreshed_consensus::messages::Revision;
 
 const MS: u64 = 1_000_000;
@@ -36,8 +36,12 @@
 #[test]
 fn news_of_rows_wait_for_each_other_in_a_large_mesh_and_nothing_else_does() {
     let steward = SocketAddr::from(([10, 0, 0, 1], 8202));
-    let stand =
-        |safe| CommittedState { configuration: safe, replicas: &[], has_quorum: true, registers: (0, &[]) };
+    let stand = |safe| CommittedState {
+        configuration: safe,
+        replicas: &[],
+        has_quorum: true,
+        registers: CommittedRegisters::default(),
+    };
     for (rows, pace) in [(100, 0), (200, 100), (1_000, 400)] {
         let mut office = WatchServer::new(7);
         (0..rows).for_each(|at| assert!(office.table.merge(0, &row(at, 1), 0)));
--- a/emulator/src/mesh/audit.rs
+++ b/emulator/src/mesh/audit.rs
@@ -3,6 +3,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
+use ochreshed_catalog::endpoints::RecordVersion;
 use ochreshed_consensus::messages::Revision;
 use ochreshed_consensus::messages::{LeaseKey, LeaseToken};
 
@@ -17,7 +18,7 @@
     granted: BTreeMap<LeaseKey, BTreeSet<LeaseToken>>,
     /// By attendant, of this life: the configuration in force, and the rows by the attendants they are about.
     sheets: BTreeMap<usize, Revision>,
-    rows: BTreeMap<usize, Vec<(u64, u64)>>,
+    rows: BTreeMap<usize, Vec<RecordVersion>>,
     /// Acknowledged to an operator.
     floor: Revision,
     pub breaches: Vec<String>,
@@ -49,11 +50,11 @@
     }
 
     /// What an attendant holds of the row of another after it was told of it.
-    pub fn row(&mut self, now: Nanos, gate: usize, about: usize, rank: (u64, u64)) {
+    pub fn row(&mut self, now: Nanos, gate: usize, about: usize, rank: RecordVersion) {
         self.seen[0] += 1;
         let rows = self.rows.entry(gate).or_default();
         if rows.len() <= about {
-            rows.resize(about + 1, (0, 0));
+            rows.resize(about + 1, RecordVersion::default());
         }
         let was = std::mem::replace(&mut rows[about], rank);
         if was > rank {
--- a/emulator/src/mesh/gate.rs
+++ b/emulator/src/mesh/gate.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use ochreshed_catalog::endpoints::{EndpointRecord, UpstreamState};
+use ochreshed_catalog::endpoints::{EndpointRecord, RecordVersion, UpstreamState};
 use ochreshed_catalog::internal_rpc::{InternalRequest, InternalResponse, WatchResponse};
 use ochreshed_catalog::watch_client::{self, EndpointView, ReplicaDirectory, Watcher};
 use ochreshed_consensus::messages::Revision;
@@ -36,7 +36,7 @@
 }
 
 enum Open {
-    News { which: usize, steward: SocketAddr, row: (u64, u64) },
+    News { which: usize, steward: SocketAddr, row: RecordVersion },
     Configuration { steward: SocketAddr, rank: Revision, whole: bool },
     Claim { claim: u64, steward: SocketAddr },
     Settle { claim: u64, steward: SocketAddr },
@@ -124,8 +124,8 @@
         self.quiet.contains(door)
     }
 
-    pub fn rank_of(&self, door: SocketAddr) -> (u64, u64) {
-        self.listing.record(door).map_or((0, 0), EndpointRecord::record_version)
+    pub fn rank_of(&self, door: SocketAddr) -> RecordVersion {
+        self.listing.record(door).map_or_else(RecordVersion::default, EndpointRecord::record_version)
     }
 
     pub fn rows(&self) -> usize {
@@ -264,7 +264,11 @@
             self.fetching = rank;
             self.fetch(steward, rank, false, hand);
         }
-        if reply.drains.iter().any(|(door, id, _)| *door == self.at && *id == self.row.upstream_id) {
+        if reply
+            .drains
+            .iter()
+            .any(|drain| drain.inbound_proxy == self.at && drain.upstream_id == self.row.upstream_id)
+        {
             self.step(Step::Drain, 0, hand);
         }
         if !reply.replicas.is_empty() {
--- a/emulator/src/mesh/hand.rs
+++ b/emulator/src/mesh/hand.rs
@@ -3,6 +3,7 @@
 
 use std::net::SocketAddr;
 
+use ochreshed_catalog::endpoints::RecordVersion;
 use ochreshed_catalog::internal_rpc::{InternalRequest, InternalResponse};
 use ochreshed_consensus::messages::Revision;
 use ochreshed_consensus::messages::{LeaseKey, LeaseToken, Message};
@@ -52,10 +53,10 @@
     },
     InForce(Revision),
     /// Of whose row this attendant now has this rank.
-    Row(SocketAddr, (u64, u64)),
+    Row(SocketAddr, RecordVersion),
     /// Whom this attendant holds for quiet may have changed.
     Quiet,
-    Draining((u64, u64)),
+    Draining(RecordVersion),
     /// After so long, to the claim of that number.
     Granted(LeaseKey, LeaseToken, Nanos, u64),
     Freed(LeaseKey, LeaseToken),
--- a/emulator/src/mesh/steward.rs
+++ b/emulator/src/mesh/steward.rs
@@ -9,7 +9,7 @@
 use ochreshed_catalog::configuration_update::UpdateCache;
 use ochreshed_catalog::endpoints::TablePosition;
 use ochreshed_catalog::internal_rpc::{InternalRequest, InternalResponse, WatchResponse};
-use ochreshed_catalog::watch_server::{self, CommittedState, PendingWatch, WatchServer};
+use ochreshed_catalog::watch_server::{self, CommittedRegisters, CommittedState, PendingWatch, WatchServer};
 use ochreshed_consensus::core::{Config, Core};
 use ochreshed_consensus::messages::*;
 
@@ -21,7 +21,7 @@
 const READERS: usize = 8;
 
 /// No member is played, so that nobody writes or asks for one.
-const NO_PAPERS: (u64, &[NamedRegister]) = (0, &[]);
+const NO_REGISTERS: CommittedRegisters = CommittedRegisters { digest: 0, registers: &[] };
 
 /// What the disk holds, synced.
 #[derive(Clone, Default)]
@@ -178,7 +178,7 @@
             configuration: safe,
             replicas: &self.stewards,
             has_quorum: self.settled,
-            registers: NO_PAPERS,
+            registers: NO_REGISTERS,
         }
     }
 
@@ -201,7 +201,7 @@
                     configuration: safe,
                     replicas: &self.stewards,
                     has_quorum: self.settled,
-                    registers: NO_PAPERS,
+                    registers: NO_REGISTERS,
                 };
                 let (waiting, news) = self.office.register(hand.now, &ask, stand);
                 let due = self.office.due_at(&waiting, self.stand());
@@ -210,7 +210,7 @@
                     hand.reply(from, id, InternalResponse::Watch(Box::new(reply)), cause);
                 } else {
                     self.next_reader += 1;
-                    let until = due.map_or(waiting.hold, |due| (due - hand.now).min(waiting.hold));
+                    let until = due.map_or(waiting.max_wait, |due| (due - hand.now).min(waiting.max_wait));
                     hand.timer(until, Timer::Held(self.next_reader));
                     let reader = Reader { from, id, cause, waiting, timed: due.is_some() };
                     self.readers.insert(self.next_reader, reader);
--- a/emulator/src/mesh/world.rs
+++ b/emulator/src/mesh/world.rs
@@ -610,7 +610,7 @@
             Note::Row(door, rank) => {
                 if let Some(about) = self.node_at(door) {
                     self.audit.row(now, node, about - self.of.stewards, rank);
-                    self.watch.told(now, Kind::Drain, about, node, rank);
+                    self.watch.told(now, Kind::Drain, about, node, (rank.incarnation, rank.sequence));
                 }
             }
             Note::Quiet => {
@@ -621,7 +621,7 @@
             }
             Note::Draining(rank) => {
                 let alive = self.alive().into_iter().filter(|gate| *gate != node).collect();
-                self.watch.begin(now, Kind::Drain, node, rank, alive);
+                self.watch.begin(now, Kind::Drain, node, (rank.incarnation, rank.sequence), alive);
             }
             Note::Granted(key, token, took, claim) => {
                 self.claims[1] += 1;
--- a/traffic/src/retry_budget.rs
+++ b/traffic/src/retry_budget.rs
@@ -6,6 +6,7 @@
 use std::net::SocketAddr;
 
 use ochreshed::{How, Name, Nanos};
+use ochreshed_catalog::internal_rpc::CollectedReport;
 use ochreshed_catalog::traffic_reports::{
     AttemptCounts, BudgetReport, MAX_EDITIONS, OutcomeCounts, RouteEdition,
 };
@@ -208,10 +209,15 @@
         self.gates.insert(door, (at, report));
     }
 
-    /// All of them, with the ms since each was told.
-    pub fn collect(&self, now: Nanos) -> Vec<(SocketAddr, u32, BudgetReport)> {
-        let age = |at: &Nanos| (now.saturating_sub(*at) / 1_000_000).min(u64::from(u32::MAX)) as u32;
-        self.gates.iter().map(|(door, (at, report))| (*door, age(at), report.clone())).collect()
+    /// All reports with their ages.
+    pub fn collect(&self, now: Nanos) -> Vec<CollectedReport> {
+        let age_ms = |at: &Nanos| (now.saturating_sub(*at) / 1_000_000).min(u64::from(u32::MAX)) as u32;
+        let collected = |(door, (at, report)): (&SocketAddr, &(Nanos, BudgetReport))| CollectedReport {
+            inbound_proxy: *door,
+            age_ms: age_ms(at),
+            report: report.clone(),
+        };
+        self.gates.iter().map(collected).collect()
     }
 
     /// Forgets the gates that are not known any more.
--- a/traffic/tests/retry_budget.rs
+++ b/traffic/tests/retry_budget.rs
@@ -4,6 +4,7 @@
 use std::net::SocketAddr;
 
 use ochreshed::How;
+use ochreshed_catalog::internal_rpc::CollectedReport;
 use ochreshed_catalog::traffic_reports::{AttemptCounts, BudgetReport};
 use ochreshed_traffic::retry_budget::{
     BudgetReports, MOST_SERVICES, RequestAttempts, RetryAccount, RetryLimits,
@@ -94,14 +95,14 @@
             let at = if first % 2 == 0 { &mut one } else { &mut other };
             at.store(now, door(*gate), spending, age * MS);
             let newest = last.entry(*gate).or_insert((*age, *first));
-            if *age <= newest.0 && (*age < newest.0 || at.collect(now).iter().any(|(of, ..)| *of == door(*gate))) {
+            if *age <= newest.0 && (*age < newest.0 || at.collect(now).iter().any(|of| of.inbound_proxy == door(*gate))) {
                 *newest = (*age, *first);
             }
         }
-        for (gate, age, told) in other.collect(now) {
+        for CollectedReport { inbound_proxy: gate, age_ms: age, report: told } in other.collect(now) {
             one.store(now, gate, told, u64::from(age) * MS);
         }
-        for (gate, age, told) in one.collect(now) {
+        for CollectedReport { inbound_proxy: gate, age_ms: age, report: told } in one.collect(now) {
             let SocketAddr::V4(at) = gate else { continue };
             let (newest, _) = last[&at.ip().octets()[3]];
             prop_assert_eq!(u64::from(age), newest);
