--- a/balancer/src/mesh/attendant.rs
+++ b/balancer/src/mesh/attendant.rs
@@ -23,9 +23,9 @@
 use ochreshed_catalog::watch_client::{EndpointView, ReceivedRecord};
 use ochreshed_consensus::messages::Revision;
 use ochreshed_consensus::messages::{NamedRegister, RegisterValue};
+use ochreshed_traffic::budget_reports::MAX_SERVICES;
 use ochreshed_traffic::lease_circuit_breaker::LeaseCircuitBreaker;
 use ochreshed_traffic::outcome_counts::OutcomeCounter;
-use ochreshed_traffic::retry_budget::MOST_SERVICES;
 use ochreshed_traffic::retry_shares::{self, RetryShares};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -86,7 +86,7 @@
 impl InForce {
     pub fn new(timetable: Configuration, editions: BTreeMap<Name, (u64, bool)>) -> InForce {
         let plans = Plan::all(&timetable).into_iter().map(|plan| (plan.seat(), plan)).collect();
-        let shares = Arc::new(retry_shares::of(&timetable));
+        let shares = Arc::new(retry_shares::shares_of(&timetable));
         InForce { timetable, plans, shares, editions }
     }
 
@@ -356,7 +356,7 @@
         all.sort_by_key(|(name, figures)| {
             (std::cmp::Reverse((figures.retried, figures.first)), name.clone())
         });
-        all.truncate(MOST_SERVICES);
+        all.truncate(MAX_SERVICES);
         let members = held(&self.fares).counts(self.clock.now());
         BudgetReport { services: all, recovery_ms: self.full.get().copied(), outcomes: members }
     }
--- a/balancer/src/mesh/desk.rs
+++ b/balancer/src/mesh/desk.rs
@@ -273,12 +273,12 @@
     pub fn draw_on(&self, pool: Option<&Arc<Mutex<RetryPool>>>) {
         let mut inner = held(&self.inner);
         match pool {
-            Some(pool) => held(pool).join(self.told.plan.member.as_ref(), &inner.spent),
+            Some(pool) => held(pool).adopt(self.told.plan.member.as_ref(), &inner.spent),
             None if inner.pool.is_none() => return,
             None => {
                 let RetryLimits { ratio: part, floor, .. } = self.told.terms();
                 inner.hands.allow(part, floor);
-                inner.spent.allow(part, floor);
+                inner.spent.set_allowance(part, floor);
             }
         }
         inner.pool = pool.cloned();
@@ -288,16 +288,16 @@
     fn allow(&self, inner: &mut Inner, now: Nanos) {
         let Some(pool) = &inner.pool else { return };
         let RetryLimits { ratio: part, floor, .. } = self.told.terms();
-        let left = held(pool).left(now, self.told.plan.member.as_ref(), (part, floor));
+        let left = held(pool).remaining(now, self.told.plan.member.as_ref(), part, floor);
         // The module goes by what it has sent again itself since it last learnt anew.
         let floor = left + f64::from(inner.spent.policy_counts(now).retried);
         inner.hands.allow(0.0, floor);
-        inner.spent.allow(0.0, floor);
+        inner.spent.set_allowance(0.0, floor);
     }
 
     fn count(&self, inner: &Inner, now: Nanos, figures: AttemptCounts) {
         if let Some(pool) = &inner.pool {
-            held(pool).count(now, self.told.plan.member.as_ref(), figures);
+            held(pool).add(now, self.told.plan.member.as_ref(), figures);
         }
     }
 
@@ -359,7 +359,7 @@
 
     /// What of this service was sent, sent again and refused for want of allowance in the budget's window.
     pub fn figures(&self) -> AttemptCounts {
-        held(&self.inner).spent.figures(self.clock.now())
+        held(&self.inner).spent.reported_counts(self.clock.now())
     }
 
     /// Whether this one is listed and takes reqs.
--- a/balancer/src/mesh/desk_tests.rs
+++ b/balancer/src/mesh/desk_tests.rs
@@ -160,7 +160,7 @@
     let share = MemberShares { member: "norte".into(), retry: 0.25, concurrency: 0.5 };
     let shares = Arc::new([(share.member.clone(), Arc::new(share))].into());
     let pool = Arc::new(Mutex::new(RetryPool::default()));
-    held(&pool).divide(1, &shares);
+    held(&pool).set_shares(1, &shares);
     let draws = |desk: Arc<Desk>| {
         list(&desk, &rows, &[]);
         desk.draw_on(Some(&pool));
--- a/balancer/src/mesh/door.rs
+++ b/balancer/src/mesh/door.rs
@@ -200,8 +200,8 @@
         let mut slots = held(&self.0.slots);
         let took = (self.1 > 0).then(|| now.saturating_sub(self.1));
         match &self.2 {
-            None => slots.leave(took),
-            Some(member) => slots.leave_of(member, took),
+            None => slots.release(took),
+            Some(member) => slots.release_for_member(member, took),
         }
         let handed = self.0.hand_on(&mut slots, now);
         drop(slots);
@@ -363,7 +363,7 @@
             closing_since: closing.then_some(now),
             to: line,
         });
-        held(&self.slots).set(row.concurrency_limit);
+        held(&self.slots).set_limit(row.concurrency_limit);
         drop(state);
         self.touch();
     }
@@ -523,7 +523,7 @@
         }
         if !same {
             let mut all = held(&self.slots);
-            all.set(slots);
+            all.set_limit(slots);
             let handed = self.hand_on(&mut all, now);
             drop(all);
             handed.into_iter().for_each(|(waiting, slot)| drop(waiting.send(slot)));
@@ -588,7 +588,7 @@
         self.berths.cap(cap);
         let slots = held(&self.state).upstream.as_ref().map_or(0, |upstream| upstream.slots);
         if slots as usize > cap {
-            held(&self.slots).set(cap.max(1) as u32);
+            held(&self.slots).set_limit(cap.max(1) as u32);
         }
     }
 
@@ -612,7 +612,7 @@
     /// How many reqs are at the upstream or wait to be.
     pub fn load(&self) -> usize {
         let slots = held(&self.slots);
-        slots.taken() as usize + slots.waiting()
+        slots.in_flight() as usize + slots.queued()
     }
 
     /// Gives free places to those that wait, to be sent to them once the lock is free.
@@ -622,8 +622,8 @@
         now: Nanos,
     ) -> Vec<(oneshot::Sender<Slot>, Slot)> {
         let mut handed = Vec::new();
-        slots.forget(|(waiting, _)| waiting.is_closed());
-        while let Some((waiting, member)) = slots.next(now) {
+        slots.remove_waiters(|(waiting, _)| waiting.is_closed());
+        while let Some((waiting, member)) = slots.admit_next(now) {
             handed.push((waiting, Slot(self.clone(), 0, member)));
         }
         handed
@@ -643,7 +643,7 @@
         // and its own part.
         let paced = large && away;
         let (stands, span) = if paced { self.on_the_way(now) } else { (0, 0) };
-        let took = held(&self.slots).took();
+        let took = held(&self.slots).mean_run_time();
         let aim = aim.saturating_sub(span + stands.saturating_sub(took));
         if stands > 0 && now + took > aim {
             return End::Turned;
@@ -660,7 +660,7 @@
                 target: aim,
                 deadline: until,
             };
-            let way = held(&self.slots).ask_of(now, &asker, part.as_ref(), || {
+            let way = held(&self.slots).request_for_member(now, &asker, part.as_ref(), || {
                 let (send, waits) = oneshot::channel();
                 wait = Some(waits);
                 (send, member.clone())
@@ -705,7 +705,8 @@
         // An answer that names another req belongs to that one.
         let ours = |head: &Parts| head.headers.get(&ID) == id.as_ref();
         slot.1 = self.clock.now();
-        let run = self.begins(slot.1, RequestClass { member: slot.2.clone(), call, large });
+        let run =
+            self.begins(slot.1, RequestClass { member: slot.2.clone(), is_nested: call, is_large: large });
         let answer = to.exchange(message, &fields, until, Some(Box::new(slot)), ours).await;
         let (mut head, flow) = match answer {
             Ok(answer) => answer,
@@ -785,7 +786,7 @@
         let mean = *held(&self.large);
         let coming = self.large_inside.load(Relaxed) as f64 * mean;
         let pace = self.lane.pace();
-        (pace.wait(now) + pace.span(coming), pace.span(mean))
+        (pace.wait(now) + pace.transfer_time(coming), pace.transfer_time(mean))
     }
 
     /// So many bytes go out to other machines, at once.
--- a/balancer/src/mesh/door_tests.rs
+++ b/balancer/src/mesh/door_tests.rs
@@ -181,7 +181,7 @@
     inside(&door, 4).await;
     answer(hang.remove(0)).await;
     assert_eq!(runs.remove(0).await.expect("no panic"), "ran");
-    assert_eq!((door.load(), held(&door.slots).waiting()), (3, 2));
+    assert_eq!((door.load(), held(&door.slots).queued()), (3, 2));
     answer(hang.remove(0)).await;
     for id in ["f", "c"] {
         let came = next(&upstream).await;
--- a/balancer/src/mesh/members.rs
+++ b/balancer/src/mesh/members.rs
@@ -522,7 +522,7 @@
 /// Ends a trial if its time is over, or if it clearly fails.
 async fn end(office: &Arc<Office>, name: &Name, edition: u64, over: bool) {
     let gathered = office.gather(office.clock.now()).await;
-    let comes_to = comes_to(&gathered.reports.members(|_| true), name, edition, over);
+    let comes_to = comes_to(&gathered.reports.outcome_totals(|_| true), name, edition, over);
     if comes_to == Verdict::Continue {
         return;
     }
--- a/balancer/src/mesh/pages.rs
+++ b/balancer/src/mesh/pages.rs
@@ -13,6 +13,7 @@
 use ochreshed_catalog::traffic_reports::{OutcomeCounts, RouteEdition};
 use ochreshed_consensus::core::{Core, PeerStatus, SessionCounts};
 use ochreshed_consensus::messages::{Lease, LeaseKey, LeaseOutcome, Revision};
+use ochreshed_traffic::budget_reports::AttemptTotals;
 use serde::Serialize;
 
 use super::keys;
@@ -511,8 +512,9 @@
         .filter(|of| u64::from(of.heard_ms) <= window_ms)
         .map(|of| of.row.inbound_proxy)
         .collect();
-    let (sums, gates_told) = reports.sum(|door| heard.contains(&door));
-    let members = reports.members(|door| heard.contains(&door));
+    let AttemptTotals { services: sums, proxies: gates_told } =
+        reports.attempt_totals(|door| heard.contains(&door));
+    let members = reports.outcome_totals(|door| heard.contains(&door));
     let mut services: BTreeMap<String, Service> = BTreeMap::new();
     for of in
         facts.rows.iter().filter(|of| !of.row.upstream_id.is_empty() && of.row.state != UpstreamState::Absent)
@@ -641,7 +643,7 @@
     use expect_test::expect;
     use ochreshed_catalog::traffic_reports::{AttemptCounts, BudgetReport};
     use ochreshed_consensus::messages::{ReplicaId, StoredResponse};
-    use ochreshed_traffic::retry_budget::BudgetReports;
+    use ochreshed_traffic::budget_reports::BudgetReports;
     use std::sync::Arc;
 
     fn at(host: u8, port: u16) -> SocketAddr {
--- a/balancer/src/mesh/report.rs
+++ b/balancer/src/mesh/report.rs
@@ -13,7 +13,7 @@
 use ochreshed_catalog::traffic_reports::BudgetReport;
 use ochreshed_catalog::traffic_reports::EditionOutcomes;
 use ochreshed_catalog::watch_server;
-use ochreshed_traffic::retry_budget::BudgetReports;
+use ochreshed_traffic::budget_reports::BudgetReports;
 use tokio::time::Instant;
 
 use super::wire::{Callers, InternalRequest, InternalResponse, WatchRequest};
--- a/balancer/src/mesh/seats.rs
+++ b/balancer/src/mesh/seats.rs
@@ -57,7 +57,7 @@
             return;
         }
         for pool in self.pools.values() {
-            held(pool).divide(now, shares);
+            held(pool).set_shares(now, shares);
         }
         for (seat, desk) in &self.desks {
             if let Some(pool) = self.pools.get(&line(seat)) {
@@ -83,9 +83,9 @@
         let desks = &self.desks;
         self.pools.retain(|(name, large), pool| {
             let mut pool = held(pool);
-            pool.divide(now, shares);
+            pool.set_shares(now, shares);
             let of_line = |seat: &&Seat| seat.0 == *name && seat.1 == *large;
-            let stays = !pool.idle() || desks.keys().filter(of_line).any(|seat| seat.2.is_some());
+            let stays = !pool.has_no_members() || desks.keys().filter(of_line).any(|seat| seat.2.is_some());
             drop(pool);
             if !stays && let Some(desk) = desks.get(&(name.clone(), *large, None)) {
                 desk.draw_on(None);
--- a/balancer/src/mesh/steward.rs
+++ b/balancer/src/mesh/steward.rs
@@ -24,7 +24,7 @@
     CoreRequest, CoreResponse, Effect, LeaseKey, LogRecord, Membership, Message, NamedRegister, RegisterValue,
 };
 use ochreshed_storage::{Store, StoreError};
-use ochreshed_traffic::retry_budget::BudgetReports;
+use ochreshed_traffic::budget_reports::BudgetReports;
 use tokio::net::TcpListener;
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::{Semaphore, mpsc, oneshot, watch};
--- a/traffic/src/admission.rs
+++ b/traffic/src/admission.rs
@@ -1,321 +1,404 @@
-//! Who is at an upstream and who waits to be: the slots of one door. It owns their count, the order of those that wait
-//! and the judgement whether waiting is of use. It must never let in more than the upstream has slots, nor keep a req
-//! that is unlikely to be answered before it is late while others could be.
+//! Which requests an inbound proxy admits to its upstream, and which wait.
 //!
-//! Calls of runs that are under way go first: each keeps a slot taken somewhere else, and failing it throws away a run.
-//! Among the others the one that is late first goes first; those that are late already come last, and wait only where
-//! nobody else does, or where their session lives here.
+//! [`AdmissionQueue::request`] admits a request, queues it or rejects it; [`AdmissionQueue::release`] notes that a run has
+//! ended, and [`AdmissionQueue::admit_next`] then returns the queued request that may run.
 //!
-//! The reqs of a member of a federation hold a part of the slots and of the waiting places at most. Those of its reqs
-//! that wait for its own slots stand in nobody's way, and what its runs take is counted apart. What it leaves free
-//! others may use.
+//! Nested calls go first: each keeps a run elsewhere waiting, and if it fails that run is thrown away. Among the others,
+//! the one whose latency target comes first goes first. Those that can't meet it come last, and wait only where nobody
+//! else does or where their session has its upstream.
+//!
+//! The requests of a member take at most the member's share of the concurrency limit and of the queue. Those that wait
+//! for their member's share don't hold up others, the time of a member's runs is measured apart, and what a member leaves
+//! free is for all.
+//!
+//! Invariants: never more requests run than the concurrency limit; none is queued that is unlikely to be answered in time
+//! while others could be.
 
 use std::collections::{HashMap, VecDeque};
 
 use ochreshed_catalog::configuration::Name;
 use ochreshed_consensus::core::Nanos;
 
-/// What a run takes goes into the mean with this part.
-const TOOK_PART: f64 = 0.05;
-/// A req that waits is handed on while it has this much time left at least.
-const LEAST_LEFT: Nanos = 15_000_000;
-/// No more wait than this many times the slots.
-const MOST_WAITING: u32 = 3;
-/// Members that are neither in nor wait are forgotten beyond so many.
-const MOST_MEMBERS: usize = 64;
-
-/// A req that asks for a slot.
+/// The weight of one run in the mean run time.
+const RUN_TIME_GAIN: f64 = 0.05;
+/// A queued request is not admitted with less time than this until its deadline.
+const MIN_TIME_LEFT: Nanos = 15_000_000;
+/// The greatest length of the queue, as a multiple of the concurrency limit.
+const MAX_QUEUE_FACTOR: u32 = 3;
+/// The greatest length of the queue with the requests that wait for their members' shares, as a multiple of the above.
+const MAX_SHARED_QUEUE_FACTOR: u32 = 2;
+/// Above this number of members, those without running or queued requests are dropped.
+const MAX_MEMBERS: usize = 64;
+
+/// What counts for the admission of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AdmissionRequest {
-    /// A run that is under way elsewhere waits for it.
+    /// Whether a run elsewhere waits for the response.
     pub is_nested: bool,
-    /// How many doors have turned it away before.
+    /// The number of inbound proxies that have rejected the request before.
     pub rejections: u32,
-    /// Its session lives at this upstream: elsewhere is worse than later.
+    /// Whether the request's session has its upstream here, so that a later response is better than another upstream.
     pub has_affinity: bool,
-    /// When its answer is late, and when nobody waits for it any more.
+    /// When the latency target ends.
     pub target: Nanos,
+    /// When the client stops waiting.
     pub deadline: Nanos,
 }
 
+/// The order in which queued requests are admitted.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct QueueOrder {
+    priority: Priority,
+    /// The time before which the response is wanted; the earliest goes first.
+    due_at: Nanos,
+}
+
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Class {
-    Call,
+enum Priority {
+    Nested,
     InTime,
+    /// The latency target can't be met.
     Late,
 }
 
-/// How a req was received.
+/// The answer to a request for admission.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// It has a slot.
+    /// The request may run.
     Admitted,
-    /// It waits, until then at the longest.
+    /// The request waits, at the longest until this time.
     Queued(Nanos),
-    /// There is no use in waiting here.
+    /// Waiting here is of no use.
     Rejected,
 }
 
-/// What the reqs of a member may have here.
+/// A member with its share of an upstream.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MemberShare {
+    /// The member's name.
     pub member: Name,
-    /// Of the slots and of the waiting places, from 0 to 1; rounded up, and one at least.
+    /// The share of the concurrency limit and of the queue, from 0 to 1; rounded up, and one request at least.
     pub share: f64,
 }
 
-impl MemberShare {
-    fn of(share: f64, all: u32) -> u32 {
-        // Guards against a share such as a third of three that comes out a hair above one.
-        let part = (f64::from(all) * share - 1e-9).ceil();
-        if part >= 1.0 { (part as u32).min(all.max(1)) } else { 1 }
-    }
+/// The share of `total` as a whole number.
+fn share_of(total: u32, share: f64) -> u32 {
+    // A product such as a third of three may come out slightly above a whole number.
+    const TOLERANCE: f64 = 1e-9;
+    let part = (f64::from(total) * share - TOLERANCE).ceil();
+    if part >= 1.0 { (part as u32).min(total.max(1)) } else { 1 }
 }
 
 struct QueuedRequest<T> {
-    order: (Class, Nanos),
-    last: Nanos,
+    order: QueueOrder,
+    /// After this time the request is not admitted any more.
+    expires_at: Nanos,
     member: Option<Name>,
-    who: T,
+    waiter: T,
 }
 
 #[derive(Clone, Copy)]
-struct Member {
+struct MemberState {
     share: f64,
-    taken: u32,
-    /// As for all others.
-    took: f64,
+    in_flight: u32,
+    /// The mean run time of the member's requests, in seconds.
+    mean_run_s: f64,
+}
+
+/// The place of a queued request and how long it may have it.
+struct QueuePlace {
+    order: QueueOrder,
+    expires_at: Nanos,
 }
 
-/// Who waits, as one that comes sees it.
+/// The queue as a new request finds it.
 #[derive(Default)]
-struct Queue {
-    /// Those that could have a slot, and those of them that would go first.
-    waiting: u32,
+struct QueueLengths {
+    /// The requests that don't wait for their member's share.
+    total: u32,
+    /// Those of them that would be admitted before the new one.
     ahead: u32,
-    /// Of its own member: all, and those that would go first.
-    own: u32,
-    own_ahead: u32,
+    /// The requests of the new one's member.
+    of_member: u32,
+    /// Those of them that would be admitted before the new one.
+    of_member_ahead: u32,
 }
 
-/// `T` is who waits.
+/// The admitted and queued requests of one upstream. `T` is what the caller keeps for a queued request.
 pub struct AdmissionQueue<T> {
-    slots: u32,
-    taken: u32,
-    waiting: VecDeque<QueuedRequest<T>>,
-    /// What a run takes on the mean of late, in seconds.
-    took: f64,
-    members: HashMap<Name, Member>,
+    concurrency_limit: u32,
+    in_flight: u32,
+    /// In the order in which they are admitted.
+    queue: VecDeque<QueuedRequest<T>>,
+    /// The mean run time, in seconds.
+    mean_run_s: f64,
+    members: HashMap<Name, MemberState>,
 }
 
 impl<T> Default for AdmissionQueue<T> {
     fn default() -> AdmissionQueue<T> {
-        AdmissionQueue { slots: 0, taken: 0, waiting: VecDeque::new(), took: 0.0, members: HashMap::new() }
+        AdmissionQueue {
+            concurrency_limit: 0,
+            in_flight: 0,
+            queue: VecDeque::new(),
+            mean_run_s: 0.0,
+            members: HashMap::new(),
+        }
     }
 }
 
 impl<T> AdmissionQueue<T> {
-    /// How many the upstream has; those that wait may have a place by that, see `next`.
-    pub fn set(&mut self, slots: u32) {
-        self.slots = slots;
+    /// Sets how many requests may run at once. Where the limit is raised, queued requests are admitted by
+    /// [`AdmissionQueue::admit_next`].
+    pub fn set_limit(&mut self, concurrency_limit: u32) {
+        self.concurrency_limit = concurrency_limit;
     }
 
-    /// A req comes; `who` is kept where it waits.
-    pub fn ask(&mut self, now: Nanos, asker: &AdmissionRequest, who: impl FnOnce() -> T) -> Admission {
-        self.ask_of(now, asker, None, who)
+    /// Takes a request on one of the platform's own routes. `waiter` is called where the request is queued.
+    pub fn request(
+        &mut self,
+        now: Nanos,
+        request: &AdmissionRequest,
+        waiter: impl FnOnce() -> T,
+    ) -> Admission {
+        self.request_for_member(now, request, None, waiter)
     }
 
-    /// A req comes that is a member's, or nobody's.
-    pub fn ask_of(
+    /// Takes a request on a route of a member, or on one of the platform's own where there is none.
+    pub fn request_for_member(
         &mut self,
         now: Nanos,
-        asker: &AdmissionRequest,
-        part: Option<&MemberShare>,
-        who: impl FnOnce() -> T,
+        request: &AdmissionRequest,
+        share: Option<&MemberShare>,
+        waiter: impl FnOnce() -> T,
     ) -> Admission {
-        let member = part.map(|part| self.member(part));
-        // One slot is left for those that can still be in time.
-        let late =
-            !asker.is_nested && now + nanos(member.map_or(self.took, |member| member.took)) > asker.target;
-        let free = self.slots.saturating_sub(u32::from(late && self.slots > 1));
-        let own_free = member.is_none_or(|member| self.left(&member) > 0);
-        if self.taken < free && own_free && !self.waiting.iter().any(|other| self.may_enter(other)) {
-            self.enter(part.map(|part| &part.member));
+        let member = share.map(|share| self.update_member(share));
+        if self.may_run_now(now, request, member) {
+            self.admit(share.map(|share| &share.member));
             return Admission::Admitted;
         }
-        let Some((order, last)) = self.may_wait(now, asker, part) else { return Admission::Rejected };
-        let at = self.waiting.partition_point(|other| other.order <= order);
-        let member = part.map(|part| part.member.clone());
-        self.waiting.insert(at, QueuedRequest { order, last, member, who: who() });
-        Admission::Queued(last)
+        let name = share.map(|share| &share.member);
+        let Some(place) = self.queue_place(now, request, name, member) else { return Admission::Rejected };
+        let QueuePlace { order, expires_at } = place;
+        let index = self.queue.partition_point(|queued| queued.order <= order);
+        let queued = QueuedRequest { order, expires_at, member: name.cloned(), waiter: waiter() };
+        self.queue.insert(index, queued);
+        Admission::Queued(expires_at)
+    }
+
+    fn may_run_now(&self, now: Nanos, request: &AdmissionRequest, member: Option<MemberState>) -> bool {
+        let mean_run_s = member.map_or(self.mean_run_s, |member| member.mean_run_s);
+        let is_late = !request.is_nested && now + nanos(mean_run_s) > request.target;
+        // A late request leaves room for one that can still be in time.
+        let reserved = u32::from(is_late && self.concurrency_limit > 1);
+        self.in_flight < self.concurrency_limit.saturating_sub(reserved)
+            && member.is_none_or(|member| self.member_room(&member) > 0)
+            && !self.queue.iter().any(|queued| self.may_admit(queued))
     }
 
-    /// What is known of a member, with the share that it has now.
-    fn member(&mut self, part: &MemberShare) -> Member {
-        if self.members.len() > MOST_MEMBERS && !self.members.contains_key(&part.member) {
-            let waiting = &self.waiting;
-            let waits = |name: &Name| waiting.iter().any(|other| other.member.as_ref() == Some(name));
-            self.members.retain(|name, member| member.taken > 0 || waits(name));
+    /// The state of a member, with the share that it has now.
+    fn update_member(&mut self, share: &MemberShare) -> MemberState {
+        if self.members.len() > MAX_MEMBERS && !self.members.contains_key(&share.member) {
+            self.drop_inactive_members();
         }
-        let new = Member { share: part.share, taken: 0, took: self.took };
-        let member = self.members.entry(part.member.clone()).or_insert(new);
-        member.share = part.share;
+        let new = MemberState { share: share.share, in_flight: 0, mean_run_s: self.mean_run_s };
+        let member = self.members.entry(share.member.clone()).or_insert(new);
+        member.share = share.share;
         *member
     }
 
-    /// How many more slots a member may take.
-    fn left(&self, member: &Member) -> u32 {
-        MemberShare::of(member.share, self.slots).saturating_sub(member.taken)
+    fn drop_inactive_members(&mut self) {
+        let queue = &self.queue;
+        let is_queued = |name: &Name| queue.iter().any(|queued| queued.member.as_ref() == Some(name));
+        self.members.retain(|name, member| member.in_flight > 0 || is_queued(name));
     }
 
-    /// Whether one that waits may have a slot that is free.
-    fn may_enter(&self, waiting: &QueuedRequest<T>) -> bool {
-        let member = waiting.member.as_ref().and_then(|name| self.members.get(name));
-        member.is_none_or(|member| self.left(member) > 0)
+    /// How many more requests of a member may run.
+    fn member_room(&self, member: &MemberState) -> u32 {
+        share_of(self.concurrency_limit, member.share).saturating_sub(member.in_flight)
     }
 
-    fn enter(&mut self, member: Option<&Name>) {
-        self.taken += 1;
+    /// Whether a queued request may run as soon as the upstream has room.
+    fn may_admit(&self, queued: &QueuedRequest<T>) -> bool {
+        let member = queued.member.as_ref().and_then(|name| self.members.get(name));
+        member.is_none_or(|member| self.member_room(member) > 0)
+    }
+
+    fn admit(&mut self, member: Option<&Name>) {
+        self.in_flight += 1;
         if let Some(member) = member.and_then(|name| self.members.get_mut(name)) {
-            member.taken += 1;
+            member.in_flight += 1;
         }
     }
 
-    fn queue(&self, order: (Class, Nanos), own: Option<&Name>) -> Queue {
-        let ahead = self.waiting.partition_point(|other| other.order <= order);
+    fn queue_lengths(&self, order: QueueOrder, member: Option<&Name>) -> QueueLengths {
+        let ahead = self.queue.partition_point(|queued| queued.order <= order);
         if self.members.is_empty() {
-            return Queue { waiting: self.waiting.len() as u32, ahead: ahead as u32, ..Queue::default() };
+            let total = self.queue.len() as u32;
+            return QueueLengths { total, ahead: ahead as u32, ..QueueLengths::default() };
         }
-        let mut queue = Queue::default();
-        let mut seen: HashMap<&Name, u32> = HashMap::new();
-        for (at, other) in self.waiting.iter().enumerate() {
-            let first = u32::from(at < ahead);
-            if let Some(name) = &other.member {
-                if own == Some(name) {
-                    queue.own += 1;
-                    queue.own_ahead += first;
-                }
-                if let Some(member) = self.members.get(name) {
-                    let (seen, left) = (seen.entry(name).or_default(), self.left(member));
-                    *seen += 1;
-                    if *seen > left {
-                        continue;
-                    }
-                }
+        let mut lengths = QueueLengths::default();
+        let mut counted: HashMap<&Name, u32> = HashMap::new();
+        for (index, queued) in self.queue.iter().enumerate() {
+            let is_ahead = u32::from(index < ahead);
+            if queued.member.is_some() && queued.member.as_ref() == member {
+                lengths.of_member += 1;
+                lengths.of_member_ahead += is_ahead;
+            }
+            if !self.waits_for_share(queued, &mut counted) {
+                lengths.total += 1;
+                lengths.ahead += is_ahead;
             }
-            queue.waiting += 1;
-            queue.ahead += first;
         }
-        queue
+        lengths
     }
 
-    /// Its place in the order and how long it may wait there, if that is of use.
-    fn may_wait(
+    /// Whether a queued request waits for its member's share, as `counted` of the same member before it don't.
+    fn waits_for_share<'q>(
+        &self,
+        queued: &'q QueuedRequest<T>,
+        counted: &mut HashMap<&'q Name, u32>,
+    ) -> bool {
+        let Some(name) = &queued.member else { return false };
+        let Some(member) = self.members.get(name) else { return false };
+        let counted = counted.entry(name).or_default();
+        *counted += 1;
+        *counted > self.member_room(member)
+    }
+
+    /// The place of a request in the queue; none where waiting is of no use.
+    fn queue_place(
         &self,
         now: Nanos,
-        asker: &AdmissionRequest,
-        part: Option<&MemberShare>,
-    ) -> Option<((Class, Nanos), Nanos)> {
-        let class = if asker.is_nested { Class::Call } else { Class::InTime };
-        let order = (class, asker.target);
-        let member = part.and_then(|part| Some((part, self.members.get(&part.member)?)));
-        let queue = self.queue(order, member.map(|(part, _)| &part.member));
-        let places = self.slots.saturating_mul(MOST_WAITING);
-        if queue.waiting >= places {
+        request: &AdmissionRequest,
+        member_name: Option<&Name>,
+        member: Option<MemberState>,
+    ) -> Option<QueuePlace> {
+        let priority = if request.is_nested { Priority::Nested } else { Priority::InTime };
+        let order = QueueOrder { priority, due_at: request.target };
+        let lengths = self.queue_lengths(order, member_name);
+        if self.is_full(&lengths, member) {
             return None;
         }
-        // Those that wait for their members' slots come to no more than all others may.
-        if let Some((part, _)) = member
-            && (queue.own >= MemberShare::of(part.share, places)
-                || self.waiting.len() as u32 >= places.saturating_mul(2))
-        {
-            return None;
+        let run_time = nanos(member.map_or(self.mean_run_s, |member| member.mean_run_s));
+        let wait = self.expected_wait(lengths.ahead, lengths.of_member_ahead, member);
+        let last_start = request.deadline.saturating_sub(MIN_TIME_LEFT);
+        if now + wait + run_time <= request.target {
+            // A request that would wait in vain is rejected while there is time to go elsewhere.
+            let expires_at = last_start.min(request.target - run_time);
+            let may_wait = self.may_wait_in_time(request, &lengths, member);
+            return may_wait.then_some(QueuePlace { order, expires_at });
         }
-        let took = nanos(member.map_or(self.took, |(_, member)| member.took));
-        let each = self.took() / Nanos::from(self.slots.max(1));
-        // How long it is until so many of its own could have gone.
-        let own_wait = |before: u32| {
-            let Some((part, member)) = member else { return 0 };
-            let short = (before + 1).saturating_sub(self.left(member));
-            Nanos::from(short) * (took / Nanos::from(MemberShare::of(part.share, self.slots)))
-        };
-        let wait = (Nanos::from(queue.ahead + 1) * each).max(own_wait(queue.own_ahead));
-        let last = asker.deadline.saturating_sub(LEAST_LEFT);
-        if now + wait + took <= asker.target {
-            // The first door leaves it to others, which may have a slot free; the last one is as good as any.
-            let most = match asker.rejections {
-                _ if asker.is_nested || asker.has_affinity => self.slots * 2,
-                0 | 2 => self.slots / 4,
-                1 => self.slots / 2,
-                _ => self.slots * 2,
-            };
-            let own_most = member.map_or(most, |(part, _)| most.min(MemberShare::of(part.share, most)));
-            let may = queue.ahead < most && (member.is_none() || queue.own_ahead < own_most);
-            // Who waits in vain is told while there is time to go elsewhere.
-            return may.then(|| (order, last.min(asker.target - took)));
+        let wait = self.expected_wait(lengths.total, lengths.of_member, member);
+        let meets_deadline = now + wait + run_time <= last_start;
+        let order = QueueOrder { priority: Priority::Late, due_at: request.deadline };
+        if request.has_affinity {
+            // Half of its time is left for another upstream.
+            let half_time = now + request.deadline.saturating_sub(now) / 2;
+            let may_wait = meets_deadline && now + wait <= half_time;
+            return may_wait.then_some(QueuePlace { order, expires_at: last_start.min(half_time) });
         }
-        let order = (Class::Late, asker.deadline);
-        let wait = (Nanos::from(queue.waiting + 1) * each).max(own_wait(queue.own));
-        let in_time = now + wait + took <= last;
-        if asker.has_affinity {
-            // Behind all others; half of its time is left for another upstream.
-            let half = now + asker.deadline.saturating_sub(now) / 2;
-            return (in_time && now + wait <= half).then_some((order, last.min(half)));
+        let is_alone = lengths.total == 0 && lengths.of_member == 0;
+        let may_wait = request.rejections > 0 && is_alone && meets_deadline;
+        may_wait.then_some(QueuePlace { order, expires_at: last_start })
+    }
+
+    fn is_full(&self, lengths: &QueueLengths, member: Option<MemberState>) -> bool {
+        let max_length = self.concurrency_limit.saturating_mul(MAX_QUEUE_FACTOR);
+        if lengths.total >= max_length {
+            return true;
         }
-        (asker.rejections > 0 && queue.waiting == 0 && queue.own == 0 && in_time).then_some((order, last))
+        member.is_some_and(|member| {
+            lengths.of_member >= share_of(max_length, member.share)
+                || self.queue.len() as u32 >= max_length.saturating_mul(MAX_SHARED_QUEUE_FACTOR)
+        })
+    }
+
+    /// How long it takes until a request is admitted that has so many before it, of all and of its member.
+    fn expected_wait(&self, ahead: u32, of_member_ahead: u32, member: Option<MemberState>) -> Nanos {
+        let release_interval = self.mean_run_time() / Nanos::from(self.concurrency_limit.max(1));
+        let wait = Nanos::from(ahead + 1) * release_interval;
+        let Some(member) = member else { return wait };
+        let releases = (of_member_ahead + 1).saturating_sub(self.member_room(&member));
+        let member_limit = share_of(self.concurrency_limit, member.share);
+        let member_release_interval = nanos(member.mean_run_s) / Nanos::from(member_limit);
+        wait.max(Nanos::from(releases) * member_release_interval)
+    }
+
+    /// Whether a request that can meet its latency target may wait here.
+    fn may_wait_in_time(
+        &self,
+        request: &AdmissionRequest,
+        lengths: &QueueLengths,
+        member: Option<MemberState>,
+    ) -> bool {
+        // The first inbound proxy leaves most requests to others, which may have room; after some rejections this one is
+        // as good as any.
+        let max_ahead = match request.rejections {
+            _ if request.is_nested || request.has_affinity => self.concurrency_limit * 2,
+            0 | 2 => self.concurrency_limit / 4,
+            1 => self.concurrency_limit / 2,
+            _ => self.concurrency_limit * 2,
+        };
+        let member_may_wait = member
+            .is_none_or(|member| lengths.of_member_ahead < max_ahead.min(share_of(max_ahead, member.share)));
+        lengths.ahead < max_ahead && member_may_wait
     }
 
-    /// What a run takes on the mean of late.
-    pub fn took(&self) -> Nanos {
-        nanos(self.took)
+    /// The mean time of recent runs.
+    pub fn mean_run_time(&self) -> Nanos {
+        nanos(self.mean_run_s)
     }
 
-    /// A run has ended, after so long; without a time it tells nothing of how long runs take.
-    pub fn leave(&mut self, took: Option<Nanos>) {
-        self.taken = self.taken.saturating_sub(1);
-        learn(&mut self.took, took);
+    /// Notes that a run on one of the platform's own routes has ended, after `run_time` where that says how long runs
+    /// take.
+    pub fn release(&mut self, run_time: Option<Nanos>) {
+        self.in_flight = self.in_flight.saturating_sub(1);
+        learn_run_time(&mut self.mean_run_s, run_time);
     }
 
-    /// A member's run has ended; how long others' take it doesn't tell.
-    pub fn leave_of(&mut self, member: &Name, took: Option<Nanos>) {
-        self.taken = self.taken.saturating_sub(1);
+    /// Notes that a run on a member's route has ended. Its time counts for that member alone.
+    pub fn release_for_member(&mut self, member: &Name, run_time: Option<Nanos>) {
+        self.in_flight = self.in_flight.saturating_sub(1);
         if let Some(member) = self.members.get_mut(member) {
-            member.taken = member.taken.saturating_sub(1);
-            learn(&mut member.took, took);
+            member.in_flight = member.in_flight.saturating_sub(1);
+            learn_run_time(&mut member.mean_run_s, run_time);
         }
     }
 
-    /// Who has a slot now, of those that waited. One whose time to wait is over is dropped, one whose member has its
-    /// part of the slots is passed over.
-    pub fn next(&mut self, now: Nanos) -> Option<T> {
-        let mut at = 0;
-        while self.taken < self.slots
-            && let Some(first) = self.waiting.get(at)
+    /// Admits the first queued request that may run, and returns its waiter. Requests that have expired are dropped, and
+    /// those that wait for their member's share are passed over.
+    pub fn admit_next(&mut self, now: Nanos) -> Option<T> {
+        let mut index = 0;
+        while self.in_flight < self.concurrency_limit
+            && let Some(queued) = self.queue.get(index)
         {
-            if now > first.last {
-                self.waiting.remove(at);
-            } else if self.may_enter(first) {
-                let first = self.waiting.remove(at)?;
-                self.enter(first.member.as_ref());
-                return Some(first.who);
+            if now > queued.expires_at {
+                self.queue.remove(index);
+            } else if self.may_admit(queued) {
+                let queued = self.queue.remove(index)?;
+                self.admit(queued.member.as_ref());
+                return Some(queued.waiter);
             } else {
-                at += 1;
+                index += 1;
             }
         }
         None
     }
 
-    /// Those that have gone wait no longer.
-    pub fn forget(&mut self, gone: impl Fn(&T) -> bool) {
-        self.waiting.retain(|waiting| !gone(&waiting.who));
+    /// Removes the queued requests whose waiters are gone.
+    pub fn remove_waiters(&mut self, is_gone: impl Fn(&T) -> bool) {
+        self.queue.retain(|queued| !is_gone(&queued.waiter));
     }
 
-    pub fn waiting(&self) -> usize {
-        self.waiting.len()
+    /// The number of queued requests.
+    pub fn queued(&self) -> usize {
+        self.queue.len()
     }
 
-    pub fn taken(&self) -> u32 {
-        self.taken
+    /// The number of requests that run.
+    pub fn in_flight(&self) -> u32 {
+        self.in_flight
     }
 }
 
@@ -323,70 +406,8 @@
     (seconds * 1e9) as Nanos
 }
 
-fn learn(mean: &mut f64, took: Option<Nanos>) {
-    if let Some(took) = took {
-        *mean += (took as f64 / 1e9 - *mean) * TOOK_PART;
-    }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    const MS: Nanos = 1_000_000;
-
-    fn asker(call: bool, turned: u32, aim_ms: u64) -> AdmissionRequest {
-        AdmissionRequest {
-            is_nested: call,
-            rejections: turned,
-            has_affinity: false,
-            target: aim_ms * MS,
-            deadline: (aim_ms + 500) * MS,
-        }
-    }
-
-    /// AdmissionQueue all of which are taken, and whose runs take 100 ms.
-    fn full(slots: u32) -> AdmissionQueue<u32> {
-        let mut all = AdmissionQueue::default();
-        all.set(slots);
-        for _ in 0..200 {
-            assert_eq!(all.ask(0, &asker(false, 0, 1_000), || 0), Admission::Admitted);
-            all.leave(Some(100 * MS));
-        }
-        for _ in 0..slots {
-            assert_eq!(all.ask(0, &asker(false, 0, 1_000), || 0), Admission::Admitted);
-        }
-        all
-    }
-
-    #[test]
-    fn calls_go_first_then_those_that_are_late_first() {
-        let mut slots = full(4);
-        for (who, call, aim) in [(1, false, 900), (2, false, 500), (3, true, 700), (4, true, 600)] {
-            assert!(matches!(slots.ask(0, &asker(call, 3, aim), || who), Admission::Queued(_)), "{who}");
-        }
-        let mut went = Vec::new();
-        for _ in 0..4 {
-            slots.leave(None);
-            went.extend(slots.next(MS));
-        }
-        assert_eq!((went, slots.next(MS)), (vec![4, 3, 2, 1], None));
-    }
-
-    #[test]
-    fn no_more_than_its_slots_are_let_in_and_none_waits_in_vain() {
-        let mut slots = full(4);
-        // Late before its turn would come: nowhere; late already, but the only one: if its client still waits.
-        assert_eq!(slots.ask(0, &asker(false, 3, 110), || 1), Admission::Queued(595 * MS));
-        assert_eq!(slots.ask(0, &asker(false, 3, 110), || 2), Admission::Rejected);
-        assert_eq!(slots.ask(0, &asker(false, 0, 50), || 3), Admission::Rejected);
-        // The first door lets one wait, the last one more.
-        assert!(matches!(slots.ask(0, &asker(false, 0, 1_000), || 4), Admission::Queued(_)));
-        assert_eq!(slots.ask(0, &asker(false, 0, 1_000), || 5), Admission::Rejected);
-        assert!(matches!(slots.ask(0, &asker(false, 1, 1_000), || 6), Admission::Queued(_)));
-        assert_eq!((slots.taken(), slots.next(MS)), (4, None));
-        slots.leave(None);
-        // Past its time to wait it is passed over.
-        assert_eq!((slots.next(980 * MS), slots.taken(), slots.waiting()), (None, 3, 0));
+fn learn_run_time(mean_s: &mut f64, run_time: Option<Nanos>) {
+    if let Some(run_time) = run_time {
+        *mean_s += (run_time as f64 / 1e9 - *mean_s) * RUN_TIME_GAIN;
     }
 }
--- a/traffic/src/large_response_pacer.rs
+++ b/traffic/src/large_response_pacer.rs
@@ -1,76 +1,66 @@
-//! The pace at which a machine sends large answers, so that small ones don't queue behind them on its link. It owns the
-//! time at which the next piece may go. It must never hold back a piece while the link has been idle.
+//! The pace at which a machine sends large responses, so that small ones don't queue behind them on its network link.
+//!
+//! [`LargeResponsePacer`] says when the next piece of a large response may be sent, and how long a new response would wait.
+//!
+//! Invariants: a piece is not held back while the link has been idle.
 
 use ochreshed_consensus::core::Nanos;
 
-/// All that is sent may come to this part of the link.
-const PART: f64 = 0.95;
+/// The part of the link's bandwidth that all responses together may use.
+#[doc(hidden)]
+pub const LINK_UTILIZATION: f64 = 0.95;
+/// The least bandwidth that is reckoned with, in Mbit/s.
+const MIN_LINK_MBPS: f64 = 0.01;
 
+/// The pace of one link.
 #[derive(Clone, Debug)]
 pub struct LargeResponsePacer {
     bytes_per_ns: f64,
-    next: Nanos,
-    /// Bytes of large answers that are on their way and have not gone yet.
-    pending: u64,
+    /// When all that has been reserved will be sent.
+    free_at: Nanos,
+    /// The bytes of large responses that have begun and are not reserved yet.
+    pending_bytes: u64,
 }
 
 impl LargeResponsePacer {
-    /// For a link of so many Mbit/s.
+    /// The pacer for a link of this bandwidth in Mbit/s.
     pub fn new(link_mbps: f64) -> LargeResponsePacer {
-        LargeResponsePacer { bytes_per_ns: link_mbps.max(0.01) * 1e6 / 8.0 * PART / 1e9, next: 0, pending: 0 }
+        let bytes_per_second = link_mbps.max(MIN_LINK_MBPS) * 1e6 / 8.0 * LINK_UTILIZATION;
+        LargeResponsePacer { bytes_per_ns: bytes_per_second / 1e9, free_at: 0, pending_bytes: 0 }
     }
 
-    /// When a piece of so many bytes may go; later ones come behind it.
+    /// Reserves the link for a piece of this size and returns when it may be sent.
     pub fn reserve(&mut self, now: Nanos, bytes: usize) -> Nanos {
-        let at = self.next.max(now);
-        self.next = at.saturating_add((bytes as f64 / self.bytes_per_ns) as Nanos);
-        at
+        let send_at = self.free_at.max(now);
+        self.free_at = send_at.saturating_add(self.transfer_time(bytes as f64));
+        send_at
     }
 
-    /// Something small goes at once; what is paced makes room for it.
+    /// Notes that something small is sent at once, for which large responses make room.
     pub fn note(&mut self, now: Nanos, bytes: usize) {
         self.reserve(now, bytes);
     }
 
-    /// A large answer of so many bytes is to go.
+    /// Notes that a large response of this size begins.
     pub fn begin(&mut self, bytes: u64) {
-        self.pending = self.pending.saturating_add(bytes);
+        self.pending_bytes = self.pending_bytes.saturating_add(bytes);
     }
 
-    /// So many of those have gone, or never will.
+    /// Notes that so many bytes of large responses have been reserved or never will be.
     pub fn done(&mut self, bytes: u64) {
-        self.pending = self.pending.saturating_sub(bytes);
+        self.pending_bytes = self.pending_bytes.saturating_sub(bytes);
     }
 
-    /// How long one that comes now would wait for all that is on its way.
+    /// How long a response that begins now would wait for all that is to be sent before it.
+    #[must_use]
     pub fn wait(&self, now: Nanos) -> Nanos {
-        self.next.saturating_sub(now).saturating_add(self.span(self.pending as f64))
+        let reserved = self.free_at.saturating_sub(now);
+        reserved.saturating_add(self.transfer_time(self.pending_bytes as f64))
     }
 
-    /// How long so many bytes take.
-    pub fn span(&self, bytes: f64) -> Nanos {
+    /// How long it takes to send so many bytes.
+    #[must_use]
+    pub fn transfer_time(&self, bytes: f64) -> Nanos {
         (bytes / self.bytes_per_ns) as Nanos
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn pieces_go_one_behind_the_other_at_a_part_of_the_link() {
-        // A million bytes a second.
-        let mut pace = LargeResponsePacer::new(8.0 / PART);
-        let gone: Vec<Nanos> = (0..3).map(|_| pace.reserve(5_000, 10_000)).collect();
-        assert_eq!(gone, [5_000, 10_005_000, 20_005_000]);
-        pace.note(10_005_000, 1_000);
-        assert_eq!(pace.wait(10_005_000), 21_000_000);
-        // What was begun stands before who comes, whether its pieces are there or not.
-        pace.begin(50_000);
-        pace.done(10_000);
-        assert_eq!(pace.wait(10_005_000), 61_000_000);
-        pace.done(40_000);
-        // After a while without any the next goes at once.
-        assert_eq!(pace.reserve(90_000_000, 10_000), 90_000_000);
-    }
-}
--- a/traffic/src/outcome_counts.rs
+++ b/traffic/src/outcome_counts.rs
@@ -1,49 +1,48 @@
-//! How the reqs on members' routes fared at a gate. It owns these counts over the budget's window, by the edition that
-//! was in force for each req, so that a trial can be held against what stood before. It decides nothing, and must never
-//! grow with what members do.
+//! The outcomes of requests on members' routes at one outbound proxy.
+//!
+//! [`OutcomeCounter`] counts them by the edition of the routes that was in force for each request, so that a canary can be
+//! compared with the version before it.
+//!
+//! Invariants: nothing is decided here; the number of editions is bounded whatever members do.
 
 use std::collections::BTreeMap;
 
 use ochreshed::Nanos;
 use ochreshed_catalog::traffic_reports::{EditionOutcomes, MAX_EDITIONS, OutcomeCounts, RouteEdition};
 
-use crate::retry_budget::{Ring, Sum};
+use crate::sliding_window::SlidingWindow;
 
-impl Sum for OutcomeCounts {
-    fn and(self, other: OutcomeCounts) -> OutcomeCounts {
-        OutcomeCounts::and(self, other)
-    }
-}
-
-/// A gate's counts.
+/// The outcomes over a window of time by edition.
 #[derive(Clone, Debug)]
 pub struct OutcomeCounter {
     window: Nanos,
-    rings: BTreeMap<RouteEdition, Ring<OutcomeCounts>>,
+    editions: BTreeMap<RouteEdition, SlidingWindow<OutcomeCounts>>,
 }
 
 impl OutcomeCounter {
+    /// An empty counter over this window.
     pub fn over(window: Nanos) -> OutcomeCounter {
-        OutcomeCounter { window, rings: BTreeMap::new() }
+        OutcomeCounter { window, editions: BTreeMap::new() }
     }
 
-    pub fn add(&mut self, now: Nanos, of: &RouteEdition, fared: OutcomeCounts) {
-        if let Some(ring) = self.rings.get_mut(of) {
-            return ring.add(now, fared);
+    /// Adds outcomes. Those of a new edition are lost where [`MAX_EDITIONS`] have outcomes in the window.
+    pub fn add(&mut self, now: Nanos, edition: &RouteEdition, outcomes: OutcomeCounts) {
+        if let Some(window) = self.editions.get_mut(edition) {
+            return window.add(now, outcomes);
         }
-        if self.rings.len() >= MAX_EDITIONS {
-            self.rings.retain(|_, ring| ring.sum(now) != OutcomeCounts::default());
+        if self.editions.len() >= MAX_EDITIONS {
+            self.editions.retain(|_, window| window.sum(now) != OutcomeCounts::default());
         }
-        if self.rings.len() < MAX_EDITIONS {
-            let mut ring = Ring::over(self.window);
-            ring.add(now, fared);
-            self.rings.insert(of.clone(), ring);
+        if self.editions.len() < MAX_EDITIONS {
+            let mut window = SlidingWindow::over(self.window);
+            window.add(now, outcomes);
+            self.editions.insert(edition.clone(), window);
         }
     }
 
-    /// Of those with anything to count in the window, by member.
+    /// The editions that have outcomes in the window, in their order.
     pub fn counts(&self, now: Nanos) -> EditionOutcomes {
-        let all = self.rings.iter().map(|(of, ring)| (of.clone(), ring.sum(now)));
-        all.filter(|(_, fared)| *fared != OutcomeCounts::default()).collect()
+        let counts = self.editions.iter().map(|(edition, window)| (edition.clone(), window.sum(now)));
+        counts.filter(|(_, counts)| *counts != OutcomeCounts::default()).collect()
     }
 }
--- a/traffic/src/outlier_detection.rs
+++ b/traffic/src/outlier_detection.rs
@@ -1,10 +1,12 @@
-//! How an upstream does, by the outcomes of what it was sent and by nothing it says of itself. It owns what the door
-//! beside it counts and the two coarse levels that the door's row tells of that. It must never call one ill by a health
-//! answer, nor by what others have concluded: each door tells what it saw itself.
+//! The health of an upstream, judged by the inbound proxy before it from the outcomes of requests.
 //!
-//! A gate of many sees few reqs of each upstream, the door beside it sees all. Levels are coarse, so that rows seldom
-//! change. What fails for one member of a federation, for calls or for large answers, while the upstream does well by
-//! others, is not its fault.
+//! An outbound proxy among many sees few requests to each upstream, the inbound proxy sees all of them. It tells
+//! [`OutlierDetector`] when a run begins and ends, and puts the [`UpstreamHealth`] into its endpoint record. The levels are
+//! coarse, so that records seldom change. Requests are judged by their [`RequestClass`]: what fails for one member's
+//! requests, for nested calls or for large responses, while others succeed, is not the upstream's fault.
+//!
+//! Invariants: health checks and the verdicts of other proxies do not count; an upstream that gets no requests is healthy
+//! again in the end.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -13,400 +15,352 @@
 use ochreshed_consensus::core::Nanos;
 
 const MS: Nanos = 1_000_000;
-/// What one outcome counts in the part that fails, and in the time that runs take of late and for long.
-const FAIL_PART: f64 = 1.0 / 16.0;
-const LATE_PART: f64 = 1.0 / 24.0;
-const LONG_PART: f64 = 1.0 / 400.0;
-/// No connection tells more than an error: it counts as so many.
-const NO_CONNECTION: u32 = 4;
-/// The part that fails at which the first level begins; each further level begins at twice the one before.
-const FIRST: f64 = 0.3;
-const MOST_FAILS: u8 = 2;
-/// Runs take so many times what they took for long at which the first and the second level begin.
-const SLOW: [f64; 2] = [2.5, 5.0];
-/// A level is left again below this part of where it begins.
-const LEAVES: f64 = 0.6;
-/// A run is overdue after so many times what runs took for long, and not before.
-const OVERDUE: f64 = 7.0;
-const OVERDUE_LEAST: Nanos = 100 * MS;
-/// So many runs must have told how long they take before one is held against that.
-const KNOWN: u32 = 30;
-/// An upstream that is told to be ill and of which nothing failed for so long is tried again, a level better: it is sent too
-/// few to show by their number that it does well. Twice as long, up to so many times, after each time that this was wrong.
-const TRY_AGAIN: Nanos = 1_200 * MS;
-const MOST_TRIES: u32 = 4;
-/// So many runs in a row that did well tell as much as three times that time.
-const TELL: u32 = 2;
-/// A try was wrong where it is ill again so soon.
-const RELAPSE: Nanos = 8_000 * MS;
-/// A better level is told no sooner than this after the last one.
-const BETTER: Nanos = 500 * MS;
-/// How long outcomes make somebody count among those that an upstream may do well by, and how many it takes.
-const FADE: f64 = 3.0;
-const COUNTS: f64 = 6.0;
-/// Sorts of which nothing was run of late are forgotten beyond so many.
-const MOST_SORTS: usize = 64;
-
-/// How a run at the upstream ended, as the door saw it.
+/// The weight of one outcome in the failure rate.
+const FAILURE_RATE_GAIN: f64 = 1.0 / 16.0;
+/// The weight of one run in the recent latency.
+const RECENT_LATENCY_GAIN: f64 = 1.0 / 24.0;
+/// The weight of one run in the long-term latency.
+const BASELINE_LATENCY_GAIN: f64 = 1.0 / 400.0;
+/// The number of failures that a refused connection counts as, since it says more than an error.
+const CONNECT_FAILURE_WEIGHT: u32 = 4;
+/// The failure rate at which the first level begins; each further level begins at twice the one before.
+const FIRST_FAILURE_THRESHOLD: f64 = 0.3;
+/// The highest level of failures.
+#[doc(hidden)]
+pub const MAX_FAILURE_LEVEL: u8 = 2;
+/// The ratios of recent to long-term latency at which the first and the second level begin.
+#[doc(hidden)]
+pub const LATENCY_THRESHOLDS: [f64; 2] = [2.5, 5.0];
+/// A level ends below this part of the value at which it begins.
+const HYSTERESIS: f64 = 0.6;
+/// A run is overdue after this multiple of the long-term latency.
+const OVERDUE_FACTOR: f64 = 7.0;
+/// No run is overdue earlier than this.
+const MIN_OVERDUE: Nanos = 100 * MS;
+/// The number of runs from which on latencies are compared with the long-term latency.
+const MIN_LATENCY_SAMPLES: u32 = 30;
+/// The time without a failure after which an unhealthy upstream is put one level better and so gets more requests again:
+/// by the few that it gets, it can't show that it is healthy.
+#[doc(hidden)]
+pub const PROBATION_INTERVAL: Nanos = 1_200 * MS;
+/// The most times that the interval doubles, once for each probation in a row that ended in a relapse.
+const MAX_PROBATION_DOUBLINGS: u32 = 4;
+/// The interval is this many times as long while fewer than [`PROBATION_SUCCESSES`] runs succeeded since the last failure.
+const UNPROVEN_PROBATION_FACTOR: u64 = 3;
+const PROBATION_SUCCESSES: u32 = 2;
+/// An upstream that gets worse within this time after a probation has relapsed.
+const RELAPSE_WINDOW: Nanos = 8_000 * MS;
+/// The least time from a change of the levels to a better one.
+const MIN_IMPROVEMENT_INTERVAL: Nanos = 500 * MS;
+/// The time constant with which the activity of a class fades, in seconds.
+const ACTIVITY_DECAY_S: f64 = 3.0;
+/// The activity, in runs, from which on a class can show that the upstream is healthy.
+const MIN_ACTIVITY: f64 = 6.0;
+/// Above this number of classes, those without recent runs are dropped.
+const MAX_CLASSES: usize = 64;
+
+/// How a run at the upstream ended, as the inbound proxy saw it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RunOutcome {
+    /// The upstream answered well.
     Succeeded,
-    /// An error, a reset, bytes that are no answer, or a refusal though it had a slot free.
+    /// The upstream answered with an error or with bytes that are no response, reset the connection, or rejected the
+    /// request though it was below its concurrency limit.
     Failed,
+    /// The upstream took no connection.
     NoConnection,
-    /// Nobody waits for it any more, or its time was over: tells nothing but what it took so far.
+    /// The client went away or the deadline passed, which says nothing of the upstream.
     Abandoned,
 }
 
-struct Run {
-    since: Nanos,
-    overdue: bool,
-    sort: RequestClass,
-}
-
-/// Reqs of one kind, as far as a door can tell: their runs take about as long.
+/// A kind of requests, whose runs take about as long.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct RequestClass {
-    /// By whose route they came; none of the platform's.
+    /// The member whose route it is; none for the platform's own routes.
     pub member: Option<Name>,
-    /// Runs wait for them; their answers are large.
-    pub call: bool,
-    pub large: bool,
+    /// Whether other requests wait for them.
+    pub is_nested: bool,
+    /// Whether their responses are large.
+    pub is_large: bool,
 }
 
-/// How the runs of one sort went.
+struct Run {
+    started_at: Nanos,
+    /// Whether the run has been counted as a failure because it takes too long.
+    is_overdue: bool,
+    class: RequestClass,
+}
+
+/// The outcomes of the runs of one class.
 #[derive(Default)]
 struct ClassHistory {
-    failing: f64,
-    /// What a run takes of late and for long, and how many have told: on the mean of their logarithms, for reqs of one
-    /// sort may still differ much in their work.
-    late: f64,
-    long: f64,
-    told: u32,
-    /// How many have ended of late, and when the last did.
-    many: f64,
-    heard: Nanos,
+    failure_rate: f64,
+    /// The mean logarithm of recent latencies in seconds. The logarithm keeps the work of different requests comparable.
+    recent_latency: f64,
+    /// The mean logarithm of latencies over the long term.
+    baseline_latency: f64,
+    latency_samples: u32,
+    /// The number of runs that ended of late, at the time of the last one.
+    activity: f64,
+    last_run_at: Nanos,
 }
 
 impl ClassHistory {
-    fn failed(&mut self, now: Nanos, failed: bool) {
-        self.failing += (f64::from(u8::from(failed)) - self.failing) * FAIL_PART;
-        (self.many, self.heard) = (self.many(now) + 1.0, now);
+    fn add_outcome(&mut self, now: Nanos, failed: bool) {
+        self.failure_rate += (f64::from(u8::from(failed)) - self.failure_rate) * FAILURE_RATE_GAIN;
+        self.activity = self.activity_at(now) + 1.0;
+        self.last_run_at = now;
     }
 
-    fn many(&self, now: Nanos) -> f64 {
-        self.many * (-(now.saturating_sub(self.heard) as f64 / 1e9) / FADE).exp()
+    fn activity_at(&self, now: Nanos) -> f64 {
+        let seconds = now.saturating_sub(self.last_run_at) as f64 / 1e9;
+        self.activity * (-seconds / ACTIVITY_DECAY_S).exp()
     }
 
-    /// Whether that was far more than for long.
-    fn took(&mut self, took: Nanos) -> bool {
-        let took = (took.max(1) as f64 / 1e9).ln();
-        self.told = self.told.saturating_add(1);
-        let learn = |mean: &mut f64, took: f64, part: f64| {
-            *mean += (took - *mean) * part.max(1.0 / f64::from(self.told));
+    /// Adds a latency. Returns whether it is far above the long-term latency.
+    fn add_latency(&mut self, latency: Nanos) -> bool {
+        let latency = (latency.max(1) as f64 / 1e9).ln();
+        self.latency_samples = self.latency_samples.saturating_add(1);
+        let samples = f64::from(self.latency_samples);
+        let learn = |mean: &mut f64, latency: f64, gain: f64| {
+            *mean += (latency - *mean) * gain.max(1.0 / samples);
         };
-        learn(&mut self.late, took, LATE_PART);
-        // What is far above what runs took for long is held against that, and must not become it soon.
-        let most = if self.told <= KNOWN { f64::MAX } else { self.long + 2f64.ln() };
-        learn(&mut self.long, took.min(most), LONG_PART);
-        took > self.long + SLOW[0].ln()
+        learn(&mut self.recent_latency, latency, RECENT_LATENCY_GAIN);
+        // A latency far above the long-term latency is judged by that and must not soon become it.
+        let is_known = self.latency_samples > MIN_LATENCY_SAMPLES;
+        let max_latency = if is_known { self.baseline_latency + 2f64.ln() } else { f64::MAX };
+        learn(&mut self.baseline_latency, latency.min(max_latency), BASELINE_LATENCY_GAIN);
+        latency > self.baseline_latency + LATENCY_THRESHOLDS[0].ln()
+    }
+
+    fn has_known_latency(&self) -> bool {
+        self.latency_samples >= MIN_LATENCY_SAMPLES
     }
 
-    /// From when on a run that goes on for so long is overdue.
-    fn overdue(&self) -> Option<Nanos> {
-        (self.told >= KNOWN).then(|| ((self.long.exp() * OVERDUE * 1e9) as Nanos).max(OVERDUE_LEAST))
+    /// The duration after which a run is overdue; none while the long-term latency isn't known.
+    fn overdue_after(&self) -> Option<Nanos> {
+        let overdue_after = (self.baseline_latency.exp() * OVERDUE_FACTOR * 1e9) as Nanos;
+        self.has_known_latency().then(|| overdue_after.max(MIN_OVERDUE))
     }
 
-    fn levels(&self, was: UpstreamHealth) -> UpstreamHealth {
-        let ratio = if self.told >= KNOWN { (self.late - self.long).exp() } else { 1.0 };
+    /// The health by this class, where it was `current` before.
+    fn health(&self, current: UpstreamHealth) -> UpstreamHealth {
+        let latency_ratio =
+            if self.has_known_latency() { (self.recent_latency - self.baseline_latency).exp() } else { 1.0 };
         UpstreamHealth {
             failure_level: level(
-                self.failing,
-                was.failure_level,
-                |at| FIRST * 2f64.powi(i32::from(at)),
-                MOST_FAILS,
+                self.failure_rate,
+                current.failure_level,
+                failure_threshold,
+                MAX_FAILURE_LEVEL,
+            ),
+            latency_level: level(
+                latency_ratio,
+                current.latency_level,
+                |level| LATENCY_THRESHOLDS[usize::from(level)],
+                LATENCY_THRESHOLDS.len() as u8,
             ),
-            latency_level: level(ratio, was.latency_level, |at| SLOW[usize::from(at)], SLOW.len() as u8),
         }
     }
 
-    /// It was no worse than this; the next outcomes tell.
-    fn at_most(&mut self, ill: UpstreamHealth) {
-        self.failing = self.failing.min(FIRST * 2f64.powi(i32::from(ill.failure_level)) * LEAVES);
-        let most = if ill.latency_level == 0 { 1.0 } else { SLOW[usize::from(ill.latency_level) - 1] };
-        self.late = self.late.min(self.long + most.ln());
+    /// Forgets what makes the health worse than this, so that the next outcomes decide.
+    fn cap(&mut self, health: UpstreamHealth) {
+        self.failure_rate = self.failure_rate.min(failure_threshold(health.failure_level) * HYSTERESIS);
+        let max_ratio = match health.latency_level {
+            0 => 1.0,
+            level => LATENCY_THRESHOLDS[usize::from(level) - 1],
+        };
+        self.recent_latency = self.recent_latency.min(self.baseline_latency + max_ratio.ln());
+    }
+}
+
+/// The failure rate at which the level above this one begins.
+fn failure_threshold(level: u8) -> f64 {
+    FIRST_FAILURE_THRESHOLD * 2f64.powi(i32::from(level))
+}
+
+/// The level of a value: up where it reaches the threshold of the next one, down only well below that of its own.
+fn level(value: f64, current: u8, threshold: impl Fn(u8) -> f64, max_level: u8) -> u8 {
+    let reached = (0..max_level).filter(|level| value >= threshold(*level)).count() as u8;
+    let kept =
+        (0..current.min(max_level)).filter(|level| value >= threshold(*level) * HYSTERESIS).count() as u8;
+    reached.max(kept)
+}
+
+fn better_of(one: UpstreamHealth, other: UpstreamHealth) -> UpstreamHealth {
+    UpstreamHealth {
+        failure_level: one.failure_level.min(other.failure_level),
+        latency_level: one.latency_level.min(other.latency_level),
     }
 }
 
-/// What a door counts of the upstream beside it, in one life of that.
+fn is_worse(one: UpstreamHealth, other: UpstreamHealth) -> bool {
+    one.failure_level > other.failure_level || one.latency_level > other.latency_level
+}
+
+/// Judges one upstream from the start of its process on.
 #[derive(Default)]
 pub struct OutlierDetector {
     runs: BTreeMap<u64, Run>,
-    next: u64,
-    by: HashMap<RequestClass, ClassHistory>,
-    ill: UpstreamHealth,
-    changed: Nanos,
-    /// When something failed last, and when it was tried again last; how many tries in a row were wrong.
-    failed: Nanos,
-    tried: Option<Nanos>,
-    wrong: u32,
-    /// How many have done well since the last failure.
-    well: u32,
+    last_run_id: u64,
+    classes: HashMap<RequestClass, ClassHistory>,
+    health: UpstreamHealth,
+    health_changed_at: Nanos,
+    last_failure_at: Nanos,
+    /// When the levels were last lowered without evidence; none once they have been raised since.
+    probation_at: Option<Nanos>,
+    /// The number of probations in a row that ended in a relapse.
+    relapses: u32,
+    /// The number of runs that succeeded since the last failure or change of the levels.
+    successes: u32,
 }
 
 impl OutlierDetector {
-    /// Another life of the upstream: nothing of the one before counts, nor do runs of it that are still out.
+    /// Forgets all runs and outcomes, because the upstream's process is another one.
     pub fn reset(&mut self) {
-        *self = OutlierDetector { next: self.next, ..OutlierDetector::default() };
+        *self = OutlierDetector { last_run_id: self.last_run_id, ..OutlierDetector::default() };
     }
 
-    /// A run of this sort begins at the upstream.
-    pub fn begin(&mut self, now: Nanos, sort: RequestClass) -> u64 {
-        self.next += 1;
-        self.runs.insert(self.next, Run { since: now, overdue: false, sort });
-        self.next
+    /// Notes that a run begins at the upstream. Returns its id for [`OutlierDetector::end`].
+    pub fn begin(&mut self, now: Nanos, class: RequestClass) -> u64 {
+        self.last_run_id += 1;
+        self.runs.insert(self.last_run_id, Run { started_at: now, is_overdue: false, class });
+        self.last_run_id
     }
 
-    /// It has ended; what was counted as overdue is not counted as failed again.
-    pub fn end(&mut self, now: Nanos, run: u64, ran: RunOutcome) {
-        let Some(Run { since, overdue, sort }) = self.runs.remove(&run) else { return };
-        if ran == RunOutcome::Abandoned {
-            return;
+    /// Notes that a run has ended. A run that was counted as overdue is not counted as failed again.
+    pub fn end(&mut self, now: Nanos, run_id: u64, outcome: RunOutcome) {
+        let Some(run) = self.runs.remove(&run_id) else { return };
+        let failed = match outcome {
+            RunOutcome::Abandoned => return,
+            RunOutcome::Succeeded => false,
+            RunOutcome::Failed | RunOutcome::NoConnection => true,
+        };
+        if failed {
+            self.note_failure(now);
+        } else {
+            self.successes = self.successes.saturating_add(1);
         }
-        match ran {
-            RunOutcome::Succeeded => self.well = self.well.saturating_add(1),
-            _ => (self.failed, self.well) = (now, 0),
+        let history = self.history(now, run.class);
+        if outcome != RunOutcome::NoConnection && !run.is_overdue {
+            history.add_outcome(now, failed);
         }
-        let fares = self.fares(now, sort);
-        match ran {
-            RunOutcome::Failed if !overdue => fares.failed(now, true),
-            RunOutcome::Succeeded if !overdue => fares.failed(now, false),
-            _ => {}
+        if outcome == RunOutcome::Succeeded && history.add_latency(now.saturating_sub(run.started_at)) {
+            self.note_failure(now);
         }
-        if ran == RunOutcome::Succeeded && fares.took(now.saturating_sub(since)) {
-            (self.failed, self.well) = (now, 0);
+        if outcome == RunOutcome::NoConnection {
+            self.add_connect_failure(now);
         }
-        if ran == RunOutcome::NoConnection {
-            // That is nobody's doing but the upstream's own.
-            for fares in self.by.values_mut() {
-                (0..NO_CONNECTION).for_each(|_| fares.failed(now, true));
+    }
+
+    fn note_failure(&mut self, now: Nanos) {
+        self.last_failure_at = now;
+        self.successes = 0;
+    }
+
+    /// Counts a refused connection for all classes, as no kind of request can have caused it.
+    fn add_connect_failure(&mut self, now: Nanos) {
+        for history in self.classes.values_mut() {
+            for _ in 0..CONNECT_FAILURE_WEIGHT {
+                history.add_outcome(now, true);
             }
         }
     }
 
-    fn fares(&mut self, now: Nanos, sort: RequestClass) -> &mut ClassHistory {
-        if self.by.len() > MOST_SORTS {
-            self.by.retain(|_, fares| fares.many(now) >= 1.0);
+    fn history(&mut self, now: Nanos, class: RequestClass) -> &mut ClassHistory {
+        if self.classes.len() > MAX_CLASSES {
+            self.classes.retain(|_, history| history.activity_at(now) >= 1.0);
         }
-        self.by.entry(sort).or_default()
+        self.classes.entry(class).or_default()
     }
 
-    /// What is to be told now; looks at runs that are out for too long.
+    /// Counts the runs that have become overdue, and returns the health from now on.
     pub fn update(&mut self, now: Nanos) -> UpstreamHealth {
-        let (by, mut late) = (&mut self.by, false);
-        for run in self.runs.values_mut().filter(|run| !run.overdue) {
-            let Some(fares) = by.get_mut(&run.sort) else { continue };
-            if fares.overdue().is_some_and(|after| now.saturating_sub(run.since) > after) {
-                run.overdue = true;
-                late = true;
-                fares.failed(now, true);
-            }
-        }
-        if late {
-            (self.failed, self.well) = (now, 0);
-        }
-        let was = self.ill;
-        // As it does by those that it does best by, of all of whom enough is known; else by the one of whom most is.
-        let enough = |fares: &&ClassHistory| fares.many(now) >= COUNTS;
-        let best = |all: &mut dyn Iterator<Item = &ClassHistory>| {
-            let levels = all.map(|fares| fares.levels(was));
-            levels.reduce(|a, b| UpstreamHealth {
-                failure_level: a.failure_level.min(b.failure_level),
-                latency_level: a.latency_level.min(b.latency_level),
-            })
-        };
-        let most = |fares: &&ClassHistory| (fares.many(now) * 1e6) as u64;
-        let ill = best(&mut self.by.values().filter(enough));
-        let mut ill =
-            ill.or_else(|| Some(self.by.values().max_by_key(most)?.levels(was))).unwrap_or_default();
-        let told = if self.well >= TELL { 1 } else { 3 };
-        let waits = TRY_AGAIN * told * 2u64.pow(self.wrong.min(MOST_TRIES));
-        let fails_no_more = now >= self.failed.max(self.changed) + waits;
-        if !was.is_healthy() && fails_no_more {
-            ill = UpstreamHealth {
-                failure_level: was.failure_level.saturating_sub(1),
-                latency_level: was.latency_level.saturating_sub(1),
-            };
-            self.by.values_mut().for_each(|fares| fares.at_most(ill));
-            self.tried = Some(now);
+        self.count_overdue_runs(now);
+        let mut observed = self.observed_health(now);
+        if !self.health.is_healthy() && now >= self.probation_due_at() {
+            observed = self.begin_probation(now);
         }
-        let worse = ill.failure_level > was.failure_level || ill.latency_level > was.latency_level;
-        if ill != was && (worse || now >= self.changed + BETTER) {
-            if worse && let Some(tried) = self.tried.take() {
-                self.wrong = if now < tried + RELAPSE { self.wrong + 1 } else { 0 };
+        let is_worse = is_worse(observed, self.health);
+        let may_improve = now >= self.health_changed_at + MIN_IMPROVEMENT_INTERVAL;
+        if observed != self.health && (is_worse || may_improve) {
+            if is_worse {
+                self.end_probation(now);
             }
-            (self.ill, self.changed, self.well) = (ill, now, 0);
+            self.health = observed;
+            self.health_changed_at = now;
+            self.successes = 0;
         }
-        self.ill
+        self.health
     }
 
-    /// As it was told last.
-    pub fn health(&self) -> UpstreamHealth {
-        self.ill
-    }
-}
-
-/// The level of a value: up where it reaches the next one's beginning, down only well below its own.
-fn level(value: f64, was: u8, begins: impl Fn(u8) -> f64, most: u8) -> u8 {
-    let up = (0..most).filter(|at| value >= begins(*at)).count() as u8;
-    let stays = (0..was.min(most)).filter(|at| value >= begins(*at) * LEAVES).count() as u8;
-    up.max(stays)
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use proptest::prelude::*;
-
-    /// One run of so many ms after another, each with its outcome.
-    fn run(
-        health: &mut OutlierDetector,
-        now: &mut Nanos,
-        took_ms: u64,
-        outcomes: impl IntoIterator<Item = RunOutcome>,
-    ) -> UpstreamHealth {
-        for ran in outcomes {
-            let id = health.begin(*now, RequestClass::default());
-            *now += took_ms * MS;
-            health.end(*now, id, ran);
-            health.update(*now);
+    fn count_overdue_runs(&mut self, now: Nanos) {
+        let mut any_overdue = false;
+        for run in self.runs.values_mut().filter(|run| !run.is_overdue) {
+            let Some(history) = self.classes.get_mut(&run.class) else { continue };
+            let age = now.saturating_sub(run.started_at);
+            if history.overdue_after().is_some_and(|overdue_after| age > overdue_after) {
+                run.is_overdue = true;
+                any_overdue = true;
+                history.add_outcome(now, true);
+            }
+        }
+        if any_overdue {
+            self.note_failure(now);
         }
-        health.health()
-    }
-
-    fn well() -> (OutlierDetector, Nanos) {
-        let (mut health, mut now) = (OutlierDetector::default(), MS);
-        assert_eq!(run(&mut health, &mut now, 50, [RunOutcome::Succeeded; 100]), UpstreamHealth::default());
-        (health, now)
     }
 
-    #[test]
-    fn half_that_fail_are_told_within_sixteen_runs_and_taken_back_by_steps() {
-        let (mut health, mut now) = well();
-        let half = [RunOutcome::Failed, RunOutcome::Succeeded].into_iter().cycle();
-        assert_eq!(run(&mut health, &mut now, 50, half.take(16)).failure_level, 1);
-        assert_eq!(run(&mut health, &mut now, 50, [RunOutcome::Failed; 20]).failure_level, 2);
-        // Nothing more is sent there: a level better after each time without news, until it is sent some again.
-        let mut levels = Vec::new();
-        for _ in 0..3 {
-            now += TRY_AGAIN * 3;
-            levels.push(health.update(now).failure_level);
-        }
-        assert_eq!(levels, [1, 0, 0]);
-        // It fails as before: told at once, and tried again later each time, also while a few do well there.
-        let mut waits = Vec::new();
-        for _ in 0..3 {
-            assert!(run(&mut health, &mut now, 50, [RunOutcome::Failed; 9]).failure_level >= 1);
-            let from = now;
-            while health.health().failure_level >= 1 {
-                run(&mut health, &mut now, 20, [RunOutcome::Succeeded]);
-                now += TRY_AGAIN - 20 * MS;
-            }
-            waits.push((now - from) / TRY_AGAIN);
+    /// The best health by any class with enough activity; where there is none, the health by the most active class.
+    fn observed_health(&self, now: Nanos) -> UpstreamHealth {
+        let active = self.classes.values().filter(|history| history.activity_at(now) >= MIN_ACTIVITY);
+        if let Some(best) = active.map(|history| history.health(self.health)).reduce(better_of) {
+            return best;
         }
-        assert_eq!(waits, [3, 5, 9]);
-        assert_eq!(run(&mut health, &mut now, 50, [RunOutcome::Succeeded; 60]), UpstreamHealth::default());
+        let micro_activity = |history: &&ClassHistory| (history.activity_at(now) * 1e6) as u64;
+        let most_active = self.classes.values().max_by_key(micro_activity);
+        most_active.map(|history| history.health(self.health)).unwrap_or_default()
     }
 
-    #[test]
-    fn slow_runs_are_told_against_what_they_took_for_long() {
-        let (mut health, mut now) = well();
-        assert_eq!(
-            run(&mut health, &mut now, 100, [RunOutcome::Succeeded; 60]).latency_level,
-            0,
-            "twice is no illness"
-        );
-        let (mut health, mut now) = well();
-        assert_eq!(run(&mut health, &mut now, 230, [RunOutcome::Succeeded; 40]).latency_level, 1);
-        assert_eq!(run(&mut health, &mut now, 600, [RunOutcome::Succeeded; 60]).latency_level, 2);
-        assert_eq!(run(&mut health, &mut now, 50, [RunOutcome::Succeeded; 90]).latency_level, 0);
+    fn probation_due_at(&self) -> Nanos {
+        let factor = if self.successes >= PROBATION_SUCCESSES { 1 } else { UNPROVEN_PROBATION_FACTOR };
+        let doublings = self.relapses.min(MAX_PROBATION_DOUBLINGS);
+        let interval = PROBATION_INTERVAL * factor * 2u64.pow(doublings);
+        self.last_failure_at.max(self.health_changed_at) + interval
     }
 
-    #[test]
-    fn runs_that_hang_fail_before_they_end_and_only_once() {
-        let (mut health, mut now) = well();
-        let runs: Vec<u64> = (0..6).map(|_| health.begin(now, RequestClass::default())).collect();
-        now += 400 * MS;
-        let ill = health.update(now);
-        assert!(ill.failure_level >= 1, "{ill:?}");
-        let failing = health.by[&RequestClass::default()].failing;
-        runs.into_iter().for_each(|run| health.end(now, run, RunOutcome::Failed));
-        assert_eq!(health.by[&RequestClass::default()].failing, failing);
+    /// Lowers both levels by one, so that the next outcomes decide. Returns the new health.
+    fn begin_probation(&mut self, now: Nanos) -> UpstreamHealth {
+        let health = UpstreamHealth {
+            failure_level: self.health.failure_level.saturating_sub(1),
+            latency_level: self.health.latency_level.saturating_sub(1),
+        };
+        self.classes.values_mut().for_each(|history| history.cap(health));
+        self.probation_at = Some(now);
+        health
     }
 
-    #[test]
-    fn no_connection_tells_at_once() {
-        let (mut health, mut now) = well();
-        assert!(run(&mut health, &mut now, 1, [RunOutcome::NoConnection; 2]).failure_level >= 1);
+    /// Notes whether the upstream has relapsed, where it gets worse.
+    fn end_probation(&mut self, now: Nanos) {
+        if let Some(probation_at) = self.probation_at.take() {
+            let has_relapsed = now < probation_at + RELAPSE_WINDOW;
+            self.relapses = if has_relapsed { self.relapses + 1 } else { 0 };
+        }
     }
 
-    /// Guards against the chance by which some runs of much work follow each other.
-    #[test]
-    fn runs_of_mixed_work_are_not_told_as_slow() {
-        let (mut health, mut now) = well();
-        for nth in 0..4_000_u64 {
-            let took = if nth.wrapping_mul(0x9E37_79B9_7F4A_7C15) >> 62 == 0 { 200 } else { 20 };
-            assert_eq!(run(&mut health, &mut now, took, [RunOutcome::Succeeded]).latency_level, 0, "{nth}");
-        }
+    /// The health as of the last update.
+    pub fn health(&self) -> UpstreamHealth {
+        self.health
     }
 
-    /// Guards against a member whose own reqs all fail, or take long, and that has an upstream taken from the others.
-    #[test]
-    fn what_fails_by_one_member_only_is_not_the_upstreams_fault() {
-        let (mut health, mut now) = well();
-        let norte = RequestClass { member: Some("norte".into()), ..RequestClass::default() };
-        let mut both = |ran: RunOutcome, others: RunOutcome| {
-            for _ in 0..60 {
-                for (sort, ran) in [(&norte, ran), (&RequestClass::default(), others)] {
-                    let id = health.begin(now, sort.clone());
-                    now += 25 * MS;
-                    health.end(now, id, ran);
-                    health.update(now);
-                }
-            }
-            health.health().failure_level
-        };
-        assert_eq!(both(RunOutcome::Failed, RunOutcome::Succeeded), 0);
-        assert_eq!(both(RunOutcome::Failed, RunOutcome::Failed), 2);
-        assert_eq!(both(RunOutcome::Succeeded, RunOutcome::Failed), 0);
+    /// The number of runs that have not ended; for tests.
+    #[doc(hidden)]
+    pub fn open_runs(&self) -> usize {
+        self.runs.len()
     }
 
-    proptest! {
-        /// Whatever comes in whatever order, no run is kept for ever, and all well for long is told as well.
-        #[test]
-        fn it_heals(steps in prop::collection::vec((0u8..6, 0u64..400, 0u8..3), 0..200)) {
-            let (mut health, mut now, mut open) = (OutlierDetector::default(), MS, Vec::new());
-            let sort = |member: &str| RequestClass { member: Some(member.into()), ..RequestClass::default() };
-            let sorts = [RequestClass::default(), sort("norte"), sort("sul")];
-            for (what, ms, member) in steps {
-                now += ms * MS;
-                match what {
-                    0 | 1 => open.push(health.begin(now, sorts[usize::from(member)].clone())),
-                    _ => if let Some(run) = open.pop() {
-                        let ran = [RunOutcome::Succeeded, RunOutcome::Failed, RunOutcome::NoConnection, RunOutcome::Abandoned][usize::from(what - 2)];
-                        health.end(now, run, ran);
-                    }
-                }
-                let ill = health.update(now);
-                prop_assert!(ill.failure_level <= MOST_FAILS && usize::from(ill.latency_level) <= SLOW.len());
-                prop_assert_eq!(health.runs.len(), open.len());
-            }
-            open.into_iter().for_each(|run| health.end(now, run, RunOutcome::Abandoned));
-            for _ in 0..12 {
-                now += TRY_AGAIN * 16;
-                health.update(now);
-            }
-            prop_assert!(health.update(now).is_healthy());
-        }
+    /// The failure rate of a class, from 0 to 1; none where the class isn't known. For tests.
+    #[doc(hidden)]
+    pub fn failure_rate(&self, class: &RequestClass) -> Option<f64> {
+        self.classes.get(class).map(|history| history.failure_rate)
     }
 }
--- a/traffic/src/retry_shares.rs
+++ b/traffic/src/retry_shares.rs
@@ -1,101 +1,115 @@
-//! One service's allowance of repeats at one gate, divided among the members whose reqs go there and the platform. It
-//! owns what each of them may still send again. It must never let them have more together than one that sends for all
-//! would have, nor a member more than its share, however often routes and shares change.
+//! The division of one service's retry budget at one outbound proxy among the platform and the members.
+//!
+//! [`RetryPool`] counts the attempts of each of them and tells how many retries each may still have.
+//!
+//! Invariants: all together never have more retries than one that sends all requests would; a member never has more than
+//! its share, however often routes and shares change.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
 use ochreshed::Nanos;
-
-use crate::retry_budget::{MODULE, RetryAccount, Ring};
 use ochreshed_catalog::configuration::{Configuration, MemberShares, Name};
 use ochreshed_catalog::traffic_reports::AttemptCounts;
 
-/// By member.
+use crate::retry_budget::{POLICY_WINDOW, RetryAccount};
+use crate::sliding_window::SlidingWindow;
+
+/// The shares of members by their names.
 pub type RetryShares = BTreeMap<Name, Arc<MemberShares>>;
 
-/// Of all members that have routes here.
-pub fn of(timetable: &Configuration) -> RetryShares {
-    let shares = timetable.routes().filter_map(|route| route.share.as_ref());
+/// The shares of all members that have routes in a configuration.
+pub fn shares_of(configuration: &Configuration) -> RetryShares {
+    let shares = configuration.routes().filter_map(|route| route.share.as_ref());
     shares.map(|share| (share.member.clone(), share.clone())).collect()
 }
 
-/// Of one service. Times are of one clock.
+/// The attempts at one service by those that share its retry budget: members by name, and the platform as `None`.
+///
+/// All times are of one clock.
 #[derive(Clone, Debug)]
 pub struct RetryPool {
     shares: Arc<RetryShares>,
-    /// What each has sent over the module's ring, the platform under no name; and all of them.
-    sent: BTreeMap<Option<Name>, Ring<AttemptCounts>>,
-    all: Ring<AttemptCounts>,
-    /// The sum of the shares of the members among them.
-    given: f64,
+    attempts: BTreeMap<Option<Name>, SlidingWindow<AttemptCounts>>,
+    total: SlidingWindow<AttemptCounts>,
+    /// The sum of the shares of the members with attempts.
+    shares_in_use: f64,
 }
 
 impl Default for RetryPool {
     fn default() -> RetryPool {
-        RetryPool { shares: Arc::default(), sent: BTreeMap::new(), all: Ring::over(MODULE), given: 0.0 }
+        RetryPool {
+            shares: Arc::default(),
+            attempts: BTreeMap::new(),
+            total: SlidingWindow::over(POLICY_WINDOW),
+            shares_in_use: 0.0,
+        }
     }
 }
 
 impl RetryPool {
-    /// From now on these are the members' shares. What was sent stays counted. To be called now and then: until then a
-    /// member that has sent nothing for long keeps its share.
-    pub fn divide(&mut self, now: Nanos, shares: &Arc<RetryShares>) {
+    /// Sets the members' shares and drops members without attempts in the window. To be called now and then also where the
+    /// shares are the same: until then a member without attempts keeps its share.
+    pub fn set_shares(&mut self, now: Nanos, shares: &Arc<RetryShares>) {
         self.shares = shares.clone();
-        self.sent.retain(|_, ring| ring.sum(now) != AttemptCounts::default());
-        self.give();
+        self.attempts.retain(|_, window| window.sum(now) != AttemptCounts::default());
+        self.update_shares_in_use();
     }
 
-    /// Takes over what one has counted for itself so far, if it has counted nothing here.
-    pub fn join(&mut self, who: Option<&Name>, spent: &RetryAccount) {
-        let who = who.cloned();
-        if !self.sent.contains_key(&who) {
-            self.all.merge(&spent.module);
-            self.sent.insert(who, spent.module.clone());
-            self.give();
+    /// Takes over the attempts that an account has counted so far, if none of the same member or platform are known.
+    pub fn adopt(&mut self, member: Option<&Name>, account: &RetryAccount) {
+        let member = member.cloned();
+        if !self.attempts.contains_key(&member) {
+            self.total.merge(&account.policy);
+            self.attempts.insert(member, account.policy.clone());
+            self.update_shares_in_use();
         }
     }
 
-    /// Whether no member has sent anything over the ring. Holds after `divide`.
-    pub fn idle(&self) -> bool {
-        self.sent.keys().all(Option::is_none)
+    /// Whether no member has attempts in the window, as of the last [`RetryPool::set_shares`].
+    pub fn has_no_members(&self) -> bool {
+        self.attempts.keys().all(Option::is_none)
     }
 
-    pub fn count(&mut self, now: Nanos, who: Option<&Name>, figures: AttemptCounts) {
-        self.all.add(now, figures);
-        let who = who.cloned();
-        if let Some(ring) = self.sent.get_mut(&who) {
-            return ring.add(now, figures);
+    /// Adds attempts of a member, or of the platform.
+    pub fn add(&mut self, now: Nanos, member: Option<&Name>, counts: AttemptCounts) {
+        self.total.add(now, counts);
+        let member = member.cloned();
+        if let Some(window) = self.attempts.get_mut(&member) {
+            return window.add(now, counts);
         }
-        let mut ring = Ring::over(MODULE);
-        ring.add(now, figures);
-        self.sent.insert(who, ring);
-        self.give();
+        let mut window = SlidingWindow::over(POLICY_WINDOW);
+        window.add(now, counts);
+        self.attempts.insert(member, window);
+        self.update_shares_in_use();
     }
 
-    fn give(&mut self) {
-        self.given = self.sent.keys().flatten().map(|member| self.share(member)).sum();
+    fn update_shares_in_use(&mut self) {
+        self.shares_in_use = self.attempts.keys().flatten().map(|member| self.share(member)).sum();
     }
 
-    /// How much more one may send again, where all together may send again a part of what was sent first and so many
-    /// more. A member may have its share of that. The platform has what the members that have sent anything leave, and
-    /// one at least: at quiet gates there is no more than one. More than all there is can't be given away: shares that
-    /// come to more are lowered alike.
-    pub fn left(&self, now: Nanos, who: Option<&Name>, (part, floor): (f64, f64)) -> f64 {
-        let sum = self.all.sum(now);
-        let own = self.sent.get(&who.cloned()).map_or(0, |ring| ring.sum(now).retried);
-        let all = f64::from(sum.first) * part + floor;
-        let may = match who {
-            None => (all * (1.0 - self.given)).max(1.0),
-            Some(member) => all * self.share(member) / self.given.max(1.0),
+    /// How many more retries a member, or the platform, may have, where all together may have `ratio` of the first
+    /// attempts and `floor` beside.
+    ///
+    /// A member may have its share of that. The platform may have what the members with attempts leave, and one retry at
+    /// least, since a proxy with little traffic has no more than one. Shares that come to more than the whole are lowered
+    /// alike.
+    #[must_use]
+    pub fn remaining(&self, now: Nanos, member: Option<&Name>, ratio: f64, floor: f64) -> f64 {
+        let total = self.total.sum(now);
+        let own_retries = self.attempts.get(&member.cloned()).map_or(0, |window| window.sum(now).retried);
+        let budget = f64::from(total.first) * ratio + floor;
+        let allowed = match member {
+            None => (budget * (1.0 - self.shares_in_use)).max(1.0),
+            Some(member) => budget * self.share(member) / self.shares_in_use.max(1.0),
         };
-        // What others that have gone since, or had more before, have used up is gone for all.
-        (may - f64::from(own)).min(all - f64::from(sum.retried))
+        // What others have used beyond their present shares is gone for all.
+        (allowed - f64::from(own_retries)).min(budget - f64::from(total.retried))
     }
 
+    /// A member's share, from 0 to 1. A share that is not a number counts as 0.
     fn share(&self, member: &Name) -> f64 {
-        let retry = self.shares.get(member).map_or(0.0, |share| share.retry);
-        // Not a number counts as none.
-        if retry > 0.0 { retry.min(1.0) } else { 0.0 }
+        let share = self.shares.get(member).map_or(0.0, |share| share.retry);
+        if share > 0.0 { share.min(1.0) } else { 0.0 }
     }
 }
--- a/traffic/tests/admission.rs
+++ b/traffic/tests/admission.rs
@@ -43,7 +43,7 @@
         steps in proptest::collection::vec((0usize..5, 0usize..4, 0u32..4, any::<bool>(), any::<bool>()), 1..120),
     ) {
         let (mut all, mut model) = (AdmissionQueue::<Who>::default(), Model::default());
-        all.set(slots);
+        all.set_limit(slots);
         let mut now = S;
         for (nth, (what, member, turned, call, soon)) in steps.into_iter().enumerate() {
             now += MS;
@@ -52,7 +52,7 @@
                     let aim = if soon { now + MS } else { now + 100 * S };
                     let asker = AdmissionRequest { is_nested: call, rejections: turned, has_affinity: nth % 3 == 0, target: aim, deadline: aim + 100 * S };
                     let allowed = model.of(member) < most(member, slots);
-                    match all.ask_of(now, &asker, part(member).as_ref(), || (nth, member)) {
+                    match all.request_for_member(now, &asker, part(member).as_ref(), || (nth, member)) {
                         Admission::Admitted => {
                             prop_assert!(allowed);
                             model.inside.push((nth, member));
@@ -66,32 +66,32 @@
                     // Some runs take long, some tell nothing.
                     let took = soon.then_some(if call { 400 * MS } else { 5 * MS });
                     match part(of) {
-                        None => all.leave(took),
-                        Some(part) => all.leave_of(&part.member, took),
+                        None => all.release(took),
+                        Some(part) => all.release_for_member(&part.member, took),
                     }
                 }
                 _ => {
                     if let Some((&gone, _)) = model.waiting.iter().next() {
-                        all.forget(|(who, _)| *who == gone);
+                        all.remove_waiters(|(who, _)| *who == gone);
                         model.waiting.remove(&gone);
                     }
                 }
             }
             model.waiting.retain(|_, (_, last)| *last >= now);
-            while let Some((who, of)) = all.next(now) {
+            while let Some((who, of)) = all.admit_next(now) {
                 prop_assert_eq!(model.waiting.remove(&who).map(|(of, _)| of), Some(of));
                 model.inside.push((who, of));
             }
-            all.forget(|(who, _)| !model.waiting.contains_key(who));
-            prop_assert_eq!((all.taken() as usize, all.waiting()), (model.inside.len(), model.waiting.len()));
-            prop_assert!(all.taken() <= slots);
+            all.remove_waiters(|(who, _)| !model.waiting.contains_key(who));
+            prop_assert_eq!((all.in_flight() as usize, all.queued()), (model.inside.len(), model.waiting.len()));
+            prop_assert!(all.in_flight() <= slots);
             for member in 0..MEMBERS.len() {
                 prop_assert!(model.of(member) <= most(member, slots));
                 let waiting = model.waiting.values().filter(|(of, _)| *of == member).count() as u32;
                 prop_assert!(waiting <= most(member, slots * 3));
             }
             let wanted = model.waiting.values().any(|(of, _)| model.of(*of) < most(*of, slots));
-            prop_assert!(all.taken() == slots || !wanted, "a slot is idle");
+            prop_assert!(all.in_flight() == slots || !wanted, "a slot is idle");
         }
     }
 }
@@ -110,21 +110,22 @@
 /// been turned away.
 fn flooded(took: u64) -> AdmissionQueue<&'static str> {
     let mut all = AdmissionQueue::default();
-    all.set(6);
+    all.set_limit(6);
     for _ in 0..200 {
-        assert_eq!(all.ask(0, &asker(0), || ""), Admission::Admitted);
-        all.leave(Some(50 * MS));
+        assert_eq!(all.request(0, &asker(0), || ""), Admission::Admitted);
+        all.release(Some(50 * MS));
     }
     let bad = part(0);
     for _ in 0..20 {
-        assert_eq!(all.ask_of(S, &asker(0), bad.as_ref(), || "bad"), Admission::Admitted);
-        all.leave_of(&"a".into(), Some(took));
+        assert_eq!(all.request_for_member(S, &asker(0), bad.as_ref(), || "bad"), Admission::Admitted);
+        all.release_for_member(&"a".into(), Some(took));
     }
-    let came: Vec<Admission> = (0..40).map(|_| all.ask_of(S, &asker(3), bad.as_ref(), || "bad")).collect();
+    let came: Vec<Admission> =
+        (0..40).map(|_| all.request_for_member(S, &asker(3), bad.as_ref(), || "bad")).collect();
     assert_eq!(came.iter().filter(|way| **way == Admission::Admitted).count(), 3);
     // Those that could be in time wait.
     let waits = if took > S { 0..=1 } else { 2..=9 };
-    assert!(all.taken() == 3 && waits.contains(&all.waiting()), "{}", all.waiting());
+    assert!(all.in_flight() == 3 && waits.contains(&all.queued()), "{}", all.queued());
     all
 }
 
@@ -134,18 +135,23 @@
     for took in [50 * MS, 10 * S] {
         let mut all = flooded(took);
         // Its own next one is turned away while slots are free; the platform's and other members' get these at once.
-        assert!(!matches!(all.ask_of(S, &asker(0), part(0).as_ref(), || "bad"), Admission::Admitted));
-        assert_eq!(all.ask_of(S, &asker(0), part(1).as_ref(), || "good"), Admission::Admitted);
-        assert_eq!(all.ask(S, &asker(0), || "plain"), Admission::Admitted);
-        assert_eq!(all.ask(S, &asker(0), || "plain"), Admission::Admitted);
+        assert!(!matches!(
+            all.request_for_member(S, &asker(0), part(0).as_ref(), || "bad"),
+            Admission::Admitted
+        ));
+        assert_eq!(all.request_for_member(S, &asker(0), part(1).as_ref(), || "good"), Admission::Admitted);
+        assert_eq!(all.request(S, &asker(0), || "plain"), Admission::Admitted);
+        assert_eq!(all.request(S, &asker(0), || "plain"), Admission::Admitted);
         // Full. How long the member's runs take says nothing of others', and those of it that wait for its own slots are
         // ahead of nobody.
-        assert!(matches!(all.ask(S, &asker(0), || "first"), Admission::Queued(last) if last > S + 300 * MS));
-        assert!(matches!(all.ask(S, &asker(1), || "second"), Admission::Queued(_)));
-        all.leave(Some(50 * MS));
-        assert_eq!((all.next(S + MS), all.next(S + MS)), (Some("first"), None));
-        all.leave_of(&"b".into(), None);
-        assert_eq!(all.next(S + MS), Some("second"));
+        assert!(
+            matches!(all.request(S, &asker(0), || "first"), Admission::Queued(last) if last > S + 300 * MS)
+        );
+        assert!(matches!(all.request(S, &asker(1), || "second"), Admission::Queued(_)));
+        all.release(Some(50 * MS));
+        assert_eq!((all.admit_next(S + MS), all.admit_next(S + MS)), (Some("first"), None));
+        all.release_for_member(&"b".into(), None);
+        assert_eq!(all.admit_next(S + MS), Some("second"));
     }
 }
 
@@ -153,19 +159,21 @@
 #[test]
 fn a_share_that_is_lowered_holds_at_once() {
     let mut all = AdmissionQueue::default();
-    all.set(10);
+    all.set_limit(10);
     let told = |share| Some(MemberShare { member: "a".into(), share });
-    let come = |all: &mut AdmissionQueue<()>, share| all.ask_of(S, &asker(3), told(share).as_ref(), || ());
+    let come = |all: &mut AdmissionQueue<()>, share| {
+        all.request_for_member(S, &asker(3), told(share).as_ref(), || ())
+    };
     (0..5).for_each(|_| assert_eq!(come(&mut all, 0.5), Admission::Admitted));
     assert!(matches!(come(&mut all, 0.2), Admission::Queued(_)));
-    (0..3).for_each(|_| all.leave_of(&"a".into(), None));
-    assert_eq!(all.next(S), None, "two of ten are its part now");
-    all.leave_of(&"a".into(), None);
-    assert_eq!((all.next(S), all.taken()), (Some(()), 2));
+    (0..3).for_each(|_| all.release_for_member(&"a".into(), None));
+    assert_eq!(all.admit_next(S), None, "two of ten are its part now");
+    all.release_for_member(&"a".into(), None);
+    assert_eq!((all.admit_next(S), all.in_flight()), (Some(()), 2));
     // A share that is no number, or of which nothing is left, leaves one.
     for share in [f64::NAN, -1.0, 0.0] {
         let mut all = AdmissionQueue::default();
-        all.set(10);
+        all.set_limit(10);
         assert_eq!(come(&mut all, share), Admission::Admitted);
         assert_ne!(come(&mut all, share), Admission::Admitted);
     }
@@ -175,33 +183,33 @@
 #[test]
 fn a_late_request_waits_where_its_session_lives_and_behind_those_in_time() {
     let mut slots: AdmissionQueue<&'static str> = AdmissionQueue::default();
-    slots.set(2);
+    slots.set_limit(2);
     for _ in 0..200 {
-        assert_eq!(slots.ask(0, &asker(0), || ""), Admission::Admitted);
-        slots.leave(Some(50 * MS));
+        assert_eq!(slots.request(0, &asker(0), || ""), Admission::Admitted);
+        slots.release(Some(50 * MS));
     }
     for _ in 0..2 {
-        assert_eq!(slots.ask(S, &asker(0), || ""), Admission::Admitted);
+        assert_eq!(slots.request(S, &asker(0), || ""), Admission::Admitted);
     }
     let late = AdmissionRequest { has_affinity: true, target: S - MS, deadline: 3 * S, ..asker(0) };
     // Half of its time is left for another upstream.
-    assert_eq!(slots.ask(S, &late, || "tied, first"), Admission::Queued(2 * S));
-    assert_eq!(slots.ask(S, &late, || "tied, second"), Admission::Queued(2 * S));
+    assert_eq!(slots.request(S, &late, || "tied, first"), Admission::Queued(2 * S));
+    assert_eq!(slots.request(S, &late, || "tied, second"), Admission::Queued(2 * S));
     assert_eq!(
-        slots.ask(S, &AdmissionRequest { has_affinity: false, ..late }, || "untied"),
+        slots.request(S, &AdmissionRequest { has_affinity: false, ..late }, || "untied"),
         Admission::Rejected
     );
-    assert!(matches!(slots.ask(S, &asker(3), || "in time"), Admission::Queued(_)));
+    assert!(matches!(slots.request(S, &asker(3), || "in time"), Admission::Queued(_)));
     let mut went = Vec::new();
     for _ in 0..3 {
-        slots.leave(None);
-        went.extend(slots.next(S + MS));
+        slots.release(None);
+        went.extend(slots.admit_next(S + MS));
     }
     assert_eq!(went, ["in time", "tied, first", "tied, second"]);
     // No more wait than the upstream can serve in time.
     let short = AdmissionRequest { deadline: S + 120 * MS, ..late };
     assert_eq!(
-        slots.ask(S, &AdmissionRequest { deadline: S + 40 * MS, ..short }, || "in vain"),
+        slots.request(S, &AdmissionRequest { deadline: S + 40 * MS, ..short }, || "in vain"),
         Admission::Rejected
     );
 }
--- /dev/null
+++ b/traffic/tests/outlier_detection.rs
@@ -0,0 +1,151 @@
+//! The health of an upstream by the outcomes of its runs.
+
+use ochreshed_catalog::endpoints::UpstreamHealth;
+use ochreshed_traffic::outlier_detection::{
+    LATENCY_THRESHOLDS, MAX_FAILURE_LEVEL, OutlierDetector, PROBATION_INTERVAL, RequestClass, RunOutcome,
+};
+use proptest::prelude::*;
+
+const MS: u64 = 1_000_000;
+
+/// One run of so many ms after another, each with its outcome.
+fn run(
+    detector: &mut OutlierDetector,
+    now: &mut u64,
+    took_ms: u64,
+    outcomes: impl IntoIterator<Item = RunOutcome>,
+) -> UpstreamHealth {
+    for ran in outcomes {
+        let id = detector.begin(*now, RequestClass::default());
+        *now += took_ms * MS;
+        detector.end(*now, id, ran);
+        detector.update(*now);
+    }
+    detector.health()
+}
+
+fn healthy() -> (OutlierDetector, u64) {
+    let (mut detector, mut now) = (OutlierDetector::default(), MS);
+    assert_eq!(run(&mut detector, &mut now, 50, [RunOutcome::Succeeded; 100]), UpstreamHealth::default());
+    (detector, now)
+}
+
+#[test]
+fn half_that_fail_are_told_within_sixteen_runs_and_taken_back_by_steps() {
+    let (mut detector, mut now) = healthy();
+    let half = [RunOutcome::Failed, RunOutcome::Succeeded].into_iter().cycle();
+    assert_eq!(run(&mut detector, &mut now, 50, half.take(16)).failure_level, 1);
+    assert_eq!(run(&mut detector, &mut now, 50, [RunOutcome::Failed; 20]).failure_level, 2);
+    // Nothing more is sent there: a level better after each time without news, until it is sent some again.
+    let mut levels = Vec::new();
+    for _ in 0..3 {
+        now += PROBATION_INTERVAL * 3;
+        levels.push(detector.update(now).failure_level);
+    }
+    assert_eq!(levels, [1, 0, 0]);
+    // It fails as before: told at once, and tried again later each time, also while a few do well there.
+    let mut waits = Vec::new();
+    for _ in 0..3 {
+        assert!(run(&mut detector, &mut now, 50, [RunOutcome::Failed; 9]).failure_level >= 1);
+        let from = now;
+        while detector.health().failure_level >= 1 {
+            run(&mut detector, &mut now, 20, [RunOutcome::Succeeded]);
+            now += PROBATION_INTERVAL - 20 * MS;
+        }
+        waits.push((now - from) / PROBATION_INTERVAL);
+    }
+    assert_eq!(waits, [3, 5, 9]);
+    assert_eq!(run(&mut detector, &mut now, 50, [RunOutcome::Succeeded; 60]), UpstreamHealth::default());
+}
+
+#[test]
+fn slow_runs_are_told_against_what_they_took_for_long() {
+    let (mut detector, mut now) = healthy();
+    assert_eq!(
+        run(&mut detector, &mut now, 100, [RunOutcome::Succeeded; 60]).latency_level,
+        0,
+        "twice is no illness"
+    );
+    let (mut detector, mut now) = healthy();
+    assert_eq!(run(&mut detector, &mut now, 230, [RunOutcome::Succeeded; 40]).latency_level, 1);
+    assert_eq!(run(&mut detector, &mut now, 600, [RunOutcome::Succeeded; 60]).latency_level, 2);
+    assert_eq!(run(&mut detector, &mut now, 50, [RunOutcome::Succeeded; 90]).latency_level, 0);
+}
+
+#[test]
+fn runs_that_hang_fail_before_they_end_and_only_once() {
+    let (mut detector, mut now) = healthy();
+    let runs: Vec<u64> = (0..6).map(|_| detector.begin(now, RequestClass::default())).collect();
+    now += 400 * MS;
+    let ill = detector.update(now);
+    assert!(ill.failure_level >= 1, "{ill:?}");
+    let failing = detector.failure_rate(&RequestClass::default());
+    runs.into_iter().for_each(|run| detector.end(now, run, RunOutcome::Failed));
+    assert_eq!(detector.failure_rate(&RequestClass::default()), failing);
+}
+
+#[test]
+fn no_connection_tells_at_once() {
+    let (mut detector, mut now) = healthy();
+    assert!(run(&mut detector, &mut now, 1, [RunOutcome::NoConnection; 2]).failure_level >= 1);
+}
+
+/// Guards against the chance by which some runs of much work follow each other.
+#[test]
+fn runs_of_mixed_work_are_not_told_as_slow() {
+    let (mut detector, mut now) = healthy();
+    for nth in 0..4_000_u64 {
+        let took = if nth.wrapping_mul(0x9E37_79B9_7F4A_7C15) >> 62 == 0 { 200 } else { 20 };
+        assert_eq!(run(&mut detector, &mut now, took, [RunOutcome::Succeeded]).latency_level, 0, "{nth}");
+    }
+}
+
+/// Guards against a member whose own reqs all fail, or take long, and that has an upstream taken from the others.
+#[test]
+fn what_fails_by_one_member_only_is_not_the_upstreams_fault() {
+    let (mut detector, mut now) = healthy();
+    let norte = RequestClass { member: Some("norte".into()), ..RequestClass::default() };
+    let mut both = |ran: RunOutcome, others: RunOutcome| {
+        for _ in 0..60 {
+            for (sort, ran) in [(&norte, ran), (&RequestClass::default(), others)] {
+                let id = detector.begin(now, sort.clone());
+                now += 25 * MS;
+                detector.end(now, id, ran);
+                detector.update(now);
+            }
+        }
+        detector.health().failure_level
+    };
+    assert_eq!(both(RunOutcome::Failed, RunOutcome::Succeeded), 0);
+    assert_eq!(both(RunOutcome::Failed, RunOutcome::Failed), 2);
+    assert_eq!(both(RunOutcome::Succeeded, RunOutcome::Failed), 0);
+}
+
+proptest! {
+    /// Whatever comes in whatever order, no run is kept for ever, and all well for long is told as well.
+    #[test]
+    fn it_heals(steps in prop::collection::vec((0u8..6, 0u64..400, 0u8..3), 0..200)) {
+        let (mut detector, mut now, mut open) = (OutlierDetector::default(), MS, Vec::new());
+        let sort = |member: &str| RequestClass { member: Some(member.into()), ..RequestClass::default() };
+        let sorts = [RequestClass::default(), sort("norte"), sort("sul")];
+        for (what, ms, member) in steps {
+            now += ms * MS;
+            match what {
+                0 | 1 => open.push(detector.begin(now, sorts[usize::from(member)].clone())),
+                _ => if let Some(run) = open.pop() {
+                    let ran = [RunOutcome::Succeeded, RunOutcome::Failed, RunOutcome::NoConnection, RunOutcome::Abandoned][usize::from(what - 2)];
+                    detector.end(now, run, ran);
+                }
+            }
+            let ill = detector.update(now);
+            prop_assert!(ill.failure_level <= MAX_FAILURE_LEVEL && usize::from(ill.latency_level) <= LATENCY_THRESHOLDS.len());
+            prop_assert_eq!(detector.open_runs(), open.len());
+        }
+        open.into_iter().for_each(|run| detector.end(now, run, RunOutcome::Abandoned));
+        for _ in 0..12 {
+            now += PROBATION_INTERVAL * 16;
+            detector.update(now);
+        }
+        prop_assert!(detector.update(now).is_healthy());
+    }
+}
--- a/traffic/tests/retry_budget.rs
+++ b/traffic/tests/retry_budget.rs
@@ -6,9 +6,8 @@
 use ochreshed::How;
 use ochreshed_catalog::internal_rpc::CollectedReport;
 use ochreshed_catalog::traffic_reports::{AttemptCounts, BudgetReport};
-use ochreshed_traffic::retry_budget::{
-    BudgetReports, MOST_SERVICES, RequestAttempts, RetryAccount, RetryLimits,
-};
+use ochreshed_traffic::budget_reports::{AttemptTotals, BudgetReports, MAX_SERVICES};
+use ochreshed_traffic::retry_budget::{RequestAttempts, RetryAccount, RetryLimits};
 use proptest::prelude::*;
 
 const MS: u64 = 1_000_000;
@@ -41,21 +40,21 @@
     let now = 50_000 * MS;
     one(&mut spent, now, true, How::Done, false);
     one(&mut spent, now, true, How::Full, true);
-    assert_eq!(spent.figures(now), figures(2, 1, 0));
+    assert_eq!(spent.reported_counts(now), figures(2, 1, 0));
     // Two first sends and a floor of one leave no second one again.
     one(&mut spent, now, true, How::Reset, false);
-    assert_eq!(spent.figures(now), figures(3, 1, 1));
+    assert_eq!(spent.reported_counts(now), figures(3, 1, 1));
     // What a door turned away never arrived; what may have run is not refused for want of allowance.
     one(&mut spent, now, true, How::Turned, true);
     one(&mut spent, now, false, How::Reset, false);
     one(&mut spent, now, false, How::Full, false);
-    assert_eq!(spent.figures(now), figures(6, 1, 2));
+    assert_eq!(spent.reported_counts(now), figures(6, 1, 2));
     spent.nested_call_retried(now);
-    assert_eq!(spent.figures(now), figures(6, 2, 2));
+    assert_eq!(spent.reported_counts(now), figures(6, 2, 2));
     // Where there is room the module had another reason.
     (0..20).for_each(|_| one(&mut spent, now, true, How::Done, false));
     one(&mut spent, now, true, How::Full, false);
-    assert_eq!(spent.figures(now), figures(27, 2, 2));
+    assert_eq!(spent.reported_counts(now), figures(27, 2, 2));
     // Not this service's failure, or its time is over.
     let mut middle = RetryAccount::new(WINDOW, RetryLimits { last_tier: false, floor: 0.0, ..TERMS });
     one(&mut middle, now, true, How::Error, false);
@@ -63,9 +62,9 @@
     middle.attempt_started(now, &late);
     late.ended(How::Full);
     middle.request_given_up(now, &late);
-    assert_eq!(middle.figures(now), figures(2, 0, 0));
-    assert_eq!(spent.restart(WINDOW, TERMS).figures(now), spent.figures(now));
-    assert_eq!(spent.figures(now + WINDOW), AttemptCounts::default());
+    assert_eq!(middle.reported_counts(now), figures(2, 0, 0));
+    assert_eq!(spent.restart(WINDOW, TERMS).reported_counts(now), spent.reported_counts(now));
+    assert_eq!(spent.reported_counts(now + WINDOW), AttemptCounts::default());
 }
 
 proptest! {
@@ -79,7 +78,7 @@
             one(&mut spent, now, true, How::Full, again);
             all.push((now, again));
             let within = |span: u64| all.iter().filter(|(at, _)| now - at < span).count() as u32;
-            let told = spent.figures(now).first;
+            let told = spent.reported_counts(now).first;
             prop_assert!(told <= within(WINDOW) && told >= within(WINDOW - WINDOW / 10));
         }
     }
@@ -108,7 +107,7 @@
             prop_assert_eq!(u64::from(age), newest);
             prop_assert_eq!(told.services.len(), 1);
         }
-        let (sums, gates) = one.sum(|at| at != door(0));
+        let AttemptTotals { services: sums, proxies: gates } = one.attempt_totals(|at| at != door(0));
         prop_assert_eq!(gates, last.keys().filter(|gate| **gate != 0).count());
         prop_assert!(sums.len() <= 1);
     }
@@ -120,14 +119,14 @@
     let many = report((0..1_000).map(|name| (format!("s-{name}").into(), figures(1, 1, 0))).collect());
     let mut table = BudgetReports::default();
     (0..5_000).for_each(|gate| table.store(1, door(gate), many.clone(), 0));
-    let (sums, gates) = table.sum(|_| true);
-    assert_eq!((sums.len(), gates), (MOST_SERVICES, 200_000 / MOST_SERVICES));
-    assert_eq!(sums.values().map(|sum| sum.first as usize).sum::<usize>(), gates * MOST_SERVICES);
+    let AttemptTotals { services: sums, proxies: gates } = table.attempt_totals(|_| true);
+    assert_eq!((sums.len(), gates), (MAX_SERVICES, 200_000 / MAX_SERVICES));
+    assert_eq!(sums.values().map(|sum| sum.first as usize).sum::<usize>(), gates * MAX_SERVICES);
     // Full for more, not for a new word of one that is in.
     table.store(2, door(0), BudgetReport::default(), 0);
     table.store(3, door(4_999), report(vec![("x".into(), figures(5, 0, 0))]), 0);
-    assert_eq!(table.sum(|at| at == door(0) || at == door(4_999)).0.len(), 1);
+    assert_eq!(table.attempt_totals(|at| at == door(0) || at == door(4_999)).services.len(), 1);
     table.retain(|at| at == door(1));
-    assert_eq!(table.sum(|_| true).1, 1);
+    assert_eq!(table.attempt_totals(|_| true).proxies, 1);
     assert_eq!(table.collect(3).len(), 1);
 }
--- a/traffic/tests/retry_shares.rs
+++ b/traffic/tests/retry_shares.rs
@@ -35,23 +35,23 @@
     ) {
         let (mut pool, mut now, mut sent) = (RetryPool::default(), NOW, Vec::new());
         let mut given = vec![0.2, 0.5, 0.1];
-        pool.divide(now, &shares(&given));
+        pool.set_shares(now, &shares(&given));
         for (what, who, wait, share) in steps {
             now += wait * MS;
             let many = if what == 0 { 20 } else { 1 };
             (0..many).for_each(|_| {
-                pool.count(now, name(who).as_ref(), FIRST);
+                pool.add(now, name(who).as_ref(), FIRST);
                 sent.push((now, who, FIRST));
             });
             if what == 1 {
                 // Gone, or with another share.
                 given = given.iter().enumerate().map(|(nth, is)| if nth == who { f64::from(share) / 4.0 } else { *is }).collect();
-                pool.divide(now, &shares(&given));
+                pool.set_shares(now, &shares(&given));
             }
             let mut repeats = 0;
-            while pool.left(now, name(who).as_ref(), (0.1, floor)) >= 1.0 {
+            while pool.remaining(now, name(who).as_ref(), 0.1, floor) >= 1.0 {
                 repeats += 1;
-                pool.count(now, name(who).as_ref(), AGAIN);
+                pool.add(now, name(who).as_ref(), AGAIN);
                 sent.push((now, who, AGAIN));
             }
             // Buckets of a second: nothing is forgotten before nine, nor kept beyond ten.
@@ -73,31 +73,31 @@
 #[test]
 fn each_has_its_own_share() {
     let mut pool = RetryPool::default();
-    pool.divide(NOW, &shares(&[0.2, 0.5]));
+    pool.set_shares(NOW, &shares(&[0.2, 0.5]));
     let (a, b) = (name(0), name(1));
     let left = |pool: &RetryPool, who: &Option<Name>| {
-        (pool.left(NOW, who.as_ref(), (0.1, 1.0)) * 10.0).round() / 10.0
+        (pool.remaining(NOW, who.as_ref(), 0.1, 1.0) * 10.0).round() / 10.0
     };
     // While no member has sent anything all of it is the platform's.
-    pool.count(NOW, None, FIRST);
+    pool.add(NOW, None, FIRST);
     assert_eq!(left(&pool, &None), 1.1);
-    (0..99).for_each(|_| pool.count(NOW, a.as_ref(), FIRST));
+    (0..99).for_each(|_| pool.add(NOW, a.as_ref(), FIRST));
     assert_eq!([&None, &a, &b].map(|who| left(&pool, who)), [8.8, 2.2, 5.5]);
-    (0..100).for_each(|_| pool.count(NOW, b.as_ref(), FIRST));
+    (0..100).for_each(|_| pool.add(NOW, b.as_ref(), FIRST));
     assert_eq!([&None, &a, &b].map(|who| left(&pool, who)), [6.3, 4.2, 10.5]);
     // One that is over takes nothing from others; what it has had before is gone for all.
-    (0..4).for_each(|_| pool.count(NOW, a.as_ref(), AGAIN));
+    (0..4).for_each(|_| pool.add(NOW, a.as_ref(), AGAIN));
     assert_eq!([&None, &a, &b].map(|who| left(&pool, who)), [6.3, 0.2, 10.5]);
-    pool.divide(NOW, &shares(&[0.0, 0.5]));
+    pool.set_shares(NOW, &shares(&[0.0, 0.5]));
     assert_eq!([&None, &a, &b].map(|who| left(&pool, who)), [10.5, -4.0, 10.5]);
-    (0..10).for_each(|_| pool.count(NOW, b.as_ref(), AGAIN));
+    (0..10).for_each(|_| pool.add(NOW, b.as_ref(), AGAIN));
     assert_eq!([&None, &a, &b].map(|who| left(&pool, who)), [7.0, -4.0, 0.5]);
     // RetryShares that come to more than all.
-    pool.divide(NOW, &shares(&[1.0, 1.0]));
+    pool.set_shares(NOW, &shares(&[1.0, 1.0]));
     assert_eq!([&None, &a, &b].map(|who| left(&pool, who)), [1.0, 6.5, 0.5]);
     // ExceededLimit the window all is as it was.
     let later = NOW + 10_000 * MS;
-    pool.divide(later, &Arc::new(BTreeMap::new()));
-    assert!(pool.idle());
-    assert_eq!(pool.left(later, None, (0.1, 1.0)), 1.0);
+    pool.set_shares(later, &Arc::new(BTreeMap::new()));
+    assert!(pool.has_no_members());
+    assert_eq!(pool.remaining(later, None, 0.1, 1.0), 1.0);
 }
