--- a/catalog/src/lib.rs
+++ b/catalog/src/lib.rs
@@ -8,6 +8,8 @@
 //!
 //! Invariants: this crate does no I/O, reads no clock and draws no randomness; callers pass the time in.
 
+#![warn(missing_docs)]
+
 pub mod configuration;
 pub mod configuration_update;
 pub mod delta;
--- a/catalog/tests/configuration.rs
+++ b/catalog/tests/configuration.rs
@@ -1,4 +1,4 @@
-//! The operators' timetable: what is refused and why, which route a request takes, and what a change tells.
+//! The operators' configuration: what is refused and why, which route a request takes, and how changes are shown.
 
 use std::fmt::Write;
 
@@ -18,7 +18,7 @@
 
 fn read(text: &str) -> Configuration {
     match Configuration::read(text.as_bytes()) {
-        Ok(timetable) => timetable,
+        Ok(configuration) => configuration,
         Err(refusals) => panic!("refused: {refusals:?}"),
     }
 }
@@ -38,17 +38,17 @@
 
 #[test]
 fn the_example_is_read_whole() {
-    let timetable = read(VALID);
-    assert_eq!(timetable.version, 7);
-    assert_eq!(timetable.routes().count(), 3);
-    assert_eq!(timetable.services().count(), 3);
+    let configuration = read(VALID);
+    assert_eq!(configuration.version, 7);
+    assert_eq!(configuration.routes().count(), 3);
+    assert_eq!(configuration.services().count(), 3);
     assert!(
-        timetable
+        configuration
             .service("wuno96b")
             .is_some_and(|service| service.deduplicates && service.max_connections == 110)
     );
-    assert_eq!(*timetable.limits(), Limits { header_timeout_ms: 2_000, ..Limits::default() });
-    let route = timetable.route("jepu9.example", "/lepu270/deep/").expect("a route");
+    assert_eq!(*configuration.limits(), Limits { header_timeout_ms: 2_000, ..Limits::default() });
+    let route = configuration.route("jepu9.example", "/lepu270/deep/").expect("a route");
     assert_eq!(
         (route.repeat_policy, route.deadline_ms, route.latency_target_ms),
         (RepeatPolicy::OnceOnly, 500, 500)
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn one_fault_at_a_time() {
+fn each_error_is_refused_with_its_location() {
     let cases = [
         (r#""edition":"r7""#, r#""edition":"r0007""#),
         (r#""edition":"r7","#, ""),
@@ -229,7 +229,7 @@
 }
 
 #[test]
-fn all_errors_are_told_at_once() {
+fn all_errors_are_listed_at_once() {
     let text = altered(r#""edition":"r7""#, r#""edition":"seven""#)
         .replacen(r#""tries":2"#, r#""tries":0"#, 2)
         .replacen("resendable", "sometimes", 1);
@@ -248,7 +248,7 @@
 }
 
 #[test]
-fn what_is_no_document_is_refused() {
+fn input_that_is_no_document_is_refused() {
     let deep = "[".repeat(2_000);
     let digits = format!("[0.{}1]", "0".repeat(40_000));
     let values = format!("[{}0]", "0,".repeat(1_000_000));
@@ -288,15 +288,15 @@
 }
 
 #[test]
-fn cut_short_is_never_accepted() {
+fn a_truncated_document_is_never_accepted() {
     for end in 0..VALID.len() {
         assert!(Configuration::read(&VALID.as_bytes()[..end]).is_err(), "cut at {end}");
     }
 }
 
-/// The parser counts in bytes; a letter of several must not upset it wherever it stands.
+/// The parser counts bytes; a character of several bytes must not upset it anywhere.
 #[test]
-fn a_long_letter_anywhere_never_panics() {
+fn a_multibyte_character_anywhere_never_panics() {
     for at in 0..=VALID.len() {
         for stray in ["é", "\\é", "\\u00é", "-é", "1e€"] {
             let mut text = VALID.to_string();
@@ -306,7 +306,7 @@
     }
 }
 
-/// What is read from broken bytes either is refused or holds what the others rely on.
+/// A document with broken bytes is refused, or valid in all that others rely on.
 #[test]
 fn broken_bytes_never_panic() {
     let mut seed = 0x9e37_79b9_7f4a_7c15_u64;
@@ -332,16 +332,19 @@
                 }
             }
         }
-        let Ok(timetable) = Configuration::read(&bytes) else { continue };
+        let Ok(configuration) = Configuration::read(&bytes) else { continue };
         accepted += 1;
-        for route in timetable.routes() {
+        for route in configuration.routes() {
             assert!(route.max_attempts > 0 && route.deadline_ms > 0 && route.latency_target_ms > 0);
             assert!(route.prefix.starts_with('/') && !route.host.is_empty());
             assert!(
-                route.services.iter().all(|(line, share)| timetable.service(line).is_some() && *share >= 0.0)
+                route
+                    .services
+                    .iter()
+                    .all(|(line, share)| configuration.service(line).is_some() && *share >= 0.0)
             );
             assert!(route.services.iter().any(|(_, share)| *share > 0.0));
-            let found = timetable.route(&route.host, &route.prefix).expect("its own place");
+            let found = configuration.route(&route.host, &route.prefix).expect("its own place");
             assert_eq!(found, route);
         }
     }
@@ -356,7 +359,7 @@
         r#"{"category":"routes","label":{"name":"r-plain"},"manifest":{"depot":"Jepu9.Example:80","lane_prefix":"/lepu270/de","route_kind":"outbound_post","deadline_ms":1,"line":"kafi81c","tries":1}},
         {"category":"routes","label":{"name":"r-all"},"manifest":{"depot":"[::1]","lane_prefix":"/","route_kind":"outbound_post","deadline_ms":1,"line":"kafi81c","tries":1}}"#,
     );
-    let timetable = read(&more);
+    let configuration = read(&more);
     let mut told = String::new();
     for (host, path) in [
         ("jepu9.example", "/lepu270/2f"),
@@ -379,7 +382,7 @@
         ("::1", "/any"),
         ("", "/"),
     ] {
-        let route = timetable.route(host, path).map_or("none", |route| &route.name);
+        let route = configuration.route(host, path).map_or("none", |route| &route.name);
         let _ = writeln!(told, "{host} {path} -> {route}");
     }
     expect![[r#"
@@ -407,8 +410,8 @@
 }
 
 #[test]
-fn a_place_allows_the_services_with_a_share() {
-    let timetable = read(VALID);
+fn a_route_allows_the_services_with_a_weight() {
+    let configuration = read(VALID);
     for (path, line, allowed) in [
         ("/lepu270/2f", "huvo11a", true),
         ("/lepu270/2f", "kafi81c", true),
@@ -418,7 +421,7 @@
         ("/lepu270/deep/2f", "kafi81c", true),
         ("/gone/", "huvo11a", false),
     ] {
-        assert_eq!(timetable.allows("jepu9.example:80", path, line), allowed, "{path} {line}");
+        assert_eq!(configuration.allows("jepu9.example:80", path, line), allowed, "{path} {line}");
     }
     // A split holds over a line, and a service named twice in it has both shares.
     let both = altered(r#""split":["#, r#""line":"wuno96b","split":[{"line":"kafi81c","share":0.5},"#);
@@ -436,7 +439,7 @@
 }
 
 #[test]
-fn a_change_is_told_field_by_field() {
+fn changes_are_shown_by_field() {
     assert!(differences(&read(VALID), &read(VALID)).is_empty());
     let new = altered(r#""edition":"r7""#, r#""edition":"r12""#)
         .replacen(r#""share":90"#, r#""share":50"#, 1)
@@ -475,34 +478,34 @@
     );
 }
 
-/// A thousand routes on one host, of which each request finds its own.
+/// Each request finds its own among a thousand routes of one host.
 #[test]
-fn many_routes_share_their_names() {
+fn many_routes_of_one_host() {
     let route = |index: usize| {
         format!(
             r#"{{"category":"routes","label":{{"name":"r{index}"}},"manifest":{{"depot":"big.example","lane_prefix":"/a/{index}/","route_kind":"resendable","deadline_ms":9,"line":"kafi81c","tries":1}}}}"#
         )
     };
     let routes: Vec<String> = (0..1_000).map(route).collect();
-    let timetable = read(&altered(r#"{"category":"weather","label":7}"#, &routes.join(",")));
-    let first = timetable.route("big.example", "/a/0/x").expect("a route");
+    let configuration = read(&altered(r#"{"category":"weather","label":7}"#, &routes.join(",")));
+    let first = configuration.route("big.example", "/a/0/x").expect("a route");
     for index in 0..1_000 {
-        let found = timetable.route("big.example", &format!("/a/{index}/x/y/z")).expect("a route");
+        let found = configuration.route("big.example", &format!("/a/{index}/x/y/z")).expect("a route");
         assert_eq!(*found.name, *format!("r{index}"));
         assert!(
             std::ptr::eq(&*found.host, &*first.host)
                 && std::ptr::eq(&*found.services[0].0, &*first.services[0].0)
         );
     }
-    assert!(timetable.route("big.example", &"/".repeat(100_000)).is_none());
+    assert!(configuration.route("big.example", &"/".repeat(100_000)).is_none());
 }
 
 #[test]
 fn a_route_may_name_the_header_of_its_sessions() {
     let with = |name: &str| altered(r#""tries":2"#, &format!(r#""tries":2,"session":{name}"#));
     let named = read(&with(r#""X-Person""#));
-    let session = |timetable: &Configuration, path| {
-        timetable.route("jepu9.example", path).and_then(|route| route.session_header.clone())
+    let session = |configuration: &Configuration, path| {
+        configuration.route("jepu9.example", path).and_then(|route| route.session_header.clone())
     };
     assert_eq!(session(&named, "/lepu270/x").as_deref(), Some("x-person"));
     assert_eq!(session(&named, "/lepu270/deep/x"), None);
--- a/catalog/tests/internal_rpc.rs
+++ b/catalog/tests/internal_rpc.rs
@@ -11,9 +11,9 @@
 use ochreshed_consensus::messages::{Lease, LeaseKey, MessageBody, RegisterValue, Revision};
 use serde::{Deserialize, Serialize};
 
-/// Guards against letters that an older program doesn't read, or that cost more though no paper is held.
+/// Guards against messages that an older program doesn't read, or that are longer though there are no registers.
 #[test]
-fn without_papers_letters_are_as_they_were() {
+fn without_registers_messages_have_their_old_encoding() {
     #[derive(Debug, Serialize, Deserialize)]
     enum Older {
         Beat {
@@ -33,9 +33,9 @@
             sheet: Option<Arc<RegisterValue>>,
         },
     }
-    let rank = Revision::new(3, u64::MAX);
+    let revision = Revision::new(3, u64::MAX);
     let older = [
-        Older::Beat { voter: true, sheet: rank, safe: rank, leaving: false },
+        Older::Beat { voter: true, sheet: revision, safe: revision, leaving: false },
         Older::WantState { from: u128::MAX, round: 7 },
         Older::State { round: 7, part: Vec::new(), next: Some(9), sheet: None },
     ];
@@ -43,8 +43,8 @@
     let newer = [
         MessageBody::Heartbeat {
             voter: true,
-            configuration: rank,
-            committed_configuration: rank,
+            configuration: revision,
+            committed_configuration: revision,
             leaving: false,
             zone,
             registers_digest: 0,
@@ -69,22 +69,22 @@
     }
 }
 
-/// Guards against news that costs more than it did with each of an attendant's asks, a few a second.
+/// Guards against a longer encoding of requests that each node sends a few times a second.
 #[test]
-fn the_bytes_of_an_ask() {
-    let door = SocketAddr::from(([10, 1, 0, 8], 8300));
-    let bytes = |spending: Option<ServiceAttempts>| {
-        let mark = TablePosition { incarnation: u64::MAX, sequence: 1_000 };
-        let ask = WatchRequest {
+fn the_size_of_a_watch_request() {
+    let inbound_proxy = SocketAddr::from(([10, 1, 0, 8], 8300));
+    let bytes = |attempts: Option<ServiceAttempts>| {
+        let position = TablePosition { incarnation: u64::MAX, sequence: 1_000 };
+        let request = WatchRequest {
             record: None,
-            inbound_proxy: Some(door),
-            position: mark,
+            inbound_proxy: Some(inbound_proxy),
+            position,
             configuration: Revision::new(12, u64::MAX),
             suspects_version: 3,
             max_wait_ms: 500,
             from_replica: false,
-            report: spending.map(|spending| BudgetReport {
-                services: spending,
+            report: attempts.map(|attempts| BudgetReport {
+                services: attempts,
                 recovery_ms: Some(812),
                 outcomes: EditionOutcomes::new(),
             }),
@@ -93,26 +93,26 @@
             applied_editions: None,
             reports_only: false,
         };
-        encode(&Frame { id: 9_000, payload: InternalRequest::Watch(ask) }).map(|bytes| bytes.len())
+        encode(&Frame { id: 9_000, payload: InternalRequest::Watch(request) }).map(|bytes| bytes.len())
     };
-    let figures = AttemptCounts { first: 2_000, retried: 20, denied: 0 };
-    let spent = ["huvo11a", "kafi81c", "wuno96b"].map(|name| (name.into(), figures));
-    assert_eq!((bytes(None), bytes(Some(spent.to_vec()))), (Some(119), Some(176)));
+    let counts = AttemptCounts { first: 2_000, retried: 20, denied: 0 };
+    let services = ["huvo11a", "kafi81c", "wuno96b"].map(|name| (name.into(), counts));
+    assert_eq!((bytes(None), bytes(Some(services.to_vec()))), (Some(119), Some(176)));
 }
 
-/// Guards against a gate with members that an older steward can't read any more: it reads what it knows of.
+/// Guards against reports with outcomes that an older replica can't read any more: it reads the fields that it knows.
 #[test]
-fn how_members_fared_goes_beside_what_older_programs_read() {
+fn outcomes_are_sent_beside_what_older_programs_read() {
     #[derive(Deserialize)]
     struct Older {
         report: Option<BudgetReport>,
         gather: bool,
     }
-    let of = RouteEdition { member: "norte".into(), version: 4, canary: true };
+    let edition = RouteEdition { member: "norte".into(), version: 4, canary: true };
     let members: EditionOutcomes =
-        vec![(of, OutcomeCounts { first: 9, failed: 2, ..OutcomeCounts::default() })];
+        vec![(edition, OutcomeCounts { first: 9, failed: 2, ..OutcomeCounts::default() })];
     let report = BudgetReport { recovery_ms: Some(7), outcomes: members.clone(), ..BudgetReport::default() };
-    let ask = WatchRequest {
+    let request = WatchRequest {
         record: None,
         inbound_proxy: None,
         position: TablePosition::default(),
@@ -127,12 +127,12 @@
         reports_only: true,
     };
     let mut bytes = Vec::new();
-    ciborium::into_writer(&ask, &mut bytes).expect("written");
+    ciborium::into_writer(&request, &mut bytes).expect("written");
     let older: Older = ciborium::from_reader(&*bytes).expect("read");
     assert_eq!(
         (older.report, older.gather),
         (Some(BudgetReport { recovery_ms: Some(7), ..BudgetReport::default() }), true)
     );
     let newer: WatchRequest = ciborium::from_reader(&*bytes).expect("read");
-    assert_eq!(newer.outcomes, ask.outcomes);
+    assert_eq!(newer.outcomes, request.outcomes);
 }
--- a/catalog/tests/members.rs
+++ b/catalog/tests/members.rs
@@ -23,8 +23,8 @@
     assert!(doc.routes.iter().all(|route| route.share.is_none()));
 }
 
-/// What is told of each text with one part in the place of another, which must be there.
-fn told(text: &str, cases: &[(&str, &str)], verdict: fn(&[u8]) -> String) -> String {
+/// The refusals of each text in which one part, which must be there, is replaced by another.
+fn refusals(text: &str, cases: &[(&str, &str)], verdict: fn(&[u8]) -> String) -> String {
     let one = |(from, to): &(&str, &str)| {
         assert!(text.contains(from), "{from}");
         format!("{from} -> {to}\n    {}\n", verdict(text.replacen(from, to, 1).as_bytes()))
@@ -32,7 +32,7 @@
     cases.iter().map(one).collect()
 }
 
-fn lines<T>(read: Result<T, Vec<ochreshed_catalog::configuration::Refusal>>) -> String {
+fn listed<T>(read: Result<T, Vec<ochreshed_catalog::configuration::Refusal>>) -> String {
     match read {
         Ok(_) => "valid".into(),
         Err(all) => all.iter().map(ToString::to_string).collect::<Vec<_>>().join("; "),
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn one_fault_of_a_register_at_a_time() {
+fn each_error_of_a_register_is_refused_with_its_location() {
     let cases = [
         (r#""edition":"r3""#, r#""edition":"3""#),
         (r#""members":["#, r#""member":["#),
@@ -95,7 +95,7 @@
             members[0] (banco-norte).limits.routes: is above 10000
         "limits":{ -> "limits":7,"x":{
             members[0] (banco-norte).limits: is not an object
-    "#]].assert_eq(&told(REGISTER, &cases, |bytes| lines(MemberRegister::read(bytes))));
+    "#]].assert_eq(&refusals(REGISTER, &cases, |bytes| listed(MemberRegister::read(bytes))));
     let many: Vec<String> = (0..21)
         .map(|n| {
             format!(
@@ -106,11 +106,11 @@
         .collect();
     let many = format!(r#"{{"edition":"r1","members":[{}]}}"#, many.join(","));
     expect!["members.limits.routes, all together: holds more than 200000"]
-        .assert_eq(&lines(MemberRegister::read(many.as_bytes())));
+        .assert_eq(&listed(MemberRegister::read(many.as_bytes())));
 }
 
 #[test]
-fn one_fault_of_a_document_at_a_time() {
+fn each_error_of_a_document_is_refused_with_its_location() {
     let cases = [
         (r#""trial":0.25"#, r#""trial":1.25"#),
         (r#""trial":0.25"#, r#""trial":null"#),
@@ -146,5 +146,5 @@
         {"name":"cart" -> 7,{"name":"cart"
             routes[0]: is not an object
     "#]]
-    .assert_eq(&told(DOC, &cases, |bytes| lines(MemberDocument::read(bytes))));
+    .assert_eq(&refusals(DOC, &cases, |bytes| listed(MemberDocument::read(bytes))));
 }
--- a/catalog/tests/overlay.rs
+++ b/catalog/tests/overlay.rs
@@ -1,4 +1,4 @@
-//! Members' routes laid over the platform's: whatever the documents, nobody reaches past what it was given, and nobody's
+//! The overlay of members' routes: whatever the documents, no member goes beyond what it is allowed, and no member's
 //! change touches another's routes.
 
 use std::collections::BTreeMap;
@@ -14,49 +14,60 @@
 
 const HOSTS: [&str; 2] = ["h0", "h1"];
 const PREFIXES: [&str; 9] = ["/", "/a/", "/a", "/a/b/", "/a/bc", "/b/", "/ab/", "/b/c/", "/b/c"];
-/// What a place may be; no two of them lie within each other, so each may be anybody's.
+/// The scopes; none lies within another, so that each may be of any member.
 const PLACES: [(&str, &str); 5] =
     [("h0", "/a/"), ("h0", "/b/c/"), ("h0", "/ab/"), ("h1", "/a/b/"), ("h1", "/b/")];
 const SERVICES: [&str; 4] = ["s0", "s1", "s2", "s3"];
 const MEMBERS: [&str; 3] = ["m0", "m1", "m2"];
 
-/// A route's host, prefix, deadline, target, rank, tries, and the shares of the services.
-type Asked = (usize, usize, (u64, u64), (u32, u32), [u8; 4]);
-/// A member's room: limits of routes, tries, deadline and rank, and which services it has.
-type Room = (usize, u32, u64, u32, [bool; 4]);
+/// A route's host, prefix, deadline, latency target, priority, attempts, and the weights of the services.
+type RouteSpec = (usize, usize, (u64, u64), (u32, u32), [u8; 4]);
+/// A member's limits of routes, attempts, deadline and priority, and which services it may name.
+type LimitSpec = (usize, u32, u64, u32, [bool; 4]);
 
 #[derive(Clone, Debug)]
-struct World {
-    platform: Vec<Asked>,
-    /// Which services there are.
+struct Scenario {
+    platform: Vec<RouteSpec>,
+    /// Which services the platform has.
     services: [bool; 4],
-    /// Whose each place is; 3 is nobody.
+    /// The member that owns each scope; 3 is none.
     owners: [usize; 5],
-    rooms: [Room; 3],
+    limits: [LimitSpec; 3],
     /// A member's routes; none has no document.
-    docs: [Option<Vec<Asked>>; 3],
+    docs: [Option<Vec<RouteSpec>>; 3],
 }
 
-fn asked() -> impl Strategy<Value = Asked> {
+fn route_spec() -> impl Strategy<Value = RouteSpec> {
     let shares = [0u8..3, 0u8..3, 0u8..3, 0u8..3];
     (0..HOSTS.len(), 0..PREFIXES.len(), (1u64..6, 1u64..6), (0u32..4, 1u32..4), shares)
 }
 
-fn room() -> impl Strategy<Value = Room> {
+fn limit_spec() -> impl Strategy<Value = LimitSpec> {
     (1usize..6, 1u32..4, 1u64..6, 0u32..3, [any::<bool>(), any::<bool>(), any::<bool>(), any::<bool>()])
 }
 
-fn world() -> impl Strategy<Value = World> {
-    let doc = || proptest::option::weighted(0.8, vec(asked(), 0..8));
+fn scenario() -> impl Strategy<Value = Scenario> {
+    let doc = || proptest::option::weighted(0.8, vec(route_spec(), 0..8));
     let owners = [0usize..4, 0usize..4, 0usize..4, 0usize..4, 0usize..4];
     let services = [any::<bool>(), any::<bool>(), any::<bool>(), any::<bool>()];
-    (vec(asked(), 0..8), services, owners, [room(), room(), room()], [doc(), doc(), doc()]).prop_map(
-        |(platform, services, owners, rooms, docs)| World { platform, services, owners, rooms, docs },
+    (
+        vec(route_spec(), 0..8),
+        services,
+        owners,
+        [limit_spec(), limit_spec(), limit_spec()],
+        [doc(), doc(), doc()],
     )
+        .prop_map(|(platform, services, owners, limits, docs)| Scenario {
+            platform,
+            services,
+            owners,
+            limits,
+            docs,
+        })
 }
 
-/// Routes as they are written, one for each place, with those services only.
-fn routes(all: &[Asked], of: &str, there: [bool; 4]) -> Vec<String> {
+/// The routes as documents have them, one for each host and prefix, with these services only.
+fn routes(all: &[RouteSpec], of: &str, there: [bool; 4]) -> Vec<String> {
     let mut written = BTreeMap::new();
     for (number, (host, prefix, (deadline, target), (rank, tries), shares)) in all.iter().enumerate() {
         let split: Vec<String> = (0..4)
@@ -82,8 +93,8 @@
     written.into_iter().map(entry).collect()
 }
 
-impl World {
-    fn timetable(&self) -> Configuration {
+impl Scenario {
+    fn configuration(&self) -> Configuration {
         let mut entries = routes(&self.platform, "p", self.services);
         for (name, _) in SERVICES.iter().zip(self.services).filter(|(_, there)| *there) {
             entries.push(format!(
@@ -91,7 +102,7 @@
             ));
         }
         let text = format!(r#"{{"edition":"r1","consignments":[{}]}}"#, entries.join(","));
-        Configuration::read(text.as_bytes()).expect("a timetable")
+        Configuration::read(text.as_bytes()).expect("a configuration")
     }
 
     fn places(&self, member: usize) -> Vec<(&'static str, &'static str)> {
@@ -103,10 +114,10 @@
         self.places(member).iter().any(|(at, prefix)| *at == host && path.starts_with(prefix))
     }
 
-    /// In this order, which must not count.
+    /// The register in this order of members, which must not matter.
     fn register(&self, order: [usize; 3]) -> MemberRegister {
         let member = |number: usize| {
-            let (routes, tries, deadline, rank, has) = self.rooms[number];
+            let (routes, tries, deadline, rank, has) = self.limits[number];
             let places = self.places(number).into_iter();
             let places: Vec<String> =
                 places.map(|(host, prefix)| format!(r#"{{"host":"{host}","prefix":"{prefix}"}}"#)).collect();
@@ -125,7 +136,7 @@
     }
 
     fn docs(&self) -> MemberDocuments {
-        let read = |(number, doc): (usize, &Option<Vec<Asked>>)| {
+        let read = |(number, doc): (usize, &Option<Vec<RouteSpec>>)| {
             let routes = routes(doc.as_ref()?, MEMBERS[number], [true; 4]).join(",");
             let text = format!(r#"{{"edition":"r1","routes":[{routes}]}}"#);
             Some((
@@ -142,87 +153,87 @@
     MEMBERS.iter().position(|name| **name == *share.member)
 }
 
-/// Every path that is told apart.
+/// Every path that makes a difference.
 fn paths() -> impl Iterator<Item = (&'static str, String)> {
     let paths = PREFIXES.iter().flat_map(|prefix| ["", "x", "/x"].map(|end| format!("{prefix}{end}")));
     paths.flat_map(|path| HOSTS.map(|host| (host, path.clone())))
 }
 
-fn all(timetable: &Configuration) -> Vec<Arc<Route>> {
-    timetable.routes().cloned().collect()
+fn all(configuration: &Configuration) -> Vec<Arc<Route>> {
+    configuration.routes().cloned().collect()
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 512, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn nobody_reaches_past_what_it_was_given(world in world()) {
-        let (base, register, docs) = (world.timetable(), world.register([0, 1, 2]), world.docs());
-        let laid = overlay(&base, &register, &docs);
+    fn no_member_goes_beyond_what_it_is_allowed(scenario in scenario()) {
+        let (base, register, docs) = (scenario.configuration(), scenario.register([0, 1, 2]), scenario.docs());
+        let effective = overlay(&base, &register, &docs);
         let mut counts = [0; 3];
-        for route in laid.configuration.routes() {
+        for route in effective.configuration.routes() {
             let Some(member) = of(route) else {
                 prop_assert!(base.routes().any(|one| one == route), "{route:?}");
                 continue;
             };
-            let (routes, tries, deadline, rank, has) = world.rooms[member];
+            let (routes, tries, deadline, rank, has) = scenario.limits[member];
             counts[member] += 1;
             prop_assert!(counts[member] <= routes);
-            prop_assert!(world.holds(member, &route.host, &route.prefix));
+            prop_assert!(scenario.holds(member, &route.host, &route.prefix));
             prop_assert!(route.max_attempts <= tries && route.deadline_ms <= deadline && route.latency_target_ms <= deadline);
             prop_assert!(route.priority >= rank && route.max_attempts > 0 && route.deadline_ms > 0);
             for (name, _) in &route.services {
                 let at = SERVICES.iter().position(|one| **one == **name).expect("a service");
-                prop_assert!(has[at] && world.services[at]);
+                prop_assert!(has[at] && scenario.services[at]);
             }
             prop_assert!(route.services.iter().any(|(_, share)| *share > 0.0));
             let share = route.share.as_ref().expect("a share");
             prop_assert_eq!((share.retry, share.concurrency), (member as f64 / 10.0, 0.5));
         }
-        // The longest prefix holds, and outside all places what the platform has.
+        // The longest prefix is found, and outside all scopes the platform's route.
         for (host, path) in paths() {
-            let found = laid.configuration.route(host, &path);
-            let longest = laid.configuration.routes().filter(|route| *route.host == *host && path.starts_with(&*route.prefix));
+            let found = effective.configuration.route(host, &path);
+            let longest = effective.configuration.routes().filter(|route| *route.host == *host && path.starts_with(&*route.prefix));
             prop_assert_eq!(found, longest.max_by_key(|route| route.prefix.len()));
-            if (0..3).all(|member| !world.holds(member, host, &path)) {
+            if (0..3).all(|member| !scenario.holds(member, host, &path)) {
                 prop_assert_eq!(found, base.route(host, &path));
             }
         }
-        // One of the platform's goes only where a member's stands in its stead.
+        // A platform's route is missing only where a member's replaces it.
         for route in base.routes() {
-            let found = laid.configuration.routes().filter(|one| one.host == route.host && one.prefix == route.prefix);
+            let found = effective.configuration.routes().filter(|one| one.host == route.host && one.prefix == route.prefix);
             let found: Vec<_> = found.collect();
             prop_assert!(found.len() == 1 && (found[0] == route || found[0].share.is_some()));
         }
     }
 
     #[test]
-    fn a_member_changes_nobody_elses_routes(
-        world in world(), doc in vec(asked(), 0..8), room in room(), who in 0usize..3,
+    fn a_member_changes_no_other_routes(
+        scenario in scenario(), doc in vec(route_spec(), 0..8), limit_spec in limit_spec(), who in 0usize..3,
     ) {
-        let (base, register, docs) = (world.timetable(), world.register([0, 1, 2]), world.docs());
-        let mut changed = world.clone();
+        let (base, register, docs) = (scenario.configuration(), scenario.register([0, 1, 2]), scenario.docs());
+        let mut changed = scenario.clone();
         changed.docs[who] = Some(doc);
         let changed_docs = changed.docs();
         let (before, after) = (overlay(&base, &register, &docs), overlay(&base, &register, &changed_docs));
-        let others = |timetable: &Configuration| {
-            let mut routes = all(timetable);
-            routes.retain(|route| !world.holds(who, &route.host, &route.prefix));
+        let others = |configuration: &Configuration| {
+            let mut routes = all(configuration);
+            routes.retain(|route| !scenario.holds(who, &route.host, &route.prefix));
             routes
         };
         prop_assert_eq!(others(&before.configuration), others(&after.configuration));
-        for (host, path) in paths().filter(|(host, path)| !world.holds(who, host, path)) {
+        for (host, path) in paths().filter(|(host, path)| !scenario.holds(who, host, path)) {
             prop_assert_eq!(before.configuration.route(host, &path), after.configuration.route(host, &path));
         }
-        // Nor does what it is given.
-        changed.rooms[who] = room;
+        // Nor do its limits.
+        changed.limits[who] = limit_spec;
         let given = overlay(&base, &changed.register([0, 1, 2]), &changed_docs);
         prop_assert_eq!(others(&before.configuration), others(&given.configuration));
-        // What the plan tells is what changes.
+        // The plan lists changes where there are any.
         let plan = plan(&base, &register, &docs, MEMBERS[who], &changed_docs[MEMBERS[who]]);
         prop_assert_eq!(plan.changes.is_empty(), {
-            let sorted = |timetable: &Configuration| {
-                let mut routes = all(timetable);
+            let sorted = |configuration: &Configuration| {
+                let mut routes = all(configuration);
                 routes.sort_by(|a, b| (&a.host, &a.prefix).cmp(&(&b.host, &b.prefix)));
                 routes
             };
@@ -231,62 +242,62 @@
     }
 
     #[test]
-    fn all_that_hold_the_same_lay_the_same(world in world()) {
-        let base = world.timetable();
-        let one = overlay(&base, &world.register([0, 1, 2]), &world.docs());
-        let docs: MemberDocuments = world.docs().into_iter().rev().collect();
-        let other = overlay(&base, &world.register([2, 0, 1]), &docs);
+    fn equal_documents_give_equal_configurations(scenario in scenario()) {
+        let base = scenario.configuration();
+        let one = overlay(&base, &scenario.register([0, 1, 2]), &scenario.docs());
+        let docs: MemberDocuments = scenario.docs().into_iter().rev().collect();
+        let other = overlay(&base, &scenario.register([2, 0, 1]), &docs);
         prop_assert_eq!(all(&one.configuration), all(&other.configuration));
         prop_assert_eq!(one.violations, other.violations);
     }
 
     #[test]
-    fn what_passes_the_check_is_laid_as_it_is_written(world in world(), who in 0usize..3) {
-        let (base, register, docs) = (world.timetable(), world.register([0, 1, 2]), world.docs());
+    fn what_passes_the_check_is_in_force_as_written(scenario in scenario(), who in 0usize..3) {
+        let (base, register, docs) = (scenario.configuration(), scenario.register([0, 1, 2]), scenario.docs());
         let Some(doc) = docs.get(MEMBERS[who]) else { return Ok(()) };
-        let laid = overlay(&base, &register, &docs);
-        let cuts = check(&base, &register, MEMBERS[who], doc);
-        let trims: Vec<_> = laid.violations.iter().filter(|trim| *trim.member == *MEMBERS[who]).map(|trim| trim.violation.clone()).collect();
-        prop_assert_eq!(&cuts, &trims);
+        let effective = overlay(&base, &register, &docs);
+        let violations_of_check = check(&base, &register, MEMBERS[who], doc);
+        let violations: Vec<_> = effective.violations.iter().filter(|violation| *violation.member == *MEMBERS[who]).map(|violation| violation.violation.clone()).collect();
+        prop_assert_eq!(&violations_of_check, &violations);
         for (index, route) in doc.routes.iter().enumerate() {
-            let cut = cuts.iter().any(|cut| cut.route.as_ref().is_some_and(|route| route.index == index));
-            let found = laid.configuration.routes().find(|one| one.host == route.host && one.prefix == route.prefix);
+            let is_violated = violations_of_check.iter().any(|violation| violation.route.as_ref().is_some_and(|route| route.index == index));
+            let found = effective.configuration.routes().find(|one| one.host == route.host && one.prefix == route.prefix);
             let as_written = found.is_some_and(|one| {
                 of(one) == Some(who) && Route { share: None, ..Route::clone(one) } == **route
             });
-            prop_assert_eq!(as_written, !cut, "{:?}", route);
+            prop_assert_eq!(as_written, !is_violated, "{:?}", route);
         }
     }
 
     #[test]
-    fn a_larger_share_reaches_all_that_a_smaller_one_does(port in 1u16.., edition: u64, one in 0f64..1.0, more in 0f64..1.0) {
-        let door = SocketAddr::from(([10, 1, 0, 8], port));
-        prop_assert!(is_in_canary(door, "m", edition, 1.0) && !is_in_canary(door, "m", edition, 0.0));
-        prop_assert!(!is_in_canary(door, "m", edition, one) || is_in_canary(door, "m", edition, one + more));
+    fn a_larger_canary_has_all_nodes_of_a_smaller_one(port in 1u16.., edition: u64, one in 0f64..1.0, more in 0f64..1.0) {
+        let inbound_proxy = SocketAddr::from(([10, 1, 0, 8], port));
+        prop_assert!(is_in_canary(inbound_proxy, "m", edition, 1.0) && !is_in_canary(inbound_proxy, "m", edition, 0.0));
+        prop_assert!(!is_in_canary(inbound_proxy, "m", edition, one) || is_in_canary(inbound_proxy, "m", edition, one + more));
     }
 }
 
 #[test]
-fn a_share_reaches_its_part_of_the_nodes_alike_in_every_version() {
-    let door = |number: u32| SocketAddr::from((number.to_be_bytes(), 8300));
+fn a_canary_has_its_share_of_the_nodes_in_every_version() {
+    let inbound_proxy = |number: u32| SocketAddr::from((number.to_be_bytes(), 8300));
     let reached = |member: &str, edition| -> Vec<u32> {
-        (0..2_000).filter(|number| is_in_canary(door(*number), member, edition, 0.25)).collect()
+        (0..2_000).filter(|number| is_in_canary(inbound_proxy(*number), member, edition, 0.25)).collect()
     };
     let (one, other, later) = (reached("m0", 7), reached("m1", 7), reached("m0", 8));
-    // Others for another member and another edition.
+    // Another member and another version have other nodes.
     assert!([&one, &other, &later].iter().all(|all| (440..560).contains(&all.len())));
     assert!(one != other && one != later);
     expect!["[9, 20, 22, 35, 36, 40, 53, 61]"].assert_eq(&format!("{:?}", &one[..8]));
 }
 
 #[test]
-fn a_trial_never_stands_above_what_was_settled_or_withdrawn() {
+fn a_canary_is_in_force_only_above_what_was_promoted_or_rolled_back() {
     let doc = |version: u64, trial: f64| {
         let text = format!(r#"{{"edition":"r{version}","trial":{trial},"routes":[]}}"#);
         Arc::new(MemberDocument::read(text.as_bytes()).expect("a document"))
     };
-    let door = SocketAddr::from(([10, 1, 0, 8], 8300));
-    let mut told = String::new();
+    let inbound_proxy = SocketAddr::from(([10, 1, 0, 8], 8300));
+    let mut shown = String::new();
     for (settled, trial, withdrawn) in
         [(None, 0, None), (None, 1, None), (None, 1, Some(1)), (Some(1), 2, None), (Some(1), 2, Some(1))]
             .into_iter()
@@ -295,10 +306,11 @@
         let held = settled.map(|version| doc(version, 1.0));
         let edition = |share: f64| {
             let trial = doc(trial, share);
-            effective_document(door, "m", held.as_ref(), Some(&trial), withdrawn).map(|doc| doc.version)
+            effective_document(inbound_proxy, "m", held.as_ref(), Some(&trial), withdrawn)
+                .map(|doc| doc.version)
         };
         let (reached, not) = (edition(1.0), edition(0.0));
-        told += &format!(
+        shown += &format!(
             "settled {settled:?}, trial {trial}, withdrawn {withdrawn:?}: {reached:?}, elsewhere {not:?}\n"
         );
     }
@@ -312,11 +324,11 @@
         settled Some(2), trial 2, withdrawn None: Some(2), elsewhere Some(2)
         settled Some(3), trial 2, withdrawn Some(1): Some(3), elsewhere Some(3)
     "#]]
-    .assert_eq(&told);
+    .assert_eq(&shown);
 }
 
 #[test]
-fn a_plan_tells_what_changes_what_is_forbidden_and_what_is_trimmed() {
+fn a_plan_lists_changes_and_violations() {
     let base = r#"{"edition":"r1","consignments":[
         {"category":"routes","label":{"name":"all"},"manifest":{"depot":"norte.example","lane_prefix":"/","route_kind":"once_only","deadline_ms":900,"post_class":1,"line":"agenda","tries":1}},
         {"category":"mail_lines","label":{"name":"agenda"},"manifest":{"health":"/","berth_cap":1}},
@@ -345,7 +357,7 @@
         route("more", "/more/", good),
     ]);
     let (base, register) = (Configuration::read(base.as_bytes()), MemberRegister::read(register.as_bytes()));
-    let (base, register) = (base.expect("a timetable"), register.expect("a register"));
+    let (base, register) = (base.expect("a configuration"), register.expect("a register"));
     let gone = doc(&[route("x", "/x/", good)]);
     let docs: MemberDocuments = [(Name::from("norte"), held), (Name::from("gone"), gone)].into();
     let plan = plan(&base, &register, &docs, "norte", &new);
@@ -378,22 +390,22 @@
         gone: document: is of no member that the register names"#]].assert_eq(&page.join("\n--\n"));
 }
 
-/// The documents that the page shows: a timetable, a register, and a document for each of its members.
+/// The documents that the page shows: a configuration, a register, and a document for each of its members.
 #[test]
-fn the_pages_documents_are_laid_as_they_stand() {
+fn the_documents_of_the_page_are_in_force_as_written() {
     let page = include_str!("../../docs/members.md");
     let blocks = page.split("\n\n").filter(|block| block.starts_with("    {\"edition\""));
     let blocks: Vec<&[u8]> = blocks.map(str::as_bytes).collect();
     assert_eq!(blocks.len(), 8);
     for example in blocks.chunks(4) {
         let (base, register) = (Configuration::read(example[0]), MemberRegister::read(example[1]));
-        let (base, register) = (base.expect("a timetable"), register.expect("a register"));
+        let (base, register) = (base.expect("a configuration"), register.expect("a register"));
         let docs = example[2..].iter().map(|doc| Arc::new(MemberDocument::read(doc).expect("a document")));
         let docs: MemberDocuments = register.members().map(|member| member.name.clone()).zip(docs).collect();
         assert_eq!(docs.len(), 2);
-        let laid = overlay(&base, &register, &docs);
-        assert_eq!(laid.violations, []);
+        let effective = overlay(&base, &register, &docs);
+        assert_eq!(effective.violations, []);
         let written: usize = docs.values().map(|doc| doc.routes.len()).sum();
-        assert_eq!(laid.configuration.routes().filter(|route| route.share.is_some()).count(), written);
+        assert_eq!(effective.configuration.routes().filter(|route| route.share.is_some()).count(), written);
     }
 }
--- a/catalog/tests/suspected_endpoints.rs
+++ b/catalog/tests/suspected_endpoints.rs
@@ -1,20 +1,20 @@
-//! The list of branches: who is told to be quiet, and who is not any more.
+//! The endpoint table: which nodes are suspected.
 
 use std::net::SocketAddr;
 
 use ochreshed_catalog::endpoints::{EndpointRecord, EndpointTable, UpstreamState};
 
 const S: u64 = 1_000_000_000;
-const QUIET: u64 = 2 * S;
+const SUSPECT_AFTER: u64 = 2 * S;
 
-fn row(life: u64, number: u64) -> EndpointRecord {
+fn record(incarnation: u64, sequence: u64) -> EndpointRecord {
     EndpointRecord {
         inbound_proxy: SocketAddr::from(([10, 0, 0, 1], 8300)),
-        incarnation: life,
-        sequence: number,
+        incarnation,
+        sequence,
         zone: "a".into(),
         service: "shop".into(),
-        upstream_id: format!("i-{life}"),
+        upstream_id: format!("i-{incarnation}"),
         software_version: "v1".into(),
         state: UpstreamState::Serving,
         concurrency_limit: 6,
@@ -25,30 +25,29 @@
     }
 }
 
-/// Guards against a door that stays quiet for all readers because its own new row took the word of that away.
+/// Guards against a node that stays suspected by all readers because its own new record hid the change.
 #[test]
-fn one_that_was_quiet_and_comes_back_with_a_new_row_is_told_not_to_be_quiet_any_more() {
+fn a_suspected_node_that_returns_with_a_new_record_is_no_longer_suspected() {
     let mut table = EndpointTable::new(1);
-    assert!(table.merge(10 * S, &row(1, 1), 0) && !table.update_suspects(11 * S, QUIET));
-    assert!(table.update_suspects(13 * S, QUIET), "it fell quiet");
-    assert_eq!(table.suspects(), [row(1, 1).inbound_proxy]);
-    assert!(table.merge(14 * S, &row(2, 1), 0));
-    assert!(
-        table.update_suspects(14 * S, QUIET),
-        "readers that were told of it are not told that it is over"
-    );
-    assert!(table.suspects().is_empty() && !table.update_suspects(15 * S, QUIET));
+    assert!(table.merge(10 * S, &record(1, 1), 0) && !table.update_suspects(11 * S, SUSPECT_AFTER));
+    assert!(table.update_suspects(13 * S, SUSPECT_AFTER), "it was not heard from");
+    assert_eq!(table.suspects(), [record(1, 1).inbound_proxy]);
+    assert!(table.merge(14 * S, &record(2, 1), 0));
+    assert!(table.update_suspects(14 * S, SUSPECT_AFTER), "readers that suspect it are not told otherwise");
+    assert!(table.suspects().is_empty() && !table.update_suspects(15 * S, SUSPECT_AFTER));
 }
 
-/// Guards against a machine that is long gone and seems to be there again because its row was forgotten, and against one
-/// that comes back after that and stays quiet.
+/// Guards against a machine that is long gone and seems to work again because its record was removed, and against one
+/// that returns after that and stays suspected.
 #[test]
-fn one_that_is_forgotten_stays_quiet_until_it_comes_back() {
+fn a_node_whose_record_was_removed_stays_suspected_until_it_returns() {
     let mut table = EndpointTable::new(1);
-    table.merge(10 * S, &row(1, 1), 0);
-    assert!(table.update_suspects(13 * S, QUIET) && table.suspects().len() == 1);
-    assert!(!table.update_suspects(200 * S, QUIET) && table.record(row(1, 1).inbound_proxy).is_none());
-    assert_eq!(table.suspects(), [row(1, 1).inbound_proxy]);
-    assert!(table.merge(201 * S, &row(2, 1), 0) && table.update_suspects(201 * S, QUIET));
+    table.merge(10 * S, &record(1, 1), 0);
+    assert!(table.update_suspects(13 * S, SUSPECT_AFTER) && table.suspects().len() == 1);
+    assert!(
+        !table.update_suspects(200 * S, SUSPECT_AFTER) && table.record(record(1, 1).inbound_proxy).is_none()
+    );
+    assert_eq!(table.suspects(), [record(1, 1).inbound_proxy]);
+    assert!(table.merge(201 * S, &record(2, 1), 0) && table.update_suspects(201 * S, SUSPECT_AFTER));
     assert!(table.suspects().is_empty());
 }
--- a/traffic/src/lib.rs
+++ b/traffic/src/lib.rs
@@ -7,6 +7,8 @@
 //!
 //! Invariants: this crate does no I/O, reads no clock and draws no randomness; callers pass the time in.
 
+#![warn(missing_docs)]
+
 pub mod admission;
 pub mod budget_reports;
 pub mod canary;
--- a/traffic/tests/admission_order.rs
+++ b/traffic/tests/admission_order.rs
@@ -4,57 +4,60 @@
 
 const MS: u64 = 1_000_000;
 
-fn asker(call: bool, turned: u32, aim_ms: u64) -> AdmissionRequest {
+fn request(is_nested: bool, rejections: u32, target_ms: u64) -> AdmissionRequest {
     AdmissionRequest {
-        is_nested: call,
-        rejections: turned,
+        is_nested,
+        rejections,
         has_affinity: false,
-        target: aim_ms * MS,
-        deadline: (aim_ms + 500) * MS,
+        target: target_ms * MS,
+        deadline: (target_ms + 500) * MS,
     }
 }
 
 /// A queue whose upstream has no room, and whose runs take 100 ms.
-fn full(slots: u32) -> AdmissionQueue<u32> {
+fn full_queue(limit: u32) -> AdmissionQueue<u32> {
     let mut all = AdmissionQueue::default();
-    all.set_limit(slots);
+    all.set_limit(limit);
     for _ in 0..200 {
-        assert_eq!(all.request(0, &asker(false, 0, 1_000), || 0), Admission::Admitted);
+        assert_eq!(all.request(0, &request(false, 0, 1_000), || 0), Admission::Admitted);
         all.release(Some(100 * MS));
     }
-    for _ in 0..slots {
-        assert_eq!(all.request(0, &asker(false, 0, 1_000), || 0), Admission::Admitted);
+    for _ in 0..limit {
+        assert_eq!(all.request(0, &request(false, 0, 1_000), || 0), Admission::Admitted);
     }
     all
 }
 
 #[test]
-fn calls_go_first_then_those_that_are_late_first() {
-    let mut slots = full(4);
-    for (who, call, aim) in [(1, false, 900), (2, false, 500), (3, true, 700), (4, true, 600)] {
-        assert!(matches!(slots.request(0, &asker(call, 3, aim), || who), Admission::Queued(_)), "{who}");
+fn nested_calls_go_first_then_the_earliest_target() {
+    let mut queue = full_queue(4);
+    for (id, is_nested, target) in [(1, false, 900), (2, false, 500), (3, true, 700), (4, true, 600)] {
+        assert!(
+            matches!(queue.request(0, &request(is_nested, 3, target), || id), Admission::Queued(_)),
+            "{id}"
+        );
     }
-    let mut went = Vec::new();
+    let mut admitted = Vec::new();
     for _ in 0..4 {
-        slots.release(None);
-        went.extend(slots.admit_next(MS));
+        queue.release(None);
+        admitted.extend(queue.admit_next(MS));
     }
-    assert_eq!((went, slots.admit_next(MS)), (vec![4, 3, 2, 1], None));
+    assert_eq!((admitted, queue.admit_next(MS)), (vec![4, 3, 2, 1], None));
 }
 
 #[test]
-fn no_more_than_its_slots_are_let_in_and_none_waits_in_vain() {
-    let mut slots = full(4);
-    // Late before its turn would come: nowhere; late already, but the only one: if its client still waits.
-    assert_eq!(slots.request(0, &asker(false, 3, 110), || 1), Admission::Queued(595 * MS));
-    assert_eq!(slots.request(0, &asker(false, 3, 110), || 2), Admission::Rejected);
-    assert_eq!(slots.request(0, &asker(false, 0, 50), || 3), Admission::Rejected);
-    // The first door lets one wait, the last one more.
-    assert!(matches!(slots.request(0, &asker(false, 0, 1_000), || 4), Admission::Queued(_)));
-    assert_eq!(slots.request(0, &asker(false, 0, 1_000), || 5), Admission::Rejected);
-    assert!(matches!(slots.request(0, &asker(false, 1, 1_000), || 6), Admission::Queued(_)));
-    assert_eq!((slots.in_flight(), slots.admit_next(MS)), (4, None));
-    slots.release(None);
-    // Past its time to wait it is passed over.
-    assert_eq!((slots.admit_next(980 * MS), slots.in_flight(), slots.queued()), (None, 3, 0));
+fn the_limit_holds_and_no_request_waits_in_vain() {
+    let mut queue = full_queue(4);
+    // A request that would be late waits only if it is the only one and its client still waits.
+    assert_eq!(queue.request(0, &request(false, 3, 110), || 1), Admission::Queued(595 * MS));
+    assert_eq!(queue.request(0, &request(false, 3, 110), || 2), Admission::Rejected);
+    assert_eq!(queue.request(0, &request(false, 0, 50), || 3), Admission::Rejected);
+    // Few requests wait at their first inbound proxy, more at later ones.
+    assert!(matches!(queue.request(0, &request(false, 0, 1_000), || 4), Admission::Queued(_)));
+    assert_eq!(queue.request(0, &request(false, 0, 1_000), || 5), Admission::Rejected);
+    assert!(matches!(queue.request(0, &request(false, 1, 1_000), || 6), Admission::Queued(_)));
+    assert_eq!((queue.in_flight(), queue.admit_next(MS)), (4, None));
+    queue.release(None);
+    // A request that has expired is dropped.
+    assert_eq!((queue.admit_next(980 * MS), queue.in_flight(), queue.queued()), (None, 3, 0));
 }
--- a/traffic/tests/canary.rs
+++ b/traffic/tests/canary.rs
@@ -1,4 +1,4 @@
-//! When a trial of a member's document is withdrawn.
+//! When a canary is rolled back.
 
 use ochreshed_traffic::canary::{RequestOutcomes, Verdict, verdict};
 use rand::{Rng, SeedableRng};
@@ -9,8 +9,8 @@
 }
 
 #[test]
-fn a_trial_is_withdrawn_only_for_what_the_others_do_not_suffer() {
-    for (trial, others, over, comes_to) in [
+fn a_canary_is_rolled_back_only_for_failures_that_the_baseline_lacks() {
+    for (canary, baseline, is_over, expected) in [
         (ended(0, 0), ended(0, 0), false, Verdict::Continue),
         (ended(0, 0), ended(900, 900), true, Verdict::Promote),
         (ended(2, 2), ended(900, 0), true, Verdict::Promote),
@@ -23,24 +23,26 @@
         (ended(90, 46), ended(0, 0), true, Verdict::RollBack),
         (ended(u64::MAX, u64::MAX / 2), ended(u64::MAX, 0), false, Verdict::RollBack),
     ] {
-        assert_eq!(verdict(trial, others, over), comes_to, "{trial:?} {others:?}");
+        assert_eq!(verdict(canary, baseline, is_over), expected, "{canary:?} {baseline:?}");
     }
 }
 
-/// Reqs drawn by chance, looked at ten times in a trial's course.
+/// Random outcomes, judged ten times in the course of a canary.
 #[test]
-fn chance_seldom_withdraws_one_and_seldom_saves_one() {
+fn random_outcomes_seldom_cause_a_wrong_verdict() {
     let mut rng = ChaCha8Rng::seed_from_u64(7);
-    let mut withdrawn = |on_trial: f64, elsewhere: f64| {
+    let mut rolled_back = |canary_rate: f64, baseline_rate: f64| {
         let run = |rng: &mut ChaCha8Rng| {
-            let (mut trial, mut others) = (RequestOutcomes::default(), RequestOutcomes::default());
+            let (mut canary, mut baseline) = (RequestOutcomes::default(), RequestOutcomes::default());
             for _ in 0..10 {
-                for (ended, part, reqs) in [(&mut trial, on_trial, 50), (&mut others, elsewhere, 150)] {
-                    let failed = (0..reqs).filter(|_| rng.random_bool(part)).count() as u64;
+                for (ended, part, requests) in
+                    [(&mut canary, canary_rate, 50), (&mut baseline, baseline_rate, 150)]
+                {
+                    let failed = (0..requests).filter(|_| rng.random_bool(part)).count() as u64;
                     ended.failed += failed;
-                    ended.succeeded += reqs - failed;
+                    ended.succeeded += requests - failed;
                 }
-                if verdict(trial, others, false) == Verdict::RollBack {
+                if verdict(canary, baseline, false) == Verdict::RollBack {
                     return true;
                 }
             }
@@ -48,6 +50,6 @@
         };
         (0..400).filter(|_| run(&mut rng)).count()
     };
-    let (alike, doubled, broken) = (withdrawn(0.02, 0.02), withdrawn(0.06, 0.02), withdrawn(0.2, 0.02));
+    let (alike, doubled, broken) = (rolled_back(0.02, 0.02), rolled_back(0.06, 0.02), rolled_back(0.2, 0.02));
     assert!(alike <= 16 && doubled >= 300 && broken == 400, "{alike} {doubled} {broken} of 400");
 }
--- a/traffic/tests/idle_limit.rs
+++ b/traffic/tests/idle_limit.rs
@@ -10,7 +10,7 @@
 const MAX_LIMIT: u64 = 1_000 * MS;
 
 #[test]
-fn one_that_was_forgotten_makes_others_be_given_up_earlier_and_for_longer_each_time() {
+fn a_forgotten_connection_lowers_the_limit_for_longer_each_time() {
     let mut idle_limit = IdleLimit::new(MAX_LIMIT);
     let (mut now, mut durations) = (100_000 * MS, Vec::new());
     for _ in 0..4 {
@@ -24,7 +24,7 @@
         durations.push((now - from) / BASE_DURATION);
     }
     assert_eq!(durations, [1, 2, 4, 8]);
-    // Once it has not happened for long it is as at first; a shorter one within the time shortens it.
+    // After a long time without a loss the duration is as at first; a shorter idle time lowers the limit further.
     now += RECURRENCE_WINDOW;
     assert!(idle_limit.lost(now, Some(400 * MS)) && idle_limit.lost(now, Some(80 * MS)));
     assert_eq!(idle_limit.limit(now), MIN_LIMIT);
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn answers_that_are_lost_whatever_the_age_end_no_connection() {
+fn losses_at_any_age_do_not_lower_the_limit() {
     let mut idle_limit = IdleLimit::new(MAX_LIMIT);
     let mut now = 100_000 * MS;
     for lost in [Some(3 * MS), None, Some(700 * MS), Some(100 * MS), Some(0)] {
@@ -40,7 +40,7 @@
         assert_eq!(idle_limit.limit(now), MAX_LIMIT, "{lost:?}");
         now += 100 * MS;
     }
-    // An older one first: it is taken back by one that was in use.
+    // A loss on a connection in use takes a lower limit back.
     now += AGE_IRRELEVANT_DURATION;
     assert!(idle_limit.lost(now, Some(100 * MS)));
     assert_eq!(idle_limit.limit(now), MIN_LIMIT);
@@ -49,9 +49,9 @@
 }
 
 proptest! {
-    /// Whatever is lost: connections in use stay, and all is as before in the end.
+    /// Whatever is lost, connections in use stay and the limit is as before in the end.
     #[test]
-    fn nothing_is_for_ever(losses in prop::collection::vec((0u64..5_000, prop::option::of(0u64..2_000)), 0..100)) {
+    fn every_lower_limit_ends(losses in prop::collection::vec((0u64..5_000, prop::option::of(0u64..2_000)), 0..100)) {
         let mut idle_limit = IdleLimit::new(MAX_LIMIT);
         let mut now = 0;
         for (after, lost) in losses {
--- a/traffic/tests/large_response_pacer.rs
+++ b/traffic/tests/large_response_pacer.rs
@@ -3,7 +3,7 @@
 use ochreshed_traffic::large_response_pacer::{LINK_UTILIZATION, LargeResponsePacer};
 
 #[test]
-fn pieces_go_one_behind_the_other_at_a_part_of_the_link() {
+fn pieces_are_sent_one_after_the_other_at_a_part_of_the_bandwidth() {
     // A million bytes a second.
     let mut pacer = LargeResponsePacer::new(8.0 / LINK_UTILIZATION);
     let sent_at: Vec<u64> = (0..3).map(|_| pacer.reserve(5_000, 10_000)).collect();
--- a/traffic/tests/lease_circuit_breaker.rs
+++ b/traffic/tests/lease_circuit_breaker.rs
@@ -1,4 +1,4 @@
-//! PendingWatch for a control plane that does not answer.
+//! Waits for leases while the control plane does not answer.
 
 use ochreshed_traffic::lease_circuit_breaker::LeaseCircuitBreaker;
 
@@ -6,7 +6,7 @@
 
 /// Guards against requests that are held to their end because no majority of the control plane is there.
 #[test]
-fn a_claim_leaves_its_client_time_to_go_elsewhere() {
+fn a_request_for_a_lease_leaves_its_client_time_to_go_elsewhere() {
     let mut breaker = LeaseCircuitBreaker::default();
     assert_eq!(breaker.wait(0, 600 * MS, false), 240 * MS);
     assert_eq!(breaker.wait(0, 20_000 * MS, false), 900 * MS);
@@ -21,11 +21,11 @@
     breaker.unanswered(240 * MS, 240 * MS);
     let waits: Vec<u64> =
         (0..10).map(|nth| breaker.wait((240 + 50 * nth) * MS, 600 * MS, false) / MS).collect();
-    // One in a while finds out whether it answers again.
+    // One request now and then finds out whether the control plane answers again.
     assert_eq!(waits, [60, 60, 60, 60, 60, 240, 60, 60, 60, 60]);
     breaker.answered();
     assert_eq!(breaker.wait(800 * MS, 600 * MS, false), 240 * MS);
-    // One that had hardly any time tells nothing.
+    // A request that had hardly any time says nothing.
     breaker.unanswered(900 * MS, 30 * MS);
     assert_eq!(breaker.wait(900 * MS, 600 * MS, false), 240 * MS);
 }
--- a/traffic/tests/outlier_detection.rs
+++ b/traffic/tests/outlier_detection.rs
@@ -8,17 +8,17 @@
 
 const MS: u64 = 1_000_000;
 
-/// One run of so many ms after another, each with its outcome.
+/// Runs of this duration one after another, each with its outcome.
 fn run(
     detector: &mut OutlierDetector,
     now: &mut u64,
     took_ms: u64,
     outcomes: impl IntoIterator<Item = RunOutcome>,
 ) -> UpstreamHealth {
-    for ran in outcomes {
+    for outcome in outcomes {
         let id = detector.begin(*now, RequestClass::default());
         *now += took_ms * MS;
-        detector.end(*now, id, ran);
+        detector.end(*now, id, outcome);
         detector.update(*now);
     }
     detector.health()
@@ -31,19 +31,19 @@
 }
 
 #[test]
-fn half_that_fail_are_told_within_sixteen_runs_and_taken_back_by_steps() {
+fn failures_of_half_raise_the_level_within_sixteen_runs_and_probation_lowers_it() {
     let (mut detector, mut now) = healthy();
     let half = [RunOutcome::Failed, RunOutcome::Succeeded].into_iter().cycle();
     assert_eq!(run(&mut detector, &mut now, 50, half.take(16)).failure_level, 1);
     assert_eq!(run(&mut detector, &mut now, 50, [RunOutcome::Failed; 20]).failure_level, 2);
-    // Nothing more is sent there: a level better after each time without news, until it is sent some again.
+    // Without requests the level is lowered after each interval, until the upstream gets some again.
     let mut levels = Vec::new();
     for _ in 0..3 {
         now += PROBATION_INTERVAL * 3;
         levels.push(detector.update(now).failure_level);
     }
     assert_eq!(levels, [1, 0, 0]);
-    // It fails as before: told at once, and tried again later each time, also while a few do well there.
+    // It fails as before: the level rises at once, and each probation comes later, also while a few runs succeed.
     let mut waits = Vec::new();
     for _ in 0..3 {
         assert!(run(&mut detector, &mut now, 50, [RunOutcome::Failed; 9]).failure_level >= 1);
@@ -59,12 +59,12 @@
 }
 
 #[test]
-fn slow_runs_are_told_against_what_they_took_for_long() {
+fn slow_runs_are_compared_with_the_long_term_latency() {
     let (mut detector, mut now) = healthy();
     assert_eq!(
         run(&mut detector, &mut now, 100, [RunOutcome::Succeeded; 60]).latency_level,
         0,
-        "twice is no illness"
+        "twice the latency is healthy"
     );
     let (mut detector, mut now) = healthy();
     assert_eq!(run(&mut detector, &mut now, 230, [RunOutcome::Succeeded; 40]).latency_level, 1);
@@ -73,26 +73,26 @@
 }
 
 #[test]
-fn runs_that_hang_fail_before_they_end_and_only_once() {
+fn overdue_runs_count_as_failed_once() {
     let (mut detector, mut now) = healthy();
     let runs: Vec<u64> = (0..6).map(|_| detector.begin(now, RequestClass::default())).collect();
     now += 400 * MS;
-    let ill = detector.update(now);
-    assert!(ill.failure_level >= 1, "{ill:?}");
+    let health = detector.update(now);
+    assert!(health.failure_level >= 1, "{health:?}");
     let failing = detector.failure_rate(&RequestClass::default());
     runs.into_iter().for_each(|run| detector.end(now, run, RunOutcome::Failed));
     assert_eq!(detector.failure_rate(&RequestClass::default()), failing);
 }
 
 #[test]
-fn no_connection_tells_at_once() {
+fn refused_connections_count_at_once() {
     let (mut detector, mut now) = healthy();
     assert!(run(&mut detector, &mut now, 1, [RunOutcome::NoConnection; 2]).failure_level >= 1);
 }
 
-/// Guards against the chance by which some runs of much work follow each other.
+/// Guards against a verdict on a few long runs that follow each other by chance.
 #[test]
-fn runs_of_mixed_work_are_not_told_as_slow() {
+fn runs_of_mixed_work_are_not_slow() {
     let (mut detector, mut now) = healthy();
     for nth in 0..4_000_u64 {
         let took = if nth.wrapping_mul(0x9E37_79B9_7F4A_7C15) >> 62 == 0 { 200 } else { 20 };
@@ -100,17 +100,17 @@
     }
 }
 
-/// Guards against a member whose own reqs all fail, or take long, and that has an upstream taken from the others.
+/// Guards against a member whose own requests all fail and make an upstream unhealthy for all.
 #[test]
-fn what_fails_by_one_member_only_is_not_the_upstreams_fault() {
+fn failures_of_one_member_only_do_not_count() {
     let (mut detector, mut now) = healthy();
     let norte = RequestClass { member: Some("norte".into()), ..RequestClass::default() };
-    let mut both = |ran: RunOutcome, others: RunOutcome| {
+    let mut both = |outcome: RunOutcome, others: RunOutcome| {
         for _ in 0..60 {
-            for (sort, ran) in [(&norte, ran), (&RequestClass::default(), others)] {
-                let id = detector.begin(now, sort.clone());
+            for (class, outcome) in [(&norte, outcome), (&RequestClass::default(), others)] {
+                let id = detector.begin(now, class.clone());
                 now += 25 * MS;
-                detector.end(now, id, ran);
+                detector.end(now, id, outcome);
                 detector.update(now);
             }
         }
@@ -122,23 +122,23 @@
 }
 
 proptest! {
-    /// Whatever comes in whatever order, no run is kept for ever, and all well for long is told as well.
+    /// Whatever happens in whatever order, no ended run is kept, and an upstream without failures is healthy in the end.
     #[test]
-    fn it_heals(steps in prop::collection::vec((0u8..6, 0u64..400, 0u8..3), 0..200)) {
+    fn an_upstream_recovers(steps in prop::collection::vec((0u8..6, 0u64..400, 0u8..3), 0..200)) {
         let (mut detector, mut now, mut open) = (OutlierDetector::default(), MS, Vec::new());
-        let sort = |member: &str| RequestClass { member: Some(member.into()), ..RequestClass::default() };
-        let sorts = [RequestClass::default(), sort("norte"), sort("sul")];
+        let class = |member: &str| RequestClass { member: Some(member.into()), ..RequestClass::default() };
+        let classes = [RequestClass::default(), class("norte"), class("sul")];
         for (what, ms, member) in steps {
             now += ms * MS;
             match what {
-                0 | 1 => open.push(detector.begin(now, sorts[usize::from(member)].clone())),
+                0 | 1 => open.push(detector.begin(now, classes[usize::from(member)].clone())),
                 _ => if let Some(run) = open.pop() {
-                    let ran = [RunOutcome::Succeeded, RunOutcome::Failed, RunOutcome::NoConnection, RunOutcome::Abandoned][usize::from(what - 2)];
-                    detector.end(now, run, ran);
+                    let outcome = [RunOutcome::Succeeded, RunOutcome::Failed, RunOutcome::NoConnection, RunOutcome::Abandoned][usize::from(what - 2)];
+                    detector.end(now, run, outcome);
                 }
             }
-            let ill = detector.update(now);
-            prop_assert!(ill.failure_level <= MAX_FAILURE_LEVEL && usize::from(ill.latency_level) <= LATENCY_THRESHOLDS.len());
+            let health = detector.update(now);
+            prop_assert!(health.failure_level <= MAX_FAILURE_LEVEL && usize::from(health.latency_level) <= LATENCY_THRESHOLDS.len());
             prop_assert_eq!(detector.open_runs(), open.len());
         }
         open.into_iter().for_each(|run| detector.end(now, run, RunOutcome::Abandoned));
