--- a/balancer/src/mesh/control/admin_api/budget.rs
+++ b/balancer/src/mesh/control/admin_api/budget.rs
@@ -10,6 +10,7 @@
 use ochreshed_catalog::endpoints::UpstreamState;
 use ochreshed_catalog::traffic_reports::AttemptCounts;
 use ochreshed_catalog::traffic_reports::{OutcomeCounts, RouteEdition};
+use ochreshed_traffic::budget_reports::AttemptTotals;
 use serde::Serialize;
 
 use super::response::AdminResponse;
@@ -107,8 +108,9 @@
     let (reports, limits) = (&snapshot.reports.reports, &snapshot.limits);
     let window_ms = limits.retry_window.as_millis() as u64;
     let heard = proxies_heard_within(&snapshot.endpoints, window_ms);
-    let (attempts, reporting_proxies) = reports.sum(|proxy| heard.contains(&proxy));
-    let outcomes = reports.members(|proxy| heard.contains(&proxy));
+    let AttemptTotals { services: attempts, proxies: reporting_proxies } =
+        reports.attempt_totals(|proxy| heard.contains(&proxy));
+    let outcomes = reports.outcome_totals(|proxy| heard.contains(&proxy));
     let usage = usage_by_service(&snapshot.endpoints, attempts);
     let services = usage.into_iter().take(MAX_ENTRIES);
     let serving_proxies = snapshot.endpoints.iter().filter(|endpoint| endpoint.record.accepts_clients);
--- a/balancer/src/mesh/control/admin_api/member_calls.rs
+++ b/balancer/src/mesh/control/admin_api/member_calls.rs
@@ -250,11 +250,10 @@
     let mut nodes = BTreeMap::new();
     for response in join_all(requests).await {
         if let Ok(InternalResponse::AppliedEditions(applied)) = response {
-            nodes.extend(
-                applied.into_iter().map(|(inbound_proxy, version, canary)| {
-                    (inbound_proxy, MemberEdition { version, canary })
-                }),
-            );
+            nodes.extend(applied.into_iter().map(|node| {
+                let edition = MemberEdition { version: node.version, canary: node.canary };
+                (node.inbound_proxy, edition)
+            }));
         }
     }
     for (inbound_proxy, edition) in server.members.editions_by_node(member) {
--- a/balancer/src/mesh/control/budget_reports.rs
+++ b/balancer/src/mesh/control/budget_reports.rs
@@ -14,10 +14,11 @@
 use futures_util::stream::{FuturesUnordered, StreamExt};
 use ochreshed::Nanos;
 use ochreshed_catalog::endpoints::TablePosition;
+use ochreshed_catalog::internal_rpc::{self, CollectedReport};
 use ochreshed_catalog::traffic_reports::BudgetReport;
 use ochreshed_catalog::traffic_reports::EditionOutcomes;
 use ochreshed_catalog::watch_server;
-use ochreshed_traffic::retry_budget::BudgetReports;
+use ochreshed_traffic::budget_reports::BudgetReports;
 use tokio::time::Instant;
 
 use crate::mesh::rpc::{InternalRequest, InternalResponse, RpcClients, WatchRequest, WatchResponse};
@@ -86,9 +87,9 @@
             self.unreachable_replicas.push(replica);
             return;
         };
-        let (reports, recovery_ms) = *reports;
+        let internal_rpc::CollectedReports { reports, recovery_ms } = *reports;
         let mut outcomes: HashMap<SocketAddr, EditionOutcomes> = outcomes.into_iter().collect();
-        for (proxy, age_ms, mut report) in reports {
+        for CollectedReport { inbound_proxy: proxy, age_ms, mut report } in reports {
             report.outcomes = outcomes.remove(&proxy).unwrap_or_default();
             self.reports.store(now, proxy, report, Nanos::from(age_ms) * NANOS_PER_MS);
         }
--- a/balancer/src/mesh/control/canary_monitor.rs
+++ b/balancer/src/mesh/control/canary_monitor.rs
@@ -121,7 +121,7 @@
 /// Promotes or withdraws a canary if its verdict is known.
 async fn end_canary_if_decided(server: &ReplicaServer, canary: &CanaryId, over: bool) {
     let collected = server.collect_reports(server.clock.now()).await;
-    let outcomes = collected.reports.members(|_| true);
+    let outcomes = collected.reports.outcome_totals(|_| true);
     let verdict = canary_verdict(&outcomes, &canary.member, canary.version, over);
     if verdict == Verdict::Continue {
         return;
--- a/balancer/src/mesh/control/committed_state.rs
+++ b/balancer/src/mesh/control/committed_state.rs
@@ -37,7 +37,10 @@
             configuration: self.configuration_revision(),
             replicas: &self.replicas,
             has_quorum: self.has_quorum,
-            registers: (self.registers.digest, &self.registers.values),
+            registers: watch_server::CommittedRegisters {
+                digest: self.registers.digest,
+                registers: &self.registers.values,
+            },
         }
     }
 
--- a/balancer/src/mesh/control/member_directory.rs
+++ b/balancer/src/mesh/control/member_directory.rs
@@ -92,8 +92,8 @@
     pub fn editions_by_node(&self, member: &str) -> Vec<(SocketAddr, MemberEdition)> {
         let applied_editions = held(&self.applied_editions);
         let edition_of = |(inbound_proxy, applied): (&SocketAddr, &AppliedEditions)| {
-            let (_, version, canary) = applied.iter().find(|(name, ..)| **name == *member)?;
-            Some((*inbound_proxy, MemberEdition { version: *version, canary: *canary }))
+            let edition = applied.iter().find(|edition| *edition.member == *member)?;
+            Some((*inbound_proxy, MemberEdition { version: edition.version, canary: edition.canary }))
         };
         applied_editions.iter().filter_map(edition_of).collect()
     }
--- a/balancer/src/mesh/control/replica_server.rs
+++ b/balancer/src/mesh/control/replica_server.rs
@@ -16,11 +16,11 @@
 use ochreshed_catalog::configuration_update::{ConfigurationUpdate, UpdateCache};
 use ochreshed_catalog::endpoints::EndpointTable;
 use ochreshed_catalog::internal_rpc;
-use ochreshed_catalog::traffic_reports::BudgetReport;
+use ochreshed_catalog::internal_rpc::{CollectedReport, NodeEdition};
 use ochreshed_catalog::traffic_reports::EditionOutcomes;
 use ochreshed_catalog::watch_server::{PendingWatch, WatchServer};
 use ochreshed_consensus::messages::{CoreRequest, CoreResponse, LeaseKey, Message, Revision};
-use ochreshed_traffic::retry_budget::BudgetReports;
+use ochreshed_traffic::budget_reports::BudgetReports;
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::time::{Instant, timeout, timeout_at};
 
@@ -236,7 +236,11 @@
             }
             InternalRequest::AppliedEditions(member) => {
                 let nodes = self.members.editions_by_node(&member).into_iter();
-                let nodes = nodes.map(|(proxy, edition)| (proxy, edition.version, edition.canary));
+                let nodes = nodes.map(|(inbound_proxy, edition)| NodeEdition {
+                    inbound_proxy,
+                    version: edition.version,
+                    canary: edition.canary,
+                });
                 Some(InternalResponse::AppliedEditions(nodes.collect()))
             }
             InternalRequest::ReplicaMessage(message) => {
@@ -276,7 +280,7 @@
         if is_new {
             self.notify_change();
         }
-        let deadline = Instant::now() + Duration::from_nanos(pending.hold);
+        let deadline = Instant::now() + Duration::from_nanos(pending.max_wait);
         let reports_only = request.reports_only;
         self.store_proxy_reports(request);
         let reports = reports_only.then(|| Box::new(self.received_reports()));
@@ -317,15 +321,18 @@
 
     /// What this replica received, in the form in which it goes to another one.
     fn received_reports(&self) -> internal_rpc::CollectedReports {
-        let reports = held(&self.reports).collect(self.clock.now());
-        (reports, self.recovery_time.recorded_ms())
+        internal_rpc::CollectedReports {
+            reports: held(&self.reports).collect(self.clock.now()),
+            recovery_ms: self.recovery_time.recorded_ms(),
+        }
     }
 }
 
 /// The outcomes of canaries in the reports. They travel beside the reports, which earlier versions read without them.
 fn outcomes_by_proxy(reports: &internal_rpc::CollectedReports) -> Vec<(SocketAddr, EditionOutcomes)> {
-    let outcomes = |(proxy, _, report): &(SocketAddr, u32, BudgetReport)| {
-        (!report.outcomes.is_empty()).then(|| (*proxy, report.outcomes.clone()))
+    let outcomes = |collected: &CollectedReport| {
+        let outcomes = &collected.report.outcomes;
+        (!outcomes.is_empty()).then(|| (collected.inbound_proxy, outcomes.clone()))
     };
-    reports.0.iter().filter_map(outcomes).collect()
+    reports.reports.iter().filter_map(outcomes).collect()
 }
--- a/balancer/src/mesh/control/tests/admin_api_tests.rs
+++ b/balancer/src/mesh/control/tests/admin_api_tests.rs
@@ -10,7 +10,7 @@
 use ochreshed_catalog::traffic_reports::{OutcomeCounts, RouteEdition};
 use ochreshed_consensus::core::{LeaseCounts, PeerStatus, ResponseCacheUsage, SessionCounts};
 use ochreshed_consensus::messages::{Lease, LeaseOutcome, ReplicaId, Revision, StoredResponse};
-use ochreshed_traffic::retry_budget::BudgetReports;
+use ochreshed_traffic::budget_reports::BudgetReports;
 
 use super::answer;
 use super::configuration_history::{StoredVersion, stored_versions};
--- a/balancer/src/mesh/proxy/control_plane_watch.rs
+++ b/balancer/src/mesh/proxy/control_plane_watch.rs
@@ -7,6 +7,7 @@
 use std::time::Duration;
 
 use ochreshed::Name;
+use ochreshed_catalog::internal_rpc::RegisterList;
 use ochreshed_catalog::watch_client::{self, Watcher};
 use ochreshed_consensus::messages::Revision;
 use tokio::time::sleep;
@@ -49,9 +50,9 @@
         };
         match reply {
             Ok(InternalResponse::Watch(mut reply)) => {
-                if let Some((number, ranks)) = reply.registers.take() {
-                    if fetch_registers(&node, replica, ranks).await {
-                        asker.registers_applied(replica, number);
+                if let Some(RegisterList { digest, revisions }) = reply.registers.take() {
+                    if fetch_registers(&node, replica, revisions).await {
+                        asker.registers_applied(replica, digest);
                     } else {
                         sleep(RETRY_INTERVAL).await;
                     }
@@ -84,9 +85,9 @@
     if let Some(revision) = reply.configuration.filter(|revision| node.start_fetch(*revision)) {
         tokio::spawn(fetch_configuration(node.clone(), replica, revision));
     }
-    for (door, id, _) in &reply.drains {
-        if *door == node.inbound_address() {
-            node.inbound.drain(id);
+    for drain in &reply.drains {
+        if drain.inbound_proxy == node.inbound_address() {
+            node.inbound.drain(&drain.upstream_id);
         }
     }
     if !reply.replicas.is_empty() {
--- a/balancer/src/mesh/proxy/inbound.rs
+++ b/balancer/src/mesh/proxy/inbound.rs
@@ -202,8 +202,8 @@
         let mut slots = held(&self.0.slots);
         let took = (self.1 > 0).then(|| now.saturating_sub(self.1));
         match &self.2 {
-            None => slots.leave(took),
-            Some(member) => slots.leave_of(member, took),
+            None => slots.release(took),
+            Some(member) => slots.release_for_member(member, took),
         }
         let handed = self.0.hand_on(&mut slots, now);
         drop(slots);
@@ -365,7 +365,7 @@
             closing_since: closing.then_some(now),
             to: line,
         });
-        held(&self.slots).set(record.concurrency_limit);
+        held(&self.slots).set_limit(record.concurrency_limit);
         drop(state);
         self.record_changed();
     }
@@ -534,7 +534,7 @@
         }
         if !same {
             let mut all = held(&self.slots);
-            all.set(slots);
+            all.set_limit(slots);
             let handed = self.hand_on(&mut all, now);
             drop(all);
             handed.into_iter().for_each(|(waiting, slot)| drop(waiting.send(slot)));
@@ -603,7 +603,7 @@
         self.connection_limit.set_limit(cap);
         let slots = held(&self.state).upstream.as_ref().map_or(0, |upstream| upstream.slots);
         if slots as usize > cap {
-            held(&self.slots).set(cap.max(1) as u32);
+            held(&self.slots).set_limit(cap.max(1) as u32);
         }
     }
 
@@ -627,7 +627,7 @@
     /// How many reqs are at the upstream or wait to be.
     pub fn load(&self) -> usize {
         let slots = held(&self.slots);
-        slots.taken() as usize + slots.waiting()
+        slots.in_flight() as usize + slots.queued()
     }
 
     /// Gives free places to those that wait, to be sent to them once the lock is free.
@@ -637,8 +637,8 @@
         now: Nanos,
     ) -> Vec<(oneshot::Sender<AdmissionPermit>, AdmissionPermit)> {
         let mut handed = Vec::new();
-        slots.forget(|(waiting, _)| waiting.is_closed());
-        while let Some((waiting, member)) = slots.next(now) {
+        slots.remove_waiters(|(waiting, _)| waiting.is_closed());
+        while let Some((waiting, member)) = slots.admit_next(now) {
             handed.push((waiting, AdmissionPermit(self.clone(), 0, member)));
         }
         handed
@@ -669,7 +669,7 @@
         // and its own part.
         let paced = large && away;
         let (stands, span) = if paced { self.on_the_way(now) } else { (0, 0) };
-        let took = held(&self.slots).took();
+        let took = held(&self.slots).mean_run_time();
         let target = target.saturating_sub(span + stands.saturating_sub(took));
         if stands > 0 && now + took > target {
             return UpstreamOutcome::Rejected;
@@ -686,7 +686,7 @@
                 target,
                 deadline: until,
             };
-            let way = held(&self.slots).ask_of(now, &asker, part.as_ref(), || {
+            let way = held(&self.slots).request_for_member(now, &asker, part.as_ref(), || {
                 let (send, waits) = oneshot::channel();
                 wait = Some(waits);
                 (send, member.clone())
@@ -731,7 +731,8 @@
         // An answer that names another req belongs to that one.
         let ours = |head: &Parts| head.headers.get(&ID) == id.as_ref();
         slot.1 = self.clock.now();
-        let run = self.begins(slot.1, RequestClass { member: slot.2.clone(), call, large });
+        let run =
+            self.begins(slot.1, RequestClass { member: slot.2.clone(), is_nested: call, is_large: large });
         let answer = to.exchange(message, &fields, until, Some(Box::new(slot)), ours).await;
         let (mut head, flow) = match answer {
             Ok(answer) => answer,
@@ -813,7 +814,7 @@
         let mean = *held(&self.large);
         let coming = self.large_inside.load(Relaxed) as f64 * mean;
         let pace = self.large_responses.pace();
-        (pace.wait(now) + pace.span(coming), pace.span(mean))
+        (pace.wait(now) + pace.transfer_time(coming), pace.transfer_time(mean))
     }
 
     /// So many bytes go out to other machines, at once.
--- a/balancer/src/mesh/proxy/node.rs
+++ b/balancer/src/mesh/proxy/node.rs
@@ -23,9 +23,9 @@
 use ochreshed_catalog::watch_client::EndpointView;
 use ochreshed_consensus::messages::Revision;
 use ochreshed_consensus::messages::{NamedRegister, RegisterValue};
+use ochreshed_traffic::budget_reports::MAX_SERVICES;
 use ochreshed_traffic::lease_circuit_breaker::LeaseCircuitBreaker;
 use ochreshed_traffic::outcome_counts::OutcomeCounter;
-use ochreshed_traffic::retry_budget::MOST_SERVICES;
 use ochreshed_traffic::retry_shares::{self, RetryShares};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -97,7 +97,7 @@
             .into_iter()
             .map(|plan| (plan.key(), plan))
             .collect();
-        let shares = Arc::new(retry_shares::of(&configuration));
+        let shares = Arc::new(retry_shares::shares_of(&configuration));
         AppliedConfiguration { configuration, plans, shares, editions }
     }
 
@@ -310,18 +310,18 @@
 
     /// The service that a req of this route goes to.
     pub fn choose_service(&self, route: &Route) -> Option<Name> {
-        let total: f64 = route.services.iter().map(|(_, share)| share).sum();
+        let total: f64 = route.services.iter().map(|service| service.1).sum();
         if route.services.len() == 1 {
-            return route.services.first().map(|(name, _)| name.clone());
+            return route.services.first().map(|service| service.0.clone());
         }
         let mut at = held(&self.chance).random::<f64>() * total;
-        for (name, share) in &route.services {
-            at -= share;
-            if at < 0.0 && *share > 0.0 {
-                return Some(name.clone());
+        for service in &route.services {
+            at -= service.1;
+            if at < 0.0 && service.1 > 0.0 {
+                return Some(service.0.clone());
             }
         }
-        route.services.iter().rev().find(|(_, share)| *share > 0.0).map(|(name, _)| name.clone())
+        route.services.iter().rev().find(|service| service.1 > 0.0).map(|service| service.0.clone())
     }
 
     /// The desk for the reqs of a route that go to this service.
@@ -354,8 +354,8 @@
         plan: &SchedulerPlan,
     ) -> Arc<RequestScheduler> {
         let settings = self.settings.load();
-        let of = || records.records().filter(|(record, _)| *record.service == *plan.line);
-        let calls = of().any(|(record, _)| record.calls_services);
+        let of = || records.records().filter(|received| *received.record.service == *plan.line);
+        let calls = of().any(|received| received.record.calls_services);
         let told = (plan.line.clone(), ServiceSettings::new(plan, gates, calls, &settings.bounds));
         let window = settings.bounds.retry_window.as_nanos() as Nanos;
         let scheduler = RequestScheduler::of(was, told, self.clock, || self.new_token(), window);
@@ -376,7 +376,7 @@
         all.sort_by_key(|(name, figures)| {
             (std::cmp::Reverse((figures.retried, figures.first)), name.clone())
         });
-        all.truncate(MOST_SERVICES);
+        all.truncate(MAX_SERVICES);
         let members = held(&self.fares).counts(self.clock.now());
         BudgetReport { services: all, recovery_ms: self.recovery_time.recorded_ms(), outcomes: members }
     }
@@ -484,7 +484,13 @@
     pub fn applied_editions(&self) -> AppliedEditions {
         let configuration = self.configuration.load();
         let editions = configuration.iter().flat_map(|configuration| &configuration.editions);
-        editions.map(|(member, edition)| (member.clone(), edition.version, edition.canary)).collect()
+        editions
+            .map(|(member, edition)| RouteEdition {
+                member: member.clone(),
+                version: edition.version,
+                canary: edition.canary,
+            })
+            .collect()
     }
 
     pub fn merge_records(&self, which: usize, records: Vec<EndpointRecord>, suspected: HashSet<SocketAddr>) {
--- a/balancer/src/mesh/proxy/request_scheduler.rs
+++ b/balancer/src/mesh/proxy/request_scheduler.rs
@@ -9,6 +9,7 @@
 use ochreshed_catalog::configuration::{Configuration, RepeatPolicy, Route};
 use ochreshed_catalog::endpoints::{EndpointRecord, UpstreamState};
 use ochreshed_catalog::traffic_reports::AttemptCounts;
+use ochreshed_catalog::watch_client::ReceivedRecord;
 use ochreshed_hands::{Act, End, Hands};
 use ochreshed_traffic::retry_budget::{RequestAttempts, RetryAccount, RetryLimits};
 use ochreshed_traffic::retry_shares::RetryPool;
@@ -284,12 +285,12 @@
     pub fn set_pool(&self, pool: Option<&Arc<Mutex<RetryPool>>>) {
         let mut inner = held(&self.inner);
         match pool {
-            Some(pool) => held(pool).join(self.settings.plan.member.as_ref(), &inner.spent),
+            Some(pool) => held(pool).adopt(self.settings.plan.member.as_ref(), &inner.spent),
             None if inner.pool.is_none() => return,
             None => {
                 let RetryLimits { ratio: part, floor, .. } = self.settings.terms();
                 inner.hands.allow(part, floor);
-                inner.spent.allow(part, floor);
+                inner.spent.set_allowance(part, floor);
             }
         }
         inner.pool = pool.cloned();
@@ -299,16 +300,16 @@
     fn allow(&self, inner: &mut Inner, now: Nanos) {
         let Some(pool) = &inner.pool else { return };
         let RetryLimits { ratio: part, floor, .. } = self.settings.terms();
-        let left = held(pool).left(now, self.settings.plan.member.as_ref(), (part, floor));
+        let left = held(pool).remaining(now, self.settings.plan.member.as_ref(), part, floor);
         // The module goes by what it has sent again itself since it last learnt anew.
         let floor = left + f64::from(inner.spent.policy_counts(now).retried);
         inner.hands.allow(0.0, floor);
-        inner.spent.allow(0.0, floor);
+        inner.spent.set_allowance(0.0, floor);
     }
 
     fn count(&self, inner: &Inner, now: Nanos, figures: AttemptCounts) {
         if let Some(pool) = &inner.pool {
-            held(pool).count(now, self.settings.plan.member.as_ref(), figures);
+            held(pool).add(now, self.settings.plan.member.as_ref(), figures);
         }
     }
 
@@ -372,7 +373,7 @@
 
     /// What of this service was sent, sent again and refused for want of allowance in the budget's window.
     pub fn attempt_counts(&self) -> AttemptCounts {
-        held(&self.inner).spent.figures(self.clock.now())
+        held(&self.inner).spent.reported_counts(self.clock.now())
     }
 
     /// Whether this one is listed and takes reqs.
@@ -387,23 +388,25 @@
     /// Tells the module the list as it is now.
     pub fn update_endpoints<'a>(
         &self,
-        records: impl Iterator<Item = &'a (EndpointRecord, Nanos)>,
+        records: impl Iterator<Item = &'a ReceivedRecord>,
         suspected: &HashSet<SocketAddr>,
         zone: &str,
     ) {
         let mut inner = held(&self.inner);
         let now = self.clock.now();
-        let records: Vec<&(EndpointRecord, Nanos)> =
-            records.filter(|(record, _)| !record.upstream_id.is_empty()).collect();
+        let records: Vec<&ReceivedRecord> =
+            records.filter(|received| !received.record.upstream_id.is_empty()).collect();
         let takes = |record: &EndpointRecord| {
             record.accepts_clients
                 && record.state == UpstreamState::Serving
                 && !suspected.contains(&record.inbound_proxy)
         };
-        let near = records.iter().any(|(record, _)| record.zone == zone && takes(record));
+        let near = records.iter().any(|received| received.record.zone == zone && takes(&received.record));
         let mut fresh = HashMap::new();
         let wanted = |record: &EndpointRecord| !(self.settings.plan.large && near) || record.zone == zone;
-        for (record, told) in records.into_iter().filter(|(record, _)| wanted(record)) {
+        for ReceivedRecord { record, received_at } in
+            records.into_iter().filter(|received| wanted(&received.record))
+        {
             let state = if takes(record) {
                 State::Up
             } else if record.state == UpstreamState::Absent || !record.accepts_clients {
@@ -414,7 +417,7 @@
             let srv: Name = record.upstream_id.as_str().into();
             let was = inner.listed.get(&srv);
             let came_up = was.and_then(|was| was.came_up);
-            let warm_at = told + record.warming_up_ms * MS;
+            let warm_at = received_at + record.warming_up_ms * MS;
             let came_up = came_up.or((warm_at > now).then(|| warm_at.saturating_sub(SLOW_START)));
             let far = near && record.zone != zone;
             let weight =
--- a/balancer/src/mesh/proxy/tests/request_scheduler_tests.rs
+++ b/balancer/src/mesh/proxy/tests/request_scheduler_tests.rs
@@ -8,6 +8,7 @@
 use ochreshed_catalog::configuration::{Configuration, MemberShares};
 use ochreshed_catalog::endpoints::{EndpointRecord, UpstreamState};
 use ochreshed_catalog::traffic_reports::AttemptCounts;
+use ochreshed_catalog::watch_client::ReceivedRecord;
 use ochreshed_traffic::retry_shares::RetryPool;
 
 use crate::clock::Clock;
@@ -61,7 +62,8 @@
 }
 
 fn list(scheduler: &RequestScheduler, records: &[EndpointRecord], suspected: &[u8]) {
-    let records: Vec<(EndpointRecord, Nanos)> = records.iter().map(|record| (record.clone(), 1)).collect();
+    let records: Vec<ReceivedRecord> =
+        records.iter().map(|record| ReceivedRecord { record: record.clone(), received_at: 1 }).collect();
     let suspected: HashSet<SocketAddr> = suspected.iter().map(|host| door(*host)).collect();
     scheduler.update_endpoints(records.iter(), &suspected, "a");
 }
@@ -165,7 +167,7 @@
     let share = MemberShares { member: "norte".into(), retry: 0.25, concurrency: 0.5 };
     let shares = Arc::new([(share.member.clone(), Arc::new(share))].into());
     let pool = Arc::new(Mutex::new(RetryPool::default()));
-    held(&pool).divide(1, &shares);
+    held(&pool).set_shares(1, &shares);
     let draws = |scheduler: Arc<RequestScheduler>| {
         list(&scheduler, &records, &[]);
         scheduler.set_pool(Some(&pool));
