--- a/balancer/src/mesh/attendant.rs
+++ b/balancer/src/mesh/attendant.rs
@@ -15,6 +15,7 @@
 use hyper::Response;
 use hyper::header::HeaderValue;
 use ochreshed::{Name, Nanos};
+use ochreshed_catalog::configuration::WeightedService;
 use ochreshed_catalog::configuration::{Configuration, Route};
 use ochreshed_catalog::endpoints::EndpointRecord;
 use ochreshed_catalog::internal_rpc::AppliedEditions;
@@ -297,18 +298,18 @@
 
     /// The service that a req of this route goes to.
     pub fn split(&self, route: &Route) -> Option<Name> {
-        let total: f64 = route.services.iter().map(|(_, share)| share).sum();
+        let total: f64 = route.services.iter().map(|service| service.weight).sum();
         if route.services.len() == 1 {
-            return route.services.first().map(|(name, _)| name.clone());
+            return route.services.first().map(|service| service.name.clone());
         }
         let mut at = held(&self.chance).random::<f64>() * total;
-        for (name, share) in &route.services {
+        for WeightedService { name, weight: share } in &route.services {
             at -= share;
             if at < 0.0 && *share > 0.0 {
                 return Some(name.clone());
             }
         }
-        route.services.iter().rev().find(|(_, share)| *share > 0.0).map(|(name, _)| name.clone())
+        route.services.iter().rev().find(|service| service.weight > 0.0).map(|service| service.name.clone())
     }
 
     /// The desk for the reqs of a route that go to this service.
--- a/balancer/src/mesh/desk.rs
+++ b/balancer/src/mesh/desk.rs
@@ -6,6 +6,7 @@
 use std::sync::{Arc, Mutex, Weak};
 
 use ochreshed::{Balancer, Facts, How, Listed, Name, Nanos, Outcome, Req, State, Value};
+use ochreshed_catalog::configuration::WeightedService;
 use ochreshed_catalog::configuration::{Configuration, RepeatPolicy, Route};
 use ochreshed_catalog::endpoints::{EndpointRecord, UpstreamState};
 use ochreshed_catalog::traffic_reports::AttemptCounts;
@@ -70,7 +71,7 @@
     pub fn all(timetable: &Configuration) -> Vec<Plan> {
         let mut plans: BTreeMap<Seat, Plan> = BTreeMap::new();
         for route in timetable.routes() {
-            for (line, _) in &route.services {
+            for WeightedService { name: line, .. } in &route.services {
                 let seat = seat(line, route);
                 let plan = plans.entry(seat).or_insert_with_key(|(line, large, member)| Plan {
                     line: line.clone(),
--- a/balancer/src/mesh/steward.rs
+++ b/balancer/src/mesh/steward.rs
@@ -738,7 +738,7 @@
         let news = was.papers.number != papers.number
             || was.stewards != stewards
             || was.safe.as_ref().map(|sheet| sheet.revision()) != safe.map(|s| s.revision());
-        safe.into_iter().for_each(|safe| self.office.parcels.note(safe));
+        safe.into_iter().for_each(|safe| self.office.parcels.add(safe));
         self.office.stand.store(Arc::new(Stand {
             safe: safe.cloned(),
             stewards,
--- a/catalog/src/configuration.rs
+++ b/catalog/src/configuration.rs
@@ -13,6 +13,6 @@
 mod routing;
 
 pub use differences::{differences, differences_by_location};
-pub use model::{Limits, MemberShares, Name, RepeatPolicy, Route, Service};
+pub use model::{Limits, MemberShares, Name, RepeatPolicy, Route, Service, WeightedService};
 pub use refusal::{Refusal, RefusalReason};
 pub use routing::Configuration;
--- a/catalog/src/configuration/differences.rs
+++ b/catalog/src/configuration/differences.rs
@@ -145,7 +145,7 @@
 
 fn route_fields(route: &Route) -> Vec<DisplayedField> {
     let services: Vec<String> =
-        route.services.iter().map(|(name, weight)| format!("{name} {weight}")).collect();
+        route.services.iter().map(|service| format!("{} {}", service.name, service.weight)).collect();
     let mut fields = vec![
         DisplayedField::new(HOST, &route.host),
         DisplayedField::new(PREFIX, &route.prefix),
--- a/catalog/src/configuration/model.rs
+++ b/catalog/src/configuration/model.rs
@@ -46,14 +46,23 @@
     pub priority: u32,
     /// The most upstreams to which one request of a client is sent; above 0.
     pub max_attempts: u32,
-    /// Each service once with its weight; the sum of the weights is above 0.
-    pub services: Vec<(Name, f64)>,
+    /// Each service once; the sum of the weights is above 0.
+    pub services: Vec<WeightedService>,
     /// The header that names a person's session, in lowercase; none where requests have no session affinity.
     pub session_header: Option<Name>,
     /// The member whose route this is, with its shares of common resources; none for the platform's own routes.
     pub share: Option<Arc<MemberShares>>,
 }
 
+/// A service that takes a part of a route's requests.
+#[derive(Clone, Debug, PartialEq)]
+pub struct WeightedService {
+    /// The name of the service.
+    pub name: Name,
+    /// The weight, in proportion to the weights of the route's other services; 0 or above.
+    pub weight: f64,
+}
+
 /// The greatest shares of common resources that the requests on one member's routes may take.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MemberShares {
--- a/catalog/src/configuration/read.rs
+++ b/catalog/src/configuration/read.rs
@@ -11,7 +11,7 @@
 use jzon::JsonValue;
 
 use super::document::{DocumentEntries, DocumentReader, Entry, MAX_ENTRIES, field, read_document};
-use super::model::{Limits, Name, RepeatPolicy, Route, Service};
+use super::model::{Limits, Name, RepeatPolicy, Route, Service, WeightedService};
 use super::refusal::{Refusal, RefusalReason, quoted};
 use super::routing::{Configuration, normalized_host};
 
@@ -309,14 +309,17 @@
     reader: &mut DocumentReader,
     entry: &Entry,
     known_services: Option<&HashSet<Name>>,
-) -> Option<Vec<(Name, f64)>> {
+) -> Option<Vec<WeightedService>> {
     let (line, split) = (entry.get("line"), entry.get("split"));
     if line.is_none() && split.is_none() {
         return reader.refuse_field(entry, "", RefusalReason::NoService);
     }
     let single = match line {
         None => None,
-        line => Some((read_service_name(reader, entry, "line", line, known_services)?, 1.0)),
+        line => {
+            let name = read_service_name(reader, entry, "line", line, known_services)?;
+            Some(WeightedService { name, weight: 1.0 })
+        }
     };
     match split {
         None => Some(single.into_iter().collect()),
@@ -345,7 +348,7 @@
     entry: &Entry,
     value: &JsonValue,
     known_services: Option<&HashSet<Name>>,
-) -> Option<Vec<(Name, f64)>> {
+) -> Option<Vec<WeightedService>> {
     const FIELD: &str = "split";
     let Some(parts) = value.as_array() else {
         return reader.refuse_field(entry, FIELD, RefusalReason::WrongType("a list"));
@@ -356,23 +359,23 @@
     if parts.len() > MAX_WEIGHTED_SERVICES {
         return reader.refuse_field(entry, FIELD, RefusalReason::TooMany { max: MAX_WEIGHTED_SERVICES });
     }
-    let mut services: Vec<(Name, f64)> = Vec::with_capacity(parts.len());
+    let mut services: Vec<WeightedService> = Vec::with_capacity(parts.len());
     let mut all_valid = true;
     for (index, part) in parts.iter().enumerate() {
         let path = format!("{FIELD}[{index}]");
-        let Some((service, weight)) = read_split_part(reader, entry, &path, part, known_services) else {
+        let Some(part) = read_split_part(reader, entry, &path, part, known_services) else {
             all_valid = false;
             continue;
         };
-        match services.iter_mut().find(|(name, _)| *name == service) {
-            Some((_, sum)) => *sum += weight,
-            None => services.push((service, weight)),
+        match services.iter_mut().find(|known| known.name == part.name) {
+            Some(known) => known.weight += part.weight,
+            None => services.push(part),
         }
     }
     if !all_valid {
         return None;
     }
-    if services.iter().all(|(_, weight)| *weight == 0.0) {
+    if services.iter().all(|service| service.weight == 0.0) {
         return reader.refuse_field(entry, FIELD, RefusalReason::ZeroWeights);
     }
     services.shrink_to_fit();
@@ -385,14 +388,13 @@
     path: &str,
     part: &JsonValue,
     known_services: Option<&HashSet<Name>>,
-) -> Option<(Name, f64)> {
+) -> Option<WeightedService> {
     if !part.is_object() {
         return reader.refuse_field(entry, path, RefusalReason::WrongType("an object"));
     }
-    let service =
-        read_service_name(reader, entry, &format!("{path}.line"), field(part, "line"), known_services);
+    let name = read_service_name(reader, entry, &format!("{path}.line"), field(part, "line"), known_services);
     let weight = reader.number(entry, &format!("{path}.share"), field(part, "share"), MAX_WEIGHT);
-    Some((service?, weight?))
+    Some(WeightedService { name: name?, weight: weight? })
 }
 
 fn read_service(reader: &mut DocumentReader, entry: &Entry) -> Option<Service> {
--- a/catalog/src/configuration_update.rs
+++ b/catalog/src/configuration_update.rs
@@ -125,7 +125,7 @@
     }
 
     /// Takes a configuration that has been committed.
-    pub fn note(&self, configuration: &Arc<RegisterValue>) {
+    pub fn add(&self, configuration: &Arc<RegisterValue>) {
         let mut state = self.lock();
         let newest = configuration.revision();
         if state.configurations.back().is_some_and(|last| last.revision() >= newest) {
--- a/catalog/src/endpoints.rs
+++ b/catalog/src/endpoints.rs
@@ -279,7 +279,7 @@
     }
 
     /// Notes that a node was last heard from `age` before `now`.
-    pub fn heard(&mut self, now: Nanos, inbound_proxy: SocketAddr, age: Nanos) {
+    pub fn note_heard(&mut self, now: Nanos, inbound_proxy: SocketAddr, age: Nanos) {
         if let Some(entry) = self.entries.get_mut(&inbound_proxy) {
             entry.last_heard = entry.last_heard.max(now.saturating_sub(age));
         }
--- a/catalog/src/internal_rpc.rs
+++ b/catalog/src/internal_rpc.rs
@@ -53,7 +53,7 @@
     Watch(Box<WatchResponse>),
     /// The control plane's answer.
     Core(CoreResponse),
-    /// The newest configuration; none where the asker has it.
+    /// The newest configuration; none where the sender of the request has it.
     #[serde(rename = "Sheet")]
     Configuration(Option<Arc<ConfigurationUpdate>>),
     /// As many registers as fit in one response, and at least one if any is newer.
@@ -103,13 +103,13 @@
     /// A node's inbound proxy, where the replica has its record.
     #[serde(rename = "door")]
     pub inbound_proxy: Option<SocketAddr>,
-    /// The changes of the replica's table that the asker has.
+    /// The changes of the replica's table that the sender of the request has.
     #[serde(rename = "mark")]
     pub position: TablePosition,
-    /// The revision of the configuration that the asker has or is fetching.
+    /// The revision of the configuration that the sender of the request has or is fetching.
     #[serde(rename = "sheet")]
     pub configuration: Revision,
-    /// The version of the [`SuspectList`] that the asker has.
+    /// The version of the [`SuspectList`] that the sender of the request has.
     #[serde(rename = "quiet")]
     pub suspects_version: u64,
     /// The time after which the request is answered though nothing has changed, in milliseconds.
@@ -125,7 +125,7 @@
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     #[serde(rename = "members")]
     pub outcomes: EditionOutcomes,
-    /// The digest of the [`RegisterList`] that the asker was last sent; 0 where there was none.
+    /// The digest of the [`RegisterList`] that the sender of the request was last sent; 0 where there was none.
     #[serde(default, skip_serializing_if = "is_zero")]
     #[serde(rename = "papers")]
     pub registers_digest: u64,
@@ -148,7 +148,7 @@
     /// The records that have changed.
     #[serde(rename = "rows")]
     pub records: Vec<EndpointRecord>,
-    /// The revision of the newest committed configuration, where the asker has an older one.
+    /// The revision of the newest committed configuration, where the sender of the request has an older one.
     #[serde(rename = "sheet")]
     pub configuration: Option<Revision>,
     /// The replicas of the control plane.
@@ -174,7 +174,7 @@
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[serde(rename = "told")]
     pub reports: Option<Box<CollectedReports>>,
-    /// The committed registers, where their digest is not the asker's.
+    /// The committed registers, where their digest is not the sender's.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[serde(rename = "papers")]
     pub registers: Option<RegisterList>,
--- a/catalog/src/overlay.rs
+++ b/catalog/src/overlay.rs
@@ -15,7 +15,9 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::configuration::refusal::escaped_name;
-use crate::configuration::{Configuration, MemberShares, Name, Route, differences_by_location};
+use crate::configuration::{
+    Configuration, MemberShares, Name, Route, WeightedService, differences_by_location,
+};
 use crate::members::{Member, MemberDocument, MemberRegister};
 
 /// The documents in force, by the names of their members.
@@ -332,7 +334,7 @@
         add_violation("post_class", ExceededLimit::PriorityTooHigh { priority, highest });
     }
     let services = allowed_services(base, member, route, &mut add_violation);
-    if !services.iter().any(|(_, weight)| *weight > 0.0) {
+    if !services.iter().any(|service| service.weight > 0.0) {
         add_violation("split", ExceededLimit::NoService);
         return None;
     }
@@ -352,15 +354,16 @@
     member: &Member,
     route: &Route,
     add_violation: &mut impl FnMut(&'static str, ExceededLimit),
-) -> Vec<(Name, f64)> {
+) -> Vec<WeightedService> {
     let mut allowed = Vec::with_capacity(route.services.len());
-    for (name, weight) in &route.services {
+    for service in &route.services {
+        let name = &service.name;
         if !member.services.contains(name) {
             add_violation("split", ExceededLimit::ServiceNotAllowed(name.clone()));
         } else if base.service(name).is_none() {
             add_violation("split", ExceededLimit::UnknownService(name.clone()));
         } else {
-            allowed.push((name.clone(), *weight));
+            allowed.push(service.clone());
         }
     }
     allowed
--- a/catalog/src/watch_server.rs
+++ b/catalog/src/watch_server.rs
@@ -123,7 +123,7 @@
         let inbound_proxy =
             request.record.as_ref().map(|record| record.inbound_proxy).or(request.inbound_proxy);
         if let Some(inbound_proxy) = inbound_proxy {
-            self.table.heard(now, inbound_proxy, 0);
+            self.table.note_heard(now, inbound_proxy, 0);
         }
         let pending = PendingWatch {
             position: request.position,
@@ -242,7 +242,7 @@
             changed |= self.table.merge(now, record, Nanos::from(age_ms) * MS);
         }
         for (inbound_proxy, age_ms) in ages_ms {
-            self.table.heard(now, inbound_proxy, Nanos::from(age_ms) * MS);
+            self.table.note_heard(now, inbound_proxy, Nanos::from(age_ms) * MS);
         }
         for drain in &response.drains {
             changed |= self.table.drain(drain.inbound_proxy, &drain.upstream_id);
--- a/catalog/tests/configuration.rs
+++ b/catalog/tests/configuration.rs
@@ -341,9 +341,9 @@
                 route
                     .services
                     .iter()
-                    .all(|(line, share)| configuration.service(line).is_some() && *share >= 0.0)
+                    .all(|service| configuration.service(&service.name).is_some() && service.weight >= 0.0)
             );
-            assert!(route.services.iter().any(|(_, share)| *share > 0.0));
+            assert!(route.services.iter().any(|service| service.weight > 0.0));
             let found = configuration.route(&route.host, &route.prefix).expect("its own place");
             assert_eq!(found, route);
         }
@@ -428,7 +428,7 @@
     let both = read(&both);
     assert!(!both.allows("jepu9.example", "/lepu270/", "wuno96b"));
     let route = both.route("jepu9.example", "/lepu270/").expect("a route");
-    assert!(route.services.iter().any(|(name, share)| &**name == "kafi81c" && *share == 10.5));
+    assert!(route.services.iter().any(|service| &*service.name == "kafi81c" && service.weight == 10.5));
 }
 
 /// Both ways, so that what one adds the other removes.
@@ -494,7 +494,7 @@
         assert_eq!(*found.name, *format!("r{index}"));
         assert!(
             std::ptr::eq(&*found.host, &*first.host)
-                && std::ptr::eq(&*found.services[0].0, &*first.services[0].0)
+                && std::ptr::eq(&*found.services[0].name, &*first.services[0].name)
         );
     }
     assert!(configuration.route("big.example", &"/".repeat(100_000)).is_none());
--- a/catalog/tests/configuration_update.rs
+++ b/catalog/tests/configuration_update.rs
@@ -16,7 +16,7 @@
     let cache = UpdateCache::default();
     let all: Vec<Arc<RegisterValue>> =
         (1..8).map(|version| configuration(version, 500 + version as usize)).collect();
-    all.iter().for_each(|configuration| cache.note(configuration));
+    all.iter().for_each(|configuration| cache.add(configuration));
     let newest = all.last().expect("one");
     assert!(cache.newest(newest.revision()).is_none());
     // A node without a version, or with one that is no longer kept, gets the whole configuration.
--- a/catalog/tests/frozen_forms.rs
+++ b/catalog/tests/frozen_forms.rs
@@ -263,8 +263,8 @@
     };
     let (old, new) = (text(1), text(2));
     let updates = UpdateCache::default();
-    updates.note(&old);
-    updates.note(&new);
+    updates.add(&old);
+    updates.add(&new);
     for (name, here) in [("parcel_whole", None), ("parcel_delta", Some(&*old))] {
         let written = updates.newest(here.map_or(Revision::NONE, RegisterValue::revision)).expect("a parcel");
         // Another version of the compressor may write other bytes, so these are read and not compared.
--- a/catalog/tests/overlay.rs
+++ b/catalog/tests/overlay.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 
 use expect_test::expect;
-use ochreshed_catalog::configuration::{Configuration, Name, Route};
+use ochreshed_catalog::configuration::{Configuration, Name, Route, WeightedService};
 use ochreshed_catalog::members::{MemberDocument, MemberRegister};
 use ochreshed_catalog::overlay::{MemberDocuments, check, effective_document, is_in_canary, overlay, plan};
 use proptest::collection::vec;
@@ -182,11 +182,11 @@
             prop_assert!(scenario.holds(member, &route.host, &route.prefix));
             prop_assert!(route.max_attempts <= tries && route.deadline_ms <= deadline && route.latency_target_ms <= deadline);
             prop_assert!(route.priority >= rank && route.max_attempts > 0 && route.deadline_ms > 0);
-            for (name, _) in &route.services {
+            for WeightedService { name, .. } in &route.services {
                 let at = SERVICES.iter().position(|one| **one == **name).expect("a service");
                 prop_assert!(has[at] && scenario.services[at]);
             }
-            prop_assert!(route.services.iter().any(|(_, share)| *share > 0.0));
+            prop_assert!(route.services.iter().any(|service| service.weight > 0.0));
             let share = route.share.as_ref().expect("a share");
             prop_assert_eq!((share.retry, share.concurrency), (member as f64 / 10.0, 0.5));
         }
--- a/emulator/src/mesh/steward.rs
+++ b/emulator/src/mesh/steward.rs
@@ -445,7 +445,7 @@
             return;
         }
         self.safe = safe.cloned();
-        safe.into_iter().for_each(|safe| self.parcels.note(safe));
+        safe.into_iter().for_each(|safe| self.parcels.add(safe));
         self.settled = self.core.has_quorum(hand.now);
         let stewards = self.core.replica_addresses();
         if news || self.stewards != stewards {
