--- a/balancer/src/mesh/steward.rs
+++ b/balancer/src/mesh/steward.rs
@@ -157,7 +157,8 @@
     async fn news(self: Arc<Self>, ask: WatchRequest) -> WatchResponse {
         let mut changed = self.changed.subscribe();
         let stand = self.stand.load_full();
-        let (waiting, news) = held(&self.news).register(self.clock.now(), &ask, stand.told());
+        let watch_server::RegisteredWatch { pending: waiting, table_changed: news } =
+            held(&self.news).register(self.clock.now(), &ask, stand.told());
         if news {
             self.change();
         }
--- a/catalog/src/watch_server.rs
+++ b/catalog/src/watch_server.rs
@@ -1,6 +1,6 @@
 //! The watches of a replica of the control plane: when a waiting request is answered and with what.
 //!
-//! [`WatchServer::register`] takes a request and returns a [`PendingWatch`]; [`WatchServer::due_at`] says from when on it
+//! [`WatchServer::register`] takes a request and makes a [`PendingWatch`] of it; [`WatchServer::due_at`] says from when on it
 //! is to be answered and [`WatchServer::respond`] makes the response. The server also takes what other replicas know
 //! ([`WatchServer::merge`]) and keeps the list of suspected nodes.
 //!
@@ -94,6 +94,14 @@
     }
 }
 
+/// A request that [`WatchServer::register`] has taken.
+pub struct RegisteredWatch {
+    /// The request, which waits for a change.
+    pub pending: PendingWatch,
+    /// Whether the request has changed the table, so that others are to be answered.
+    pub table_changed: bool,
+}
+
 /// The endpoint table of a replica and its list of suspected nodes.
 pub struct WatchServer {
     /// The endpoint table.
@@ -107,13 +115,8 @@
         WatchServer { table: EndpointTable::new(incarnation), suspects: SuspectList::default() }
     }
 
-    /// Takes a request. Returns also whether it has changed the table, so that others are to be answered.
-    pub fn register(
-        &mut self,
-        now: Nanos,
-        request: &WatchRequest,
-        state: CommittedState,
-    ) -> (PendingWatch, bool) {
+    /// Takes a request and the record that comes with it.
+    pub fn register(&mut self, now: Nanos, request: &WatchRequest, state: CommittedState) -> RegisteredWatch {
         let mut previous_record = None;
         let mut table_changed = false;
         if let Some(record) = &request.record {
@@ -138,7 +141,7 @@
             received_at: now,
             max_wait: Nanos::from(request.max_wait_ms.min(MAX_WAIT_MS)) * MS,
         };
-        (pending, table_changed)
+        RegisteredWatch { pending, table_changed }
     }
 
     /// The record of an earlier incarnation of a node that has just started and knows no upstream.
--- a/catalog/tests/frozen_forms.rs
+++ b/catalog/tests/frozen_forms.rs
@@ -1,5 +1,5 @@
-//! The bytes of calls between the system's processes and the words in which configurations are refused, against fixtures
-//! that main wrote before types were renamed.
+//! The bytes of calls between the system's processes and the texts in which documents are refused, against fixtures that
+//! were written before types were renamed.
 
 #[path = "../../consensus/tests/frozen/mod.rs"]
 mod frozen;
@@ -28,7 +28,7 @@
     Revision,
 };
 
-const RANK: Revision = Revision::new(12, u64::MAX);
+const REVISION: Revision = Revision::new(12, u64::MAX);
 
 fn address(last: u8) -> SocketAddr {
     SocketAddr::from(([10, 1, 0, last], 8_300))
@@ -38,7 +38,7 @@
     TablePosition { incarnation: u64::MAX, sequence: 1_000 }
 }
 
-fn endpoint(stand: UpstreamState, ill: UpstreamHealth) -> EndpointRecord {
+fn endpoint(state: UpstreamState, health: UpstreamHealth) -> EndpointRecord {
     EndpointRecord {
         inbound_proxy: address(8),
         incarnation: 1 << 50,
@@ -47,12 +47,12 @@
         service: "huvo11a".into(),
         upstream_id: "life-1".into(),
         software_version: "v3".into(),
-        state: stand,
+        state,
         concurrency_limit: 110,
         warming_up_ms: 2_500,
         calls_services: true,
         accepts_clients: true,
-        health: ill,
+        health,
     }
 }
 
@@ -62,24 +62,24 @@
 }
 
 fn report() -> BudgetReport {
-    let spending = vec![("huvo11a".into(), AttemptCounts { first: 2_000, retried: 20, denied: 3 })];
-    BudgetReport { services: spending, recovery_ms: Some(812), outcomes: EditionOutcomes::new() }
+    let attempts = vec![("huvo11a".into(), AttemptCounts { first: 2_000, retried: 20, denied: 3 })];
+    BudgetReport { services: attempts, recovery_ms: Some(812), outcomes: EditionOutcomes::new() }
 }
 
 fn update() -> ConfigurationUpdate {
-    ConfigurationUpdate { revision: RANK, base: Revision::new(11, 3), compressed: vec![0, 1, 255] }
+    ConfigurationUpdate { revision: REVISION, base: Revision::new(11, 3), compressed: vec![0, 1, 255] }
 }
 
 fn named() -> NamedRegister {
     NamedRegister { name: "members".into(), value: Arc::new(RegisterValue::new(3, b"{}".to_vec())) }
 }
 
-fn watch_request_all() -> WatchRequest {
+fn full_watch_request() -> WatchRequest {
     WatchRequest {
         record: Some(endpoint(UpstreamState::Serving, UpstreamHealth { failure_level: 2, latency_level: 1 })),
         inbound_proxy: Some(address(8)),
         position: position(),
-        configuration: RANK,
+        configuration: REVISION,
         suspects_version: 3,
         max_wait_ms: 500,
         from_replica: true,
@@ -91,7 +91,7 @@
     }
 }
 
-fn watch_request_least() -> WatchRequest {
+fn least_watch_request() -> WatchRequest {
     WatchRequest {
         record: None,
         inbound_proxy: None,
@@ -108,11 +108,11 @@
     }
 }
 
-fn watch_response_all() -> WatchResponse {
+fn full_watch_response() -> WatchResponse {
     WatchResponse {
         position: position(),
         records: vec![endpoint(UpstreamState::Serving, UpstreamHealth::default())],
-        configuration: Some(RANK),
+        configuration: Some(REVISION),
         replicas: vec![address(1), "[fd00::7]:8307".parse().expect("an address")],
         suspects: Some(SuspectList { version: 4, inbound_proxies: vec![address(9)] }),
         has_quorum: true,
@@ -127,12 +127,12 @@
             reports: vec![CollectedReport { inbound_proxy: address(8), age_ms: 250, report: report() }],
             recovery_ms: Some(900),
         })),
-        registers: Some(RegisterList { digest: 5, revisions: vec![("members".into(), RANK)] }),
+        registers: Some(RegisterList { digest: 5, revisions: vec![("members".into(), REVISION)] }),
         outcomes: vec![(address(8), outcome_counts())],
     }
 }
 
-fn watch_response_least() -> WatchResponse {
+fn least_watch_response() -> WatchResponse {
     WatchResponse {
         position: TablePosition::default(),
         records: Vec::new(),
@@ -151,22 +151,22 @@
 
 fn requests() -> Vec<(&'static str, InternalRequest)> {
     let body = MessageBody::Prepare(Ballot { round: 1, proposer: 2 });
-    let letter = Message { from: ReplicaId { address: address(1), disk_id: 0 }, epoch: 1, body };
+    let message = Message { from: ReplicaId { address: address(1), disk_id: 0 }, epoch: 1, body };
     vec![
-        ("news_all", InternalRequest::Watch(watch_request_all())),
-        ("news_least", InternalRequest::Watch(watch_request_least())),
+        ("news_all", InternalRequest::Watch(full_watch_request())),
+        ("news_least", InternalRequest::Watch(least_watch_request())),
         ("core", InternalRequest::Core(CoreRequest::ReadConfiguration)),
-        ("letter", InternalRequest::ReplicaMessage(letter)),
-        ("sheet", InternalRequest::Configuration(RANK)),
-        ("papers", InternalRequest::Registers(vec![("members".into(), RANK)])),
+        ("letter", InternalRequest::ReplicaMessage(message)),
+        ("sheet", InternalRequest::Configuration(REVISION)),
+        ("papers", InternalRequest::Registers(vec![("members".into(), REVISION)])),
         ("carried", InternalRequest::AppliedEditions("m/banco-norte".into())),
     ]
 }
 
 fn responses() -> Vec<(&'static str, InternalResponse)> {
     vec![
-        ("news_all", InternalResponse::Watch(Box::new(watch_response_all()))),
-        ("news_least", InternalResponse::Watch(Box::new(watch_response_least()))),
+        ("news_all", InternalResponse::Watch(Box::new(full_watch_response()))),
+        ("news_least", InternalResponse::Watch(Box::new(least_watch_response()))),
         ("core", InternalResponse::Core(CoreResponse::LeaseGranted)),
         ("sheet", InternalResponse::Configuration(Some(Arc::new(update())))),
         ("sheet_none", InternalResponse::Configuration(None)),
@@ -182,7 +182,7 @@
     ]
 }
 
-/// The compiler refuses these where a variant is new: it wants a sample above.
+/// Does not compile where a variant is new, which then needs a sample above.
 fn has_sample(request: &InternalRequest, response: &InternalResponse) -> bool {
     match request {
         InternalRequest::Watch(_)
@@ -213,15 +213,18 @@
     for (name, response) in responses() {
         forms.assert_encodes_as(&format!("reply_{name}"), &response);
     }
-    forms.assert_encodes_as("frame_ask", &Frame { id: 9_000, payload: InternalRequest::Configuration(RANK) });
+    forms.assert_encodes_as(
+        "frame_ask",
+        &Frame { id: 9_000, payload: InternalRequest::Configuration(REVISION) },
+    );
     forms.assert_encodes_as("frame_reply", &Frame { id: 0, payload: InternalResponse::Configuration(None) });
     forms.finish();
 }
 
-/// A frame is its length in four bytes, the highest first, and CBOR.
+/// A frame is its length in four bytes of network order, then CBOR.
 #[test]
 fn a_frame_has_its_length_before_it() {
-    let frame = Frame { id: 9_000, payload: InternalRequest::Configuration(RANK) };
+    let frame = Frame { id: 9_000, payload: InternalRequest::Configuration(REVISION) };
     let mut bytes = Vec::new();
     ciborium::into_writer(&frame, &mut bytes).expect("written");
     let mut expected = (bytes.len() as u32).to_be_bytes().to_vec();
@@ -232,12 +235,12 @@
 #[test]
 fn sample_values() {
     let mut forms = FrozenForms::open("values");
-    for (name, stand) in [
+    for (name, state) in [
         ("open", UpstreamState::Serving),
         ("closing", UpstreamState::Draining),
         ("none", UpstreamState::Absent),
     ] {
-        forms.assert_encodes_as(&format!("stand_{name}"), &stand);
+        forms.assert_encodes_as(&format!("stand_{name}"), &state);
     }
     forms.assert_encodes_as("ill", &UpstreamHealth { failure_level: 2, latency_level: 1 });
     forms.assert_encodes_as(
@@ -255,7 +258,7 @@
     let (edition, counts) = outcome_counts().remove(0);
     forms.assert_encodes_as("edition", &edition);
     forms.assert_encodes_as("fared", &counts);
-    // Packed by what `newest` does: a configuration whole, and as what differs from the one before.
+    // Made by `newest`: a whole configuration, and the difference from the one before.
     let text = |version: u64| {
         let routes: String =
             (0..60).map(|at| format!("{{\"route\":\"r-{at}\",\"v\":{}}},", at * version)).collect();
@@ -266,7 +269,8 @@
     updates.add(&old);
     updates.add(&new);
     for (name, here) in [("parcel_whole", None), ("parcel_delta", Some(&*old))] {
-        let written = updates.newest(here.map_or(Revision::NONE, RegisterValue::revision)).expect("a parcel");
+        let written =
+            updates.newest(here.map_or(Revision::NONE, RegisterValue::revision)).expect("an update");
         // Another version of the compressor may write other bytes, so these are read and not compared.
         let read = forms.read_fixture(name, &*written);
         assert_eq!((read.revision, read.base), (written.revision, written.base));
@@ -288,7 +292,7 @@
 {"name":"cart","depot":"norte.example","lane_prefix":"/cart/","route_kind":"resendable","deadline_ms":500,"target_ms":200,"post_class":2,"line":"agenda","tries":2},
 {"name":"list","depot":"norte.example","lane_prefix":"/list/","route_kind":"once_only","deadline_ms":500,"post_class":1,"split":[{"line":"agenda","share":9},{"line":"any","share":1}],"tries":1}]}"#;
 
-/// Each is one text of a valid document and what stands in its place.
+/// Each case is a part of a valid document and what replaces it.
 type Cases = &'static [(&'static str, &'static str)];
 type ReadDocument = fn(&[u8]) -> Result<(), Vec<Refusal>>;
 
@@ -378,29 +382,29 @@
         ("members", MEMBERS, read_members, MEMBERS_CASES),
         ("member", MEMBER, read_member, MEMBER_CASES),
     ];
-    let (mut told, mut reasons) = (String::new(), HashSet::new());
-    let mut tell = |about: &str, read: Result<(), Vec<Refusal>>| {
-        let _ = writeln!(told, "{about}");
+    let (mut texts, mut reasons) = (String::new(), HashSet::new());
+    let mut add_text = |about: &str, read: Result<(), Vec<Refusal>>| {
+        let _ = writeln!(texts, "{about}");
         match read {
-            Ok(()) => told.push_str("    valid\n"),
+            Ok(()) => texts.push_str("    valid\n"),
             Err(refusals) => {
                 for refusal in refusals {
-                    let _ = writeln!(told, "    {refusal}");
+                    let _ = writeln!(texts, "    {refusal}");
                     reasons.insert(std::mem::discriminant(&refusal.reason));
                 }
             }
         }
     };
     for (document, valid, read, cases) in documents {
-        tell(document, read(valid.as_bytes()));
+        add_text(document, read(valid.as_bytes()));
         for (from, to) in cases {
             assert!(valid.contains(from), "{from}");
-            tell(&format!("{document}: {from} -> {to}"), read(valid.replacen(from, to, 1).as_bytes()));
+            add_text(&format!("{document}: {from} -> {to}"), read(valid.replacen(from, to, 1).as_bytes()));
         }
     }
     let long_number = format!(r#"{{"edition":"r1","consignments":[{}]}}"#, "1".repeat(2_000));
-    let strays: Vec<&str> = vec!["7"; 103];
-    let many_refusals = format!(r#"{{"edition":"r1","consignments":[{}]}}"#, strays.join(","));
+    let invalid_entries: Vec<&str> = vec!["7"; 103];
+    let many_refusals = format!(r#"{{"edition":"r1","consignments":[{}]}}"#, invalid_entries.join(","));
     let member = |n| {
         let key = "0".repeat(64);
         format!(
@@ -409,24 +413,24 @@
     };
     let many_routes =
         format!(r#"{{"edition":"r1","members":[{}]}}"#, (0..21).map(member).collect::<Vec<_>>().join(","));
-    tell("configuration: not UTF-8", read_configuration(b"\xff{}"));
-    tell("configuration: nothing", read_configuration(b""));
-    tell("configuration: a list", read_configuration(b"[]"));
-    tell("configuration: nested", read_configuration("[".repeat(5_000).as_bytes()));
-    tell("configuration: a long number", read_configuration(long_number.as_bytes()));
-    tell("configuration: many refusals", read_configuration(many_refusals.as_bytes()));
-    tell("configuration: long", read_configuration(&vec![b' '; 65 << 20]));
-    tell("members: many routes", read_members(many_routes.as_bytes()));
-    let _ = writeln!(told, "{} kinds of refusals", reasons.len());
+    add_text("configuration: not UTF-8", read_configuration(b"\xff{}"));
+    add_text("configuration: nothing", read_configuration(b""));
+    add_text("configuration: a list", read_configuration(b"[]"));
+    add_text("configuration: nested", read_configuration("[".repeat(5_000).as_bytes()));
+    add_text("configuration: a long number", read_configuration(long_number.as_bytes()));
+    add_text("configuration: many refusals", read_configuration(many_refusals.as_bytes()));
+    add_text("configuration: long", read_configuration(&vec![b' '; 65 << 20]));
+    add_text("members: many routes", read_members(many_routes.as_bytes()));
+    let _ = writeln!(texts, "{} kinds of refusals", reasons.len());
 
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/refusals.txt");
     if writes_fixtures() {
-        std::fs::write(&path, told).expect("written");
+        std::fs::write(&path, texts).expect("written");
         panic!("fixtures written");
     }
     let expected = std::fs::read_to_string(&path).expect("the fixture");
-    for (at, (line, expected)) in told.lines().zip(expected.lines()).enumerate() {
+    for (at, (line, expected)) in texts.lines().zip(expected.lines()).enumerate() {
         assert_eq!(line, expected, "line {} of {}", at + 1, path.display());
     }
-    assert_eq!(told, expected);
+    assert_eq!(texts, expected);
 }
--- a/catalog/tests/watch_server.rs
+++ b/catalog/tests/watch_server.rs
@@ -33,8 +33,8 @@
 #[test]
 fn changes_of_records_wait_for_each_other_in_a_large_mesh_and_nothing_else_does() {
     let replica = SocketAddr::from(([10, 0, 0, 1], 8202));
-    let state_with = |safe| CommittedState {
-        configuration: safe,
+    let state_with = |configuration| CommittedState {
+        configuration,
         replicas: &[],
         has_quorum: true,
         registers: CommittedRegisters::default(),
@@ -46,7 +46,7 @@
         let reader = record(0, 1);
         let mut send_request = |server: &mut WatchServer, now: u64| -> (WatchRequest, Option<u64>) {
             let request = watcher.request(replica, reader.clone(), Revision::new(1, 1), Vec::new());
-            let (pending, _) = server.register(now, &request, state_with(None));
+            let pending = server.register(now, &request, state_with(None)).pending;
             let due = server.due_at(&pending, state_with(None));
             if due.is_some_and(|due| due <= now) {
                 let response = server.respond(now, pending, state_with(None), None);
@@ -58,7 +58,7 @@
         assert_eq!(send_request(&mut server, MS).1, Some(MS));
         let (request, due) = send_request(&mut server, 2 * MS);
         assert_eq!(due, None);
-        let (pending, _) = server.register(2 * MS, &request, state_with(None));
+        let pending = server.register(2 * MS, &request, state_with(None)).pending;
         assert!(server.table.merge(3 * MS, &record(5, 2), 0));
         assert_eq!(server.due_at(&pending, state_with(None)), Some((2 + interval_ms) * MS));
         // A newer configuration does not wait, nor does a request to drain the node itself.
--- a/emulator/src/mesh/steward.rs
+++ b/emulator/src/mesh/steward.rs
@@ -9,7 +9,9 @@
 use ochreshed_catalog::configuration_update::UpdateCache;
 use ochreshed_catalog::endpoints::TablePosition;
 use ochreshed_catalog::internal_rpc::{InternalRequest, InternalResponse, WatchResponse};
-use ochreshed_catalog::watch_server::{self, CommittedRegisters, CommittedState, PendingWatch, WatchServer};
+use ochreshed_catalog::watch_server::{
+    self, CommittedRegisters, CommittedState, PendingWatch, RegisteredWatch, WatchServer,
+};
 use ochreshed_consensus::core::{Config, Core};
 use ochreshed_consensus::messages::*;
 
@@ -203,7 +205,8 @@
                     has_quorum: self.settled,
                     registers: NO_REGISTERS,
                 };
-                let (waiting, news) = self.office.register(hand.now, &ask, stand);
+                let RegisteredWatch { pending: waiting, table_changed: news } =
+                    self.office.register(hand.now, &ask, stand);
                 let due = self.office.due_at(&waiting, self.stand());
                 if due.is_some_and(|due| due <= hand.now) {
                     let reply = self.office.respond(hand.now, waiting, self.stand(), None);
