--- a/balancer/src/mesh/control/replica_server.rs
+++ b/balancer/src/mesh/control/replica_server.rs
@@ -18,6 +18,7 @@
 use ochreshed_catalog::internal_rpc;
 use ochreshed_catalog::internal_rpc::{CollectedReport, NodeEdition};
 use ochreshed_catalog::traffic_reports::EditionOutcomes;
+use ochreshed_catalog::watch_server::RegisteredWatch;
 use ochreshed_catalog::watch_server::{PendingWatch, WatchServer};
 use ochreshed_consensus::messages::{CoreRequest, CoreResponse, LeaseKey, Message, Revision};
 use ochreshed_traffic::budget_reports::BudgetReports;
@@ -116,7 +117,7 @@
     /// Replaces the published state. The configuration is cached first, since a watcher may fetch it at once.
     pub fn publish(&self, state: PublishedState) {
         if let Some(configuration) = &state.configuration {
-            self.updates.note(configuration);
+            self.updates.add(configuration);
         }
         self.published.store(Arc::new(state));
     }
@@ -145,7 +146,7 @@
     /// Asks the proxy of an upstream to drain it.
     pub fn request_drain(&self, inbound_proxy: SocketAddr, upstream_id: &str) {
         let is_new = held(&self.watches).table.drain(inbound_proxy, upstream_id);
-        if is_new {
+        if table_changed {
             self.notify_change();
         }
     }
@@ -162,7 +163,7 @@
     /// Merges what another replica answered to this one's watch.
     pub fn merge_peer_response(&self, response: &WatchResponse) {
         let is_new = held(&self.watches).merge(self.clock.now(), response);
-        if is_new {
+        if table_changed {
             self.notify_change();
         }
     }
@@ -273,11 +274,11 @@
     /// wait.
     async fn watch(self: Arc<Self>, request: WatchRequest) -> WatchResponse {
         let mut changes = self.changes.subscribe();
-        let (pending, is_new) = {
+        let RegisteredWatch { pending, table_changed } = {
             let published = self.published.load();
             held(&self.watches).register(self.clock.now(), &request, published.as_committed())
         };
-        if is_new {
+        if table_changed {
             self.notify_change();
         }
         let deadline = Instant::now() + Duration::from_nanos(pending.max_wait);
--- a/balancer/src/mesh/proxy/node.rs
+++ b/balancer/src/mesh/proxy/node.rs
@@ -310,18 +310,18 @@
 
     /// The service that a req of this route goes to.
     pub fn choose_service(&self, route: &Route) -> Option<Name> {
-        let total: f64 = route.services.iter().map(|service| service.1).sum();
+        let total: f64 = route.services.iter().map(|service| service.weight).sum();
         if route.services.len() == 1 {
-            return route.services.first().map(|service| service.0.clone());
+            return route.services.first().map(|service| service.name.clone());
         }
         let mut at = held(&self.chance).random::<f64>() * total;
         for service in &route.services {
-            at -= service.1;
-            if at < 0.0 && service.1 > 0.0 {
-                return Some(service.0.clone());
+            at -= service.weight;
+            if at < 0.0 && service.weight > 0.0 {
+                return Some(service.name.clone());
             }
         }
-        route.services.iter().rev().find(|service| service.1 > 0.0).map(|service| service.0.clone())
+        route.services.iter().rev().find(|service| service.weight > 0.0).map(|service| service.name.clone())
     }
 
     /// The desk for the reqs of a route that go to this service.
--- a/emulator/src/mesh/steward.rs
+++ b/emulator/src/mesh/steward.rs
@@ -9,7 +9,9 @@
 use ochreshed_catalog::configuration_update::UpdateCache;
 use ochreshed_catalog::endpoints::TablePosition;
 use ochreshed_catalog::internal_rpc::{InternalRequest, InternalResponse, WatchResponse};
-use ochreshed_catalog::watch_server::{self, CommittedRegisters, CommittedState, PendingWatch, WatchServer};
+use ochreshed_catalog::watch_server::{
+    self, CommittedRegisters, CommittedState, PendingWatch, RegisteredWatch, WatchServer,
+};
 use ochreshed_consensus::core::{Config, Core, Mutation, StartOptions};
 use ochreshed_consensus::messages::*;
 
@@ -208,7 +210,8 @@
                     has_quorum: self.settled,
                     registers: NO_REGISTERS,
                 };
-                let (waiting, news) = self.office.register(hand.now, &ask, stand);
+                let RegisteredWatch { pending: waiting, table_changed: news } =
+                    self.office.register(hand.now, &ask, stand);
                 let due = self.office.due_at(&waiting, self.stand());
                 if due.is_some_and(|due| due <= hand.now) {
                     let reply = self.office.respond(hand.now, waiting, self.stand(), None);
@@ -450,7 +453,7 @@
             return;
         }
         self.safe = safe.cloned();
-        safe.into_iter().for_each(|safe| self.parcels.note(safe));
+        safe.into_iter().for_each(|safe| self.parcels.add(safe));
         self.settled = self.core.has_quorum(hand.now);
         let stewards = self.core.replica_addresses();
         if news || self.stewards != stewards {
