--- a/balancer/src/mesh/mod.rs
+++ b/balancer/src/mesh/mod.rs
@@ -47,10 +47,12 @@
         Ok(Command::Attendant { settings }) => attendant::run(settings).map_err(|why| why.to_string()),
         Ok(Command::Steward { settings }) => steward::run(settings).map_err(|why| why.to_string()),
         Ok(Command::Settings { settings }) => {
-            operator_client::settings(settings).map_err(|why| why.to_string())
+            operator_client::check_settings(settings).map_err(|why| why.to_string())
         }
         Ok(Command::Hollow(options)) => hollow::run(options).map_err(|why| why.to_string()),
-        Ok(Command::Client { replicas, json, command }) => operator_client::ask(&replicas, json, command),
+        Ok(Command::Client { replicas, json, command }) => {
+            operator_client::run(&replicas, json, command).map_err(|why| why.to_string())
+        }
         Err(CommandLineError::HelpRequested { page }) => {
             print!("{page}");
             Ok(ExitCode::SUCCESS)
--- a/balancer/src/mesh/operator_client/member_documents.rs
+++ b/balancer/src/mesh/operator_client/member_documents.rs
@@ -1,8 +1,11 @@
-//! The client's part for members of a platform: the register, and one member's own routes. It owns the pages shown and
-//! how a member's key is read from its file. It must never show a key, nor send one that can't stand in a header.
-
+//! Members of a platform: their register, and one member's own routes.
+//!
+//! [`run_register`] and [`run_member`] carry out the commands; [`MemberKey`] is a member's key, as its file holds it.
 //!
-//! What stewards answer, in JSON but for `read`, which gives the document as it was sent. Editions are as `r7` or null:
+//! Invariants: a key is never shown, and none is sent that can't stand in a header. An undo is not sent again where one
+//! replica may have applied it, because two undos are not one.
+//!
+//! What replicas answer, in JSON but for `read`, which gives the document as it was sent. Editions are as `r7` or null:
 //!
 //! | call | fields |
 //! | --- | --- |
@@ -13,181 +16,265 @@
 //! | `member.history` | `versions`, as of `timetable.history` |
 
 use std::collections::BTreeMap;
-use std::net::SocketAddr;
 use std::path::Path;
 use std::process::ExitCode;
-use std::sync::Arc;
 
-use ochreshed_mesh::configuration::{Route, by_place};
-use ochreshed_mesh::members::{self, MemberDocument};
+use ochreshed_mesh::configuration::{Refusal, by_place};
+use ochreshed_mesh::members::{self, MemberDocument, MemberRegister};
 use serde_json::Value;
 
-use super::super::command_line::{MemberCommand, RegisterCommand};
-use super::{
-    Call, Paper, bytes, call, call_with, cell, cells, checked, differing, escaped, history, known, print,
-    replace,
-};
-use super::{rows, send, shown_line, table, text, value};
-
-/// The header in which a member's calls bear its key.
-const HEADER: &str = "Ochreshed-Member-Key";
-const MOST_KEY: usize = 1_024;
-
-const REGISTER: Paper = Paper {
-    check: |bytes| {
-        let read = members::MemberRegister::read(bytes);
-        read.map(|read| (read.version, format!("{} members", read.members().count())))
-    },
-    name: "register",
-    replace: "members.replace",
-    read: "members.read",
-};
+use super::call::{OperatorClient, RenderPage, ReplicaCall, ReplicaResponse, parse_json};
+use super::documents::{self, Document, ReplaceableDocument};
+use super::error::{ClientError, MemberKeyProblem};
+use super::formatting::{percent_encode, printable_line};
+use super::tables::{continuation_note, format_cell, format_cells, format_table, rows_of};
+use super::{history, print_page};
+use crate::mesh::command_line::{MemberCommand, RegisterCommand};
+
+/// The header that carries a member's key.
+const KEY_HEADER: &str = "Ochreshed-Member-Key";
+const MAX_KEY_BYTES: usize = 1_024;
+
+impl Document for MemberRegister {
+    const NAME: &'static str = "register";
+
+    fn parse(bytes: &[u8]) -> Result<Self, Vec<Refusal>> {
+        MemberRegister::read(bytes)
+    }
+
+    fn document_version(&self) -> u64 {
+        self.version
+    }
+
+    fn differences_to(&self, new: &Self) -> Vec<String> {
+        members::differences(self, new)
+    }
+}
+
+impl ReplaceableDocument for MemberRegister {
+    const READ_CALL: &'static str = "members.read";
+    const REPLACE_CALL: &'static str = "members.replace";
+
+    fn contents(&self) -> String {
+        format!("{} members", self.members().count())
+    }
+}
+
+impl Document for MemberDocument {
+    const NAME: &'static str = "document";
+
+    fn parse(bytes: &[u8]) -> Result<Self, Vec<Refusal>> {
+        MemberDocument::read(bytes)
+    }
+
+    fn document_version(&self) -> u64 {
+        self.version
+    }
+
+    fn differences_to(&self, new: &Self) -> Vec<String> {
+        let mut lines = Vec::new();
+        let (before, after) = (canary_share_text(self), canary_share_text(new));
+        if before != after {
+            lines.push(format!("trial from {before} to {after}"));
+        }
+        lines.extend(by_place(self.routes.iter(), new.routes.iter()));
+        lines
+    }
+}
+
+fn canary_share_text(document: &MemberDocument) -> String {
+    document.canary_share.map_or("none".to_owned(), |share| share.to_string())
+}
 
 /// A member's key, as it stands in its file.
-pub struct Key(String);
-
-impl Key {
-    fn read(file: &Path) -> Result<Key, String> {
-        let told = |why: &str| format!("{}: {why}", file.display());
-        let bytes = bytes(file)?;
-        let key = bytes.trim_ascii();
-        match std::str::from_utf8(key) {
-            Ok("") => Err(told("holds no key")),
-            Ok(key) if key.len() <= MOST_KEY && key.bytes().all(|byte| byte.is_ascii_graphic()) => {
-                Ok(Key(key.to_owned()))
-            }
-            _ => Err(told("holds no key of printable signs in one word, 1024 at most")),
+pub struct MemberKey(String);
+
+impl MemberKey {
+    fn read(file: &Path) -> Result<MemberKey, ClientError> {
+        let bytes = documents::read_file(file)?;
+        let invalid = |problem| ClientError::InvalidMemberKey { path: file.to_owned(), problem };
+        let key = std::str::from_utf8(bytes.trim_ascii());
+        let key = key.map_err(|_| invalid(MemberKeyProblem::Malformed))?;
+        if key.is_empty() {
+            return Err(invalid(MemberKeyProblem::Missing));
+        }
+        if key.len() > MAX_KEY_BYTES || !key.bytes().all(|byte| byte.is_ascii_graphic()) {
+            return Err(invalid(MemberKeyProblem::Malformed));
         }
+        Ok(MemberKey(key.to_owned()))
     }
 
+    /// The name and the value of the header that carries the key.
     pub fn header(&self) -> (&str, &str) {
-        (HEADER, &self.0)
+        (KEY_HEADER, &self.0)
     }
 }
 
-pub fn register(at: &[SocketAddr], json: bool, what: RegisterCommand) -> Result<ExitCode, String> {
-    let page = match what {
-        RegisterCommand::Read => text(call(at, REGISTER.read, None)?.1)?,
-        RegisterCommand::Replace(file) => return replace(at, json, &file, &REGISTER),
-        RegisterCommand::Diff(file) => {
-            let new = checked(&file, members::MemberRegister::read(&bytes(&file)?))?;
-            let (at, held) = call(at, REGISTER.read, None)?;
-            let old = known(at, REGISTER.name, members::MemberRegister::read(&held))?;
-            differing(json, (old.version, new.version), members::differences(&old, &new))
-        }
+/// Carries out a command on the register of members.
+pub fn run_register(client: &OperatorClient, command: RegisterCommand) -> Result<ExitCode, ClientError> {
+    let page = match command {
+        RegisterCommand::Read => documents::read::<MemberRegister>(client)?,
+        RegisterCommand::Replace(file) => documents::replace::<MemberRegister>(client, &file)?,
+        RegisterCommand::Diff(file) => documents::diff::<MemberRegister>(client, &file)?,
     };
-    print(&page)?;
+    print_page(&page)?;
     Ok(ExitCode::SUCCESS)
 }
 
-pub fn own(
-    at: &[SocketAddr],
-    json: bool,
+/// Carries out a command on one member's own routes.
+pub fn run_member(
+    client: OperatorClient,
     name: &str,
-    what: MemberCommand,
-    key: Option<&Path>,
-) -> Result<ExitCode, String> {
-    let key = key.map(Key::read).transpose()?;
-    let key = key.as_ref();
-    let call_of = |verb: &str| format!("member.{verb}&of={}", escaped(name));
-    let asked = |verb: &str, body: &[u8]| -> Result<(SocketAddr, Vec<u8>), String> {
-        Ok(call_with(at, Call { what: &call_of(verb), body, key, once: false })?)
-    };
-    let ask = |verb: &str| text(asked(verb, &[])?.1);
-    let change = |verb: &str, body: &[u8]| {
-        // Undone twice is something else than undone.
-        let call = Call { what: &call_of(verb), body, key, once: verb == "undo" };
-        text(send(at, call)?.1)
-    };
-    let shown = |answer: String, page: fn(&Value) -> String| -> Result<String, String> {
-        if json { Ok(answer) } else { Ok(page(&value(&answer)?)) }
-    };
-    let page = match what {
-        MemberCommand::Read => ask("read")?,
-        MemberCommand::Plan(file) => {
-            let sent = bytes(&file)?;
-            checked(&file, MemberDocument::read(&sent))?;
-            let answer = text(asked("plan", &sent)?.1)?;
-            let forbidden = !rows(&value(&answer)?, "forbidden").is_empty();
-            print(&shown(answer, plan)?)?;
-            return Ok(if forbidden { ExitCode::FAILURE } else { ExitCode::SUCCESS });
-        }
-        MemberCommand::Replace(file) => {
-            let sent = bytes(&file)?;
-            checked(&file, MemberDocument::read(&sent))?;
-            shown(change("replace", &sent)?, taken)?
-        }
+    command: MemberCommand,
+    key_file: Option<&Path>,
+) -> Result<ExitCode, ClientError> {
+    let key = key_file.map(MemberKey::read).transpose()?;
+    let member = MemberClient { client, name, key };
+    let page = match command {
+        MemberCommand::Read => member.call(MemberCall::Read, &[])?.into_text()?,
+        MemberCommand::Plan(file) => return member.print_plan(&file),
+        MemberCommand::Replace(file) => member.replace(&file)?,
         MemberCommand::Diff(file) => {
-            let new = checked(&file, MemberDocument::read(&bytes(&file)?))?;
-            let (at, held) = asked("read", &[])?;
-            let old = known(at, "document", MemberDocument::read(&held))?;
-            differing(json, (old.version, new.version), apart(&old, &new))
+            let fetch = || member.call(MemberCall::Read, &[]);
+            documents::diff_with::<MemberDocument>(client.json, &file, fetch)?
         }
-        MemberCommand::Status => shown(ask("status")?, status)?,
-        MemberCommand::History => shown(ask("history")?, history)?,
-        MemberCommand::Undo => shown(change("undo", &[])?, taken)?,
-        MemberCommand::Settle => shown(change("settle", &[])?, taken)?,
-        MemberCommand::Withdraw => shown(change("withdraw", &[])?, taken)?,
+        MemberCommand::Status => member.fetch_page(MemberCall::Status, status_page)?,
+        MemberCommand::History => member.fetch_page(MemberCall::History, history::page)?,
+        MemberCommand::Undo => member.change(MemberCall::Undo, &[])?,
+        MemberCommand::Settle => member.change(MemberCall::Settle, &[])?,
+        MemberCommand::Withdraw => member.change(MemberCall::Withdraw, &[])?,
     };
-    print(&page)?;
+    print_page(&page)?;
     Ok(ExitCode::SUCCESS)
 }
 
-fn apart(old: &MemberDocument, new: &MemberDocument) -> Vec<String> {
-    let mut lines = Vec::new();
-    let trial = |doc: &MemberDocument| doc.canary_share.map_or("none".to_owned(), |share| share.to_string());
-    let (before, after) = (trial(old), trial(new));
-    if before != after {
-        lines.push(format!("trial from {before} to {after}"));
+/// The calls on one member's own routes.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum MemberCall {
+    Read,
+    Plan,
+    Replace,
+    Status,
+    History,
+    Undo,
+    Settle,
+    Withdraw,
+}
+
+impl MemberCall {
+    fn name(self) -> &'static str {
+        match self {
+            MemberCall::Read => "member.read",
+            MemberCall::Plan => "member.plan",
+            MemberCall::Replace => "member.replace",
+            MemberCall::Status => "member.status",
+            MemberCall::History => "member.history",
+            MemberCall::Undo => "member.undo",
+            MemberCall::Settle => "member.settle",
+            MemberCall::Withdraw => "member.withdraw",
+        }
+    }
+}
+
+/// The client for one member.
+struct MemberClient<'c> {
+    client: OperatorClient<'c>,
+    name: &'c str,
+    key: Option<MemberKey>,
+}
+
+impl MemberClient<'_> {
+    fn call(&self, call: MemberCall, body: &[u8]) -> Result<ReplicaResponse, ClientError> {
+        let name = self.call_name(call);
+        let member_key = self.key.as_ref();
+        Ok(self.client.call(ReplicaCall { name: &name, body, member_key, idempotent: true })?)
+    }
+
+    fn call_name(&self, call: MemberCall) -> String {
+        format!("{}&of={}", call.name(), percent_encode(self.name))
+    }
+
+    fn fetch_page(&self, call: MemberCall, render: RenderPage) -> Result<String, ClientError> {
+        self.client.render(self.call(call, &[])?.into_text()?, render)
+    }
+
+    /// Sends a change, and gives the page that says what came of it.
+    fn change(&self, call: MemberCall, body: &[u8]) -> Result<String, ClientError> {
+        let name = self.call_name(call);
+        let member_key = self.key.as_ref();
+        let idempotent = call != MemberCall::Undo;
+        let call = ReplicaCall { name: &name, body, member_key, idempotent };
+        let response = self.client.send_change(call)?.into_text()?;
+        self.client.render(response, changed_page)
+    }
+
+    fn replace(&self, file: &Path) -> Result<String, ClientError> {
+        let sent = documents::read_file(file)?;
+        documents::parse_file::<MemberDocument>(file, &sent)?;
+        self.change(MemberCall::Replace, &sent)
+    }
+
+    /// Prints what a document would change. The exit code says whether it would be refused.
+    fn print_plan(&self, file: &Path) -> Result<ExitCode, ClientError> {
+        let sent = documents::read_file(file)?;
+        documents::parse_file::<MemberDocument>(file, &sent)?;
+        let response = self.call(MemberCall::Plan, &sent)?.into_text()?;
+        let forbidden = !rows_of(&parse_json(&response)?, "forbidden").is_empty();
+        print_page(&self.client.render(response, plan_page)?)?;
+        Ok(if forbidden { ExitCode::FAILURE } else { ExitCode::SUCCESS })
     }
-    let routes = |doc: &MemberDocument| -> Vec<Arc<Route>> { doc.routes.clone() };
-    lines.extend(by_place(routes(old).iter(), routes(new).iter()));
-    lines
 }
 
-/// Texts of a list, a line for each.
-fn lines(of: &Value, name: &str) -> String {
-    let texts = rows(of, name).iter().filter_map(Value::as_str);
-    texts.map(|line| format!("  {}\n", shown_line(line))).collect()
+/// The texts of a list, a line for each.
+fn indented_lines(response: &Value, name: &str) -> String {
+    let texts = rows_of(response, name).iter().filter_map(Value::as_str);
+    texts.map(|line| format!("  {}\n", printable_line(line))).collect()
 }
 
-pub(super) fn plan(of: &Value) -> String {
-    let section = |name: &str, some: &str, none: &str| {
-        let lines = lines(of, name);
-        if lines.is_empty() { format!("{none}\n") } else { format!("{some}\n{lines}") }
+/// The page of what a document would change.
+pub(super) fn plan_page(plan: &Value) -> String {
+    let section = |name: &str, heading: &str, empty: &str| {
+        let lines = indented_lines(plan, name);
+        if lines.is_empty() { format!("{empty}\n") } else { format!("{heading}\n{lines}") }
     };
     section("changes", "would change:", "nothing would change")
         + &section("forbidden", "FORBIDDEN, so that it would be refused:", "nothing forbids it")
         + &section("trims", "trimmed now, before the change:", "nothing is trimmed now")
 }
 
-/// A change that was taken.
-pub(super) fn taken(of: &Value) -> String {
-    let state = match of["state"].as_str() {
+/// The page of a change that was applied.
+pub(super) fn changed_page(change: &Value) -> String {
+    let state = match change["state"].as_str() {
         Some("trial") => "is safe on more than half of the core, on trial",
         Some("withdrawn") => "is withdrawn: the document before it holds",
         Some("settled") => "is safe on more than half of the core",
         _ => "was answered, in a way that this build doesn't know",
     };
-    format!("{} of {} {state}\n", cell(&of["edition"]), cell(&of["member"]))
+    format!("{} of {} {state}\n", format_cell(&change["edition"]), format_cell(&change["member"]))
 }
 
-pub(super) fn status(of: &Value) -> String {
-    let mut page = format!("member     {}\n", cell(&of["member"]));
+/// The page of a member's documents and of the nodes that have them.
+pub(super) fn status_page(status: &Value) -> String {
+    let mut page = format!("member     {}\n", format_cell(&status["member"]));
     for name in ["settled", "trial", "withdrawn"] {
-        page += &format!("{name:<11}{}\n", cell(&of[name]));
+        page += &format!("{name:<11}{}\n", format_cell(&status[name]));
     }
-    let trims = lines(of, "trims");
+    let trims = indented_lines(status, "trims");
     page += &if trims.is_empty() { "trimmed    nothing\n".to_owned() } else { format!("trimmed:\n{trims}") };
-    let mut counts: BTreeMap<String, usize> = BTreeMap::new();
-    for row in rows(of, "nodes") {
-        *counts.entry(cell(&row["edition"])).or_default() += 1;
-    }
     page += "\n";
-    for (edition, count) in counts {
+    let nodes = rows_of(status, "nodes");
+    for (edition, count) in count_editions(nodes) {
         page += &format!("{edition} on {count} of these nodes\n");
     }
-    let nodes =
-        rows(of, "nodes").iter().map(|row| cells(row, &["door", "edition", "trial", "quiet"])).collect();
-    page + &table(&["NODE", "EDITION", "TRIAL", "QUIET"], nodes) + super::more(of)
+    let rows = nodes.iter().map(|node| format_cells(node, &["door", "edition", "trial", "quiet"]));
+    page += &format_table(&["NODE", "EDITION", "TRIAL", "QUIET"], rows.collect());
+    page + continuation_note(status)
+}
+
+fn count_editions(nodes: &[Value]) -> BTreeMap<String, usize> {
+    let mut counts = BTreeMap::new();
+    for node in nodes {
+        *counts.entry(format_cell(&node["edition"])).or_default() += 1;
+    }
+    counts
 }
--- a/balancer/src/mesh/operator_client/tests/member_documents_tests.rs
+++ b/balancer/src/mesh/operator_client/tests/member_documents_tests.rs
@@ -1,33 +1,32 @@
-use super::super::member_documents::{own, plan, status, taken};
-use super::super::value;
-use crate::asking::stand_in;
-use crate::mesh::command_line::MemberCommand;
-use expect_test::expect;
-use serde_json::Value;
 use std::net::SocketAddr;
+use std::path::PathBuf;
 
-fn answer(status: u16, body: &str) -> Vec<u8> {
-    format!("HTTP/1.1 {status} X\r\ncontent-length: {}\r\n\r\n{body}", body.len()).into_bytes()
-}
+use expect_test::expect;
+
+use super::response;
+use crate::asking::stand_in;
+use crate::mesh::command_line::MemberCommand;
+use crate::mesh::operator_client::call::{OperatorClient, RenderPage, parse_json};
+use crate::mesh::operator_client::member_documents::{changed_page, plan_page, run_member, status_page};
 
 #[test]
-fn pages() {
-    let said = |page: fn(&Value) -> String, text: &str| page(&value(text).expect("JSON")) + "--\n";
+fn formats_the_pages_of_a_member() {
+    let rendered = |render: RenderPage, text: &str| render(&parse_json(text).expect("JSON")) + "--\n";
     let all = [
-        said(
-            plan,
+        rendered(
+            plan_page,
             r#"{"changes":["route n.example/cart/: tries from 1 to 2"],"forbidden":["routes[0] (a\u001b).tries: 3"],"trims":[]}"#,
         ),
-        said(plan, r#"{"changes":[],"forbidden":[],"trims":["sul: routes[1] (b).deadline_ms: 1"]}"#),
-        said(taken, r#"{"member":"norte","edition":"r8","state":"trial"}"#),
-        said(taken, r#"{"member":"norte","edition":"r8","state":"settled"}"#),
-        said(taken, "{}"),
-        said(
-            status,
+        rendered(plan_page, r#"{"changes":[],"forbidden":[],"trims":["sul: routes[1] (b).deadline_ms: 1"]}"#),
+        rendered(changed_page, r#"{"member":"norte","edition":"r8","state":"trial"}"#),
+        rendered(changed_page, r#"{"member":"norte","edition":"r8","state":"settled"}"#),
+        rendered(changed_page, "{}"),
+        rendered(
+            status_page,
             r#"{"member":"norte","settled":"r7","trial":"r8","withdrawn":null,"trims":["routes[0] (a).tries: 3"],
                 "nodes":[{"door":"10.1.0.8:8300","edition":"r8","trial":true,"quiet":false}]}"#,
         ),
-        said(status, "{}"),
+        rendered(status_page, "{}"),
     ];
     expect![[r#"
             would change:
@@ -70,33 +69,38 @@
     .assert_eq(&all.concat());
 }
 
-/// A file of this text, which goes with it.
-struct File(std::path::PathBuf);
+/// A file that is removed when this value is dropped.
+struct TemporaryFile(PathBuf);
 
-impl File {
-    fn new(name: &str, text: &[u8]) -> File {
+impl TemporaryFile {
+    fn new(name: &str, text: &[u8]) -> TemporaryFile {
         let path = std::env::temp_dir().join(format!("ochreshed-member-{}-{name}", std::process::id()));
         std::fs::write(&path, text).expect("written");
-        File(path)
+        TemporaryFile(path)
     }
 }
 
-impl Drop for File {
+impl Drop for TemporaryFile {
     fn drop(&mut self) {
         let _ = std::fs::remove_file(&self.0);
     }
 }
 
 #[test]
-fn a_change_that_may_have_been_taken_is_not_undone_twice() {
-    let busy = stand_in(vec![answer(503, "not safe yet"); 2]);
-    let well = stand_in(vec![answer(200, r#"{"member":"norte","edition":"r9","state":"settled"}"#)]);
+fn does_not_send_an_undo_again_that_may_have_been_applied() {
+    let busy = stand_in(vec![response(503, "not safe yet"); 2]);
+    let well = stand_in(vec![response(200, r#"{"member":"norte","edition":"r9","state":"settled"}"#)]);
     let dead = SocketAddr::from(([127, 0, 0, 1], 1));
-    let done = |at: &[SocketAddr], what: MemberCommand| match own(at, true, "norte", what, None) {
+    let done = |at: &[SocketAddr], what: MemberCommand| match run_member(
+        OperatorClient { replicas: at, json: true },
+        "norte",
+        what,
+        None,
+    ) {
         Ok(_) => "done".to_owned(),
-        Err(why) => why.replace(&busy.to_string(), "BUSY").replace(&dead.to_string(), "DEAD"),
+        Err(why) => why.to_string().replace(&busy.to_string(), "BUSY").replace(&dead.to_string(), "DEAD"),
     };
-    let doc = File::new("doc", br#"{"edition":"r9","routes":[]}"#);
+    let doc = TemporaryFile::new("doc", br#"{"edition":"r9","routes":[]}"#);
     let all = [
         done(&[dead, busy, well], MemberCommand::Undo),
         done(&[busy, dead], MemberCommand::Replace(doc.0.clone())),
@@ -116,14 +120,19 @@
 }
 
 #[test]
-fn a_key_is_sent_whole_or_not_at_all_and_never_shown() {
-    let file = File::new("key", b"k-1 k-2\n");
-    let (at, seen) = crate::asking::stand_in_that_tells(vec![answer(200, "{}")]);
+fn sends_a_valid_key_only_and_never_shows_it() {
+    let file = TemporaryFile::new("key", b"k-1 k-2\n");
+    let (at, seen) = crate::asking::stand_in_that_tells(vec![response(200, "{}")]);
     let told = |text: &[u8]| {
         std::fs::write(&file.0, text).expect("written");
-        let done = own(&[at], true, "no rte", MemberCommand::Status, Some(&file.0));
+        let done = run_member(
+            OperatorClient { replicas: &[at], json: true },
+            "no rte",
+            MemberCommand::Status,
+            Some(&file.0),
+        );
         done.map(|_| "done".to_owned())
-            .unwrap_or_else(|why| why.replace(&file.0.display().to_string(), "FILE"))
+            .unwrap_or_else(|why| why.to_string().replace(&file.0.display().to_string(), "FILE"))
     };
     let all = [&b"k-1 k-2\n"[..], b"\n", b"k\r\nX: y", &[b'k'; 1_025], b"k-7\n"].map(told);
     expect![[r#"
--- a/balancer/src/mesh/settings/mod.rs
+++ b/balancer/src/mesh/settings/mod.rs
@@ -23,7 +23,7 @@
 
 pub use bounds::OperatingBounds;
 pub use error::{SettingsError, SettingsIssue};
-pub use limits::ResourceLimits;
+pub use limits::{AttendantCapacity, ReplicaCapacity, ResourceLimits};
 pub use tolerance::FaultTolerance;
 
 use reader::fields;
