--- a/balancer/src/main.rs
+++ b/balancer/src/main.rs
@@ -153,7 +153,10 @@
 fn serve(start: StartFacts, fleet: Option<FleetFile>) -> Result<ExitCode, String> {
     // Lines that nobody takes off are lost rather than waited for.
     let (lines, _writer) = tracing_appender::non_blocking(std::io::stderr());
-    tracing_subscriber::fmt().with_writer(lines).with_ansi(false).with_target(false).init();
+    let subscriber =
+        tracing_subscriber::fmt().with_writer(lines).with_ansi(false).with_target(false).finish();
+    // Unlike `init`, this leaves out the records of the `log` crate, which are the mesh's.
+    tracing::subscriber::set_global_default(subscriber).map_err(|e| format!("no log: {e}"))?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     runtime.map_err(|e| format!("no runtime: {e}"))?.block_on(phases::run(start, fleet))
 }
--- a/balancer/src/mesh/attendant.rs
+++ b/balancer/src/mesh/attendant.rs
@@ -581,7 +581,7 @@
     let path = Settings::path(path)?;
     let settings = Settings::read(&path)?;
     settings.check_attendant().map_err(SettingsError::Invalid)?;
-    start::logs();
+    start::init_logging();
     Ok(start::block_on(serve(path, settings)))
 }
 
--- a/balancer/src/mesh/hollow.rs
+++ b/balancer/src/mesh/hollow.rs
@@ -61,7 +61,7 @@
 
 pub fn run(options: HollowOptions) -> Result<ExitCode, SettingsError> {
     let settings = Settings::parse(&settings_of(&options)).map_err(SettingsError::Invalid)?;
-    start::logs();
+    start::init_logging();
     log::set_max_level(log::LevelFilter::Warn);
     Ok(start::block_on(load(options, settings)))
 }
--- a/balancer/tests/mesh/town.rs
+++ b/balancer/tests/mesh/town.rs
@@ -501,11 +501,15 @@
         fs::remove_dir_all(&data).and_then(|()| fs::create_dir(data)).expect("an empty folder");
     }
 
-    /// The first word of the first line of its log that holds this: when, in nanoseconds. For the bench.
+    /// The time of the first line of its log that holds this, in nanoseconds since 1970. For the bench.
     #[allow(dead_code)]
     pub fn logged_at(&self, what: &str) -> Option<u128> {
         let log = self.log.lock().expect("a log");
-        log.iter().find(|line| line.contains(what))?.split_whitespace().next()?.parse().ok()
+        let time = log.iter().find(|line| line.contains(what))?.split_whitespace().next()?;
+        // Builds before the log went through tracing wrote nanoseconds.
+        let nanoseconds = || time.parse().ok();
+        let timestamp = time.parse::<jiff::Timestamp>().ok();
+        timestamp.and_then(|time| time.as_nanosecond().try_into().ok()).or_else(nanoseconds)
     }
 
     /// Lines of its log that hold this.
