--- a/balancer/src/mesh/command_line/commands.rs
+++ b/balancer/src/mesh/command_line/commands.rs
@@ -26,6 +26,7 @@
 }
 
 impl Subcommand {
+    /// All subcommands, in the order of the help page.
     pub const ALL: [Subcommand; 13] = [
         Subcommand::Attendant,
         Subcommand::Steward,
@@ -146,31 +147,47 @@
 /// What is asked of the configuration.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ConfigurationCommand {
+    /// Print the one in force.
     Read,
+    /// Put the one of a file in its place.
     Replace(PathBuf),
+    /// Print the versions on a replica's disk.
     History,
+    /// Print what the one of a file would change.
     Diff(PathBuf),
 }
 
 /// What is asked of the register of members.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RegisterCommand {
+    /// Print the one in force.
     Read,
+    /// Put the one of a file in its place.
     Replace(PathBuf),
+    /// Print what the one of a file would change.
     Diff(PathBuf),
 }
 
 /// What is asked of one member's own routes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MemberCommand {
+    /// Print the member's document in force.
     Read,
+    /// Print what the document of a file would change, and what forbids it.
     Plan(PathBuf),
+    /// Put the document of a file in place of the one in force.
     Replace(PathBuf),
+    /// Print how the document of a file differs from the one in force.
     Diff(PathBuf),
+    /// Print the versions in force, and which nodes have which.
     Status,
+    /// Print the versions on a replica's disk.
     History,
+    /// End the running canary, or put the document before the current one in force again.
     Undo,
+    /// Put the running canary in force everywhere.
     Settle,
+    /// End the running canary.
     Withdraw,
 }
 
@@ -190,10 +207,13 @@
 /// What to do with a session.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SessionAction {
+    /// Print where it is.
     Show,
     /// Have the attendant with this inbound address take it.
     Move {
+        /// The inbound address.
         target: SocketAddr,
     },
+    /// Drop it, so that its next request is bound anew.
     Forget,
 }
--- a/balancer/src/mesh/command_line/mod.rs
+++ b/balancer/src/mesh/command_line/mod.rs
@@ -11,7 +11,10 @@
 mod commands;
 mod error;
 mod help;
+mod options;
 mod parser;
+mod typed_words;
+mod words;
 
 pub use commands::{
     ClientCommand, Command, ConfigurationCommand, MemberCommand, RegisterCommand, SessionAction,
--- a/balancer/src/mesh/operator_client/member_documents.rs
+++ b/balancer/src/mesh/operator_client/member_documents.rs
@@ -15,19 +15,18 @@
 //! | of a node | `door`, `edition`, `trial`, `quiet` |
 //! | `member.history` | `versions`, as of `timetable.history` |
 
-use std::collections::BTreeMap;
 use std::path::Path;
 use std::process::ExitCode;
 
 use ochreshed_mesh::configuration::{Refusal, by_place};
 use ochreshed_mesh::members::{self, MemberDocument, MemberRegister};
-use serde_json::Value;
 
 use super::call::{OperatorClient, RenderPage, ReplicaCall, ReplicaResponse, parse_json};
 use super::documents::{self, Document, ReplaceableDocument};
 use super::error::{ClientError, MemberKeyProblem};
-use super::formatting::{percent_encode, printable_line};
-use super::tables::{continuation_note, format_cell, format_cells, format_table, rows_of};
+use super::formatting::percent_encode;
+use super::member_pages::{changed_page, plan_page, status_page};
+use super::tables::rows_of;
 use super::{history, print_page};
 use crate::mesh::command_line::{MemberCommand, RegisterCommand};
 
@@ -224,57 +223,3 @@
         Ok(if forbidden { ExitCode::FAILURE } else { ExitCode::SUCCESS })
     }
 }
-
-/// The texts of a list, a line for each.
-fn indented_lines(response: &Value, name: &str) -> String {
-    let texts = rows_of(response, name).iter().filter_map(Value::as_str);
-    texts.map(|line| format!("  {}\n", printable_line(line))).collect()
-}
-
-/// The page of what a document would change.
-pub(super) fn plan_page(plan: &Value) -> String {
-    let section = |name: &str, heading: &str, empty: &str| {
-        let lines = indented_lines(plan, name);
-        if lines.is_empty() { format!("{empty}\n") } else { format!("{heading}\n{lines}") }
-    };
-    section("changes", "would change:", "nothing would change")
-        + &section("forbidden", "FORBIDDEN, so that it would be refused:", "nothing forbids it")
-        + &section("trims", "trimmed now, before the change:", "nothing is trimmed now")
-}
-
-/// The page of a change that was applied.
-pub(super) fn changed_page(change: &Value) -> String {
-    let state = match change["state"].as_str() {
-        Some("trial") => "is safe on more than half of the core, on trial",
-        Some("withdrawn") => "is withdrawn: the document before it holds",
-        Some("settled") => "is safe on more than half of the core",
-        _ => "was answered, in a way that this build doesn't know",
-    };
-    format!("{} of {} {state}\n", format_cell(&change["edition"]), format_cell(&change["member"]))
-}
-
-/// The page of a member's documents and of the nodes that have them.
-pub(super) fn status_page(status: &Value) -> String {
-    let mut page = format!("member     {}\n", format_cell(&status["member"]));
-    for name in ["settled", "trial", "withdrawn"] {
-        page += &format!("{name:<11}{}\n", format_cell(&status[name]));
-    }
-    let trims = indented_lines(status, "trims");
-    page += &if trims.is_empty() { "trimmed    nothing\n".to_owned() } else { format!("trimmed:\n{trims}") };
-    page += "\n";
-    let nodes = rows_of(status, "nodes");
-    for (edition, count) in count_editions(nodes) {
-        page += &format!("{edition} on {count} of these nodes\n");
-    }
-    let rows = nodes.iter().map(|node| format_cells(node, &["door", "edition", "trial", "quiet"]));
-    page += &format_table(&["NODE", "EDITION", "TRIAL", "QUIET"], rows.collect());
-    page + continuation_note(status)
-}
-
-fn count_editions(nodes: &[Value]) -> BTreeMap<String, usize> {
-    let mut counts = BTreeMap::new();
-    for node in nodes {
-        *counts.entry(format_cell(&node["edition"])).or_default() += 1;
-    }
-    counts
-}
--- a/balancer/src/mesh/operator_client/mod.rs
+++ b/balancer/src/mesh/operator_client/mod.rs
@@ -17,6 +17,7 @@
 mod history;
 mod keys;
 mod member_documents;
+mod member_pages;
 mod nodes;
 mod sessions;
 mod settings_summary;
--- a/balancer/src/mesh/operator_client/tests/member_documents_tests.rs
+++ b/balancer/src/mesh/operator_client/tests/member_documents_tests.rs
@@ -7,7 +7,8 @@
 use crate::asking::stand_in;
 use crate::mesh::command_line::MemberCommand;
 use crate::mesh::operator_client::call::{OperatorClient, RenderPage, parse_json};
-use crate::mesh::operator_client::member_documents::{changed_page, plan_page, run_member, status_page};
+use crate::mesh::operator_client::member_documents::run_member;
+use crate::mesh::operator_client::member_pages::{changed_page, plan_page, status_page};
 
 #[test]
 fn formats_the_pages_of_a_member() {
