--- a/balancer/src/mesh/control/replica_server.rs
+++ b/balancer/src/mesh/control/replica_server.rs
@@ -146,7 +146,7 @@
     /// Asks the proxy of an upstream to drain it.
     pub fn request_drain(&self, inbound_proxy: SocketAddr, upstream_id: &str) {
         let is_new = held(&self.watches).table.drain(inbound_proxy, upstream_id);
-        if table_changed {
+        if is_new {
             self.notify_change();
         }
     }
@@ -163,7 +163,7 @@
     /// Merges what another replica answered to this one's watch.
     pub fn merge_peer_response(&self, response: &WatchResponse) {
         let is_new = held(&self.watches).merge(self.clock.now(), response);
-        if table_changed {
+        if is_new {
             self.notify_change();
         }
     }
