--- a/consensus/src/core.rs
+++ b/consensus/src/core.rs
@@ -23,208 +23,57 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use crate::core::leases::{LeaseUpdate, PendingLease, StoredLease};
-use crate::core::membership::{CatchUp, MembershipProposal, SnapshotContent};
+use crate::core::calls::Call;
+use crate::core::lease_table::{LeaseUpdate, StoredLease};
+use crate::core::limits::{
+    CONFIGURATION, FORGET_PEER_AFTER, HEARTBEAT_INTERVAL, MAX_PEERS, MAX_TICK_INTERVAL, MAX_ZONE_BYTES,
+    MIN_SEND_INTERVAL, MISSED_MESSAGES_AFTER,
+};
+use crate::core::membership_state::{CatchUp, MembershipProposal, SnapshotContent};
 use crate::core::named_registers::{NamedRegisters, RegistersReport};
-use crate::core::register_paxos::RegisterPaxos;
-use crate::core::registers::{PendingRead, PendingWrite, Register};
+use crate::core::outbox::{Outbox, payload_bytes, split_into_batches};
+use crate::core::peers::{Peer, mark_if_due};
+use crate::core::register::Register;
+use crate::core::register_proposals::RegisterPaxos;
 use crate::core::response_cache::ResponseCache;
-use crate::core::sessions::{PendingSessionChange, Sessions};
+use crate::core::session_table::Sessions;
 use crate::messages::{
     AcceptedMembership, Ballot, CoreEvent, CoreRequest, CoreResponse, Effect, LeaseCompletion, LeaseEntry,
-    LeaseKey, LeaseOutcome, LeaseRequest, LeaseToken, LeaseVote, LeaseVoteReply, LogRecord, Membership,
-    MembershipBallotState, Message, MessageBody, NamedRegister, PersistedState, RegisterName, RegisterValue,
-    ReplicaId, Revision, SessionEntry, SessionMessage,
+    LeaseKey, LeaseToken, LeaseVote, LeaseVoteReply, LogRecord, Membership, MembershipBallotState, Message,
+    MessageBody, NamedRegister, RegisterValue, ReplicaId, SessionEntry,
 };
 
+mod calls;
+mod config;
+mod lease_table;
 mod leases;
+mod limits;
 mod membership;
+mod membership_state;
 mod mutation;
 pub mod named_registers;
+mod outbox;
+mod peers;
+mod register;
 mod register_paxos;
+mod register_proposals;
+mod register_replication;
 mod registers;
 mod response_cache;
 mod rollback;
+mod session_table;
 mod sessions;
 mod zone_spread;
 
-pub use leases::{LeaseCounts, outcome_wait};
+pub use config::{Config, StartOptions};
+pub use lease_table::LeaseCounts;
+pub use leases::outcome_wait;
+pub use limits::Nanos;
 #[doc(hidden)]
 pub use mutation::Mutation;
+pub use peers::PeerStatus;
 pub use response_cache::ResponseCacheUsage;
-pub use sessions::{SESSION_IDLE, SessionCounts};
-
-/// A point in time or a duration in nanoseconds. Points count from an epoch of the caller's choice, which stays the
-/// same while the core lives; the core never reads a clock.
-pub type Nanos = u64;
-
-/// One millisecond.
-const MS: Nanos = 1_000_000;
-/// The time from one heartbeat to the next.
-const HEARTBEAT_INTERVAL: Nanos = 250 * MS;
-/// The longest time that the caller may wait from one tick to the next.
-const MAX_TICK_INTERVAL: Nanos = 50 * MS;
-/// A peer that was silent for longer than this may have missed messages, so lease updates are sent to it again.
-const MISSED_MESSAGES_AFTER: Nanos = 600 * MS;
-/// A peer counts as reachable if it was heard within this time.
-const REACHABLE_WINDOW: Nanos = 1000 * MS;
-/// A peer that is not a member is forgotten after this silence.
-const FORGET_PEER_AFTER: Nanos = 30_000 * MS;
-/// Requests that were not answered are sent again after this time.
-const RETRY_INTERVAL: Nanos = 120 * MS;
-/// The same information is sent to the same peer no more often than this.
-const MIN_SEND_INTERVAL: Nanos = 100 * MS;
-/// Further replicas are ignored once this many are known, so that memory stays bounded.
-const MAX_PEERS: usize = 256;
-/// Longer names of zones are cut off.
-const MAX_ZONE_BYTES: usize = 255;
-/// Pending calls other than those on registers; further lease requests are answered `Unavailable`.
-const MAX_CALLS: usize = 16_384;
-/// Pending calls on all registers together; further ones are answered `Unavailable`.
-const MAX_REGISTER_CALLS: usize = 256;
-/// A message holds at most this many items.
-const MAX_ITEMS_PER_MESSAGE: usize = 256;
-/// A message is closed once its items' payloads together reach this size; it may exceed it by one item.
-const MAX_MESSAGE_BYTES: usize = 512 * 1024;
-
-/// The name of the register that holds the operator's configuration.
-const CONFIGURATION: &str = "";
-
-/// Settings of one replica. All replicas should have the same, except for the zone.
-#[derive(Clone, Debug)]
-pub struct Config {
-    /// How long a lease is kept after a replica first stored it. Repeats of a request after that time run again.
-    pub lease_ttl: Nanos,
-    /// A member that was silent for this long may be replaced by another replica.
-    pub member_timeout: Nanos,
-    /// How many members there should be. Even numbers tolerate no more failures than the odd number below.
-    pub target_members: usize,
-    /// How many leases a replica stores; it refuses further ones. Sessions are bounded by the same number.
-    pub max_leases: usize,
-    /// The size of the response cache in bytes. When it is exceeded, the oldest responses are evicted and their
-    /// leases stay as `Indeterminate`.
-    pub max_response_bytes: usize,
-    /// How many whole zones may be lost at once without losing the quorum, where enough replicas are reachable to
-    /// arrange for that. 0 ignores zones.
-    pub tolerated_zone_losses: usize,
-    /// The zone of this replica; empty if unknown.
-    pub zone: String,
-}
-
-/// What a replica starts with.
-#[derive(Debug)]
-pub struct StartOptions<'a> {
-    /// The time of the start.
-    pub now: Nanos,
-    /// The seed of the replica's random numbers. It has to differ between replicas and between starts.
-    pub seed: u64,
-    /// The address at which other replicas reach this one.
-    pub address: SocketAddr,
-    /// No replica of this cluster has ever run.
-    pub first_start: bool,
-    /// The addresses of the first members. They receive heartbeats although they were never heard.
-    pub seeds: &'a [SocketAddr],
-    /// What the disk held.
-    pub saved: PersistedState,
-    /// Settings.
-    pub config: Config,
-}
-
-/// What this replica knows of another one.
-#[derive(Clone, Debug)]
-struct Peer {
-    /// When the peer was added to the table.
-    first_seen: Nanos,
-    /// When the last message from it arrived.
-    last_heard: Option<Nanos>,
-    /// The epoch of its last heartbeat.
-    epoch: u64,
-    voter: bool,
-    leaving: bool,
-    zone: String,
-    /// When it was last sent this replica's membership.
-    announced_at: Option<Nanos>,
-    /// When it was last sent a heartbeat so that it answers with its later membership.
-    heartbeat_sent_at: Option<Nanos>,
-    /// When it was last asked for the newest value of each register.
-    fetched_at: BTreeMap<RegisterName, Nanos>,
-    /// When each register was last sent to it, and which revision.
-    replicated: BTreeMap<RegisterName, (Nanos, Revision)>,
-    /// When it was last asked for the revisions of all its registers.
-    listed_at: Option<Nanos>,
-    /// The digest of all registers for which it was last counted as storing the same.
-    acknowledged_digest: u128,
-    /// Registers that were requested from it and have not arrived, with the revisions that it offered.
-    wanted_registers: BTreeMap<RegisterName, Revision>,
-}
-
-impl Peer {
-    fn new(now: Nanos) -> Peer {
-        Peer {
-            first_seen: now,
-            last_heard: None,
-            epoch: 0,
-            voter: false,
-            leaving: false,
-            zone: String::new(),
-            announced_at: None,
-            heartbeat_sent_at: None,
-            fetched_at: BTreeMap::new(),
-            replicated: BTreeMap::new(),
-            listed_at: None,
-            acknowledged_digest: 0,
-            wanted_registers: BTreeMap::new(),
-        }
-    }
-
-    /// Whether the peer was heard within `REACHABLE_WINDOW`.
-    fn is_reachable(&self, now: Nanos) -> bool {
-        self.last_heard.is_some_and(|heard| now.saturating_sub(heard) <= REACHABLE_WINDOW)
-    }
-
-    /// The time since the peer was last heard, or since it was first seen if it never was.
-    fn time_since_heard(&self, now: Nanos) -> Nanos {
-        now.saturating_sub(self.last_heard.unwrap_or(self.first_seen))
-    }
-}
-
-/// What a replica knows of another one or of itself, for operators.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct PeerStatus {
-    /// The replica that this is about.
-    pub replica: ReplicaId,
-    /// Whether it is a member in this replica's epoch.
-    pub member: bool,
-    /// Whether it said that it votes.
-    pub voter: bool,
-    /// The epoch of its last heartbeat.
-    pub epoch: u64,
-    /// Nanoseconds since it was last heard; `None` if it never was.
-    pub heard_ago: Option<Nanos>,
-    /// Whether it announced that it will stop.
-    pub leaving: bool,
-    /// Its zone; empty if it has not told any.
-    pub zone: String,
-}
-
-/// Whether `interval` has passed since `last`; if so, sets `last` to `now`.
-fn mark_if_due(last: &mut Option<Nanos>, now: Nanos, interval: Nanos) -> bool {
-    if last.is_some_and(|last| now < last.saturating_add(interval)) {
-        return false;
-    }
-    *last = Some(now);
-    true
-}
-
-/// Items for one address that are sent together by the next `flush`.
-#[derive(Clone, Debug, Default)]
-struct Outbox {
-    completions: Vec<LeaseCompletion>,
-    lease_requests: Vec<LeaseRequest>,
-    lease_votes: Vec<LeaseVoteReply>,
-    session_requests: Vec<SessionMessage>,
-    session_replies: Vec<SessionMessage>,
-}
+pub use session_table::{SESSION_IDLE, SessionCounts};
 
 /// Who sent a message.
 #[derive(Clone, Copy, Debug)]
@@ -236,15 +85,6 @@
     is_member: bool,
 }
 
-/// A call that waits for its answer.
-#[derive(Clone, Debug)]
-enum Call {
-    Lease(PendingLease),
-    Replace(PendingWrite),
-    Read(PendingRead),
-    Session(Box<PendingSessionChange>),
-}
-
 /// The state of one replica. The caller feeds it messages, requests and the time, and carries out the effects that it
 /// returns.
 #[derive(Clone, Debug)]
@@ -885,34 +725,3 @@
         }
     }
 }
-
-/// The bytes that an outcome adds to a message.
-fn payload_bytes(outcome: &LeaseOutcome) -> usize {
-    match outcome {
-        LeaseOutcome::Pending | LeaseOutcome::Indeterminate => 0,
-        LeaseOutcome::Completed(response) => {
-            response.body.len()
-                + response.headers.iter().map(|(name, value)| name.len() + value.len()).sum::<usize>()
-        }
-    }
-}
-
-/// Splits a list so that each batch fits a message.
-fn split_into_batches<T>(list: Vec<T>, payload_bytes: impl Fn(&T) -> usize) -> Vec<Vec<T>> {
-    let mut batches: Vec<Vec<T>> = Vec::new();
-    let mut bytes = 0;
-    for item in list {
-        let item_bytes = payload_bytes(&item);
-        match batches.last_mut() {
-            Some(batch) if batch.len() < MAX_ITEMS_PER_MESSAGE && bytes + item_bytes <= MAX_MESSAGE_BYTES => {
-                bytes += item_bytes;
-                batch.push(item);
-            }
-            _ => {
-                bytes = item_bytes;
-                batches.push(vec![item]);
-            }
-        }
-    }
-    batches
-}
--- a/consensus/src/core/leases.rs
+++ b/consensus/src/core/leases.rs
@@ -11,8 +11,14 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
+use crate::core::Core;
+use crate::core::calls::{Call, PendingLease};
+use crate::core::lease_table::{
+    LEASE_UPDATE_RETENTION, LeaseCounts, LeaseUpdate, MAX_LEASE_UPDATES, StoredLease, outcome_rank,
+};
+use crate::core::limits::{MAX_CALLS, MISSED_MESSAGES_AFTER, MS, NOBODY, Nanos, RETRY_INTERVAL};
 use crate::core::mutation::Mutation;
-use crate::core::{Call, Core, MAX_CALLS, MISSED_MESSAGES_AFTER, MS, Nanos, RETRY_INTERVAL};
+use crate::core::response_cache::{LEASE_UPDATES_DIVISOR, ResponseCacheUsage, cached_bytes};
 use crate::messages::{
     CoreResponse, Effect, Lease, LeaseCompletion, LeaseKey, LeaseOutcome, LeaseRequest, LeaseToken,
     LeaseVote, LeaseVoteReply, LogRecord, ReplicaId,
@@ -20,85 +26,28 @@
 
 /// Members that were not asked for a vote at first are asked after this time.
 const HEDGE_DELAY: Nanos = 50 * MS;
+
 /// A lease request that gets no majority within this time is answered `Unavailable`.
 const LEASE_TIMEOUT: Nanos = 1000 * MS;
+
 /// A call waits for another lease's outcome no longer than this, and no longer than `1 / OUTCOME_WAIT_DIVISOR` of its
 /// request's time left. Both are shorter than outbound proxies wait for an answer (`mesh/src/claim_breaker.rs`), so
 /// that they learn that the key is in use.
 const MAX_OUTCOME_WAIT: Nanos = 700 * MS;
+
 const OUTCOME_WAIT_DIVISOR: Nanos = 3;
-/// How long lease updates are kept for peers that may have missed them.
-pub(super) const LEASE_UPDATE_RETENTION: Nanos = 20_000 * MS;
-/// How many lease updates are kept at most.
-pub(super) const MAX_LEASE_UPDATES: usize = 4096;
+
 /// How many released tokens are remembered; the oldest are forgotten first.
 const MAX_RELEASED_TOKENS: usize = 20_000;
+
 /// How many replicas are remembered that wait for the outcome of a pending lease.
 const MAX_OUTCOME_WATCHERS: usize = 4_096;
-/// The token that belongs to nobody.
-const NOBODY: LeaseToken = 0;
-
-/// A lease with the time at which it expires.
-#[derive(Clone, Debug)]
-pub(super) struct StoredLease {
-    pub lease: Lease,
-    expires_at: Nanos,
-}
-
-/// What the other members were told about a lease, to be sent again to peers that missed it.
-#[derive(Clone, Debug)]
-pub(super) enum LeaseUpdate {
-    Requested { key: LeaseKey, token: LeaseToken, time_left_ms: u32 },
-    Completed(LeaseCompletion),
-}
-
-impl LeaseUpdate {
-    pub fn outcome(&self) -> Option<&LeaseOutcome> {
-        if let LeaseUpdate::Completed(completion) = self { completion.outcome.as_ref() } else { None }
-    }
-}
-
-/// A call that collects votes on a lease.
-#[derive(Clone, Debug)]
-pub(super) struct PendingLease {
-    pub key: LeaseKey,
-    token: LeaseToken,
-    time_left_ms: u32,
-    started_at: Nanos,
-    wait_until: Nanos,
-    pub timer: Nanos,
-    /// Only as many members as a majority needs were asked so far.
-    quorum_only: bool,
-    granted_by: BTreeSet<ReplicaId>,
-    /// Members that refused, with the lease that stands in the way if there is one.
-    refused_by: BTreeMap<ReplicaId, Option<Lease>>,
-}
-
-/// How many leases a replica stores, by outcome.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct LeaseCounts {
-    /// Leases whose request may be running.
-    pub pending: usize,
-    /// Leases whose request may have run, with a response that is not known.
-    pub indeterminate: usize,
-    /// Leases whose request ran, with its response.
-    pub completed: usize,
-}
 
 /// How long a call waits for another lease's outcome if its request has `time_left_ms` milliseconds left.
 pub fn outcome_wait(time_left_ms: u32) -> Nanos {
     (u64::from(time_left_ms) * MS / OUTCOME_WAIT_DIVISOR).min(MAX_OUTCOME_WAIT)
 }
 
-/// Outcomes with a higher rank replace those with a lower one.
-fn outcome_rank(outcome: &LeaseOutcome) -> u8 {
-    match outcome {
-        LeaseOutcome::Pending => 0,
-        LeaseOutcome::Indeterminate => 1,
-        LeaseOutcome::Completed(_) => 2,
-    }
-}
-
 impl Core {
     /// Counts the stored leases by outcome.
     #[must_use]
@@ -570,3 +519,58 @@
         }
     }
 }
+
+impl Core {
+    /// How full the response cache is.
+    #[must_use]
+    pub fn response_cache_usage(&self) -> ResponseCacheUsage {
+        ResponseCacheUsage {
+            bytes: self.response_cache.bytes,
+            max_bytes: self.config.max_response_bytes,
+            evicted: self.response_cache.evicted,
+        }
+    }
+
+    /// Drops a response that exceeds the cache by itself, so that it does not evict all others.
+    pub(super) fn without_oversized_response(&mut self, mut lease: Lease) -> Lease {
+        if cached_bytes(&lease.outcome) > self.config.max_response_bytes {
+            lease.outcome = LeaseOutcome::Indeterminate;
+            self.response_cache.evicted += 1;
+        }
+        lease
+    }
+
+    /// Evicts the oldest responses while the cache exceeds its size. Their leases stay as `Indeterminate`.
+    pub(super) fn evict_responses(&mut self, out: &mut Vec<Effect>) {
+        while self.response_cache.bytes > self.config.max_response_bytes {
+            let Some(&(_, key)) = self.response_cache.eviction_order.first() else { return };
+            let Some(stored) = self.leases.get(&key) else { return };
+            if self.breaks(Mutation::EvictLeaseWithResponse) {
+                self.remove_lease(key, out);
+                continue;
+            }
+            let lease = Lease { outcome: LeaseOutcome::Indeterminate, ..stored.lease };
+            self.response_cache.evicted += 1;
+            out.push(Effect::Persist(LogRecord::Lease(key, lease.clone())));
+            self.insert_lease(key, lease);
+        }
+    }
+
+    /// Retains what the other members were told, within bounds on age, number and bytes.
+    pub(super) fn retain_lease_update(&mut self, now: Nanos, update: LeaseUpdate) {
+        self.response_cache.lease_update_bytes += update.outcome().map_or(0, cached_bytes);
+        self.lease_updates.push_back((now, update));
+        let max_bytes = self.config.max_response_bytes / LEASE_UPDATES_DIVISOR;
+        while let Some((at, first)) = self.lease_updates.front()
+            && (self.lease_updates.len() > MAX_LEASE_UPDATES
+                || self.response_cache.lease_update_bytes > max_bytes
+                || at.saturating_add(LEASE_UPDATE_RETENTION) < now)
+        {
+            self.response_cache.lease_update_bytes = self
+                .response_cache
+                .lease_update_bytes
+                .saturating_sub(first.outcome().map_or(0, cached_bytes));
+            self.lease_updates.pop_front();
+        }
+    }
+}
--- a/consensus/src/core/membership.rs
+++ b/consensus/src/core/membership.rs
@@ -7,91 +7,29 @@
 //! - A replica votes only if its disk holds everything that may have been committed in earlier epochs.
 
 use std::collections::{BTreeMap, BTreeSet};
-use std::sync::Arc;
 
 use rand::Rng;
 
+use crate::core::Core;
+use crate::core::limits::{CONFIGURATION, MAX_ITEMS_PER_MESSAGE, MAX_MESSAGE_BYTES, MS, Nanos};
+use crate::core::membership_state::{CatchUp, CatchUpProgress, MembershipProposal, SnapshotContent};
 use crate::core::mutation::Mutation;
-use crate::core::{
-    CONFIGURATION, Core, MAX_ITEMS_PER_MESSAGE, MAX_MESSAGE_BYTES, MS, Nanos, Peer, payload_bytes,
-};
+use crate::core::outbox::payload_bytes;
+use crate::core::peers::Peer;
 use crate::messages::{
-    AcceptedMembership, AcceptorState, Ballot, CoreEvent, Effect, LeaseEntry, LeaseKey, LogRecord,
-    Membership, MembershipBallotState, MessageBody, NamedRegister, RegisterName, RegisterValue, ReplicaId,
-    SessionEntry,
+    AcceptedMembership, Ballot, CoreEvent, Effect, LeaseEntry, LeaseKey, LogRecord, Membership,
+    MembershipBallotState, MessageBody, NamedRegister, RegisterName, ReplicaId, SessionEntry,
 };
 
 /// A proposal for the next membership is abandoned after this time.
 const PROPOSAL_TIMEOUT: Nanos = 400 * MS;
+
 /// A new member asks for the next chunk again after this time.
 const SNAPSHOT_REQUEST_INTERVAL: Nanos = 100 * MS;
+
 /// After this time a new member also asks reachable replicas that are no members any more.
 const ASK_ALL_DELAY: Nanos = 600 * MS;
 
-/// A ballot of this replica on the next membership.
-#[derive(Clone, Debug)]
-pub(super) struct MembershipProposal {
-    ballot: Ballot,
-    /// What is proposed unless a promise reports another accepted membership.
-    wanted: Membership,
-    /// The proposal returns to the previous members, by a majority of these.
-    rollback: bool,
-    promises: BTreeMap<ReplicaId, Option<AcceptedMembership>>,
-    /// What acceptors are asked to accept, once a quorum has promised.
-    chosen: Option<Membership>,
-    acceptances: BTreeSet<ReplicaId>,
-    deadline: Nanos,
-}
-
-/// How much of its snapshot a source has sent to this new member, in the order of sending.
-#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum CatchUpProgress {
-    /// Leases and sessions from this key on are missing, and all registers.
-    Leases(LeaseKey),
-    /// Registers from this name on are missing.
-    Registers(RegisterName),
-    /// Nothing is missing.
-    Complete,
-}
-
-impl CatchUpProgress {
-    /// The request for the next chunk.
-    fn next_request(&self, catch_up_id: u64) -> Option<MessageBody> {
-        let (from_key, from_register) = match self {
-            CatchUpProgress::Leases(key) => (*key, None),
-            CatchUpProgress::Registers(name) => (LeaseKey::MAX, Some(name.clone())),
-            CatchUpProgress::Complete => return None,
-        };
-        Some(MessageBody::FetchSnapshot { from_key, catch_up_id, from_register })
-    }
-}
-
-/// What this new member has received so far.
-#[derive(Clone, Debug)]
-pub(super) struct CatchUp {
-    id: u64,
-    /// How much each source has sent.
-    sources: BTreeMap<ReplicaId, CatchUpProgress>,
-    next_request: Nanos,
-    /// From then on replicas that left the membership are asked too: their snapshot is complete, but may be outdated.
-    ask_all_after: Nanos,
-}
-
-/// The content of one chunk of a snapshot.
-pub(super) struct SnapshotContent {
-    pub catch_up_id: u64,
-    pub leases: Vec<LeaseEntry>,
-    pub sessions: Vec<SessionEntry>,
-    pub configuration: Option<Arc<RegisterValue>>,
-    pub registers: Vec<NamedRegister>,
-    /// What the sender accepted for versions that are not decided yet.
-    pub acceptors: Vec<AcceptorState>,
-    /// The key from which on leases and sessions are still to be sent.
-    pub next_key: Option<LeaseKey>,
-    /// The name from which on registers are still to be sent.
-    pub next_register: Option<RegisterName>,
-}
-
 impl Core {
     /// This replica's persistent state as an acceptor.
     pub(super) fn ballot_state(&self) -> MembershipBallotState {
--- a/consensus/src/core/register_paxos.rs
+++ b/consensus/src/core/register_paxos.rs
@@ -27,9 +27,12 @@
 
 use rand::Rng;
 
+use crate::core::calls::Call;
+use crate::core::limits::{MS, Nanos};
 use crate::core::mutation::Mutation;
 use crate::core::named_registers::MAX_NAME_BYTES;
-use crate::core::{Call, Core, MS, Nanos, Sender};
+use crate::core::register_proposals::{ProposalId, RegisterProposal};
+use crate::core::{Core, Sender};
 use crate::messages::{
     AcceptedValue, AcceptorState, Ballot, CoreResponse, Effect, LogRecord, MessageBody, ProposalNumber,
     RegisterName, RegisterPaxosMessage, RegisterValue, ReplicaId,
@@ -37,56 +40,19 @@
 
 /// A message that was not answered is sent again after this time.
 const RESEND: Nanos = 120 * MS;
+
 /// The shortest pause after a proposal that was preempted; it doubles with each further one.
 const BASE_BACKOFF: Nanos = 10 * MS;
+
 /// How often the pause doubles at most.
 const MAX_BACKOFF_DOUBLINGS: u32 = 5;
+
 /// How many undecided versions an acceptor keeps for all registers together. It stays silent on further ones.
 const MAX_UNDECIDED_VERSIONS: usize = 1_024;
+
 /// How many bytes of accepted, undecided content an acceptor keeps.
 const MAX_ACCEPTED_BYTES: usize = 64 << 20;
 
-/// The proposal that an answer of an acceptor belongs to.
-struct ProposalId {
-    name: RegisterName,
-    version: u64,
-    number: ProposalNumber,
-}
-
-/// A proposal of this replica for a version of a register.
-#[derive(Clone, Debug)]
-pub(super) struct RegisterProposal {
-    number: ProposalNumber,
-    /// The content that a call wants; another one may be chosen.
-    value: Arc<RegisterValue>,
-    promises: BTreeMap<ReplicaId, Option<AcceptedValue>>,
-    /// What acceptors are asked to accept, once a majority has promised.
-    chosen: Option<Arc<RegisterValue>>,
-    acceptances: BTreeSet<ReplicaId>,
-    /// An acceptor has promised a higher number; the next ballot starts at `next_send`.
-    preempted: bool,
-    /// How often this proposal was preempted.
-    attempts: u32,
-    next_send: Nanos,
-}
-
-/// This replica's proposals and acceptor states.
-#[derive(Clone, Debug, Default)]
-pub(super) struct RegisterPaxos {
-    proposals: BTreeMap<RegisterName, RegisterProposal>,
-    /// What this replica promised and accepted, for versions above the stored ones.
-    acceptors: BTreeMap<(RegisterName, u64), AcceptorState>,
-    /// The highest round of any ballot that was seen.
-    highest_round: u64,
-}
-
-impl RegisterPaxos {
-    fn accepted_bytes(&self) -> usize {
-        let accepted = self.acceptors.values().filter_map(|acceptor| acceptor.accepted.as_ref());
-        accepted.map(|accepted| accepted.value.bytes.len()).sum()
-    }
-}
-
 impl Core {
     fn is_newer(&self, name: &str, version: u64) -> bool {
         self.register(name).is_none_or(|register| register.is_newer(version))
--- a/consensus/src/core/rollback.rs
+++ b/consensus/src/core/rollback.rs
@@ -13,8 +13,9 @@
 //! members, which are the members of the next epoch. The rollback is decided by the same ballots as any other
 //! membership, because a majority of the previous members and a majority of the current members among them intersect.
 
+use crate::core::Core;
+use crate::core::limits::Nanos;
 use crate::core::mutation::Mutation;
-use crate::core::{Core, Nanos};
 use crate::messages::{Ballot, Effect, Membership, MessageBody, ReplicaId};
 
 impl Core {
--- a/consensus/src/core/sessions.rs
+++ b/consensus/src/core/sessions.rs
@@ -18,107 +18,24 @@
 
 use rand::Rng;
 
+use crate::core::calls::{Call, PendingSessionChange};
+use crate::core::limits::{MAX_ITEMS_PER_MESSAGE, MS, NOBODY, Nanos, RETRY_INTERVAL};
 use crate::core::mutation::Mutation;
-use crate::core::{Call, Core, MAX_ITEMS_PER_MESSAGE, MS, Nanos, RETRY_INTERVAL, Sender};
+use crate::core::session_table::{SESSION_IDLE, SessionCounts, apply_request};
+use crate::core::{Core, Sender};
 use crate::messages::{
-    CommittedSession, CoreResponse, Effect, LeaseToken, LogRecord, ReplicaId, SessionEntry, SessionId,
-    SessionMessage, SessionOwner, SessionOwnership, SessionRecord, SessionRequest,
+    CommittedSession, CoreResponse, Effect, LogRecord, ReplicaId, SessionEntry, SessionId, SessionMessage,
+    SessionRecord, SessionRequest,
 };
 
-/// A session that nobody has used for this long is forgotten.
-pub const SESSION_IDLE: Nanos = 900_000 * MS;
 /// A change of a session that is not committed within this time is answered `Unavailable`.
 const SESSION_TIMEOUT: Nanos = 1_000 * MS;
+
 /// After this many preempted rounds the next one is delayed by a random time.
 const MAX_IMMEDIATE_ROUNDS: u32 = 2;
+
 /// How many calls on sessions may wait.
 const MAX_SESSION_CALLS: usize = 4_096;
-/// The token that belongs to nobody.
-const NOBODY: LeaseToken = 0;
-
-/// The sessions that this replica stores, and the calls that change them.
-#[derive(Clone, Debug, Default)]
-pub(super) struct Sessions {
-    /// Each session with the time at which it expires.
-    records: BTreeMap<SessionId, (SessionRecord, Nanos)>,
-    expiry: BTreeSet<(Nanos, SessionId)>,
-    calls: BTreeSet<u64>,
-    counts: SessionCounts,
-}
-
-/// Figures about sessions since the start of this replica.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct SessionCounts {
-    /// Sessions that are stored now.
-    pub sessions: usize,
-    /// Committed changes of an owner that were requested through this replica.
-    pub owner_changes: u64,
-    /// Committed changes of a binding that were requested through this replica.
-    pub binding_changes: u64,
-    /// Sessions that were removed for want of room; those that were not used for longest go first.
-    pub evicted: u64,
-}
-
-/// A call that changes a session.
-#[derive(Clone, Debug)]
-pub(super) struct PendingSessionChange {
-    session: SessionId,
-    request: SessionRequest,
-    started_at: Nanos,
-    pub timer: Nanos,
-    term: u64,
-    token: LeaseToken,
-    /// The highest term that another replica was found to have promised.
-    highest_term_seen: u64,
-    rounds: u32,
-    promises: BTreeMap<ReplicaId, Option<CommittedSession>>,
-    /// What acceptors are asked to accept, once a majority has promised.
-    change: Option<CommittedSession>,
-    accepted_by: BTreeSet<ReplicaId>,
-    preempted_by: BTreeSet<ReplicaId>,
-    /// The change has another owner than the session had.
-    changes_owner: bool,
-    /// The change has another binding than the session had.
-    changes_binding: bool,
-}
-
-/// The ownership that a request leads to; `None` if the session has none and gets none.
-fn apply_request(
-    request: &SessionRequest,
-    was: Option<&SessionOwnership>,
-    term: u64,
-) -> Option<SessionOwnership> {
-    match request {
-        SessionRequest::Acquire { outbound_proxy, above_term } => Some(match was {
-            Some(was)
-                if was.owner.is_some_and(|owner| {
-                    owner.outbound_proxy == *outbound_proxy && owner.since_term >= *above_term
-                }) =>
-            {
-                was.clone()
-            }
-            was => SessionOwnership {
-                binding: was.and_then(|was| was.binding.clone()),
-                owner: Some(SessionOwner { outbound_proxy: *outbound_proxy, since_term: term }),
-                previous_owner: was.and_then(|was| was.owner.or(was.previous_owner)),
-            },
-        }),
-        SessionRequest::Bind { owner, current_upstream_id, binding } => was.map(|was| {
-            let is_owner = was.owner == Some(*owner);
-            let is_current =
-                was.binding.as_ref().map(|binding| &binding.upstream_id) == current_upstream_id.as_ref();
-            SessionOwnership {
-                binding: if is_owner && is_current { Some(binding.clone()) } else { was.binding.clone() },
-                ..was.clone()
-            }
-        }),
-        SessionRequest::Forget => was.map(|was| SessionOwnership {
-            previous_owner: was.owner.or(was.previous_owner),
-            ..SessionOwnership::default()
-        }),
-        SessionRequest::Read | SessionRequest::Renew(_) => was.cloned(),
-    }
-}
 
 impl Core {
     /// Figures about sessions.
--- a/consensus/src/core/zone_spread.rs
+++ b/consensus/src/core/zone_spread.rs
@@ -5,7 +5,9 @@
 
 use std::collections::BTreeMap;
 
-use crate::core::{Core, Nanos, Peer};
+use crate::core::Core;
+use crate::core::limits::Nanos;
+use crate::core::peers::Peer;
 use crate::messages::ReplicaId;
 
 impl Core {
