--- a/catalog/src/configuration.rs
+++ b/catalog/src/configuration.rs
@@ -11,6 +11,7 @@
 pub(crate) mod read;
 pub(crate) mod refusal;
 mod routing;
+pub(crate) mod words;
 
 pub use differences::{differences, differences_by_location};
 pub use model::{Limits, MemberShares, Name, RepeatPolicy, Route, Service, WeightedService};
--- a/catalog/src/configuration/differences.rs
+++ b/catalog/src/configuration/differences.rs
@@ -8,6 +8,7 @@
 use super::model::{Limits, Name, Route, Service};
 use super::read::repeat_policy_word;
 use super::routing::Configuration;
+use super::words;
 
 /// What changes from one configuration to another, one line for each field.
 pub fn differences(old: &Configuration, new: &Configuration) -> Vec<String> {
@@ -58,7 +59,7 @@
 
     /// The version of a document.
     pub(crate) fn version(version: u64) -> DisplayedField {
-        DisplayedField::new("edition", format!("r{version}"))
+        DisplayedField::new(words::VERSION, format!("r{version}"))
     }
 }
 
@@ -140,23 +141,21 @@
     configuration.services().map(|service| (&service.name, service)).collect()
 }
 
-const HOST: &str = "depot";
-const PREFIX: &str = "lane_prefix";
-
 fn route_fields(route: &Route) -> Vec<DisplayedField> {
     let services: Vec<String> =
         route.services.iter().map(|service| format!("{} {}", service.name, service.weight)).collect();
     let mut fields = vec![
-        DisplayedField::new(HOST, &route.host),
-        DisplayedField::new(PREFIX, &route.prefix),
-        DisplayedField::new("route_kind", repeat_policy_word(route.repeat_policy)),
-        DisplayedField::new("deadline_ms", route.deadline_ms),
-        DisplayedField::new("target_ms", route.latency_target_ms),
-        DisplayedField::new("post_class", route.priority),
-        DisplayedField::new("tries", route.max_attempts),
+        DisplayedField::new(words::HOST, &route.host),
+        DisplayedField::new(words::PREFIX, &route.prefix),
+        DisplayedField::new(words::REPEAT_POLICY, repeat_policy_word(route.repeat_policy)),
+        DisplayedField::new(words::DEADLINE, route.deadline_ms),
+        DisplayedField::new(words::LATENCY_TARGET, route.latency_target_ms),
+        DisplayedField::new(words::PRIORITY, route.priority),
+        DisplayedField::new(words::MAX_ATTEMPTS, route.max_attempts),
         DisplayedField::new("lines", format!("[{}]", services.join(", "))),
     ];
-    fields.extend(route.session_header.iter().map(|header| DisplayedField::new("session", header)));
+    fields
+        .extend(route.session_header.iter().map(|header| DisplayedField::new(words::SESSION_HEADER, header)));
     fields
 }
 
@@ -165,23 +164,23 @@
     let member = route.share.as_ref().map_or("-", |share| &share.member);
     let mut fields = vec![DisplayedField::new("member", member), DisplayedField::new("name", &route.name)];
     fields.extend(route_fields(route));
-    fields.retain(|field| ![HOST, PREFIX].contains(&field.name));
+    fields.retain(|field| ![words::HOST, words::PREFIX].contains(&field.name));
     fields
 }
 
 fn service_fields(service: &Service) -> Vec<DisplayedField> {
     vec![
-        DisplayedField::new("health", &service.health_path),
-        DisplayedField::new("berth_cap", service.max_connections),
-        DisplayedField::new("dedupes", service.deduplicates),
+        DisplayedField::new(words::HEALTH_PATH, &service.health_path),
+        DisplayedField::new(words::MAX_CONNECTIONS, service.max_connections),
+        DisplayedField::new(words::DEDUPLICATES, service.deduplicates),
     ]
 }
 
 fn limit_fields(limits: &Limits) -> Vec<DisplayedField> {
     vec![
-        DisplayedField::new("label_bytes", limits.max_header_bytes),
-        DisplayedField::new("parcel_bytes", limits.max_body_bytes),
-        DisplayedField::new("label_ms", limits.header_timeout_ms),
-        DisplayedField::new("idle_ms", limits.idle_timeout_ms),
+        DisplayedField::new(words::MAX_HEADER_BYTES, limits.max_header_bytes),
+        DisplayedField::new(words::MAX_BODY_BYTES, limits.max_body_bytes),
+        DisplayedField::new(words::HEADER_TIMEOUT, limits.header_timeout_ms),
+        DisplayedField::new(words::IDLE_TIMEOUT, limits.idle_timeout_ms),
     ]
 }
--- a/catalog/src/configuration/read.rs
+++ b/catalog/src/configuration/read.rs
@@ -1,7 +1,7 @@
 //! Reads the operators' configuration, and the routes that members' documents share with it.
 //!
-//! The words of those documents (`depot`, `lane_prefix`, `post_class` and so on) are in this module and in the texts for
-//! operators alone; the types that are read have the terms of the field.
+//! The words of those documents (`depot`, `lane_prefix`, `post_class` and so on) are in `words`, in this module and in the
+//! texts for operators alone; the types that are read have the terms of the field.
 //!
 //! Invariants: a document is taken as a whole or not at all; nothing here panics, whatever the bytes are.
 
@@ -14,6 +14,7 @@
 use super::model::{Limits, Name, RepeatPolicy, Route, Service, WeightedService};
 use super::refusal::{Refusal, RefusalReason, quoted};
 use super::routing::{Configuration, normalized_host};
+use super::words;
 
 const MAX_WEIGHTED_SERVICES: usize = 1_000;
 const MAX_SESSION_HEADER_BYTES: usize = 64;
@@ -189,21 +190,22 @@
     known_services: Option<&HashSet<Name>>,
 ) -> Option<Route> {
     // Each field is read before any is missed, so that all errors are told.
-    let host = read_host(reader, entry, "depot", entry.get("depot"));
-    let prefix = read_prefix(reader, entry, "lane_prefix", entry.get("lane_prefix"));
+    let host = read_host(reader, entry, words::HOST, entry.get(words::HOST));
+    let prefix = read_prefix(reader, entry, words::PREFIX, entry.get(words::PREFIX));
     let repeat_policy = read_repeat_policy(reader, entry);
-    let deadline_ms = reader.duration_ms(entry, "deadline_ms", entry.get("deadline_ms"));
-    let latency_target_ms = match entry.get("target_ms") {
+    let deadline_ms = reader.duration_ms(entry, words::DEADLINE, entry.get(words::DEADLINE));
+    let latency_target_ms = match entry.get(words::LATENCY_TARGET) {
         None => deadline_ms,
-        target => reader.duration_ms(entry, "target_ms", target),
+        target => reader.duration_ms(entry, words::LATENCY_TARGET, target),
     };
-    let priority = match entry.get("post_class") {
+    let priority = match entry.get(words::PRIORITY) {
         None => Some(0),
-        class => reader.whole_number(entry, "post_class", class, 0, u32::MAX.into()),
+        class => reader.whole_number(entry, words::PRIORITY, class, 0, u32::MAX.into()),
     };
-    let max_attempts = reader.whole_number(entry, "tries", entry.get("tries"), 1, u32::MAX.into());
+    let max_attempts =
+        reader.whole_number(entry, words::MAX_ATTEMPTS, entry.get(words::MAX_ATTEMPTS), 1, u32::MAX.into());
     let services = read_services(reader, entry, known_services);
-    let session_header = match entry.get("session") {
+    let session_header = match entry.get(words::SESSION_HEADER) {
         None => Some(None),
         header => read_session_header(reader, entry, header).map(Some),
     };
@@ -228,7 +230,7 @@
     entry: &Entry,
     value: Option<&JsonValue>,
 ) -> Option<Name> {
-    const FIELD: &str = "session";
+    const FIELD: &str = words::SESSION_HEADER;
     let text = reader.name(entry, FIELD, value)?.to_ascii_lowercase();
     let is_token_byte = |byte: u8| byte.is_ascii_alphanumeric() || b"!#$%&'*+-.^_`|~".contains(&byte);
     if text.is_empty() || text.len() > MAX_SESSION_HEADER_BYTES || !text.bytes().all(is_token_byte) {
@@ -272,7 +274,7 @@
 
 /// Reads the path of a health check, which goes into the first line of a request as it is.
 fn read_health_path(reader: &mut DocumentReader, entry: &Entry) -> Option<String> {
-    const FIELD: &str = "health";
+    const FIELD: &str = words::HEALTH_PATH;
     let text = read_path(reader, entry, FIELD, entry.get(FIELD))?;
     if !text.bytes().all(|byte| byte.is_ascii_graphic()) {
         return reader.refuse_field(entry, FIELD, RefusalReason::InvalidPath);
@@ -297,7 +299,7 @@
 }
 
 fn read_repeat_policy(reader: &mut DocumentReader, entry: &Entry) -> Option<RepeatPolicy> {
-    const FIELD: &str = "route_kind";
+    const FIELD: &str = words::REPEAT_POLICY;
     let text = reader.text(entry, FIELD, entry.get(FIELD))?;
     repeat_policy(text)
         .or_else(|| reader.refuse_field(entry, FIELD, RefusalReason::UnknownRouteKind(quoted(text))))
@@ -310,14 +312,14 @@
     entry: &Entry,
     known_services: Option<&HashSet<Name>>,
 ) -> Option<Vec<WeightedService>> {
-    let (line, split) = (entry.get("line"), entry.get("split"));
+    let (line, split) = (entry.get(words::SINGLE_SERVICE), entry.get(words::WEIGHTED_SERVICES));
     if line.is_none() && split.is_none() {
         return reader.refuse_field(entry, "", RefusalReason::NoService);
     }
     let single = match line {
         None => None,
         line => {
-            let name = read_service_name(reader, entry, "line", line, known_services)?;
+            let name = read_service_name(reader, entry, words::SINGLE_SERVICE, line, known_services)?;
             Some(WeightedService { name, weight: 1.0 })
         }
     };
@@ -349,7 +351,7 @@
     value: &JsonValue,
     known_services: Option<&HashSet<Name>>,
 ) -> Option<Vec<WeightedService>> {
-    const FIELD: &str = "split";
+    const FIELD: &str = words::WEIGHTED_SERVICES;
     let Some(parts) = value.as_array() else {
         return reader.refuse_field(entry, FIELD, RefusalReason::WrongType("a list"));
     };
@@ -392,19 +394,31 @@
     if !part.is_object() {
         return reader.refuse_field(entry, path, RefusalReason::WrongType("an object"));
     }
-    let name = read_service_name(reader, entry, &format!("{path}.line"), field(part, "line"), known_services);
+    let name = read_service_name(
+        reader,
+        entry,
+        &format!("{path}.line"),
+        field(part, words::SINGLE_SERVICE),
+        known_services,
+    );
     let weight = reader.number(entry, &format!("{path}.share"), field(part, "share"), MAX_WEIGHT);
     Some(WeightedService { name: name?, weight: weight? })
 }
 
 fn read_service(reader: &mut DocumentReader, entry: &Entry) -> Option<Service> {
     let health_path = read_health_path(reader, entry);
-    let max_connections = reader.whole_number(entry, "berth_cap", entry.get("berth_cap"), 1, u32::MAX.into());
-    let deduplicates = match entry.get("dedupes") {
+    let max_connections = reader.whole_number(
+        entry,
+        words::MAX_CONNECTIONS,
+        entry.get(words::MAX_CONNECTIONS),
+        1,
+        u32::MAX.into(),
+    );
+    let deduplicates = match entry.get(words::DEDUPLICATES) {
         None => Some(false),
-        Some(value) => value
-            .as_bool()
-            .or_else(|| reader.refuse_field(entry, "dedupes", RefusalReason::WrongType("true or false"))),
+        Some(value) => value.as_bool().or_else(|| {
+            reader.refuse_field(entry, words::DEDUPLICATES, RefusalReason::WrongType("true or false"))
+        }),
     };
     Some(Service {
         name: reader.intern(entry.name),
@@ -417,20 +431,20 @@
 /// Reads the limits. A field that is invalid is refused, and its default stands in for it.
 fn read_limits(reader: &mut DocumentReader, entry: &Entry) -> Limits {
     let mut limits = Limits::default();
-    if let size @ Some(_) = entry.get("label_bytes") {
-        let read = reader.whole_number(entry, "label_bytes", size, 1, MAX_SIZE_BYTES);
+    if let size @ Some(_) = entry.get(words::MAX_HEADER_BYTES) {
+        let read = reader.whole_number(entry, words::MAX_HEADER_BYTES, size, 1, MAX_SIZE_BYTES);
         limits.max_header_bytes = read.unwrap_or(limits.max_header_bytes);
     }
-    if let size @ Some(_) = entry.get("parcel_bytes") {
-        let read = reader.whole_number(entry, "parcel_bytes", size, 0, MAX_SIZE_BYTES);
+    if let size @ Some(_) = entry.get(words::MAX_BODY_BYTES) {
+        let read = reader.whole_number(entry, words::MAX_BODY_BYTES, size, 0, MAX_SIZE_BYTES);
         limits.max_body_bytes = read.unwrap_or(limits.max_body_bytes);
     }
-    if let time @ Some(_) = entry.get("label_ms") {
-        let read = reader.duration_ms(entry, "label_ms", time);
+    if let time @ Some(_) = entry.get(words::HEADER_TIMEOUT) {
+        let read = reader.duration_ms(entry, words::HEADER_TIMEOUT, time);
         limits.header_timeout_ms = read.unwrap_or(limits.header_timeout_ms);
     }
-    if let time @ Some(_) = entry.get("idle_ms") {
-        let read = reader.duration_ms(entry, "idle_ms", time);
+    if let time @ Some(_) = entry.get(words::IDLE_TIMEOUT) {
+        let read = reader.duration_ms(entry, words::IDLE_TIMEOUT, time);
         limits.idle_timeout_ms = read.unwrap_or(limits.idle_timeout_ms);
     }
     limits
--- a/catalog/src/members.rs
+++ b/catalog/src/members.rs
@@ -12,7 +12,7 @@
 use std::sync::Arc;
 
 use crate::configuration::differences::{DisplayedField, pair_by_key, push_differences};
-use crate::configuration::{Name, Route};
+use crate::configuration::{Name, Route, words};
 
 pub use read::{MAX_MEMBERS, MAX_ROUTES};
 
@@ -143,16 +143,16 @@
     let key: String = member.key_sha256.iter().take(4).map(|byte| format!("{byte:02x}")).collect();
     let limits = &member.limits;
     vec![
-        DisplayedField::new("key_sha256", format!("{key}...")),
-        DisplayedField::new("places", list(scopes)),
-        DisplayedField::new("services", list(services)),
-        DisplayedField::new("routes", limits.max_routes),
-        DisplayedField::new("tries", limits.max_attempts),
-        DisplayedField::new("deadline_ms", limits.max_deadline_ms),
-        DisplayedField::new("rank", limits.highest_priority),
-        DisplayedField::new("retry_share", limits.retry_share),
-        DisplayedField::new("slot_share", limits.concurrency_share),
-        DisplayedField::new("changes_per_minute", limits.changes_per_minute),
-        DisplayedField::new("trial_s", limits.canary_duration_s),
+        DisplayedField::new(words::KEY_DIGEST, format!("{key}...")),
+        DisplayedField::new(words::SCOPES, list(scopes)),
+        DisplayedField::new(words::ALLOWED_SERVICES, list(services)),
+        DisplayedField::new(words::MAX_ROUTES, limits.max_routes),
+        DisplayedField::new(words::MAX_ATTEMPTS, limits.max_attempts),
+        DisplayedField::new(words::DEADLINE, limits.max_deadline_ms),
+        DisplayedField::new(words::HIGHEST_PRIORITY, limits.highest_priority),
+        DisplayedField::new(words::RETRY_SHARE, limits.retry_share),
+        DisplayedField::new(words::CONCURRENCY_SHARE, limits.concurrency_share),
+        DisplayedField::new(words::CHANGES_PER_MINUTE, limits.changes_per_minute),
+        DisplayedField::new(words::CANARY_DURATION, limits.canary_duration_s),
     ]
 }
--- a/catalog/src/overlay.rs
+++ b/catalog/src/overlay.rs
@@ -16,7 +16,7 @@
 
 use crate::configuration::refusal::escaped_name;
 use crate::configuration::{
-    Configuration, MemberShares, Name, Route, WeightedService, differences_by_location,
+    Configuration, MemberShares, Name, Route, WeightedService, differences_by_location, words,
 };
 use crate::members::{Member, MemberDocument, MemberRegister};
 
@@ -317,7 +317,7 @@
     let limits = &member.limits;
     if !member.owns(&route.host, &route.prefix) {
         let location = format!("{}{}", route.host, route.prefix);
-        add_violation("lane_prefix", ExceededLimit::OutsideScopes(location));
+        add_violation(words::PREFIX, ExceededLimit::OutsideScopes(location));
         return None;
     }
     let mut at_most = |field, value: u64, max: u64| {
@@ -326,16 +326,16 @@
         }
         value.min(max)
     };
-    let max_attempts = at_most("tries", route.max_attempts.into(), limits.max_attempts.into());
-    let deadline_ms = at_most("deadline_ms", route.deadline_ms, limits.max_deadline_ms);
-    let latency_target_ms = at_most("target_ms", route.latency_target_ms, limits.max_deadline_ms);
+    let max_attempts = at_most(words::MAX_ATTEMPTS, route.max_attempts.into(), limits.max_attempts.into());
+    let deadline_ms = at_most(words::DEADLINE, route.deadline_ms, limits.max_deadline_ms);
+    let latency_target_ms = at_most(words::LATENCY_TARGET, route.latency_target_ms, limits.max_deadline_ms);
     if route.priority < limits.highest_priority {
         let (priority, highest) = (route.priority, limits.highest_priority);
-        add_violation("post_class", ExceededLimit::PriorityTooHigh { priority, highest });
+        add_violation(words::PRIORITY, ExceededLimit::PriorityTooHigh { priority, highest });
     }
     let services = allowed_services(base, member, route, &mut add_violation);
     if !services.iter().any(|service| service.weight > 0.0) {
-        add_violation("split", ExceededLimit::NoService);
+        add_violation(words::WEIGHTED_SERVICES, ExceededLimit::NoService);
         return None;
     }
     Some(Route {
@@ -359,9 +359,9 @@
     for service in &route.services {
         let name = &service.name;
         if !member.services.contains(name) {
-            add_violation("split", ExceededLimit::ServiceNotAllowed(name.clone()));
+            add_violation(words::WEIGHTED_SERVICES, ExceededLimit::ServiceNotAllowed(name.clone()));
         } else if base.service(name).is_none() {
-            add_violation("split", ExceededLimit::UnknownService(name.clone()));
+            add_violation(words::WEIGHTED_SERVICES, ExceededLimit::UnknownService(name.clone()));
         } else {
             allowed.push(service.clone());
         }
