--- a/consensus/src/core.rs
+++ b/consensus/src/core.rs
@@ -16,31 +16,30 @@
 //! have moved on that nothing committed can be missing: the voters that don't store something that was committed are
 //! always fewer than the snapshots that it needs.
 
-use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::sync::Arc;
 
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use crate::core::calls::Call;
-use crate::core::lease_table::{LeaseUpdate, StoredLease};
+use crate::core::calls::{Call, PendingCalls};
+use crate::core::lease_table::LeaseTable;
 use crate::core::limits::{
     CONFIGURATION, FORGET_PEER_AFTER, HEARTBEAT_INTERVAL, MAX_PEERS, MAX_TICK_INTERVAL, MAX_ZONE_BYTES,
     MIN_SEND_INTERVAL, MISSED_MESSAGES_AFTER,
 };
 use crate::core::membership_state::{CatchUp, MembershipProposal, SnapshotContent};
 use crate::core::named_registers::{NamedRegisters, RegistersReport};
-use crate::core::outbox::{Outbox, payload_bytes, split_into_batches};
+use crate::core::outbox::Outbox;
 use crate::core::peers::{Peer, mark_if_due};
 use crate::core::register::Register;
 use crate::core::register_proposals::RegisterPaxos;
-use crate::core::response_cache::ResponseCache;
 use crate::core::session_table::Sessions;
 use crate::messages::{
     AcceptedMembership, Ballot, CoreEvent, CoreRequest, CoreResponse, Effect, LeaseCompletion, LeaseEntry,
-    LeaseKey, LeaseToken, LeaseVote, LeaseVoteReply, LogRecord, Membership, MembershipBallotState, Message,
-    MessageBody, NamedRegister, RegisterValue, ReplicaId, SessionEntry,
+    LogRecord, Membership, MembershipBallotState, Message, MessageBody, NamedRegister, RegisterValue,
+    ReplicaId, SessionEntry,
 };
 
 mod calls;
@@ -125,28 +124,14 @@
     /// Proposals and acceptor states for versions that are not decided yet.
     register_paxos: RegisterPaxos,
 
-    leases: BTreeMap<LeaseKey, StoredLease>,
-    response_cache: ResponseCache,
-    lease_expiry: BTreeSet<(Nanos, LeaseKey)>,
-    released_tokens: BTreeMap<LeaseToken, Nanos>,
-    /// Replicas whose lease request was refused by a pending lease; they are told its outcome.
-    outcome_watchers: BTreeSet<(LeaseKey, SocketAddr)>,
-    released_order: VecDeque<(Nanos, LeaseToken)>,
-    lease_updates: VecDeque<(Nanos, LeaseUpdate)>,
+    lease_table: LeaseTable,
     sessions: Sessions,
 
-    pending_calls: BTreeMap<u64, Call>,
-    register_calls: BTreeSet<u64>,
-    timers: BTreeSet<(Nanos, u64)>,
-    calls_by_key: BTreeMap<LeaseKey, Vec<u64>>,
-    /// Numbers of calls are combined with this random value on the wire, so that answers to an earlier incarnation
-    /// match no call of this one.
-    call_id_mask: u64,
-    outbox: BTreeMap<SocketAddr, Outbox>,
+    pending_calls: PendingCalls,
+    outbox: Outbox,
 
     /// The rule that this replica breaks, in tests only.
-    #[doc(hidden)]
-    pub mutation: Option<Mutation>,
+    mutation: Option<Mutation>,
     /// Rolls back whenever it may be safe, though the new member may be reachable: tests use it to show that safety
     /// does not depend on the choice of the moment.
     #[doc(hidden)]
@@ -187,6 +172,7 @@
         let voted = ballots.voter && replica_id == ballots.replica;
         let member = ballots.membership.members.contains(&replica_id);
         let call_id_mask = rng.random();
+        let lease_table = LeaseTable::new(config.lease_ttl, config.max_response_bytes);
         let mut core = Core {
             now,
             replica_id,
@@ -212,31 +198,21 @@
             configuration: Register::with_value(saved.configuration),
             named_registers: NamedRegisters::with_values(saved.registers),
             register_paxos: RegisterPaxos::default(),
-            leases: BTreeMap::new(),
-            response_cache: ResponseCache::default(),
-            lease_expiry: BTreeSet::new(),
-            released_tokens: BTreeMap::new(),
-            outcome_watchers: BTreeSet::new(),
-            released_order: VecDeque::new(),
-            lease_updates: VecDeque::new(),
+            lease_table,
             sessions: Sessions::default(),
-            pending_calls: BTreeMap::new(),
-            register_calls: BTreeSet::new(),
-            timers: BTreeSet::new(),
-            calls_by_key: BTreeMap::new(),
-            call_id_mask,
-            outbox: BTreeMap::new(),
+            pending_calls: PendingCalls::new(call_id_mask),
+            outbox: Outbox::default(),
             mutation: None,
             eager_rollback: false,
         };
         for LeaseEntry { key, lease } in saved.leases {
-            core.insert_lease(key, lease);
+            core.lease_table.insert(now, key, lease);
         }
         for SessionEntry { session, record } in saved.sessions {
             core.insert_session(session, record);
         }
         core.load_acceptors(saved.acceptors);
-        core.evict_responses(out);
+        core.lease_table.evict_responses(now, out);
         if fresh || replica_id != ballots.replica {
             core.persist_ballot_state(out);
         }
@@ -359,7 +335,7 @@
     /// cancelled. Messages to other replicas may wait for `flush`. A number that is already in use is ignored.
     pub fn handle_request(&mut self, now: Nanos, call: u64, request: CoreRequest, out: &mut Vec<Effect>) {
         self.now = self.now.max(now);
-        if self.pending_calls.contains_key(&call) {
+        if self.pending_calls.contains(call) {
             return;
         }
         match request {
@@ -390,48 +366,23 @@
 
     /// Forgets a call whose caller has gone: it will not be answered. A lease that was requested may still be held.
     pub fn cancel_request(&mut self, call: u64) {
-        match self.pending_calls.remove(&call) {
-            Some(Call::Lease(pending_lease)) => {
-                self.timers.remove(&(pending_lease.timer, call));
-                if let Some(calls) = self.calls_by_key.get_mut(&pending_lease.key) {
-                    calls.retain(|other| *other != call);
-                    if calls.is_empty() {
-                        self.calls_by_key.remove(&pending_lease.key);
-                    }
-                }
-            }
-            Some(Call::Replace(pending_write)) => {
-                self.timers.remove(&(pending_write.timer, call));
-                self.register_calls.remove(&call);
-            }
-            Some(Call::Read(pending_read)) => {
-                self.timers.remove(&(pending_read.timer, call));
-                self.register_calls.remove(&call);
-            }
-            Some(Call::Session(pending_change)) => {
-                self.timers.remove(&(pending_change.timer, call));
-                self.forget_session_call(call);
-            }
-            None => {}
+        if let Some(Call::Session(_)) = self.pending_calls.remove(call) {
+            self.forget_session_call(call);
         }
     }
 
     /// Does everything that is due and flushes. Returns the time at which it must be called again at the latest.
     pub fn tick(&mut self, now: Nanos, out: &mut Vec<Effect>) -> Nanos {
         self.now = self.now.max(now);
-        while let Some(&(due_at, call)) = self.timers.first() {
-            if due_at > now {
-                break;
-            }
-            self.timers.remove(&(due_at, call));
-            match self.pending_calls.get(&call) {
+        while let Some(call) = self.pending_calls.take_due(now) {
+            match self.pending_calls.get(call) {
                 Some(Call::Lease(_)) => self.handle_lease_timer(now, call, out),
                 Some(Call::Session(_)) => self.handle_session_timer(now, call, out),
                 Some(_) => self.handle_register_timer(now, call, out),
                 None => {}
             }
         }
-        self.expire_leases(now, out);
+        self.lease_table.expire(now, out);
         self.expire_sessions(now, out);
         self.request_snapshots(now, out);
         self.propose_membership(now, out);
@@ -445,7 +396,7 @@
             });
         }
         self.flush(out);
-        let next = self.timers.first().map_or(Nanos::MAX, |(due_at, _)| *due_at);
+        let next = self.pending_calls.next_timer();
         let next = next.min(self.next_heartbeat).min(self.next_register_proposal_at());
         next.min(now.saturating_add(MAX_TICK_INTERVAL)).max(now.saturating_add(1))
     }
@@ -453,38 +404,17 @@
     /// Emits the messages that were collected for each address; to be called after each batch of `handle_message` and
     /// `handle_request`.
     pub fn flush(&mut self, out: &mut Vec<Effect>) {
-        for (address, queued) in std::mem::take(&mut self.outbox) {
-            let completion_bytes =
-                |completion: &LeaseCompletion| completion.outcome.as_ref().map_or(0, payload_bytes);
-            for batch in split_into_batches(queued.completions, completion_bytes) {
-                out.push(Effect::SendNow(address, self.message(MessageBody::CompleteLeases(batch))));
-            }
-            for batch in split_into_batches(queued.lease_requests, |_| 0) {
-                out.push(Effect::SendNow(address, self.message(MessageBody::RequestLeases(batch))));
-            }
-            let vote_bytes = |reply: &LeaseVoteReply| match &reply.vote {
-                LeaseVote::Held(lease) => payload_bytes(&lease.outcome),
-                LeaseVote::Granted | LeaseVote::TokenReleased => 0,
+        for batch in self.outbox.take_batches() {
+            let broken_rule = match batch.body {
+                MessageBody::LeaseVotes(_) => Mutation::SendLeaseVotesBeforePersist,
+                _ => Mutation::SendSessionRepliesBeforePersist,
             };
-            for batch in split_into_batches(queued.lease_votes, vote_bytes) {
-                let message = self.message(MessageBody::LeaseVotes(batch));
-                out.push(if self.breaks(Mutation::SendLeaseVotesBeforePersist) {
-                    Effect::SendNow(address, message)
-                } else {
-                    Effect::SendAfterPersist(address, message)
-                });
-            }
-            for batch in split_into_batches(queued.session_requests, |_| 0) {
-                out.push(Effect::SendNow(address, self.message(MessageBody::Sessions(batch))));
-            }
-            for batch in split_into_batches(queued.session_replies, |_| 0) {
-                let message = self.message(MessageBody::Sessions(batch));
-                out.push(if self.breaks(Mutation::SendSessionRepliesBeforePersist) {
-                    Effect::SendNow(address, message)
-                } else {
-                    Effect::SendAfterPersist(address, message)
-                });
-            }
+            let message = self.message(batch.body);
+            out.push(if batch.after_persist && !self.breaks(broken_rule) {
+                Effect::SendAfterPersist(batch.address, message)
+            } else {
+                Effect::SendNow(batch.address, message)
+            });
         }
         if std::mem::take(&mut self.heartbeat_requested) {
             let message = self.heartbeat();
@@ -600,7 +530,7 @@
 
     /// All records that the disk should hold, for rewriting the log.
     pub fn log_records(&self) -> Vec<LogRecord> {
-        let leases = self.leases.iter().map(|(key, stored)| LogRecord::Lease(*key, stored.lease.clone()));
+        let leases = self.lease_table.iter_from(0).map(|(key, lease)| LogRecord::Lease(key, lease.clone()));
         let configuration =
             self.configuration.stored.iter().map(|value| LogRecord::Configuration(value.clone()));
         let registers = self.named_registers.iter_from("").map(LogRecord::Register);
@@ -610,6 +540,13 @@
         all.chain(self.session_records()).collect()
     }
 
+    /// Makes this replica break a rule, for tests that show that they notice it.
+    #[doc(hidden)]
+    pub fn set_mutation(&mut self, mutation: Option<Mutation>) {
+        self.mutation = mutation;
+        self.lease_table.evicts_leases = self.breaks(Mutation::EvictLeaseWithResponse);
+    }
+
     /// Whether a test made this replica break that rule.
     fn breaks(&self, rule: Mutation) -> bool {
         self.mutation == Some(rule)
--- a/consensus/src/core/calls.rs
+++ b/consensus/src/core/calls.rs
@@ -1,6 +1,6 @@
 //! Calls that wait for their answer, and when each is due again.
 //!
-//! Main types: `Call`; `PendingLease`, `PendingWrite`, `PendingRead` and
+//! Main types: `PendingCalls` holds a `Call` for each number; `PendingLease`, `PendingWrite`, `PendingRead` and
 //! `PendingSessionChange` are what the kinds of calls wait for.
 //!
 //! Invariants: every pending call has exactly one timer, and a removed call has none.
@@ -14,6 +14,126 @@
     SessionId, SessionRequest,
 };
 
+/// All calls that wait for their answer.
+#[derive(Clone, Debug)]
+pub(super) struct PendingCalls {
+    by_number: BTreeMap<u64, Call>,
+    /// The calls that read or write registers.
+    of_registers: BTreeSet<u64>,
+    timers: BTreeSet<(Nanos, u64)>,
+    by_key: BTreeMap<LeaseKey, Vec<u64>>,
+    /// Numbers of calls are combined with this random value on the wire, so that answers to an earlier incarnation match
+    /// no call of this one.
+    id_mask: u64,
+}
+
+impl PendingCalls {
+    /// No calls.
+    pub fn new(id_mask: u64) -> PendingCalls {
+        PendingCalls {
+            by_number: BTreeMap::new(),
+            of_registers: BTreeSet::new(),
+            timers: BTreeSet::new(),
+            by_key: BTreeMap::new(),
+            id_mask,
+        }
+    }
+
+    /// How many calls wait for something else than a register.
+    pub fn count_without_registers(&self) -> usize {
+        self.by_number.len() - self.of_registers.len()
+    }
+
+    /// Whether a number is in use.
+    pub fn contains(&self, call: u64) -> bool {
+        self.by_number.contains_key(&call)
+    }
+
+    /// The call of a number.
+    pub fn get(&self, call: u64) -> Option<&Call> {
+        self.by_number.get(&call)
+    }
+
+    /// The call of a number. Its timer must not be changed directly.
+    pub fn get_mut(&mut self, call: u64) -> Option<&mut Call> {
+        self.by_number.get_mut(&call)
+    }
+
+    /// Adds a call with its timer.
+    pub fn insert(&mut self, number: u64, call: Call) {
+        match &call {
+            Call::Lease(pending) => self.by_key.entry(pending.key).or_default().push(number),
+            Call::Replace(_) | Call::Read(_) => {
+                self.of_registers.insert(number);
+            }
+            Call::Session(_) => {}
+        }
+        self.timers.insert((call.timer(), number));
+        self.by_number.insert(number, call);
+    }
+
+    /// Removes a call and its timer.
+    pub fn remove(&mut self, number: u64) -> Option<Call> {
+        let call = self.by_number.remove(&number)?;
+        self.timers.remove(&(call.timer(), number));
+        self.of_registers.remove(&number);
+        if let Call::Lease(pending) = &call
+            && let Some(calls) = self.by_key.get_mut(&pending.key)
+        {
+            calls.retain(|other| *other != number);
+            if calls.is_empty() {
+                self.by_key.remove(&pending.key);
+            }
+        }
+        Some(call)
+    }
+
+    /// Removes the timer of the next call that is due, and returns its number.
+    pub fn take_due(&mut self, now: Nanos) -> Option<u64> {
+        let &(due_at, call) = self.timers.first().filter(|(due_at, _)| *due_at <= now)?;
+        self.timers.remove(&(due_at, call));
+        Some(call)
+    }
+
+    /// When the next call is due.
+    pub fn next_timer(&self) -> Nanos {
+        self.timers.first().map_or(Nanos::MAX, |(due_at, _)| *due_at)
+    }
+
+    /// Changes when a call is due.
+    pub fn reschedule(&mut self, number: u64, due_at: Nanos) {
+        let Some(call) = self.by_number.get_mut(&number) else { return };
+        self.timers.remove(&(call.timer(), number));
+        *call.timer_mut() = due_at;
+        self.timers.insert((due_at, number));
+    }
+
+    /// The calls that read or write registers.
+    pub fn of_registers(&self) -> &BTreeSet<u64> {
+        &self.of_registers
+    }
+
+    /// The calls that wait for the lease of a key, the oldest first.
+    pub fn of_key(&self, key: LeaseKey) -> Vec<u64> {
+        self.by_key.get(&key).cloned().unwrap_or_default()
+    }
+
+    /// All calls that wait for leases, in the order of their keys.
+    pub fn of_leases(&self) -> Vec<u64> {
+        self.by_key.values().flatten().copied().collect()
+    }
+
+    /// Converts the number of a call to its number on the wire, and back.
+    pub fn wire_id(&self, call: u64) -> u64 {
+        call ^ self.id_mask
+    }
+
+    /// A number on the wire that belongs to no call.
+    pub fn unused_wire_id(&self) -> u64 {
+        !self.id_mask
+    }
+}
+
 /// A call that waits for its answer.
 #[derive(Clone, Debug)]
 pub(super) enum Call {
@@ -23,6 +143,27 @@
     Session(Box<PendingSessionChange>),
 }
 
+impl Call {
+    /// When the call is due again.
+    fn timer(&self) -> Nanos {
+        match self {
+            Call::Lease(pending) => pending.timer,
+            Call::Replace(write) => write.timer,
+            Call::Read(read) => read.timer,
+            Call::Session(pending) => pending.timer,
+        }
+    }
+
+    fn timer_mut(&mut self) -> &mut Nanos {
+        match self {
+            Call::Lease(pending) => &mut pending.timer,
+            Call::Replace(write) => &mut write.timer,
+            Call::Read(read) => &mut read.timer,
+            Call::Session(pending) => &mut pending.timer,
+        }
+    }
+}
+
 /// A call that collects votes on a lease.
 #[derive(Clone, Debug)]
 pub(super) struct PendingLease {
--- a/consensus/src/core/lease_table.rs
+++ b/consensus/src/core/lease_table.rs
@@ -1,17 +1,21 @@
 //! Leases as this replica stores them, and what it remembers beside them.
 //!
-//! Main types: `StoredLease`, `LeaseUpdate`, `LeaseCounts`.
+//! Main types: `LeaseTable` holds a `StoredLease` for each key; `LeaseUpdate`, `LeaseCounts`.
 //!
 //! Invariants: an outcome is only replaced by one of a higher rank.
 
+use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use std::net::SocketAddr;
+
 use crate::core::limits::{MS, Nanos};
-use crate::messages::{Lease, LeaseCompletion, LeaseKey, LeaseOutcome, LeaseToken};
+use crate::core::response_cache::{LEASE_UPDATES_DIVISOR, ResponseCache, ResponseCacheUsage, cached_bytes};
+use crate::messages::{Effect, Lease, LeaseCompletion, LeaseKey, LeaseOutcome, LeaseToken, LogRecord};
 
 /// A lease with the time at which it expires.
 #[derive(Clone, Debug)]
-pub(super) struct StoredLease {
-    pub lease: Lease,
-    pub expires_at: Nanos,
+struct StoredLease {
+    lease: Lease,
+    expires_at: Nanos,
 }
 
 /// What the other members were told about a lease, to be sent again to peers that missed it.
@@ -51,4 +55,243 @@
 pub(super) const LEASE_UPDATE_RETENTION: Nanos = 20_000 * MS;
 
 /// How many lease updates are kept at most.
-pub(super) const MAX_LEASE_UPDATES: usize = 4096;
+const MAX_LEASE_UPDATES: usize = 4096;
+
+/// How many released tokens are remembered; the oldest are forgotten first.
+const MAX_RELEASED_TOKENS: usize = 20_000;
+
+/// How many replicas are remembered that wait for the outcome of a pending lease.
+const MAX_OUTCOME_WATCHERS: usize = 4_096;
+
+/// All leases that this replica stores, the tokens that were released, and who waits for an outcome.
+#[derive(Clone, Debug)]
+pub(super) struct LeaseTable {
+    ttl: Nanos,
+    max_response_bytes: usize,
+    /// Responses are evicted together with their leases, which breaks a rule; in tests only.
+    pub evicts_leases: bool,
+    leases: BTreeMap<LeaseKey, StoredLease>,
+    response_cache: ResponseCache,
+    expiry: BTreeSet<(Nanos, LeaseKey)>,
+    released_tokens: BTreeMap<LeaseToken, Nanos>,
+    released_order: VecDeque<(Nanos, LeaseToken)>,
+    /// Replicas whose lease request was refused by a pending lease; they are told its outcome.
+    outcome_watchers: BTreeSet<(LeaseKey, SocketAddr)>,
+    updates: VecDeque<(Nanos, LeaseUpdate)>,
+}
+
+impl LeaseTable {
+    /// An empty table. Leases are kept for `ttl`, and their responses within `max_response_bytes`.
+    pub fn new(ttl: Nanos, max_response_bytes: usize) -> LeaseTable {
+        LeaseTable {
+            ttl,
+            max_response_bytes,
+            evicts_leases: false,
+            leases: BTreeMap::new(),
+            response_cache: ResponseCache::default(),
+            expiry: BTreeSet::new(),
+            released_tokens: BTreeMap::new(),
+            released_order: VecDeque::new(),
+            outcome_watchers: BTreeSet::new(),
+            updates: VecDeque::new(),
+        }
+    }
+
+    /// How many leases are stored.
+    pub fn len(&self) -> usize {
+        self.leases.len()
+    }
+
+    /// The lease of a key.
+    pub fn get(&self, key: LeaseKey) -> Option<&Lease> {
+        self.leases.get(&key).map(|stored| &stored.lease)
+    }
+
+    /// Leases from a key on, in the order of keys.
+    pub fn iter_from(&self, key: LeaseKey) -> impl Iterator<Item = (LeaseKey, &Lease)> {
+        self.leases.range(key..).map(|(key, stored)| (*key, &stored.lease))
+    }
+
+    /// Counts the leases by outcome.
+    pub fn counts(&self) -> LeaseCounts {
+        let mut count = [0; 3];
+        for stored in self.leases.values() {
+            if let Some(count) = count.get_mut(outcome_rank(&stored.lease.outcome) as usize) {
+                *count += 1;
+            }
+        }
+        LeaseCounts { pending: count[0], indeterminate: count[1], completed: count[2] }
+    }
+
+    /// How full the response cache is.
+    pub fn response_cache_usage(&self) -> ResponseCacheUsage {
+        ResponseCacheUsage {
+            bytes: self.response_cache.bytes,
+            max_bytes: self.max_response_bytes,
+            evicted: self.response_cache.evicted,
+        }
+    }
+
+    /// How long the lease of a key has been known.
+    pub fn age(&self, now: Nanos, key: LeaseKey) -> Option<Nanos> {
+        self.leases.get(&key).map(|stored| self.age_of(now, stored))
+    }
+
+    /// The age of the pending lease that has been known for longest.
+    pub fn oldest_pending_age(&self, now: Nanos) -> Option<Nanos> {
+        let pending = self.leases.values().filter(|stored| stored.lease.outcome == LeaseOutcome::Pending);
+        pending.map(|stored| self.age_of(now, stored)).max()
+    }
+
+    fn age_of(&self, now: Nanos, stored: &StoredLease) -> Nanos {
+        now.saturating_add(self.ttl).saturating_sub(stored.expires_at)
+    }
+
+    /// Writes a lease to disk and memory.
+    pub fn store(&mut self, now: Nanos, key: LeaseKey, lease: Lease, out: &mut Vec<Effect>) {
+        let lease = self.without_oversized_response(lease);
+        out.push(Effect::Persist(LogRecord::Lease(key, lease.clone())));
+        self.insert(now, key, lease);
+        self.evict_responses(now, out);
+    }
+
+    /// Keeps a lease in memory. It expires one `ttl` after its token was first known.
+    pub fn insert(&mut self, now: Nanos, key: LeaseKey, lease: Lease) {
+        let mut expires_at = now.saturating_add(self.ttl);
+        if let Some(stored) = self.leases.get(&key) {
+            self.expiry.remove(&(stored.expires_at, key));
+            self.response_cache.remove(stored.expires_at, key, &stored.lease.outcome);
+            if stored.lease.token == lease.token {
+                expires_at = stored.expires_at;
+            }
+        }
+        self.response_cache.insert(expires_at, key, &lease.outcome);
+        self.expiry.insert((expires_at, key));
+        self.leases.insert(key, StoredLease { lease, expires_at });
+    }
+
+    /// Removes the lease of a key from disk and memory.
+    pub fn remove(&mut self, key: LeaseKey, out: &mut Vec<Effect>) {
+        self.take_outcome_watchers(key);
+        if let Some(stored) = self.leases.remove(&key) {
+            self.expiry.remove(&(stored.expires_at, key));
+            self.response_cache.remove(stored.expires_at, key, &stored.lease.outcome);
+            out.push(Effect::Persist(LogRecord::LeaseReleased(key, stored.lease.token)));
+        }
+    }
+
+    /// Removes all pending leases.
+    pub fn remove_pending(&mut self, out: &mut Vec<Effect>) {
+        let pending = self.leases.iter().filter(|(_, stored)| stored.lease.outcome == LeaseOutcome::Pending);
+        let pending: Vec<LeaseKey> = pending.map(|(key, _)| *key).collect();
+        for key in pending {
+            self.remove(key, out);
+        }
+    }
+
+    /// Removes leases and released tokens whose time is over.
+    pub fn expire(&mut self, now: Nanos, out: &mut Vec<Effect>) {
+        while let Some(&(expires_at, key)) = self.expiry.first() {
+            if expires_at > now {
+                break;
+            }
+            self.expiry.remove(&(expires_at, key));
+            self.remove(key, out);
+        }
+        while let Some(&(expires_at, token)) = self.released_order.front() {
+            if expires_at > now {
+                break;
+            }
+            self.released_order.pop_front();
+            self.released_tokens.remove(&token);
+        }
+    }
+
+    /// Whether a token was released.
+    pub fn is_released(&self, token: LeaseToken) -> bool {
+        self.released_tokens.contains_key(&token)
+    }
+
+    /// Remembers that a token was released, so that votes for it that arrive late don't take the lease again.
+    pub fn release_token(&mut self, now: Nanos, token: LeaseToken) {
+        let expires_at = now.saturating_add(self.ttl);
+        if self.released_tokens.insert(token, expires_at).is_none() {
+            self.released_order.push_back((expires_at, token));
+        }
+        if self.released_order.len() > MAX_RELEASED_TOKENS
+            && let Some((_, token)) = self.released_order.pop_front()
+        {
+            self.released_tokens.remove(&token);
+        }
+    }
+
+    /// Remembers that a replica waits for the outcome of a key's lease.
+    pub fn add_outcome_watcher(&mut self, key: LeaseKey, address: SocketAddr) {
+        if self.outcome_watchers.len() < MAX_OUTCOME_WATCHERS {
+            self.outcome_watchers.insert((key, address));
+        }
+    }
+
+    /// Removes and returns the replicas that wait for the outcome of a key's lease.
+    pub fn take_outcome_watchers(&mut self, key: LeaseKey) -> Vec<SocketAddr> {
+        let lowest_address = SocketAddr::from(([0, 0, 0, 0], 0));
+        let watchers: Vec<(LeaseKey, SocketAddr)> = self
+            .outcome_watchers
+            .range((key, lowest_address)..)
+            .take_while(|(of, _)| *of == key)
+            .copied()
+            .collect();
+        for watcher in &watchers {
+            self.outcome_watchers.remove(watcher);
+        }
+        watchers.into_iter().map(|(_, address)| address).collect()
+    }
+
+    /// Drops a response that exceeds the cache by itself, so that it does not evict all others.
+    fn without_oversized_response(&mut self, mut lease: Lease) -> Lease {
+        if cached_bytes(&lease.outcome) > self.max_response_bytes {
+            lease.outcome = LeaseOutcome::Indeterminate;
+            self.response_cache.evicted += 1;
+        }
+        lease
+    }
+
+    /// Evicts the oldest responses while the cache exceeds its size. Their leases stay as `Indeterminate`.
+    pub fn evict_responses(&mut self, now: Nanos, out: &mut Vec<Effect>) {
+        while self.response_cache.bytes > self.max_response_bytes {
+            let Some(&(_, key)) = self.response_cache.eviction_order.first() else { return };
+            let Some(stored) = self.leases.get(&key) else { return };
+            if self.evicts_leases {
+                self.remove(key, out);
+                continue;
+            }
+            let lease = Lease { outcome: LeaseOutcome::Indeterminate, ..stored.lease };
+            self.response_cache.evicted += 1;
+            out.push(Effect::Persist(LogRecord::Lease(key, lease.clone())));
+            self.insert(now, key, lease);
+        }
+    }
+
+    /// What the other members were told, oldest first, with the time at which they were.
+    pub fn updates(&self) -> impl Iterator<Item = &(Nanos, LeaseUpdate)> {
+        self.updates.iter()
+    }
+
+    /// Retains what the other members were told, within bounds on age, number and bytes.
+    pub fn retain_update(&mut self, now: Nanos, update: LeaseUpdate) {
+        self.response_cache.lease_update_bytes += update.outcome().map_or(0, cached_bytes);
+        self.updates.push_back((now, update));
+        let max_bytes = self.max_response_bytes / LEASE_UPDATES_DIVISOR;
+        while let Some((at, first)) = self.updates.front()
+            && (self.updates.len() > MAX_LEASE_UPDATES
+                || self.response_cache.lease_update_bytes > max_bytes
+                || at.saturating_add(LEASE_UPDATE_RETENTION) < now)
+        {
+            self.response_cache.lease_update_bytes = self
+                .response_cache
+                .lease_update_bytes
+                .saturating_sub(first.outcome().map_or(0, cached_bytes));
+            self.updates.pop_front();
+        }
+    }
+}
--- a/consensus/src/core/membership.rs
+++ b/consensus/src/core/membership.rs
@@ -72,7 +72,7 @@
         self.clear_acknowledgements();
         if member && !self.voter {
             // Leases from an earlier membership may be outdated; the snapshots bring all that hold.
-            self.drop_pending_leases(out);
+            self.lease_table.remove_pending(out);
         }
         self.persist_ballot_state(out);
         out.push(Effect::Log(CoreEvent::MembershipChanged {
@@ -153,13 +153,13 @@
             return;
         }
         let (mut leases, mut next_key, mut bytes) = (Vec::new(), None, 0);
-        for (key, stored) in self.leases.range(from_key..).filter(|_| from_register.is_none()) {
+        for (key, lease) in self.lease_table.iter_from(from_key).filter(|_| from_register.is_none()) {
             if leases.len() >= MAX_ITEMS_PER_MESSAGE || bytes >= MAX_MESSAGE_BYTES {
-                next_key = Some(*key);
+                next_key = Some(key);
                 break;
             }
-            bytes += payload_bytes(&stored.lease.outcome);
-            leases.push(LeaseEntry { key: *key, lease: stored.lease.clone() });
+            bytes += payload_bytes(&lease.outcome);
+            leases.push(LeaseEntry { key, lease: lease.clone() });
         }
         let (sessions, next_key) = match &from_register {
             None => self.sessions_from(from_key, next_key),
--- a/consensus/src/core/outbox.rs
+++ b/consensus/src/core/outbox.rs
@@ -1,15 +1,50 @@
 //! Items for other replicas that are sent together by the next flush.
 //!
-//! Main types: `Outbox`.
+//! Main types: `Outbox` holds `QueuedItems` for each address and turns them into `Batch`es.
 //!
 //! Invariants: no message exceeds `MAX_ITEMS_PER_MESSAGE`, nor `MAX_MESSAGE_BYTES` unless one item alone does.
 
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+
 use crate::core::limits::{MAX_ITEMS_PER_MESSAGE, MAX_MESSAGE_BYTES};
-use crate::messages::{LeaseCompletion, LeaseOutcome, LeaseRequest, LeaseVoteReply, SessionMessage};
+use crate::messages::{
+    LeaseCompletion, LeaseOutcome, LeaseRequest, LeaseVote, LeaseVoteReply, MessageBody, SessionMessage,
+};
 
-/// Items for one address that are sent together by the next `flush`.
+/// What waits to be sent, by address.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Outbox {
+    by_address: BTreeMap<SocketAddr, QueuedItems>,
+}
+
+/// Items that go into one message.
+pub(super) struct Batch {
+    pub address: SocketAddr,
+    pub body: MessageBody,
+    /// The batch promises something that is being written, so it has to wait until that is safe on disk.
+    pub after_persist: bool,
+}
+
+impl Outbox {
+    /// The items that wait for an address.
+    pub fn queue(&mut self, address: SocketAddr) -> &mut QueuedItems {
+        self.by_address.entry(address).or_default()
+    }
+
+    /// Removes all items and returns them in the order in which they are to be sent.
+    pub fn take_batches(&mut self) -> Vec<Batch> {
+        let mut batches = Vec::new();
+        for (address, queued) in std::mem::take(&mut self.by_address) {
+            queued.append_batches(address, &mut batches);
+        }
+        batches
+    }
+}
+
+/// Items for one address that are sent together by the next `flush`.
+#[derive(Clone, Debug, Default)]
+pub(super) struct QueuedItems {
     pub completions: Vec<LeaseCompletion>,
     pub lease_requests: Vec<LeaseRequest>,
     pub lease_votes: Vec<LeaseVoteReply>,
@@ -17,6 +52,35 @@
     pub session_replies: Vec<SessionMessage>,
 }
 
+impl QueuedItems {
+    fn append_batches(self, address: SocketAddr, batches: &mut Vec<Batch>) {
+        let completion_bytes =
+            |completion: &LeaseCompletion| completion.outcome.as_ref().map_or(0, payload_bytes);
+        let vote_bytes = |reply: &LeaseVoteReply| match &reply.vote {
+            LeaseVote::Held(lease) => payload_bytes(&lease.outcome),
+            LeaseVote::Granted | LeaseVote::TokenReleased => 0,
+        };
+        let mut append = |body: MessageBody, after_persist: bool| {
+            batches.push(Batch { address, body, after_persist });
+        };
+        for batch in split_into_batches(self.completions, completion_bytes) {
+            append(MessageBody::CompleteLeases(batch), false);
+        }
+        for batch in split_into_batches(self.lease_requests, |_| 0) {
+            append(MessageBody::RequestLeases(batch), false);
+        }
+        for batch in split_into_batches(self.lease_votes, vote_bytes) {
+            append(MessageBody::LeaseVotes(batch), true);
+        }
+        for batch in split_into_batches(self.session_requests, |_| 0) {
+            append(MessageBody::Sessions(batch), false);
+        }
+        for batch in split_into_batches(self.session_replies, |_| 0) {
+            append(MessageBody::Sessions(batch), true);
+        }
+    }
+}
+
 /// The bytes that an outcome adds to a message.
 pub(super) fn payload_bytes(outcome: &LeaseOutcome) -> usize {
     match outcome {
--- a/consensus/src/core/register_paxos.rs
+++ b/consensus/src/core/register_paxos.rs
@@ -133,10 +133,11 @@
         if self.register_paxos.proposals.contains_key(name) {
             return;
         }
-        let calls = self.register_calls.iter().filter_map(|call| match self.pending_calls.get(call) {
-            Some(Call::Replace(write)) if write.name == *name => Some(&write.value),
-            _ => None,
-        });
+        let calls =
+            self.pending_calls.of_registers().iter().filter_map(|call| match self.pending_calls.get(*call) {
+                Some(Call::Replace(write)) if write.name == *name => Some(&write.value),
+                _ => None,
+            });
         let newer = calls.filter(|value| self.is_newer(name, value.version));
         let Some(value) = newer.max_by_key(|value| value.version).cloned() else { return };
         let proposal = RegisterProposal {
@@ -184,10 +185,10 @@
     /// Whether a call still waits for that version.
     fn is_wanted(&self, name: &RegisterName, version: u64) -> bool {
         let wants = |call: &u64| {
-            matches!(self.pending_calls.get(call), Some(Call::Replace(write))
+            matches!(self.pending_calls.get(*call), Some(Call::Replace(write))
                 if write.name == *name && write.value.version == version)
         };
-        self.register_calls.iter().any(wants)
+        self.pending_calls.of_registers().iter().any(wants)
     }
 
     /// Starts a ballot, or sends again what was not answered.
@@ -420,8 +421,8 @@
         decided: u64,
         out: &mut Vec<Effect>,
     ) {
-        let others = self.register_calls.iter().copied().filter(|call| {
-            matches!(self.pending_calls.get(call), Some(Call::Replace(write))
+        let others = self.pending_calls.of_registers().iter().copied().filter(|call| {
+            matches!(self.pending_calls.get(*call), Some(Call::Replace(write))
                 if write.name == *name && write.value.version == version
                     && write.value.digest != decided)
         });
--- a/consensus/src/core/registers.rs
+++ b/consensus/src/core/registers.rs
@@ -75,9 +75,9 @@
     /// Whether one more call on this register may wait. Otherwise answers it.
     fn admit_register_call(&self, call: u64, name: &str, out: &mut Vec<Effect>) -> bool {
         let of_name = |call: &&u64| self.register_of_call(**call).is_some_and(|of| **of == *name);
-        let admitted = self.register_calls.len() < MAX_REGISTER_CALLS
+        let admitted = self.pending_calls.of_registers().len() < MAX_REGISTER_CALLS
             && (name == CONFIGURATION
-                || self.register_calls.iter().filter(of_name).count() < MAX_CALLS_PER_REGISTER);
+                || self.pending_calls.of_registers().iter().filter(of_name).count() < MAX_CALLS_PER_REGISTER);
         if !admitted {
             out.push(Effect::Respond { call, response: CoreResponse::Unavailable });
         }
@@ -86,7 +86,7 @@
 
     /// The register that a call is on.
     fn register_of_call(&self, call: u64) -> Option<&RegisterName> {
-        match self.pending_calls.get(&call)? {
+        match self.pending_calls.get(call)? {
             Call::Replace(write) => Some(&write.name),
             Call::Read(read) => Some(&read.name),
             Call::Lease(_) | Call::Session(_) => None,
@@ -111,8 +111,6 @@
         let (timer, deadline) = (now.saturating_add(RETRY_INTERVAL), now.saturating_add(WRITE_TIMEOUT));
         self.pending_calls
             .insert(call, Call::Replace(PendingWrite { name: name.clone(), value, deadline, timer }));
-        self.register_calls.insert(call);
-        self.timers.insert((timer, call));
         self.propose_value(now, &name, out);
         self.replicate_value(now, &name, out);
         self.resolve_register_calls(&name, out);
@@ -126,8 +124,6 @@
         let (timer, deadline) = (now.saturating_add(RETRY_INTERVAL), now.saturating_add(READ_TIMEOUT));
         let read = PendingRead { name: name.clone(), deadline, timer, revisions: BTreeMap::new() };
         self.pending_calls.insert(call, Call::Read(read));
-        self.register_calls.insert(call);
-        self.timers.insert((timer, call));
         self.request_revisions(call, out);
         self.resolve_register_calls(&name, out);
     }
@@ -180,8 +176,8 @@
 
     /// Asks the voters that have not reported since the read began.
     fn request_revisions(&self, call: u64, out: &mut Vec<Effect>) {
-        let Some(Call::Read(read)) = self.pending_calls.get(&call) else { return };
-        let (read_id, known) = (call ^ self.call_id_mask, self.stored_revision(&read.name));
+        let Some(Call::Read(read)) = self.pending_calls.get(call) else { return };
+        let (read_id, known) = (self.pending_calls.wire_id(call), self.stored_revision(&read.name));
         for replica in self.membership.members.iter().filter(|replica| !read.revisions.contains_key(replica))
         {
             if *replica != self.replica_id {
@@ -258,7 +254,8 @@
         read_id: u64,
         revision: Revision,
     ) {
-        if let Some(Call::Read(read)) = self.pending_calls.get_mut(&(read_id ^ self.call_id_mask))
+        let call = self.pending_calls.wire_id(read_id);
+        if let Some(Call::Read(read)) = self.pending_calls.get_mut(call)
             && read_id != 0
             && *read.name == *name
         {
@@ -303,19 +300,19 @@
         } else {
             self.named_registers.update_committed(name, majority)
         };
-        self.heartbeat_requested |= grown && !self.register_calls.is_empty();
+        self.heartbeat_requested |= grown && !self.pending_calls.of_registers().is_empty();
         self.resolve_register_calls(name, out);
     }
 
     /// Answers the calls on a register that can be answered now.
     pub(super) fn resolve_register_calls(&mut self, name: &str, out: &mut Vec<Effect>) {
-        let calls = self.register_calls.iter().copied();
+        let calls = self.pending_calls.of_registers().iter().copied();
         let calls: Vec<u64> =
             calls.filter(|call| self.register_of_call(*call).is_some_and(|of| **of == *name)).collect();
         for call in calls {
             let empty = Register::default();
             let register = self.register(name).unwrap_or(&empty);
-            match self.pending_calls.get(&call) {
+            match self.pending_calls.get(call) {
                 Some(Call::Replace(write)) => {
                     let Revision { version, digest } = write.value.revision();
                     let committed = Some(register.committed_revision)
@@ -358,7 +355,7 @@
                 _ => {}
             }
         }
-        if !self.register_calls.is_empty() {
+        if !self.pending_calls.of_registers().is_empty() {
             self.propose_value(self.now, &name.into(), out);
         }
     }
@@ -366,32 +363,36 @@
     /// Retries a call on a register or gives it up at its deadline.
     pub(super) fn handle_register_timer(&mut self, now: Nanos, call: u64, out: &mut Vec<Effect>) {
         let next_retry = now.saturating_add(RETRY_INTERVAL);
-        let (name, timer, deadline) = match self.pending_calls.get_mut(&call) {
-            Some(Call::Replace(write)) => (write.name.clone(), &mut write.timer, write.deadline),
-            Some(Call::Read(read)) => (read.name.clone(), &mut read.timer, read.deadline),
+        let (name, deadline) = match self.pending_calls.get(call) {
+            Some(Call::Replace(write)) => (write.name.clone(), write.deadline),
+            Some(Call::Read(read)) => (read.name.clone(), read.deadline),
             _ => return,
         };
         if now >= deadline {
             self.respond(call, CoreResponse::Unavailable, out);
             return;
         }
-        *timer = next_retry.min(deadline);
-        self.timers.insert((*timer, call));
+        self.pending_calls.reschedule(call, next_retry.min(deadline));
         self.replicate_value(now, &name, out);
         self.request_revisions(call, out);
     }
 
     /// Asks again after a change of the membership, because reports count only in the epoch in which they were given.
     pub(super) fn restart_register_calls(&mut self, now: Nanos, out: &mut Vec<Effect>) {
-        for call in self.register_calls.clone() {
-            if let Some(Call::Read(read)) = self.pending_calls.get_mut(&call) {
+        for call in self.pending_calls.of_registers().clone() {
+            if let Some(Call::Read(read)) = self.pending_calls.get_mut(call) {
                 read.revisions.clear();
             }
             self.request_revisions(call, out);
         }
         self.restart_register_proposals(now, out);
-        let names: BTreeSet<RegisterName> =
-            self.register_calls.iter().filter_map(|call| self.register_of_call(*call)).cloned().collect();
+        let names: BTreeSet<RegisterName> = self
+            .pending_calls
+            .of_registers()
+            .iter()
+            .filter_map(|call| self.register_of_call(*call))
+            .cloned()
+            .collect();
         for name in names {
             self.replicate_value(now, &name, out);
         }
--- a/consensus/src/core/sessions.rs
+++ b/consensus/src/core/sessions.rs
@@ -54,11 +54,7 @@
     ) {
         if let SessionRequest::Renew(_) = request {
             for replica in self.others() {
-                self.outbox
-                    .entry(replica.address)
-                    .or_default()
-                    .session_requests
-                    .push(SessionMessage::Renew(session));
+                self.outbox.queue(replica.address).session_requests.push(SessionMessage::Renew(session));
             }
             self.renew_session(session);
             let taken = self.sessions.records.get(&session).and_then(|(record, _)| record.accepted.clone());
@@ -88,7 +84,6 @@
             changes_owner: false,
             changes_binding: false,
         };
-        self.timers.insert((timer, call));
         self.pending_calls.insert(call, Call::Session(Box::new(pending)));
         self.sessions.calls.insert(call);
         self.begin_session_round(call, out);
@@ -101,7 +96,7 @@
     /// Starts a round in a term above all that are known, which nobody has used.
     fn begin_session_round(&mut self, call: u64, out: &mut Vec<Effect>) {
         let token = self.rng.random_range(1..=u64::MAX);
-        let Some(Call::Session(pending)) = self.pending_calls.get_mut(&call) else { return };
+        let Some(Call::Session(pending)) = self.pending_calls.get_mut(call) else { return };
         let own_term = self.sessions.records.get(&pending.session).map_or(0, |(record, _)| record.term);
         let last_round = pending.highest_term_seen.max(own_term).max(pending.term);
         if last_round == u64::MAX {
@@ -115,14 +110,14 @@
         pending.preempted_by.clear();
         pending.change = None;
         let (session, term) = (pending.session, pending.term);
-        let id = call ^ self.call_id_mask;
+        let id = self.pending_calls.wire_id(call);
         self.broadcast_session_message(SessionMessage::Prepare { call: id, session, term, token }, out);
     }
 
     /// Sends a request to all other members, and handles it here at once.
     fn broadcast_session_message(&mut self, message: SessionMessage, out: &mut Vec<Effect>) {
         for replica in self.others() {
-            self.outbox.entry(replica.address).or_default().session_requests.push(message.clone());
+            self.outbox.queue(replica.address).session_requests.push(message.clone());
         }
         if self.is_member(&self.replica_id) {
             self.handle_session_acceptor_request(self.replica_id, message, out);
@@ -144,7 +139,7 @@
                 }
                 SessionMessage::Promise { call, term, accepted } if sender.is_member => {
                     self.handle_session_promise(
-                        call ^ self.call_id_mask,
+                        self.pending_calls.wire_id(call),
                         sender.replica,
                         term,
                         accepted,
@@ -152,10 +147,16 @@
                     );
                 }
                 SessionMessage::Accepted { call, term } if sender.is_member => {
-                    self.handle_session_accepted(call ^ self.call_id_mask, sender.replica, term, out);
+                    self.handle_session_accepted(self.pending_calls.wire_id(call), sender.replica, term, out);
                 }
                 SessionMessage::Preempted { call, term } if sender.is_member => {
-                    self.handle_session_preempted(now, call ^ self.call_id_mask, sender.replica, term, out);
+                    self.handle_session_preempted(
+                        now,
+                        self.pending_calls.wire_id(call),
+                        sender.replica,
+                        term,
+                        out,
+                    );
                 }
                 SessionMessage::Renew(session) => self.renew_session(session),
                 _ => {}
@@ -198,7 +199,7 @@
                 SessionMessage::Promise { call, term, accepted }
             }
         };
-        self.outbox.entry(from.address).or_default().session_replies.push(reply);
+        self.outbox.queue(from.address).session_replies.push(reply);
     }
 
     /// Counts a promise; proposes the change of the latest reported ownership once a majority has promised.
@@ -211,7 +212,7 @@
         out: &mut Vec<Effect>,
     ) {
         let (majority, mutation) = (self.majority(), self.mutation);
-        let Some(Call::Session(pending)) = self.pending_calls.get_mut(&call) else { return };
+        let Some(Call::Session(pending)) = self.pending_calls.get_mut(call) else { return };
         if pending.term != term || pending.change.is_some() {
             return;
         }
@@ -237,7 +238,7 @@
         pending.preempted_by.clear();
         let session = pending.session;
         self.broadcast_session_message(
-            SessionMessage::Accept { call: call ^ self.call_id_mask, session, change },
+            SessionMessage::Accept { call: self.pending_calls.wire_id(call), session, change },
             out,
         );
     }
@@ -245,7 +246,7 @@
     /// Counts an acceptance; answers the call once a majority has accepted.
     fn handle_session_accepted(&mut self, call: u64, from: ReplicaId, term: u64, out: &mut Vec<Effect>) {
         let majority = self.majority();
-        let Some(Call::Session(pending)) = self.pending_calls.get_mut(&call) else { return };
+        let Some(Call::Session(pending)) = self.pending_calls.get_mut(call) else { return };
         if pending.term != term || pending.change.is_none() {
             return;
         }
@@ -270,7 +271,7 @@
     ) {
         let (majority, voters) = (self.majority(), self.membership.members.len());
         let backoff = self.rng.random_range(2..40) * MS;
-        let Some(Call::Session(pending)) = self.pending_calls.get_mut(&call) else { return };
+        let Some(Call::Session(pending)) = self.pending_calls.get_mut(call) else { return };
         // A refusal of an earlier round says nothing about this one.
         if term < pending.term {
             return;
@@ -283,22 +284,17 @@
         if pending.rounds <= MAX_IMMEDIATE_ROUNDS {
             self.begin_session_round(call, out);
         } else {
-            let previous_timer = std::mem::replace(&mut pending.timer, now.saturating_add(backoff));
-            let timer = pending.timer;
-            self.timers.remove(&(previous_timer, call));
-            self.timers.insert((timer, call));
+            self.pending_calls.reschedule(call, now.saturating_add(backoff));
         }
     }
 
     pub(super) fn handle_session_timer(&mut self, now: Nanos, call: u64, out: &mut Vec<Effect>) {
-        let Some(Call::Session(pending)) = self.pending_calls.get_mut(&call) else { return };
+        let Some(Call::Session(pending)) = self.pending_calls.get_mut(call) else { return };
         if now >= pending.started_at.saturating_add(SESSION_TIMEOUT) {
             self.respond(call, CoreResponse::Unavailable, out);
             return;
         }
-        pending.timer = now.saturating_add(RETRY_INTERVAL);
-        let timer = pending.timer;
-        self.timers.insert((timer, call));
+        self.pending_calls.reschedule(call, now.saturating_add(RETRY_INTERVAL));
         self.begin_session_round(call, out);
     }
 
--- a/consensus/tests/cluster/mod.rs
+++ b/consensus/tests/cluster/mod.rs
@@ -281,7 +281,8 @@
             config,
         };
         let mut core = Core::new(options, &mut out);
-        (core.mutation, core.eager_rollback) = (self.mutation, self.eager_rollback);
+        core.set_mutation(self.mutation);
+        core.eager_rollback = self.eager_rollback;
         self.nodes[node].core = Some(core);
         self.nodes[node].incarnation += 1;
         self.nodes[node].committed = Revision::NONE;
--- a/emulator/src/mesh/steward.rs
+++ b/emulator/src/mesh/steward.rs
@@ -150,7 +150,7 @@
             config: start.config,
         };
         let mut core = Core::new(options, &mut acts);
-        core.mutation = start.mutation;
+        core.set_mutation(start.mutation);
         let mut steward = Steward {
             at: start.at,
             core,
