--- a/consensus/src/core.rs
+++ b/consensus/src/core.rs
@@ -16,7 +16,7 @@
 //! have moved on that nothing committed can be missing: the voters that don't store something that was committed are
 //! always fewer than the snapshots that it needs.
 
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::sync::Arc;
 
@@ -25,14 +25,11 @@
 
 use crate::core::calls::{Call, PendingCalls};
 use crate::core::lease_table::LeaseTable;
-use crate::core::limits::{
-    CONFIGURATION, FORGET_PEER_AFTER, HEARTBEAT_INTERVAL, MAX_PEERS, MAX_TICK_INTERVAL, MAX_ZONE_BYTES,
-    MIN_SEND_INTERVAL, MISSED_MESSAGES_AFTER,
-};
+use crate::core::limits::{CONFIGURATION, HEARTBEAT_INTERVAL, MAX_TICK_INTERVAL, MIN_SEND_INTERVAL};
 use crate::core::membership_state::{CatchUp, MembershipProposal, SnapshotContent};
 use crate::core::named_registers::{NamedRegisters, RegistersReport};
 use crate::core::outbox::Outbox;
-use crate::core::peers::{Peer, mark_if_due};
+use crate::core::peers::{Peers, mark_if_due};
 use crate::core::register::Register;
 use crate::core::register_proposals::RegisterPaxos;
 use crate::core::session_table::Sessions;
@@ -93,7 +90,7 @@
     config: Config,
     seeds: Vec<SocketAddr>,
     rng: ChaCha8Rng,
-    peers: BTreeMap<ReplicaId, Peer>,
+    peers: Peers,
     next_heartbeat: Nanos,
     /// State changed that the other replicas should learn of at once: the next `flush` sends a heartbeat.
     heartbeat_requested: bool,
@@ -172,6 +169,7 @@
         let voted = ballots.voter && replica_id == ballots.replica;
         let member = ballots.membership.members.contains(&replica_id);
         let call_id_mask = rng.random();
+        let sessions = Sessions::new(config.max_leases);
         let lease_table = LeaseTable::new(config.lease_ttl, config.max_response_bytes);
         let mut core = Core {
             now,
@@ -179,7 +177,7 @@
             config,
             seeds: seeds.to_vec(),
             rng,
-            peers: BTreeMap::new(),
+            peers: Peers::default(),
             next_heartbeat: now,
             heartbeat_requested: false,
             leaving: false,
@@ -199,7 +197,7 @@
             named_registers: NamedRegisters::with_values(saved.registers),
             register_paxos: RegisterPaxos::default(),
             lease_table,
-            sessions: Sessions::default(),
+            sessions,
             pending_calls: PendingCalls::new(call_id_mask),
             outbox: Outbox::default(),
             mutation: None,
@@ -209,7 +207,7 @@
             core.lease_table.insert(now, key, lease);
         }
         for SessionEntry { session, record } in saved.sessions {
-            core.insert_session(session, record);
+            core.sessions.insert(now, session, record);
         }
         core.load_acceptors(saved.acceptors);
         core.lease_table.evict_responses(now, out);
@@ -383,17 +381,14 @@
             }
         }
         self.lease_table.expire(now, out);
-        self.expire_sessions(now, out);
+        self.sessions.expire(now, out);
         self.request_snapshots(now, out);
         self.propose_membership(now, out);
         self.drive_register_proposals(now, out);
         if now >= self.next_heartbeat {
             self.heartbeat_requested = true;
             self.next_heartbeat = now.saturating_add(HEARTBEAT_INTERVAL);
-            let members = &self.membership.members;
-            self.peers.retain(|replica, peer| {
-                members.binary_search(replica).is_ok() || peer.time_since_heard(now) < FORGET_PEER_AFTER
-            });
+            self.peers.forget_silent(&self.membership.members, now);
         }
         self.flush(out);
         let next = self.pending_calls.next_timer();
@@ -482,10 +477,7 @@
 
     /// Whether a majority of the members, this replica included, was heard within `REACHABLE_WINDOW`.
     pub fn has_quorum(&self, now: Nanos) -> bool {
-        let is_reachable = |replica: &&ReplicaId| {
-            **replica == self.replica_id
-                || self.peers.get(*replica).is_some_and(|peer| peer.is_reachable(now))
-        };
+        let is_reachable = |replica: &&ReplicaId| self.can_reach(replica, now);
         self.membership.epoch > 0
             && self.membership.members.iter().filter(is_reachable).count() >= self.majority()
     }
@@ -530,6 +522,8 @@
 
     /// All records that the disk should hold, for rewriting the log.
     pub fn log_records(&self) -> Vec<LogRecord> {
+        let sessions =
+            self.sessions.iter().map(|(session, record)| LogRecord::Session(session, record.clone()));
         let leases = self.lease_table.iter_from(0).map(|(key, lease)| LogRecord::Lease(key, lease.clone()));
         let configuration =
             self.configuration.stored.iter().map(|value| LogRecord::Configuration(value.clone()));
@@ -537,7 +531,7 @@
         let acceptors = LogRecord::RegisterAcceptors(self.acceptor_states());
         let all = [LogRecord::MembershipBallot(self.ballot_state()), acceptors].into_iter();
         let all = all.chain(configuration).chain(registers).chain(leases);
-        all.chain(self.session_records()).collect()
+        all.chain(sessions).collect()
     }
 
     /// Makes this replica break a rule, for tests that show that they notice it.
@@ -556,6 +550,11 @@
         self.membership.members.binary_search(replica).is_ok()
     }
 
+    /// Whether a member is this replica itself or was heard within `REACHABLE_WINDOW`.
+    fn can_reach(&self, member: &ReplicaId, now: Nanos) -> bool {
+        *member == self.replica_id || self.peers.is_reachable(member, now)
+    }
+
     /// The number of members in a majority.
     fn majority(&self) -> usize {
         let half = self.membership.members.len() / 2;
@@ -605,7 +604,7 @@
     /// its own acknowledgements.
     fn known_addresses(&self) -> BTreeSet<SocketAddr> {
         let members = self.membership.members.iter().map(|replica| replica.address);
-        let peers = self.peers.keys().map(|replica| replica.address);
+        let peers = self.peers.iter().map(|(replica, _)| replica.address);
         let mut all: BTreeSet<SocketAddr> = members.chain(peers).chain(self.seeds.iter().copied()).collect();
         if !self.voter {
             all.remove(&self.replica_id.address);
@@ -622,28 +621,11 @@
         body: &MessageBody,
         out: &mut Vec<Effect>,
     ) {
-        if !self.peers.contains_key(&from) {
-            if self.peers.len() >= MAX_PEERS {
-                return;
-            }
-            self.peers.insert(from, Peer::new(now));
-        }
         let own_epoch = self.membership.epoch;
-        let Some(peer) = self.peers.get_mut(&from) else { return };
-        let silent_since = (peer.time_since_heard(now) > MISSED_MESSAGES_AFTER)
-            .then(|| peer.last_heard.unwrap_or(peer.first_seen));
-        peer.last_heard = Some(now.max(peer.last_heard.unwrap_or(0)));
+        let Some(peer) = self.peers.sender(from, now) else { return };
+        let silent_since = peer.record_message(now);
         if let MessageBody::Heartbeat { voter, leaving, zone, .. } = body {
-            // A late heartbeat of an earlier epoch says nothing about the current one.
-            if epoch >= peer.epoch {
-                peer.voter = *voter || (peer.voter && epoch == peer.epoch);
-                peer.epoch = epoch;
-            }
-            peer.leaving = *leaving;
-            if peer.zone != *zone {
-                peer.zone.clone_from(zone);
-                peer.zone.truncate(peer.zone.floor_char_boundary(MAX_ZONE_BYTES));
-            }
+            peer.record_heartbeat(epoch, *voter, *leaving, zone);
         }
         let (announce, send_heartbeat) = (
             epoch < own_epoch && mark_if_due(&mut peer.announced_at, now, MIN_SEND_INTERVAL),
--- a/consensus/src/core/membership.rs
+++ b/consensus/src/core/membership.rs
@@ -89,7 +89,7 @@
     /// Starts to take part in the epoch: a voter counts its own acknowledgements, a new member starts to catch up.
     pub(super) fn enter_epoch(&mut self, now: Nanos, out: &mut Vec<Effect>) {
         for replica in self.others() {
-            self.peers.entry(replica).or_insert_with(|| Peer::new(now));
+            self.peers.add_member(replica, now);
         }
         self.catch_up = None;
         if self.voter {
@@ -113,7 +113,7 @@
         }
         catch_up.next_request = now.saturating_add(SNAPSHOT_REQUEST_INTERVAL);
         if now >= catch_up.ask_all_after {
-            for (replica, peer) in &self.peers {
+            for (replica, peer) in self.peers.iter() {
                 if peer.is_reachable(now) {
                     catch_up.sources.entry(*replica).or_insert(CatchUpProgress::Leases(0));
                 }
@@ -162,7 +162,7 @@
             leases.push(LeaseEntry { key, lease: lease.clone() });
         }
         let (sessions, next_key) = match &from_register {
-            None => self.sessions_from(from_key, next_key),
+            None => self.sessions.batch_from(from_key, next_key),
             Some(_) => (Vec::new(), None),
         };
         leases.retain(|entry| next_key.is_none_or(|next| entry.key < next));
@@ -270,20 +270,7 @@
             return false;
         }
         let Some(peer) = self.peers.get(member) else { return true };
-        peer.time_since_heard(now) >= self.config.member_timeout || self.is_replaced(now, member)
-    }
-
-    /// Whether a replica with another disk runs at the member's address, which means that the member is gone for
-    /// good.
-    pub(super) fn is_replaced(&self, now: Nanos, member: &ReplicaId) -> bool {
-        let last_heard = self.peers.get(member).and_then(|peer| peer.last_heard);
-        let other_disk = |(replica, other): (&ReplicaId, &Peer)| {
-            replica.address == member.address
-                && replica.disk_id != member.disk_id
-                && other.is_reachable(now)
-                && other.last_heard > last_heard
-        };
-        self.peers.iter().any(other_disk)
+        peer.time_since_heard(now) >= self.config.member_timeout || self.peers.is_replaced(member, now)
     }
 
     /// Whether a member said that it votes in this epoch.
@@ -307,9 +294,7 @@
             .map(|(replica, _)| *replica)
             .collect();
         let is_voter = |member: &&ReplicaId| self.is_voter(member);
-        let is_reachable = |member: &&ReplicaId| {
-            **member == self.replica_id || self.peers.get(*member).is_some_and(|peer| peer.is_reachable(now))
-        };
+        let is_reachable = |member: &&ReplicaId| self.can_reach(member, now);
         for leaving in members.iter().filter(|_| members.len() > 1) {
             let remaining = || members.iter().filter(|member| *member != leaving);
             let lost = self.is_lost(now, leaving);
--- a/consensus/src/core/peers.rs
+++ b/consensus/src/core/peers.rs
@@ -1,6 +1,6 @@
 //! Failure detection: what a replica knows of the others, by the messages that it receives.
 //!
-//! Main types: `Peer`; `PeerStatus` is for operators.
+//! Main types: `Peers` holds a `Peer` for each known replica; `PeerStatus` is for operators.
 //!
 //! Invariants:
 //! - At most `MAX_PEERS` replicas that are not members are known.
@@ -8,7 +8,9 @@
 
 use std::collections::BTreeMap;
 
-use crate::core::limits::{Nanos, REACHABLE_WINDOW};
+use crate::core::limits::{
+    FORGET_PEER_AFTER, MAX_PEERS, MAX_ZONE_BYTES, MISSED_MESSAGES_AFTER, Nanos, REACHABLE_WINDOW,
+};
 use crate::messages::{RegisterName, ReplicaId, Revision};
 
 /// What this replica knows of another one.
@@ -63,6 +65,28 @@
         self.last_heard.is_some_and(|heard| now.saturating_sub(heard) <= REACHABLE_WINDOW)
     }
 
+    /// Records that a message of the peer arrived. Returns since when the peer may have missed messages, if it may.
+    pub fn record_message(&mut self, now: Nanos) -> Option<Nanos> {
+        let silent_since = (self.time_since_heard(now) > MISSED_MESSAGES_AFTER)
+            .then(|| self.last_heard.unwrap_or(self.first_seen));
+        self.last_heard = Some(now.max(self.last_heard.unwrap_or(0)));
+        silent_since
+    }
+
+    /// Records what a heartbeat says of its sender.
+    pub fn record_heartbeat(&mut self, epoch: u64, voter: bool, leaving: bool, zone: &str) {
+        // A late heartbeat of an earlier epoch says nothing about the current one.
+        if epoch >= self.epoch {
+            self.voter = voter || (self.voter && epoch == self.epoch);
+            self.epoch = epoch;
+        }
+        self.leaving = leaving;
+        if self.zone != zone {
+            self.zone = zone.to_owned();
+            self.zone.truncate(self.zone.floor_char_boundary(MAX_ZONE_BYTES));
+        }
+    }
+
     /// The time since the peer was last heard, or since it was first seen if it never was.
     pub fn time_since_heard(&self, now: Nanos) -> Nanos {
         now.saturating_sub(self.last_heard.unwrap_or(self.first_seen))
@@ -96,3 +120,67 @@
     *last = Some(now);
     true
 }
+
+/// The replicas that this one knows.
+#[derive(Clone, Debug, Default)]
+pub(super) struct Peers {
+    by_replica: BTreeMap<ReplicaId, Peer>,
+}
+
+impl Peers {
+    /// What is known of a replica.
+    pub fn get(&self, replica: &ReplicaId) -> Option<&Peer> {
+        self.by_replica.get(replica)
+    }
+
+    /// What is known of a replica.
+    pub fn get_mut(&mut self, replica: &ReplicaId) -> Option<&mut Peer> {
+        self.by_replica.get_mut(replica)
+    }
+
+    /// All known replicas, sorted.
+    pub fn iter(&self) -> impl Iterator<Item = (&ReplicaId, &Peer)> {
+        self.by_replica.iter()
+    }
+
+    /// What is known of each replica.
+    pub fn values_mut(&mut self) -> impl Iterator<Item = &mut Peer> {
+        self.by_replica.values_mut()
+    }
+
+    /// Adds a member, whether or not it was ever heard.
+    pub fn add_member(&mut self, replica: ReplicaId, now: Nanos) {
+        self.by_replica.entry(replica).or_insert_with(|| Peer::new(now));
+    }
+
+    /// The peer that a message came from, added if there is room.
+    pub fn sender(&mut self, replica: ReplicaId, now: Nanos) -> Option<&mut Peer> {
+        if !self.by_replica.contains_key(&replica) && self.by_replica.len() >= MAX_PEERS {
+            return None;
+        }
+        Some(self.by_replica.entry(replica).or_insert_with(|| Peer::new(now)))
+    }
+
+    /// Whether a replica was heard within `REACHABLE_WINDOW`.
+    pub fn is_reachable(&self, replica: &ReplicaId, now: Nanos) -> bool {
+        self.get(replica).is_some_and(|peer| peer.is_reachable(now))
+    }
+
+    /// Whether a replica with another disk runs at the member's address and was heard after it.
+    pub fn is_replaced(&self, member: &ReplicaId, now: Nanos) -> bool {
+        let last_heard = self.get(member).and_then(|peer| peer.last_heard);
+        self.iter().any(|(replica, other)| {
+            replica.address == member.address
+                && replica.disk_id != member.disk_id
+                && other.is_reachable(now)
+                && other.last_heard > last_heard
+        })
+    }
+
+    /// Forgets replicas that are no members and were silent for `FORGET_PEER_AFTER`. `members` is sorted.
+    pub fn forget_silent(&mut self, members: &[ReplicaId], now: Nanos) {
+        self.by_replica.retain(|replica, peer| {
+            members.binary_search(replica).is_ok() || peer.time_since_heard(now) < FORGET_PEER_AFTER
+        });
+    }
+}
--- a/consensus/src/core/rollback.rs
+++ b/consensus/src/core/rollback.rs
@@ -43,10 +43,8 @@
         }
         let members = &self.membership.members;
         let mut joined = members.iter().filter(|member| !self.membership.previous_members.contains(member));
-        let gone = joined.all(|member| !self.is_voter(member) && self.is_replaced(now, member));
-        let is_reachable = |member: &&ReplicaId| {
-            **member == self.replica_id || self.peers.get(*member).is_some_and(|peer| peer.is_reachable(now))
-        };
+        let gone = joined.all(|member| !self.is_voter(member) && self.peers.is_replaced(member, now));
+        let is_reachable = |member: &&ReplicaId| self.can_reach(member, now);
         let reachable_voters =
             members.iter().filter(|member| self.is_voter(member)).filter(is_reachable).count();
         let needed = gone && reachable_voters < self.majority() || self.eager_rollback;
--- a/consensus/src/core/session_table.rs
+++ b/consensus/src/core/session_table.rs
@@ -4,22 +4,28 @@
 //!
 //! Invariants: a session expires once it has been idle for `SESSION_IDLE`.
 
+use std::cmp::Ordering;
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::core::limits::{MS, Nanos};
-use crate::messages::{SessionId, SessionOwner, SessionOwnership, SessionRecord, SessionRequest};
+use crate::core::limits::{MAX_ITEMS_PER_MESSAGE, MS, NOBODY, Nanos};
+use crate::messages::{
+    CommittedSession, Effect, LogRecord, SessionEntry, SessionId, SessionOwner, SessionOwnership,
+    SessionRecord, SessionRequest,
+};
 
 /// A session that nobody has used for this long is forgotten.
 pub const SESSION_IDLE: Nanos = 900_000 * MS;
 
 /// The sessions that this replica stores, and the calls that change them.
-#[derive(Clone, Debug, Default)]
+#[derive(Clone, Debug)]
 pub(super) struct Sessions {
+    max_sessions: usize,
     /// Each session with the time at which it expires.
-    pub records: BTreeMap<SessionId, (SessionRecord, Nanos)>,
-    pub expiry: BTreeSet<(Nanos, SessionId)>,
+    records: BTreeMap<SessionId, (SessionRecord, Nanos)>,
+    expiry: BTreeSet<(Nanos, SessionId)>,
+    /// The calls that change sessions.
     pub calls: BTreeSet<u64>,
-    pub counts: SessionCounts,
+    counts: SessionCounts,
 }
 
 /// Figures about sessions since the start of this replica.
@@ -35,6 +41,123 @@
     pub evicted: u64,
 }
 
+impl Sessions {
+    /// An empty table of at most `max_sessions`.
+    pub fn new(max_sessions: usize) -> Sessions {
+        Sessions {
+            max_sessions,
+            records: BTreeMap::new(),
+            expiry: BTreeSet::new(),
+            calls: BTreeSet::new(),
+            counts: SessionCounts::default(),
+        }
+    }
+
+    /// The record of a session.
+    pub fn get(&self, session: SessionId) -> Option<&SessionRecord> {
+        self.records.get(&session).map(|(record, _)| record)
+    }
+
+    /// All records.
+    pub fn iter(&self) -> impl Iterator<Item = (SessionId, &SessionRecord)> {
+        self.records.iter().map(|(session, (record, _))| (*session, record))
+    }
+
+    /// Figures about sessions.
+    pub fn counts(&self) -> SessionCounts {
+        SessionCounts { sessions: self.records.len(), ..self.counts }
+    }
+
+    /// Counts a committed change.
+    pub fn count_changes(&mut self, of_owner: bool, of_binding: bool) {
+        self.counts.owner_changes += u64::from(of_owner);
+        self.counts.binding_changes += u64::from(of_binding);
+    }
+
+    /// The part of a snapshot between two keys, and the key at which the rest begins if it does not fit.
+    pub fn batch_from(&self, from: u128, to: Option<u128>) -> (Vec<SessionEntry>, Option<u128>) {
+        let mut batch = Vec::new();
+        for (session, (record, _)) in self.records.range(from..) {
+            if to.is_some_and(|to| *session >= to) {
+                break;
+            }
+            if batch.len() >= MAX_ITEMS_PER_MESSAGE {
+                return (batch, Some(*session));
+            }
+            batch.push(SessionEntry { session: *session, record: record.clone() });
+        }
+        (batch, to)
+    }
+
+    /// Takes over what another voter stores: the higher term, and the change that was accepted later.
+    pub fn merge(&mut self, now: Nanos, session: SessionId, theirs: SessionRecord, out: &mut Vec<Effect>) {
+        let own = self.get(session).cloned().unwrap_or_default();
+        let token = match theirs.term.cmp(&own.term) {
+            Ordering::Greater => theirs.token,
+            // The token's proposer asked in an earlier epoch, where its messages count; the term belongs to nobody
+            // now.
+            Ordering::Equal if theirs.token != own.token => NOBODY,
+            _ => own.token,
+        };
+        let accepted_term =
+            |accepted: &Option<CommittedSession>| accepted.as_ref().map_or(0, |committed| committed.term);
+        let term = theirs.term.max(own.term);
+        let accepted = if accepted_term(&theirs.accepted) > accepted_term(&own.accepted) {
+            theirs.accepted
+        } else {
+            own.accepted.clone()
+        };
+        let merged = SessionRecord { term, token, accepted };
+        if merged != own {
+            self.store(now, session, merged, out);
+        }
+    }
+
+    /// Writes a record to disk and memory; the sessions that were not used for longest make room.
+    pub fn store(&mut self, now: Nanos, session: SessionId, record: SessionRecord, out: &mut Vec<Effect>) {
+        out.push(Effect::Persist(LogRecord::Session(session, record.clone())));
+        self.insert(now, session, record);
+        while self.records.len() > self.max_sessions {
+            let Some(&(expires_at, oldest)) = self.expiry.first() else { return };
+            self.counts.evicted += 1;
+            self.remove(expires_at, oldest, out);
+        }
+    }
+
+    /// Keeps a session in memory until it has been idle for `SESSION_IDLE`.
+    pub fn insert(&mut self, now: Nanos, session: SessionId, record: SessionRecord) {
+        let expires_at = now.saturating_add(SESSION_IDLE);
+        if let Some((_, before)) = self.records.insert(session, (record, expires_at)) {
+            self.expiry.remove(&(before, session));
+        }
+        self.expiry.insert((expires_at, session));
+    }
+
+    /// Records that a session was used.
+    pub fn renew(&mut self, now: Nanos, session: SessionId) {
+        if let Some(record) = self.get(session).cloned() {
+            self.insert(now, session, record);
+        }
+    }
+
+    /// Removes sessions that have been idle for too long.
+    pub fn expire(&mut self, now: Nanos, out: &mut Vec<Effect>) {
+        while let Some(&(expires_at, session)) = self.expiry.first() {
+            if expires_at > now {
+                break;
+            }
+            self.remove(expires_at, session, out);
+        }
+    }
+
+    fn remove(&mut self, expires_at: Nanos, session: SessionId, out: &mut Vec<Effect>) {
+        self.expiry.remove(&(expires_at, session));
+        if self.records.remove(&session).is_some() {
+            out.push(Effect::Persist(LogRecord::SessionEnded(session)));
+        }
+    }
+}
+
 /// The ownership that a request leads to; `None` if the session has none and gets none.
 pub(super) fn apply_request(
     request: &SessionRequest,
--- a/consensus/src/core/sessions.rs
+++ b/consensus/src/core/sessions.rs
@@ -19,13 +19,13 @@
 use rand::Rng;
 
 use crate::core::calls::{Call, PendingSessionChange};
-use crate::core::limits::{MAX_ITEMS_PER_MESSAGE, MS, NOBODY, Nanos, RETRY_INTERVAL};
+use crate::core::limits::{MS, NOBODY, Nanos, RETRY_INTERVAL};
 use crate::core::mutation::Mutation;
-use crate::core::session_table::{SESSION_IDLE, SessionCounts, apply_request};
+use crate::core::session_table::{SessionCounts, apply_request};
 use crate::core::{Core, Sender};
 use crate::messages::{
-    CommittedSession, CoreResponse, Effect, LogRecord, ReplicaId, SessionEntry, SessionId, SessionMessage,
-    SessionRecord, SessionRequest,
+    CommittedSession, CoreResponse, Effect, ReplicaId, SessionId, SessionMessage, SessionRecord,
+    SessionRequest,
 };
 
 /// A change of a session that is not committed within this time is answered `Unavailable`.
@@ -40,7 +40,7 @@
 impl Core {
     /// Figures about sessions.
     pub fn session_counts(&self) -> SessionCounts {
-        SessionCounts { sessions: self.sessions.records.len(), ..self.sessions.counts }
+        self.sessions.counts()
     }
 
     /// Starts a request on a session.
@@ -56,8 +56,8 @@
             for replica in self.others() {
                 self.outbox.queue(replica.address).session_requests.push(SessionMessage::Renew(session));
             }
-            self.renew_session(session);
-            let taken = self.sessions.records.get(&session).and_then(|(record, _)| record.accepted.clone());
+            self.sessions.renew(self.now, session);
+            let taken = self.sessions.get(session).and_then(|record| record.accepted.clone());
             out.push(Effect::Respond { call, response: CoreResponse::Session(taken) });
             return;
         }
@@ -97,7 +97,7 @@
     fn begin_session_round(&mut self, call: u64, out: &mut Vec<Effect>) {
         let token = self.rng.random_range(1..=u64::MAX);
         let Some(Call::Session(pending)) = self.pending_calls.get_mut(call) else { return };
-        let own_term = self.sessions.records.get(&pending.session).map_or(0, |(record, _)| record.term);
+        let own_term = self.sessions.get(pending.session).map_or(0, |record| record.term);
         let last_round = pending.highest_term_seen.max(own_term).max(pending.term);
         if last_round == u64::MAX {
             return; // Nobody gets so far; its time will be over.
@@ -158,7 +158,7 @@
                         out,
                     );
                 }
-                SessionMessage::Renew(session) => self.renew_session(session),
+                SessionMessage::Renew(session) => self.sessions.renew(self.now, session),
                 _ => {}
             }
         }
@@ -181,18 +181,18 @@
             }
             _ => return,
         };
-        let known = self.sessions.records.get(&session);
-        let last = known.map_or((0, NOBODY), |(record, _)| (record.term, record.token));
+        let known = self.sessions.get(session);
+        let last = known.map_or((0, NOBODY), |record| (record.term, record.token));
         let may_accept = term > last.0
             || term == last.0 && (token == last.1 || self.breaks(Mutation::GiveSessionTermToTwoTokens))
             || self.breaks(Mutation::AcceptLowerSessionTerm) && change.is_some();
-        let accepted = known.and_then(|(record, _)| record.accepted.clone());
+        let accepted = known.and_then(|record| record.accepted.clone());
         let reply = if !may_accept || token == NOBODY {
             SessionMessage::Preempted { call, term: last.0 }
         } else {
             let is_change = change.is_some();
             let stored = change.or_else(|| accepted.clone());
-            self.store_session(session, SessionRecord { term, token, accepted: stored }, out);
+            self.sessions.store(self.now, session, SessionRecord { term, token, accepted: stored }, out);
             if is_change {
                 SessionMessage::Accepted { call, term }
             } else {
@@ -253,8 +253,7 @@
         pending.accepted_by.insert(from);
         if pending.accepted_by.len() >= majority {
             let committed = pending.change.take();
-            self.sessions.counts.owner_changes += u64::from(pending.changes_owner);
-            self.sessions.counts.binding_changes += u64::from(pending.changes_binding);
+            self.sessions.count_changes(pending.changes_owner, pending.changes_binding);
             self.respond(call, CoreResponse::Session(committed), out);
         }
     }
@@ -306,21 +305,6 @@
         }
     }
 
-    /// The part of a snapshot between two keys, and the key at which the rest begins if it does not fit.
-    pub(super) fn sessions_from(&self, from: u128, to: Option<u128>) -> (Vec<SessionEntry>, Option<u128>) {
-        let mut batch = Vec::new();
-        for (session, (record, _)) in self.sessions.records.range(from..) {
-            if to.is_some_and(|to| *session >= to) {
-                break;
-            }
-            if batch.len() >= MAX_ITEMS_PER_MESSAGE {
-                return (batch, Some(*session));
-            }
-            batch.push(SessionEntry { session: *session, record: record.clone() });
-        }
-        (batch, to)
-    }
-
     /// Takes over a session from another voter's snapshot.
     pub(super) fn merge_session(&mut self, session: SessionId, theirs: SessionRecord, out: &mut Vec<Effect>) {
         if self.breaks(Mutation::IgnoreSessionsOfSnapshot)
@@ -328,79 +312,6 @@
         {
             return;
         }
-        let own = self
-            .sessions
-            .records
-            .get(&session)
-            .map_or_else(SessionRecord::default, |(record, _)| record.clone());
-        let token = match theirs.term.cmp(&own.term) {
-            std::cmp::Ordering::Greater => theirs.token,
-            // The token's proposer asked in an earlier epoch, where its messages count; the term belongs to nobody
-            // now.
-            std::cmp::Ordering::Equal if theirs.token != own.token => NOBODY,
-            _ => own.token,
-        };
-        let accepted_term =
-            |accepted: &Option<CommittedSession>| accepted.as_ref().map_or(0, |committed| committed.term);
-        let term = theirs.term.max(own.term);
-        let accepted = if accepted_term(&theirs.accepted) > accepted_term(&own.accepted) {
-            theirs.accepted
-        } else {
-            own.accepted.clone()
-        };
-        let merged = SessionRecord { term, token, accepted };
-        if merged != own {
-            self.store_session(session, merged, out);
-        }
-    }
-
-    fn store_session(&mut self, session: SessionId, record: SessionRecord, out: &mut Vec<Effect>) {
-        out.push(Effect::Persist(LogRecord::Session(session, record.clone())));
-        self.insert_session(session, record);
-        while self.sessions.records.len() > self.config.max_leases {
-            let Some(&(expires_at, oldest)) = self.sessions.expiry.first() else { return };
-            self.sessions.counts.evicted += 1;
-            self.remove_session(expires_at, oldest, out);
-        }
-    }
-
-    /// Keeps a session in memory until it has been idle for `SESSION_IDLE`.
-    pub(super) fn insert_session(&mut self, session: SessionId, record: SessionRecord) {
-        let expires_at = self.now.saturating_add(SESSION_IDLE);
-        if let Some((_, before)) = self.sessions.records.insert(session, (record, expires_at)) {
-            self.sessions.expiry.remove(&(before, session));
-        }
-        self.sessions.expiry.insert((expires_at, session));
-    }
-
-    /// Records that a session was used.
-    fn renew_session(&mut self, session: SessionId) {
-        if let Some((record, _)) = self.sessions.records.get(&session) {
-            let record = record.clone();
-            self.insert_session(session, record);
-        }
-    }
-
-    fn remove_session(&mut self, expires_at: Nanos, session: SessionId, out: &mut Vec<Effect>) {
-        self.sessions.expiry.remove(&(expires_at, session));
-        if self.sessions.records.remove(&session).is_some() {
-            out.push(Effect::Persist(LogRecord::SessionEnded(session)));
-        }
-    }
-
-    pub(super) fn expire_sessions(&mut self, now: Nanos, out: &mut Vec<Effect>) {
-        while let Some(&(expires_at, session)) = self.sessions.expiry.first() {
-            if expires_at > now {
-                break;
-            }
-            self.remove_session(expires_at, session, out);
-        }
-    }
-
-    pub(super) fn session_records(&self) -> impl Iterator<Item = LogRecord> {
-        self.sessions
-            .records
-            .iter()
-            .map(|(session, (record, _))| LogRecord::Session(*session, record.clone()))
+        self.sessions.merge(self.now, session, theirs, out);
     }
 }
