--- a/balancer/tests/mesh.rs
+++ b/balancer/tests/mesh.rs
@@ -161,7 +161,7 @@
     town.stewards[1].kill();
     serves(&town, &[0, 2], 5);
     town.stewards[1].lose_disk();
-    let caught_up = |town: &Town| town.stewards[1].logged("caught up in epoch");
+    let caught_up = |town: &Town| town.stewards[1].logged("caught up: epoch=");
     let before = caught_up(&town);
     town.start_steward(1, false);
     until("a voter again", || caught_up(&town) > before);
--- a/consensus/src/messages/effects.rs
+++ b/consensus/src/messages/effects.rs
@@ -63,15 +63,33 @@
         match self {
             CoreEvent::Started { replica, voter, membership } => write!(
                 f,
-                "replica {} with disk {} started in epoch {}, voter {voter}, members {:?}",
-                replica.address, replica.disk_id, membership.epoch, membership.members
+                "replica started: replica={replica} epoch={} voter={voter} members={}",
+                membership.epoch,
+                MemberList(&membership.members)
             ),
             CoreEvent::MembershipChanged { voter, membership } => write!(
                 f,
-                "membership changed to epoch {}, voter {voter}, members {:?}, rolled back {}",
-                membership.epoch, membership.members, membership.rolled_back
+                "membership changed: epoch={} voter={voter} members={} rolled_back={}",
+                membership.epoch,
+                MemberList(&membership.members),
+                membership.rolled_back
             ),
-            CoreEvent::CaughtUp { epoch } => write!(f, "caught up in epoch {epoch}"),
+            CoreEvent::CaughtUp { epoch } => write!(f, "caught up: epoch={epoch}"),
         }
     }
 }
+
+/// Members as a log line shows them: separated by commas, without spaces.
+struct MemberList<'a>(&'a [ReplicaId]);
+
+impl fmt::Display for MemberList<'_> {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        for (nth, member) in self.0.iter().enumerate() {
+            if nth > 0 {
+                f.write_str(",")?;
+            }
+            write!(f, "{member}")?;
+        }
+        Ok(())
+    }
+}
--- a/consensus/src/messages/membership.rs
+++ b/consensus/src/messages/membership.rs
@@ -4,6 +4,7 @@
 //!
 //! Invariants: tags on disk and on the wire stay as `serde(rename)` gives them.
 
+use std::fmt;
 use std::net::SocketAddr;
 
 use serde::{Deserialize, Serialize};
@@ -21,6 +22,13 @@
     pub disk_id: u64,
 }
 
+/// The address and the disk identity in hexadecimal, as `10.1.0.13:7620#5e`.
+impl fmt::Display for ReplicaId {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "{}#{:x}", self.address, self.disk_id)
+    }
+}
+
 /// The replicas that vote, and the epoch in which they do.
 ///
 /// Invariants: epochs only go up, and no two memberships with the same epoch are ever decided.
