--- a/Makefile
+++ b/Makefile
@@ -21,7 +21,7 @@
 	cargo bench -p ochreshed-balancer --bench sockets
 	cargo bench -p ochreshed-balancer --bench claims
 	cargo bench -p ochreshed-balancer --bench federation
-	cargo bench -p ochreshed-balancer --bench walkers
+	cargo bench -p ochreshed-balancer --bench roaming_sessions
 
 # A mesh on this machine, to look at, until Enter is pressed.
 mesh:
--- a/balancer/benches/claims.rs
+++ b/balancer/benches/claims.rs
@@ -7,8 +7,8 @@
 
 #[path = "../tests/helper/mod.rs"]
 mod helper;
-#[path = "../tests/mesh/town.rs"]
-mod town;
+#[path = "../tests/mesh/mesh_cluster.rs"]
+mod mesh_cluster;
 
 use std::fs::OpenOptions;
 use std::io::{Read, Write};
@@ -18,11 +18,11 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
+use mesh_cluster::*;
 use ochreshed_consensus::messages::{
     CoreRequest, CoreResponse, LeaseKey, LeaseOutcome, LeaseToken, StoredResponse,
 };
 use serde::{Deserialize, Serialize};
-use town::*;
 
 const ANSWER: usize = 1_000;
 const IDLE: Duration = Duration::from_secs(3);
@@ -66,12 +66,12 @@
 
 /// So many claims, and what settles them, by each of some claimants, one after the other. The ms that each claim took.
 fn claimants(
-    town: &Town,
+    cluster: &MeshCluster,
     count: usize,
     each: usize,
     from: u64,
 ) -> (Vec<f64>, Vec<(u64, LeaseKey, LeaseToken)>) {
-    let stewards: Vec<SocketAddr> = (0..STEWARDS).map(|steward| town.inner(steward)).collect();
+    let stewards: Vec<SocketAddr> = (0..STEWARDS).map(|steward| cluster.inner(steward)).collect();
     thread::scope(|scope| {
         let claimant = |nth: usize| {
             let at = stewards[nth % STEWARDS];
@@ -104,7 +104,7 @@
     })
 }
 
-fn settle(town: &Town, granted: &[(u64, LeaseKey, LeaseToken)]) {
+fn settle(cluster: &MeshCluster, granted: &[(u64, LeaseKey, LeaseToken)]) {
     let answer = StoredResponse {
         status: 200,
         headers: vec![("ochreshed-postmark".into(), "x".into())],
@@ -112,7 +112,7 @@
     };
     let answer = Arc::new(answer);
     let mut streams: Vec<TcpStream> =
-        (0..STEWARDS).map(|steward| TcpStream::connect(town.inner(steward)).expect("a steward")).collect();
+        (0..STEWARDS).map(|steward| TcpStream::connect(cluster.inner(steward)).expect("a steward")).collect();
     for (nth, key, token) in granted {
         let outcome = Some(LeaseOutcome::Completed(answer.clone()));
         let got = call(
@@ -124,14 +124,14 @@
 }
 
 /// Of all stewards: microseconds run, bytes on disk, writes that waited for the disk, and records in them.
-fn spent(town: &Town) -> [f64; 4] {
+fn spent(cluster: &MeshCluster) -> [f64; 4] {
     let mut sum = [0.0; 4];
-    for (nth, machine) in town.stewards.iter().enumerate() {
+    for (nth, machine) in cluster.stewards.iter().enumerate() {
         let threads =
             std::fs::read_dir(format!("/proc/{}/task", machine.number())).into_iter().flatten().flatten();
         let of = |path: PathBuf| std::fs::read_to_string(path.join("schedstat")).unwrap_or_default();
         let ran = threads.filter_map(|thread| of(thread.path()).split(' ').next()?.parse::<f64>().ok());
-        let keys = town.ask(nth, "keys.count");
+        let keys = cluster.ask(nth, "keys.count");
         sum[0] += ran.sum::<f64>() / 1e3;
         sum[1] += machine.on_disk() as f64;
         sum[2] += keys["disk_writes"].as_f64().unwrap_or(0.0);
@@ -160,7 +160,7 @@
 }
 
 /// Reqs at a gate, one after the other: the middle and the 99th of 100, in ms.
-fn reqs(town: &Town, keyed: bool, count: usize) -> (f64, f64) {
+fn reqs(cluster: &MeshCluster, keyed: bool, count: usize) -> (f64, f64) {
     let (mut stream, mut took) = (None, Vec::new());
     for _ in 0..count {
         let id = new_id();
@@ -168,7 +168,7 @@
             if keyed { ("/pay/x", format!("{KEY}: k-{id}\r\n")) } else { ("/far/x", String::new()) };
         let message = req(&format!("POST {path}"), &id, &more, b"move");
         let began = Instant::now();
-        let answer = kept(town.gate(0), &mut stream, &message).expect("an answer");
+        let answer = kept(cluster.gate(0), &mut stream, &message).expect("an answer");
         took.push(began.elapsed().as_secs_f64() * 1e3);
         assert_eq!(answer.status(), "200", "{answer:?}");
     }
@@ -185,13 +185,13 @@
         "one append and its sync by itself there, ms, middle and 99 of 100: {:.3}, {:.3}",
         sync.0, sync.1
     );
-    let town = Town::start();
-    town.replace(0, &timetable(2, &route("/pay/", "registered", "omega")));
-    town.until_in_force("/far/x");
-    claimants(&town, 4, 50, 0);
-    let before = spent(&town);
+    let cluster = MeshCluster::start();
+    cluster.replace(0, &timetable(2, &route("/pay/", "registered", "omega")));
+    cluster.until_in_force("/far/x");
+    claimants(&cluster, 4, 50, 0);
+    let before = spent(&cluster);
     thread::sleep(IDLE);
-    let idle = (spent(&town)[0] - before[0]) / IDLE.as_secs_f64();
+    let idle = (spent(&cluster)[0] - before[0]) / IDLE.as_secs_f64();
     println!("stewards with nothing to do: {idle:.0} us a second");
     println!(
         "| claims at once | ms, middle | ms, 99 of 100 | a second | us of stewards | bytes on disks | writes | records a write |"
@@ -199,9 +199,9 @@
     println!("| --- | --- | --- | --- | --- | --- | --- | --- |");
     let mut all = Vec::new();
     for (count, each) in [(1, 600), (4, 300), (16, 150), (64, 60), (256, 30)] {
-        let (before, began) = (spent(&town), Instant::now());
-        let (mut took, granted) = claimants(&town, count, each, 1_000_000 * count as u64);
-        let (after, seconds) = (spent(&town), began.elapsed().as_secs_f64());
+        let (before, began) = (spent(&cluster), Instant::now());
+        let (mut took, granted) = claimants(&cluster, count, each, 1_000_000 * count as u64);
+        let (after, seconds) = (spent(&cluster), began.elapsed().as_secs_f64());
         let of = took.len() as f64;
         took.sort_by(f64::total_cmp);
         let [ran, bytes, writes, records] = [0, 1, 2, 3].map(|at| after[at] - before[at]);
@@ -218,18 +218,18 @@
         all.extend(granted);
     }
     all.truncate(2_000);
-    let (before, began) = (spent(&town), Instant::now());
-    settle(&town, &all);
+    let (before, began) = (spent(&cluster), Instant::now());
+    settle(&cluster, &all);
     // What others are told goes behind the reply.
     thread::sleep(Duration::from_millis(500));
-    let (after, seconds, of) = (spent(&town), began.elapsed().as_secs_f64(), all.len() as f64);
+    let (after, seconds, of) = (spent(&cluster), began.elapsed().as_secs_f64(), all.len() as f64);
     println!(
         "settled with an answer of {ANSWER} bytes: {:.0} us of stewards, {:.0} bytes on disks, {:.2} writes",
         (after[0] - before[0] - idle * seconds) / of,
         (after[1] - before[1]) / of,
         (after[2] - before[2]) / of,
     );
-    let (plain, keyed) = (reqs(&town, false, 1_000), reqs(&town, true, 1_000));
+    let (plain, keyed) = (reqs(&cluster, false, 1_000), reqs(&cluster, true, 1_000));
     println!(
         "a req at a gate, ms, middle and 99 of 100: plain {:.2}, {:.2}; keyed {:.2}, {:.2}",
         plain.0, plain.1, keyed.0, keyed.1
--- a/balancer/benches/federation.rs
+++ b/balancer/benches/federation.rs
@@ -8,13 +8,13 @@
 mod federation;
 #[path = "../tests/helper/mod.rs"]
 mod helper;
-#[path = "../tests/mesh/town.rs"]
-mod town;
+#[path = "../tests/mesh/mesh_cluster.rs"]
+mod mesh_cluster;
 
 use std::time::{Duration, SystemTime};
 
 use federation::*;
-use town::*;
+use mesh_cluster::*;
 
 const SECONDS: u64 = 40;
 const SEEDS: [u64; 3] = [11, 23, 47];
@@ -48,16 +48,16 @@
 /// How long a member's change takes to the last of so many attendants.
 fn spread(attendants: usize, stewards: usize) {
     let lines: Vec<&str> = (0..attendants).map(|nth| ["alpha", "omega"][nth % 2]).collect();
-    let town = Town::of(stewards, &lines);
-    name_members(&town, &register(1, r#""alpha","omega""#, r#""routes":100,"changes_per_minute":10000"#));
+    let cluster = MeshCluster::of(stewards, &lines);
+    name_members(&cluster, &register(1, r#""alpha","omega""#, r#""routes":100,"changes_per_minute":10000"#));
     let mut took = Vec::new();
     for edition in 1..=ROUNDS {
         let path = format!("p{edition}");
         let body = document("norte", edition, "", &[(&path, "resendable", "alpha", 6_000)]);
-        change(&town, "replace", "norte", "norte-key", &body);
+        change(&cluster, "replace", "norte", "norte-key", &body);
         let told = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).map_or(0, |at| at.as_nanos());
         let line = format!("member norte r{edition} in force");
-        let known = || town.attendants.iter().map(|machine| machine.logged_at(&line));
+        let known = || cluster.attendants.iter().map(|machine| machine.logged_at(&line));
         helper::until("in force", || known().all(|at| at.is_some()));
         took.push(known().flatten().max().unwrap_or(0).saturating_sub(told) as f64 / 1e6);
     }
--- a/balancer/benches/hollow.rs
+++ b/balancer/benches/hollow.rs
@@ -8,8 +8,8 @@
 
 #[path = "../tests/helper/mod.rs"]
 mod helper;
-#[path = "../tests/mesh/town.rs"]
-mod town;
+#[path = "../tests/mesh/mesh_cluster.rs"]
+mod mesh_cluster;
 
 use std::fs::read_to_string;
 use std::io::{BufRead, BufReader, Write};
@@ -18,7 +18,7 @@
 use std::thread;
 use std::time::{Duration, Instant, SystemTime};
 
-use town::*;
+use mesh_cluster::*;
 
 const STEWARDS_OF_MANY: usize = 4;
 /// Attendants of one hollow process.
@@ -44,12 +44,12 @@
 }
 
 impl Hollow {
-    fn start(town: &Town, first: usize, count: usize) -> Hollow {
+    fn start(cluster: &MeshCluster, first: usize, count: usize) -> Hollow {
         let mut command = Command::new(env!("CARGO_BIN_EXE_ochreshed"));
         command.arg("hollow").args(["--count", &count.to_string(), "--first", &first.to_string()]);
-        command.args(["--inner", &town.inner(0).port().to_string()]);
+        command.args(["--inner", &cluster.inner(0).port().to_string()]);
         for nth in 0..3 {
-            command.args(["--seed", &town.control(nth).to_string()]);
+            command.args(["--seed", &cluster.control(nth).to_string()]);
         }
         let process = command.stdin(Stdio::piped()).stdout(Stdio::piped()).spawn();
         let mut process = process.expect("a hollow process");
@@ -116,8 +116,8 @@
 }
 
 /// Shares of a core, and bytes a second, over a span.
-fn costs(town: &Town, hollows: &[Hollow], count: usize) -> Costs {
-    let stewards = || town.stewards.iter().map(|machine| ran(machine.number())).collect::<Vec<u64>>();
+fn costs(cluster: &MeshCluster, hollows: &[Hollow], count: usize) -> Costs {
+    let stewards = || cluster.stewards.iter().map(|machine| ran(machine.number())).collect::<Vec<u64>>();
     let hollow = || hollows.iter().map(|hollow| ran(hollow.process.id())).sum::<u64>();
     let (before, hollow_before, bytes, from) = (stewards(), hollow(), loopback(), Instant::now());
     thread::sleep(SPAN);
@@ -141,12 +141,12 @@
 }
 
 fn measure(count: usize) {
-    let town = Town::of(STEWARDS_OF_MANY, &["alpha", "omega"]);
-    let idle = costs(&town, &[], count);
+    let cluster = MeshCluster::of(STEWARDS_OF_MANY, &["alpha", "omega"]);
+    let idle = costs(&cluster, &[], count);
     let began = Instant::now();
     let firsts = (0..count).step_by(IN_ONE);
     let mut hollows: Vec<Hollow> =
-        firsts.map(|first| Hollow::start(&town, first, IN_ONE.min(count - first))).collect();
+        firsts.map(|first| Hollow::start(&cluster, first, IN_ONE.min(count - first))).collect();
     let known =
         |hollows: &[Hollow], version| hollows.iter().all(|hollow| hollow.version_at(version).is_some());
     let until = Instant::now() + Duration::from_secs(120);
@@ -162,7 +162,7 @@
     let whole_ms = began.elapsed().as_millis();
     thread::sleep(Duration::from_secs(2));
     row(count, "no attendants", &idle, "-");
-    let calm = costs(&town, &hollows, count);
+    let calm = costs(&cluster, &hollows, count);
     let records = least(&mut hollows).unwrap_or(0);
     row(
         count,
@@ -177,7 +177,7 @@
             route(&format!("/many/{nth:04}/{changed}/"), "resendable", "alpha")
         });
         let body = timetable(version, &routes.collect::<Vec<_>>().join(","));
-        town.replace(0, &body);
+        cluster.replace(0, &body);
         let told = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).map_or(0, |at| at.as_millis());
         helper::until("in force", || known(&hollows, version));
         let last = hollows.iter().filter_map(|hollow| hollow.version_at(version)).max().unwrap_or(0);
@@ -189,21 +189,21 @@
         let shares: Vec<usize> = (0..hollows.len()).map(share).collect();
         hollows.iter_mut().zip(&shares).for_each(|(hollow, share)| hollow.say(&format!("changes {share}")));
         thread::sleep(Duration::from_secs(2));
-        row(count, &format!("{changes} records a second"), &costs(&town, &hollows, count), "-");
+        row(count, &format!("{changes} records a second"), &costs(&cluster, &hollows, count), "-");
     }
     hollows.iter_mut().for_each(|hollow| hollow.say("changes 0"));
     for claims in CLAIMS {
         let share = claims / hollows.len();
         hollows.iter_mut().for_each(|hollow| hollow.say(&format!("claims {share}")));
         thread::sleep(Duration::from_secs(2));
-        let costs = costs(&town, &hollows, count);
+        let costs = costs(&cluster, &hollows, count);
         let told: Vec<Vec<u64>> = hollows.iter_mut().map(Hollow::figures).collect();
         let sum = |at: usize| told.iter().map(|figures| figures[at]).sum::<u64>();
         let more = format!("{} claims, {} missed, mean {} us", sum(2), sum(3), told[0][4]);
         row(count, &format!("{} claims a second", share * hollows.len()), &costs, &more);
     }
     hollows.iter_mut().for_each(|hollow| hollow.say("claims 0"));
-    let stewards = town.stewards.iter().map(|machine| memory(machine.number())).fold(0.0, f64::max);
+    let stewards = cluster.stewards.iter().map(|machine| memory(machine.number())).fold(0.0, f64::max);
     let hollow = hollows.iter().map(|hollow| memory(hollow.process.id())).sum::<f64>() / count as f64;
     println!("| {count} | memory, MB: steward {stewards:.1}, hollow attendant {hollow:.2} | | | | | |");
 }
--- a/balancer/benches/mesh.rs
+++ b/balancer/benches/mesh.rs
@@ -8,8 +8,8 @@
 
 #[path = "../tests/helper/mod.rs"]
 mod helper;
-#[path = "../tests/mesh/town.rs"]
-mod town;
+#[path = "../tests/mesh/mesh_cluster.rs"]
+mod mesh_cluster;
 
 use std::net::SocketAddr;
 use std::process::Command;
@@ -17,7 +17,7 @@
 use std::thread;
 use std::time::{Duration, Instant, SystemTime};
 
-use town::*;
+use mesh_cluster::*;
 
 const IDLE: Duration = Duration::from_secs(5);
 const WARM: usize = 300;
@@ -50,9 +50,9 @@
     kb.and_then(|kb| kb.trim().trim_end_matches(" kB").parse::<f64>().ok()).unwrap_or(0.0) / 1024.0
 }
 
-fn ran_by(town: &Town) -> [u64; 3] {
-    let stewards = town.stewards.iter().map(ran).sum();
-    [ran(&town.attendants[0]), ran(&town.attendants[3]), stewards]
+fn ran_by(cluster: &MeshCluster) -> [u64; 3] {
+    let stewards = cluster.stewards.iter().map(ran).sum();
+    [ran(&cluster.attendants[0]), ran(&cluster.attendants[3]), stewards]
 }
 
 /// Bytes that have come and gone on the connections that somebody listening here has now.
@@ -65,15 +65,15 @@
 }
 
 /// Between clients and the gate, the gate and the door, the door and its upstream.
-fn carried_by(town: &Town) -> [u64; 3] {
-    let ([gate, ..], [_, door, upstream]) = (town.listens(0), town.listens(3));
+fn carried_by(cluster: &MeshCluster) -> [u64; 3] {
+    let ([gate, ..], [_, door, upstream]) = (cluster.listens(0), cluster.listens(3));
     [gate, door, upstream].map(carried)
 }
 
 /// So many reqs of one kind, sent to the first gate after some that warm it; told with what was carried then, while the
 /// connections still stand.
-fn load(town: &Town, of: &str, count: usize, begin: impl FnOnce()) -> [u64; 3] {
-    let (gate, warm, end) = (town.gate(0), Barrier::new(CLIENTS + 1), Barrier::new(CLIENTS + 1));
+fn load(cluster: &MeshCluster, of: &str, count: usize, begin: impl FnOnce()) -> [u64; 3] {
+    let (gate, warm, end) = (cluster.gate(0), Barrier::new(CLIENTS + 1), Barrier::new(CLIENTS + 1));
     thread::scope(|scope| {
         for _ in 0..CLIENTS {
             let (warm, end) = (&warm, &end);
@@ -104,7 +104,7 @@
         begin();
         warm.wait();
         end.wait();
-        let carried = carried_by(town);
+        let carried = carried_by(cluster);
         end.wait();
         carried
     })
@@ -113,7 +113,7 @@
 /// The mesh of many: how long its configurations take to all of it, and what memory they leave it with.
 fn many() {
     let lines: Vec<&str> = (0..MANY).map(|nth| ["alpha", "omega"][nth % 2]).collect();
-    let town = Town::of(MANY_STEWARDS, &lines);
+    let cluster = MeshCluster::of(MANY_STEWARDS, &lines);
     let mut took = Vec::new();
     for version in 2..2 + ROUNDS {
         // Each time other routes.
@@ -122,10 +122,10 @@
             route(&format!("/many/{nth:04}/{}/", nth as u64 * version), "resendable", line)
         });
         let body = timetable(version, &routes.collect::<Vec<_>>().join(","));
-        town.replace(0, &body);
+        cluster.replace(0, &body);
         let told = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).map_or(0, |at| at.as_nanos());
         let line = format!("timetable r{version} in force");
-        let known = || town.attendants.iter().map(|machine| machine.logged_at(&line));
+        let known = || cluster.attendants.iter().map(|machine| machine.logged_at(&line));
         helper::until("in force", || known().all(|at| at.is_some()));
         let last = known().flatten().max().unwrap_or(0);
         took.push((last.saturating_sub(told) / 1_000_000, body.len() / 1_000));
@@ -137,7 +137,7 @@
          {times:?}",
         kb[0]
     );
-    let (stewards, attendants) = (town.stewards.iter(), town.attendants.iter());
+    let (stewards, attendants) = (cluster.stewards.iter(), cluster.attendants.iter());
     for (role, all) in [("attendant", attendants.collect::<Vec<_>>()), ("steward", stewards.collect())] {
         for (of, name) in [("VmRSS", "now"), ("VmHWM", "at its peak")] {
             let mut all: Vec<f64> = all.iter().map(|machine| memory(machine, of)).collect();
@@ -154,13 +154,13 @@
 fn main() {
     let binary = std::env::args().skip(1).find(|arg| !arg.starts_with("--"));
     binary.into_iter().for_each(|binary| drop(PROGRAM.set(binary)));
-    let town = Town::start();
+    let cluster = MeshCluster::start();
     let more = [route("/pay/", "registered", "omega"), route("/big/", "outbound_post", "omega")];
-    town.replace(0, &timetable(2, &more.join(",")));
-    town.until_in_force("/big/x");
-    let (before, from) = (ran_by(&town), Instant::now());
+    cluster.replace(0, &timetable(2, &more.join(",")));
+    cluster.until_in_force("/big/x");
+    let (before, from) = (ran_by(&cluster), Instant::now());
     thread::sleep(IDLE);
-    let (after, took) = (ran_by(&town), from.elapsed().as_secs_f64());
+    let (after, took) = (ran_by(&cluster), from.elapsed().as_secs_f64());
     let idle: Vec<f64> =
         after.iter().zip(before).map(|(after, before)| (after - before) as f64 / 1e3 / took).collect();
     println!(
@@ -173,10 +173,10 @@
     println!("| --- | --- | --- | --- | --- | --- | --- |");
     for of in ["plain", "keyed", "large"] {
         let count = if of == "large" { MEASURED / 10 } else { MEASURED };
-        let (mut before, mut from, mut bytes) = (ran_by(&town), Instant::now(), carried_by(&town));
-        let begin = || (before, from, bytes) = (ran_by(&town), Instant::now(), carried_by(&town));
-        let told = load(&town, of, count, begin);
-        let (after, took) = (ran_by(&town), from.elapsed().as_secs_f64());
+        let (mut before, mut from, mut bytes) = (ran_by(&cluster), Instant::now(), carried_by(&cluster));
+        let begin = || (before, from, bytes) = (ran_by(&cluster), Instant::now(), carried_by(&cluster));
+        let told = load(&cluster, of, count, begin);
+        let (after, took) = (ran_by(&cluster), from.elapsed().as_secs_f64());
         let each: Vec<f64> = after
             .iter()
             .zip(before)
@@ -195,9 +195,9 @@
     }
     println!(
         "memory at its peak, MB: attendant {:.1}, steward {:.1}",
-        memory(&town.attendants[0], "VmHWM"),
-        memory(&town.stewards[0], "VmHWM")
+        memory(&cluster.attendants[0], "VmHWM"),
+        memory(&cluster.stewards[0], "VmHWM")
     );
-    drop(town);
+    drop(cluster);
     many();
 }
--- a/balancer/benches/walkers.rs
+++ b/balancer/benches/roaming_sessions.rs
@@ -1,18 +1,18 @@
 //! A thousand people that walk among six sites in the middle of payments, as processes on loopback, over three seeds, with
 //! stewards killed and gates that stand still: what becomes of each operation, by the upstreams' ledger. Run it with nothing
-//! beside it: `cargo bench -p ochreshed-balancer --bench walkers [PEOPLE OPERATIONS] [BINARY]`.
+//! beside it: `cargo bench -p ochreshed-balancer --bench roaming_sessions [PEOPLE OPERATIONS] [BINARY]`.
 #![allow(dead_code)]
 
 #[path = "../tests/helper/mod.rs"]
 mod helper;
-#[path = "../tests/mesh/town.rs"]
-mod town;
-#[path = "../tests/mesh/walkers.rs"]
-mod walkers;
+#[path = "../tests/mesh/mesh_cluster.rs"]
+mod mesh_cluster;
+#[path = "../tests/mesh/session_load.rs"]
+mod session_load;
 
 use std::time::Duration;
 
-use walkers::Walk;
+use session_load::Walk;
 
 const PEOPLE: usize = 1_000;
 const OPERATIONS: usize = 100_000;
@@ -29,7 +29,7 @@
         _ => (PEOPLE, OPERATIONS),
     };
     let binary = args.into_iter().find(|arg| arg.parse::<usize>().is_err());
-    binary.into_iter().for_each(|binary| drop(town::PROGRAM.set(binary)));
+    binary.into_iter().for_each(|binary| drop(mesh_cluster::PROGRAM.set(binary)));
     println!(
         "| seed | faults | pause, ms | operations | landed | unknown | not run | doubled | untrue | mixed | ties kept | moves | ms stayed, \
          moved | s |"
--- a/balancer/tests/troubles.rs
+++ b/balancer/tests/fault_injection.rs
@@ -1,10 +1,10 @@
-//! Troubles of upstreams, clients and operators brought about in the small mesh of `mesh/town.rs`: what clients may see
+//! Troubles of upstreams, clients and operators brought about in the small mesh of `mesh/mesh_cluster.rs`: what clients may see
 //! of them, and what must never come of them. It must rest on the ledger of what ran, never on how long something takes.
 #![allow(dead_code)]
 
 mod helper;
-#[path = "mesh/town.rs"]
-mod town;
+#[path = "mesh/mesh_cluster.rs"]
+mod mesh_cluster;
 
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -13,22 +13,22 @@
 use std::time::Instant;
 
 use helper::until;
-use town::*;
+use mesh_cluster::*;
 
-fn runs(town: &Town, of: &Upstream, since: Instant) -> usize {
+fn runs(cluster: &MeshCluster, of: &Upstream, since: Instant) -> usize {
     let name = of.name();
-    town.ledger.runs(|run| run.by == name && run.at >= since).len()
+    cluster.ledger.runs(|run| run.by == name && run.at >= since).len()
 }
 
 /// Guards against one slow upstream that takes all clients with it: no more come to it than it has slots, the others'
 /// answers go on, and those that it has are answered when it is done.
 #[test]
 fn a_slow_upstream_holds_no_more_than_its_slots() {
-    let town = Town::start();
-    let slow = &town.upstreams[0];
+    let cluster = MeshCluster::start();
+    let slow = &cluster.upstreams[0];
     slow.has(Trouble::Slow);
     let (since, answered) = (Instant::now(), AtomicUsize::new(0));
-    let gates = town.gates();
+    let gates = cluster.gates();
     thread::scope(|scope| {
         let client = |nth: usize| {
             let (gate, answered) = (gates[nth % gates.len()], &answered);
@@ -42,11 +42,11 @@
             }
         };
         (0..40).for_each(|nth| drop(scope.spawn(client(nth))));
-        until("its slots taken", || runs(&town, slow, since) == SLOTS);
+        until("its slots taken", || runs(&cluster, slow, since) == SLOTS);
         // All of the other clients get all of theirs meanwhile.
         until("the others answered", || answered.load(Relaxed) >= (40 - 2 * SLOTS) * 20);
-        assert_eq!(runs(&town, slow, since), SLOTS);
-        town.ledger.release.store(true, Relaxed);
+        assert_eq!(runs(&cluster, slow, since), SLOTS);
+        cluster.ledger.release.store(true, Relaxed);
     });
     assert_eq!(answered.load(Relaxed), 800);
 }
@@ -55,10 +55,10 @@
 /// without bound, and against a second run of a req that may run once.
 #[test]
 fn a_grey_upstream_costs_few_answers_and_nothing_runs_twice_that_must_not() {
-    let town = Town::start();
-    town.replace(0, &timetable(2, &route("/once/", "once_only", "alpha")));
-    town.until_in_force("/once/x");
-    let (gates, grey) = (town.gates(), &town.upstreams[1]);
+    let cluster = MeshCluster::start();
+    cluster.replace(0, &timetable(2, &route("/once/", "once_only", "alpha")));
+    cluster.until_in_force("/once/x");
+    let (gates, grey) = (cluster.gates(), &cluster.upstreams[1]);
     grey.has(Trouble::Grey);
     let asked = |gates: &[SocketAddr], path: &str| {
         let (mut broken, mut sent) = (0, HashSet::new());
@@ -68,7 +68,7 @@
             assert!(["200", "500"].contains(&answer.status()), "{answer:?}");
             sent.insert(id);
         }
-        let runs = town.ledger.runs(|run| sent.contains(run.req.field(ID)));
+        let runs = cluster.ledger.runs(|run| sent.contains(run.req.field(ID)));
         let by_grey: HashSet<_> =
             runs.iter().filter(|run| run.by == grey.id).map(|run| run.req.field(ID)).collect();
         let others = runs.iter().filter(|run| run.by != grey.id).count();
@@ -88,9 +88,9 @@
 /// one that is not used again.
 #[test]
 fn an_upstream_that_goes_and_comes_by_turns_loses_nothing_and_is_used_again() {
-    let town = Town::start();
-    let load = Load::on(&town.gates(), "/read/x");
-    let flaps = &town.upstreams[2];
+    let cluster = MeshCluster::start();
+    let load = Load::on(&cluster.gates(), "/read/x");
+    let flaps = &cluster.upstreams[2];
     for turn in 0..5 {
         flaps.has(Trouble::Down);
         let since = Instant::now();
@@ -99,7 +99,7 @@
             flaps.new_life();
         }
         flaps.has(Trouble::Nothing);
-        until("used again", || runs(&town, flaps, since) >= 10);
+        until("used again", || runs(&cluster, flaps, since) >= 10);
     }
     load.end();
 }
@@ -107,17 +107,17 @@
 /// Guards against an answer that is cut short and looks whole, short or long.
 #[test]
 fn an_answer_cut_short_is_never_told_as_a_whole_one() {
-    let town = Town::start();
-    town.replace(0, &timetable(2, &route("/once/", "once_only", "alpha")));
-    town.until_in_force("/once/x");
-    town.upstreams.iter().take(3).for_each(|upstream| upstream.has(Trouble::Cuts));
-    for gate in town.gates() {
+    let cluster = MeshCluster::start();
+    cluster.replace(0, &timetable(2, &route("/once/", "once_only", "alpha")));
+    cluster.until_in_force("/once/x");
+    cluster.upstreams.iter().take(3).for_each(|upstream| upstream.has(Trouble::Cuts));
+    for gate in cluster.gates() {
         let (id, answer) = insisted(gate, "GET /once/x", "", b"");
-        let ran = town.ledger.of_id(&id).len();
+        let ran = cluster.ledger.of_id(&id).len();
         assert_eq!((answer.status(), ran), ("502", 1), "{answer:?}");
         let (id, answer) = insisted(gate, "GET /read/x", "", b"");
         assert_eq!(answer.status(), "502", "{answer:?}");
-        assert!(town.ledger.of_id(&id).len() <= 2);
+        assert!(cluster.ledger.of_id(&id).len() <= 2);
         // A long one has begun: its client sees the end of the connection before the length that it was told.
         let long = call(gate, &req("GET /large/large", &new_id(), "", b""));
         assert!(
@@ -125,8 +125,8 @@
             "{long:?}"
         );
     }
-    town.upstreams.iter().for_each(|upstream| upstream.has(Trouble::Nothing));
-    let whole = || call(town.gate(0), &req("GET /large/large", &new_id(), "", b""));
+    cluster.upstreams.iter().for_each(|upstream| upstream.has(Trouble::Nothing));
+    let whole = || call(cluster.gate(0), &req("GET /large/large", &new_id(), "", b""));
     until("whole again", || whole().is_ok_and(|answer| answer.body == large()));
 }
 
@@ -134,8 +134,8 @@
 /// have slots: with all of them at a standstill, whatever does not fit is told to come back.
 #[test]
 fn a_burst_is_refused_while_the_upstreams_stand_still_with_a_time_to_come_back() {
-    let town = Town::start();
-    let (gates, refused) = (town.gates(), AtomicUsize::new(0));
+    let cluster = MeshCluster::start();
+    let (gates, refused) = (cluster.gates(), AtomicUsize::new(0));
     let ids: Vec<String> = (0..160).map(|_| new_id()).collect();
     thread::scope(|scope| {
         let client = |nth: usize| {
@@ -154,26 +154,26 @@
         (0..ids.len()).for_each(|nth| drop(scope.spawn(client(nth))));
         // Not one run has ended yet. Some wait at doors.
         until("refused", || refused.load(Relaxed) >= ids.len() - 3 * SLOTS * 3);
-        let ran = town.ledger.runs(|run| ids.iter().any(|id| id == run.req.field(ID))).len();
+        let ran = cluster.ledger.runs(|run| ids.iter().any(|id| id == run.req.field(ID))).len();
         assert!(ran <= 3 * SLOTS, "{ran} at once");
-        town.ledger.release.store(true, Relaxed);
+        cluster.ledger.release.store(true, Relaxed);
     });
-    let ran = town.ledger.runs(|run| ids.iter().any(|id| id == run.req.field(ID))).len();
+    let ran = cluster.ledger.runs(|run| ids.iter().any(|id| id == run.req.field(ID))).len();
     assert_eq!(ran + refused.load(Relaxed), ids.len(), "what was refused has not run, the rest once");
 }
 
 /// Guards against a large configuration that is in force in part, or not at all gates.
 #[test]
 fn a_thousand_routes_are_in_force_at_all_gates_as_one() {
-    let town = Town::start();
+    let cluster = MeshCluster::start();
     let routes = |count: usize, line: &str| {
         let all = (0..count).map(|nth| route(&format!("/many/{nth:04}/"), "resendable", line));
         all.collect::<Vec<_>>().join(",")
     };
-    town.replace(0, &timetable(2, &routes(650, "alpha")));
-    town.until_in_force("/many/0649/x");
+    cluster.replace(0, &timetable(2, &routes(650, "alpha")));
+    cluster.until_in_force("/many/0649/x");
     let body = timetable(3, &routes(1_000, "omega"));
-    let (gates, of) = (town.gates(), &town);
+    let (gates, of) = (cluster.gates(), &cluster);
     thread::scope(|scope| {
         for gate in &gates {
             scope.spawn(move || {
@@ -190,11 +190,11 @@
                 });
             });
         }
-        town.replace(1, &body);
+        cluster.replace(1, &body);
     });
-    (0..STEWARDS).for_each(|steward| town.until_reads(steward, &body));
+    (0..STEWARDS).for_each(|steward| cluster.until_reads(steward, &body));
 }
 
-fn town_line(town: &Town, id: &str) -> &'static str {
-    town.ledger.of_id(id).last().map_or("", |run| run.line)
+fn town_line(cluster: &MeshCluster, id: &str) -> &'static str {
+    cluster.ledger.of_id(id).last().map_or("", |run| run.line)
 }
--- a/balancer/tests/frozen_answers.rs
+++ b/balancer/tests/frozen_answers.rs
@@ -8,11 +8,11 @@
 mod frozen;
 mod helper;
 #[allow(dead_code)]
-#[path = "mesh/town.rs"]
-mod town;
+#[path = "mesh/mesh_cluster.rs"]
+mod mesh_cluster;
 #[allow(dead_code)]
-#[path = "mesh/walkers.rs"]
-mod walkers;
+#[path = "mesh/session_load.rs"]
+mod session_load;
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -21,9 +21,9 @@
 use federation::{change, name_members, register, said_to};
 use frozen::frozen;
 use helper::until;
+use mesh_cluster::*;
 use serde_json::Value;
 use sha2::{Digest as _, Sha256};
-use town::*;
 
 /// Each place of a value with the types seen there. Items of a list share a place.
 fn places<'v>(value: &'v Value, place: &str, all: &mut BTreeMap<String, BTreeSet<&'v str>>) {
@@ -94,9 +94,9 @@
     format!("{of}\n  {} {}\n{lines}\n", page.status(), page.field("content-type"))
 }
 
-fn figures_of_each_role(town: &Town) -> String {
-    figures("steward", &get(town.control(0), "/metrics"))
-        + &figures("attendant", &get(town.control_of_attendant(0), "/metrics"))
+fn figures_of_each_role(cluster: &MeshCluster) -> String {
+    figures("steward", &get(cluster.control(0), "/metrics"))
+        + &figures("attendant", &get(cluster.control_of_attendant(0), "/metrics"))
 }
 
 /// A member's document of one route, with a trial where it is told so.
@@ -106,8 +106,8 @@
 
 #[test]
 fn the_figures_of_each_role() {
-    let town = Town::start();
-    frozen("figures.txt", &figures_of_each_role(&town));
+    let cluster = MeshCluster::start();
+    frozen("figures.txt", &figures_of_each_role(&cluster));
 }
 
 /// A person's session, as operators' calls name it.
@@ -121,33 +121,33 @@
 }
 
 /// The calls about a session that is there.
-fn sessions(town: &Town) -> String {
+fn sessions(cluster: &MeshCluster) -> String {
     let person = session("person-1");
-    assert_eq!(insisted(town.gate(0), "GET /look/x", "X-Person: person-1\r\n", b"").1.status(), "200");
+    assert_eq!(insisted(cluster.gate(0), "GET /look/x", "X-Person: person-1\r\n", b"").1.status(), "200");
     let shown = format!("sessions.show&of={person}");
-    until("tied", || town.ask(0, &shown)["tie"].is_object());
-    let mut told = form("steward, sessions.show&of=ID", &answered(|| town.call(0, &shown, "", "")));
-    let moved = format!("sessions.move&of={person}&to={}", town.listens(1)[1]);
-    until("moved", || town.call(0, &moved, "", "").status() == "200");
-    told += &form("steward, sessions.move&of=ID&to=DOOR", &answered(|| town.call(0, &moved, "", "")));
+    until("tied", || cluster.ask(0, &shown)["tie"].is_object());
+    let mut told = form("steward, sessions.show&of=ID", &answered(|| cluster.call(0, &shown, "", "")));
+    let moved = format!("sessions.move&of={person}&to={}", cluster.listens(1)[1]);
+    until("moved", || cluster.call(0, &moved, "", "").status() == "200");
+    told += &form("steward, sessions.move&of=ID&to=DOOR", &answered(|| cluster.call(0, &moved, "", "")));
     told += &form(
         "steward, sessions.forget&of=ID",
-        &answered(|| town.call(0, &format!("sessions.forget&of={person}"), "", "")),
+        &answered(|| cluster.call(0, &format!("sessions.forget&of={person}"), "", "")),
     );
     told
 }
 
 #[test]
 fn the_answers_to_operators_and_members() {
-    let town = Town::start();
-    town.replace(0, &walkers::with_sessions(2));
-    name_members(&town, &register(1, r#""alpha","omega""#, r#""routes":10"#));
-    change(&town, "replace", "norte", "norte-key", &routes(1, ""));
-    town.until_in_force("/norte/a/x");
-    assert_eq!(keyed_insisted(town.gate(0), "/move/x", "k-1").status(), "200");
+    let cluster = MeshCluster::start();
+    cluster.replace(0, &session_load::with_sessions(2));
+    name_members(&cluster, &register(1, r#""alpha","omega""#, r#""routes":10"#));
+    change(&cluster, "replace", "norte", "norte-key", &routes(1, ""));
+    cluster.until_in_force("/norte/a/x");
+    assert_eq!(keyed_insisted(cluster.gate(0), "/move/x", "k-1").status(), "200");
     // Each list is to have an item of each kind before it is looked at.
     until("all nodes are told of", || {
-        let nodes = town.ask(0, "nodes.list");
+        let nodes = cluster.ask(0, "nodes.list");
         let all = |name: &str, count: usize| {
             nodes[name]
                 .as_array()
@@ -156,19 +156,19 @@
         all("stewards", STEWARDS) && all("attendants", 4) && nodes["settled"] == true
     });
     until("all upstreams are told of", || {
-        town.ask(0, "upstreams.list")["upstreams"].as_array().is_some_and(|of| of.len() == 4)
+        cluster.ask(0, "upstreams.list")["upstreams"].as_array().is_some_and(|of| of.len() == 4)
     });
     until("members' reqs are told of", || {
-        let _ = insisted(town.gate(0), "GET /norte/a/x", "", b"");
-        town.ask(0, "budget.list")["members"].as_array().is_some_and(|of| !of.is_empty())
+        let _ = insisted(cluster.gate(0), "GET /norte/a/x", "", b"");
+        cluster.ask(0, "budget.list")["members"].as_array().is_some_and(|of| !of.is_empty())
     });
     until("no steward is silent and all upstreams are well", || {
         let well = |of: &Vec<Value>| of.iter().all(|of| of.get("ill").is_none());
-        town.ask(0, "budget.list")["silent"].as_array().is_some_and(Vec::is_empty)
-            && town.ask(0, "upstreams.list")["upstreams"].as_array().is_some_and(well)
+        cluster.ask(0, "budget.list")["silent"].as_array().is_some_and(Vec::is_empty)
+            && cluster.ask(0, "upstreams.list")["upstreams"].as_array().is_some_and(well)
     });
     // More than half of the stewards are told of an outcome; each tells of what it holds itself.
-    let holds = |steward: &usize| town.ask(*steward, "keys.show&of=k-1")["state"] == "done";
+    let holds = |steward: &usize| cluster.ask(*steward, "keys.show&of=k-1")["state"] == "done";
     until("the key is done", || (0..STEWARDS).any(|steward| holds(&steward)));
     let holder = (0..STEWARDS).find(holds).expect("one of them");
     let mut told = String::new();
@@ -196,25 +196,26 @@
         "",
     ] {
         let steward = if call.starts_with("keys.") { holder } else { 0 };
-        told += &form(&format!("steward, {call}"), &answered(|| town.call(steward, call, "", "")));
+        told += &form(&format!("steward, {call}"), &answered(|| cluster.call(steward, call, "", "")));
     }
     for call in ["sessions.count", "nodes.list", ""] {
-        let to = town.control_of_attendant(0);
+        let to = cluster.control_of_attendant(0);
         let req = format!("POST /api/rpc?call={call} HTTP/1.1\r\nHost: {to}\r\nContent-Length: 0\r\n\r\n");
-        told += &form(&format!("attendant, {call}"), &town::call(to, req.as_bytes()).expect("an answer"));
+        told +=
+            &form(&format!("attendant, {call}"), &mesh_cluster::call(to, req.as_bytes()).expect("an answer"));
     }
     for (call, body) in
         [("timetable.replace", "{}"), ("members.replace", "{}"), ("timetable.replace", "no JSON")]
     {
-        told += &form(&format!("steward, {call} {body}"), &answered(|| town.call(0, call, "", body)));
+        told += &form(&format!("steward, {call} {body}"), &answered(|| cluster.call(0, call, "", body)));
     }
     until("all nodes tell of the member's edition", || {
-        let page = said_to(&town, 0, "status", "norte", "norte-key", "");
+        let page = said_to(&cluster, 0, "status", "norte", "norte-key", "");
         let page: Value = serde_json::from_str(page.text()).unwrap_or_default();
         page["nodes"].as_array().is_some_and(|of| of.len() == 4)
     });
     let member = |verb: &str, key: &str, body: &str| {
-        form(&format!("member, {verb} {body}"), &answered(|| said_to(&town, 0, verb, "norte", key, body)))
+        form(&format!("member, {verb} {body}"), &answered(|| said_to(&cluster, 0, verb, "norte", key, body)))
     };
     for verb in ["read", "status", "history", "burn"] {
         told += &member(verb, "norte-key", "");
@@ -227,10 +228,10 @@
         told += &member(verb, "norte-key", "");
     }
     // Trials: one is withdrawn, one settled.
-    name_members(&town, &register(2, r#""alpha","omega""#, r#""routes":10,"trial_s":86400"#));
+    name_members(&cluster, &register(2, r#""alpha","omega""#, r#""routes":10,"trial_s":86400"#));
     let trial = |edition| routes(edition, r#""trial":0.5,"#);
     let stands = |field: &str, edition: &str| {
-        let page = said_to(&town, 0, "status", "norte", "norte-key", "");
+        let page = said_to(&cluster, 0, "status", "norte", "norte-key", "");
         let page: Value = serde_json::from_str(page.text()).unwrap_or_default();
         page[field] == edition
     };
@@ -242,20 +243,22 @@
     told += &member("status", "norte-key", "");
     told += &member("replace", "norte-key", &trial(5));
     told += &member("settle", "norte-key", "");
-    told += &sessions(&town);
+    told += &sessions(&cluster);
     // The one upstream of its service, of which every second run fails.
-    town.upstreams[3].has(Trouble::Grey);
+    cluster.upstreams[3].has(Trouble::Grey);
     until("ill", || {
-        let _ = get(town.gate(0), "/far/x");
-        let page = town.ask(0, "upstreams.list");
+        let _ = get(cluster.gate(0), "/far/x");
+        let page = cluster.ask(0, "upstreams.list");
         page["upstreams"].as_array().is_some_and(|of| of.iter().any(|of| of["ill"]["fails"].is_u64()))
     });
-    told +=
-        &form("steward, upstreams.list of an ill one", &answered(|| town.call(0, "upstreams.list", "", "")));
+    told += &form(
+        "steward, upstreams.list of an ill one",
+        &answered(|| cluster.call(0, "upstreams.list", "", "")),
+    );
     // Last, as it can't be taken back.
-    let id = town.ask(0, "upstreams.list")["upstreams"][0]["id"].as_str().expect("an id").to_owned();
+    let id = cluster.ask(0, "upstreams.list")["upstreams"][0]["id"].as_str().expect("an id").to_owned();
     let drain = format!("upstreams.drain&of={id}");
-    until("drained", || town.call(0, &drain, "", "").status() == "200");
-    told += &form("steward, upstreams.drain&of=ID", &answered(|| town.call(0, &drain, "", "")));
+    until("drained", || cluster.call(0, &drain, "", "").status() == "200");
+    told += &form("steward, upstreams.drain&of=ID", &answered(|| cluster.call(0, &drain, "", "")));
     frozen("answers.txt", &told);
 }
--- a/balancer/tests/laptop.rs
+++ b/balancer/tests/laptop.rs
@@ -3,23 +3,23 @@
 #![allow(dead_code)]
 
 mod helper;
-#[path = "mesh/town.rs"]
-mod town;
+#[path = "mesh/mesh_cluster.rs"]
+mod mesh_cluster;
 
-use town::*;
+use mesh_cluster::*;
 
 #[test]
 #[ignore = "to be looked at: make mesh"]
 fn a_mesh_on_a_laptop() {
-    let town = Town::start();
+    let cluster = MeshCluster::start();
     println!("three stewards, four attendants, the first configuration is in force everywhere\n");
-    for (upstream, gate) in town.upstreams.iter().zip(town.gates()) {
+    for (upstream, gate) in cluster.upstreams.iter().zip(cluster.gates()) {
         println!("attendant with its gate at {gate}, beside upstream {}", upstream.id);
     }
-    let (gate, id) = (town.gates()[0], new_id());
+    let (gate, id) = (cluster.gates()[0], new_id());
     let answer = call(gate, &req("GET /read/hello", &id, "", b"")).expect("an answer");
     println!("\nGET /read/hello with id {id}, sent to {gate}");
-    for run in town.ledger.of_id(&id) {
+    for run in cluster.ledger.of_id(&id) {
         println!("  ran at {} of {}, for {}", run.by, run.line, run.req.field(CALLER));
     }
     println!("  answered {} with stamp {}: {}", answer.status(), answer.field(STAMP), answer.text());
--- a/balancer/tests/mesh.rs
+++ b/balancer/tests/mesh.rs
@@ -2,8 +2,8 @@
 //! clients of the test's own.
 
 mod helper;
-#[path = "mesh/town.rs"]
-mod town;
+#[path = "mesh/mesh_cluster.rs"]
+mod mesh_cluster;
 
 use std::sync::Barrier;
 use std::sync::atomic::Ordering::Relaxed;
@@ -11,23 +11,23 @@
 use std::time::{Duration, Instant};
 
 use helper::until;
-use town::*;
+use mesh_cluster::*;
 
 /// Guards against any hop that alters a req or an answer, takes a client's word for who it is, or sends to the wrong
 /// service.
 #[test]
 fn on_a_calm_day_what_comes_in_at_any_gate_arrives_as_it_was() {
-    let town = Town::start();
-    town.replace(1, &timetable(2, &route("/later/", "resendable", "alpha")));
-    town.until_in_force("/later/x");
+    let cluster = MeshCluster::start();
+    cluster.replace(1, &timetable(2, &route("/later/", "resendable", "alpha")));
+    cluster.until_in_force("/later/x");
     let body: Vec<u8> = (0..100_000_u32).map(|at| at as u8).collect();
     let lies = format!("{CALLER}: nobody\r\n{ADDRESSEE}: nobody\r\nX-More: kept\r\n");
-    for (nth, gate) in town.gates().into_iter().enumerate() {
+    for (nth, gate) in cluster.gates().into_iter().enumerate() {
         let caller = if nth == 3 { "omega" } else { "alpha" };
         let reqs = [("GET /read/a/2f?b=%20c", &b""[..]), ("PUT /read/b", b"short"), ("POST /read/c", &body)];
         for (first, body) in reqs {
             let (id, answer) = insisted(gate, first, &lies, body);
-            let run = town.ledger.of_id(&id).into_iter().find(|run| run.stamp == answer.field(STAMP));
+            let run = cluster.ledger.of_id(&id).into_iter().find(|run| run.stamp == answer.field(STAMP));
             let run = run.unwrap_or_else(|| panic!("{first} at {gate}: {answer:?}"));
             assert_eq!(run.req.first, format!("{first} HTTP/1.1"));
             assert!(run.req.body == body, "{first}: {} bytes", run.req.body.len());
@@ -44,7 +44,7 @@
         assert_eq!(call(gate, elsewhere).expect("an answer").status(), "404");
         // The upstream's own call: by its gate, to the other service.
         let (id, answer) = insisted(gate, "GET /read/calls", "", b"");
-        let called = town.ledger.runs(|run| answer.text() == said(run.req.field(ID))).pop();
+        let called = cluster.ledger.runs(|run| answer.text() == said(run.req.field(ID))).pop();
         let called = called.unwrap_or_else(|| panic!("{answer:?}"));
         assert!(called.req.field(ID).starts_with(&format!("{id}.")));
         assert_eq!((called.line, called.req.field(CALLER)), ("omega", "alpha"));
@@ -54,12 +54,12 @@
 /// Guards against a key that runs twice, and against repeats that are not told of the first one's answer.
 #[test]
 fn a_key_runs_once_whichever_gates_it_comes_to() {
-    let town = Town::start();
-    let gates = town.gates();
+    let cluster = MeshCluster::start();
+    let gates = cluster.gates();
     for (nth, gate) in gates.iter().enumerate() {
         let key = format!("k-{nth}");
         let first = keyed_insisted(*gate, "/move/x", &key);
-        let runs = town.ledger.of_key(&key);
+        let runs = cluster.ledger.of_key(&key);
         assert_eq!(
             (first.status(), runs.len(), first.field(STAMP)),
             ("200", 1, &*runs[0].stamp),
@@ -72,7 +72,7 @@
                 ("200", &*runs[0].stamp, &first.body)
             );
         }
-        assert_eq!(town.ledger.of_key(&key).len(), 1);
+        assert_eq!(cluster.ledger.of_key(&key).len(), 1);
     }
     // Two at once.
     for nth in 0..20 {
@@ -86,7 +86,7 @@
             (send((nth + 1) % 4), one.join().expect("an answer"))
         });
         let after = keyed_insisted(gates[0], "/move/x", &key);
-        let runs = town.ledger.of_key(&key);
+        let runs = cluster.ledger.of_key(&key);
         assert_eq!(
             (runs.len(), after.status(), after.field(STAMP)),
             (1, "200", &*runs[0].stamp),
@@ -101,47 +101,47 @@
     let at_work = |gate| until("said so", || keyed(gate, "/move/held", "held").status() == "409");
     thread::scope(|scope| {
         let first = scope.spawn(|| keyed(gates[0], "/move/held", "held"));
-        until("at work", || town.ledger.of_key("held").len() == 1);
+        until("at work", || cluster.ledger.of_key("held").len() == 1);
         let repeats: Vec<_> = gates.iter().map(|gate| scope.spawn(move || at_work(*gate))).collect();
         repeats.into_iter().for_each(|repeat| repeat.join().expect("an answer"));
-        town.ledger.release.store(true, Relaxed);
+        cluster.ledger.release.store(true, Relaxed);
         assert_eq!(first.join().expect("an answer").status(), "200");
     });
-    let (again, runs) = (keyed_insisted(gates[1], "/move/held", "held"), town.ledger.of_key("held"));
+    let (again, runs) = (keyed_insisted(gates[1], "/move/held", "held"), cluster.ledger.of_key("held"));
     assert_eq!((again.field(STAMP), runs.len()), (&*runs[0].stamp, 1));
 }
 
 /// Guards against reqs lost to an upstream that goes as planned, and against any that come after it may be gone.
 #[test]
 fn an_upstream_that_closes_gets_nothing_new_after_its_drain_and_nothing_is_lost() {
-    let town = Town::start();
-    let load = Load::on(&town.gates(), "/read/work");
+    let cluster = MeshCluster::start();
+    let load = Load::on(&cluster.gates(), "/read/work");
     load.go_on(300);
-    let leaving = &town.upstreams[0];
+    let leaving = &cluster.upstreams[0];
     let asked = Instant::now();
     leaving.close();
     let last = Instant::now() + DRAIN;
-    let runs = |since: Instant| town.ledger.runs(|run| run.by == leaving.id && run.at > since);
-    assert!(!town.ledger.runs(|run| run.by == leaving.id && run.at < asked).is_empty(), "it took none");
+    let runs = |since: Instant| cluster.ledger.runs(|run| run.by == leaving.id && run.at > since);
+    assert!(!cluster.ledger.runs(|run| run.by == leaving.id && run.at < asked).is_empty(), "it took none");
     until("drained", || Instant::now() > last);
     load.go_on(400);
-    let others = town.ledger.runs(|run| run.by != leaving.id && run.at > last);
+    let others = cluster.ledger.runs(|run| run.by != leaving.id && run.at > last);
     assert!(others.len() >= 300, "{}", others.len());
     assert!(runs(last).is_empty(), "{} after its drain", runs(last).len());
     load.end();
 }
 
 /// The core at work: a configuration that is taken, read back and in force, and keys that run once at every gate.
-fn serves(town: &Town, alive: &[usize], version: u64) {
+fn serves(cluster: &MeshCluster, alive: &[usize], version: u64) {
     let (prefix, name) = (format!("/v{version}/"), format!("v{version}"));
     let body = timetable(version, &route(&prefix, "resendable", "alpha"));
-    town.replace(alive[0], &body);
-    alive.iter().for_each(|steward| town.until_reads(*steward, &body));
-    town.until_in_force(&format!("{prefix}x"));
-    for (nth, gate) in town.gates().into_iter().enumerate() {
+    cluster.replace(alive[0], &body);
+    alive.iter().for_each(|steward| cluster.until_reads(*steward, &body));
+    cluster.until_in_force(&format!("{prefix}x"));
+    for (nth, gate) in cluster.gates().into_iter().enumerate() {
         let key = format!("{name}-{nth}");
         let answer = keyed_insisted(gate, "/move/x", &key);
-        let runs = town.ledger.of_key(&key);
+        let runs = cluster.ledger.of_key(&key);
         assert_eq!((answer.status(), runs.len()), ("200", 1), "{answer:?}");
     }
 }
@@ -150,54 +150,56 @@
 /// than it had promised.
 #[test]
 fn the_core_goes_on_without_one_of_its_processes_and_takes_it_back_with_its_disk_and_without() {
-    let mut town = Town::start();
-    let load = Load::on(&town.gates(), "/read/x");
-    serves(&town, &[0, 1, 2], 2);
-    town.stewards[0].kill();
-    serves(&town, &[1, 2], 3);
-    town.start_steward(0, false);
-    serves(&town, &[0, 1, 2], 4);
+    let mut cluster = MeshCluster::start();
+    let load = Load::on(&cluster.gates(), "/read/x");
+    serves(&cluster, &[0, 1, 2], 2);
+    cluster.stewards[0].kill();
+    serves(&cluster, &[1, 2], 3);
+    cluster.start_steward(0, false);
+    serves(&cluster, &[0, 1, 2], 4);
     // It votes: the others can do nothing without it.
-    town.stewards[1].kill();
-    serves(&town, &[0, 2], 5);
-    town.stewards[1].lose_disk();
-    let caught_up = |town: &Town| town.stewards[1].logged("caught up: epoch=");
-    let before = caught_up(&town);
-    town.start_steward(1, false);
-    until("a voter again", || caught_up(&town) > before);
-    town.stewards[2].kill();
-    serves(&town, &[0, 1], 6);
+    cluster.stewards[1].kill();
+    serves(&cluster, &[0, 2], 5);
+    cluster.stewards[1].lose_disk();
+    let caught_up = |cluster: &MeshCluster| cluster.stewards[1].logged("caught up: epoch=");
+    let before = caught_up(&cluster);
+    cluster.start_steward(1, false);
+    until("a voter again", || caught_up(&cluster) > before);
+    cluster.stewards[2].kill();
+    serves(&cluster, &[0, 1], 6);
     load.end();
 }
 
 /// Guards against an acknowledgement that was only memory's, a key that runs again, and gates that stop with the core.
 #[test]
 fn a_core_that_is_killed_whole_comes_back_with_all_that_it_acknowledged() {
-    let mut town = Town::start();
-    let load = Load::on(&town.gates(), "/read/x");
-    serves(&town, &[0, 1, 2], 5);
-    let ran = |town: &Town, key: &str| town.ledger.of_key(key).len();
+    let mut cluster = MeshCluster::start();
+    let load = Load::on(&cluster.gates(), "/read/x");
+    serves(&cluster, &[0, 1, 2], 5);
+    let ran = |cluster: &MeshCluster, key: &str| cluster.ledger.of_key(key).len();
     let keys: Vec<String> = (0..8).map(|nth| format!("ran-{nth}")).collect();
     let (settled, fresh) = keys.split_at(4);
-    settled.iter().for_each(|key| drop(keyed_insisted(town.gate(0), "/move/x", key)));
-    settled.iter().for_each(|key| assert_eq!(keyed_insisted(town.gate(1), "/move/x", key).status(), "200"));
+    settled.iter().for_each(|key| drop(keyed_insisted(cluster.gate(0), "/move/x", key)));
+    settled
+        .iter()
+        .for_each(|key| assert_eq!(keyed_insisted(cluster.gate(1), "/move/x", key).status(), "200"));
     let body = timetable(9, &route("/nine/", "resendable", "alpha"));
-    fresh.iter().for_each(|key| drop(keyed_insisted(town.gate(2), "/move/x", key)));
-    town.replace(2, &body);
-    town.stewards.iter_mut().for_each(Machine::kill);
+    fresh.iter().for_each(|key| drop(keyed_insisted(cluster.gate(2), "/move/x", key)));
+    cluster.replace(2, &body);
+    cluster.stewards.iter_mut().for_each(Machine::kill);
     load.go_on(200);
-    (0..STEWARDS).for_each(|steward| town.start_steward(steward, false));
-    (0..STEWARDS).for_each(|steward| town.until_reads(steward, &body));
+    (0..STEWARDS).for_each(|steward| cluster.start_steward(steward, false));
+    (0..STEWARDS).for_each(|steward| cluster.until_reads(steward, &body));
     for key in &keys {
-        let again = keyed_insisted(town.gate(3), "/move/x", key);
-        let stamp = town.ledger.of_key(key)[0].stamp.clone();
-        assert_eq!(ran(&town, key), 1, "{key}: {again:?}");
+        let again = keyed_insisted(cluster.gate(3), "/move/x", key);
+        let stamp = cluster.ledger.of_key(key)[0].stamp.clone();
+        assert_eq!(ran(&cluster, key), 1, "{key}: {again:?}");
         // Of those whose answer was settled, it is told.
         if settled.contains(key) {
             assert_eq!((again.status(), again.field(STAMP)), ("200", &*stamp), "{key}");
         }
     }
-    serves(&town, &[0, 1, 2], 12);
+    serves(&cluster, &[0, 1, 2], 12);
     load.end();
 }
 
@@ -205,28 +207,28 @@
 /// granted meanwhile, and refused at once.
 #[test]
 fn an_attendant_that_starts_while_the_core_is_short_goes_by_what_one_steward_holds() {
-    let mut town = Town::start();
-    town.stewards.iter_mut().for_each(Machine::kill);
-    town.attendants[0].kill();
-    town.start_steward(1, false);
-    town.attendants[0].again();
-    let gate = town.gate(0);
+    let mut cluster = MeshCluster::start();
+    cluster.stewards.iter_mut().for_each(Machine::kill);
+    cluster.attendants[0].kill();
+    cluster.start_steward(1, false);
+    cluster.attendants[0].again();
+    let gate = cluster.gate(0);
     let served = |gate, path: &str| call(gate, &req(&format!("GET {path}"), &new_id(), "", b""));
     until("served", || served(gate, "/read/x").is_ok_and(|answer| answer.status() == "200"));
     let asked = Instant::now();
     assert_eq!(keyed(gate, "/move/x", "while-short").status(), "503");
     assert!(asked.elapsed() < Duration::from_millis(LEFT_MS / 2), "{:?}", asked.elapsed());
-    assert!(town.ledger.of_key("while-short").is_empty());
-    town.start_steward(0, false);
+    assert!(cluster.ledger.of_key("while-short").is_empty());
+    cluster.start_steward(0, false);
     assert_eq!(keyed_insisted(gate, "/move/x", "while-short").status(), "200");
 }
 
 /// Guards against a configuration that is taken in part, in spite of what it says, or over a newer one.
 #[test]
 fn an_invalid_configuration_is_refused_with_its_place_and_an_older_one_alters_nothing() {
-    let town = Town::start();
+    let cluster = MeshCluster::start();
     let body = timetable(7, &route("/seven/", "resendable", "alpha"));
-    town.replace(0, &body);
+    cluster.replace(0, &body);
     let good = timetable(8, &route("/bad/", "resendable", "alpha"));
     let wrong = [
         (good.replace(r#""line":"omega""#, r#""line":"nobody""#), "consignments[1]"),
@@ -238,23 +240,23 @@
         (String::new(), "document"),
     ];
     for (nth, (wrong, place)) in wrong.iter().enumerate() {
-        let answer = town.operate(nth % STEWARDS, "replace", wrong).expect("an answer");
+        let answer = cluster.operate(nth % STEWARDS, "replace", wrong).expect("an answer");
         let line = answer.text().lines().next().unwrap_or_default();
         assert!(answer.status() == "400" && line.starts_with(place), "{nth}: {answer:?}, {line}");
     }
     let older = timetable(6, &route("/older/", "resendable", "alpha"));
     for steward in 0..STEWARDS {
         for older in [&older, &body] {
-            let answer = town.operate(steward, "replace", older).expect("an answer");
+            let answer = cluster.operate(steward, "replace", older).expect("an answer");
             assert_eq!(answer.status(), "200", "{answer:?}");
         }
-        town.until_reads(steward, &body);
+        cluster.until_reads(steward, &body);
     }
-    town.until_in_force("/seven/x");
-    town.replace(1, &timetable(9, &route("/nine/", "resendable", "alpha")));
-    town.until_in_force("/nine/x");
+    cluster.until_in_force("/seven/x");
+    cluster.replace(1, &timetable(9, &route("/nine/", "resendable", "alpha")));
+    cluster.until_in_force("/nine/x");
     let gone = ["/bad/x", "/older/x", "/seven/x"];
-    for gate in town.gates() {
+    for gate in cluster.gates() {
         gone.iter().for_each(|path| assert_eq!(get(gate, path).status(), "404", "{path}"));
     }
 }
@@ -262,53 +264,53 @@
 /// Guards against a drain that is forgotten with the attendant that was told of it.
 #[test]
 fn a_drained_upstream_stays_drained_when_its_attendant_starts_anew() {
-    let mut town = Town::start();
-    let id = town.upstreams[0].id.clone();
-    until("drained", || town.ask(0, &format!("upstreams.drain&of={id}"))["state"] == "closing");
-    let told = |town: &Town| town.attendants[0].logged("drained by an operator");
-    assert_eq!(told(&town), 1);
-    town.attendants[0].kill();
-    town.attendants[0].again();
-    until("told again", || told(&town) == 2);
+    let mut cluster = MeshCluster::start();
+    let id = cluster.upstreams[0].id.clone();
+    until("drained", || cluster.ask(0, &format!("upstreams.drain&of={id}"))["state"] == "closing");
+    let told = |cluster: &MeshCluster| cluster.attendants[0].logged("drained by an operator");
+    assert_eq!(told(&cluster), 1);
+    cluster.attendants[0].kill();
+    cluster.attendants[0].again();
+    until("told again", || told(&cluster) == 2);
     until("known", || {
-        let listed = town.ask(1, "upstreams.list")["upstreams"].as_array().cloned().unwrap_or_default();
+        let listed = cluster.ask(1, "upstreams.list")["upstreams"].as_array().cloned().unwrap_or_default();
         listed.iter().any(|of| of["id"] == *id && of["state"] == "closing" && of["serving"] == true)
     });
-    until("over", || town.look(0) == "200");
+    until("over", || cluster.look(0) == "200");
     let since = Instant::now();
     until("past its drain", || since.elapsed() > DRAIN);
-    let (load, from) = (Load::on(&town.gates(), "/read/x"), Instant::now());
+    let (load, from) = (Load::on(&cluster.gates(), "/read/x"), Instant::now());
     load.go_on(200);
     load.end();
-    let runs = town.ledger.runs(|run| run.line == "alpha" && run.at > from);
+    let runs = cluster.ledger.runs(|run| run.line == "alpha" && run.at > from);
     assert!(runs.len() >= 200 && runs.iter().all(|run| run.by != id));
 }
 
 /// Guards against figures that only some of the core knows, or that count what was not sent.
 #[test]
 fn any_steward_tells_what_was_sent_of_all_gates() {
-    let town = Town::start();
-    let load = Load::on(&town.gates(), "/read/x");
+    let cluster = MeshCluster::start();
+    let load = Load::on(&cluster.gates(), "/read/x");
     for steward in 0..STEWARDS {
         until("told", || {
-            let told = town.ask(steward, "budget.list");
+            let told = cluster.ask(steward, "budget.list");
             let services = told["services"].as_array().cloned().unwrap_or_default();
             let of = services.iter().find(|of| of["service"] == "alpha").cloned().unwrap_or_default();
             let first = of["first"].as_u64().unwrap_or(0);
             // With those that are on their way.
-            assert!(first <= town.ledger.runs(|run| run.line == "alpha").len() as u64 + 8, "{told}");
+            assert!(first <= cluster.ledger.runs(|run| run.line == "alpha").len() as u64 + 8, "{told}");
             first >= 50 && told["gates_told"] == 4 && of["left"].as_f64() > Some(60.0)
         });
         // And how long each took from its start to full service.
         until("told of the starts", || {
-            let nodes = town.ask(steward, "nodes.list");
+            let nodes = cluster.ask(steward, "nodes.list");
             [("stewards", STEWARDS), ("attendants", 4)].iter().all(|(kind, count)| {
                 let all = nodes[kind].as_array().cloned().unwrap_or_default();
                 all.iter().filter(|of| of["full_ms"].is_u64()).count() == *count
             })
         });
     }
-    let machines = || town.stewards.iter().chain(&town.attendants);
+    let machines = || cluster.stewards.iter().chain(&cluster.attendants);
     until("logged", || machines().all(|machine| machine.logged("full service after") == 1));
     load.end();
 }
@@ -316,21 +318,21 @@
 /// Guards against reqs lost at the gate or the door of an attendant that is asked to end, and against one that stays.
 #[test]
 fn an_attendant_that_is_asked_to_end_answers_all_that_came_and_goes_within_its_grace() {
-    let mut town = Town::start();
-    let others = [0, 2, 3].map(|nth| town.gate(nth));
+    let mut cluster = MeshCluster::start();
+    let others = [0, 2, 3].map(|nth| cluster.gate(nth));
     // Its own clients are quick: most of the time it has nothing of theirs inside.
-    let (load, own) = (Load::on(&others, "/read/work"), Load::on(&[town.gate(1)], "/read/x"));
+    let (load, own) = (Load::on(&others, "/read/work"), Load::on(&[cluster.gate(1)], "/read/x"));
     load.go_on(200);
-    town.attendants[1].end();
+    cluster.attendants[1].end();
     let since = Instant::now();
-    until("not ready", || town.look(1) == "503");
+    until("not ready", || cluster.look(1) == "503");
     // The platform looks once a second, and sends no more clients after two misses.
     thread::sleep(Duration::from_millis(1_500));
     own.end();
     let (mut well, last) = (None, since + GRACE);
     while well.is_none() && Instant::now() < last {
         thread::sleep(Duration::from_millis(10));
-        well = town.attendants[1].ended();
+        well = cluster.attendants[1].ended();
     }
     assert_eq!(well, Some(true), "after {:?}", since.elapsed());
     load.go_on(200);
@@ -341,7 +343,7 @@
 /// three stewards in turn, one is taken, the others are refused, and what is read back stays what it was.
 #[test]
 fn of_many_contents_under_one_version_one_is_confirmed_and_read_back() {
-    let town = Town::start();
+    let cluster = MeshCluster::start();
     for version in 2..8 {
         let contents: Vec<String> =
             (0..8).map(|n| timetable(version, &route(&format!("/v{n}/"), "resendable", "alpha"))).collect();
@@ -349,7 +351,7 @@
         let both = Barrier::new(2);
         let at_once = |n: usize| {
             both.wait();
-            town.operate(n, "replace", &contents[n]).expect("an answer").status().to_owned()
+            cluster.operate(n, "replace", &contents[n]).expect("an answer").status().to_owned()
         };
         let first = thread::scope(|scope| {
             let other = scope.spawn(|| at_once(1));
@@ -359,9 +361,9 @@
         assert!(one == 1 && first.iter().any(|status| status == "409"), "r{version}: {first:?}");
         let won = usize::from(first[1] == "200");
         for n in (0..8).chain(0..2) {
-            let answer = town.operate(n % STEWARDS, "replace", &contents[n]).expect("an answer");
+            let answer = cluster.operate(n % STEWARDS, "replace", &contents[n]).expect("an answer");
             assert_eq!(answer.status(), if n == won { "200" } else { "409" }, "r{version}, content {n}");
-            let read = town.operate((n + 1) % STEWARDS, "read", "").expect("an answer");
+            let read = cluster.operate((n + 1) % STEWARDS, "read", "").expect("an answer");
             assert_eq!((read.status(), read.text() == contents[won]), ("200", true), "r{version}, {n}");
         }
     }
@@ -375,21 +377,21 @@
 
 #[test]
 fn each_role_tells_its_figures_as_text() {
-    let mut town = Town::start();
-    town.replace(0, &timetable(2, &route("/later/", "resendable", "alpha")));
-    town.until_in_force("/later/x");
+    let mut cluster = MeshCluster::start();
+    cluster.replace(0, &timetable(2, &route("/later/", "resendable", "alpha")));
+    cluster.until_in_force("/later/x");
     for nth in 0..STEWARDS {
-        let page = get(town.control(nth), "/metrics");
+        let page = get(cluster.control(nth), "/metrics");
         let of = |name: &str| figure(&page, &format!("ochreshed_steward_{name}"));
         assert!(page.status() == "200" && page.text().ends_with("# EOF\n"), "{page:?}");
         assert_eq!((of("epoch"), of("members"), of("quorum")), (Some(1.0), Some(3.0), Some(1.0)));
         assert!(of("disk_writes_total") > Some(0.0), "{}", page.text());
         until("told", || {
-            let page = get(town.control(nth), "/metrics");
+            let page = get(cluster.control(nth), "/metrics");
             figure(&page, "ochreshed_steward_configuration_version") == Some(2.0)
         });
     }
-    let page = get(town.control_of_attendant(0), "/metrics");
+    let page = get(cluster.control_of_attendant(0), "/metrics");
     let of = |name: &str| figure(&page, &format!("ochreshed_attendant_{name}"));
     assert_eq!(
         (of("ready"), of("configuration_version"), of("unreachable")),
@@ -397,10 +399,10 @@
     );
     assert_eq!(of("endpoint_records"), Some(4.0));
     // Without a quorum it says so.
-    town.stewards[1].kill();
-    town.stewards[2].kill();
+    cluster.stewards[1].kill();
+    cluster.stewards[2].kill();
     until("no quorum", || {
-        let page = get(town.control(0), "/metrics");
+        let page = get(cluster.control(0), "/metrics");
         figure(&page, "ochreshed_steward_quorum") == Some(0.0)
     });
 }
--- a/balancer/tests/mesh/federation.rs
+++ b/balancer/tests/mesh/federation.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 
 use super::helper::{LONG, until};
-use super::town::*;
+use super::mesh_cluster::*;
 
 /// Of `norte-key` and `sul-key`.
 pub const NORTE: &str = "ed1143ce99836779979602ca8219619a460b30cf08bb1fdf9d3bfafe985d7e80";
@@ -49,16 +49,28 @@
 pub type Route<'a> = (&'a str, &'a str, &'a str, u64);
 
 /// What one steward answers a member.
-pub fn said_to(town: &Town, steward: usize, verb: &str, of: &str, key: &str, body: &str) -> Message {
-    town.call(steward, &format!("member.{verb}&of={of}"), &format!("Ochreshed-Member-Key: {key}\r\n"), body)
+pub fn said_to(
+    cluster: &MeshCluster,
+    steward: usize,
+    verb: &str,
+    of: &str,
+    key: &str,
+    body: &str,
+) -> Message {
+    cluster.call(
+        steward,
+        &format!("member.{verb}&of={of}"),
+        &format!("Ochreshed-Member-Key: {key}\r\n"),
+        body,
+    )
 }
 
 /// Sends a change to one steward after the other until it is acknowledged.
-pub fn change(town: &Town, verb: &str, of: &str, key: &str, body: &str) -> Message {
+pub fn change(cluster: &MeshCluster, verb: &str, of: &str, key: &str, body: &str) -> Message {
     let answers = std::cell::RefCell::new(Message::default());
     until(&format!("{verb} of {of} acknowledged"), || {
-        (0..town.stewards.len()).any(|steward| {
-            let answer = said_to(town, steward, verb, of, key, body);
+        (0..cluster.stewards.len()).any(|steward| {
+            let answer = said_to(cluster, steward, verb, of, key, body);
             assert!(["200", "401", "503", ""].contains(&answer.status()), "{answer:?}");
             answers.replace(answer).status();
             answers.borrow().status() == "200"
@@ -67,8 +79,8 @@
     answers.into_inner()
 }
 
-pub fn name_members(town: &Town, register: &str) {
-    until("the register is taken", || town.call(1, "members.replace", "", register).status() == "200");
+pub fn name_members(cluster: &MeshCluster, register: &str) {
+    until("the register is taken", || cluster.call(1, "members.replace", "", register).status() == "200");
 }
 
 /// What came of `sul`'s operations.
@@ -116,20 +128,20 @@
 impl Drill {
     pub fn play(self) -> Came {
         let lines = ["alpha", "alpha", "alpha", "omega"];
-        let mut town = Town::of(STEWARDS, &lines);
+        let mut cluster = MeshCluster::of(STEWARDS, &lines);
         let limits =
             r#""routes":2000,"changes_per_minute":10000,"slot_share":0.5,"retry_share":0.2,"trial_s":2"#;
-        name_members(&town, &register(1, r#""alpha","omega""#, limits));
+        name_members(&cluster, &register(1, r#""alpha","omega""#, limits));
         let sul = [("pay", "registered", "alpha", 6_000), ("book", "registered", "alpha", 6_000)];
-        change(&town, "replace", "sul", "sul-key", &document("sul", 1, "", &sul));
-        change(&town, "replace", "norte", "norte-key", &document("norte", 1, "", &NORTES));
+        change(&cluster, "replace", "sul", "sul-key", &document("sul", 1, "", &sul));
+        change(&cluster, "replace", "norte", "norte-key", &document("norte", 1, "", &NORTES));
         for path in ["/sul/pay/x", "/norte/read/x"] {
-            until_open(&town, path);
+            until_open(&cluster, path);
         }
         let over = AtomicBool::new(false);
         let operations: Mutex<Vec<Operation>> = Mutex::default();
         let mut came = Came::default();
-        let gates = town.gates();
+        let gates = cluster.gates();
         thread::scope(|scope| {
             let over = &over;
             for (nth, _) in gates.iter().enumerate() {
@@ -151,7 +163,7 @@
                 }
                 if self.changes {
                     edition += 1;
-                    let status = reshape(&town, &mut draw, edition);
+                    let status = reshape(&cluster, &mut draw, edition);
                     came.taken += usize::from(status == "200");
                     came.refused += usize::from(status != "200");
                 }
@@ -160,25 +172,25 @@
                     match (round % 4, down.take()) {
                         (1, None) => {
                             let of = draw.below(STEWARDS as u64) as usize;
-                            town.stewards[of].kill();
+                            cluster.stewards[of].kill();
                             down = Some(of);
                         }
-                        (_, Some(of)) => town.stewards[of].again(),
+                        (_, Some(of)) => cluster.stewards[of].again(),
                         _ => {}
                     }
                 }
                 thread::sleep(next.saturating_duration_since(Instant::now()));
             }
-            down.into_iter().for_each(|of| town.stewards[of].again());
+            down.into_iter().for_each(|of| cluster.stewards[of].again());
             over.store(true, Relaxed);
-            town.ledger.release.store(true, Relaxed);
+            cluster.ledger.release.store(true, Relaxed);
         });
-        self.judge(&town, operations.into_inner().expect("operations"), came)
+        self.judge(&cluster, operations.into_inner().expect("operations"), came)
     }
 
-    fn judge(self, town: &Town, operations: Vec<Operation>, mut came: Came) -> Came {
+    fn judge(self, cluster: &MeshCluster, operations: Vec<Operation>, mut came: Came) -> Came {
         let mut by_key: HashMap<String, Vec<String>> = HashMap::new();
-        for run in town.ledger.runs(|run| run.req.first.contains("/sul/")) {
+        for run in cluster.ledger.runs(|run| run.req.first.contains("/sul/")) {
             by_key.entry(run.req.field(KEY).to_owned()).or_default().push(run.stamp);
         }
         came.operations = operations.len();
@@ -202,8 +214,8 @@
     ("large", "outbound_post", "alpha", 6_000),
 ];
 
-fn until_open(town: &Town, path: &str) {
-    for gate in town.gates() {
+fn until_open(cluster: &MeshCluster, path: &str) {
+    for gate in cluster.gates() {
         until("in force", || keyed(gate, path, &format!("open-{}", new_id())).status() == "200");
     }
 }
@@ -270,7 +282,7 @@
 }
 
 /// One change of `norte`, good or bad.
-fn reshape(town: &Town, draw: &mut Draw, edition: u64) -> String {
+fn reshape(cluster: &MeshCluster, draw: &mut Draw, edition: u64) -> String {
     let steward = draw.below(STEWARDS as u64) as usize;
     let many: Vec<String> = (0..1_000).map(|nth| format!("many{nth:04}")).collect();
     let many: Vec<Route> = many.iter().map(|path| (&**path, "resendable", "omega", 6_000)).collect();
@@ -289,5 +301,5 @@
         6 => doc("", &with(&[("new", "resendable", "nobody", 6_000)])),
         _ => "{".into(),
     };
-    said_to(town, steward, "replace", "norte", "norte-key", &body).status().to_owned()
+    said_to(cluster, steward, "replace", "norte", "norte-key", &body).status().to_owned()
 }
--- a/balancer/tests/mesh/town.rs
+++ b/balancer/tests/mesh/mesh_cluster.rs
@@ -528,7 +528,7 @@
 }
 
 /// Stewards and attendants with their upstreams.
-pub struct Town {
+pub struct MeshCluster {
     pub stewards: Vec<Machine>,
     pub attendants: Vec<Machine>,
     pub upstreams: Vec<Arc<Upstream>>,
@@ -545,7 +545,7 @@
 const READY: usize = 4;
 const APP: usize = 5;
 
-/// Addresses for machines, no other town's, and ports that are free on all of them: below those that the system gives to
+/// Addresses for machines, no other cluster's, and ports that are free on all of them: below those that the system gives to
 /// whoever calls, for such a one may be taken everywhere for a moment.
 fn places(count: u8) -> (Vec<Ipv4Addr>, [u16; 6]) {
     static NUMBER: AtomicUsize = AtomicUsize::new(0);
@@ -563,14 +563,14 @@
     (ips, ports)
 }
 
-impl Town {
+impl MeshCluster {
     /// All of it, with the first configuration in force everywhere.
-    pub fn start() -> Town {
-        Town::of(STEWARDS, &LINES)
+    pub fn start() -> MeshCluster {
+        MeshCluster::of(STEWARDS, &LINES)
     }
 
     /// With so many stewards, and an attendant beside an upstream of each of these services.
-    pub fn of(stewards: usize, lines: &[&'static str]) -> Town {
+    pub fn of(stewards: usize, lines: &[&'static str]) -> MeshCluster {
         let (ips, ports) = places((stewards + lines.len()) as u8);
         // In memory where there is such a folder: a sync must not wait for what others write to the disk.
         let memory = Some(PathBuf::from("/dev/shm")).filter(|folder| folder.is_dir());
@@ -586,10 +586,10 @@
         let mut machines: Vec<Machine> = ips.iter().enumerate().map(machine).collect();
         let attendants = machines.split_off(stewards);
         let (upstreams, ledger) = (Vec::new(), Ledger::default());
-        let mut town = Town { stewards: machines, attendants, upstreams, ledger, folder, ports };
-        (0..stewards).for_each(|nth| town.start_steward(nth, true));
+        let mut cluster = MeshCluster { stewards: machines, attendants, upstreams, ledger, folder, ports };
+        (0..stewards).for_each(|nth| cluster.start_steward(nth, true));
         for (nth, line) in lines.iter().copied().enumerate() {
-            let at = |port: usize| town.at(&town.attendants[nth], port);
+            let at = |port: usize| cluster.at(&cluster.attendants[nth], port);
             let upstream = Upstream {
                 id: format!("i-{}", new_id()),
                 life: AtomicU64::new(0),
@@ -600,7 +600,7 @@
                 at: at(APP),
                 gate: at(OUTBOUND),
                 control: at(CONTROL),
-                ledger: town.ledger.clone(),
+                ledger: cluster.ledger.clone(),
                 beats: AtomicU64::new(0),
                 closing: AtomicBool::new(false),
                 over: AtomicBool::new(false),
@@ -608,18 +608,18 @@
             let gates = [("inbound", INBOUND), ("outbound", OUTBOUND), ("ready", READY)];
             let gates = gates.map(|(name, port)| format!("{name}_gate = \"{}\"\n", at(port))).concat();
             let more = format!("line = \"{line}\"\napp = \"{}\"\n", at(APP));
-            let settings = town.settings(&town.attendants[nth], true, &more, &gates);
-            town.attendants[nth].run(&settings);
-            town.upstreams.push(upstream.start());
+            let settings = cluster.settings(&cluster.attendants[nth], true, &more, &gates);
+            cluster.attendants[nth].run(&settings);
+            cluster.upstreams.push(upstream.start());
         }
         let first = timetable(1, &route("/first/", "resendable", "omega"));
-        town.replace(0, &first);
-        (0..stewards).for_each(|steward| town.until_reads(steward, &first));
-        for (nth, gate) in town.gates().into_iter().enumerate() {
-            until("ready", || town.look(nth) == "200");
+        cluster.replace(0, &first);
+        (0..stewards).for_each(|steward| cluster.until_reads(steward, &first));
+        for (nth, gate) in cluster.gates().into_iter().enumerate() {
+            until("ready", || cluster.look(nth) == "200");
             until("served", || ["/read/x", "/first/x"].iter().all(|path| get(gate, path).status() == "200"));
         }
-        town
+        cluster
     }
 
     fn at(&self, machine: &Machine, port: usize) -> SocketAddr {
@@ -747,7 +747,7 @@
     }
 }
 
-impl Drop for Town {
+impl Drop for MeshCluster {
     fn drop(&mut self) {
         self.upstreams.iter().for_each(|upstream| upstream.over.store(true, Relaxed));
         self.stewards.iter_mut().chain(&mut self.attendants).for_each(Machine::kill);
--- a/balancer/tests/mesh/walkers.rs
+++ b/balancer/tests/mesh/session_load.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 use super::helper::{LONG, until};
-use super::town::*;
+use super::mesh_cluster::*;
 
 /// A configuration whose operations name a session.
 pub fn with_sessions(version: u64) -> String {
@@ -74,15 +74,15 @@
 
 impl Walk {
     pub fn play(self) -> Walked {
-        let mut town = Town::of(STEWARDS, self.sites);
-        town.replace(0, &with_sessions(2));
-        town.until_in_force("/look/x");
-        let gates = town.gates();
+        let mut cluster = MeshCluster::of(STEWARDS, self.sites);
+        cluster.replace(0, &with_sessions(2));
+        cluster.until_in_force("/look/x");
+        let gates = cluster.gates();
         let (over, next, ends) = (AtomicBool::new(false), AtomicUsize::new(0), Mutex::new(Vec::new()));
         let began = Instant::now();
         thread::scope(|scope| {
-            let town = &mut town;
-            let faults = self.faults.then(|| scope.spawn(|| harm(town, self.seed, &over)));
+            let cluster = &mut cluster;
+            let faults = self.faults.then(|| scope.spawn(|| harm(cluster, self.seed, &over)));
             let people: Vec<_> = (0..self.people)
                 .map(|person| {
                     scope.spawn({
@@ -95,10 +95,10 @@
             over.store(true, Relaxed);
             faults.into_iter().for_each(|faults| faults.join().expect("faults"));
         });
-        let mut walked = judge(&town, ends.into_inner().expect("ends"));
+        let mut walked = judge(&cluster, ends.into_inner().expect("ends"));
         walked.took = began.elapsed();
         walked.moves = (0..gates.len())
-            .map(|nth| town.ask_attendant(nth, "sessions.count")["moves"].as_u64().unwrap_or(0))
+            .map(|nth| cluster.ask_attendant(nth, "sessions.count")["moves"].as_u64().unwrap_or(0))
             .sum();
         walked
     }
@@ -170,30 +170,30 @@
 const PATIENCE: Duration = Duration::from_millis(2_500);
 
 /// One trouble after the other, by the seed: a steward is killed and comes back, a gate stands still and wakes.
-fn harm(town: &mut Town, seed: u64, over: &AtomicBool) {
+fn harm(cluster: &mut MeshCluster, seed: u64, over: &AtomicBool) {
     let mut draw = Draw::new(seed);
     while !over.load(Relaxed) {
         if draw.below(2) == 0 {
             let nth = draw.below(STEWARDS as u64) as usize;
-            town.stewards[nth].kill();
+            cluster.stewards[nth].kill();
             thread::sleep(Duration::from_millis(300));
-            let before = town.stewards[nth].logged("full service");
-            town.start_steward(nth, false);
-            until("back", || town.stewards[nth].logged("full service") > before);
+            let before = cluster.stewards[nth].logged("full service");
+            cluster.start_steward(nth, false);
+            until("back", || cluster.stewards[nth].logged("full service") > before);
         } else {
-            let nth = draw.below(town.attendants.len() as u64) as usize;
-            town.attendants[nth].signal("STOP");
+            let nth = draw.below(cluster.attendants.len() as u64) as usize;
+            cluster.attendants[nth].signal("STOP");
             thread::sleep(Duration::from_millis(300 + draw.below(1_200)));
-            town.attendants[nth].signal("CONT");
+            cluster.attendants[nth].signal("CONT");
         }
         thread::sleep(Duration::from_millis(200 + draw.below(400)));
     }
 }
 
-fn judge(town: &Town, ends: Vec<End>) -> Walked {
+fn judge(cluster: &MeshCluster, ends: Vec<End>) -> Walked {
     let (mut by_key, mut last): (HashMap<String, Vec<String>>, HashMap<String, String>) = Default::default();
     let mut walked = Walked { operations: ends.len(), ..Walked::default() };
-    for run in town.ledger.runs(|run| run.req.first.contains("/pay/")) {
+    for run in cluster.ledger.runs(|run| run.req.first.contains("/pay/")) {
         by_key.entry(run.req.field(KEY).to_owned()).or_default().push(run.stamp);
         if let Some(before) = last.insert(run.req.field("x-person").to_owned(), run.by.clone()) {
             walked.followed += 1;
--- a/balancer/tests/walkers.rs
+++ b/balancer/tests/roaming_sessions.rs
@@ -3,15 +3,15 @@
 #![allow(dead_code)]
 
 mod helper;
-#[path = "mesh/town.rs"]
-mod town;
-#[path = "mesh/walkers.rs"]
-mod walkers;
+#[path = "mesh/mesh_cluster.rs"]
+mod mesh_cluster;
+#[path = "mesh/session_load.rs"]
+mod session_load;
 
 use std::time::Duration;
 
-use town::*;
-use walkers::{Walk, fields, with_sessions};
+use mesh_cluster::*;
+use session_load::{Walk, fields, with_sessions};
 
 fn finishes(gate: std::net::SocketAddr, person: usize, key: &str) -> Message {
     insisted(gate, "POST /pay/work", &fields(person, key), b"10.00").1
@@ -39,8 +39,8 @@
 }
 
 /// What the operators' client prints of a session, as JSON; its last line where it fails.
-fn client(town: &Town, steward: usize, words: &[&str]) -> Result<serde_json::Value, String> {
-    let at = town.control(steward).to_string();
+fn client(cluster: &MeshCluster, steward: usize, words: &[&str]) -> Result<serde_json::Value, String> {
+    let at = cluster.control(steward).to_string();
     let words = [&["session"], words, &["--at", &at, "--json"]].concat();
     let ran = std::process::Command::new(env!("CARGO_BIN_EXE_ochreshed")).args(words).output();
     let ran = ran.expect("the client");
@@ -54,23 +54,23 @@
 /// Guards against an operator's word on a session that the gates don't heed, and against one that lets an old holder go on.
 #[test]
 fn an_operator_sees_a_session_moves_it_and_has_it_forgotten() {
-    let town = Town::start();
-    town.replace(0, &with_sessions(2));
-    town.until_in_force("/look/x");
-    let doors = [0, 1].map(|nth| town.listens(nth)[1].to_string());
+    let cluster = MeshCluster::start();
+    cluster.replace(0, &with_sessions(2));
+    cluster.until_in_force("/look/x");
+    let doors = [0, 1].map(|nth| cluster.listens(nth)[1].to_string());
     let of = |verb: &'static str| vec![verb, "person-7", "--service", "alpha", "--header", "X-Person"];
-    let nobody = client(&town, 0, &of("show")).expect_err("nobody has it");
+    let nobody = client(&cluster, 0, &of("show")).expect_err("nobody has it");
     assert!(nobody.contains("nobody has that session"), "{nobody}");
-    assert_eq!(finishes(town.gate(0), 7, &key(7, 1)).status(), "200");
-    let first = client(&town, 1, &of("show")).expect("it is there");
-    let tie = town.ledger.of_key(&key(7, 1))[0].by.clone();
+    assert_eq!(finishes(cluster.gate(0), 7, &key(7, 1)).status(), "200");
+    let first = client(&cluster, 1, &of("show")).expect("it is there");
+    let tie = cluster.ledger.of_key(&key(7, 1))[0].by.clone();
     assert_eq!(
         (&first["holder"]["door"], &first["tie"]["upstream"]),
         (&doors[0].clone().into(), &tie.into())
     );
     // Moved ahead of its person, with its tie; any steward tells of it.
-    let moved = client(&town, 2, &[&of("move")[..], &["--to", &doors[1]]].concat()).expect("moved");
-    let shown = client(&town, 0, &of("show")).expect("it is there");
+    let moved = client(&cluster, 2, &[&of("move")[..], &["--to", &doors[1]]].concat()).expect("moved");
+    let shown = client(&cluster, 0, &of("show")).expect("it is there");
     assert_eq!(
         (&moved["holder"]["door"], &shown["holder"]["door"]),
         (&doors[1].clone().into(), &doors[1].clone().into())
@@ -79,18 +79,18 @@
     assert!(shown["epoch"].as_u64() > first["epoch"].as_u64(), "{shown}");
     // The person goes on at both, in whatever order; each payment lands once, at the same upstream.
     for (nth, gate) in [1, 0, 1].into_iter().enumerate() {
-        assert_eq!(finishes(town.gate(gate), 7, &key(7, 10 + nth)).status(), "200");
-        let runs = town.ledger.of_key(&key(7, 10 + nth));
+        assert_eq!(finishes(cluster.gate(gate), 7, &key(7, 10 + nth)).status(), "200");
+        let runs = cluster.ledger.of_key(&key(7, 10 + nth));
         assert_eq!((runs.len(), &first["tie"]["upstream"]), (1, &runs[0].by.clone().into()));
     }
     // Forgotten: it begins anew, under a later epoch.
-    client(&town, 1, &of("forget")).expect("forgotten");
-    let forgotten = client(&town, 0, &of("show")).map(|shown| shown["tie"].is_null());
+    client(&cluster, 1, &of("forget")).expect("forgotten");
+    let forgotten = client(&cluster, 0, &of("show")).map(|shown| shown["tie"].is_null());
     assert!(forgotten.is_err() || forgotten == Ok(true), "{forgotten:?}");
-    assert_eq!(finishes(town.gate(2), 7, &key(7, 20)).status(), "200");
-    let again = client(&town, 0, &of("show")).expect("it is there");
+    assert_eq!(finishes(cluster.gate(2), 7, &key(7, 20)).status(), "200");
+    let again = client(&cluster, 0, &of("show")).expect("it is there");
     assert!(again["epoch"].as_u64() > shown["epoch"].as_u64(), "{again}");
-    assert_eq!(town.ledger.of_key(&key(7, 20)).len(), 1);
-    let counts = client(&town, 0, &["count"]).expect("figures");
+    assert_eq!(cluster.ledger.of_key(&key(7, 20)).len(), 1);
+    let counts = client(&cluster, 0, &["count"]).expect("figures");
     assert_eq!(counts["sessions"], 1);
 }
--- a/balancer/tests/sessions.rs
+++ b/balancer/tests/sessions.rs
@@ -4,10 +4,10 @@
 #![allow(dead_code)]
 
 mod helper;
-#[path = "mesh/town.rs"]
-mod town;
-#[path = "mesh/walkers.rs"]
-mod walkers;
+#[path = "mesh/mesh_cluster.rs"]
+mod mesh_cluster;
+#[path = "mesh/session_load.rs"]
+mod session_load;
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::Write;
@@ -17,9 +17,9 @@
 use std::time::{Duration, Instant};
 
 use helper::until;
+use mesh_cluster::*;
+use session_load::{fields, with_sessions};
 use sha2::{Digest, Sha256};
-use town::*;
-use walkers::{fields, with_sessions};
 
 const PEOPLE: usize = 24;
 /// As many as the upstreams that are left take at once.
@@ -73,10 +73,14 @@
 }
 
 /// Of runs that count and follow another of the same person, whose upstream lives: how many went there too.
-fn ties(town: &Town, counts: impl Fn(&Run) -> bool, lives: impl Fn(&str) -> bool) -> (usize, usize) {
+fn ties(
+    cluster: &MeshCluster,
+    counts: impl Fn(&Run) -> bool,
+    lives: impl Fn(&str) -> bool,
+) -> (usize, usize) {
     let mut last: BTreeMap<String, String> = BTreeMap::new();
     let (mut kept, mut all) = (0, 0);
-    for run in town.ledger.runs(|run| !run.req.field("x-person").is_empty()) {
+    for run in cluster.ledger.runs(|run| !run.req.field("x-person").is_empty()) {
         let before = last.insert(run.req.field("x-person").to_owned(), run.by.clone());
         if let Some(before) = before.filter(|before| counts(&run) && lives(before)) {
             all += 1;
@@ -87,31 +91,31 @@
 }
 
 /// Until each gate has sent to each upstream of the service: who is not known yet has nobody tied to it.
-fn until_all_are_known(town: &Town) {
-    for (nth, gate) in town.gates().into_iter().enumerate() {
+fn until_all_are_known(cluster: &MeshCluster) {
+    for (nth, gate) in cluster.gates().into_iter().enumerate() {
         let path = format!("/look/from-{nth}");
         until("all upstreams known", || {
             get(gate, &path);
-            let runs = town.ledger.runs(|run| run.req.first.contains(&path));
+            let runs = cluster.ledger.runs(|run| run.req.first.contains(&path));
             runs.into_iter().map(|run| run.by).collect::<BTreeSet<_>>().len() == ALPHAS
         });
     }
 }
 
-fn sum(town: &Town, of: &[usize], pick: impl Fn(&serde_json::Value) -> u64) -> u64 {
-    of.iter().map(|nth| pick(&town.ask_attendant(*nth, "sessions.count"))).sum()
+fn sum(cluster: &MeshCluster, of: &[usize], pick: impl Fn(&serde_json::Value) -> u64) -> u64 {
+    of.iter().map(|nth| pick(&cluster.ask_attendant(*nth, "sessions.count"))).sum()
 }
 
 #[test]
 fn payments_begun_at_one_gate_and_finished_at_another_land_once_while_stewards_are_killed() {
-    let mut town = Town::start();
+    let mut cluster = MeshCluster::start();
     // Nothing is kept of a person while no route names a session.
-    keyed_insisted(town.gate(0), "/move/x", "before");
-    assert_eq!(sum(&town, &[0, 1, 2, 3], |page| page["begun"].as_u64().unwrap_or(9)), 0);
-    town.replace(0, &with_sessions(2));
-    town.until_in_force("/look/x");
-    until_all_are_known(&town);
-    let gates = town.gates();
+    keyed_insisted(cluster.gate(0), "/move/x", "before");
+    assert_eq!(sum(&cluster, &[0, 1, 2, 3], |page| page["begun"].as_u64().unwrap_or(9)), 0);
+    cluster.replace(0, &with_sessions(2));
+    cluster.until_in_force("/look/x");
+    until_all_are_known(&cluster);
+    let gates = cluster.gates();
     let over = AtomicBool::new(false);
     let unknown: usize = thread::scope(|scope| {
         let people: Vec<_> = (0..PEOPLE)
@@ -122,7 +126,7 @@
                 })
             })
             .collect();
-        let town = &mut town;
+        let cluster = &mut cluster;
         let over = &over;
         let killer = scope.spawn(move || {
             // One after the other, each there again before the next one goes.
@@ -130,11 +134,11 @@
                 if over.load(Relaxed) {
                     return;
                 }
-                town.stewards[nth].kill();
+                cluster.stewards[nth].kill();
                 thread::sleep(Duration::from_millis(300));
-                let before = town.stewards[nth].logged("full service");
-                town.start_steward(nth, false);
-                until("back", || town.stewards[nth].logged("full service") > before);
+                let before = cluster.stewards[nth].logged("full service");
+                cluster.start_steward(nth, false);
+                until("back", || cluster.stewards[nth].logged("full service") > before);
                 thread::sleep(Duration::from_millis(300));
             }
         });
@@ -146,15 +150,15 @@
     for (person, payment) in
         (0..PEOPLE).flat_map(|person| (0..PAYMENTS).map(move |payment| (person, payment)))
     {
-        let runs = town.ledger.of_key(&key(person, payment));
+        let runs = cluster.ledger.of_key(&key(person, payment));
         assert_eq!(runs.len(), 1, "payment {payment} of {person}");
     }
     assert_eq!(unknown, 0);
-    let (kept, all) = ties(&town, |_| true, |_| true);
+    let (kept, all) = ties(&cluster, |_| true, |_| true);
     let all_gates = [0, 1, 2, 3];
-    let moves = sum(&town, &all_gates, |page| page["moves"].as_u64().unwrap_or(0));
+    let moves = sum(&cluster, &all_gates, |page| page["moves"].as_u64().unwrap_or(0));
     println!("{all} runs after another, {kept} at the same upstream, {moves} moves");
-    all_gates.iter().for_each(|nth| println!("{}", town.ask_attendant(*nth, "sessions.count")));
+    all_gates.iter().for_each(|nth| println!("{}", cluster.ask_attendant(*nth, "sessions.count")));
     assert!(kept as f64 >= 0.99 * all as f64, "{kept} of {all}");
     assert!(moves > 50, "{moves}");
 }
@@ -172,28 +176,28 @@
 /// Guards against a successor that the core hears of after the answer: whoever takes the session next would not find it.
 #[test]
 fn a_successor_is_agreed_before_its_first_answer() {
-    let mut town = Town::start();
-    town.replace(0, &with_sessions(2));
-    town.until_in_force("/look/x");
-    until_all_are_known(&town);
-    let (gates, gone) = (town.gates(), town.upstreams[0].id.clone());
+    let mut cluster = MeshCluster::start();
+    cluster.replace(0, &with_sessions(2));
+    cluster.until_in_force("/look/x");
+    until_all_are_known(&cluster);
+    let (gates, gone) = (cluster.gates(), cluster.upstreams[0].id.clone());
     let tied = |person: &usize| {
         finishes(gates[1], *person, &key(*person, 0));
-        town.ledger.of_key(&key(*person, 0)).iter().any(|run| run.by == gone)
+        cluster.ledger.of_key(&key(*person, 0)).iter().any(|run| run.by == gone)
     };
     let mut tied: Vec<usize> = (0..PEOPLE).filter(tied).collect();
     let scout = tied.pop().expect("a person at that upstream");
     assert!(tied.len() > 2, "{tied:?}");
-    town.attendants[0].kill();
+    cluster.attendants[0].kill();
     let payment = AtomicUsize::new(1);
     until("known to be gone", || {
         finishes(gates[1], scout, &key(scout, payment.fetch_add(1, Relaxed)));
-        sum(&town, &[1], |page| page["ties"]["gone"].as_u64().unwrap_or(0)) > 0
+        sum(&cluster, &[1], |page| page["ties"]["gone"].as_u64().unwrap_or(0)) > 0
     });
     for person in tied {
         finishes(gates[1], person, &key(person, 1));
-        let shown = town.ask(1, &format!("sessions.show&of={}", session(person)));
-        let ran = town.ledger.of_key(&key(person, 1));
+        let shown = cluster.ask(1, &format!("sessions.show&of={}", session(person)));
+        let ran = cluster.ledger.of_key(&key(person, 1));
         assert_eq!((ran.len(), &shown["tie"]["upstream"]), (1, &ran[0].by.clone().into()), "{shown}");
     }
 }
@@ -202,11 +206,11 @@
 /// killed may stay unknown; nothing runs twice, and what is begun after lands once.
 #[test]
 fn people_go_on_elsewhere_when_their_gate_and_their_upstream_are_gone() {
-    let mut town = Town::start();
-    town.replace(0, &with_sessions(2));
-    town.until_in_force("/look/x");
-    until_all_are_known(&town);
-    let gates = town.gates();
+    let mut cluster = MeshCluster::start();
+    cluster.replace(0, &with_sessions(2));
+    cluster.until_in_force("/look/x");
+    until_all_are_known(&cluster);
+    let gates = cluster.gates();
     let all = |gates: &[SocketAddr], payments: std::ops::Range<usize>| -> usize {
         thread::scope(|scope| {
             let people: Vec<_> = (0..FEWER)
@@ -219,16 +223,16 @@
         })
     };
     assert_eq!(all(&gates, 0..3), 0);
-    let (gone, left) = (town.upstreams[0].id.clone(), [gates[1], gates[2], gates[3]]);
-    let tied = town.ledger.runs(|run| run.by == gone && !run.req.field("x-person").is_empty()).len();
+    let (gone, left) = (cluster.upstreams[0].id.clone(), [gates[1], gates[2], gates[3]]);
+    let tied = cluster.ledger.runs(|run| run.by == gone && !run.req.field("x-person").is_empty()).len();
     // Its people are in the middle of a payment.
     (0..FEWER).for_each(|person| begins(gates[0], person, &key(person, 100)));
-    town.attendants[0].kill();
+    cluster.attendants[0].kill();
     let killed = Instant::now();
     // Until nobody hears of it any more, its people are served by others but keep their tie.
     for steward in 0..STEWARDS {
         until("quiet", || {
-            let nodes = town.ask(steward, "nodes.list");
+            let nodes = cluster.ask(steward, "nodes.list");
             let all = nodes["attendants"].as_array().cloned().unwrap_or_default();
             all.iter().any(|attendant| attendant["quiet"] == true)
         });
@@ -238,22 +242,22 @@
     assert_eq!(all(&left, 4..7), 0);
     assert!(tied > 0);
     for (person, payment) in (0..FEWER).flat_map(|person| (0..7).map(move |payment| (person, payment))) {
-        assert_eq!(town.ledger.of_key(&key(person, payment)).len(), 1, "payment {payment} of {person}");
+        assert_eq!(cluster.ledger.of_key(&key(person, payment)).len(), 1, "payment {payment} of {person}");
     }
-    let twice = (0..FEWER).filter(|person| town.ledger.of_key(&key(*person, 100)).len() > 1).count();
+    let twice = (0..FEWER).filter(|person| cluster.ledger.of_key(&key(*person, 100)).len() > 1).count();
     assert_eq!(twice, 0);
-    let (kept, all) = ties(&town, |run| run.at < killed || run.at > again, |upstream| upstream != gone);
-    let gone = sum(&town, &[1, 2, 3], |page| page["ties"]["gone"].as_u64().unwrap_or(0));
-    let crowded = sum(&town, &[1, 2, 3], |page| page["ties"]["crowded"].as_u64().unwrap_or(0));
+    let (kept, all) = ties(&cluster, |run| run.at < killed || run.at > again, |upstream| upstream != gone);
+    let gone = sum(&cluster, &[1, 2, 3], |page| page["ties"]["gone"].as_u64().unwrap_or(0));
+    let crowded = sum(&cluster, &[1, 2, 3], |page| page["ties"]["crowded"].as_u64().unwrap_or(0));
     println!("{all} runs after another, {kept} at the same upstream, {gone} successors, {crowded} crowded");
     assert!(kept as f64 >= 0.99 * all as f64, "{kept} of {all}");
     assert!(gone > 0);
-    until("held", || town.ask(1, "sessions.count")["sessions"] == FEWER);
+    until("held", || cluster.ask(1, "sessions.count")["sessions"] == FEWER);
     // Without a core nobody is kept waiting for a session, be it held here or not.
-    town.stewards.iter_mut().for_each(Machine::kill);
+    cluster.stewards.iter_mut().for_each(Machine::kill);
     for person in ["person-1", "person-new"] {
         let answer = insisted(gates[1], "GET /look/x", &format!("X-Person: {person}\r\n"), b"").1;
         assert_eq!(answer.status(), "200", "{answer:?}");
     }
-    assert!(sum(&town, &[1], |page| page["without"].as_u64().unwrap_or(0)) > 0);
+    assert!(sum(&cluster, &[1], |page| page["without"].as_u64().unwrap_or(0)) > 0);
 }
