--- a/consensus/src/core.rs
+++ b/consensus/src/core.rs
@@ -26,7 +26,7 @@
 use crate::core::calls::{Call, PendingCalls};
 use crate::core::lease_table::LeaseTable;
 use crate::core::limits::{CONFIGURATION, HEARTBEAT_INTERVAL, MAX_TICK_INTERVAL, MIN_SEND_INTERVAL};
-use crate::core::membership_state::{CatchUp, MembershipProposal, SnapshotContent};
+use crate::core::membership_state::{SnapshotContent, VotingState};
 use crate::core::named_registers::{NamedRegisters, RegistersReport};
 use crate::core::outbox::Outbox;
 use crate::core::peers::{Peers, mark_if_due};
@@ -34,9 +34,8 @@
 use crate::core::register_proposals::RegisterPaxos;
 use crate::core::session_table::Sessions;
 use crate::messages::{
-    AcceptedMembership, Ballot, CoreEvent, CoreRequest, CoreResponse, Effect, LeaseCompletion, LeaseEntry,
-    LogRecord, Membership, MembershipBallotState, Message, MessageBody, NamedRegister, RegisterValue,
-    ReplicaId, SessionEntry,
+    Ballot, CoreEvent, CoreRequest, CoreResponse, Effect, LeaseCompletion, LeaseEntry, LogRecord, Membership,
+    MembershipBallotState, Message, MessageBody, NamedRegister, RegisterValue, ReplicaId, SessionEntry,
 };
 
 mod calls;
@@ -96,23 +95,7 @@
     heartbeat_requested: bool,
     leaving: bool,
 
-    membership: Membership,
-    voter: bool,
-    promised_ballot: Ballot,
-    accepted_membership: Option<AcceptedMembership>,
-    membership_proposal: Option<MembershipProposal>,
-    next_proposal_at: Nanos,
-    /// The last tick wanted a change of the membership too. The wait before the first proposal is drawn only once.
-    change_wanted: bool,
-    highest_round: u64,
-    catch_up: Option<CatchUp>,
-    /// The epoch in which this replica stopped voting: it voted until that epoch began, so it may serve its snapshot
-    /// to the new member of that epoch.
-    stopped_voting_in: Option<u64>,
-    /// This replica has served its snapshot in this epoch, so it can't promise a rollback any more.
-    served_snapshot: bool,
-    /// This replica has promised a rollback in this epoch, so it can't serve its snapshot any more.
-    barred_from_serving: bool,
+    voting: VotingState,
 
     /// The register that holds the operator's configuration.
     configuration: Register,
@@ -166,8 +149,8 @@
             }
         });
         let replica_id = ReplicaId { address, disk_id: ballots.replica.disk_id };
-        let voted = ballots.voter && replica_id == ballots.replica;
-        let member = ballots.membership.members.contains(&replica_id);
+        let is_new_replica = replica_id != ballots.replica;
+        let voting = VotingState::new(now, replica_id, ballots);
         let call_id_mask = rng.random();
         let sessions = Sessions::new(config.max_leases);
         let lease_table = LeaseTable::new(config.lease_ttl, config.max_response_bytes);
@@ -181,18 +164,7 @@
             next_heartbeat: now,
             heartbeat_requested: false,
             leaving: false,
-            voter: voted && member,
-            stopped_voting_in: (voted && !member).then_some(ballots.membership.epoch),
-            served_snapshot: ballots.served_snapshot,
-            barred_from_serving: ballots.barred_from_serving,
-            highest_round: ballots.promised.round,
-            membership: ballots.membership,
-            promised_ballot: ballots.promised,
-            accepted_membership: ballots.accepted,
-            membership_proposal: None,
-            next_proposal_at: now,
-            change_wanted: false,
-            catch_up: None,
+            voting,
             configuration: Register::with_value(saved.configuration),
             named_registers: NamedRegisters::with_values(saved.registers),
             register_paxos: RegisterPaxos::default(),
@@ -211,10 +183,10 @@
         }
         core.load_acceptors(saved.acceptors);
         core.lease_table.evict_responses(now, out);
-        if fresh || replica_id != ballots.replica {
+        if fresh || is_new_replica {
             core.persist_ballot_state(out);
         }
-        let (voter, membership) = (core.voter, core.membership.clone());
+        let (voter, membership) = (core.voting.voter, core.voting.membership.clone());
         out.push(Effect::Log(CoreEvent::Started { replica: replica_id, voter, membership }));
         core.enter_epoch(now, out);
         core
@@ -226,12 +198,12 @@
         self.now = self.now.max(now);
         let Message { from, epoch, body } = message;
         if from.address == self.replica_id.address && from != self.replica_id {
-            return; // An earlier life of this very steward.
+            return; // An earlier incarnation with another disk.
         }
         if from != self.replica_id {
             self.record_contact(now, from, epoch, &body, out);
         }
-        let same_epoch = epoch == self.membership.epoch;
+        let same_epoch = epoch == self.voting.membership.epoch;
         let from_member = same_epoch && self.is_member(&from);
         let sender = Sender { replica: from, same_epoch, is_member: from_member };
         match body {
@@ -388,7 +360,7 @@
         if now >= self.next_heartbeat {
             self.heartbeat_requested = true;
             self.next_heartbeat = now.saturating_add(HEARTBEAT_INTERVAL);
-            self.peers.forget_silent(&self.membership.members, now);
+            self.peers.forget_silent(&self.voting.membership.members, now);
         }
         self.flush(out);
         let next = self.pending_calls.next_timer();
@@ -439,13 +411,17 @@
         if !self.leaving || self.breaks(Mutation::StopAtOnce) {
             return self.leaving;
         }
-        let others_vote =
-            self.membership.members.iter().all(|member| *member == self.replica_id || self.is_voter(member));
+        let others_vote = self
+            .voting
+            .membership
+            .members
+            .iter()
+            .all(|member| *member == self.replica_id || self.is_voter(member));
         if self.is_member(&self.replica_id) {
             let can_be_replaced = self.peers.iter().any(|(replica, peer)| self.may_join(replica, peer));
-            return self.membership.members.len() <= 1 || !can_be_replaced && others_vote;
+            return self.voting.membership.members.len() <= 1 || !can_be_replaced && others_vote;
         }
-        self.stopped_voting_in.is_none() || others_vote
+        self.voting.stopped_voting_in.is_none() || others_vote
     }
 
     /// The newest configuration that is known to be on a majority's disks. It never goes back while this replica
@@ -467,19 +443,19 @@
 
     /// The membership of this replica's epoch.
     pub fn membership(&self) -> &Membership {
-        &self.membership
+        &self.voting.membership
     }
 
     /// Whether this replica has caught up and votes in its epoch.
     pub fn is_voting(&self) -> bool {
-        self.voter
+        self.voting.voter
     }
 
     /// Whether a majority of the members, this replica included, was heard within `REACHABLE_WINDOW`.
     pub fn has_quorum(&self, now: Nanos) -> bool {
         let is_reachable = |replica: &&ReplicaId| self.can_reach(replica, now);
-        self.membership.epoch > 0
-            && self.membership.members.iter().filter(is_reachable).count() >= self.majority()
+        self.voting.membership.epoch > 0
+            && self.voting.membership.members.iter().filter(is_reachable).count() >= self.majority()
     }
 
     /// The addresses of this replica, of all members and of all reachable replicas, sorted.
@@ -489,7 +465,7 @@
             .iter()
             .filter(|(_, peer)| peer.is_reachable(self.now))
             .map(|(replica, _)| replica.address);
-        let members = self.membership.members.iter().map(|replica| replica.address);
+        let members = self.voting.membership.members.iter().map(|replica| replica.address);
         let all: BTreeSet<SocketAddr> = reachable.chain(members).chain([self.replica_id.address]).collect();
         all.into_iter().collect()
     }
@@ -499,8 +475,8 @@
         let own_status = PeerStatus {
             replica: self.replica_id,
             member: self.is_member(&self.replica_id),
-            voter: self.voter,
-            epoch: self.membership.epoch,
+            voter: self.voting.voter,
+            epoch: self.voting.membership.epoch,
             heard_ago: Some(0),
             leaving: self.leaving,
             zone: self.config.zone.clone(),
@@ -529,7 +505,8 @@
             self.configuration.stored.iter().map(|value| LogRecord::Configuration(value.clone()));
         let registers = self.named_registers.iter_from("").map(LogRecord::Register);
         let acceptors = LogRecord::RegisterAcceptors(self.acceptor_states());
-        let all = [LogRecord::MembershipBallot(self.ballot_state()), acceptors].into_iter();
+        let all =
+            [LogRecord::MembershipBallot(self.voting.ballot_state(self.replica_id)), acceptors].into_iter();
         let all = all.chain(configuration).chain(registers).chain(leases);
         all.chain(sessions).collect()
     }
@@ -547,7 +524,7 @@
     }
 
     fn is_member(&self, replica: &ReplicaId) -> bool {
-        self.membership.members.binary_search(replica).is_ok()
+        self.voting.is_member(replica)
     }
 
     /// Whether a member is this replica itself or was heard within `REACHABLE_WINDOW`.
@@ -557,17 +534,17 @@
 
     /// The number of members in a majority.
     fn majority(&self) -> usize {
-        let half = self.membership.members.len() / 2;
+        let half = self.voting.membership.members.len() / 2;
         if self.breaks(Mutation::TakeHalfForMajority) { half.max(1) } else { half + 1 }
     }
 
     fn others(&self) -> impl Iterator<Item = ReplicaId> + use<> {
         let own_id = self.replica_id;
-        self.membership.members.clone().into_iter().filter(move |replica| *replica != own_id)
+        self.voting.membership.members.clone().into_iter().filter(move |replica| *replica != own_id)
     }
 
     fn message(&self, body: MessageBody) -> Message {
-        Message { from: self.replica_id, epoch: self.membership.epoch, body }
+        Message { from: self.replica_id, epoch: self.voting.membership.epoch, body }
     }
 
     /// Sends the message once all records written so far are safe on disk.
@@ -587,7 +564,7 @@
 
     fn heartbeat(&self) -> Message {
         self.message(MessageBody::Heartbeat {
-            voter: self.voter,
+            voter: self.voting.voter,
             configuration: self.configuration.stored_revision(),
             committed_configuration: self.configuration.committed_revision,
             leaving: self.leaving,
@@ -603,10 +580,10 @@
     /// The addresses of members, seeds and known peers. Its own address is included only for a voter, which counts
     /// its own acknowledgements.
     fn known_addresses(&self) -> BTreeSet<SocketAddr> {
-        let members = self.membership.members.iter().map(|replica| replica.address);
+        let members = self.voting.membership.members.iter().map(|replica| replica.address);
         let peers = self.peers.iter().map(|(replica, _)| replica.address);
         let mut all: BTreeSet<SocketAddr> = members.chain(peers).chain(self.seeds.iter().copied()).collect();
-        if !self.voter {
+        if !self.voting.voter {
             all.remove(&self.replica_id.address);
         }
         all
@@ -621,7 +598,7 @@
         body: &MessageBody,
         out: &mut Vec<Effect>,
     ) {
-        let own_epoch = self.membership.epoch;
+        let own_epoch = self.voting.membership.epoch;
         let Some(peer) = self.peers.sender(from, now) else { return };
         let silent_since = peer.record_message(now);
         if let MessageBody::Heartbeat { voter, leaving, zone, .. } = body {
@@ -634,7 +611,11 @@
                 && mark_if_due(&mut peer.heartbeat_sent_at, now, MIN_SEND_INTERVAL),
         );
         if announce {
-            self.send_now(from.address, MessageBody::MembershipAnnouncement(self.membership.clone()), out);
+            self.send_now(
+                from.address,
+                MessageBody::MembershipAnnouncement(self.voting.membership.clone()),
+                out,
+            );
         }
         if send_heartbeat {
             out.push(Effect::SendAfterPersist(from.address, self.heartbeat()));
--- a/consensus/src/core/leases.rs
+++ b/consensus/src/core/leases.rs
@@ -116,7 +116,7 @@
             // placed nearest to the key. A member that is asked for the lease later finds the response while it
             // collects votes.
             others.sort_by_key(|replica| crate::placement::place(replica.address, completion.key));
-            others.truncate(self.membership.members.len() / 2);
+            others.truncate(self.voting.membership.members.len() / 2);
         }
         for replica in others {
             self.outbox.queue(replica.address).completions.push(completion.clone());
@@ -155,6 +155,7 @@
         let Some(Call::Lease(pending)) = self.pending_calls.get(call) else { return };
         let (key, token, time_left_ms) = (pending.key, pending.token, pending.time_left_ms);
         let mut voters: Vec<ReplicaId> = self
+            .voting
             .membership
             .members
             .iter()
@@ -167,7 +168,7 @@
             voters.sort_by_key(|replica| {
                 let is_self = *replica == self.replica_id;
                 (
-                    !is_self || !self.voter,
+                    !is_self || !self.voting.voter,
                     !is_self && unreachable(replica),
                     crate::placement::place(replica.address, key),
                 )
@@ -187,7 +188,7 @@
     /// Votes on whether `token` holds the lease. A replica that may not vote stays silent.
     fn vote_on_lease(&mut self, request: LeaseRequest, to: ReplicaId, out: &mut Vec<Effect>) {
         let LeaseRequest { call, key, token, time_left_ms } = request;
-        if !self.voter || token == NOBODY {
+        if !self.voting.voter || token == NOBODY {
             return;
         }
         let vote = match self.lease_table.get(key) {
@@ -264,7 +265,7 @@
     fn resolve_lease_call(&mut self, now: Nanos, call: u64, out: &mut Vec<Effect>) {
         let Some(Call::Lease(pending)) = self.pending_calls.get(call) else { return };
         let (key, token) = (pending.key, pending.token);
-        let voters = self.membership.members.len();
+        let voters = self.voting.membership.members.len();
         if let Some(stored) = self.lease_table.get(key).filter(|lease| lease.outcome != LeaseOutcome::Pending)
         {
             let outcome = stored.outcome.clone();
--- a/consensus/src/core/membership.rs
+++ b/consensus/src/core/membership.rs
@@ -17,8 +17,8 @@
 use crate::core::outbox::payload_bytes;
 use crate::core::peers::Peer;
 use crate::messages::{
-    AcceptedMembership, Ballot, CoreEvent, Effect, LeaseEntry, LeaseKey, LogRecord, Membership,
-    MembershipBallotState, MessageBody, NamedRegister, RegisterName, ReplicaId, SessionEntry,
+    AcceptedMembership, Ballot, CoreEvent, Effect, LeaseEntry, LeaseKey, LogRecord, Membership, MessageBody,
+    NamedRegister, RegisterName, ReplicaId, SessionEntry,
 };
 
 /// A proposal for the next membership is abandoned after this time.
@@ -31,53 +31,42 @@
 const ASK_ALL_DELAY: Nanos = 600 * MS;
 
 impl Core {
-    /// This replica's persistent state as an acceptor.
-    pub(super) fn ballot_state(&self) -> MembershipBallotState {
-        MembershipBallotState {
-            replica: self.replica_id,
-            membership: self.membership.clone(),
-            voter: self.voter || self.stopped_voting_in.is_some(),
-            promised: self.promised_ballot,
-            accepted: self.accepted_membership.clone(),
-            served_snapshot: self.served_snapshot,
-            barred_from_serving: self.barred_from_serving,
-        }
-    }
-
     pub(super) fn persist_ballot_state(&self, out: &mut Vec<Effect>) {
-        out.push(Effect::Persist(LogRecord::MembershipBallot(self.ballot_state())));
+        out.push(Effect::Persist(LogRecord::MembershipBallot(self.voting.ballot_state(self.replica_id))));
     }
 
     /// Adopts a decided membership if its epoch is later than the current one.
     pub(super) fn adopt_membership(&mut self, now: Nanos, membership: Membership, out: &mut Vec<Effect>) {
-        if membership.epoch <= self.membership.epoch {
+        if membership.epoch <= self.voting.membership.epoch {
             return;
         }
         // Messages that were collected so far belong to the old epoch and have to carry its number.
         self.flush(out);
-        let follows = membership.epoch - 1 == self.membership.epoch;
-        self.membership = membership;
-        self.membership.members.sort();
-        self.membership.members.dedup();
+        let follows = membership.epoch - 1 == self.voting.membership.epoch;
+        self.voting.membership = membership;
+        self.voting.membership.members.sort();
+        self.voting.membership.members.dedup();
         let member = self.is_member(&self.replica_id);
-        let returns = self.membership.rolled_back && follows && self.stopped_voting_in.is_some();
-        self.stopped_voting_in = (self.voter && follows && !member).then_some(self.membership.epoch);
-        self.voter =
-            member && ((self.voter && follows) || returns || self.breaks(Mutation::VoteBeforeCaughtUp));
-        (self.served_snapshot, self.barred_from_serving) = (false, false);
-        self.promised_ballot = Ballot::default();
-        self.accepted_membership = None;
-        self.membership_proposal = None;
-        self.change_wanted = false;
+        let returns =
+            self.voting.membership.rolled_back && follows && self.voting.stopped_voting_in.is_some();
+        self.voting.stopped_voting_in =
+            (self.voting.voter && follows && !member).then_some(self.voting.membership.epoch);
+        self.voting.voter = member
+            && ((self.voting.voter && follows) || returns || self.breaks(Mutation::VoteBeforeCaughtUp));
+        (self.voting.served_snapshot, self.voting.barred_from_serving) = (false, false);
+        self.voting.promised_ballot = Ballot::default();
+        self.voting.accepted_membership = None;
+        self.voting.membership_proposal = None;
+        self.voting.change_wanted = false;
         self.clear_acknowledgements();
-        if member && !self.voter {
+        if member && !self.voting.voter {
             // Leases from an earlier membership may be outdated; the snapshots bring all that hold.
             self.lease_table.remove_pending(out);
         }
         self.persist_ballot_state(out);
         out.push(Effect::Log(CoreEvent::MembershipChanged {
-            voter: self.voter,
-            membership: self.membership.clone(),
+            voter: self.voting.voter,
+            membership: self.voting.membership.clone(),
         }));
         self.enter_epoch(now, out);
         self.heartbeat_requested = true;
@@ -91,12 +80,12 @@
         for replica in self.others() {
             self.peers.add_member(replica, now);
         }
-        self.catch_up = None;
-        if self.voter {
+        self.voting.catch_up = None;
+        if self.voting.voter {
             self.acknowledge_to_self(out);
         } else if self.is_member(&self.replica_id) {
             let sources = self.others().map(|replica| (replica, CatchUpProgress::Leases(0))).collect();
-            self.catch_up = Some(CatchUp {
+            self.voting.catch_up = Some(CatchUp {
                 id: self.rng.random(),
                 sources,
                 next_request: now,
@@ -107,7 +96,7 @@
 
     /// Asks all sources for the next chunk of their snapshot.
     pub(super) fn request_snapshots(&mut self, now: Nanos, out: &mut Vec<Effect>) {
-        let Some(catch_up) = &mut self.catch_up else { return };
+        let Some(catch_up) = &mut self.voting.catch_up else { return };
         if now < catch_up.next_request {
             return;
         }
@@ -143,8 +132,8 @@
         from_register: Option<RegisterName>,
         out: &mut Vec<Effect>,
     ) {
-        if !self.voter
-            && self.stopped_voting_in != Some(self.membership.epoch)
+        if !self.voting.voter
+            && self.voting.stopped_voting_in != Some(self.voting.membership.epoch)
             && !self.breaks(Mutation::ServeSnapshotInAnyEpoch)
         {
             return;
@@ -195,9 +184,9 @@
         out: &mut Vec<Effect>,
     ) {
         let catch_up_id = content.catch_up_id;
-        let needed_sources =
-            self.membership.members.len() + 1 - self.majority().min(self.membership.members.len());
-        let Some(catch_up) = &mut self.catch_up else { return };
+        let needed_sources = self.voting.membership.members.len() + 1
+            - self.majority().min(self.voting.membership.members.len());
+        let Some(catch_up) = &mut self.voting.catch_up else { return };
         if catch_up.id != catch_up_id {
             return;
         }
@@ -236,10 +225,10 @@
             self.store_value(&name, value, out);
         }
         if complete {
-            self.catch_up = None;
-            self.voter = true;
+            self.voting.catch_up = None;
+            self.voting.voter = true;
             self.persist_ballot_state(out);
-            out.push(Effect::Log(CoreEvent::CaughtUp { epoch: self.membership.epoch }));
+            out.push(Effect::Log(CoreEvent::CaughtUp { epoch: self.voting.membership.epoch }));
             self.acknowledge_to_self(out);
             self.heartbeat_requested = true;
             self.restart_lease_calls(out);
@@ -276,8 +265,8 @@
     /// Whether a member said that it votes in this epoch.
     pub(super) fn is_voter(&self, member: &ReplicaId) -> bool {
         match self.peers.get(member) {
-            _ if *member == self.replica_id => self.voter,
-            Some(peer) => peer.epoch == self.membership.epoch && peer.voter,
+            _ if *member == self.replica_id => self.voting.voter,
+            Some(peer) => peer.epoch == self.voting.membership.epoch && peer.voter,
             None => false,
         }
     }
@@ -286,7 +275,7 @@
     /// that only one at a time has to catch up. To replace a lost member it suffices that a majority of voters
     /// remains reachable.
     fn wanted_change(&self, now: Nanos) -> Option<Membership> {
-        let members = &self.membership.members;
+        let members = &self.voting.membership.members;
         let candidates: Vec<ReplicaId> = self
             .peers
             .iter()
@@ -320,7 +309,8 @@
 
     /// Whether the replica can take the other's place: no address may stand in a membership twice.
     pub(super) fn fits(&self, joining: &ReplicaId, leaving: Option<&ReplicaId>) -> bool {
-        self.membership
+        self.voting
+            .membership
             .members
             .iter()
             .all(|member| member.address != joining.address || Some(member) == leaving)
@@ -328,55 +318,60 @@
 
     /// The next membership, in which one member is replaced or added.
     fn membership_with(&self, leaving: Option<&ReplicaId>, joining: ReplicaId) -> Membership {
-        let members = &self.membership.members;
+        let members = &self.voting.membership.members;
         let mut next: Vec<ReplicaId> =
             members.iter().filter(|member| Some(*member) != leaving).copied().collect();
         next.push(joining);
         next.sort();
-        let epoch = self.membership.epoch.saturating_add(1);
+        let epoch = self.voting.membership.epoch.saturating_add(1);
         Membership { epoch, members: next, previous_members: members.clone(), rolled_back: false }
     }
 
     /// Starts a proposal if a change is wanted and due.
     pub(super) fn propose_membership(&mut self, now: Nanos, out: &mut Vec<Effect>) {
-        if self.membership_proposal.as_ref().is_some_and(|proposal| now >= proposal.deadline) {
-            self.membership_proposal = None;
+        if self.voting.membership_proposal.as_ref().is_some_and(|proposal| now >= proposal.deadline) {
+            self.voting.membership_proposal = None;
             self.back_off(now);
         }
-        if !self.voter || self.membership_proposal.is_some() {
+        if !self.voting.voter || self.voting.membership_proposal.is_some() {
             return;
         }
         let rollback = self.wanted_rollback(now);
         let Some(wanted) = rollback.clone().or_else(|| self.wanted_change(now)) else {
-            self.change_wanted = false;
+            self.voting.change_wanted = false;
             return;
         };
-        if !self.change_wanted {
-            self.change_wanted = true;
-            // The first of the view tries first.
-            let position =
-                self.membership.members.iter().position(|member| *member == self.replica_id).unwrap_or(0);
+        if !self.voting.change_wanted {
+            self.voting.change_wanted = true;
+            let position = self
+                .voting
+                .membership
+                .members
+                .iter()
+                .position(|member| *member == self.replica_id)
+                .unwrap_or(0);
             // Members wait for a time that grows with their position, so that they rarely compete.
             let wait = (position as u64 * 80 + self.rng.random_range(0..40)) * MS;
-            self.next_proposal_at = self.next_proposal_at.max(now.saturating_add(wait));
+            self.voting.next_proposal_at = self.voting.next_proposal_at.max(now.saturating_add(wait));
         }
-        if now < self.next_proposal_at {
+        if now < self.voting.next_proposal_at {
             return;
         }
-        self.highest_round = self.highest_round.max(self.promised_ballot.round).saturating_add(1);
+        self.voting.highest_round =
+            self.voting.highest_round.max(self.voting.promised_ballot.round).saturating_add(1);
         let proposer = {
             let mut identity = self.replica_id.address.to_string().into_bytes();
             identity.extend_from_slice(&self.replica_id.disk_id.to_be_bytes());
             xxhash_rust::xxh3::xxh3_64(&identity)
         };
-        let ballot = Ballot { round: self.highest_round, proposer };
-        if ballot <= self.promised_ballot {
+        let ballot = Ballot { round: self.voting.highest_round, proposer };
+        if ballot <= self.voting.promised_ballot {
             return;
         }
         // The ballot is on disk before anybody hears of it, so that no later incarnation uses it again.
-        self.promised_ballot = ballot;
+        self.voting.promised_ballot = ballot;
         self.persist_ballot_state(out);
-        self.membership_proposal = Some(MembershipProposal {
+        self.voting.membership_proposal = Some(MembershipProposal {
             ballot,
             wanted,
             rollback: rollback.is_some(),
@@ -386,8 +381,8 @@
             deadline: now.saturating_add(PROPOSAL_TIMEOUT),
         });
         let (acceptors, body) = match rollback {
-            Some(_) => (&self.membership.previous_members, MessageBody::PrepareRollback(ballot)),
-            None => (&self.membership.members, MessageBody::Prepare(ballot)),
+            Some(_) => (&self.voting.membership.previous_members, MessageBody::PrepareRollback(ballot)),
+            None => (&self.voting.membership.members, MessageBody::Prepare(ballot)),
         };
         for replica in acceptors.clone() {
             self.send_after_persist(replica.address, body.clone(), out);
@@ -397,25 +392,25 @@
     /// Delays the next proposal by a random time, so that competing proposers get out of step.
     fn back_off(&mut self, now: Nanos) {
         let wait = self.rng.random_range(50..500) * MS;
-        self.next_proposal_at = self.next_proposal_at.max(now.saturating_add(wait));
+        self.voting.next_proposal_at = self.voting.next_proposal_at.max(now.saturating_add(wait));
     }
 
     /// Promises to accept no lower ballot (Paxos Made Simple, phase 1).
     pub(super) fn handle_prepare(&mut self, from: ReplicaId, ballot: Ballot, out: &mut Vec<Effect>) {
-        if !self.voter {
+        if !self.voting.voter {
             return;
         }
-        if ballot < self.promised_ballot {
-            self.send_now(from.address, MessageBody::Preempted(self.promised_ballot), out);
+        if ballot < self.voting.promised_ballot {
+            self.send_now(from.address, MessageBody::Preempted(self.voting.promised_ballot), out);
             return;
         }
-        if ballot > self.promised_ballot {
-            self.promised_ballot = ballot;
+        if ballot > self.voting.promised_ballot {
+            self.voting.promised_ballot = ballot;
             self.persist_ballot_state(out);
         }
         self.send_after_persist(
             from.address,
-            MessageBody::Promise { ballot, accepted: self.accepted_membership.clone() },
+            MessageBody::Promise { ballot, accepted: self.voting.accepted_membership.clone() },
             out,
         );
     }
@@ -429,14 +424,14 @@
         for_rollback: bool,
         out: &mut Vec<Effect>,
     ) {
-        let Some(mut proposal) = self.membership_proposal.take() else { return };
+        let Some(mut proposal) = self.voting.membership_proposal.take() else { return };
         if proposal.ballot == ballot && proposal.chosen.is_none() && proposal.rollback == for_rollback {
             proposal.promises.insert(from, accepted);
             if self.is_quorum_for(&proposal, proposal.promises.keys()) {
                 self.choose_membership(&mut proposal, out);
             }
         }
-        self.membership_proposal = Some(proposal);
+        self.voting.membership_proposal = Some(proposal);
     }
 
     /// Whether the replicas are a quorum for the proposal: a majority of the members, or for a rollback of the
@@ -447,7 +442,7 @@
         replicas: impl Iterator<Item = &'a ReplicaId>,
     ) -> bool {
         if proposal.rollback {
-            self.is_majority_of_previous(replicas)
+            self.voting.is_majority_of_previous(replicas)
         } else {
             replicas.count() >= self.majority()
         }
@@ -462,9 +457,11 @@
             _ => proposal.wanted.clone(),
         };
         proposal.chosen = Some(chosen.clone());
-        for replica in
-            if proposal.rollback { &self.membership.previous_members } else { &self.membership.members }
-        {
+        for replica in if proposal.rollback {
+            &self.voting.membership.previous_members
+        } else {
+            &self.voting.membership.members
+        } {
             self.send_after_persist(
                 replica.address,
                 MessageBody::Accept(proposal.ballot, chosen.clone()),
@@ -482,19 +479,19 @@
         out: &mut Vec<Effect>,
     ) {
         // A replica that left the membership takes part if it has promised the rollback.
-        let takes_part = self.voter || self.barred_from_serving;
-        if !takes_part || membership.epoch.checked_sub(1) != Some(self.membership.epoch) {
+        let takes_part = self.voting.voter || self.voting.barred_from_serving;
+        if !takes_part || membership.epoch.checked_sub(1) != Some(self.voting.membership.epoch) {
             return;
         }
-        if ballot < self.promised_ballot {
-            self.send_now(from.address, MessageBody::Preempted(self.promised_ballot), out);
+        if ballot < self.voting.promised_ballot {
+            self.send_now(from.address, MessageBody::Preempted(self.voting.promised_ballot), out);
             return;
         }
-        if self.accepted_membership.as_ref().is_none_or(|earlier| earlier.ballot != ballot)
-            || self.promised_ballot != ballot
+        if self.voting.accepted_membership.as_ref().is_none_or(|earlier| earlier.ballot != ballot)
+            || self.voting.promised_ballot != ballot
         {
-            self.promised_ballot = ballot;
-            self.accepted_membership = Some(AcceptedMembership { ballot, membership });
+            self.voting.promised_ballot = ballot;
+            self.voting.accepted_membership = Some(AcceptedMembership { ballot, membership });
             self.persist_ballot_state(out);
         }
         self.send_after_persist(from.address, MessageBody::Accepted(ballot), out);
@@ -508,7 +505,7 @@
         ballot: Ballot,
         out: &mut Vec<Effect>,
     ) {
-        let Some(mut proposal) = self.membership_proposal.take() else { return };
+        let Some(mut proposal) = self.voting.membership_proposal.take() else { return };
         let chosen = proposal.chosen.clone().filter(|_| proposal.ballot == ballot);
         // For a rollback only replicas count that have promised it.
         if chosen.is_some() && (self.is_member(&from) || proposal.rollback) {
@@ -516,22 +513,22 @@
         }
         let counts = |replica: &&ReplicaId| !proposal.rollback || proposal.promises.contains_key(replica);
         let decided = self.is_quorum_for(&proposal, proposal.acceptances.iter().filter(counts));
-        self.membership_proposal = Some(proposal);
+        self.voting.membership_proposal = Some(proposal);
         let Some(membership) = chosen.filter(|_| decided) else { return };
         let mut recipients = self.known_addresses();
         recipients.extend(membership.members.iter().map(|replica| replica.address));
         recipients.remove(&self.replica_id.address);
         self.adopt_membership(now, membership, out);
         for address in recipients {
-            self.send_now(address, MessageBody::MembershipAnnouncement(self.membership.clone()), out);
+            self.send_now(address, MessageBody::MembershipAnnouncement(self.voting.membership.clone()), out);
         }
     }
 
     /// Gives up the proposal because an acceptor has promised a higher ballot.
     pub(super) fn handle_preempted(&mut self, now: Nanos, ballot: Ballot) {
-        self.highest_round = self.highest_round.max(ballot.round);
-        if self.membership_proposal.as_ref().is_some_and(|proposal| proposal.ballot < ballot) {
-            self.membership_proposal = None;
+        self.voting.highest_round = self.voting.highest_round.max(ballot.round);
+        if self.voting.membership_proposal.as_ref().is_some_and(|proposal| proposal.ballot < ballot) {
+            self.voting.membership_proposal = None;
             self.back_off(now);
         }
     }
--- a/consensus/src/core/membership_state.rs
+++ b/consensus/src/core/membership_state.rs
@@ -1,16 +1,18 @@
-//! Proposals for the next membership, and the progress of a new member.
+//! Whether this replica votes and what it promised, proposals for the next membership, and the progress of a new member.
 //!
-//! Main types: `MembershipProposal`, `CatchUp`, `CatchUpProgress`, `SnapshotContent`.
+//! Main types: `VotingState`, `MembershipProposal`, `CatchUp`, `CatchUpProgress`, `SnapshotContent`.
 //!
-//! Invariants: a source's progress only moves forward.
+//! Invariants:
+//! - The epoch only goes up, and promises and accepted memberships belong to the current epoch.
+//! - A source's progress only moves forward.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
 use crate::core::limits::Nanos;
 use crate::messages::{
-    AcceptedMembership, AcceptorState, Ballot, LeaseEntry, LeaseKey, Membership, MessageBody, NamedRegister,
-    RegisterName, RegisterValue, ReplicaId, SessionEntry,
+    AcceptedMembership, AcceptorState, Ballot, LeaseEntry, LeaseKey, Membership, MembershipBallotState,
+    MessageBody, NamedRegister, RegisterName, RegisterValue, ReplicaId, SessionEntry,
 };
 
 /// A ballot of this replica on the next membership.
@@ -76,3 +78,74 @@
     /// The name from which on registers are still to be sent.
     pub next_register: Option<RegisterName>,
 }
+
+/// This replica's part in its epoch.
+#[derive(Clone, Debug)]
+pub(super) struct VotingState {
+    pub membership: Membership,
+    /// This replica is a member and has caught up.
+    pub voter: bool,
+    pub promised_ballot: Ballot,
+    pub accepted_membership: Option<AcceptedMembership>,
+    pub membership_proposal: Option<MembershipProposal>,
+    pub next_proposal_at: Nanos,
+    /// The last tick wanted a change of the membership too. The wait before the first proposal is drawn only once.
+    pub change_wanted: bool,
+    pub highest_round: u64,
+    /// Set while this replica is a member that has not caught up.
+    pub catch_up: Option<CatchUp>,
+    /// The epoch in which this replica stopped voting: it voted until that epoch began, so it may serve its snapshot to
+    /// the new member of that epoch.
+    pub stopped_voting_in: Option<u64>,
+    /// This replica has served its snapshot in this epoch, so it can't promise a rollback any more.
+    pub served_snapshot: bool,
+    /// This replica has promised a rollback in this epoch, so it can't serve its snapshot any more.
+    pub barred_from_serving: bool,
+}
+
+impl VotingState {
+    /// The state of `replica` that its disk held. If the disk is another replica's, it does not vote.
+    pub fn new(now: Nanos, replica: ReplicaId, ballots: MembershipBallotState) -> VotingState {
+        let voted = ballots.voter && replica == ballots.replica;
+        let member = ballots.membership.members.contains(&replica);
+        VotingState {
+            voter: voted && member,
+            stopped_voting_in: (voted && !member).then_some(ballots.membership.epoch),
+            served_snapshot: ballots.served_snapshot,
+            barred_from_serving: ballots.barred_from_serving,
+            highest_round: ballots.promised.round,
+            membership: ballots.membership,
+            promised_ballot: ballots.promised,
+            accepted_membership: ballots.accepted,
+            membership_proposal: None,
+            next_proposal_at: now,
+            change_wanted: false,
+            catch_up: None,
+        }
+    }
+
+    /// What the disk of `replica` has to hold of this.
+    pub fn ballot_state(&self, replica: ReplicaId) -> MembershipBallotState {
+        MembershipBallotState {
+            replica,
+            membership: self.membership.clone(),
+            voter: self.voter || self.stopped_voting_in.is_some(),
+            promised: self.promised_ballot,
+            accepted: self.accepted_membership.clone(),
+            served_snapshot: self.served_snapshot,
+            barred_from_serving: self.barred_from_serving,
+        }
+    }
+
+    /// Whether a replica is a member of the current epoch.
+    pub fn is_member(&self, replica: &ReplicaId) -> bool {
+        self.membership.members.binary_search(replica).is_ok()
+    }
+
+    /// Whether the replicas include a majority of the previous members.
+    pub fn is_majority_of_previous<'a>(&self, replicas: impl Iterator<Item = &'a ReplicaId>) -> bool {
+        let previous = &self.membership.previous_members;
+        !previous.is_empty()
+            && replicas.filter(|replica| previous.contains(replica)).count() > previous.len() / 2
+    }
+}
--- a/consensus/src/core/register_paxos.rs
+++ b/consensus/src/core/register_paxos.rs
@@ -156,7 +156,7 @@
 
     /// The epoch that numbers of proposals begin with.
     fn proposal_epoch(&self) -> u64 {
-        if self.breaks(Mutation::NumberWithoutEpoch) { 0 } else { self.membership.epoch }
+        if self.breaks(Mutation::NumberWithoutEpoch) { 0 } else { self.voting.membership.epoch }
     }
 
     /// When the next proposal is due.
@@ -224,7 +224,7 @@
         };
         // A proposal promises nothing about this replica's disk, and its number is drawn anew in each incarnation, so
         // other replicas need not wait for the writes here. Messages to itself are answered by its own acceptor.
-        for replica in self.membership.members.iter().filter(|replica| !has_answered(replica)) {
+        for replica in self.voting.membership.members.iter().filter(|replica| !has_answered(replica)) {
             if *replica == self.replica_id {
                 self.send_register_paxos(*replica, message.clone(), out);
             } else {
@@ -289,7 +289,7 @@
         value: Option<Arc<RegisterValue>>,
         out: &mut Vec<Effect>,
     ) {
-        if !self.voter || name.len() > MAX_NAME_BYTES || number.epoch != self.proposal_epoch() {
+        if !self.voting.voter || name.len() > MAX_NAME_BYTES || number.epoch != self.proposal_epoch() {
             return;
         }
         if !self.is_newer(&name, version) && !self.breaks(Mutation::AcceptStoredVersion) {
--- a/consensus/src/core/register_replication.rs
+++ b/consensus/src/core/register_replication.rs
@@ -75,7 +75,7 @@
         let (revisions, next) = self.named_registers.revisions_from(first);
         self.send_after_persist(
             from.address,
-            MessageBody::RegistersStored { read_id: 0, voter: self.voter, revisions, next },
+            MessageBody::RegistersStored { read_id: 0, voter: self.voting.voter, revisions, next },
             out,
         );
     }
@@ -94,7 +94,7 @@
                 self.store_value(&name, value, out);
             }
         }
-        if same_epoch && self.voter && from != self.replica_id {
+        if same_epoch && self.voting.voter && from != self.replica_id {
             self.acknowledge_stored(from, 0, &names, out);
         }
         self.fetch_remaining(from, &names, out);
@@ -151,7 +151,7 @@
         if !newer.is_empty() {
             self.send_now(from.address, MessageBody::StoreRegisters(newer), out);
         }
-        if same_epoch && self.voter {
+        if same_epoch && self.voting.voter {
             let names: Vec<RegisterName> = known.into_iter().map(|known| known.name).collect();
             self.acknowledge_stored(from, read_id, &names, out);
         }
--- a/consensus/src/core/registers.rs
+++ b/consensus/src/core/registers.rs
@@ -144,9 +144,9 @@
             // The replica that sent the value may have no vote, and other replicas go by what voters acknowledge; a
             // heartbeat at once spares them the wait. For the configuration, the replica that learns that it is
             // committed sends one.
-            self.heartbeat_requested |= self.voter;
+            self.heartbeat_requested |= self.voting.voter;
         }
-        if self.voter {
+        if self.voting.voter {
             self.send_after_persist(self.replica_id.address, stored_message(name, 0, revision), out);
         }
         self.retire_versions(name, revision.version);
@@ -178,11 +178,12 @@
     fn request_revisions(&self, call: u64, out: &mut Vec<Effect>) {
         let Some(Call::Read(read)) = self.pending_calls.get(call) else { return };
         let (read_id, known) = (self.pending_calls.wire_id(call), self.stored_revision(&read.name));
-        for replica in self.membership.members.iter().filter(|replica| !read.revisions.contains_key(replica))
+        for replica in
+            self.voting.membership.members.iter().filter(|replica| !read.revisions.contains_key(replica))
         {
             if *replica != self.replica_id {
                 self.send_now(replica.address, fetch_message(&read.name, read_id, known), out);
-            } else if self.voter {
+            } else if self.voting.voter {
                 self.send_after_persist(
                     self.replica_id.address,
                     stored_message(&read.name, read_id, known),
@@ -200,7 +201,7 @@
         out: &mut Vec<Effect>,
     ) {
         self.store_value(CONFIGURATION, value, out);
-        if same_epoch && self.voter && from != self.replica_id {
+        if same_epoch && self.voting.voter && from != self.replica_id {
             self.send_after_persist(
                 from.address,
                 stored_message(CONFIGURATION, 0, self.configuration.stored_revision()),
@@ -221,7 +222,7 @@
         if let Some(value) = self.configuration.stored.as_ref().filter(|value| value.revision() > known) {
             self.send_now(from.address, MessageBody::StoreConfiguration(value.clone()), out);
         }
-        if same_epoch && self.voter {
+        if same_epoch && self.voting.voter {
             self.send_after_persist(
                 from.address,
                 stored_message(CONFIGURATION, read_id, self.configuration.stored_revision()),
--- a/consensus/src/core/rollback.rs
+++ b/consensus/src/core/rollback.rs
@@ -22,41 +22,37 @@
     /// Whether this replica may take part in a rollback: it voted in the previous epoch and has served its snapshot
     /// to nobody since.
     fn may_roll_back(&self) -> bool {
-        let voted = self.voter || self.stopped_voting_in == Some(self.membership.epoch);
+        let voted = self.voting.voter || self.voting.stopped_voting_in == Some(self.voting.membership.epoch);
         voted
-            && (!self.served_snapshot || self.breaks(Mutation::RollBackAfterServing))
-            && self.membership.previous_members.contains(&self.replica_id)
-    }
-
-    /// Whether the replicas include a majority of the previous members.
-    pub(super) fn is_majority_of_previous<'a>(&self, replicas: impl Iterator<Item = &'a ReplicaId>) -> bool {
-        let previous = &self.membership.previous_members;
-        !previous.is_empty()
-            && replicas.filter(|replica| previous.contains(replica)).count() > previous.len() / 2
+            && (!self.voting.served_snapshot || self.breaks(Mutation::RollBackAfterServing))
+            && self.voting.membership.previous_members.contains(&self.replica_id)
     }
 
     /// The membership to return to if nothing else is left: the new member never voted and is gone for good, and too
     /// few voters remain.
     pub(super) fn wanted_rollback(&self, now: Nanos) -> Option<Membership> {
-        if !self.voter || !self.may_roll_back() {
+        if !self.voting.voter || !self.may_roll_back() {
             return None;
         }
-        let members = &self.membership.members;
-        let mut joined = members.iter().filter(|member| !self.membership.previous_members.contains(member));
+        let members = &self.voting.membership.members;
+        let mut joined =
+            members.iter().filter(|member| !self.voting.membership.previous_members.contains(member));
         let gone = joined.all(|member| !self.is_voter(member) && self.peers.is_replaced(member, now));
         let is_reachable = |member: &&ReplicaId| self.can_reach(member, now);
         let reachable_voters =
             members.iter().filter(|member| self.is_voter(member)).filter(is_reachable).count();
         let needed = gone && reachable_voters < self.majority() || self.eager_rollback;
         if !needed
-            || !self.is_majority_of_previous(self.membership.previous_members.iter().filter(is_reachable))
+            || !self
+                .voting
+                .is_majority_of_previous(self.voting.membership.previous_members.iter().filter(is_reachable))
         {
             return None;
         }
-        let epoch = self.membership.epoch.saturating_add(1);
+        let epoch = self.voting.membership.epoch.saturating_add(1);
         Some(Membership {
             epoch,
-            members: self.membership.previous_members.clone(),
+            members: self.voting.membership.previous_members.clone(),
             previous_members: Vec::new(),
             rolled_back: true,
         })
@@ -67,29 +63,29 @@
         if !self.may_roll_back() {
             return;
         }
-        if ballot < self.promised_ballot {
-            self.send_now(from.address, MessageBody::Preempted(self.promised_ballot), out);
+        if ballot < self.voting.promised_ballot {
+            self.send_now(from.address, MessageBody::Preempted(self.voting.promised_ballot), out);
             return;
         }
-        if ballot > self.promised_ballot || !self.barred_from_serving {
-            self.promised_ballot = ballot;
-            self.barred_from_serving = true;
+        if ballot > self.voting.promised_ballot || !self.voting.barred_from_serving {
+            self.voting.promised_ballot = ballot;
+            self.voting.barred_from_serving = true;
             self.persist_ballot_state(out);
         }
         self.send_after_persist(
             from.address,
-            MessageBody::RollbackPromise { ballot, accepted: self.accepted_membership.clone() },
+            MessageBody::RollbackPromise { ballot, accepted: self.voting.accepted_membership.clone() },
             out,
         );
     }
 
     /// Whether this replica may serve its snapshot in this epoch. That it did is written to disk before it does.
     pub(super) fn may_serve_snapshot(&mut self, out: &mut Vec<Effect>) -> bool {
-        if self.barred_from_serving && !self.breaks(Mutation::ServeAfterRollbackPromise) {
+        if self.voting.barred_from_serving && !self.breaks(Mutation::ServeAfterRollbackPromise) {
             return false;
         }
-        if !self.served_snapshot {
-            self.served_snapshot = true;
+        if !self.voting.served_snapshot {
+            self.voting.served_snapshot = true;
             self.persist_ballot_state(out);
         }
         true
--- a/consensus/src/core/sessions.rs
+++ b/consensus/src/core/sessions.rs
@@ -171,7 +171,7 @@
         message: SessionMessage,
         out: &mut Vec<Effect>,
     ) {
-        if !self.voter {
+        if !self.voting.voter {
             return;
         }
         let (call, session, term, token, change) = match message {
@@ -268,7 +268,7 @@
         term: u64,
         out: &mut Vec<Effect>,
     ) {
-        let (majority, voters) = (self.majority(), self.membership.members.len());
+        let (majority, voters) = (self.majority(), self.voting.membership.members.len());
         let backoff = self.rng.random_range(2..40) * MS;
         let Some(Call::Session(pending)) = self.pending_calls.get_mut(call) else { return };
         // A refusal of an earlier round says nothing about this one.
--- a/consensus/src/core/zone_spread.rs
+++ b/consensus/src/core/zone_spread.rs
@@ -38,7 +38,7 @@
 
     /// The same after one member was replaced or added.
     fn members_lost_after_swap(&self, leaving: Option<&ReplicaId>, joining: &ReplicaId) -> usize {
-        let remaining = self.membership.members.iter().filter(|member| Some(*member) != leaving);
+        let remaining = self.voting.membership.members.iter().filter(|member| Some(*member) != leaving);
         self.members_lost_with_zones(remaining.chain([joining]))
     }
 
@@ -58,7 +58,7 @@
     /// A replacement that spreads the members better. It is wanted only while all members are healthy and the loss of
     /// zones would cost the quorum.
     pub(super) fn zone_rebalance(&self, now: Nanos) -> Option<(ReplicaId, ReplicaId)> {
-        let members = &self.membership.members;
+        let members = &self.voting.membership.members;
         let lost = self.members_lost_with_zones(members.iter());
         if self.config.tolerated_zone_losses == 0 || members.len() - lost >= self.majority() {
             return None;
