--- a/storage/tests/store/main.rs
+++ b/storage/tests/store/main.rs
@@ -9,6 +9,7 @@
 mod random;
 mod records;
 mod replica_state;
+mod session_crash_points;
 mod simulated_disk;
 #[path = "../temp_directory/mod.rs"]
 mod temp_directory;
