--- a/storage/src/data_directory.rs
+++ b/storage/src/data_directory.rs
@@ -3,7 +3,8 @@
 //! [`DataDirectory`] wraps a [`FileSystem`]: it gives errors the path at which they occurred, moves damaged files out of
 //! the way (quarantine), and collects what recovery found.
 //!
-//! Invariants: a damaged file is never removed before a few later ones are in quarantine.
+//! Invariants: a damaged file is renamed and never removed, until more than `MAX_QUARANTINED_FILES` of its directory are
+//! in quarantine.
 
 use std::io::{self, ErrorKind};
 
--- a/storage/src/record_log/segment_index.rs
+++ b/storage/src/record_log/segment_index.rs
@@ -172,7 +172,7 @@
         }
     }
 
-    /// Takes all records of a segment for lost. The segment itself is removed by the caller.
+    /// Drops the records of a segment, which can't be read any more. The caller removes the segment itself.
     pub(super) fn forget_records_of(&mut self, segment: u32) {
         self.locations.retain(|_, location| location.segment != segment);
         self.live_bytes = self.locations.values().map(|location| u64::from(location.bytes)).sum();
--- a/storage/src/store.rs
+++ b/storage/src/store.rs
@@ -9,8 +9,9 @@
 use std::collections::BTreeMap;
 use std::path::Path;
 
-use ochreshed_consensus::messages::{AcceptorState, LogRecord, MembershipBallotState};
-use ochreshed_consensus::messages::{PersistedState, RegisterValue};
+use ochreshed_consensus::messages::{
+    AcceptorState, LogRecord, MembershipBallotState, PersistedState, RegisterValue,
+};
 
 use crate::ballot_slots::BallotSlots;
 use crate::data_directory::DataDirectory;
