--- a/storage/tests/store/session_crash_points.rs
+++ b/storage/tests/store/session_crash_points.rs
@@ -80,7 +80,7 @@
 
 fn recovered_sessions(disk: &SimulatedDisk) -> Sessions {
     let (_, persisted) = disk.open().expect("a disk without trouble opens");
-    persisted.sessions.into_iter().collect()
+    persisted.sessions.into_iter().map(|entry| (entry.session, entry.record)).collect()
 }
 
 /// Each session is as it was acknowledged, or as one of the later records left it.
