--- a/balancer/src/mesh/operator_client/call.rs
+++ b/balancer/src/mesh/operator_client/call.rs
@@ -7,11 +7,9 @@
 use std::net::SocketAddr;
 
 use serde_json::Value;
-use thiserror::Error;
 
-use super::error::ClientError;
+use super::error::{CallFailure, ClientError};
 use super::formatting::{percent_encode, printable_line};
-use super::member_documents::MemberKey;
 use crate::asking::{self, AskError};
 
 /// The most responses that a list is put together of. A replica keeps no more rows.
@@ -32,6 +30,15 @@
     pub json: bool,
 }
 
+/// A header of a call.
+#[derive(Clone, Copy)]
+pub struct CallHeader<'c> {
+    /// Its name.
+    pub name: &'c str,
+    /// Its value, which is sent as it is.
+    pub value: &'c str,
+}
+
 /// A call and what goes with it.
 #[derive(Clone, Copy)]
 pub struct ReplicaCall<'c> {
@@ -39,8 +46,8 @@
     pub name: &'c str,
     /// The body, which may be empty.
     pub body: &'c [u8],
-    /// The key of the member for whom the call is made.
-    pub member_key: Option<&'c MemberKey>,
+    /// A header beside those that every call has.
+    pub header: Option<CallHeader<'c>>,
     /// Whether the call may be applied twice. If not, no other replica is asked once one may have applied it.
     pub idempotent: bool,
 }
@@ -53,20 +60,10 @@
     pub body: Vec<u8>,
 }
 
-/// A call that no replica answered with success.
-#[derive(Debug, Error)]
-#[error("{}", reasons.join("\n"))]
-pub struct CallFailure {
-    /// A line for each replica that was asked.
-    pub reasons: Vec<String>,
-    /// Whether one of them may have applied the call all the same.
-    pub possibly_applied: bool,
-}
-
 impl<'c> ReplicaCall<'c> {
-    /// A call that reads, without a body or key.
+    /// A call that reads, without a body or further header.
     pub fn read(name: &'c str) -> ReplicaCall<'c> {
-        ReplicaCall { name, body: &[], member_key: None, idempotent: true }
+        ReplicaCall { name, body: &[], header: None, idempotent: true }
     }
 }
 
@@ -163,7 +160,8 @@
 /// Makes one call of one replica: its status and body. All calls of a replica are POST.
 fn call_replica(replica: SocketAddr, call: ReplicaCall) -> Result<(u16, Vec<u8>), AskError> {
     let path = format!("/api/rpc?call={}", call.name);
-    asking::ask_with(replica, &path, Some(call.body), call.member_key.map(MemberKey::header))
+    let header = call.header.map(|header| (header.name, header.value));
+    asking::ask_with(replica, &path, Some(call.body), header)
 }
 
 /// What a replica says of a call that it did not carry out, fit for a terminal.
--- a/balancer/src/mesh/operator_client/documents.rs
+++ b/balancer/src/mesh/operator_client/documents.rs
@@ -82,7 +82,7 @@
     let sent = read_file(file)?;
     let document = parse_file::<D>(file, &sent)?;
     let version = document.document_version();
-    let call = ReplicaCall { name: D::REPLACE_CALL, body: &sent, member_key: None, idempotent: true };
+    let call = ReplicaCall { name: D::REPLACE_CALL, body: &sent, header: None, idempotent: true };
     let response = client.send_change(call)?;
     let replica = response.replica;
     let (held, in_force) = read_back::<D>(&response, client.json)
--- a/balancer/src/mesh/operator_client/error.rs
+++ b/balancer/src/mesh/operator_client/error.rs
@@ -7,7 +7,15 @@
 use ochreshed_catalog::configuration::Refusal;
 use thiserror::Error;
 
-use super::call::CallFailure;
+/// A call that no replica answered with success.
+#[derive(Debug, Error)]
+#[error("{}", reasons.join("\n"))]
+pub struct CallFailure {
+    /// A line for each replica that was asked.
+    pub reasons: Vec<String>,
+    /// Whether one of them may have applied the call all the same.
+    pub possibly_applied: bool,
+}
 
 /// Why a command failed. The texts go to the operator.
 #[derive(Debug, Error)]
--- a/balancer/src/mesh/operator_client/member_documents.rs
+++ b/balancer/src/mesh/operator_client/member_documents.rs
@@ -21,7 +21,7 @@
 use ochreshed_catalog::configuration::{Refusal, differences_by_location};
 use ochreshed_catalog::members::{self, MemberDocument, MemberRegister};
 
-use super::call::{OperatorClient, RenderPage, ReplicaCall, ReplicaResponse, parse_json};
+use super::call::{CallHeader, OperatorClient, RenderPage, ReplicaCall, ReplicaResponse, parse_json};
 use super::documents::{self, Document, ReplaceableDocument};
 use super::error::{ClientError, MemberKeyProblem};
 use super::formatting::percent_encode;
@@ -103,9 +103,9 @@
         Ok(MemberKey(key.to_owned()))
     }
 
-    /// The name and the value of the header that carries the key.
-    pub fn header(&self) -> (&str, &str) {
-        (KEY_HEADER, &self.0)
+    /// The header that carries the key.
+    fn header(&self) -> CallHeader<'_> {
+        CallHeader { name: KEY_HEADER, value: &self.0 }
     }
 }
 
@@ -185,8 +185,8 @@
 impl MemberClient<'_> {
     fn call(&self, call: MemberCall, body: &[u8]) -> Result<ReplicaResponse, ClientError> {
         let name = self.call_name(call);
-        let member_key = self.key.as_ref();
-        Ok(self.client.call(ReplicaCall { name: &name, body, member_key, idempotent: true })?)
+        let header = self.key.as_ref().map(MemberKey::header);
+        Ok(self.client.call(ReplicaCall { name: &name, body, header, idempotent: true })?)
     }
 
     fn call_name(&self, call: MemberCall) -> String {
@@ -200,9 +200,9 @@
     /// Sends a change, and gives the page that says what came of it.
     fn change(&self, call: MemberCall, body: &[u8]) -> Result<String, ClientError> {
         let name = self.call_name(call);
-        let member_key = self.key.as_ref();
+        let header = self.key.as_ref().map(MemberKey::header);
         let idempotent = call != MemberCall::Undo;
-        let call = ReplicaCall { name: &name, body, member_key, idempotent };
+        let call = ReplicaCall { name: &name, body, header, idempotent };
         let response = self.client.send_change(call)?.into_text()?;
         self.client.render(response, changed_page)
     }
