--- a/balancer/src/mesh/control/admin_api/member_calls.rs
+++ b/balancer/src/mesh/control/admin_api/member_calls.rs
@@ -23,11 +23,11 @@
 use super::request::MemberCall;
 use crate::mesh::control::member_changes::{self, CommittedMember, DocumentChange};
 use crate::mesh::control::member_directory::ChangeLimiter;
-use crate::mesh::control::member_documents::{DocumentName, MemberDocumentStore, MemberEdition};
 use crate::mesh::control::member_error::MemberError;
 use crate::mesh::control::replica_server::ReplicaServer;
 use crate::mesh::proxy::listener::ReceivedRequest;
 use crate::mesh::rpc::{InternalRequest, InternalResponse};
+use crate::mesh::shared::member_documents::{DocumentName, MemberDocumentStore, MemberEdition};
 
 const KEY_HEADER: &str = "ochreshed-member-key";
 /// How long other replicas are waited for when nodes are asked for.
--- a/balancer/src/mesh/control/admin_api/members.rs
+++ b/balancer/src/mesh/control/admin_api/members.rs
@@ -5,9 +5,9 @@
 use ochreshed_catalog::members::MemberRegister;
 
 use crate::mesh::control::member_changes::{commit_document, read_document};
-use crate::mesh::control::member_documents::DocumentName;
 use crate::mesh::control::member_error::MemberError;
 use crate::mesh::control::replica_server::ReplicaServer;
+use crate::mesh::shared::member_documents::DocumentName;
 
 /// Answers `members.read` with the register as it was sent.
 pub async fn read(server: &ReplicaServer) -> Result<String, MemberError> {
--- a/balancer/src/mesh/control/admin_api/mod.rs
+++ b/balancer/src/mesh/control/admin_api/mod.rs
@@ -15,11 +15,11 @@
 
 use super::budget_reports::CollectedReports;
 use super::member_error::MemberError;
-use super::metrics;
 use super::replica_server::{ADMIN_CALL_TIMEOUT, ReplicaServer};
 use crate::mesh::proxy::connection_pool::ResponseBody;
 use crate::mesh::proxy::inbound::call_and_subject;
 use crate::mesh::proxy::listener::ReceivedRequest;
+use crate::mesh::shared::metrics;
 
 mod body;
 mod budget;
--- a/balancer/src/mesh/control/admin_api/replica_metrics.rs
+++ b/balancer/src/mesh/control/admin_api/replica_metrics.rs
@@ -6,10 +6,10 @@
 use ochreshed_consensus::core::PeerStatus;
 
 use super::response::AdminResponse;
-use crate::mesh::control::metrics::MetricsPage;
 use crate::mesh::control::replica_server::ReplicaServer;
 use crate::mesh::control::replica_status::ReplicaStatus;
 use crate::mesh::proxy::connection_pool::ResponseBody;
+use crate::mesh::shared::metrics::MetricsPage;
 
 /// The role's prefix of metrics' names.
 const ROLE: &str = "steward";
--- a/balancer/src/mesh/control/canary_monitor.rs
+++ b/balancer/src/mesh/control/canary_monitor.rs
@@ -19,9 +19,9 @@
 use tokio::time::{Instant, sleep};
 
 use super::member_changes::{self, CommittedMember, DocumentChange};
-use super::member_documents::MemberDocumentStore;
 use super::member_error::MemberError;
 use super::replica_server::ReplicaServer;
+use crate::mesh::shared::member_documents::MemberDocumentStore;
 
 const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 /// After a change, how long further ones are waited for, so that they are applied together.
--- a/balancer/src/mesh/control/member_changes.rs
+++ b/balancer/src/mesh/control/member_changes.rs
@@ -18,9 +18,9 @@
 use ochreshed_consensus::messages::{CoreRequest, CoreResponse, NamedRegister, RegisterValue};
 use tokio::time::Instant;
 
-use super::member_documents::{DocumentName, MemberState};
 use super::member_error::MemberError;
 use super::replica_server::{ADMIN_CALL_TIMEOUT, ReplicaServer};
+use crate::mesh::shared::member_documents::{DocumentName, MemberState};
 
 /// The member register is read from the core for unknown keys no more than once in this interval.
 const REGISTER_REFRESH_INTERVAL: Duration = Duration::from_millis(250);
--- a/balancer/src/mesh/control/member_directory.rs
+++ b/balancer/src/mesh/control/member_directory.rs
@@ -15,8 +15,8 @@
 use ochreshed_consensus::messages::NamedRegister;
 use tokio::time::Instant;
 
-use super::member_documents::{MemberDocumentStore, MemberEdition};
 use crate::link::held;
+use crate::mesh::shared::member_documents::{MemberDocumentStore, MemberEdition};
 
 const CHANGE_WINDOW: Duration = Duration::from_secs(60);
 
--- a/balancer/src/mesh/control/mod.rs
+++ b/balancer/src/mesh/control/mod.rs
@@ -26,17 +26,14 @@
 //! after a start what this disk holds.
 
 mod admin_api;
-pub mod budget_reports;
+mod budget_reports;
 mod canary_monitor;
 mod committed_state;
 mod disk_writer;
 mod member_changes;
 mod member_directory;
-pub mod member_documents;
 mod member_error;
-pub mod metrics;
 mod peer_watch;
-pub mod recovery_time;
 mod replica;
 mod replica_server;
 mod replica_status;
--- a/balancer/src/mesh/control/replica.rs
+++ b/balancer/src/mesh/control/replica.rs
@@ -20,9 +20,9 @@
 
 use super::committed_state::{CommittedRegisters, PublishedState};
 use super::disk_writer::{DiskWriter, PersistedBatches, WriteBatch};
-use super::member_documents::digest_of_revisions;
 use super::replica_server::{ReplicaEvent, ReplicaServer};
 use super::replica_status::ReplicaStatus;
+use crate::mesh::shared::member_documents::digest_of_revisions;
 
 /// How many events are taken between two flushes of the core.
 const MAX_EVENTS_PER_TURN: usize = 256;
--- a/balancer/src/mesh/control/replica_server.rs
+++ b/balancer/src/mesh/control/replica_server.rs
@@ -29,13 +29,13 @@
 use super::committed_state::PublishedState;
 use super::disk_writer::DiskWriteCounts;
 use super::member_directory::MemberDirectory;
-use super::member_documents;
-use super::recovery_time::RecoveryTime;
 use super::replica_status::ReplicaStatus;
 use crate::clock::Clock;
 use crate::link::held;
 use crate::mesh::rpc::{InternalRequest, InternalResponse, RpcClients, WatchRequest, WatchResponse};
 use crate::mesh::settings::Settings;
+use crate::mesh::shared::member_documents;
+use crate::mesh::shared::recovery_time::RecoveryTime;
 
 /// How long another process may wait for the core's response.
 const CORE_REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
--- a/balancer/src/mesh/mod.rs
+++ b/balancer/src/mesh/mod.rs
@@ -8,6 +8,7 @@
 mod proxy;
 mod rpc;
 mod settings;
+mod shared;
 mod start;
 
 use std::process::ExitCode;
--- a/balancer/src/mesh/proxy/control_plane_watch.rs
+++ b/balancer/src/mesh/proxy/control_plane_watch.rs
@@ -12,7 +12,7 @@
 use ochreshed_consensus::messages::Revision;
 use tokio::time::sleep;
 
-use crate::mesh::control::budget_reports::BudgetReporter;
+use crate::mesh::proxy::budget_reporter::BudgetReporter;
 use crate::mesh::proxy::node::Node;
 use crate::mesh::rpc::{InternalRequest, InternalResponse, WatchRequest, WatchResponse};
 
--- a/balancer/src/mesh/proxy/mod.rs
+++ b/balancer/src/mesh/proxy/mod.rs
@@ -5,6 +5,7 @@
 //! `connection_pool` carries the attempt to the inbound proxy of the chosen node, and `inbound` admits it to the upstream.
 //! `control_plane_watch` keeps configuration and endpoint records up to date, `node` holds the state of all of these.
 
+pub(super) mod budget_reporter;
 pub(super) mod connection_limit;
 pub(super) mod connection_pool;
 pub(super) mod control_plane_watch;
--- a/balancer/src/mesh/proxy/node.rs
+++ b/balancer/src/mesh/proxy/node.rs
@@ -36,9 +36,6 @@
 
 use crate::clock::Clock;
 use crate::link::held;
-use crate::mesh::control::member_documents::{MemberDocumentStore, MemberEdition, NodeConfiguration};
-use crate::mesh::control::metrics;
-use crate::mesh::control::recovery_time::RecoveryTime;
 use crate::mesh::proxy::connection_pool::{ConnectionPool, ResponseBody};
 use crate::mesh::proxy::control_plane_watch;
 use crate::mesh::proxy::inbound::{InboundProxy, InboundSettings};
@@ -52,6 +49,9 @@
 use crate::mesh::proxy::session_affinity::SessionTable;
 use crate::mesh::rpc::RpcClients;
 use crate::mesh::settings::{Settings, SettingsError};
+use crate::mesh::shared::member_documents::{MemberDocumentStore, MemberEdition, NodeConfiguration};
+use crate::mesh::shared::metrics;
+use crate::mesh::shared::recovery_time::RecoveryTime;
 use crate::mesh::start;
 
 /// Descriptors kept for what is neither a caller's connection nor one of ours to a door or upstream.
--- a/balancer/src/mesh/proxy/tests/outbound_tests.rs
+++ b/balancer/src/mesh/proxy/tests/outbound_tests.rs
@@ -20,12 +20,12 @@
 
 use crate::clock::Clock;
 use crate::link::held;
-use crate::mesh::control::member_documents::MemberEdition;
 use crate::mesh::proxy::listener::{self, ListenerLimits, ListenerState, ReceivedRequest};
 use crate::mesh::proxy::node::{AppliedConfiguration, Node, RequestGuard};
 use crate::mesh::proxy::outbound;
 use crate::mesh::rpc::{self, InternalRequest, InternalResponse};
 use crate::mesh::settings::Settings;
+use crate::mesh::shared::member_documents::MemberEdition;
 
 /// What a stand-in door does with a req that has come whole.
 #[derive(Clone)]
