--- a/balancer/src/mesh/proxy/outbound.rs
+++ b/balancer/src/mesh/proxy/outbound.rs
@@ -1,6 +1,19 @@
-//! The gate: reqs of the clients and the upstream of this machine. It owns the way of a req from its head to its one
-//! final answer: route, service, key, the module's steps, the dispatches. It must never decide where a req goes (the
-//! module does), let one go on that the configuration in force here forbids, or hold back an answer it has.
+//! The outbound proxy: takes the requests of this node's clients and the nested calls of its upstream.
+//!
+//! The way of a request: [`handle_request`] finds its route in the configuration in force, reads the body and computes the
+//! deadline. A request with an idempotency key takes a lease first (`run_with_lease`). `RequestInFlight::run` then draws a
+//! service and carries out the scheduler's actions: each attempt goes to the inbound proxy of the chosen endpoint, and its
+//! outcome goes back to the decision module, until there is one final answer for the client.
+//!
+//! Main types: `RequestInFlight` (one request with its deadline and its session), `Attempt` (what differs between its
+//! attempts), `RequestOutcome` (what it came to).
+//!
+//! Invariants:
+//! - Where an attempt goes is decided by the decision module alone, never here.
+//! - A request that the configuration in force on this node forbids is not forwarded.
+//! - An answer that has arrived is returned at once; nothing here delays it.
+//! - A client is told that its request has not run only if that is certain. (On a repeatable route an upstream's own error
+//!   response is passed on as it is, since running twice does no harm there.)
 
 use std::pin::pin;
 use std::sync::Arc;
@@ -32,34 +45,43 @@
 use crate::mesh::proxy::session_affinity::{self, BoundSession};
 
 const MS: Nanos = 1_000_000;
-/// What an answer may need on its way back to the client.
+/// Time kept back from the deadline for the answer's way back to the client.
 const RESPONSE_MARGIN: Nanos = 12 * MS;
-/// A body of an answer that is longer is not kept with its key.
+/// Longest response body, in bytes, that is stored with its lease. A longer one completes the lease as indeterminate.
 const MAX_STORED_RESPONSE_BYTES: usize = 64 * 1024;
-/// How a client is told to come back where the module says nothing of it.
+/// `Retry-After` of a rejection for which the decision module gives no time.
 const DEFAULT_RETRY_AFTER: Nanos = 100 * MS;
-/// A large answer is not begun with less time than this before the process gives up what is inside.
+/// A request with a large response is rejected if this process shuts down sooner than this after it was received, since
+/// its response would be cut off.
 const MIN_LARGE_RESPONSE_TIME: Nanos = 2_400 * MS;
-/// Nobody is told to come back sooner: a burst that is refused at once would be here again at once.
+/// Added to the time after which a client is told to retry: a burst of requests that is rejected at once would otherwise
+/// return at once.
 const MIN_RETRY_AFTER: Nanos = 10 * MS;
 
-/// What a req came to here.
+/// What a request came to at this outbound proxy.
 enum RequestOutcome {
+    /// An upstream's response, successful or not.
     Response(Parts, ResponseBody),
-    /// It has not run and never will.
+    /// It has not run and never will. The client may retry after this time; 0 stands for [`DEFAULT_RETRY_AFTER`].
     NotRun(Nanos),
-    /// It may have run.
+    /// It may have run, and there is no response that tells.
     MayHaveRun {
+        /// Its deadline has passed: the client gets 504 instead of 502.
         late: bool,
     },
 }
 
+/// Answers one request of a client or of the upstream on this node.
+///
+/// Answers that are made here: 400 without a request id, 404 without a route, what [`listener::read_message`] rejects, 409
+/// while the lease on its key is pending, 502 or 504 if it may have run, and 503 with `Retry-After` if it has not run.
+/// Each answer carries the request's id.
 pub async fn handle_request(node: Arc<Node>, received: ReceivedRequest) -> Response<ResponseBody> {
     let headers = received.request.headers();
     let Some(id) = headers.get(&ID).cloned() else {
         return plain_response(400, "no Ochreshed-Consignment-Id");
     };
-    let Some(configuration) = node.configuration.load_full() else { return deny(300 * MS) };
+    let Some(configuration) = node.configuration.load_full() else { return rejection_response(300 * MS) };
     let host = header_str(headers, &HOST).to_owned();
     let path = received.request.uri().path().to_owned();
     let Some(route) = configuration.route(&host, &path).cloned() else {
@@ -73,66 +95,69 @@
     let person = person.filter(|person| !person.is_empty()).map(str::to_owned);
     let left = header_str(headers, &LEFT).parse::<u64>().unwrap_or(route.deadline_ms).min(MAX_TIME_LEFT_MS);
     let key = Some(header_str(headers, &KEY)).filter(|key| !key.is_empty()).map(lease_client::hash_key);
-    let at = received.received_at;
-    let call = node.nested_call(&id);
+    let received_at = received.received_at;
+    let nested_call = node.nested_call(&id);
     let limits = configuration.limits();
     let slow = Duration::from_millis(limits.header_timeout_ms.max(left));
     let read = listener::read_message(received, &node.bodies, node.clock, limits.max_body_bytes, slow).await;
     let (mut message, room) = match read {
         Ok(read) => read,
-        Err(RequestError(status, line)) => return plain_response(status, line),
+        Err(RequestError(status, reason)) => return plain_response(status, reason),
     };
     for name in [&ADDRESSEE, &CALLER, &TERMS, &SESSION_FENCE, &WAY] {
         message.head.headers_mut().remove(name);
     }
     let ends_by = node.shutdown_deadline();
-    if route.repeat_policy == RepeatPolicy::LargeResponse && ends_by < at + MIN_LARGE_RESPONSE_TIME {
-        return deny(DEFAULT_RETRY_AFTER);
+    if route.repeat_policy == RepeatPolicy::LargeResponse && ends_by < received_at + MIN_LARGE_RESPONSE_TIME {
+        return rejection_response(DEFAULT_RETRY_AFTER);
     }
-    let ends = (at + left.min(route.deadline_ms) * MS).min(ends_by).saturating_sub(RESPONSE_MARGIN);
-    let target = (at + route.latency_target_ms * MS)
+    let deadline =
+        (received_at + left.min(route.deadline_ms) * MS).min(ends_by).saturating_sub(RESPONSE_MARGIN);
+    let target = (received_at + route.latency_target_ms * MS)
         .saturating_sub(node.time_used_ms(&route, left) * MS + RESPONSE_MARGIN);
-    // A call keeps its caller's slot taken, and is of use for as long as that waits.
-    let target = if call.is_some() { target.max(at + route.deadline_ms * MS * 7 / 10) } else { target };
-    let again = call == Some(true);
-    let message = Arc::new(message);
-    let (branch_of, route_of, call) = (node.clone(), route.clone(), call.is_some());
-    let edition = configuration.edition(&route);
+    // A nested call keeps its caller's slot occupied, and its answer is of use for as long as the caller waits. It is
+    // therefore not late before seven tenths of the route's deadline have passed.
+    let target = if nested_call.is_some() {
+        target.max(received_at + route.deadline_ms * MS * 7 / 10)
+    } else {
+        target
+    };
     let in_flight = RequestInFlight {
-        node: branch_of,
-        route: route_of,
-        edition,
-        message,
-        ends,
-        at,
+        node: node.clone(),
+        route: route.clone(),
+        edition: configuration.edition(&route),
+        message: Arc::new(message),
+        deadline,
+        received_at,
         target,
-        again,
-        call,
+        caller_is_retry: nested_call == Some(true),
+        is_nested: nested_call.is_some(),
         key,
         person,
     };
-    let answer = match key.filter(|_| route.repeat_policy == RepeatPolicy::Keyed) {
+    let mut answer = match key.filter(|_| route.repeat_policy == RepeatPolicy::Keyed) {
         Some(key) => {
-            // Goes on to its end though its client goes: its outcome is its key's.
-            let (send, got) = oneshot::channel();
+            // Runs in its own task, so that it is not cancelled when its client disconnects: its outcome must complete the
+            // lease, from which later requests with the same key are answered.
+            let (send, answered) = oneshot::channel();
             tokio::spawn(async move {
                 let (_room, _inside) = (room, RequestGuard::new(&in_flight.node));
-                let _ = send.send(keyed(in_flight, key).await);
+                let _ = send.send(run_with_lease(in_flight, key).await);
             });
-            got.await.unwrap_or_else(|_| plain_response(502, "it may have run"))
+            answered.await.unwrap_or_else(|_| plain_response(502, "it may have run"))
         }
         None => in_flight.run().await.into_answer(),
     };
-    let mut answer = answer;
     if !answer.headers().contains_key(&ID) {
         answer.headers_mut().insert(ID, id);
     }
     answer
 }
 
-fn deny(come_back: Nanos) -> Response<ResponseBody> {
+/// 503 with `Retry-After`: the request has not run and may be sent again after `retry_after`.
+fn rejection_response(retry_after: Nanos) -> Response<ResponseBody> {
     let mut answer = plain_response(503, "not run: come back");
-    let back = if come_back == 0 { DEFAULT_RETRY_AFTER } else { MIN_RETRY_AFTER + come_back };
+    let back = if retry_after == 0 { DEFAULT_RETRY_AFTER } else { MIN_RETRY_AFTER + retry_after };
     if let Ok(value) = HeaderValue::try_from(format!("{:.3}", seconds(back))) {
         answer.headers_mut().insert(RETRY_AFTER, value);
     }
@@ -142,11 +167,11 @@
 impl RequestOutcome {
     fn into_answer(self) -> Response<ResponseBody> {
         match self {
-            RequestOutcome::Response(mut head, flow) => {
+            RequestOutcome::Response(mut head, body) => {
                 head.headers.remove(&WAY);
-                Response::from_parts(head, flow)
+                Response::from_parts(head, body)
             }
-            RequestOutcome::NotRun(come_back) => deny(come_back),
+            RequestOutcome::NotRun(retry_after) => rejection_response(retry_after),
             RequestOutcome::MayHaveRun { late: true } => {
                 plain_response(504, "its time is over; it may have run")
             }
@@ -155,40 +180,43 @@
     }
 }
 
-/// A req with a key: claimed first, run if it was granted, answered from the first one's answer if not.
-async fn keyed(in_flight: RequestInFlight, key: LeaseKey) -> Response<ResponseBody> {
+/// Runs a request with an idempotency key under a lease. If another request holds the lease, this one does not run and
+/// is answered from what is known of the other's outcome.
+async fn run_with_lease(in_flight: RequestInFlight, key: LeaseKey) -> Response<ResponseBody> {
     let node = in_flight.node.clone();
     let token: LeaseToken = node.new_token();
     let now = node.clock.now();
-    let left = in_flight.ends.saturating_sub(now);
+    let left = in_flight.deadline.saturating_sub(now);
     let wait = held(&node.lease_breaker).wait(now, left, node.quorum_unreachable());
     let left_ms = (left / MS).min(u64::from(u32::MAX)) as u32;
     let within = Duration::from_nanos(wait);
-    let got = lease_client::acquire_lease(&node.replicas, &node.rpc, (key, token), left_ms, within).await;
-    match got {
+    let response =
+        lease_client::acquire_lease(&node.replicas, &node.rpc, (key, token), left_ms, within).await;
+    match response {
         CoreResponse::Unavailable => {
             let ended = node.clock.now();
             held(&node.lease_breaker).unanswered(ended, ended - now);
         }
         _ => held(&node.lease_breaker).answered(),
     }
-    let settle = |outcome| {
+    let complete = |outcome| {
         lease_client::complete_lease(node.replicas.clone(), node.rpc.clone(), (key, token), outcome)
     };
-    match got {
+    match response {
         CoreResponse::LeaseGranted => {}
         other => {
-            // The claim may stand at some of the core: it is given back, and never used.
-            settle(None);
+            // Some replicas may have granted the lease though no quorum is known to. It is released, and the token is
+            // never used.
+            complete(None);
             return match other {
-                CoreResponse::LeaseHeld(LeaseOutcome::Completed(answer)) => replay(&answer),
+                CoreResponse::LeaseHeld(LeaseOutcome::Completed(answer)) => replay_stored(&answer),
                 CoreResponse::LeaseHeld(LeaseOutcome::Pending) => {
                     plain_response(409, "a req with this key is at work")
                 }
                 CoreResponse::LeaseHeld(LeaseOutcome::Indeterminate) => {
                     plain_response(502, "a req with this key may have run")
                 }
-                _ => deny(200 * MS),
+                _ => rejection_response(200 * MS),
             };
         }
     }
@@ -197,24 +225,26 @@
             let bytes =
                 http_body_util::BodyExt::collect(body).await.map(|body| body.to_bytes()).unwrap_or_default();
             if bytes.len() <= MAX_STORED_RESPONSE_BYTES {
-                settle(Some(LeaseOutcome::Completed(Arc::new(kept(&head, &bytes)))));
+                complete(Some(LeaseOutcome::Completed(Arc::new(stored_response(&head, &bytes)))));
             } else {
-                settle(Some(LeaseOutcome::Indeterminate));
+                complete(Some(LeaseOutcome::Indeterminate));
             }
             RequestOutcome::Response(head, ResponseBody::of(bytes)).into_answer()
         }
-        RequestOutcome::NotRun(come_back) => {
-            settle(None);
-            deny(come_back)
+        RequestOutcome::NotRun(retry_after) => {
+            complete(None);
+            rejection_response(retry_after)
         }
         other => {
-            settle(Some(LeaseOutcome::Indeterminate));
+            complete(Some(LeaseOutcome::Indeterminate));
             other.into_answer()
         }
     }
 }
 
-fn kept(head: &Parts, body: &[u8]) -> StoredResponse {
+/// The response as it is stored with its lease: without the headers that belong to this one exchange. Headers whose
+/// values aren't visible ASCII are left out.
+fn stored_response(head: &Parts, body: &[u8]) -> StoredResponse {
     let text = |(name, value): (&HeaderName, &HeaderValue)| {
         Some((name.as_str().to_owned(), value.to_str().ok()?.to_owned()))
     };
@@ -223,109 +253,118 @@
     StoredResponse { status: head.status.as_u16(), headers, body: body.to_vec() }
 }
 
-fn replay(answer: &StoredResponse) -> Response<ResponseBody> {
-    let mut again = Response::new(ResponseBody::of(answer.body.clone()));
-    *again.status_mut() = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::BAD_GATEWAY);
+/// A stored response as an answer to another request with the same key.
+fn replay_stored(answer: &StoredResponse) -> Response<ResponseBody> {
+    let mut response = Response::new(ResponseBody::of(answer.body.clone()));
+    *response.status_mut() = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::BAD_GATEWAY);
     for (name, value) in &answer.headers {
         if let (Ok(name), Ok(value)) = (HeaderName::try_from(name), HeaderValue::try_from(value)) {
-            again.headers_mut().append(name, value);
+            response.headers_mut().append(name, value);
         }
     }
-    again
+    response
 }
 
-/// Whether a status says that the req has not run and never will.
-fn promises(status: StatusCode) -> bool {
+/// Whether a status tells the client that the request has not run and never will.
+fn promises_not_run(status: StatusCode) -> bool {
     matches!(status.as_u16(), 408 | 421 | 429 | 503)
 }
 
-/// Whether an answer is a good one.
-fn well(head: &Parts) -> bool {
-    !head.status.is_server_error() && !promises(head.status)
+/// Whether a response counts as a success for the decision module, the session binding and the outcome counts.
+fn is_success(head: &Parts) -> bool {
+    !head.status.is_server_error() && !promises_not_run(head.status)
 }
 
-/// One attempt of a request, as the door is told of it.
+/// What an inbound proxy is told about one attempt of a request.
 #[derive(Clone, Copy)]
 struct Attempt {
-    /// How many doors have turned it away before.
-    turned: u32,
-    /// Its session lives there: it rather waits for a slot than goes elsewhere.
-    tied: bool,
-    /// It was sent before.
-    again: bool,
-    /// Its answer is a large one.
+    /// How many inbound proxies have rejected the request before. Starts at 1 for a large response, so that the first
+    /// inbound proxy may queue it: it is better served near than soon.
+    rejections: u32,
+    /// Its session is bound to this upstream, so that it rather waits for a slot than goes elsewhere.
+    has_affinity: bool,
+    /// An earlier attempt was sent.
+    is_retry: bool,
+    /// Its response is a large one.
     large: bool,
+    /// Its session and the term since which this proxy owns it; none without a session.
     fencing_token: Option<FencingToken>,
 }
 
-/// A req on its way.
+/// A request that has been received and has no final answer yet.
 struct RequestInFlight {
     node: Arc<Node>,
     route: Arc<Route>,
-    /// Whose routes it is counted with; none of the platform's.
+    /// The edition of the member's routes with which it is counted; none on a route of the platform.
     edition: Option<RouteEdition>,
     message: Arc<Message>,
-    ends: Nanos,
-    at: Nanos,
-    /// When an answer is late.
+    /// No attempt goes on after this time. It leaves [`RESPONSE_MARGIN`] before the client's own deadline.
+    deadline: Nanos,
+    received_at: Nanos,
+    /// When an answer is late by the route's latency target.
     target: Nanos,
-    /// It was called by a run that was sent again.
-    again: bool,
-    /// It was called by a run.
-    call: bool,
+    /// It is a nested call of a run that was itself a retry.
+    caller_is_retry: bool,
+    /// It is a nested call: a run of the upstream on this node waits for it.
+    is_nested: bool,
+    /// Hash of its idempotency key, also on routes that take no lease.
     key: Option<LeaseKey>,
-    /// What names its session.
+    /// Value of the session header that its route names; none if the route names none or the value is empty.
     person: Option<String>,
 }
 
 impl RequestInFlight {
+    /// Runs it to its final outcome, and counts that outcome for the member whose route it came by.
     async fn run(&self) -> RequestOutcome {
         let outcome = self.run_attempts().await;
-        let well = matches!(&outcome, RequestOutcome::Response(head, _) if well(head));
+        let succeeded = matches!(&outcome, RequestOutcome::Response(head, _) if is_success(head));
         self.count(OutcomeCounts {
-            succeeded: well.into(),
-            failed: (!well).into(),
+            succeeded: succeeded.into(),
+            failed: (!succeeded).into(),
             ..OutcomeCounts::default()
         });
         outcome
     }
 
-    fn count(&self, fared: impl Into<OutcomeCounts>) {
+    /// Counts for the member's edition; does nothing on a route of the platform.
+    fn count(&self, counts: impl Into<OutcomeCounts>) {
         if let Some(edition) = &self.edition {
-            self.node.count_outcome(edition, fared.into());
+            self.node.count_outcome(edition, counts.into());
         }
     }
 
+    /// Carries out the scheduler's actions until one of them is final, or the attempts or this process's time are used up.
     async fn run_attempts(&self) -> RequestOutcome {
-        let Some(line) = self.node.choose_service(&self.route) else {
+        let Some(service) = self.node.choose_service(&self.route) else {
             return RequestOutcome::NotRun(DEFAULT_RETRY_AFTER);
         };
         let large = self.route.repeat_policy == RepeatPolicy::LargeResponse;
-        let Some(scheduler) = self.node.scheduler(&line, &self.route) else {
+        let Some(scheduler) = self.node.scheduler(&service, &self.route) else {
             return RequestOutcome::NotRun(DEFAULT_RETRY_AFTER);
         };
-        let mut bound = self.session(&scheduler, &line, !large).await;
+        let mut bound = self.session(&scheduler, &service, !large).await;
         let fencing_token = bound.as_ref().map(|bound| bound.token);
         let _at_work = fencing_token
             .zip(self.key)
             .map(|(fencing_token, key)| session_affinity::track_key(&self.node, fencing_token.session, key));
-        let rule_set: Name = request_scheduler::route_class(&self.route).as_str().into();
-        let mut req = Req::new(0, rule_set, "".into(), self.at, self.ends);
-        req.again = self.again;
-        req.coming = self.message.long.is_some();
-        req.tie = bound
+        let route_class: Name = request_scheduler::route_class(&self.route).as_str().into();
+        let mut request = Req::new(0, route_class, "".into(), self.received_at, self.deadline);
+        request.again = self.caller_is_retry;
+        request.coming = self.message.long.is_some();
+        request.tie = bound
             .as_ref()
             .and_then(|bound| bound.binding.as_ref())
             .map(|binding| binding.upstream_id.as_str().into());
-        let mut scheduled = scheduler.schedule(req);
+        let mut scheduled = scheduler.schedule(request);
         let mut last: Option<(Parts, ResponseBody)> = None;
-        // A large answer is wanted from near: the first door may let it wait already.
-        let (mut ran, mut sent, mut turned) = (false, 0, u32::from(large));
-        let mut over = pin!(self.node.aborted());
+        // Requests with large responses count as rejected once from the start, so that the first inbound proxy, which is a
+        // near one, may already queue them instead of rejecting them.
+        let (mut may_have_run, mut sent, mut rejections) = (false, 0, u32::from(large));
+        let mut aborted = pin!(self.node.aborted());
         loop {
             let step = tokio::select! {
                 biased;
-                () = &mut over => None,
+                () = &mut aborted => None,
                 step = scheduled.steps.recv() => step,
             };
             match step {
@@ -334,77 +373,84 @@
                         break;
                     }
                     let began = self.node.clock.now();
-                    let Some(place) = scheduler.endpoint(&srv) else {
+                    let Some(endpoint) = scheduler.endpoint(&srv) else {
                         scheduled.attempt_ended(number, How::NotSent, 0, false, None);
                         continue;
                     };
                     if let Some(bound) = bound.as_mut().filter(|_| !large)
-                        && !session_affinity::attempt_starting(&self.node, &scheduler, bound, &place).await
+                        && !session_affinity::attempt_starting(&self.node, &scheduler, bound, &endpoint).await
                     {
-                        // It comes again, and finds where its person is.
+                        // The session has moved to another owner or upstream. The client retries, and the retry finds it.
                         scheduled.attempt_ended(number, How::NotSent, 0, false, None);
                         scheduled.finish();
                         break;
                     }
                     self.count(scheduled.attempt_started());
-                    let tied = bound.as_ref().is_some_and(|bound| bound.is_bound_to(&place.upstream_id));
-                    let attempt = Attempt { turned, tied, again: sent > 0, large, fencing_token };
-                    let Some((end, inside)) = self.dispatch(&mut scheduled, &place, attempt, give_up).await
+                    let has_affinity =
+                        bound.as_ref().is_some_and(|bound| bound.is_bound_to(&endpoint.upstream_id));
+                    let attempt =
+                        Attempt { rejections, has_affinity, is_retry: sent > 0, large, fencing_token };
+                    let Some((outcome, load)) =
+                        self.dispatch(&mut scheduled, &endpoint, attempt, give_up).await
                     else {
-                        ran = true;
+                        may_have_run = true;
                         scheduled.attempt_ended(number, How::Recalled, 0, false, None);
                         continue;
                     };
-                    sent += u32::from(!matches!(end, UpstreamOutcome::Rejected | UpstreamOutcome::Fenced(_)));
-                    if matches!(end, UpstreamOutcome::Rejected) {
-                        turned += 1;
+                    sent +=
+                        u32::from(!matches!(outcome, UpstreamOutcome::Rejected | UpstreamOutcome::Fenced(_)));
+                    if matches!(outcome, UpstreamOutcome::Rejected) {
+                        rejections += 1;
                         self.count(OutcomeCounts { rejected: 1, ..OutcomeCounts::default() });
                     }
                     let took = self.node.clock.now() - began;
-                    let how = match end {
-                        UpstreamOutcome::Responded(head, flow) if well(&head) => {
-                            scheduled.attempt_ended(number, How::Done, took, true, inside);
+                    let how = match outcome {
+                        UpstreamOutcome::Responded(head, body) if is_success(&head) => {
+                            scheduled.attempt_ended(number, How::Done, took, true, load);
                             if let Some(bound) = bound.as_ref().filter(|_| !large) {
-                                session_affinity::attempt_succeeded(&self.node, bound, &place);
+                                session_affinity::attempt_succeeded(&self.node, bound, &endpoint);
                             }
-                            return RequestOutcome::Response(head, flow);
+                            return RequestOutcome::Response(head, body);
                         }
-                        UpstreamOutcome::Responded(head, flow) => {
-                            ran = true;
-                            // It may have run, and such an answer would promise that it did not.
-                            let untrue = !self.route.repeat_policy.repeatable() && promises(head.status);
-                            last = (!untrue).then_some((head, flow));
+                        UpstreamOutcome::Responded(head, body) => {
+                            may_have_run = true;
+                            // The attempt may have run. On a route that isn't repeatable, such a status would promise to the
+                            // client that it has not, so that the response isn't passed on.
+                            let untrue =
+                                !self.route.repeat_policy.repeatable() && promises_not_run(head.status);
+                            last = (!untrue).then_some((head, body));
                             How::Error
                         }
                         UpstreamOutcome::UpstreamFull | UpstreamOutcome::Gone => How::Full,
                         UpstreamOutcome::Rejected => How::Turned,
                         UpstreamOutcome::Fenced(known) => {
-                            // Its session went on elsewhere: this is a late one, and whoever means it comes again.
+                            // Another proxy owns the session since a later term, so that this request comes too late. It
+                            // ends here, and the client's retry goes to the new owner.
                             fencing_token
                                 .into_iter()
                                 .for_each(|fencing_token| self.node.sessions().fenced(fencing_token, known));
-                            scheduled.attempt_ended(number, How::Turned, took, false, inside);
+                            scheduled.attempt_ended(number, How::Turned, took, false, load);
                             scheduled.finish();
                             break;
                         }
                         UpstreamOutcome::ConnectFailed => How::NoConnection,
                         UpstreamOutcome::NotSent => How::NotSent,
                         UpstreamOutcome::Reset => {
-                            ran = true;
+                            may_have_run = true;
                             How::Reset
                         }
                         UpstreamOutcome::TimedOut => {
-                            ran = true;
+                            may_have_run = true;
                             How::TimedOut
                         }
                     };
-                    scheduled.attempt_ended(number, how, took, false, inside);
+                    scheduled.attempt_ended(number, how, took, false, load);
                 }
                 Some(SchedulerAction::Cancel) => {}
-                Some(SchedulerAction::Reject { come_back }) => {
+                Some(SchedulerAction::Reject { come_back: retry_after }) => {
                     self.count(scheduled.finish());
-                    if last.is_none() && !ran {
-                        return RequestOutcome::NotRun(come_back);
+                    if last.is_none() && !may_have_run {
+                        return RequestOutcome::NotRun(retry_after);
                     }
                     break;
                 }
@@ -414,83 +460,97 @@
                 }
             }
         }
-        let late = self.node.clock.now() >= self.ends;
+        let late = self.node.clock.now() >= self.deadline;
         match last {
-            // The upstream's own word on it, where it has one.
-            Some((head, flow)) => RequestOutcome::Response(head, flow),
-            None if !ran => RequestOutcome::NotRun(DEFAULT_RETRY_AFTER),
+            // An upstream's own error response tells the client more than one made here.
+            Some((head, body)) => RequestOutcome::Response(head, body),
+            None if !may_have_run => RequestOutcome::NotRun(DEFAULT_RETRY_AFTER),
             None => RequestOutcome::MayHaveRun { late },
         }
     }
 
-    /// The session of the person that it is of, where its route names one.
-    async fn session(&self, scheduler: &RequestScheduler, line: &Name, ties: bool) -> Option<BoundSession> {
+    /// Acquires the session of the request; none if its route or its headers name none. `follows_binding` says whether the
+    /// request goes to the upstream to which the session is bound.
+    async fn session(
+        &self,
+        scheduler: &RequestScheduler,
+        service: &Name,
+        follows_binding: bool,
+    ) -> Option<BoundSession> {
         let (header, person) = (self.route.session_header.as_ref()?, self.person.as_ref()?);
         session_affinity::acquire(
             &self.node,
             scheduler,
-            session_affinity::session_id(line, header, person),
-            ties,
+            session_affinity::session_id(service, header, person),
+            follows_binding,
         )
         .await
     }
 
-    /// One dispatch, and how many reqs its door has inside; nothing if the module recalled it.
+    /// Makes one attempt, ended by `give_up` or the deadline at the latest. Returns its outcome and the load that the
+    /// inbound proxy reported; `None` if the attempt was cancelled or this process gives up its requests.
     async fn dispatch(
         &self,
         scheduled: &mut ScheduledRequest,
-        place: &Endpoint,
+        endpoint: &Endpoint,
         attempt: Attempt,
         give_up: Nanos,
     ) -> Option<(UpstreamOutcome, Option<f64>)> {
-        let work = self.send(place, attempt, give_up.min(self.ends));
-        let mut over = pin!(self.node.aborted());
+        let work = self.send(endpoint, attempt, give_up.min(self.deadline));
+        let mut aborted = pin!(self.node.aborted());
         tokio::pin!(work);
         loop {
             tokio::select! {
-                end = &mut work => return Some(end),
+                outcome = &mut work => return Some(outcome),
                 step = scheduled.steps.recv() => match step {
-                    // Silence alone is no reason to break one off: its machine must be quiet to others too, and
-                    // the req be one that may run again.
-                    Some(SchedulerAction::Cancel) if self.route.repeat_policy.repeatable() && self.node.is_suspected(&place.inbound_proxy) => {
+                    // That one attempt stays unanswered is no reason to cancel it: its node must be suspected by the
+                    // replicas as well, and the request be one that may run twice.
+                    Some(SchedulerAction::Cancel) if self.route.repeat_policy.repeatable() && self.node.is_suspected(&endpoint.inbound_proxy) => {
                         return None;
                     }
                     None => return None,
                     Some(_) => {}
                 },
-                () = &mut over => return None,
+                () = &mut aborted => return None,
             }
         }
     }
 
-    async fn send(&self, place: &Endpoint, attempt: Attempt, until: Nanos) -> (UpstreamOutcome, Option<f64>) {
-        let Attempt { turned, tied, large, fencing_token, .. } = attempt;
-        let (node, again, now) = (&self.node, attempt.again || self.again, self.node.clock.now());
-        let (caller, away) = (node.caller_header(), place.inbound_proxy != node.inbound_address());
-        let (message, meant, target) = (&self.message, &*place.upstream_id, self.target);
-        let part = self
+    /// Forwards one attempt to the endpoint's inbound proxy: by a call if that is on this node, else over a connection with
+    /// the terms in headers. The second value is the inbound proxy's load (running and queued requests), if it is known.
+    async fn send(
+        &self,
+        endpoint: &Endpoint,
+        attempt: Attempt,
+        until: Nanos,
+    ) -> (UpstreamOutcome, Option<f64>) {
+        let Attempt { rejections, has_affinity, large, fencing_token, .. } = attempt;
+        let (node, now) = (&self.node, self.node.clock.now());
+        let (caller, away) = (node.caller_header(), endpoint.inbound_proxy != node.inbound_address());
+        let (message, upstream_id, target) = (&self.message, &*endpoint.upstream_id, self.target);
+        let share = self
             .route
             .share
             .as_ref()
             .map(|of| MemberShare { member: of.member.clone(), share: of.concurrency });
         let request = InboundRequest {
             message,
-            meant,
+            meant: upstream_id,
             caller: &caller,
-            turned,
-            tied,
-            again,
-            call: self.call,
+            turned: rejections,
+            tied: has_affinity,
+            again: attempt.is_retry || self.caller_is_retry,
+            call: self.is_nested,
             large,
             away,
             fencing_token,
             target,
             until,
-            part,
+            part: share,
         };
         if !away {
-            let end = node.inbound.forward(request).await;
-            return (end, Some(node.inbound.load() as f64));
+            let outcome = node.inbound.forward(request).await;
+            return (outcome, Some(node.inbound.load() as f64));
         }
         let left = until.saturating_sub(now) / MS;
         if left == 0 {
@@ -498,35 +558,36 @@
         }
         let mut fields = HeaderMap::new();
         fields.insert(LEFT, HeaderValue::from(left));
-        if let Ok(id) = HeaderValue::try_from(&*place.upstream_id) {
+        if let Ok(id) = HeaderValue::try_from(&*endpoint.upstream_id) {
             fields.insert(ADDRESSEE, id);
         }
-        if let Ok(word) = HeaderValue::try_from(request.terms_header(now)) {
-            fields.insert(TERMS, word);
+        if let Ok(value) = HeaderValue::try_from(request.terms_header(now)) {
+            fields.insert(TERMS, value);
         }
-        if let Some(Ok(word)) =
+        if let Some(Ok(value)) =
             fencing_token.map(|fencing_token| HeaderValue::try_from(fencing_token.to_header()))
         {
-            fields.insert(SESSION_FENCE, word);
+            fields.insert(SESSION_FENCE, value);
         }
         fields.insert(CALLER, caller);
         node.inbound.note_outgoing_bytes(message.length.unwrap_or(0));
+        // Only an inbound proxy sets this header: a response without it comes from somewhere else.
         let ours = |head: &Parts| head.headers.contains_key(&WAY);
-        let end = match node
-            .connection_pool(place.inbound_proxy)
+        let outcome = match node
+            .connection_pool(endpoint.inbound_proxy)
             .exchange(&self.message, &fields, until, None, ours)
             .await
         {
-            Ok((head, flow)) => {
-                let word = header_str(&head.headers, &WAY).to_owned();
-                let (word, inside) = word.split_once(' ').unwrap_or((&word, ""));
-                return (UpstreamOutcome::from_word(word, head, flow), inside.parse().ok());
+            Ok((head, body)) => {
+                let value = header_str(&head.headers, &WAY).to_owned();
+                let (outcome_word, load) = value.split_once(' ').unwrap_or((&value, ""));
+                return (UpstreamOutcome::from_word(outcome_word, head, body), load.parse().ok());
             }
             Err(ExchangeError::ConnectFailed) => UpstreamOutcome::ConnectFailed,
             Err(ExchangeError::NotSent) => UpstreamOutcome::NotSent,
             Err(ExchangeError::Reset) => UpstreamOutcome::Reset,
             Err(ExchangeError::TimedOut) => UpstreamOutcome::TimedOut,
         };
-        (end, None)
+        (outcome, None)
     }
 }
