--- a/balancer/src/mesh/proxy/inbound.rs
+++ b/balancer/src/mesh/proxy/inbound.rs
@@ -1,6 +1,21 @@
-//! The door beside an upstream, its only way in: what the attendant knows of its upstream first-hand, and the reqs let
-//! through to it. It owns the proof that a req was never handed on, the upstream's drain, and how many it has at once.
-//! It must never send a req on twice, to another life than was meant, or after the drain's time.
+//! The inbound proxy: the only way in to the upstream on its node, and what that node knows of its upstream first-hand.
+//!
+//! The way of a request: [`InboundProxy::handle_request`] receives it from the outbound proxy of another node, and
+//! [`InboundProxy::forward`] from the one of this node. `forward` checks that it is meant for this incarnation of the upstream,
+//! that the upstream isn't draining and that the session's term hasn't passed; it waits for a permit of the admission queue,
+//! exchanges the request with the upstream and verifies that the response belongs to it. The outcome goes to the outlier
+//! detector and back to the outbound proxy.
+//!
+//! The upstream reports itself by heartbeats ([`InboundProxy::handle_control_call`]); what is known of it goes to other nodes
+//! as this node's endpoint record ([`InboundProxy::endpoint_record`]).
+//!
+//! Main types: [`InboundProxy`], [`UpstreamOutcome`], `Upstream`, `AdmissionPermit`.
+//!
+//! Invariants:
+//! - A request is sent to the upstream at most once.
+//! - It is never sent to another incarnation than was meant, nor after the time that a draining upstream has.
+//! - An incarnation that has begun to drain or has ended never takes requests again.
+//! - What is reported as rejected, gone, fenced or not sent has not run.
 
 use std::collections::{HashMap, VecDeque};
 use std::net::SocketAddr;
@@ -29,47 +44,55 @@
 use crate::mesh::proxy::connection_limit::ConnectionLimit;
 use crate::mesh::proxy::connection_pool::{ConnectionPool, ExchangeError, LargeResponseLane, ResponseBody};
 use crate::mesh::proxy::fencing::{FencingTable, FencingToken};
-use crate::mesh::proxy::headers::*;
+use crate::mesh::proxy::headers::{
+    ADDRESSEE, CALLER, DELIVERED_BY, ID, LEFT, NOT_RUN, SESSION_FENCE, STAMP, TERMS, WAY,
+};
 use crate::mesh::proxy::inbound_request::{InboundRequest, MAX_TIME_LEFT_MS, RequestTerms};
 use crate::mesh::proxy::listener::{self, ReceivedRequest, RequestError, header_str, plain_response};
 use crate::mesh::proxy::session_affinity::SessionTable;
 
-/// How a door says that a later holder of a session is known, and since when that holds it.
+/// Outcome of a request whose session has a later owner; the term since which that owns it follows.
 const FENCED_PREFIX: &str = "fenced-";
 
 const MS: Nanos = 1_000_000;
-/// After its upstream has said that it closes, the door still takes what is on its way, for this part of the time
-/// that the rules give.
+/// After its upstream has begun to drain, the inbound proxy still takes requests that are on their way, for the drain
+/// timeout divided by this.
 const DRAIN_DIVISOR: u32 = 2;
-/// How long a probe may take.
+/// How long the probe after a start may take.
 const PROBE_TIMEOUT: Nanos = 1_000 * MS;
-/// Ids of lives that have ended.
+/// How many ids of ended incarnations are remembered.
 const MAX_PAST_INCARNATIONS: usize = 32;
+/// Longest body of an upstream's heartbeat.
 const MAX_HEARTBEAT_BYTES: u64 = 4 * 1024;
-/// What a message has on the wire beside its body, about.
+/// Estimate of what a message takes on the wire beside its body.
 const HEADER_ESTIMATE_BYTES: usize = 400;
-/// How much of the last large answer's size goes into the mean.
+/// The weight of the last large response in the mean size of one.
 const LARGE_RESPONSE_MEAN_WEIGHT: f64 = 0.1;
 
-/// How a door's part ended.
+/// How a request ended at an inbound proxy and its upstream.
 pub enum UpstreamOutcome {
-    /// The upstream ran it, or turned it away for good by an answer of its own.
+    /// The upstream ran it, or rejected it for good by a response of its own.
     Responded(Parts, ResponseBody),
-    /// The upstream turned it away: it has not run.
+    /// The upstream refused it, with its own statement that it has not run.
     UpstreamFull,
-    /// Proved never to have come to the upstream.
+    /// Not admitted: it has never reached the upstream.
     Rejected,
+    /// The incarnation that was meant takes no requests any more; it has not run.
     Gone,
-    /// Of a session that another gate holds since this epoch.
+    /// Another outbound proxy owns its session since this term; it has not run.
     Fenced(u64),
+    /// No connection to the upstream, or not all of the request was written; it has not run.
     ConnectFailed,
+    /// Its time was over, or there was no room for a connection, before all of it was written; it has not run.
     NotSent,
-    /// It may have run.
+    /// It was sent and no valid response came: it may have run.
     Reset,
+    /// It was sent and its time was over: it may have run.
     TimedOut,
 }
 
 impl UpstreamOutcome {
+    /// The outcome as it goes on the wire, in the header [`WAY`].
     pub fn as_word(&self) -> &'static str {
         match self {
             UpstreamOutcome::Responded(..) => "ran",
@@ -84,9 +107,11 @@
         }
     }
 
-    pub fn from_word(word: &str, head: Parts, flow: ResponseBody) -> UpstreamOutcome {
+    /// The outcome that an inbound proxy on another node reported with this response. A word that isn't known, for instance
+    /// one of a newer version, counts as [`UpstreamOutcome::Reset`], since the request may have run.
+    pub fn from_word(word: &str, head: Parts, body: ResponseBody) -> UpstreamOutcome {
         match word {
-            "ran" => UpstreamOutcome::Responded(head, flow),
+            "ran" => UpstreamOutcome::Responded(head, body),
             "full" => UpstreamOutcome::UpstreamFull,
             "turned" => UpstreamOutcome::Rejected,
             "gone" => UpstreamOutcome::Gone,
@@ -101,20 +126,24 @@
     }
 }
 
-/// The upstream as it told of itself.
+/// The upstream as it reported itself in its last heartbeat, or as the record from before a restart has it.
 #[derive(Clone, Debug)]
 struct Upstream {
+    /// Identifies this incarnation of the upstream.
     id: String,
-    line: String,
+    service: String,
     zone: String,
-    edition: String,
-    slots: u32,
-    stand: UpstreamState,
-    number: u64,
-    cold_ms: u64,
-    told: Nanos,
-    closing_since: Option<Nanos>,
-    to: Arc<ConnectionPool>,
+    software_version: String,
+    concurrency_limit: u32,
+    state: UpstreamState,
+    /// Number of the last heartbeat of this incarnation; an earlier one that comes late is ignored.
+    heartbeat_sequence: u64,
+    /// How long it was still warming up when it was last heard, in ms.
+    warming_up_ms: u64,
+    heard_at: Nanos,
+    /// Once set it stays for this incarnation.
+    draining_since: Option<Nanos>,
+    connections: Arc<ConnectionPool>,
 }
 
 impl std::fmt::Debug for ConnectionPool {
@@ -125,157 +154,212 @@
 
 struct ProxyState {
     upstream: Option<Upstream>,
-    past: VecDeque<String>,
-    number: u64,
+    /// Ids of ended incarnations, the oldest first.
+    past_incarnations: VecDeque<String>,
+    /// Number of the last change of this node's endpoint record.
+    record_sequence: u64,
+    /// Incarnation of this process, in which the sequence counts.
     incarnation: u64,
 }
 
 impl ProxyState {
-    /// Nothing that is told of that life counts from now on.
-    fn end_life(&mut self, id: &str) {
-        if self.past.iter().any(|past| past == id) {
+    /// Heartbeats of this incarnation are ignored from now on.
+    fn end_incarnation(&mut self, id: &str) {
+        if self.past_incarnations.iter().any(|ended| ended == id) {
             return;
         }
-        self.past.push_back(id.to_owned());
-        if self.past.len() > MAX_PAST_INCARNATIONS {
-            self.past.pop_front();
+        self.past_incarnations.push_back(id.to_owned());
+        if self.past_incarnations.len() > MAX_PAST_INCARNATIONS {
+            self.past_incarnations.pop_front();
         }
     }
 }
 
-/// What a door is told at its start.
+/// What an inbound proxy needs to start.
 pub struct InboundSettings {
-    pub at: SocketAddr,
+    /// Where it listens; identifies the node in endpoint records.
+    pub address: SocketAddr,
+    /// Failure domain of the node.
     pub zone: String,
-    /// Where its upstream listens, if that was told.
-    pub app: Option<SocketAddr>,
-    pub drain: Duration,
-    /// How many connections to the upstream there may be, and how many bytes of its answers in hand.
-    pub connections: usize,
-    pub ahead: usize,
-    /// What the machine's link carries, in Mbit/s.
+    /// Where its upstream listens, if the settings say so. Without it the upstream isn't probed after a start.
+    pub upstream_address: Option<SocketAddr>,
+    /// How long an upstream takes to drain at most.
+    pub drain_timeout: Duration,
+    /// How many connections to the upstream this process can hold.
+    pub max_connections: usize,
+    /// How many bytes of responses may be read from the upstream before their clients take them.
+    pub read_ahead_bytes: usize,
+    /// Capacity of the node's network link, in Mbit/s.
     pub link_mbps: f64,
 }
 
+/// The inbound proxy of one node.
 pub struct InboundProxy {
-    at: SocketAddr,
+    address: SocketAddr,
     zone: String,
-    app: Option<SocketAddr>,
+    upstream_address: Option<SocketAddr>,
     clock: Clock,
-    drain: Duration,
+    drain_timeout: Duration,
     state: Mutex<ProxyState>,
     connection_limit: ConnectionLimit,
-    /// Reqs that wait for a slot or are in one.
-    inside: AtomicUsize,
-    /// Those at the upstream now, and who waits to be one of them.
-    slots: Mutex<AdmissionQueue<QueuedRequest>>,
-    /// How the upstream does, by how its runs end.
+    /// Requests that wait for a permit or have one, until their response has been taken.
+    in_flight: AtomicUsize,
+    /// Requests at the upstream, and those that wait to be admitted.
+    admission: Mutex<AdmissionQueue<QueuedRequest>>,
+    /// Health of the upstream, judged by the outcomes of its requests.
     health: Mutex<OutlierDetector>,
-    /// What members may have of the slots, by the configuration in force here.
+    /// Members' shares of the concurrency limit, by the configuration in force on this node.
     shares: ArcSwap<RetryShares>,
-    /// Where large answers to other machines go, and the mean size of one.
+    /// Paces large responses to other nodes.
     large_responses: Arc<LargeResponseLane>,
-    large: Mutex<f64>,
-    /// Large answers to other machines that were let in and have not come out of the upstream yet.
-    large_inside: AtomicUsize,
-    /// Bytes of answers read ahead of who takes them.
-    ahead: Arc<Semaphore>,
-    calls: AtomicBool,
-    /// The ids of the reqs that are at the upstream, and whether each was sent again.
-    runs: Mutex<HashMap<Vec<u8>, bool>>,
+    /// Mean size of a large response, in bytes; 0 before the first.
+    mean_large_bytes: Mutex<f64>,
+    /// Requests for large responses to other nodes that were admitted or wait, and whose response has not come yet.
+    pending_large: AtomicUsize,
+    /// Bytes of responses that may be read before their clients take them.
+    read_ahead: Arc<Semaphore>,
+    /// The upstream has called other services since this process started.
+    calls_services: AtomicBool,
+    /// Ids of the requests that are at the upstream or wait for it, and whether each is a retry.
+    running: Mutex<HashMap<Vec<u8>, bool>>,
+    /// This node accepts clients; false while it shuts down.
     pub serving: AtomicBool,
+    /// Notified whenever the endpoint record has changed.
     pub changed: tokio::sync::Notify,
-    /// SessionTable that the gate of this machine has, and what is let through of them here.
+    /// Sessions that the outbound proxy of this node owns. They are here since other nodes ask for them through the inbound
+    /// proxy.
     pub sessions: SessionTable,
+    /// The latest owners of sessions that this inbound proxy has seen.
     pub fence: FencingTable,
 }
 
-/// A place at the upstream, and since when; given back when its answer has come, or nobody waits for it any more.
-struct AdmissionPermit(Arc<InboundProxy>, Nanos, Option<Name>);
+/// The right to run one request at the upstream. Dropping it, when the response has come or nobody waits for it any more,
+/// admits the next one.
+struct AdmissionPermit {
+    proxy: Arc<InboundProxy>,
+    /// When the request was sent to the upstream; 0 until then. A permit that was never used doesn't count in the mean run
+    /// time.
+    started_at: Nanos,
+    /// The member whose share it is of; none on a route of the platform.
+    member: Option<Name>,
+}
+
+/// A request that waits for a permit.
+struct QueuedRequest {
+    waiter: oneshot::Sender<AdmissionPermit>,
+    /// The member whose share its permit will be of.
+    member: Option<Name>,
+}
 
-/// Who waits for one, and the member whose part that will be of.
-type QueuedRequest = (oneshot::Sender<AdmissionPermit>, Option<Name>);
+/// A permit on its way to the request that waited for it.
+struct GrantedPermit {
+    waiter: oneshot::Sender<AdmissionPermit>,
+    permit: AdmissionPermit,
+}
+
+impl GrantedPermit {
+    /// Must be called without the lock on the admission queue: if the request has gone, its permit is dropped here, and that
+    /// takes the lock.
+    fn deliver(self) {
+        drop(self.waiter.send(self.permit));
+    }
+}
 
 impl Drop for AdmissionPermit {
     fn drop(&mut self) {
-        let now = self.0.clock.now();
-        let mut slots = held(&self.0.slots);
-        let took = (self.1 > 0).then(|| now.saturating_sub(self.1));
-        match &self.2 {
-            None => slots.release(took),
-            Some(member) => slots.release_for_member(member, took),
-        }
-        let handed = self.0.hand_on(&mut slots, now);
-        drop(slots);
-        // Whoever has gone gives its place back here, without the lock.
-        handed.into_iter().for_each(|(waiting, slot)| drop(waiting.send(slot)));
+        let now = self.proxy.clock.now();
+        let mut admission = held(&self.proxy.admission);
+        let run_time = (self.started_at > 0).then(|| now.saturating_sub(self.started_at));
+        match &self.member {
+            None => admission.release(run_time),
+            Some(member) => admission.release_for_member(member, run_time),
+        }
+        let granted = self.proxy.admit_waiting(&mut admission, now);
+        drop(admission);
+        granted.into_iter().for_each(GrantedPermit::deliver);
     }
 }
 
-/// A large answer that will go out to another machine once the upstream has made it.
-struct PendingLargeResponse(Arc<InboundProxy>);
+/// Counts a large response that will go to another node once the upstream has made it.
+struct PendingLargeResponse {
+    proxy: Arc<InboundProxy>,
+}
 
 impl PendingLargeResponse {
-    fn new(door: &Arc<InboundProxy>) -> PendingLargeResponse {
-        door.large_inside.fetch_add(1, Relaxed);
-        PendingLargeResponse(door.clone())
+    fn new(proxy: &Arc<InboundProxy>) -> PendingLargeResponse {
+        proxy.pending_large.fetch_add(1, Relaxed);
+        PendingLargeResponse { proxy: proxy.clone() }
     }
 }
 
 impl Drop for PendingLargeResponse {
     fn drop(&mut self) {
-        self.0.large_inside.fetch_sub(1, Relaxed);
+        self.proxy.pending_large.fetch_sub(1, Relaxed);
     }
 }
 
-/// A run at the upstream that is out. Dropped before it has ended, nobody waits for it any more.
-struct UpstreamRun(Arc<InboundProxy>, u64);
+/// A request that runs at the upstream. Dropped before it has ended, it counts as abandoned by its client.
+struct UpstreamRun {
+    proxy: Arc<InboundProxy>,
+    /// Number of the run at the outlier detector.
+    run_id: u64,
+}
 
 impl UpstreamRun {
-    fn ended(self, ran: RunOutcome) {
-        let now = self.0.clock.now();
-        held(&self.0.health).end(now, self.1, ran);
-        self.0.look(now);
+    fn ended(self, outcome: RunOutcome) {
+        let now = self.proxy.clock.now();
+        held(&self.proxy.health).end(now, self.run_id, outcome);
+        self.proxy.update_health(now);
     }
 }
 
 impl Drop for UpstreamRun {
     fn drop(&mut self) {
-        held(&self.0.health).end(self.0.clock.now(), self.1, RunOutcome::Abandoned);
+        held(&self.proxy.health).end(self.proxy.clock.now(), self.run_id, RunOutcome::Abandoned);
     }
 }
 
-struct RequestGuard(Arc<InboundProxy>, Vec<u8>);
+/// Counts a request as in flight, and its id as running, until it is dropped.
+struct RequestGuard {
+    proxy: Arc<InboundProxy>,
+    request_id: Vec<u8>,
+}
 
 impl Drop for RequestGuard {
     fn drop(&mut self) {
-        held(&self.0.runs).remove(&self.1);
-        self.0.inside.fetch_sub(1, Relaxed);
+        held(&self.proxy.running).remove(&self.request_id);
+        self.proxy.in_flight.fetch_sub(1, Relaxed);
     }
 }
 
 impl InboundProxy {
-    pub fn new(site: InboundSettings, clock: Clock, incarnation: u64) -> Arc<InboundProxy> {
-        let InboundSettings { at, zone, app, drain, connections, ahead, link_mbps } = site;
-        let state = ProxyState { upstream: None, past: VecDeque::new(), number: 1, incarnation };
+    /// An inbound proxy that knows no upstream yet. `incarnation` is that of this process; see also
+    /// [`InboundProxy::ensure_incarnation_above`].
+    pub fn new(settings: InboundSettings, clock: Clock, incarnation: u64) -> Arc<InboundProxy> {
+        let state = ProxyState {
+            upstream: None,
+            past_incarnations: VecDeque::new(),
+            record_sequence: 1,
+            incarnation,
+        };
         Arc::new(InboundProxy {
-            at,
-            zone,
-            app,
+            address: settings.address,
+            zone: settings.zone,
+            upstream_address: settings.upstream_address,
             clock,
-            drain,
+            drain_timeout: settings.drain_timeout,
             state: Mutex::new(state),
-            connection_limit: ConnectionLimit::new(connections),
-            inside: AtomicUsize::new(0),
-            slots: Mutex::default(),
+            connection_limit: ConnectionLimit::new(settings.max_connections),
+            in_flight: AtomicUsize::new(0),
+            admission: Mutex::default(),
             health: Mutex::default(),
             shares: ArcSwap::default(),
-            large_responses: LargeResponseLane::new(link_mbps, clock),
-            large: Mutex::new(0.0),
-            large_inside: AtomicUsize::new(0),
-            ahead: Arc::new(Semaphore::new(ahead)),
-            calls: AtomicBool::new(false),
-            runs: Mutex::default(),
+            large_responses: LargeResponseLane::new(settings.link_mbps, clock),
+            mean_large_bytes: Mutex::new(0.0),
+            pending_large: AtomicUsize::new(0),
+            read_ahead: Arc::new(Semaphore::new(settings.read_ahead_bytes)),
+            calls_services: AtomicBool::new(false),
+            running: Mutex::default(),
             serving: AtomicBool::new(false),
             changed: tokio::sync::Notify::new(),
             sessions: SessionTable::default(),
@@ -283,13 +367,13 @@
         })
     }
 
-    /// The row that tells of this place.
+    /// The endpoint record of this node, as other nodes get it by watches.
     pub fn endpoint_record(&self) -> EndpointRecord {
         let state = held(&self.state);
         let mut record = EndpointRecord {
-            inbound_proxy: self.at,
+            inbound_proxy: self.address,
             incarnation: state.incarnation,
-            sequence: state.number,
+            sequence: state.record_sequence,
             zone: self.zone.clone(),
             service: String::new(),
             upstream_id: String::new(),
@@ -297,140 +381,153 @@
             state: UpstreamState::Absent,
             concurrency_limit: 0,
             warming_up_ms: 0,
-            calls_services: self.calls.load(Relaxed),
+            calls_services: self.calls_services.load(Relaxed),
             accepts_clients: self.serving.load(Relaxed),
             health: held(&self.health).health(),
         };
         if let Some(upstream) = &state.upstream {
-            record.service = upstream.line.clone();
+            record.service = upstream.service.clone();
             record.upstream_id = upstream.id.clone();
-            record.software_version = upstream.edition.clone();
-            record.state = upstream.stand;
-            record.concurrency_limit = upstream.slots;
-            let since = (self.clock.now() - upstream.told) / MS;
-            record.warming_up_ms = upstream.cold_ms.saturating_sub(since);
+            record.software_version = upstream.software_version.clone();
+            record.state = upstream.state;
+            record.concurrency_limit = upstream.concurrency_limit;
+            let since = (self.clock.now() - upstream.heard_at) / MS;
+            record.warming_up_ms = upstream.warming_up_ms.saturating_sub(since);
         }
         record
     }
 
-    /// Whether the upstream beside it has ended in order.
+    /// Whether the upstream has signed off, so that this incarnation of it takes nothing more.
     pub fn upstream_signed_off(&self) -> bool {
-        held(&self.state).upstream.as_ref().is_some_and(|upstream| upstream.stand == UpstreamState::Absent)
+        held(&self.state).upstream.as_ref().is_some_and(|upstream| upstream.state == UpstreamState::Absent)
     }
 
+    /// Whether the upstream has been heard since this process started, by a heartbeat or by the probe.
     pub fn knows_upstream(&self) -> bool {
         held(&self.state).upstream.is_some()
     }
 
-    /// After a start: the row that others still hold of this place tells of an upstream, and one probe tells whether it
-    /// still stands. Guards against a door that knows nothing until the next beat.
+    /// After a start: other nodes may still have this node's record with an upstream. One health check tells whether that
+    /// incarnation still runs, so that the inbound proxy can serve before the upstream's next heartbeat.
     pub async fn probe_upstream(self: Arc<Self>, record: EndpointRecord, health: String) {
-        let Some(app) = self.app.filter(|_| record.state != UpstreamState::Absent) else { return };
-        let line = self.line_to(app);
+        let Some(address) = self.upstream_address.filter(|_| record.state != UpstreamState::Absent) else {
+            return;
+        };
+        let connections = self.pool_to(address);
         let mut head = hyper::Request::new(());
         match health.parse() {
             Ok(uri) => *head.uri_mut() = uri,
             Err(_) => return,
         }
-        if let Ok(host) = HeaderValue::try_from(app.to_string()) {
+        if let Ok(host) = HeaderValue::try_from(address.to_string()) {
             head.headers_mut().insert(HOST, host);
         }
         let message = Arc::new(Message { head, first: bytes::Bytes::new(), length: Some(0), long: None });
-        let until = self.clock.now() + PROBE_TIMEOUT;
-        let Ok((head, _)) = line.exchange(&message, &HeaderMap::new(), until, None, |_| true).await else {
+        let deadline = self.clock.now() + PROBE_TIMEOUT;
+        let Ok((head, _)) = connections.exchange(&message, &HeaderMap::new(), deadline, None, |_| true).await
+        else {
             return;
         };
-        // What a health page says of its upstream may be wrong, and a life that closes never opens again. Only the next
-        // beat tells.
+        // A health page may be wrong about its upstream, and a draining incarnation never serves again. A page that names
+        // another incarnation or fails therefore decides nothing: the next heartbeat does.
         if header_str(&head.headers, &DELIVERED_BY) != record.upstream_id || !head.status.is_success() {
             return;
         }
         let now = self.clock.now();
         let mut state = held(&self.state);
-        if state.upstream.is_some() || state.past.contains(&record.upstream_id) {
+        if state.upstream.is_some() || state.past_incarnations.contains(&record.upstream_id) {
             return;
         }
-        let (stand, closing) = (record.state, record.state == UpstreamState::Draining);
-        log::info!("upstream {} of {}: found again, {stand:?}", record.upstream_id, record.service);
+        let is_draining = record.state == UpstreamState::Draining;
+        log::info!(
+            "upstream {} of {}: found again, {stand:?}",
+            record.upstream_id,
+            record.service,
+            stand = record.state
+        );
         state.upstream = Some(Upstream {
             id: record.upstream_id,
-            line: record.service,
+            service: record.service,
             zone: record.zone,
-            edition: record.software_version,
-            slots: record.concurrency_limit,
-            stand,
-            number: 0,
-            cold_ms: 0,
-            told: now,
-            closing_since: closing.then_some(now),
-            to: line,
+            software_version: record.software_version,
+            concurrency_limit: record.concurrency_limit,
+            state: record.state,
+            heartbeat_sequence: 0,
+            warming_up_ms: 0,
+            heard_at: now,
+            draining_since: is_draining.then_some(now),
+            connections,
         });
-        held(&self.slots).set_limit(record.concurrency_limit);
+        held(&self.admission).set_limit(record.concurrency_limit);
         drop(state);
         self.record_changed();
     }
 
-    /// What others hold of this place from an earlier life of this process: a life of the upstream that was closing or
-    /// gone then is so now, whatever a beat that came late has told since. The acknowledgement of its drain binds.
-    pub fn restore_upstream_state(&self, id: &str, stand: UpstreamState) {
+    /// Takes over what other nodes know from an earlier run of this process: an incarnation of the upstream that was draining
+    /// or had ended then is so now, whatever a late heartbeat has said since. Its drain was acknowledged, and that binds.
+    pub fn restore_upstream_state(&self, id: &str, known: UpstreamState) {
         let mut state = held(&self.state);
-        if stand == UpstreamState::Serving || id.is_empty() {
+        if known == UpstreamState::Serving || id.is_empty() {
             return;
         }
-        if stand == UpstreamState::Absent {
-            state.end_life(id);
+        if known == UpstreamState::Absent {
+            state.end_incarnation(id);
         }
-        let over = self.clock.now().saturating_sub(self.drain.as_nanos() as Nanos);
+        // It is unknown when the drain began, so that its time counts as over.
+        let drain_over = self.clock.now().saturating_sub(self.drain_timeout.as_nanos() as Nanos);
         let Some(upstream) = &mut state.upstream else { return };
-        if upstream.id != id || upstream.stand != UpstreamState::Serving {
+        if upstream.id != id || upstream.state != UpstreamState::Serving {
             return;
         }
-        (upstream.stand, upstream.closing_since) = (stand, Some(over));
-        log::info!("upstream {id}: {stand:?} by what was told before this start");
+        (upstream.state, upstream.draining_since) = (known, Some(drain_over));
+        log::info!("upstream {id}: {stand:?} by what was told before this start", stand = known);
         drop(state);
         self.record_changed();
     }
 
+    /// Gives the endpoint record its next number and has the open watches report it.
     pub fn record_changed(&self) {
-        held(&self.state).number += 1;
+        held(&self.state).record_sequence += 1;
         self.changed.notify_waiters();
     }
 
-    /// The row is known elsewhere under a later life: what is told from here on must be later still.
+    /// The record is known elsewhere under this incarnation. Records from here on get a later one, or they would be ignored.
     pub fn ensure_incarnation_above(&self, incarnation: u64) {
         let mut state = held(&self.state);
         if incarnation > state.incarnation {
             state.incarnation = incarnation + 1;
-            state.number += 1;
+            state.record_sequence += 1;
             drop(state);
             self.changed.notify_waiters();
         }
     }
 
-    /// A req came to the gate of this machine. One whose id goes on from that of a run inside is a call of that run: the
-    /// upstream is no last tier. Told with whether that run was one sent again, so that its calls count as such too.
+    /// Whether a request that came to the outbound proxy of this node is a nested call of a request that runs at the upstream:
+    /// its id then continues that one's id. `Some` says whether the run is a retry, so that its calls count as retries too;
+    /// `None` that there is no such run. The first nested call marks the upstream as one that calls other services.
     pub fn running_request(&self, id: &[u8]) -> Option<bool> {
-        let mut goes_on = id.iter().enumerate().filter(|(_, byte)| !byte.is_ascii_alphanumeric()).take(8);
-        let again = {
-            let runs = held(&self.runs);
-            goes_on.find_map(|(at, _)| runs.get(&id[..at]).copied())
+        let mut separators = id.iter().enumerate().filter(|(_, byte)| !byte.is_ascii_alphanumeric()).take(8);
+        let is_retry = {
+            let running = held(&self.running);
+            separators.find_map(|(at, _)| running.get(&id[..at]).copied())
         };
-        if again.is_some() && !self.calls.swap(true, Relaxed) {
+        if is_retry.is_some() && !self.calls_services.swap(true, Relaxed) {
             log::info!("the upstream calls other services");
             self.record_changed();
         }
-        again
+        is_retry
     }
 
+    /// The service of which the upstream is an instance, once it has been heard.
     pub fn service(&self) -> Option<String> {
-        held(&self.state).upstream.as_ref().map(|upstream| upstream.line.clone())
+        held(&self.state).upstream.as_ref().map(|upstream| upstream.service.clone())
     }
 
-    /// What the upstream says at the control gate.
+    /// Answers a call at the control address: the upstream's heartbeats and its sign-off, and operators' figures on sessions.
     pub async fn handle_control_call(self: Arc<Self>, received: ReceivedRequest) -> Response<ResponseBody> {
         let uri = received.request.uri().clone();
-        let (call, of) = call_and_subject(&uri);
-        match (call.as_str(), of) {
+        let (call_name, subject) = call_and_subject(&uri);
+        match (call_name.as_str(), subject) {
             ("offices.beat", Some(of)) => {
                 let bodies = Arc::new(Semaphore::new(1 << 16));
                 let read = listener::read_message(
@@ -441,11 +538,11 @@
                     Duration::from_secs(1),
                 )
                 .await;
-                let beat = match read {
+                let heartbeat = match read {
                     Ok((message, _room)) => self.handle_heartbeat(&of, &message.first),
-                    Err(RequestError(status, line)) => return plain_response(status, line),
+                    Err(RequestError(status, reason)) => return plain_response(status, reason),
                 };
-                match beat {
+                match heartbeat {
                     Ok(()) => listener::json_response(200, "{}".into()),
                     Err(why) => plain_response(400, why),
                 }
@@ -461,136 +558,156 @@
         }
     }
 
-    /// What the upstream tells of itself.
+    /// Takes a heartbeat of the incarnation `of`: JSON with its address, its service and how many requests it takes at once.
+    /// A heartbeat of an ended incarnation, or one older than the last, is accepted and ignored. An error says what can't be
+    /// read.
     pub fn handle_heartbeat(self: &Arc<Self>, of: &str, body: &[u8]) -> Result<(), &'static str> {
         let text = std::str::from_utf8(body).map_err(|_| "not UTF-8")?;
-        let beat = jzon::parse(text).map_err(|_| "no JSON")?;
-        let (notice, status) = (&beat["notice"], &beat["status"]);
-        let word = |from: &Json, name: &str| from[name].as_str().unwrap_or_default().to_owned();
+        let heartbeat = jzon::parse(text).map_err(|_| "no JSON")?;
+        let (notice, status) = (&heartbeat["notice"], &heartbeat["status"]);
+        let text_of = |from: &Json, name: &str| from[name].as_str().unwrap_or_default().to_owned();
         let address: SocketAddr =
-            beat["address"].as_str().and_then(|at| at.parse().ok()).ok_or("no address")?;
-        let line = word(notice, "line");
-        if line.is_empty() {
+            heartbeat["address"].as_str().and_then(|text| text.parse().ok()).ok_or("no address")?;
+        let service = text_of(notice, "line");
+        if service.is_empty() {
             return Err("no line");
         }
-        let number = status["postmark_seq"].as_u64().unwrap_or(0);
-        let stand = if status["state"].as_str() == Some("closing") {
+        let heartbeat_sequence = status["postmark_seq"].as_u64().unwrap_or(0);
+        let reported_state = if status["state"].as_str() == Some("closing") {
             UpstreamState::Draining
         } else {
             UpstreamState::Serving
         };
-        let cold_ms = status["cold_left_ms"].as_f64().unwrap_or(0.0).clamp(0.0, 600_000.0) as u64;
-        let slots = notice["pigeonholes"].as_u32().unwrap_or(1).clamp(1, 100_000);
-        let (zone, edition) = (word(notice, "zone"), word(notice, "edition"));
+        let warming_up_ms = status["cold_left_ms"].as_f64().unwrap_or(0.0).clamp(0.0, 600_000.0) as u64;
+        let concurrency_limit = notice["pigeonholes"].as_u32().unwrap_or(1).clamp(1, 100_000);
+        let (zone, software_version) = (text_of(notice, "zone"), text_of(notice, "edition"));
         let now = self.clock.now();
         let mut state = held(&self.state);
-        if state.past.iter().any(|past| past == of) {
+        if state.past_incarnations.iter().any(|ended| ended == of) {
             return Ok(());
         }
-        let was = state.upstream.take();
-        let (to, closing_since) = match &was {
-            Some(was) if was.id == of => {
-                if number < was.number {
-                    state.upstream = Some(was.clone());
+        let previous = state.upstream.take();
+        let (connections, draining_since) = match &previous {
+            Some(previous) if previous.id == of => {
+                if heartbeat_sequence < previous.heartbeat_sequence {
+                    state.upstream = Some(previous.clone());
                     return Ok(());
                 }
-                let to = if was.to.to() == address { was.to.clone() } else { self.line_to(address) };
-                (to, was.closing_since)
+                let connections = if previous.connections.to() == address {
+                    previous.connections.clone()
+                } else {
+                    self.pool_to(address)
+                };
+                (connections, previous.draining_since)
             }
-            Some(was) => {
-                let past = was.id.clone();
-                state.end_life(&past);
-                (self.line_to(address), None)
+            Some(previous) => {
+                let ended = previous.id.clone();
+                state.end_incarnation(&ended);
+                (self.pool_to(address), None)
             }
-            None => (self.line_to(address), None),
+            None => (self.pool_to(address), None),
         };
-        // Once closing, it does not open again in one life.
-        let stand = if closing_since.is_some() { UpstreamState::Draining } else { stand };
-        let closing_since = closing_since.or((stand == UpstreamState::Draining).then_some(now));
-        let same = was.as_ref().is_some_and(|was| {
-            was.id == of
-                && was.stand == stand
-                && was.slots == slots
-                && was.line == line
-                && was.edition == edition
+        // An incarnation that has begun to drain never serves again, whatever its heartbeats say.
+        let upstream_state = if draining_since.is_some() { UpstreamState::Draining } else { reported_state };
+        let draining_since = draining_since.or((upstream_state == UpstreamState::Draining).then_some(now));
+        let same = previous.as_ref().is_some_and(|previous| {
+            previous.id == of
+                && previous.state == upstream_state
+                && previous.concurrency_limit == concurrency_limit
+                && previous.service == service
+                && previous.software_version == software_version
         });
         let id = of.to_owned();
-        let upstream =
-            Upstream { id, line, zone, edition, slots, stand, number, cold_ms, told: now, closing_since, to };
+        let upstream = Upstream {
+            id,
+            service,
+            zone,
+            software_version,
+            concurrency_limit,
+            state: upstream_state,
+            heartbeat_sequence,
+            warming_up_ms,
+            heard_at: now,
+            draining_since,
+            connections,
+        };
         if !same {
             log::info!(
                 "upstream {} of {}: {:?}, {} slots, zone {}",
                 upstream.id,
-                upstream.line,
-                stand,
-                slots,
+                upstream.service,
+                upstream_state,
+                concurrency_limit,
                 upstream.zone
             );
         }
         state.upstream = Some(upstream);
         drop(state);
-        if was.is_none_or(|was| was.id != of) {
+        if previous.is_none_or(|previous| previous.id != of) {
             held(&self.health).reset();
         }
         if !same {
-            let mut all = held(&self.slots);
-            all.set_limit(slots);
-            let handed = self.hand_on(&mut all, now);
-            drop(all);
-            handed.into_iter().for_each(|(waiting, slot)| drop(waiting.send(slot)));
+            let mut admission = held(&self.admission);
+            admission.set_limit(concurrency_limit);
+            let granted = self.admit_waiting(&mut admission, now);
+            drop(admission);
+            granted.into_iter().for_each(GrantedPermit::deliver);
             self.record_changed();
         }
         Ok(())
     }
 
-    fn line_to(&self, address: SocketAddr) -> Arc<ConnectionPool> {
+    /// Connections to the upstream at this address. They count against the connection limit.
+    fn pool_to(&self, address: SocketAddr) -> Arc<ConnectionPool> {
         Arc::new(
             ConnectionPool::new(address, self.clock, self.connection_limit.permits())
                 .near()
-                .reading_ahead(self.ahead.clone()),
+                .reading_ahead(self.read_ahead.clone()),
         )
     }
 
-    /// That life takes nothing any more, whether it was known here or not: a beat of it may still be on its way.
+    /// This incarnation takes nothing any more. It is remembered also if it wasn't known: a heartbeat of it may still be on
+    /// its way.
     fn sign_off(&self, of: &str) {
         let mut state = held(&self.state);
-        state.end_life(of);
+        state.end_incarnation(of);
         let Some(upstream) = &mut state.upstream else { return };
-        if upstream.id != of || upstream.stand == UpstreamState::Absent {
+        if upstream.id != of || upstream.state == UpstreamState::Absent {
             return;
         }
-        upstream.stand = UpstreamState::Absent;
-        upstream.to.shut();
+        upstream.state = UpstreamState::Absent;
+        upstream.connections.shut();
         log::info!("upstream {of}: signed off");
         drop(state);
         self.record_changed();
     }
 
-    /// An operator's word: this life takes nothing new, as if its upstream had said that it closes.
+    /// Drains the upstream for an operator, as if it had reported that it drains. Does nothing for another incarnation.
     pub fn drain(&self, id: &str) {
         let mut state = held(&self.state);
         if let Some(upstream) = &mut state.upstream
             && upstream.id == id
-            && upstream.stand == UpstreamState::Serving
+            && upstream.state == UpstreamState::Serving
         {
-            upstream.stand = UpstreamState::Draining;
-            upstream.closing_since = Some(self.clock.now());
+            upstream.state = UpstreamState::Draining;
+            upstream.draining_since = Some(self.clock.now());
             log::info!("upstream {id}: drained by an operator");
             drop(state);
             self.record_changed();
         }
     }
 
-    /// Closes connections that have been idle for long, and tells when the upstream is cold no more.
+    /// Closes connections that have been idle for long, and reports it when the upstream has warmed up. To be called about
+    /// once a second.
     pub fn close_idle_connections(&self) {
-        self.look(self.clock.now());
+        self.update_health(self.clock.now());
         let warm = {
             let mut state = held(&self.state);
             let Some(upstream) = &mut state.upstream else { return };
             let now = self.clock.now();
-            upstream.to.sweep(now);
-            let warm = upstream.cold_ms > 0 && now > upstream.told + upstream.cold_ms * MS;
-            upstream.cold_ms = if warm { 0 } else { upstream.cold_ms };
+            upstream.connections.sweep(now);
+            let warm = upstream.warming_up_ms > 0 && now > upstream.heard_at + upstream.warming_up_ms * MS;
+            upstream.warming_up_ms = if warm { 0 } else { upstream.warming_up_ms };
             warm
         };
         if warm {
@@ -598,146 +715,157 @@
         }
     }
 
-    /// The upstream takes so many connections from all its callers, each with one req at a time.
+    /// Sets how many connections the upstream takes from all its callers. Each carries one request at a time, so that this
+    /// also bounds the concurrency limit that the upstream reports.
     pub fn set_connection_limit(&self, cap: usize) {
         self.connection_limit.set_limit(cap);
-        let slots = held(&self.state).upstream.as_ref().map_or(0, |upstream| upstream.slots);
-        if slots as usize > cap {
-            held(&self.slots).set_limit(cap.max(1) as u32);
+        let reported = held(&self.state).upstream.as_ref().map_or(0, |upstream| upstream.concurrency_limit);
+        if reported as usize > cap {
+            held(&self.admission).set_limit(cap.max(1) as u32);
         }
     }
 
-    /// The configuration in force here tells what members may have of the slots.
+    /// Sets members' shares of the concurrency limit, from the configuration in force on this node.
     pub fn set_member_shares(&self, shares: &Arc<RetryShares>) {
         self.shares.store(shares.clone());
     }
 
-    /// What a member may have here: the word of the configuration in force on this machine, else of the gate's. Guards
-    /// against gates that are cut off and don't know yet that the platform gave it less.
-    fn part(&self, told: MemberShare) -> MemberShare {
-        let share = self.shares.load().get(&told.member).map(|share| share.concurrency);
-        MemberShare { share: share.unwrap_or(told.share), ..told }
+    /// A member's share here: by the configuration in force on this node, or else what the outbound proxy sent. An outbound
+    /// proxy that is cut off may not know yet that the platform has reduced the share.
+    fn effective_share(&self, sent: MemberShare) -> MemberShare {
+        let share = self.shares.load().get(&sent.member).map(|share| share.concurrency);
+        MemberShare { share: share.unwrap_or(sent.share), ..sent }
     }
 
-    /// How many reqs are inside.
+    /// How many requests wait or run, or have a response that is still being taken.
     pub fn requests_in_flight(&self) -> usize {
-        self.inside.load(Relaxed)
+        self.in_flight.load(Relaxed)
     }
 
-    /// How many reqs are at the upstream or wait to be.
+    /// How many requests run at the upstream or wait to be admitted. Outbound proxies get it with each response.
     pub fn load(&self) -> usize {
-        let slots = held(&self.slots);
-        slots.in_flight() as usize + slots.queued()
+        let admission = held(&self.admission);
+        admission.in_flight() as usize + admission.queued()
     }
 
-    /// Gives free places to those that wait, to be sent to them once the lock is free.
-    fn hand_on(
+    /// Admits the queued requests for which there is room. The permits are to be delivered once the lock on the queue is
+    /// released.
+    fn admit_waiting(
         self: &Arc<Self>,
-        slots: &mut AdmissionQueue<QueuedRequest>,
+        admission: &mut AdmissionQueue<QueuedRequest>,
         now: Nanos,
-    ) -> Vec<(oneshot::Sender<AdmissionPermit>, AdmissionPermit)> {
-        let mut handed = Vec::new();
-        slots.remove_waiters(|(waiting, _)| waiting.is_closed());
-        while let Some((waiting, member)) = slots.admit_next(now) {
-            handed.push((waiting, AdmissionPermit(self.clone(), 0, member)));
+    ) -> Vec<GrantedPermit> {
+        let mut granted = Vec::new();
+        admission.remove_waiters(|queued| queued.waiter.is_closed());
+        while let Some(QueuedRequest { waiter, member }) = admission.admit_next(now) {
+            let permit = AdmissionPermit { proxy: self.clone(), started_at: 0, member };
+            granted.push(GrantedPermit { waiter, permit });
         }
-        handed
+        granted
     }
 
-    /// Lets a req through to the upstream, if it is the one that was meant.
+    /// Forwards a request to the upstream, if it is the incarnation that was meant, and waits for the response.
+    ///
+    /// The request may wait in the admission queue, so that all checks are made again before it is sent.
     pub async fn forward(self: &Arc<Self>, request: InboundRequest<'_>) -> UpstreamOutcome {
         let InboundRequest {
             message,
-            meant,
+            upstream_id,
             caller,
-            again,
-            call,
-            large,
-            away,
+            is_retry,
+            is_nested,
+            is_large,
+            is_remote,
             fencing_token,
             target,
-            until,
-            part,
+            deadline,
+            member_share,
             ..
         } = request;
-        let Some(to) = self.check(meant) else { return UpstreamOutcome::Gone };
+        let Some(connections) = self.accepting_pool(upstream_id) else { return UpstreamOutcome::Gone };
         let now = self.clock.now();
-        if let Err(known) = self.lets(now, fencing_token) {
+        if let Err(known) = self.check_fencing(now, fencing_token) {
             return UpstreamOutcome::Fenced(known);
         }
-        // A large answer is late when its last byte is: what stands before it on the link, which goes while it is made,
-        // and its own part.
-        let paced = large && away;
-        let (stands, span) = if paced { self.on_the_way(now) } else { (0, 0) };
-        let took = held(&self.slots).mean_run_time();
-        let target = target.saturating_sub(span + stands.saturating_sub(took));
-        if stands > 0 && now + took > target {
+        // A large response is late when its last byte is. Its target is therefore earlier by its own transfer time, and by the
+        // time that the link needs for the responses ahead of it, as far as that exceeds the run time that passes meanwhile.
+        let paced = is_large && is_remote;
+        let (link_wait, transfer_time) = if paced { self.large_response_delay(now) } else { (0, 0) };
+        let run_time = held(&self.admission).mean_run_time();
+        let target = target.saturating_sub(transfer_time + link_wait.saturating_sub(run_time));
+        if link_wait > 0 && now + run_time > target {
             return UpstreamOutcome::Rejected;
         }
-        let (turned, tied) = (request.turned, request.tied);
-        let part = part.map(|told| self.part(told));
-        let member = part.as_ref().map(|part| part.member.clone());
-        let waits = {
-            let mut wait = None;
-            let asker = AdmissionRequest {
-                is_nested: call,
-                rejections: turned,
-                has_affinity: tied,
+        let member_share = member_share.map(|sent| self.effective_share(sent));
+        let member = member_share.as_ref().map(|member_share| member_share.member.clone());
+        let admitted = {
+            let mut permit = None;
+            let admission_request = AdmissionRequest {
+                is_nested,
+                rejections: request.rejections,
+                has_affinity: request.has_affinity,
                 target,
-                deadline: until,
+                deadline,
             };
-            let way = held(&self.slots).request_for_member(now, &asker, part.as_ref(), || {
-                let (send, waits) = oneshot::channel();
-                wait = Some(waits);
-                (send, member.clone())
-            });
-            match (way, wait) {
-                (Admission::Admitted, _) => Ok(AdmissionPermit(self.clone(), 0, member)),
-                (Admission::Queued(last), Some(wait)) => Err((last, wait)),
+            let decision = held(&self.admission).request_for_member(
+                now,
+                &admission_request,
+                member_share.as_ref(),
+                || {
+                    let (waiter, granted) = oneshot::channel();
+                    permit = Some(granted);
+                    QueuedRequest { waiter, member: member.clone() }
+                },
+            );
+            match (decision, permit) {
+                (Admission::Admitted, _) => {
+                    Ok(AdmissionPermit { proxy: self.clone(), started_at: 0, member })
+                }
+                (Admission::Queued(expires_at), Some(permit)) => Err((expires_at, permit)),
                 _ => return UpstreamOutcome::Rejected,
             }
         };
-        let coming = paced.then(|| PendingLargeResponse::new(self));
-        self.inside.fetch_add(1, Relaxed);
+        let pending = paced.then(|| PendingLargeResponse::new(self));
+        self.in_flight.fetch_add(1, Relaxed);
         let id = message.head.headers().get(&ID).cloned();
-        let name = id.as_ref().map(|id| id.as_bytes().to_vec()).unwrap_or_default();
-        held(&self.runs).insert(name.clone(), again);
-        let inside = RequestGuard(self.clone(), name);
-        let mut slot = match waits {
-            Ok(slot) => slot,
-            Err((last, wait)) => match timeout_at(self.clock.instant(last), wait).await {
-                Ok(Ok(slot)) => slot,
+        let request_id = id.as_ref().map(|id| id.as_bytes().to_vec()).unwrap_or_default();
+        held(&self.running).insert(request_id.clone(), is_retry);
+        let guard = RequestGuard { proxy: self.clone(), request_id };
+        let mut permit = match admitted {
+            Ok(permit) => permit,
+            Err((expires_at, granted)) => match timeout_at(self.clock.instant(expires_at), granted).await {
+                Ok(Ok(permit)) => permit,
                 Ok(Err(_)) => return UpstreamOutcome::Rejected,
                 Err(_) => return UpstreamOutcome::NotSent,
             },
         };
-        if self.check(meant).is_none() {
+        if self.accepting_pool(upstream_id).is_none() {
             return UpstreamOutcome::Gone;
         }
-        // Its session may have moved while it waited.
-        if let Err(known) = self.lets(self.clock.now(), fencing_token) {
+        // The session may have moved to another owner while the request waited.
+        if let Err(known) = self.check_fencing(self.clock.now(), fencing_token) {
             return UpstreamOutcome::Fenced(known);
         }
-        let left = until.saturating_sub(self.clock.now()) / MS;
+        let left = deadline.saturating_sub(self.clock.now()) / MS;
         if left == 0 {
             return UpstreamOutcome::NotSent;
         }
         let mut fields = HeaderMap::new();
         fields.insert(LEFT, HeaderValue::from(left));
-        if let Ok(meant) = HeaderValue::try_from(meant) {
-            fields.insert(ADDRESSEE, meant);
+        if let Ok(upstream_id) = HeaderValue::try_from(upstream_id) {
+            fields.insert(ADDRESSEE, upstream_id);
         }
         fields.insert(CALLER, caller.clone());
-        // An answer that names another req belongs to that one.
+        // A response that names another request belongs to that one.
         let ours = |head: &Parts| head.headers.get(&ID) == id.as_ref();
-        slot.1 = self.clock.now();
-        let run =
-            self.begins(slot.1, RequestClass { member: slot.2.clone(), is_nested: call, is_large: large });
-        let answer = to.exchange(message, &fields, until, Some(Box::new(slot)), ours).await;
-        let (mut head, flow) = match answer {
+        permit.started_at = self.clock.now();
+        let class = RequestClass { member: permit.member.clone(), is_nested, is_large };
+        let run = self.begin_run(permit.started_at, class);
+        let answer = connections.exchange(message, &fields, deadline, Some(Box::new(permit)), ours).await;
+        let (mut head, body) = match answer {
             Ok(answer) => answer,
-            Err(fail) => {
-                let (ran, end) = match fail {
+            Err(error) => {
+                let (run_outcome, outcome) = match error {
                     ExchangeError::ConnectFailed => {
                         (RunOutcome::NoConnection, UpstreamOutcome::ConnectFailed)
                     }
@@ -745,8 +873,8 @@
                     ExchangeError::Reset => (RunOutcome::Failed, UpstreamOutcome::Reset),
                     ExchangeError::TimedOut => (RunOutcome::Abandoned, UpstreamOutcome::TimedOut),
                 };
-                run.ended(ran);
-                return end;
+                run.ended(run_outcome);
+                return outcome;
             }
         };
         head.headers.remove(&WAY);
@@ -757,6 +885,8 @@
             run.ended(RunOutcome::Failed);
             return UpstreamOutcome::UpstreamFull;
         }
+        // A successful response without the upstream's stamp, or one that is encoded, was made or changed by something in
+        // between. Whether the request has run can't be told from it.
         let stamped = head.headers.contains_key(&STAMP);
         let coded = head.headers.contains_key(CONTENT_ENCODING);
         if coded || (head.status.is_success() && !stamped) {
@@ -764,156 +894,168 @@
             return UpstreamOutcome::Reset;
         }
         run.ended(match head.status {
-            // At its deadline a run has failed for want of time.
+            // A run that ends at its deadline lacked time; that says nothing about the upstream's health.
             StatusCode::GATEWAY_TIMEOUT => RunOutcome::Abandoned,
             status if status.is_server_error() => RunOutcome::Failed,
             _ => RunOutcome::Succeeded,
         });
-        if large && let Some(size) = flow.size_hint().exact() {
-            let mut mean = held(&self.large);
+        if is_large && let Some(size) = body.size_hint().exact() {
+            let mut mean = held(&self.mean_large_bytes);
             *mean += (size as f64 - *mean) * if *mean > 0.0 { LARGE_RESPONSE_MEAN_WEIGHT } else { 1.0 };
         }
-        let flow = if away { self.paced(flow) } else { flow };
-        // From here on it stands in the lane.
-        drop(coming);
-        UpstreamOutcome::Responded(head, flow.holding(inside))
+        let body = if is_remote { self.paced_response(body) } else { body };
+        // From here on the response counts in the pacer.
+        drop(pending);
+        UpstreamOutcome::Responded(head, body.holding(guard))
     }
 
-    fn begins(self: &Arc<Self>, now: Nanos, sort: RequestClass) -> UpstreamRun {
-        let run = held(&self.health).begin(now, sort);
-        self.look(now);
-        UpstreamRun(self.clone(), run)
+    /// Reports a run to the outlier detector.
+    fn begin_run(self: &Arc<Self>, now: Nanos, class: RequestClass) -> UpstreamRun {
+        let run_id = held(&self.health).begin(now, class);
+        self.update_health(now);
+        UpstreamRun { proxy: self.clone(), run_id }
     }
 
-    /// Tells how the upstream does where that has changed.
-    fn look(&self, now: Nanos) {
+    /// Logs and reports the upstream's health if it has changed.
+    fn update_health(&self, now: Nanos) {
         let mut health = held(&self.health);
-        let (was, ill) = (health.health(), health.update(now));
+        let (previous, current) = (health.health(), health.update(now));
         drop(health);
-        if was != ill {
+        if previous != current {
             let name = self.service().unwrap_or_default();
             log::info!(
                 "upstream of {name}: fails at level {}, slow at level {}",
-                ill.failure_level,
-                ill.latency_level
+                current.failure_level,
+                current.latency_level
             );
             self.record_changed();
         }
     }
 
-    fn paced(&self, flow: ResponseBody) -> ResponseBody {
-        let flow = flow.paced(&self.large_responses);
-        if let ResponseBody::Buffered(body) = &flow {
+    /// A response to another node, at the pace that the node's link allows to large ones.
+    fn paced_response(&self, body: ResponseBody) -> ResponseBody {
+        let body = body.paced(&self.large_responses);
+        if let ResponseBody::Buffered(body) = &body {
             self.note_outgoing_bytes(body.size_hint().lower());
         }
-        flow
+        body
     }
 
-    /// What stands before a large answer on the way to another machine, and how long it is on its way itself.
-    fn on_the_way(&self, now: Nanos) -> (Nanos, Nanos) {
-        let mean = *held(&self.large);
-        let coming = self.large_inside.load(Relaxed) as f64 * mean;
+    /// For a large response to another node that would be requested now: how long the link is busy with those ahead of it,
+    /// and its own transfer time, both estimated from the mean size.
+    fn large_response_delay(&self, now: Nanos) -> (Nanos, Nanos) {
+        let mean = *held(&self.mean_large_bytes);
+        let pending_bytes = self.pending_large.load(Relaxed) as f64 * mean;
         let pace = self.large_responses.pace();
-        (pace.wait(now) + pace.transfer_time(coming), pace.transfer_time(mean))
+        (pace.wait(now) + pace.transfer_time(pending_bytes), pace.transfer_time(mean))
     }
 
-    /// So many bytes go out to other machines, at once.
+    /// Tells the pacer of bytes that go to other nodes unpaced.
     pub fn note_outgoing_bytes(&self, bytes: u64) {
         self.large_responses.pace().note(self.clock.now(), bytes as usize + HEADER_ESTIMATE_BYTES);
     }
 
-    fn lets(&self, now: Nanos, fencing_token: Option<FencingToken>) -> Result<(), u64> {
+    /// The later term that is known, if the session has moved to another owner.
+    fn check_fencing(&self, now: Nanos, fencing_token: Option<FencingToken>) -> Result<(), u64> {
         fencing_token.map_or(Ok(()), |fencing_token| self.fence.check(now, fencing_token))
     }
 
-    /// Whether this life takes reqs now, and where it is.
-    fn check(&self, meant: &str) -> Option<Arc<ConnectionPool>> {
+    /// The connections to the upstream, if it is this incarnation and takes requests now.
+    fn accepting_pool(&self, upstream_id: &str) -> Option<Arc<ConnectionPool>> {
         let state = held(&self.state);
         let upstream = state.upstream.as_ref()?;
-        let over = |since: Nanos| self.clock.now() > since + (self.drain / DRAIN_DIVISOR).as_nanos() as Nanos;
-        let takes = upstream.id == meant
-            && upstream.stand != UpstreamState::Absent
-            && !upstream.closing_since.is_some_and(over);
-        takes.then(|| upstream.to.clone())
+        let drain_over = |since: Nanos| {
+            self.clock.now() > since + (self.drain_timeout / DRAIN_DIVISOR).as_nanos() as Nanos
+        };
+        let accepts = upstream.id == upstream_id
+            && upstream.state != UpstreamState::Absent
+            && !upstream.draining_since.is_some_and(drain_over);
+        accepts.then(|| upstream.connections.clone())
     }
 
-    fn way(&self, mut answer: Response<ResponseBody>, word: &str) -> Response<ResponseBody> {
-        if let Ok(word) = HeaderValue::try_from(format!("{word} {}", self.load())) {
-            answer.headers_mut().insert(WAY, word);
+    /// Adds the header that tells the outbound proxy how the request ended here, and the load.
+    fn with_outcome(&self, mut answer: Response<ResponseBody>, word: &str) -> Response<ResponseBody> {
+        if let Ok(value) = HeaderValue::try_from(format!("{word} {}", self.load())) {
+            answer.headers_mut().insert(WAY, value);
         }
         answer
     }
 
-    /// A req that a gate elsewhere sent here.
+    /// Answers a request of an outbound proxy on another node, or its question for a session that it has taken over.
     pub async fn handle_request(
         self: Arc<Self>,
         received: ReceivedRequest,
         bodies: Arc<Semaphore>,
     ) -> Response<ResponseBody> {
-        let at = received.received_at;
+        let received_at = received.received_at;
         let headers = received.request.headers();
-        let meant = header_str(headers, &ADDRESSEE).to_owned();
+        let upstream_id = header_str(headers, &ADDRESSEE).to_owned();
         let left = header_str(headers, &LEFT).parse::<u64>().unwrap_or(0).min(MAX_TIME_LEFT_MS);
         let fence = header_str(headers, &SESSION_FENCE);
         if let Some(keys) = self.sessions.handle_handover(fence) {
-            return self.way(Response::new(ResponseBody::of(keys)), "ran");
+            return self.with_outcome(Response::new(ResponseBody::of(keys)), "ran");
         }
         let fencing_token = FencingToken::from_header(fence);
-        let RequestTerms { target_ms, turned, tied, again, call, large, part } =
+        let RequestTerms { target_ms, rejections, has_affinity, is_retry, is_nested, is_large, member_share } =
             RequestTerms::from_headers(headers, left);
         let caller = headers.get(&CALLER).cloned().unwrap_or(HeaderValue::from_static(""));
         let read =
             listener::read_message(received, &bodies, self.clock, u64::MAX, Duration::from_secs(10)).await;
         let (mut message, _room) = match read {
             Ok(read) => read,
-            Err(RequestError(status, line)) => return self.way(plain_response(status, line), "unsent"),
+            Err(RequestError(status, service)) => {
+                return self.with_outcome(plain_response(status, service), "unsent");
+            }
         };
         message.head.headers_mut().remove(&TERMS);
         message.head.headers_mut().remove(&SESSION_FENCE);
-        let (message, meant, caller, away) = (&Arc::new(message), &*meant, &caller, true);
-        let (target, until) = (at + target_ms * MS, at + left * MS);
+        let (message, upstream_id, caller, is_remote) = (&Arc::new(message), &*upstream_id, &caller, true);
+        let (target, deadline) = (received_at + target_ms * MS, received_at + left * MS);
         let request = InboundRequest {
             message,
-            meant,
+            upstream_id,
             caller,
-            turned,
-            tied,
-            again,
-            call,
-            large,
-            away,
+            rejections,
+            has_affinity,
+            is_retry,
+            is_nested,
+            is_large,
+            is_remote,
             fencing_token,
             target,
-            until,
-            part,
+            deadline,
+            member_share,
         };
-        let end = self.forward(request).await;
-        let word = end.as_word();
-        match end {
-            UpstreamOutcome::Responded(head, flow) => self.way(Response::from_parts(head, flow), word),
+        let outcome = self.forward(request).await;
+        let word = outcome.as_word();
+        match outcome {
+            UpstreamOutcome::Responded(head, body) => {
+                self.with_outcome(Response::from_parts(head, body), word)
+            }
             UpstreamOutcome::Fenced(known) => {
-                self.way(plain_response(503, word), &format!("{FENCED_PREFIX}{known}"))
+                self.with_outcome(plain_response(503, word), &format!("{FENCED_PREFIX}{known}"))
             }
-            _ => self.way(plain_response(503, word), word),
+            _ => self.with_outcome(plain_response(503, word), word),
         }
     }
 }
 
-/// The call's name and whom it is of.
+/// Name of a control call and the id that it is about, from its query; an empty name for any other path. Ids are cut off
+/// after 256 characters.
 pub fn call_and_subject(uri: &hyper::Uri) -> (String, Option<String>) {
     if uri.path() != "/api/rpc" {
         return (String::new(), None);
     }
     let pairs = uri.query().unwrap_or_default().split('&').filter_map(|pair| pair.split_once('='));
-    let (mut call, mut of) = (String::new(), None);
+    let (mut call_name, mut subject) = (String::new(), None);
     for (name, value) in pairs {
         match name {
-            "call" => call = value.to_owned(),
-            "of" => of = Some(value.chars().take(256).collect()),
+            "call" => call_name = value.to_owned(),
+            "of" => subject = Some(value.chars().take(256).collect()),
             _ => {}
         }
     }
-    (call, of)
+    (call_name, subject)
 }
 
 #[cfg(test)]
--- a/balancer/src/mesh/proxy/node.rs
+++ b/balancer/src/mesh/proxy/node.rs
@@ -171,12 +171,12 @@
         let mut chance = ChaCha8Rng::seed_from_u64(rand::random());
         let seed: u64 = chance.random();
         let site = InboundSettings {
-            at: door_at,
+            address: door_at,
             zone: settings.zone.clone(),
-            app: settings.upstream_address,
-            drain: settings.bounds.drain_timeout,
-            connections: sockets / 8,
-            ahead,
+            upstream_address: settings.upstream_address,
+            drain_timeout: settings.bounds.drain_timeout,
+            max_connections: sockets / 8,
+            read_ahead_bytes: ahead,
             link_mbps: settings.limits.link_mbps,
         };
         let node = Arc::new(Node {
--- a/balancer/src/mesh/proxy/outbound.rs
+++ b/balancer/src/mesh/proxy/outbound.rs
@@ -535,18 +535,18 @@
             .map(|of| MemberShare { member: of.member.clone(), share: of.concurrency });
         let request = InboundRequest {
             message,
-            meant: upstream_id,
+            upstream_id,
             caller: &caller,
-            turned: rejections,
-            tied: has_affinity,
-            again: attempt.is_retry || self.caller_is_retry,
-            call: self.is_nested,
-            large,
-            away,
+            rejections,
+            has_affinity,
+            is_retry: attempt.is_retry || self.caller_is_retry,
+            is_nested: self.is_nested,
+            is_large: large,
+            is_remote: away,
             fencing_token,
             target,
-            until,
-            part: share,
+            deadline: until,
+            member_share: share,
         };
         if !away {
             let outcome = node.inbound.forward(request).await;
--- a/balancer/src/mesh/proxy/tests/inbound_tests.rs
+++ b/balancer/src/mesh/proxy/tests/inbound_tests.rs
@@ -18,10 +18,16 @@
 async fn silent_door() -> (Arc<InboundProxy>, TcpListener, SocketAddr) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let app = listener.local_addr().expect("its address");
-    let at = SocketAddr::from(([127, 0, 0, 1], 1));
-    let (zone, drain, connections, ahead) = ("a".into(), Duration::from_secs(2), 64, 1 << 20);
-    let site = InboundSettings { at, zone, app: Some(app), drain, connections, ahead, link_mbps: 1_000.0 };
-    (InboundProxy::new(site, Clock::new(), 1), listener, app)
+    let settings = InboundSettings {
+        address: SocketAddr::from(([127, 0, 0, 1], 1)),
+        zone: "a".into(),
+        upstream_address: Some(app),
+        drain_timeout: Duration::from_secs(2),
+        max_connections: 64,
+        read_ahead_bytes: 1 << 20,
+        link_mbps: 1_000.0,
+    };
+    (InboundProxy::new(settings, Clock::new(), 1), listener, app)
 }
 
 fn beat(door: &Arc<InboundProxy>, app: SocketAddr, id: &str, number: u64, slots: u32, state: &str) {
@@ -58,18 +64,18 @@
         let (target, until) = (now + late_ms * MS, now + 20_000 * MS);
         let request = InboundRequest {
             message: &message,
-            meant: "i-1",
+            upstream_id: "i-1",
             caller: &caller,
-            turned,
-            tied: false,
-            again: false,
-            call: false,
-            large: false,
-            away: false,
+            rejections: turned,
+            has_affinity: false,
+            is_retry: false,
+            is_nested: false,
+            is_large: false,
+            is_remote: false,
             fencing_token,
             target,
-            until,
-            part,
+            deadline: until,
+            member_share: part,
         };
         door.forward(request).await.as_word()
     })
@@ -186,7 +192,7 @@
     inside(&door, 4).await;
     answer(hang.remove(0)).await;
     assert_eq!(runs.remove(0).await.expect("no panic"), "ran");
-    assert_eq!((door.load(), held(&door.slots).queued()), (3, 2));
+    assert_eq!((door.load(), held(&door.admission).queued()), (3, 2));
     answer(hang.remove(0)).await;
     for id in ["f", "c"] {
         let received = next(&upstream).await;
@@ -207,10 +213,15 @@
             TERMS,
             HeaderValue::from_str(word).or(HeaderValue::from_bytes(word.as_bytes())).expect("a field"),
         );
-        let RequestTerms { target_ms, turned, tied, again, call, large, part } =
+        let RequestTerms { target_ms, rejections, has_affinity, is_retry, is_nested, is_large, member_share } =
             RequestTerms::from_headers(&headers, 700);
-        assert_eq!(tied, word.split(' ').nth(2).is_some_and(|letters| letters.contains('t')), "{word}");
-        (target_ms, turned, again, call, large, part.map(|part| (part.share, part.member.to_string())))
+        assert_eq!(
+            has_affinity,
+            word.split(' ').nth(2).is_some_and(|letters| letters.contains('t')),
+            "{word}"
+        );
+        let member = member_share.map(|member| (member.share, member.member.to_string()));
+        (target_ms, rejections, is_retry, is_nested, is_large, member)
     };
     let of = |share, name: &str| Some((share, name.to_owned()));
     assert_eq!(read("250 2 acl"), (250, 2, true, true, true, None));
@@ -382,7 +393,7 @@
         next.expect("a new connection").expect("a connection").0
     };
     let ran = |sent: tokio::task::JoinHandle<&'static str>| async { sent.await.expect("no panic") };
-    let age = |by| held(&door.state).upstream.as_ref().expect("an upstream").to.age(by);
+    let age = |by| held(&door.state).upstream.as_ref().expect("an upstream").connections.age(by);
     // While it is used it is kept.
     let first = sent("a");
     let mut kept = accepted().await;
