--- a/balancer/src/mesh/proxy/node.rs
+++ b/balancer/src/mesh/proxy/node.rs
@@ -328,7 +328,7 @@
     pub fn scheduler(&self, line: &Name, route: &Route) -> Option<Arc<RequestScheduler>> {
         let seat = request_scheduler::scheduler_key(line, route);
         let scheduler = held(&self.seats).scheduler(&seat);
-        if scheduler.is_some() || seat.2.is_none() {
+        if scheduler.is_some() || seat.member.is_none() {
             return scheduler;
         }
         // The configuration is looked at under the locks: whoever brings in a later one seats all anew after that.
@@ -354,9 +354,9 @@
         plan: &SchedulerPlan,
     ) -> Arc<RequestScheduler> {
         let settings = self.settings.load();
-        let of = || records.records().filter(|received| *received.record.service == *plan.line);
+        let of = || records.records().filter(|received| *received.record.service == *plan.service);
         let calls = of().any(|received| received.record.calls_services);
-        let told = (plan.line.clone(), ServiceSettings::new(plan, gates, calls, &settings.bounds));
+        let told = (plan.service.clone(), ServiceSettings::new(plan, gates, calls, &settings.bounds));
         let window = settings.bounds.retry_window.as_nanos() as Nanos;
         let scheduler = RequestScheduler::of(was, told, self.clock, || self.new_token(), window);
         scheduler.update_endpoints(of(), &self.suspected.load(), &settings.zone);
--- a/balancer/src/mesh/proxy/outbound.rs
+++ b/balancer/src/mesh/proxy/outbound.rs
@@ -362,12 +362,12 @@
         let (mut may_have_run, mut sent, mut rejections) = (false, 0, u32::from(large));
         let mut aborted = pin!(self.node.aborted());
         loop {
-            let step = tokio::select! {
+            let action = tokio::select! {
                 biased;
                 () = &mut aborted => None,
-                step = scheduled.steps.recv() => step,
+                action = scheduled.actions.recv() => action,
             };
-            match step {
+            match action {
                 Some(SchedulerAction::Send { number, srv, give_up }) => {
                     if sent >= self.route.max_attempts {
                         break;
@@ -502,7 +502,7 @@
         loop {
             tokio::select! {
                 outcome = &mut work => return Some(outcome),
-                step = scheduled.steps.recv() => match step {
+                action = scheduled.actions.recv() => match action {
                     // That one attempt stays unanswered is no reason to cancel it: its node must be suspected by the
                     // replicas as well, and the request be one that may run twice.
                     Some(SchedulerAction::Cancel) if self.route.repeat_policy.repeatable() && self.node.is_suspected(&endpoint.inbound_proxy) => {
--- a/balancer/src/mesh/proxy/request_scheduler.rs
+++ b/balancer/src/mesh/proxy/request_scheduler.rs
@@ -1,5 +1,17 @@
-//! The module at work for one service: a gate asks here where a req goes. It owns the hands that hold the service's
-//! reqs, the list as the module is told it, and the timer. It must never decide itself, nor do I/O.
+//! The decision module at work for one service: decides where each attempt goes, and whether it is retried or rejected.
+//!
+//! The way of a request: [`RequestScheduler::schedule`] hands it to the module; what is to be done for it arrives as
+//! [`SchedulerAction`]s at its [`ScheduledRequest`]. The outbound proxy carries them out and reports each attempt with
+//! [`ScheduledRequest::attempt_started`] and [`ScheduledRequest::attempt_ended`], which may lead to further actions.
+//!
+//! Main types: [`RequestScheduler`] (one for each [`SchedulerKey`]), [`SchedulerPlan`] and [`ServiceSettings`] (what the module
+//! is configured with), [`Endpoint`].
+//!
+//! Invariants:
+//! - Nothing here decides about a request: the module does, by the facts and endpoints that it is given.
+//! - No I/O.
+//! - A scheduler with the same settings is kept across changes of configuration, since a new one has to learn the upstreams
+//!   anew.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::net::SocketAddr;
@@ -22,95 +34,130 @@
 use crate::mesh::settings::OperatingBounds;
 
 const MS: Nanos = 1_000_000;
-/// A srv that has just started counts as cold for so long at most, and does this part of its work at first.
+/// An upstream that has just started counts as warming up for this long at most, and begins with this share of its load.
 const SLOW_START: Nanos = 4_000 * MS;
 const SLOW_START_INITIAL_SHARE: f64 = 0.4;
-/// So many doors may turn a req away before it is denied, and so many of one zone before it goes to another.
+/// How many inbound proxies may reject a request before the client is rejected, and how many of one zone before the request
+/// goes to another zone.
 const MAX_REJECTIONS: f64 = 4.0;
 const MAX_REJECTIONS_PER_ZONE: f64 = 2.0;
-/// Upstreams of other zones count with this part of their weight while the near ones stand.
+/// Upstreams of other zones count with this share of their weight while one of the own zone accepts requests.
 const OTHER_ZONE_WEIGHT: f64 = 0.001;
 
-/// What the module wants done for one req.
+/// What the decision module wants done for one request.
 #[derive(Debug)]
 pub enum SchedulerAction {
+    /// Make an attempt at this upstream. `number` identifies it in [`ScheduledRequest::attempt_ended`]; it is to be ended at
+    /// `give_up`.
     Send { number: usize, srv: Name, give_up: Nanos },
+    /// Cancel the attempt that is out, if that is allowed for the route.
     Cancel,
+    /// Give the request up. The client may retry after `come_back`; 0 leaves that to the outbound proxy.
     Reject { come_back: Nanos },
+    /// Give the request up; it may have run.
     Fail,
 }
 
-/// Which desk: by service, whether for large answers, and whose routes.
-pub type SchedulerKey = (Name, bool, Option<Name>);
+/// Identifies a scheduler. Requests with large responses and those of each member have schedulers of their own, so that they
+/// don't change what is learnt for others.
+#[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
+pub struct SchedulerKey {
+    pub service: Name,
+    pub is_large: bool,
+    /// The member whose routes it is for; none for the platform's.
+    pub member: Option<Name>,
+}
 
-/// Where the reqs of a route go for a service.
-pub fn scheduler_key(line: &Name, route: &Route) -> SchedulerKey {
+/// The scheduler for requests of a route that go to this service.
+pub fn scheduler_key(service: &Name, route: &Route) -> SchedulerKey {
     let member = route.share.as_ref().map(|share| share.member.clone());
-    (line.clone(), route.repeat_policy == RepeatPolicy::LargeResponse, member)
+    SchedulerKey {
+        service: service.clone(),
+        is_large: route.repeat_policy == RepeatPolicy::LargeResponse,
+        member,
+    }
 }
 
-/// What a configuration tells of the reqs for one service, those with large answers and those of each member apart.
+/// A kind of requests that the decision module treats alike. The order of the fields is the order in which the module gets
+/// them.
+#[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Debug)]
+struct RouteClass {
+    /// See [`route_class`].
+    name: String,
+    /// Whether its requests may run more than once.
+    repeatable: bool,
+    latency_target_ms: u64,
+    /// 0 is the most important; each further one halves the value of a response.
+    priority: u32,
+}
+
+/// What a configuration says of the requests of one scheduler.
 #[derive(Clone, PartialEq, Debug)]
 pub struct SchedulerPlan {
-    pub line: Name,
-    /// Reqs with large answers, which stay near while anyone near takes reqs: their bytes cost more than a refusal.
+    pub service: Name,
+    /// For requests with large responses. These stay in the zone while an upstream there accepts requests: their bytes cost
+    /// more than a rejection.
     pub large: bool,
-    /// Whose routes these are; none for the platform's.
+    /// The member whose routes these are; none for the platform's.
     pub member: Option<Name>,
-    /// Kinds of req by what matters to the module: kind, target and rank.
-    shapes: Vec<(String, bool, u64, u32)>,
-    tries: u32,
+    /// The classes of its routes, sorted and without duplicates.
+    route_classes: Vec<RouteClass>,
+    /// Greatest number of attempts that any of its routes allows.
+    max_attempts: u32,
 }
 
 impl SchedulerPlan {
+    /// The scheduler that this plan is for.
     pub fn key(&self) -> SchedulerKey {
-        (self.line.clone(), self.large, self.member.clone())
+        SchedulerKey { service: self.service.clone(), is_large: self.large, member: self.member.clone() }
     }
 
-    /// For all services to which any route goes.
+    /// The plans for all services to which any route goes, in the order of their keys.
     pub fn for_configuration(configuration: &Configuration) -> Vec<SchedulerPlan> {
         let mut plans: BTreeMap<SchedulerKey, SchedulerPlan> = BTreeMap::new();
         for route in configuration.routes() {
-            for WeightedService { name: line, .. } in &route.services {
-                let key = scheduler_key(line, route);
-                let plan = plans.entry(key).or_insert_with_key(|(line, large, member)| SchedulerPlan {
-                    line: line.clone(),
-                    large: *large,
-                    member: member.clone(),
-                    shapes: Vec::new(),
-                    tries: 1,
+            for WeightedService { name: service, .. } in &route.services {
+                let key = scheduler_key(service, route);
+                let plan = plans.entry(key).or_insert_with_key(|key| SchedulerPlan {
+                    service: key.service.clone(),
+                    large: key.is_large,
+                    member: key.member.clone(),
+                    route_classes: Vec::new(),
+                    max_attempts: 1,
                 });
-                plan.shapes.push((
-                    route_class(route),
-                    route.repeat_policy.repeatable(),
-                    route.latency_target_ms,
-                    route.priority,
-                ));
-                plan.tries = plan.tries.max(route.max_attempts);
+                plan.route_classes.push(RouteClass {
+                    name: route_class(route),
+                    repeatable: route.repeat_policy.repeatable(),
+                    latency_target_ms: route.latency_target_ms,
+                    priority: route.priority,
+                });
+                plan.max_attempts = plan.max_attempts.max(route.max_attempts);
             }
         }
         let mut plans: Vec<SchedulerPlan> = plans.into_values().collect();
         for plan in &mut plans {
-            plan.shapes.sort();
-            plan.shapes.dedup();
+            plan.route_classes.sort();
+            plan.route_classes.dedup();
         }
         plans
     }
 }
 
-/// What a service's module is told once and for all.
+/// What the decision module of a scheduler is configured with. A change of any of it begins a new module.
 #[derive(Clone, PartialEq, Debug)]
 pub struct ServiceSettings {
     plan: SchedulerPlan,
-    /// How many gates there are, in coarse steps.
+    /// How many outbound proxies there are, rounded to a power of two.
     pub outbound_proxies: u64,
-    /// Its upstreams call other services.
+    /// Whether the service's upstreams call other services.
     pub calls: bool,
-    /// What all gates together may send again: a part of the first sends, and so many in the budget's window.
-    pub allowance: (f64, f64),
+    /// Retries that all outbound proxies together may make, as a share of first attempts.
+    pub retry_ratio: f64,
+    /// Retries that all outbound proxies together may make beside that in the budget's window.
+    pub retry_slack: f64,
 }
 
-/// The name of a route's shape.
+/// The name of a route's class: whether its requests are repeatable, its latency target in ms and its priority.
 pub fn route_class(route: &Route) -> String {
     format!(
         "{}-{}-{}",
@@ -121,60 +168,77 @@
 }
 
 impl ServiceSettings {
-    pub fn new(plan: &SchedulerPlan, gates: usize, calls: bool, budget: &OperatingBounds) -> ServiceSettings {
-        // A new count matters by its size only: each change of these makes the module learn anew.
-        let gates = 2u64.pow((gates.max(1) as f64).log2().round() as u32);
-        // Half of what the rules leave is kept for what no gate can know: calls of runs elsewhere, gates that have just
-        // started, windows that don't fall together.
-        let allowance = (budget.retry_ratio / 2.0, budget.retry_slack / 6.0);
-        ServiceSettings { plan: plan.clone(), outbound_proxies: gates, calls, allowance }
+    /// Settings for a plan. `outbound_proxies` is how many there are now; `calls_services` whether an upstream of the service
+    /// has called others.
+    pub fn new(
+        plan: &SchedulerPlan,
+        outbound_proxies: usize,
+        calls_services: bool,
+        budget: &OperatingBounds,
+    ) -> ServiceSettings {
+        // Only the magnitude of the number matters, and each change makes the module learn anew: it is rounded to a power of
+        // two.
+        let outbound_proxies = 2u64.pow((outbound_proxies.max(1) as f64).log2().round() as u32);
+        // Half of the retry budget is kept for what no outbound proxy can know: nested calls of runs elsewhere, proxies that
+        // have just started, and windows that begin at different times.
+        ServiceSettings {
+            plan: plan.clone(),
+            outbound_proxies,
+            calls: calls_services,
+            retry_ratio: budget.retry_ratio / 2.0,
+            retry_slack: budget.retry_slack / 6.0,
+        }
     }
 
-    /// The same bounds as the module reads out of its facts, for the counts that are told.
-    fn terms(&self) -> RetryLimits {
-        let (part, slack) = self.allowance;
-        let floor = (slack / self.outbound_proxies.max(1) as f64).min(1.0);
+    /// The limits that the module reads from its facts, for the counts that this process reports.
+    fn retry_limits(&self) -> RetryLimits {
+        let floor = (self.retry_slack / self.outbound_proxies.max(1) as f64).min(1.0);
         RetryLimits {
-            max_attempts: self.plan.tries,
+            max_attempts: self.plan.max_attempts,
             last_tier: !self.calls,
-            ratio: part.clamp(0.0, 0.1),
+            ratio: self.retry_ratio.clamp(0.0, 0.1),
             floor,
         }
     }
 
-    fn repeatable(&self, shape: &str) -> bool {
-        self.plan.shapes.iter().any(|(name, repeatable, ..)| name == shape && *repeatable)
+    fn is_repeatable(&self, class_name: &str) -> bool {
+        self.plan.route_classes.iter().any(|class| class.name == class_name && class.repeatable)
     }
 
+    /// The settings as the decision module reads them.
     fn facts(&self) -> Facts {
         let number = |value: f64| Value::Number(value);
-        let rule_set = |(name, again, target, rank): &(String, bool, u64, u32)| {
+        let class_facts = |class: &RouteClass| {
+            let utility = 0.5f64.powi(class.priority.min(8) as i32);
             Facts::from([
-                ("name".into(), Value::Text((**name).into())),
-                ("response_target".into(), Value::Span(target * MS)),
-                ("utility".into(), number(0.5f64.powi((*rank).min(8) as i32))),
-                ("late_utility".into(), number(0.2 * 0.5f64.powi((*rank).min(8) as i32))),
-                ("effect".into(), Value::Text(if *again { "replayable" } else { "non-replayable" }.into())),
+                ("name".into(), Value::Text((*class.name).into())),
+                ("response_target".into(), Value::Span(class.latency_target_ms * MS)),
+                ("utility".into(), number(utility)),
+                ("late_utility".into(), number(0.2 * utility)),
+                (
+                    "effect".into(),
+                    Value::Text(if class.repeatable { "replayable" } else { "non-replayable" }.into()),
+                ),
             ])
         };
         Facts::from([
             ("instances".into(), number(self.outbound_proxies as f64)),
-            // What a srv may have at once is held by the door beside it.
+            // The concurrency limit of an upstream is kept by the inbound proxy beside it, not by the module.
             ("level".into(), Value::Text("doors".into())),
             ("report_in_flight".into(), number(0.0)),
-            ("again_part".into(), number(self.allowance.0)),
-            ("again_floor".into(), number(self.allowance.1)),
+            ("again_part".into(), number(self.retry_ratio)),
+            ("again_floor".into(), number(self.retry_slack)),
             ("most_turned".into(), number(MAX_REJECTIONS)),
             ("most_turned_by_site".into(), number(MAX_REJECTIONS_PER_ZONE)),
             ("tier".into(), number(0.0)),
             ("tiers".into(), number(if self.calls { 2.0 } else { 1.0 })),
-            ("max_dispatches".into(), number(f64::from(self.plan.tries))),
+            ("max_dispatches".into(), number(f64::from(self.plan.max_attempts))),
             ("may_recall".into(), Value::Flag(true)),
             ("come_back_passed".into(), Value::Flag(true)),
             ("max_come_back".into(), Value::Span(1_000 * MS)),
             ("cold".into(), Value::Span(SLOW_START)),
             ("cold_share".into(), number(SLOW_START_INITIAL_SHARE)),
-            ("rule_sets".into(), Value::List(self.plan.shapes.iter().map(rule_set).collect())),
+            ("rule_sets".into(), Value::List(self.plan.route_classes.iter().map(class_facts).collect())),
         ])
     }
 }
@@ -182,95 +246,108 @@
 /// Where an upstream is reached.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Endpoint {
+    /// The inbound proxy beside the upstream.
     pub inbound_proxy: SocketAddr,
+    /// The incarnation of the upstream.
     pub upstream_id: Name,
+    /// Failure domain of its node.
     pub zone: Name,
 }
 
-struct Inner {
-    hands: Hands,
-    steps: HashMap<u64, mpsc::UnboundedSender<SchedulerAction>>,
-    next: u64,
-    wake: Nanos,
+struct SchedulerState {
+    /// The decision module with the requests that it holds.
+    policy: Hands,
+    /// Where the actions for each request go, by its id.
+    action_senders: HashMap<u64, mpsc::UnboundedSender<SchedulerAction>>,
+    last_id: u64,
+    /// When the module next wants to be asked.
+    wake_at: Nanos,
+    /// The endpoints as the module was last told them.
     listed: HashMap<Name, Listed>,
-    places: HashMap<Name, Endpoint>,
-    spent: RetryAccount,
-    /// Where the service's allowance is divided among members and the platform.
-    pool: Option<Arc<Mutex<RetryPool>>>,
+    endpoints: HashMap<Name, Endpoint>,
+    retry_account: RetryAccount,
+    /// The retry budget of the service where it is divided among members and the platform; else the scheduler has its own.
+    retry_pool: Option<Arc<Mutex<RetryPool>>>,
 }
 
+/// Schedules the requests of one service, or of one member to it.
 pub struct RequestScheduler {
     pub service: Name,
     pub settings: ServiceSettings,
     clock: Clock,
-    inner: Mutex<Inner>,
+    inner: Mutex<SchedulerState>,
+    /// Wakes the timer, when the module wants to be asked sooner than before.
     woken: Notify,
 }
 
-/// A req at the module. Dropped, its client has gone.
+/// A request that the decision module holds. Dropping it before [`ScheduledRequest::finish`] tells the module that the client
+/// has gone.
 pub struct ScheduledRequest {
     scheduler: Arc<RequestScheduler>,
+    /// Identifies the request at its scheduler.
     pub id: u64,
-    pub steps: mpsc::UnboundedReceiver<SchedulerAction>,
-    over: bool,
-    tally: RequestAttempts,
+    /// What is to be done for it, in this order.
+    pub actions: mpsc::UnboundedReceiver<SchedulerAction>,
+    /// It has its final answer, or the module has given it up.
+    finished: bool,
+    attempts: RequestAttempts,
 }
 
 impl RequestScheduler {
-    /// The one that stands, where it was told the same; else one whose module begins anew. Its counts go over the
-    /// budget's window.
+    /// The previous scheduler if its settings are the same; else one with a new module, which takes over the previous one's
+    /// retry account. `window` is the time over which attempts are counted.
     pub fn of(
-        was: Option<Arc<RequestScheduler>>,
-        (line, told): (Name, ServiceSettings),
+        previous: Option<Arc<RequestScheduler>>,
+        (service, settings): (Name, ServiceSettings),
         clock: Clock,
         seed: impl FnOnce() -> u64,
         window: Nanos,
     ) -> Arc<RequestScheduler> {
-        let terms = told.terms();
-        let spent = match was {
-            Some(scheduler) if scheduler.settings == told => return scheduler,
-            Some(scheduler) => held(&scheduler.inner).spent.restart(window, terms),
-            None => RetryAccount::new(window, terms),
+        let limits = settings.retry_limits();
+        let retry_account = match previous {
+            Some(scheduler) if scheduler.settings == settings => return scheduler,
+            Some(scheduler) => held(&scheduler.inner).retry_account.restart(window, limits),
+            None => RetryAccount::new(window, limits),
         };
-        RequestScheduler::new(line, told, clock, seed(), spent)
+        RequestScheduler::new(service, settings, clock, seed(), retry_account)
     }
 
     fn new(
-        line: Name,
-        told: ServiceSettings,
+        service: Name,
+        settings: ServiceSettings,
         clock: Clock,
         seed: u64,
-        spent: RetryAccount,
+        retry_account: RetryAccount,
     ) -> Arc<RequestScheduler> {
         let now = clock.now();
-        let hands = Hands::new(Balancer::new(now, seed, told.facts()));
-        let inner = Inner {
-            hands,
-            steps: HashMap::new(),
-            next: 0,
-            wake: Nanos::MAX,
+        let policy = Hands::new(Balancer::new(now, seed, settings.facts()));
+        let inner = SchedulerState {
+            policy,
+            action_senders: HashMap::new(),
+            last_id: 0,
+            wake_at: Nanos::MAX,
             listed: HashMap::new(),
-            places: HashMap::new(),
-            spent,
-            pool: None,
+            endpoints: HashMap::new(),
+            retry_account,
+            retry_pool: None,
         };
         let scheduler = Arc::new(RequestScheduler {
-            service: line,
-            settings: told,
+            service,
+            settings,
             clock,
             inner: Mutex::new(inner),
             woken: Notify::new(),
         });
-        tokio::spawn(RequestScheduler::tend(Arc::downgrade(&scheduler)));
+        tokio::spawn(RequestScheduler::run_timer(Arc::downgrade(&scheduler)));
         scheduler
     }
 
-    /// Asks the module when it wants to be asked, for as long as the desk is used.
-    async fn tend(scheduler: Weak<RequestScheduler>) {
+    /// Asks the module whenever it wants to be asked, for as long as anybody else keeps the scheduler.
+    async fn run_timer(scheduler: Weak<RequestScheduler>) {
         loop {
             let (clock, wake) = {
                 let Some(scheduler) = scheduler.upgrade() else { return };
-                let wake = scheduler.settle(&mut held(&scheduler.inner));
+                let wake = scheduler.dispatch_actions(&mut held(&scheduler.inner));
                 (scheduler.clock, wake)
             };
             let at = clock.instant(wake.min(clock.now() + 2_000 * MS));
@@ -282,50 +359,53 @@
         }
     }
 
-    /// From now on its part of an allowance that is divided is all it may send again; none: its own as it was told.
+    /// From now on its retries are bounded by its share of this pool; with `None`, by its own settings again.
     pub fn set_pool(&self, pool: Option<&Arc<Mutex<RetryPool>>>) {
         let mut inner = held(&self.inner);
         match pool {
-            Some(pool) => held(pool).adopt(self.settings.plan.member.as_ref(), &inner.spent),
-            None if inner.pool.is_none() => return,
+            Some(pool) => held(pool).adopt(self.settings.plan.member.as_ref(), &inner.retry_account),
+            None if inner.retry_pool.is_none() => return,
             None => {
-                let RetryLimits { ratio: part, floor, .. } = self.settings.terms();
-                inner.hands.allow(part, floor);
-                inner.spent.set_allowance(part, floor);
+                let RetryLimits { ratio, floor, .. } = self.settings.retry_limits();
+                inner.policy.allow(ratio, floor);
+                inner.retry_account.set_allowance(ratio, floor);
             }
         }
-        inner.pool = pool.cloned();
+        inner.retry_pool = pool.cloned();
     }
 
-    /// Tells the module what it may send again now, where that is divided.
-    fn allow(&self, inner: &mut Inner, now: Nanos) {
-        let Some(pool) = &inner.pool else { return };
-        let RetryLimits { ratio: part, floor, .. } = self.settings.terms();
-        let left = held(pool).remaining(now, self.settings.plan.member.as_ref(), part, floor);
-        // The module goes by what it has sent again itself since it last learnt anew.
-        let floor = left + f64::from(inner.spent.policy_counts(now).retried);
-        inner.hands.allow(0.0, floor);
-        inner.spent.set_allowance(0.0, floor);
+    /// Tells the module how many retries it may make now, if the retry budget is divided.
+    fn update_retry_allowance(&self, inner: &mut SchedulerState, now: Nanos) {
+        let Some(pool) = &inner.retry_pool else { return };
+        let RetryLimits { ratio, floor, .. } = self.settings.retry_limits();
+        let left = held(pool).remaining(now, self.settings.plan.member.as_ref(), ratio, floor);
+        // The module bounds the retries that it has made itself since it began anew, so that these are added to what is left.
+        let floor = left + f64::from(inner.retry_account.policy_counts(now).retried);
+        inner.policy.allow(0.0, floor);
+        inner.retry_account.set_allowance(0.0, floor);
     }
 
-    fn count(&self, inner: &Inner, now: Nanos, figures: AttemptCounts) {
-        if let Some(pool) = &inner.pool {
-            held(pool).add(now, self.settings.plan.member.as_ref(), figures);
+    /// Counts attempts in the divided retry budget, if there is one.
+    fn count_in_pool(&self, inner: &SchedulerState, now: Nanos, counts: AttemptCounts) {
+        if let Some(pool) = &inner.retry_pool {
+            held(pool).add(now, self.settings.plan.member.as_ref(), counts);
         }
     }
 
-    fn settle(&self, inner: &mut Inner) -> Nanos {
+    /// Lets the module decide, and hands its actions to the requests, until it wants nothing more done. Returns when it next
+    /// wants to be asked.
+    fn dispatch_actions(&self, inner: &mut SchedulerState) -> Nanos {
         loop {
             let now = self.clock.now();
-            self.allow(inner, now);
-            let wake = inner.hands.settle(now);
-            let acts = inner.hands.acts();
+            self.update_retry_allowance(inner, now);
+            let wake = inner.policy.settle(now);
+            let acts = inner.policy.acts();
             if acts.is_empty() {
-                inner.wake = wake;
+                inner.wake_at = wake;
                 return wake;
             }
             for act in acts {
-                let (id, step) = match act {
+                let (id, action) = match act {
                     Act::Send { id, number, srv, give_up } => {
                         (id, SchedulerAction::Send { number, srv, give_up })
                     }
@@ -336,57 +416,61 @@
                         log::info!("{}: {line}", self.service);
                         continue;
                     }
+                    // The module is told the endpoints by `update_endpoints`, so that nothing is watched or probed for it here.
                     Act::Watch | Act::List | Act::Probe(_) | Act::Close(_) => continue,
                 };
-                if let Some(steps) = inner.steps.get(&id) {
-                    let _ = steps.send(step);
+                if let Some(actions) = inner.action_senders.get(&id) {
+                    let _ = actions.send(action);
                 }
             }
         }
     }
 
-    fn settle_and_wake(&self, inner: &mut Inner) {
-        let before = inner.wake;
-        if self.settle(inner) < before {
+    /// Dispatches actions, and wakes the timer if the module now wants to be asked sooner.
+    fn dispatch_and_wake(&self, inner: &mut SchedulerState) {
+        let before = inner.wake_at;
+        if self.dispatch_actions(inner) < before {
             self.woken.notify_one();
         }
     }
 
-    /// Takes a req; what is to be done for it comes as steps.
+    /// Hands a request to the module, which may act on it at once. Its id is set here.
     pub fn schedule(self: &Arc<Self>, mut req: Req) -> ScheduledRequest {
         let mut inner = held(&self.inner);
-        inner.next += 1;
-        let id = inner.next;
+        inner.last_id += 1;
+        let id = inner.last_id;
         req.id = id;
-        let (steps, got) = mpsc::unbounded_channel();
-        inner.steps.insert(id, steps);
+        let (sender, actions) = mpsc::unbounded_channel();
+        inner.action_senders.insert(id, sender);
         let now = self.clock.now();
-        let tally = RequestAttempts::new(self.settings.repeatable(&req.rule_set), req.ends);
+        let attempts = RequestAttempts::new(self.settings.is_repeatable(&req.rule_set), req.ends);
         if req.again {
-            inner.spent.nested_call_retried(now);
-            self.count(&inner, now, AttemptCounts { retried: 1, ..AttemptCounts::default() });
+            inner.retry_account.nested_call_retried(now);
+            self.count_in_pool(&inner, now, AttemptCounts { retried: 1, ..AttemptCounts::default() });
         }
-        self.allow(&mut inner, now);
-        inner.hands.take(now, req);
-        self.settle_and_wake(&mut inner);
-        ScheduledRequest { scheduler: self.clone(), id, steps: got, over: false, tally }
+        self.update_retry_allowance(&mut inner, now);
+        inner.policy.take(now, req);
+        self.dispatch_and_wake(&mut inner);
+        ScheduledRequest { scheduler: self.clone(), id, actions, finished: false, attempts }
     }
 
-    /// What of this service was sent, sent again and refused for want of allowance in the budget's window.
+    /// First attempts, retries and retries refused for lack of budget, in the budget's window.
     pub fn attempt_counts(&self) -> AttemptCounts {
-        held(&self.inner).spent.reported_counts(self.clock.now())
+        held(&self.inner).retry_account.reported_counts(self.clock.now())
     }
 
-    /// Whether this one is listed and takes reqs.
+    /// Whether this incarnation of an upstream is known and accepts requests.
     pub fn accepts_requests(&self, srv: &Name) -> bool {
         held(&self.inner).listed.get(srv).is_some_and(|listed| listed.state == State::Up)
     }
 
+    /// Where this incarnation of an upstream is reached, if it is known.
     pub fn endpoint(&self, srv: &Name) -> Option<Endpoint> {
-        held(&self.inner).places.get(srv).cloned()
+        held(&self.inner).endpoints.get(srv).cloned()
     }
 
-    /// Tells the module the list as it is now.
+    /// Tells the module the endpoints of the service as they are now, if that differs from what it knows. `zone` is that of
+    /// this node; `suspected` are inbound proxies to which nothing new is sent.
     pub fn update_endpoints<'a>(
         &self,
         records: impl Iterator<Item = &'a ReceivedRecord>,
@@ -397,18 +481,18 @@
         let now = self.clock.now();
         let records: Vec<&ReceivedRecord> =
             records.filter(|received| !received.record.upstream_id.is_empty()).collect();
-        let takes = |record: &EndpointRecord| {
+        let accepts = |record: &EndpointRecord| {
             record.accepts_clients
                 && record.state == UpstreamState::Serving
                 && !suspected.contains(&record.inbound_proxy)
         };
-        let near = records.iter().any(|received| received.record.zone == zone && takes(&received.record));
-        let mut fresh = HashMap::new();
+        let near = records.iter().any(|received| received.record.zone == zone && accepts(&received.record));
+        let mut current = HashMap::new();
         let wanted = |record: &EndpointRecord| !(self.settings.plan.large && near) || record.zone == zone;
         for ReceivedRecord { record, received_at } in
             records.into_iter().filter(|received| wanted(&received.record))
         {
-            let state = if takes(record) {
+            let state = if accepts(record) {
                 State::Up
             } else if record.state == UpstreamState::Absent || !record.accepts_clients {
                 State::Gone
@@ -425,79 +509,82 @@
                 f64::from(record.concurrency_limit.max(1)) * if far { OTHER_ZONE_WEIGHT } else { 1.0 };
             let site: Name = record.zone.as_str().into();
             let listed = Listed { srv: srv.clone(), state, came_up, weight, site: site.clone(), cell: 0 };
-            fresh.insert(
+            current.insert(
                 srv.clone(),
                 (listed, Endpoint { inbound_proxy: record.inbound_proxy, upstream_id: srv, zone: site }),
             );
         }
-        let same = |(srv, (listed, place)): (&Name, &(Listed, Endpoint))| {
+        let is_same = |(srv, (listed, endpoint)): (&Name, &(Listed, Endpoint))| {
             let was = inner.listed.get(srv).map(|was| (was.state, was.weight, was.came_up, &was.site));
             was == Some((listed.state, listed.weight, listed.came_up, &listed.site))
-                && inner.places.get(srv) == Some(place)
+                && inner.endpoints.get(srv) == Some(endpoint)
         };
-        if fresh.len() == inner.listed.len() && fresh.iter().all(same) {
+        if current.len() == inner.listed.len() && current.iter().all(is_same) {
             return;
         }
-        let entries: Vec<Listed> = fresh.values().map(|(listed, _)| listed.clone()).collect();
-        inner.places = fresh.iter().map(|(srv, (_, place))| (srv.clone(), place.clone())).collect();
-        inner.listed = fresh.into_iter().map(|(srv, (listed, _))| (srv, listed)).collect();
-        inner.hands.news(now, Outcome::List { whole: true, old: false, entries: &entries });
-        self.settle_and_wake(&mut inner);
+        let entries: Vec<Listed> = current.values().map(|(listed, _)| listed.clone()).collect();
+        inner.endpoints =
+            current.iter().map(|(srv, (_, endpoint))| (srv.clone(), endpoint.clone())).collect();
+        inner.listed = current.into_iter().map(|(srv, (listed, _))| (srv, listed)).collect();
+        inner.policy.news(now, Outcome::List { whole: true, old: false, entries: &entries });
+        self.dispatch_and_wake(&mut inner);
     }
 }
 
 #[cfg(test)]
 impl ServiceSettings {
-    /// As if all its routes were this member's, and with so many tries.
-    pub fn of_member(&mut self, member: Name, tries: u32) {
-        (self.plan.member, self.plan.tries) = (Some(member), tries);
+    /// As if all its routes were those of this member, with this greatest number of attempts.
+    pub fn of_member(&mut self, member: Name, max_attempts: u32) {
+        (self.plan.member, self.plan.max_attempts) = (Some(member), max_attempts);
     }
 }
 
 impl ScheduledRequest {
-    /// A dispatch goes on its way. What was counted for it.
+    /// To be called when an attempt is sent. Returns what was counted for it: a first attempt or a retry.
     pub fn attempt_started(&self) -> AttemptCounts {
         let (mut inner, now) = (held(&self.scheduler.inner), self.scheduler.clock.now());
-        let counted = inner.spent.attempt_started(now, &self.tally);
-        self.scheduler.count(&inner, now, counted);
+        let counted = inner.retry_account.attempt_started(now, &self.attempts);
+        self.scheduler.count_in_pool(&inner, now, counted);
         counted
     }
 
-    /// A dispatch has ended; `closed` when its req has had its final answer by that.
+    /// To be called when an attempt has ended, after `took`. `closed` says that its response is the final answer of the
+    /// request; `inside` is the load that the inbound proxy reported, if it did.
     pub fn attempt_ended(&mut self, number: usize, how: How, took: Nanos, closed: bool, inside: Option<f64>) {
         let mut inner = held(&self.scheduler.inner);
-        self.tally.ended(how);
-        self.over |= closed;
+        self.attempts.ended(how);
+        self.finished |= closed;
         let now = self.scheduler.clock.now();
-        self.scheduler.allow(&mut inner, now);
-        inner.hands.ended(now, self.id, number, End { how, took, closed, report: inside.as_slice() });
-        self.scheduler.settle_and_wake(&mut inner);
+        self.scheduler.update_retry_allowance(&mut inner, now);
+        inner.policy.ended(now, self.id, number, End { how, took, closed, report: inside.as_slice() });
+        self.scheduler.dispatch_and_wake(&mut inner);
     }
 
-    /// The module has given the req up. What was counted for that.
+    /// To be called when the module has given the request up, or its final answer is made without one. Returns what was
+    /// counted for that: a retry that was refused.
     pub fn finish(&mut self) -> AttemptCounts {
-        self.over = true;
-        held(&self.scheduler.inner).spent.request_given_up(self.scheduler.clock.now(), &self.tally)
+        self.finished = true;
+        held(&self.scheduler.inner).retry_account.request_given_up(self.scheduler.clock.now(), &self.attempts)
     }
 }
 
 impl Drop for ScheduledRequest {
     fn drop(&mut self) {
         let mut inner = held(&self.scheduler.inner);
-        inner.steps.remove(&self.id);
-        if !self.over {
+        inner.action_senders.remove(&self.id);
+        if !self.finished {
             let now = self.scheduler.clock.now();
-            inner.hands.left(now, self.id);
-            // Its dispatch, if one is out, ends with it.
+            inner.policy.left(now, self.id);
+            // An attempt that is out ends with the request. Its number isn't kept here, so that all that can occur are ended.
             for number in 0..64 {
-                inner.hands.ended(
+                inner.policy.ended(
                     now,
                     self.id,
                     number,
                     End { how: How::Recalled, took: 0, closed: true, report: &[] },
                 );
             }
-            self.scheduler.settle_and_wake(&mut inner);
+            self.scheduler.dispatch_and_wake(&mut inner);
         }
     }
 }
--- a/balancer/src/mesh/proxy/tests/request_scheduler_tests.rs
+++ b/balancer/src/mesh/proxy/tests/request_scheduler_tests.rs
@@ -77,7 +77,7 @@
 
 /// Where it goes next, if it goes.
 async fn goes(scheduled: &mut ScheduledRequest) -> Option<(usize, String)> {
-    match scheduled.steps.recv().await {
+    match scheduled.actions.recv().await {
         Some(SchedulerAction::Send { number, srv, .. }) => {
             scheduled.attempt_started();
             Some((number, srv.to_string()))
@@ -132,7 +132,7 @@
     // Nobody is left.
     list(&scheduler, &records, &[1, 4, 5]);
     let mut scheduled = take(&scheduler, false);
-    let step = scheduled.steps.try_recv();
+    let step = scheduled.actions.try_recv();
     assert!(!matches!(step, Ok(SchedulerAction::Send { .. })), "{step:?}");
     assert_eq!(scheduler.endpoint(&"i-5".into()).map(|place| place.inbound_proxy), Some(door(5)));
 }
