--- a/balancer/src/mesh/proxy/connection_limit.rs
+++ b/balancer/src/mesh/proxy/connection_limit.rs
@@ -1,6 +1,7 @@
-//! Connections to the upstream beside a door. It owns how many there may be: what this process can hold, or what the
-//! upstream takes from all its callers where that is less, and that changes with its service and the configuration. It
-//! must never end a connection that is in use.
+//! The limit on connections from an inbound proxy to its upstream: what this process can hold, or what the upstream takes from
+//! all its callers if that is less. It changes with the upstream's service and the configuration.
+//!
+//! Invariants: a connection that is in use is never ended; a lower limit takes effect as connections end.
 
 use std::sync::{Arc, Mutex};
 
@@ -8,32 +9,37 @@
 
 use crate::link::held;
 
+/// A limit that can be changed while connections are in use.
 pub struct ConnectionLimit {
-    room: Arc<Semaphore>,
-    own: usize,
-    now: Mutex<usize>,
+    permits: Arc<Semaphore>,
+    /// As many as this process can hold.
+    max: usize,
+    /// Permits that exist now, free or in use.
+    current: Mutex<usize>,
 }
 
 impl ConnectionLimit {
-    /// `own`: as many as this process can hold.
-    pub fn new(own: usize) -> ConnectionLimit {
-        let own = own.max(1);
-        ConnectionLimit { room: Arc::new(Semaphore::new(own)), own, now: Mutex::new(own) }
+    /// `max` is as many as this process can hold; at least one is allowed.
+    pub fn new(max: usize) -> ConnectionLimit {
+        let max = max.max(1);
+        ConnectionLimit { permits: Arc::new(Semaphore::new(max)), max, current: Mutex::new(max) }
     }
 
+    /// The permits, one for each connection.
     pub fn permits(&self) -> Arc<Semaphore> {
-        self.room.clone()
+        self.permits.clone()
     }
 
-    /// The upstream takes so many. Those in use above it stay until they end: to be told again now and then.
+    /// Sets how many connections the upstream takes. Permits in use above the limit can't be withdrawn, so that this is to be
+    /// called again now and then until they have ended.
     pub fn set_limit(&self, cap: usize) {
-        let most = cap.clamp(1, self.own);
-        let mut now = held(&self.now);
-        if most >= *now {
-            self.room.add_permits(most - *now);
-            *now = most;
+        let limit = cap.clamp(1, self.max);
+        let mut current = held(&self.current);
+        if limit >= *current {
+            self.permits.add_permits(limit - *current);
+            *current = limit;
         } else {
-            *now -= self.room.forget_permits(*now - most);
+            *current -= self.permits.forget_permits(*current - limit);
         }
     }
 }
--- a/balancer/src/mesh/proxy/connection_pool.rs
+++ b/balancer/src/mesh/proxy/connection_pool.rs
@@ -1,6 +1,14 @@
-//! One hop of a req: from a gate to a door, or from a door to its upstream. It owns the connections kept to one address
-//! and tells of each exchange how it ended and whether the other side can have begun on it. It must never send a req
-//! twice by itself but where no byte of it was written, and never call a req unsent once its last byte may have gone.
+//! One hop of a request: from an outbound to an inbound proxy, or from an inbound proxy to its upstream.
+//!
+//! [`ConnectionPool::exchange`] writes a request on a connection, idle or new, and waits for the response, one exchange at a
+//! time on each. A long response is passed on while it arrives ([`ResponseBody`]); large responses to other nodes share a pace
+//! ([`LargeResponseLane`], [`PacedBody`]). An error says whether the other side may have begun to run the request
+//! ([`ExchangeError`]).
+//!
+//! Invariants:
+//! - A request is written a second time only if no byte of it was written on the first connection.
+//! - A request counts as not sent only if its last byte can't have been written.
+//! - A connection carries another request only after the whole response to the last one was read.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -27,136 +35,152 @@
 
 const MS: Nanos = 1_000_000;
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// How long a connection is kept idle where the other side tells nothing, and how long before its end it is left alone.
+/// How long an idle connection is kept if the other side sends no keep-alive time.
 const MAX_IDLE_TIME: Nanos = 4_000 * MS;
+/// This long before the other side's keep-alive time ends, an idle connection isn't used any more.
 const KEEP_ALIVE_MARGIN: Nanos = 1_500 * MS;
 const MAX_IDLE_CONNECTIONS: usize = 32;
-/// To the same machine a new connection costs little: less than a req lost to one that the other side has forgotten.
+/// How long a connection to the upstream on the same node is kept idle. A new one costs little there: less than a request lost
+/// on a connection that the upstream has forgotten.
 const UPSTREAM_MAX_IDLE_TIME: Nanos = 1_000 * MS;
-/// A long answer of which nothing comes for so long, or of which its reader takes nothing, is given up.
+/// A long response is given up if nothing of it arrives for this long.
 const UPSTREAM_READ_TIMEOUT: Duration = Duration::from_secs(5);
+/// A long response is given up if its reader takes nothing for this long.
 const CLIENT_WRITE_TIMEOUT: Duration = Duration::from_secs(10);
-/// Pieces of one answer that may be read ahead, and the size of those that a whole one is cut into.
+/// How many pieces of one response may be read ahead.
 const READ_AHEAD_CHUNKS: usize = 64;
+/// Size of the pieces into which a buffered response is cut to be paced.
 const CHUNK_BYTES: usize = 16 * 1024;
-/// So many large answers go out to other machines at a time; a reader that stands still holds up no more than its turn.
+/// How many large responses go out to other nodes at a time. More than one, so that a reader that stops doesn't hold up all
+/// others.
 const MAX_CONCURRENT_LARGE_RESPONSES: usize = 2;
 
 /// How an exchange failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExchangeError {
-    /// Nothing of it can have been run: no connection came up, or not all of it was written.
+    /// No connection came up, or it ended before all of the request was written: it has not run.
     ConnectFailed,
-    /// Its time was over, or there was no room, before all of it was written.
+    /// The time was over, or no connection was allowed, before all of the request was written: it has not run.
     NotSent,
-    /// It went whole, and no whole answer came.
+    /// All of it was written, and no complete or no valid response came: it may have run.
     Reset,
-    /// It went whole, and its time was over.
+    /// All of it was written, and the time was over: it may have run.
     TimedOut,
 }
 
-/// A connection that waits for its next req.
-struct Idle {
+/// A connection that waits for its next request.
+struct IdleConnection {
     link: Link,
-    since: Nanos,
-    until: Nanos,
+    idle_since: Nanos,
+    /// When the other side may close it.
+    usable_until: Nanos,
 }
 
-/// Connections to one address.
+/// The connections to one address.
 pub struct ConnectionPool {
-    to: SocketAddr,
+    address: SocketAddr,
     clock: Clock,
-    idle: Mutex<Vec<Idle>>,
-    /// How long one may have been idle that is used again, by what was lost.
-    keeps: Mutex<idle_limit::IdleLimit>,
-    room: Arc<Semaphore>,
-    /// Bytes of long answers that may be read ahead of who takes them, for all lines that share it.
-    ahead: Option<Arc<Semaphore>>,
+    idle: Mutex<Vec<IdleConnection>>,
+    /// How long a connection may have been idle that is used again; lowered when requests were lost on idle ones.
+    idle_limit: Mutex<idle_limit::IdleLimit>,
+    permits: Arc<Semaphore>,
+    /// Bytes of long responses that may be read before their readers take them, for all pools that share it; none if nothing
+    /// is read ahead.
+    read_ahead: Option<Arc<Semaphore>>,
 }
 
 impl ConnectionPool {
-    /// `room` bounds the connections of all lines that share it.
-    pub fn new(to: SocketAddr, clock: Clock, room: Arc<Semaphore>) -> ConnectionPool {
-        let keeps = Mutex::new(idle_limit::IdleLimit::new(Nanos::MAX));
-        ConnectionPool { to, clock, idle: Mutex::default(), keeps, room, ahead: None }
+    /// A pool without connections. `permits` bounds the connections of all pools that share it.
+    pub fn new(address: SocketAddr, clock: Clock, permits: Arc<Semaphore>) -> ConnectionPool {
+        let idle_limit = Mutex::new(idle_limit::IdleLimit::new(Nanos::MAX));
+        ConnectionPool { address, clock, idle: Mutex::default(), idle_limit, permits, read_ahead: None }
     }
 
-    /// Long answers are read as fast as they come, as long as there is room for it: whoever sends them has done with
-    /// them sooner than a slow reader.
-    pub fn reading_ahead(self, ahead: Arc<Semaphore>) -> ConnectionPool {
-        ConnectionPool { ahead: Some(ahead), ..self }
+    /// Reads long responses as fast as they arrive, as long as `read_ahead` has room in bytes, so that a slow reader doesn't
+    /// keep the upstream occupied.
+    pub fn reading_ahead(self, read_ahead: Arc<Semaphore>) -> ConnectionPool {
+        ConnectionPool { read_ahead: Some(read_ahead), ..self }
     }
 
-    /// It leads to the same machine.
+    /// Bounds the idle time as for an address on the same node.
     pub fn near(self) -> ConnectionPool {
-        ConnectionPool { keeps: Mutex::new(idle_limit::IdleLimit::new(UPSTREAM_MAX_IDLE_TIME)), ..self }
+        ConnectionPool { idle_limit: Mutex::new(idle_limit::IdleLimit::new(UPSTREAM_MAX_IDLE_TIME)), ..self }
     }
 
+    /// The address that the connections lead to.
     pub fn to(&self) -> SocketAddr {
-        self.to
+        self.address
     }
 
-    /// Closes what has been idle for long; whether none is left.
+    /// Closes connections that have been idle for too long. Returns whether no idle one is left.
     pub fn sweep(&self, now: Nanos) -> bool {
         let mut idle = held(&self.idle);
-        let keeps = held(&self.keeps).limit(now);
-        idle.retain(|idle| idle.until > now && now - idle.since <= keeps);
+        let limit = held(&self.idle_limit).limit(now);
+        idle.retain(|idle| idle.usable_until > now && now - idle.idle_since <= limit);
         idle.is_empty()
     }
 
+    /// Closes all idle connections.
     pub fn shut(&self) {
         held(&self.idle).clear();
     }
 
-    /// Its idle connections are so much older.
+    /// Makes the idle connections older.
     #[cfg(test)]
     pub fn age(&self, by: Nanos) {
-        held(&self.idle).iter_mut().for_each(|idle| idle.since -= by);
+        held(&self.idle).iter_mut().for_each(|idle| idle.idle_since -= by);
     }
 
-    /// A connection that is kept, and for how long it has been idle.
+    /// An idle connection that may carry another request, and for how long it has been idle.
     fn reusable(&self) -> Option<(Link, Nanos)> {
         let now = self.clock.now();
         loop {
-            let Idle { mut link, since, until } = held(&self.idle).pop()?;
-            let idle = now.saturating_sub(since);
-            if now < until && idle <= held(&self.keeps).limit(now) && link.sound() {
+            let IdleConnection { mut link, idle_since, usable_until } = held(&self.idle).pop()?;
+            let idle = now.saturating_sub(idle_since);
+            if now < usable_until && idle <= held(&self.idle_limit).limit(now) && link.sound() {
                 return Some((link, idle));
             }
         }
     }
 
-    fn keep(&self, link: Link, until: Nanos) {
-        let (mut idle, since) = (held(&self.idle), self.clock.now());
-        if idle.len() < MAX_IDLE_CONNECTIONS && until > since {
-            idle.push(Idle { link, since, until });
+    /// Keeps a connection for the next request, unless there are enough.
+    fn keep(&self, link: Link, usable_until: Nanos) {
+        let (mut idle, idle_since) = (held(&self.idle), self.clock.now());
+        if idle.len() < MAX_IDLE_CONNECTIONS && usable_until > idle_since {
+            idle.push(IdleConnection { link, idle_since, usable_until });
         }
     }
 
-    /// A req was reset with no word of an answer, on a connection that had been idle for so long or a new one. Whether it
-    /// ran can't be told; that others go the same way can be helped.
+    /// Notes a request that was reset without a byte of a response, on a connection that had been idle for this long, or on a
+    /// new one. Whether it ran can't be known; shorter idle times keep others from the same fate.
     fn lost(&self, idle: Option<Nanos>) {
-        if held(&self.keeps).lost(self.clock.now(), idle) {
-            log::info!("{}: forgot a connection that was idle for {} ms", self.to, idle.unwrap_or(0) / MS);
+        if held(&self.idle_limit).lost(self.clock.now(), idle) {
+            log::info!(
+                "{}: forgot a connection that was idle for {} ms",
+                self.address,
+                idle.unwrap_or(0) / MS
+            );
         }
     }
 
+    /// Opens a connection. If the limit is reached, the idle connections of this pool make room.
     async fn open(&self) -> Result<Link, ExchangeError> {
-        let permit = match self.room.clone().try_acquire_owned() {
+        let permit = match self.permits.clone().try_acquire_owned() {
             Ok(permit) => permit,
             Err(_) => {
                 self.shut();
-                self.room.clone().try_acquire_owned().map_err(|_| ExchangeError::NotSent)?
+                self.permits.clone().try_acquire_owned().map_err(|_| ExchangeError::NotSent)?
             }
         };
-        match timeout(CONNECT_TIMEOUT, Link::open(self.to, self.clock, Some(permit), None)).await {
+        match timeout(CONNECT_TIMEOUT, Link::open(self.address, self.clock, Some(permit), None)).await {
             Ok(Ok(link)) => Ok(link),
             _ => Err(ExchangeError::ConnectFailed),
         }
     }
 
-    /// Sends a req once and waits for its answer until then. `check` looks at the head of an answer first: with an
-    /// error it belongs to another req, and nothing of it goes on. `hold` lasts until the other side has done with it.
+    /// Sends a request once, with `fields` added to its headers, and waits for its response until `until`. `check` says
+    /// whether a response head belongs to this request; if not, that counts as [`ExchangeError::Reset`] and the connection is
+    /// closed. `hold` is dropped when the other side has sent the whole response.
     pub async fn exchange(
         self: &Arc<Self>,
         message: &Arc<Message>,
@@ -165,47 +189,47 @@
         hold: Option<ResponseGuard>,
         check: impl Fn(&Parts) -> bool,
     ) -> Result<(Parts, ResponseBody), ExchangeError> {
-        let at = self.clock.instant(until);
+        let deadline = self.clock.instant(until);
         let (mut link, mut reused) = self.reusable().unzip();
         loop {
-            let on = match &mut link {
-                Some(on) => on,
-                None => match timeout_at(at, self.open()).await {
+            let connection = match &mut link {
+                Some(connection) => connection,
+                None => match timeout_at(deadline, self.open()).await {
                     Ok(opened) => link.insert(opened?),
                     Err(_) => return Err(ExchangeError::NotSent),
                 },
             };
             let load = message.load().ok_or(ExchangeError::NotSent)?;
-            let mut req = message.head.clone().map(|()| load);
+            let mut request = message.head.clone().map(|()| load);
             for (name, value) in fields {
-                req.headers_mut().insert(name, value.clone());
+                request.headers_mut().insert(name, value.clone());
             }
             let sent_at = self.clock.now();
-            let answer = timeout_at(at, exchange(on, req, message)).await;
+            let answer = timeout_at(deadline, exchange(connection, request, message)).await;
             match answer {
                 Ok(Ok((head, _))) if !check(&head) => return Err(ExchangeError::Reset),
                 Ok(Ok((head, body))) => return Ok(self.response_body(link, head, body, hold)),
-                // A kept connection that turns out dead before a byte of this was written costs a new one.
-                Ok(Err(())) if reused.is_some() && !on.began() && message.load_again() => {
+                // An idle connection that turns out closed before a byte of this request was written: a new one is opened.
+                Ok(Err(())) if reused.is_some() && !connection.began() && message.load_again() => {
                     (link, reused) = (None, None)
                 }
                 Ok(Err(())) => {
-                    if on.last_read() < sent_at {
+                    if connection.last_read() < sent_at {
                         self.lost(reused);
                     }
-                    return Err(if on.sent_whole() {
+                    return Err(if connection.sent_whole() {
                         ExchangeError::Reset
                     } else {
                         ExchangeError::ConnectFailed
                     });
                 }
-                Err(_) if on.sent_whole() => return Err(ExchangeError::TimedOut),
+                Err(_) if connection.sent_whole() => return Err(ExchangeError::TimedOut),
                 Err(_) => return Err(ExchangeError::NotSent),
             }
         }
     }
 
-    /// Hands on a head and a body, and keeps the connection when all has come.
+    /// Returns the response to the caller, and keeps the connection once all of it has been read.
     fn response_body(
         self: &Arc<Self>,
         link: Option<Link>,
@@ -228,14 +252,14 @@
             }
             (Body::Long(first, length, rest), link) => {
                 head.headers.remove(CONTENT_LENGTH);
-                let room = if self.ahead.is_some() { READ_AHEAD_CHUNKS } else { 1 };
-                let (sender, pieces) = Pieces::with_room(first.clone(), length, room);
+                let max_pieces = if self.read_ahead.is_some() { READ_AHEAD_CHUNKS } else { 1 };
+                let (sender, pieces) = Pieces::with_room(first.clone(), length, max_pieces);
                 if let Some(link) = link {
                     let left = length.map(|length| length.saturating_sub(first.len() as u64));
-                    let (line, version) = (self.clone(), head.version);
+                    let (pool, version) = (self.clone(), head.version);
                     tokio::spawn(async move {
                         let _hold = hold;
-                        line.pass_on(link, version, (left, rest), sender, until).await
+                        pool.pass_on(link, version, (left, rest), sender, until).await
                     });
                 }
                 (head, ResponseBody::Streaming { pieces, hold: None, paced: None })
@@ -243,6 +267,7 @@
         }
     }
 
+    /// Passes a long response on to its reader, piece by piece. `None` if it was given up; the connection is then closed.
     async fn pass_on(
         self: Arc<Self>,
         mut link: Link,
@@ -255,7 +280,7 @@
         loop {
             let piece = tokio::select! {
                 piece = timeout(UPSTREAM_READ_TIMEOUT, link.piece(&mut rest)) => piece.ok()?.ok()?,
-                // One whose length was told listens no more once it has all.
+                // A reader that knows the length stops listening once it has all of it, and that is no reason to give up.
                 () = sender.closed(), if left > 0 => return None,
             };
             let Some(piece) = piece else {
@@ -266,31 +291,31 @@
                 return Some(());
             };
             left = left.saturating_sub(piece.len() as u64);
-            let piece = match &self.ahead {
-                Some(ahead) => counted(ahead, piece).await?,
+            let piece = match &self.read_ahead {
+                Some(read_ahead) => counted(read_ahead, piece).await?,
                 None => piece,
             };
             sender.send_timeout(Some(piece), CLIENT_WRITE_TIMEOUT).await.ok()?;
         }
     }
 
-    /// Until when the connection may carry another req, by what its answer says.
+    /// Until when the connection may carry another request, by the response's headers; `None` if it is to be closed.
     fn idle_until(&self, head: &Parts) -> Option<Nanos> {
-        let told = |name: &str| head.headers.get(name).and_then(|value| value.to_str().ok());
-        if told(CONNECTION.as_str()).is_some_and(|value| value.to_ascii_lowercase().contains("close")) {
+        let header = |name: &str| head.headers.get(name).and_then(|value| value.to_str().ok());
+        if header(CONNECTION.as_str()).is_some_and(|value| value.to_ascii_lowercase().contains("close")) {
             return None;
         }
-        let kept = told("keep-alive").into_iter().flat_map(|value| value.split(','));
-        let kept =
-            kept.filter_map(|part| part.trim().strip_prefix("timeout=")?.trim().parse::<u64>().ok()).next();
-        let idle = kept.map_or(MAX_IDLE_TIME, |seconds| {
+        let fields = header("keep-alive").into_iter().flat_map(|value| value.split(','));
+        let timeout_s =
+            fields.filter_map(|part| part.trim().strip_prefix("timeout=")?.trim().parse::<u64>().ok()).next();
+        let idle = timeout_s.map_or(MAX_IDLE_TIME, |seconds| {
             (seconds.min(3_600) * 1_000 * MS).saturating_sub(KEEP_ALIVE_MARGIN)
         });
         Some(self.clock.now() + idle)
     }
 }
 
-/// A piece with its place among those read ahead.
+/// A piece that was read ahead, with the permit for its bytes.
 struct CountedBytes(Bytes, #[allow(dead_code)] Permit);
 
 impl AsRef<[u8]> for CountedBytes {
@@ -299,76 +324,82 @@
     }
 }
 
-async fn counted(ahead: &Arc<Semaphore>, piece: Bytes) -> Option<Bytes> {
-    let place = ahead.clone().acquire_many_owned(u32::try_from(piece.len()).ok()?);
-    let place = timeout(CLIENT_WRITE_TIMEOUT, place).await.ok()?.ok()?;
-    Some(Bytes::from_owner(CountedBytes(piece, place)))
+/// A piece that counts as read ahead until it is dropped; `None` if there is no room for it in time.
+async fn counted(read_ahead: &Arc<Semaphore>, piece: Bytes) -> Option<Bytes> {
+    let permit = read_ahead.clone().acquire_many_owned(u32::try_from(piece.len()).ok()?);
+    let permit = timeout(CLIENT_WRITE_TIMEOUT, permit).await.ok()?.ok()?;
+    Some(Bytes::from_owner(CountedBytes(piece, permit)))
 }
 
 async fn exchange(
-    on: &mut Link,
-    req: Request<crate::body::Load>,
+    link: &mut Link,
+    request: Request<crate::body::Load>,
     message: &Arc<Message>,
 ) -> Result<(Parts, Body), ()> {
-    let (head, body) = on.begin(req, Some(message)).await.map_err(drop)?.into_parts();
-    let body = on.take(body).await.map_err(drop)?;
+    let (head, body) = link.begin(request, Some(message)).await.map_err(drop)?.into_parts();
+    let body = link.take(body).await.map_err(drop)?;
     Ok((head, body))
 }
 
-/// An answer's body on its way to whoever asked.
+/// The body of a response on its way to the client or proxy that asked.
 pub enum ResponseBody {
+    /// All of it is in memory.
     Buffered(Full<Bytes>),
+    /// It is passed on while it arrives; `hold` is dropped with it, and `paced` delays it.
     Streaming { pieces: Pieces, hold: Option<ResponseGuard>, paced: Option<Box<PacedBody>> },
 }
 
-/// What all large answers of a machine share: the pace, and who may go.
+/// What all large responses of a node to other nodes share: the pace of its link, and the turns in which they go.
 pub struct LargeResponseLane {
     pace: Mutex<LargeResponsePacer>,
-    /// A few go at a time, in the order in which they came: each of many would be late.
+    /// A few go at a time, in the order in which they came; if all went at once, all would be late.
     turns: Arc<Semaphore>,
     clock: Clock,
 }
 
 impl LargeResponseLane {
+    /// `link_mbps`: capacity of the node's network link, in Mbit/s.
     pub fn new(link_mbps: f64, clock: Clock) -> Arc<LargeResponseLane> {
         let turns = Arc::new(Semaphore::new(MAX_CONCURRENT_LARGE_RESPONSES));
         Arc::new(LargeResponseLane { pace: Mutex::new(LargeResponsePacer::new(link_mbps)), turns, clock })
     }
 
+    /// The pacer, locked.
     pub fn pace(&self) -> MutexGuard<'_, LargeResponsePacer> {
         held(&self.pace)
     }
 }
 
-/// A large answer in its lane.
+/// A large response that waits for its turn and goes at the pace of the link.
 pub struct PacedBody {
     large_responses: Arc<LargeResponseLane>,
-    /// Bytes that it told of and that have not gone.
+    /// Bytes that were announced to the pacer and have not gone yet.
     left: u64,
-    scheduled: TransmitPermit,
+    turn: TransmitPermit,
     /// A piece that waits for its time.
-    waits: Option<(Bytes, Pin<Box<Sleep>>)>,
+    waiting: Option<(Bytes, Pin<Box<Sleep>>)>,
 }
 
+/// The right to be one of the large responses that go out.
 enum TransmitPermit {
-    Waits(Pin<Box<dyn Future<Output = Option<Permit>> + Send + Sync>>),
-    Has(#[allow(dead_code)] Option<Permit>),
+    Pending(Pin<Box<dyn Future<Output = Option<Permit>> + Send + Sync>>),
+    Granted(#[allow(dead_code)] Option<Permit>),
 }
 
 impl PacedBody {
     fn new(large_responses: &Arc<LargeResponseLane>, length: Option<u64>) -> Box<PacedBody> {
         let (left, turns) = (length.unwrap_or(0), large_responses.turns.clone());
         large_responses.pace().begin(left);
-        let scheduled = TransmitPermit::Waits(Box::pin(async move { turns.acquire_owned().await.ok() }));
-        Box::new(PacedBody { large_responses: large_responses.clone(), left, scheduled, waits: None })
+        let turn = TransmitPermit::Pending(Box::pin(async move { turns.acquire_owned().await.ok() }));
+        Box::new(PacedBody { large_responses: large_responses.clone(), left, turn, waiting: None })
     }
 
-    /// The next of the pieces, once it may go.
+    /// The next piece, once it may go.
     fn poll(&mut self, pieces: &mut Pieces, cx: &mut Context) -> Poll<Option<Result<Bytes, &'static str>>> {
-        if let TransmitPermit::Waits(scheduled) = &mut self.scheduled {
-            self.scheduled = TransmitPermit::Has(ready!(scheduled.as_mut().poll(cx)));
+        if let TransmitPermit::Pending(turn) = &mut self.turn {
+            self.turn = TransmitPermit::Granted(ready!(turn.as_mut().poll(cx)));
         }
-        if self.waits.is_none() {
+        if self.waiting.is_none() {
             let piece = match ready!(pieces.poll(cx)) {
                 Some(Ok(piece)) => piece,
                 end => return Poll::Ready(end),
@@ -383,12 +414,12 @@
             if at <= now + MS {
                 return Poll::Ready(Some(Ok(piece)));
             }
-            self.waits = Some((piece, Box::pin(sleep_until(self.large_responses.clock.instant(at)))));
+            self.waiting = Some((piece, Box::pin(sleep_until(self.large_responses.clock.instant(at)))));
         }
-        if let Some((_, sleep)) = &mut self.waits {
+        if let Some((_, sleep)) = &mut self.waiting {
             ready!(sleep.as_mut().poll(cx));
         }
-        Poll::Ready(self.waits.take().map(|(piece, _)| Ok(piece)))
+        Poll::Ready(self.waiting.take().map(|(piece, _)| Ok(piece)))
     }
 }
 
@@ -398,15 +429,16 @@
     }
 }
 
-/// What lasts as long as an answer is on its way.
+/// Something that is dropped once a response has been taken.
 pub type ResponseGuard = Box<dyn Send + Sync>;
 
 impl ResponseBody {
+    /// A body that is in memory.
     pub fn of(bytes: impl Into<Bytes>) -> ResponseBody {
         ResponseBody::Buffered(Full::new(bytes.into()))
     }
 
-    /// Lets a large answer go at the pace of all such; a small one goes at once.
+    /// Lets a large response go at the pace of all large ones; one up to [`CHUNK_BYTES`] goes at once.
     pub fn paced(self, large_responses: &Arc<LargeResponseLane>) -> ResponseBody {
         match self {
             ResponseBody::Streaming { pieces, hold, .. } => {
@@ -432,7 +464,7 @@
         }
     }
 
-    /// Keeps something until the last byte has been taken; of a short answer that is now.
+    /// Keeps `thing` until the body has been taken or given up. A buffered body doesn't keep it: it is dropped at once.
     pub fn holding(self, thing: impl Send + Sync + 'static) -> ResponseBody {
         match self {
             ResponseBody::Streaming { pieces, hold, paced } => {
@@ -481,5 +513,5 @@
     }
 }
 
-/// A place taken in a bounded room for as long as this lives.
+/// A share of a bounded resource, given back when it is dropped.
 pub type Permit = OwnedSemaphorePermit;
--- a/balancer/src/mesh/proxy/fencing.rs
+++ b/balancer/src/mesh/proxy/fencing.rs
@@ -1,5 +1,9 @@
-//! The fence at a door: since when each person's session is held by the gate that a door last heard of. It owns that
-//! memory and its bounds. It must never let through what a gate sends that has lost the session, nor ask anybody.
+//! Fencing of sessions at an inbound proxy: it refuses requests from an outbound proxy that has lost the session.
+//!
+//! [`FencingTable::check`] compares the term in a request's [`FencingToken`] with the latest one seen for its session.
+//!
+//! Invariants: a request with an earlier term than one seen for its session doesn't pass, as long as the session is remembered;
+//! nobody is asked.
 
 use std::collections::{BTreeSet, HashMap};
 use std::sync::Mutex;
@@ -10,13 +14,14 @@
 
 use crate::link::held;
 
-/// So many sessions; those that were not heard of for longest go.
+/// How many sessions are remembered; those not seen for longest are dropped first.
 const MAX_SESSIONS: usize = 20_000;
-/// Less than the core keeps a record: one that begins anew at a low epoch finds no higher one here. The core is told of a
-/// session that is used a minute later at most.
+/// How long a session is remembered after its last request. Less than the replicas keep its record, so that a session that
+/// begins anew at a low term finds no higher one here. The replicas hear of a session's use a minute later at most, and the
+/// difference covers that.
 const RETENTION: Nanos = SESSION_IDLE - 180_000_000_000;
 
-/// Which session a dispatch is of, and the epoch since which its gate holds it.
+/// The session of an attempt, and the term since which the outbound proxy that sends it owns the session.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FencingToken {
     pub session: SessionId,
@@ -24,11 +29,12 @@
 }
 
 impl FencingToken {
-    /// As it goes on the wire.
+    /// The token as the value of a header: the session in 32 hexadecimal digits, a dot, and the term.
     pub fn to_header(self) -> String {
         format!("{:032x}.{}", self.session, self.since_term)
     }
 
+    /// Reads a header's value; `None` if it isn't a token.
     pub fn from_header(word: &str) -> Option<FencingToken> {
         let (session, since) = word.split_once('.')?;
         Some(FencingToken {
@@ -38,43 +44,45 @@
     }
 }
 
+/// The latest owners of sessions that an inbound proxy has seen.
 #[derive(Default)]
 pub struct FencingTable(Mutex<KnownOwners>);
 
 #[derive(Default)]
 struct KnownOwners {
-    /// Since when each is held, and until when that is kept.
-    all: HashMap<SessionId, (u64, Nanos)>,
+    /// The term since which each session is owned, and until when it is remembered.
+    sessions: HashMap<SessionId, (u64, Nanos)>,
+    /// The sessions by the time until which they are remembered.
     order: BTreeSet<(Nanos, SessionId)>,
-    turned: u64,
+    rejections: u64,
 }
 
 impl FencingTable {
-    /// Whether this may pass; the later epoch that is known, where it may not.
+    /// Remembers the token and lets it pass; the later term that is known is the error if the session has a later owner.
     pub fn check(&self, now: Nanos, fencing_token: FencingToken) -> Result<(), u64> {
         let mut known = held(&self.0);
         while let Some(&(until, session)) = known.order.first()
-            && (until <= now || known.all.len() > MAX_SESSIONS)
+            && (until <= now || known.sessions.len() > MAX_SESSIONS)
         {
             known.order.remove(&(until, session));
-            known.all.remove(&session);
+            known.sessions.remove(&session);
         }
         let until = now.saturating_add(RETENTION);
-        if let Some((since, before)) = known.all.get(&fencing_token.session).copied() {
+        if let Some((since, before)) = known.sessions.get(&fencing_token.session).copied() {
             if since > fencing_token.since_term {
-                known.turned += 1;
+                known.rejections += 1;
                 return Err(since);
             }
             known.order.remove(&(before, fencing_token.session));
         }
-        known.all.insert(fencing_token.session, (fencing_token.since_term, until));
+        known.sessions.insert(fencing_token.session, (fencing_token.since_term, until));
         known.order.insert((until, fencing_token.session));
         Ok(())
     }
 
-    /// How many reqs were turned away in this life.
+    /// How many requests were refused since this process started.
     pub fn rejections(&self) -> u64 {
-        held(&self.0).turned
+        held(&self.0).rejections
     }
 }
 
--- a/balancer/src/mesh/proxy/headers.rs
+++ b/balancer/src/mesh/proxy/headers.rs
@@ -3,27 +3,27 @@
 
 use hyper::header::HeaderName;
 
-/// Names a try of a client; echoed by upstreams.
+/// Identifies an attempt of a client; upstreams echo it.
 pub const ID: HeaderName = HeaderName::from_static("ochreshed-consignment-id");
-/// The ms that are left until nobody waits for the answer any more.
+/// Time left in ms until nobody waits for the response any more.
 pub const LEFT: HeaderName = HeaderName::from_static("ochreshed-time-left-ms");
-/// The life of the upstream that is meant.
+/// The incarnation of the upstream that is meant.
 pub const ADDRESSEE: HeaderName = HeaderName::from_static("ochreshed-addressee");
-/// The service of the machine where a request began.
+/// The service of the node where a request began.
 pub const CALLER: HeaderName = HeaderName::from_static("ochreshed-caller");
-/// The key under which a request runs once.
+/// Idempotency key: among the requests with one key, only one runs.
 pub const KEY: HeaderName = HeaderName::from_static("ochreshed-tracking-key");
-/// An upstream's mark on what it ran.
+/// An upstream's stamp on the response to a request that it ran.
 pub const STAMP: HeaderName = HeaderName::from_static("ochreshed-postmark");
-/// Who answered: an upstream names its life here, also in answers to health probes.
+/// The incarnation of the upstream that responded, also to health checks.
 pub const DELIVERED_BY: HeaderName = HeaderName::from_static("ochreshed-delivered-by");
-/// An upstream's word that it has not run a request.
+/// An upstream's statement that it has not run a request.
 pub const NOT_RUN: HeaderName = HeaderName::from_static("ochreshed-not-delivered");
-/// Between an outbound and an inbound proxy: the terms on which a request is received (`inbound_request`).
+/// Between an outbound and an inbound proxy: the terms of a request (`inbound_request`).
 pub const TERMS: HeaderName = HeaderName::from_static("ochreshed-knock");
-/// Between an outbound and an inbound proxy: the session that a request is of and since when its proxy holds that;
-/// or that a session has moved, and nothing else.
+/// Between an outbound and an inbound proxy: the fencing token of a request's session; or, in a request without anything else,
+/// that a session has moved to another owner.
 pub const SESSION_FENCE: HeaderName = HeaderName::from_static("ochreshed-fence");
-/// Between an inbound and an outbound proxy: how the inbound one's part ended, and how many requests are at its upstream or
-/// wait there.
+/// Between an inbound and an outbound proxy: the outcome of an attempt, and the load of the inbound proxy (requests at its
+/// upstream or waiting for it).
 pub const WAY: HeaderName = HeaderName::from_static("ochreshed-way");
--- a/balancer/src/mesh/proxy/lease_client.rs
+++ b/balancer/src/mesh/proxy/lease_client.rs
@@ -1,6 +1,11 @@
-//! An attendant's side of keys that run once: the claim before a req of a registered route is handed on, and what came
-//! of it after. It owns the choice of the steward that a key's duty falls to, and the repeats of a call that got no
-//! reply. It must never let a req run that it was not granted, nor free a claim under which one may have run.
+//! The data plane's side of leases on idempotency keys: a lease is acquired before a keyed request runs, and completed with its
+//! outcome after.
+//!
+//! [`acquire_lease`] asks the replicas in the order of the key, with a hedged request to the next one when a reply is late;
+//! [`complete_lease`] reports the outcome until a replica has it. [`ReplicaPool`] holds the known replicas.
+//!
+//! Invariants: a request runs only under a lease that was granted; a lease under which it may have run is never released.
+//! (Both are kept by the caller, `outbound`; here a lease counts as granted only if a replica said so.)
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -16,17 +21,21 @@
 use crate::link::held;
 use crate::mesh::rpc::{InternalRequest, InternalResponse, RpcClients};
 
-/// A claim goes to the next steward too when the one before has not replied within this.
+/// A lease request also goes to the next replica if the one before has not replied within this.
 const HEDGE_DELAY: Duration = Duration::from_millis(90);
+/// How long one call that completes a lease may take.
 const COMPLETE_TIMEOUT: Duration = Duration::from_millis(800);
+/// How often all replicas are tried to complete a lease. After that its time ends it.
 const MAX_COMPLETE_ATTEMPTS: u32 = 4;
+/// Pause after the first round of attempts to complete a lease; doubled after each further one.
 const RETRY_INTERVAL: Duration = Duration::from_millis(150);
 
+/// The key under which replicas know an idempotency key, which may be of any length.
 pub fn hash_key(text: &str) -> LeaseKey {
     xxh3_128(text.as_bytes())
 }
 
-/// The stewards that are known, for all that ask them.
+/// The replicas that are known, and which of them have failed lately, for all parts of the data plane that ask them.
 pub struct ReplicaPool {
     clock: Clock,
     known: Mutex<ReplicaDirectory>,
@@ -37,30 +46,35 @@
         ReplicaPool { clock, known: Mutex::default() }
     }
 
+    /// Replaces the known replicas.
     pub fn set_replicas(&self, all: impl IntoIterator<Item = SocketAddr>) {
         held(&self.known).set_replicas(all);
     }
 
+    /// The known replicas.
     pub fn replicas(&self) -> Vec<SocketAddr> {
         held(&self.known).replicas()
     }
 
+    /// Notes that a replica gave no usable reply: others are asked first for a while.
     pub fn request_failed(&self, replica: SocketAddr) {
         held(&self.known).failed(self.clock.now(), replica);
     }
 
+    /// Notes that a replica has replied.
     pub fn response_received(&self, replica: SocketAddr) {
         held(&self.known).replied(replica);
     }
 
-    /// In the order in which a key's duty falls to them.
+    /// The replicas in the order in which they are to be asked about a key.
     pub fn replicas_for_key(&self, key: LeaseKey) -> Vec<SocketAddr> {
         held(&self.known).replicas_for_key(self.clock.now(), key)
     }
 }
 
-/// Claims a key: the first steward that knows decides how it went. One that is slow to reply is not waited for alone:
-/// the same claim may go through several, since it is one token. `within` is how long that may take in all.
+/// Acquires the lease of a key for a token. The first definite reply of a replica counts. The same request may go to several
+/// replicas, since they all grant it to one token. `left_ms` is the time that the request has left; `within` is how long this
+/// may take. Returns [`CoreResponse::Unavailable`] if no replica has decided by then; the lease may then still have been granted.
 pub async fn acquire_lease(
     replicas: &ReplicaPool,
     callers: &RpcClients,
@@ -69,32 +83,32 @@
     within: Duration,
 ) -> CoreResponse {
     let until = tokio::time::Instant::now() + within;
-    let mut next = replicas.replicas_for_key(key).into_iter();
-    let mut out = FuturesUnordered::new();
-    let mut silent = Vec::new();
+    let mut remaining = replicas.replicas_for_key(key).into_iter();
+    let mut calls = FuturesUnordered::new();
+    let mut unanswered = Vec::new();
     loop {
-        if let Some(replica) = next.next() {
+        if let Some(replica) = remaining.next() {
             let call = async move {
                 let ask =
                     InternalRequest::Core(CoreRequest::AcquireLease { key, token, time_left_ms: left_ms });
                 (replica, callers.to(replica).call(ask, within).await)
             };
-            silent.push(replica);
-            out.push(call);
-        } else if out.is_empty() {
+            unanswered.push(replica);
+            calls.push(call);
+        } else if calls.is_empty() {
             return CoreResponse::Unavailable;
         }
         let hedge = (tokio::time::Instant::now() + HEDGE_DELAY).min(until);
         tokio::select! {
-            Some((replica, reply)) = out.next(), if !out.is_empty() => {
-                silent.retain(|silent| *silent != replica);
+            Some((replica, reply)) = calls.next(), if !calls.is_empty() => {
+                unanswered.retain(|asked| *asked != replica);
                 match reply {
                     Ok(InternalResponse::Core(CoreResponse::Unavailable)) => {}
-                    Ok(InternalResponse::Core(got)) => {
+                    Ok(InternalResponse::Core(response)) => {
                         replicas.response_received(replica);
-                        // Those asked before it that said nothing: others are asked first for a while.
-                        silent.into_iter().for_each(|silent| replicas.request_failed(silent));
-                        return got;
+                        // Those that were asked before and have not replied count as failed.
+                        unanswered.into_iter().for_each(|asked| replicas.request_failed(asked));
+                        return response;
                     }
                     _ => replicas.request_failed(replica),
                 }
@@ -107,7 +121,7 @@
     }
 }
 
-/// Tells what came of a claim, until a steward has it.
+/// Completes a lease with its outcome, or releases it with `None`, in the background until a replica has accepted that.
 pub fn complete_lease(
     replicas: Arc<ReplicaPool>,
     callers: Arc<RpcClients>,
