--- a/balancer/benches/federation.rs
+++ b/balancer/benches/federation.rs
@@ -56,7 +56,7 @@
         let body = document("norte", edition, "", &[(&path, "resendable", "alpha", 6_000)]);
         change(&cluster, "replace", "norte", "norte-key", &body);
         let told = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).map_or(0, |at| at.as_nanos());
-        let line = format!("member norte r{edition} in force");
+        let line = format!("member document in force: member=norte version={edition} ");
         let known = || cluster.attendants.iter().map(|machine| machine.logged_at(&line));
         helper::until("in force", || known().all(|at| at.is_some()));
         took.push(known().flatten().max().unwrap_or(0).saturating_sub(told) as f64 / 1e6);
--- a/balancer/benches/mesh.rs
+++ b/balancer/benches/mesh.rs
@@ -124,7 +124,7 @@
         let body = timetable(version, &routes.collect::<Vec<_>>().join(","));
         cluster.replace(0, &body);
         let told = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).map_or(0, |at| at.as_nanos());
-        let line = format!("timetable r{version} in force");
+        let line = format!("configuration in force: version={version} ");
         let known = || cluster.attendants.iter().map(|machine| machine.logged_at(&line));
         helper::until("in force", || known().all(|at| at.is_some()));
         let last = known().flatten().max().unwrap_or(0);
--- a/balancer/src/mesh/proxy/connection_pool.rs
+++ b/balancer/src/mesh/proxy/connection_pool.rs
@@ -156,7 +156,7 @@
     fn lost(&self, idle: Option<Nanos>) {
         if held(&self.idle_limit).lost(self.clock.now(), idle) {
             log::info!(
-                "{}: forgot a connection that was idle for {} ms",
+                "idle connection was forgotten by its peer: address={} idle_ms={}",
                 self.address,
                 idle.unwrap_or(0) / MS
             );
--- a/balancer/src/mesh/proxy/control_plane_watch.rs
+++ b/balancer/src/mesh/proxy/control_plane_watch.rs
@@ -124,7 +124,9 @@
                 node.apply_configuration(sheet);
                 break;
             }
-            Err(why) => log::warn!("timetable r{}: what differs {why}", revision.version),
+            Err(why) => {
+                log::warn!("configuration update not applied: version={} error={why}", revision.version)
+            }
         }
     }
     node.fetch_ended(revision);
--- a/balancer/src/mesh/proxy/inbound.rs
+++ b/balancer/src/mesh/proxy/inbound.rs
@@ -440,7 +440,7 @@
         }
         let is_draining = record.state == UpstreamState::Draining;
         log::info!(
-            "upstream {} of {}: found again, {stand:?}",
+            "upstream found again: upstream={} service={} state={stand}",
             record.upstream_id,
             record.service,
             stand = record.state
@@ -480,7 +480,7 @@
             return;
         }
         (upstream.state, upstream.draining_since) = (known, Some(drain_over));
-        log::info!("upstream {id}: {stand:?} by what was told before this start", stand = known);
+        log::info!("upstream state restored from before this start: upstream={id} state={known}");
         drop(state);
         self.record_changed();
     }
@@ -633,7 +633,7 @@
         };
         if !same {
             log::info!(
-                "upstream {} of {}: {:?}, {} slots, zone {}",
+                "upstream state: upstream={} service={} state={} concurrency_limit={} zone={}",
                 upstream.id,
                 upstream.service,
                 upstream_state,
@@ -677,7 +677,7 @@
         }
         upstream.state = UpstreamState::Absent;
         upstream.connections.shut();
-        log::info!("upstream {of}: signed off");
+        log::info!("upstream signed off: upstream={of}");
         drop(state);
         self.record_changed();
     }
@@ -691,7 +691,7 @@
         {
             upstream.state = UpstreamState::Draining;
             upstream.draining_since = Some(self.clock.now());
-            log::info!("upstream {id}: drained by an operator");
+            log::info!("upstream drained by an operator: upstream={id}");
             drop(state);
             self.record_changed();
         }
@@ -924,7 +924,7 @@
         if previous != current {
             let name = self.service().unwrap_or_default();
             log::info!(
-                "upstream of {name}: fails at level {}, slow at level {}",
+                "upstream health: service={name} failure_level={} latency_level={}",
                 current.failure_level,
                 current.latency_level
             );
--- a/balancer/src/mesh/proxy/node.rs
+++ b/balancer/src/mesh/proxy/node.rs
@@ -483,7 +483,7 @@
         match Configuration::read(&sheet.bytes) {
             Ok(configuration) => {
                 log::info!(
-                    "timetable r{} in force, {} routes",
+                    "configuration in force: version={} routes={}",
                     sheet.version,
                     configuration.routes().count()
                 );
@@ -494,7 +494,11 @@
             }
             // Replicas check configurations with the same reader, so that this build differs from theirs.
             Err(why) => {
-                log::error!("timetable r{} is refused here: {}", sheet.version, why[0]);
+                log::error!(
+                    "configuration not applied, this version can't read it: version={} error={}",
+                    sheet.version,
+                    why[0]
+                );
                 versions.fetching = Revision::new(sheet.version, u64::MAX);
             }
         }
@@ -508,13 +512,13 @@
         let NodeConfiguration { effective, editions } =
             members.configuration_at(platform, self.inbound_address);
         for trim in effective.violations.iter().take(MAX_LOGGED_CHANGES) {
-            log::warn!("trimmed: {trim}");
+            log::warn!("overlay violation: {trim}");
         }
         let before = self.configuration.load();
         let previous = |member: &Name| before.as_ref().and_then(|before| before.editions.get(member));
         let fresh = editions.iter().filter(|(member, edition)| previous(member) != Some(*edition));
         for (member, MemberEdition { version, canary }) in fresh.take(MAX_LOGGED_CHANGES) {
-            log::info!("member {member} r{version} in force{}", if *canary { ", on trial" } else { "" });
+            log::info!("member document in force: member={member} version={version} canary={canary}");
         }
         self.configuration
             .store(Some(Arc::new(AppliedConfiguration::new(effective.configuration, editions))));
@@ -792,7 +796,10 @@
     }
     tokio::spawn(housekeeping(node.clone(), path));
     tokio::spawn(full_service(node.clone()));
-    log::info!("attendant {} at {outbound}, door {inbound}", node.settings.load().node_name);
+    log::info!(
+        "attendant starts: name={} outbound_listen={outbound} inbound_listen={inbound}",
+        node.settings.load().node_name
+    );
     let mut end = match signal(SignalKind::terminate()) {
         Ok(end) => end,
         Err(why) => {
@@ -802,7 +809,7 @@
     };
     end.recv().await;
     log::info!(
-        "asked to end, {} reqs inside",
+        "termination requested: requests_in_flight={}",
         node.requests_in_flight.load(Relaxed) + door.requests_in_flight()
     );
     // The node reports itself not ready, so that clients are sent elsewhere; those that still come are served. The inbound
@@ -834,7 +841,7 @@
         let _ = timeout_at(began + grace + SHUTDOWN_MARGIN / 2, all).await;
     }
     log::info!(
-        "ended after {} ms, {} reqs served",
+        "stopped: after_ms={} requests_served={}",
         began.elapsed().as_millis(),
         node.requests_received.load(Relaxed)
     );
@@ -857,7 +864,7 @@
     let configuration = node.configuration.load().as_ref().map_or(0, |configuration| configuration.version);
     let records = held(&node.records).len();
     log::info!(
-        "full service after {full_ms} ms: timetable r{configuration}, {records} attendants, an upstream"
+        "full service after {full_ms} ms: configuration_version={configuration} endpoint_records={records}"
     );
 }
 
@@ -883,13 +890,13 @@
             match Settings::read(&path) {
                 Ok(settings) => {
                     if settings.seeds != node.settings.load().seeds {
-                        log::info!("settings: {} seeds", settings.seeds.len());
+                        log::info!("settings reloaded: seeds={}", settings.seeds.len());
                     }
                     node.settings.store(Arc::new(settings));
                     let known = node.replicas.replicas();
                     node.set_replicas(known);
                 }
-                Err(why) => log::warn!("settings not taken: {why}"),
+                Err(why) => log::warn!("settings not reloaded: {why}"),
             }
         }
     }
--- a/catalog/src/endpoints.rs
+++ b/catalog/src/endpoints.rs
@@ -9,6 +9,7 @@
 //! decided here but by the sender.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
+use std::fmt;
 use std::net::SocketAddr;
 
 use ochreshed::Nanos;
@@ -36,6 +37,17 @@
     Absent,
 }
 
+/// The state as log lines show it.
+impl fmt::Display for UpstreamState {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            UpstreamState::Serving => "serving",
+            UpstreamState::Draining => "draining",
+            UpstreamState::Absent => "absent",
+        })
+    }
+}
+
 /// The health of an upstream as its inbound proxy judges it from the outcomes of requests.
 ///
 /// Both levels are 0 for a healthy upstream. Older programs neither send nor read this value.
