--- a/balancer/src/mesh/proxy/control_plane_watch.rs
+++ b/balancer/src/mesh/proxy/control_plane_watch.rs
@@ -1,5 +1,11 @@
-//! News to an attendant: it asks its watchers with the versions it has, and takes what they answer. Each ask is also its
-//! heartbeat. It owns which stewards are asked and what is taken from them; it must never go back to an older version.
+//! Watches on the control plane: how a node gets configurations, endpoint records, drains and the list of replicas.
+//!
+//! [`run`] keeps one watch open at one replica: it sends the versions that the node has, and the replica answers when there is
+//! something newer. Each watch request is also the node's heartbeat and carries its endpoint record and its reports. A new
+//! configuration or named register is fetched from the replica that announced it.
+//!
+//! Invariants: a node never goes back to an older version; with several watches, each is open at another replica if there are
+//! enough that reply.
 
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
@@ -16,31 +22,32 @@
 use crate::mesh::proxy::node::Node;
 use crate::mesh::rpc::{InternalRequest, InternalResponse, WatchRequest, WatchResponse};
 
+/// Pause after a watch has failed or no replica is known.
 const RETRY_INTERVAL: Duration = Duration::from_nanos(watch_client::RETRY_INTERVAL);
-/// A configuration that has not come by then is fetched from another steward.
+/// How long a fetch may take. After that, the next watch response announces the version again.
 const FETCH_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// Asks one of the watchers, for good: the one whose turn is `which` among those that reply.
+/// Keeps watch number `which` of `many` open for as long as the process runs. Only the first one carries the node's reports.
 pub async fn run(node: Arc<Node>, which: usize, many: usize) {
-    let mut asker = Watcher::new(which, many);
-    let has_sheet = || node.configuration.load().is_some();
+    let mut watcher = Watcher::new(which, many);
+    let has_configuration = || node.configuration.load().is_some();
     let mut reports: HashMap<SocketAddr, BudgetReporter> = HashMap::new();
     loop {
         let replicas = node.replicas.replicas();
         reports.retain(|at, _| replicas.contains(at));
-        let Some(replica) = asker.next_replica(node.clock.now(), node.inbound_address(), &replicas) else {
+        let Some(replica) = watcher.next_replica(node.clock.now(), node.inbound_address(), &replicas) else {
             sleep(RETRY_INTERVAL).await;
             continue;
         };
         let report = reports.entry(replica).or_default();
         let window = node.settings.load().bounds.retry_window;
-        let told = (which == 0).then(|| report.next_report(window, || node.budget_report())).flatten();
+        let reported = (which == 0).then(|| report.next_report(window, || node.budget_report())).flatten();
         let record = node.inbound.endpoint_record();
         let revision = record.record_version();
         let ask = WatchRequest {
-            outcomes: told.as_ref().map(|report| report.outcomes.clone()).unwrap_or_default(),
-            report: told,
-            ..asker.request(replica, record, node.configuration_revision(), node.applied_editions())
+            outcomes: reported.as_ref().map(|report| report.outcomes.clone()).unwrap_or_default(),
+            report: reported,
+            ..watcher.request(replica, record, node.configuration_revision(), node.applied_editions())
         };
         let caller = node.rpc.to(replica);
         let changed = node.inbound.changed.notified();
@@ -52,7 +59,7 @@
             Ok(InternalResponse::Watch(mut reply)) => {
                 if let Some(RegisterList { digest, revisions }) = reply.registers.take() {
                     if fetch_registers(&node, replica, revisions).await {
-                        asker.registers_applied(replica, digest);
+                        watcher.registers_applied(replica, digest);
                     } else {
                         sleep(RETRY_INTERVAL).await;
                     }
@@ -60,11 +67,11 @@
                 node.control_plane_heard(reply.has_quorum);
                 report.request_finished(reply.known_incarnation.is_some());
                 let suspected =
-                    asker.handle_response(node.clock.now(), replica, revision, has_sheet(), &reply);
+                    watcher.handle_response(node.clock.now(), replica, revision, has_configuration(), &reply);
                 apply_response(&node, (which, replica), *reply, suspected);
             }
             _ => {
-                asker.request_failed(node.clock.now(), replica, has_sheet(), replicas.len());
+                watcher.request_failed(node.clock.now(), replica, has_configuration(), replicas.len());
                 report.request_finished(false);
                 node.watch_lost(which);
                 sleep(RETRY_INTERVAL).await;
@@ -73,6 +80,7 @@
     }
 }
 
+/// Applies what a replica has answered.
 fn apply_response(
     node: &Arc<Node>,
     (which, replica): (usize, SocketAddr),
@@ -96,10 +104,11 @@
     node.merge_records(which, reply.records, suspected);
 }
 
-/// Gets the papers that are newer there, until none is; whether that was to be had.
-async fn fetch_registers(node: &Arc<Node>, replica: SocketAddr, ranks: Vec<(Name, Revision)>) -> bool {
+/// Fetches the named registers that are newer at the replica, until none is. Returns false if the replica failed or sent
+/// nothing newer.
+async fn fetch_registers(node: &Arc<Node>, replica: SocketAddr, revisions: Vec<(Name, Revision)>) -> bool {
     loop {
-        let wanted = node.outdated_registers(&ranks);
+        let wanted = node.outdated_registers(&revisions);
         if wanted.is_empty() {
             return true;
         }
@@ -111,17 +120,17 @@
     }
 }
 
-/// Gets a configuration from the steward that told of it: what differs from the one that is here, and whole where that
-/// does not open. If it fails, the next news tells of it again.
+/// Fetches a configuration from the replica that announced it: first as what differs from the one here, and completely if that
+/// can't be applied. If it fails, the next watch response announces it again.
 async fn fetch_configuration(node: Arc<Node>, replica: SocketAddr, revision: Revision) {
     let here = node.configuration_value();
     for from in [here.as_deref(), None] {
         let have = from.map_or(Revision::NONE, |from| from.revision());
         let reply = node.rpc.to(replica).call(InternalRequest::Configuration(have), FETCH_TIMEOUT).await;
-        let Ok(InternalResponse::Configuration(Some(parcel))) = reply else { break };
-        match parcel.open(from) {
-            Ok(sheet) => {
-                node.apply_configuration(sheet);
+        let Ok(InternalResponse::Configuration(Some(update))) = reply else { break };
+        match update.open(from) {
+            Ok(configuration) => {
+                node.apply_configuration(configuration);
                 break;
             }
             Err(why) => log::warn!("timetable r{}: what differs {why}", revision.version),
--- a/balancer/src/mesh/proxy/lease_client.rs
+++ b/balancer/src/mesh/proxy/lease_client.rs
@@ -74,7 +74,8 @@
 
 /// Acquires the lease of a key for a token. The first definite reply of a replica counts. The same request may go to several
 /// replicas, since they all grant it to one token. `left_ms` is the time that the request has left; `within` is how long this
-/// may take. Returns [`CoreResponse::Unavailable`] if no replica has decided by then; the lease may then still have been granted.
+/// may take. Returns [`CoreResponse::Unavailable`] if no replica has decided by then; the lease may then still have been
+/// granted.
 pub async fn acquire_lease(
     replicas: &ReplicaPool,
     callers: &RpcClients,
--- a/balancer/src/mesh/proxy/listener.rs
+++ b/balancer/src/mesh/proxy/listener.rs
@@ -1,5 +1,12 @@
-//! A door for HTTP/1.1: callers' connections, and reqs read off them. It owns the bounds on connections, heads, bodies
-//! and time, and how a door closes. It must never decide on a req, nor let one caller's connection cost another its own.
+//! An HTTP/1.1 listener: accepts connections, reads requests within limits and writes the responses.
+//!
+//! [`serve`] runs one listener and asks a function for each response. [`read_message`] then reads a request's body and makes of
+//! the request what may be forwarded.
+//!
+//! Main types: [`ListenerLimits`], [`ListenerState`], [`ReceivedRequest`], [`RequestError`].
+//!
+//! Invariants: nothing is decided here about where a request goes; a malformed request is rejected before anything else sees
+//! it; a failing connection doesn't affect others.
 
 use std::convert::Infallible;
 use std::pin::pin;
@@ -30,73 +37,79 @@
 use crate::mesh::proxy::connection_pool::{Permit, ResponseBody};
 use crate::start::{MOST_BODY, PER_LONG};
 
-/// How long to wait when no descriptor is left for a new connection.
+/// Pause after a connection could not be accepted, for instance since no file descriptor is left.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(50);
-/// Half a req is waited for so long once the door has closed.
+/// How long an incomplete request is waited for once the listener is closed.
 const DRAIN_READ_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// ListenerLimits of one door.
+/// Limits of one listener.
 #[derive(Clone)]
 pub struct ListenerLimits {
+    /// Connections beyond this wait to be accepted.
     pub max_connections: usize,
-    /// How long a head may take, and a connection stand idle.
+    /// How long a request's head may take, and a connection be idle.
     pub header_timeout: Duration,
 }
 
-/// A req as it came, and when.
+/// A request with its head read and its body still to come.
 pub struct ReceivedRequest {
     pub request: Request<Incoming>,
+    /// What was read of the connection.
     pub meter: Arc<Meter>,
+    /// When its first byte arrived.
     pub received_at: Nanos,
 }
 
-/// What a caller did wrong, as a status and a line.
+/// Why a request is rejected: the HTTP status and a line of text for the response.
 #[derive(Debug)]
 pub struct RequestError(pub u16, pub &'static str);
 
-/// How far a door's end has come: open, answers end their connections, closed.
+/// How far the shutdown of a listener has come.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub enum ListenerState {
     Open,
+    /// Connections are still accepted, and each is closed after its next response.
     Draining,
+    /// No connection is accepted; those with a request in flight end after its response.
     Closed,
 }
 
-/// Lets callers in until the door is closed, and returns once the last one has gone. `answer` is asked for each req.
+/// Accepts connections until the listener is closed, and returns once the last connection has ended. `answer` is called for
+/// each request; `callers` is set to the number of connections whenever one is accepted.
 pub async fn serve<F, A>(
     listener: TcpListener,
     clock: Clock,
     bounds: ListenerLimits,
-    mut ajar: watch::Receiver<ListenerState>,
+    mut state: watch::Receiver<ListenerState>,
     callers: Arc<AtomicUsize>,
     answer: F,
 ) where
     F: Fn(ReceivedRequest) -> A + Clone + Send + Sync + 'static,
     A: Future<Output = Response<ResponseBody>> + Send + 'static,
 {
-    let mut guests = JoinSet::new();
-    let closing = ajar.clone();
+    let mut connections = JoinSet::new();
+    let closing = state.clone();
     let mut closed = pin!(async {
-        let _ = ajar.wait_for(|ajar| *ajar == ListenerState::Closed).await;
+        let _ = state.wait_for(|state| *state == ListenerState::Closed).await;
     });
     loop {
         tokio::select! {
             () = &mut closed => break,
-            Some(_) = guests.join_next(), if !guests.is_empty() => {}
-            received = listener.accept(), if guests.len() < bounds.max_connections => match received {
+            Some(_) = connections.join_next(), if !connections.is_empty() => {}
+            received = listener.accept(), if connections.len() < bounds.max_connections => match received {
                 Ok((stream, _)) => {
-                    callers.store(guests.len() + 1, Relaxed);
-                    guests.spawn(guest(stream, clock, bounds.clone(), closing.clone(), answer.clone()));
+                    callers.store(connections.len() + 1, Relaxed);
+                    connections.spawn(serve_connection(stream, clock, bounds.clone(), closing.clone(), answer.clone()));
                 }
                 Err(_) => sleep(ACCEPT_RETRY_INTERVAL).await,
             }
         }
     }
     drop(listener);
-    while guests.join_next().await.is_some() {}
+    while connections.join_next().await.is_some() {}
 }
 
-/// A req that is answered, or whose answer is on its way.
+/// Counts a request from its arrival until its response has been sent.
 struct ConnectionGuard(Arc<AtomicUsize>);
 
 impl ConnectionGuard {
@@ -112,18 +125,19 @@
     }
 }
 
-async fn guest<F, A>(
+/// Serves one connection until it ends.
+async fn serve_connection<F, A>(
     stream: TcpStream,
     clock: Clock,
     bounds: ListenerLimits,
-    mut ajar: watch::Receiver<ListenerState>,
+    mut state: watch::Receiver<ListenerState>,
     answer: F,
 ) where
     F: Fn(ReceivedRequest) -> A + Clone + Send + Sync + 'static,
     A: Future<Output = Response<ResponseBody>> + Send + 'static,
 {
     let (wire, meter) = Wire::new(Arc::new(stream), clock, None);
-    let leaving = ajar.clone();
+    let leaving = state.clone();
     let work = Arc::new(AtomicUsize::new(0));
     let busy = work.clone();
     let serve = service_fn(move |req: Request<Incoming>| {
@@ -134,7 +148,7 @@
             let work = ConnectionGuard::new(work);
             let answer =
                 answer(ReceivedRequest { request: req, meter: meter.clone(), received_at: at }).await;
-            // A long answer is work until its last byte.
+            // A long response counts as in flight until its last byte.
             let mut answer = answer.map(|flow| flow.holding(work));
             meter.take_first();
             meter.next_message();
@@ -149,9 +163,9 @@
     let mut connection = pin!(builder.serve_connection(wire, serve));
     tokio::select! {
         _ = connection.as_mut() => return,
-        _ = ajar.wait_for(|ajar| *ajar == ListenerState::Closed) => connection.as_mut().graceful_shutdown(),
+        _ = state.wait_for(|state| *state == ListenerState::Closed) => connection.as_mut().graceful_shutdown(),
     }
-    // What is answered is waited for; half a req that never comes whole is not.
+    // Requests that are being answered are waited for; one that is incomplete is not.
     while timeout(DRAIN_READ_TIMEOUT, connection.as_mut()).await.is_err() {
         if busy.load(Relaxed) == 0 {
             return;
@@ -159,7 +173,9 @@
     }
 }
 
-/// A req's message as it goes on, and the room that its body holds. The body is read whole where it is short.
+/// Reads a request as it may be forwarded, without the headers of the one connection. Returns it with the permit for the memory
+/// of its body. A body up to [`MOST_BODY`] is read completely, within `slow`; of a longer one only the first part. Errors:
+/// 400 if it is malformed, 408 if it is too slow, 413 above `most` bytes, 503 while the process ends.
 pub async fn read_message(
     received: ReceivedRequest,
     bodies: &Arc<Semaphore>,
@@ -171,7 +187,7 @@
     let (mut head, mut body) = req.into_parts();
     let framed = !head.headers.contains_key(TRANSFER_ENCODING);
     if !framed && meter.length_named() {
-        // Guards against a req that another one hides in.
+        // A request with both could hide another request from one of the servers on its way (request smuggling).
         return Err(RequestError(400, "both a length and a transfer encoding"));
     }
     if body.size_hint().lower() > most {
@@ -207,7 +223,7 @@
     Ok((Message { head: on, first, length, long }, room))
 }
 
-/// All of a message's body, where it may be long.
+/// Reads all of a message's body, up to `most` bytes.
 pub async fn read_body(message: Message, most: u64) -> Result<Vec<u8>, RequestError> {
     let message = Arc::new(message);
     let load = message.load().ok_or(RequestError(400, "body cut short"))?;
@@ -215,6 +231,7 @@
     Ok(body.map_err(|_| RequestError(400, "body cut short, or too large"))?.to_bytes().to_vec())
 }
 
+/// The first part of a body, and whether that is all of it.
 async fn first(body: &mut Incoming) -> Result<(bytes::Bytes, bool), RequestError> {
     if body.is_end_stream() {
         return Ok((bytes::Bytes::new(), true));
@@ -232,12 +249,14 @@
     Ok((bytes.freeze(), false))
 }
 
+/// A response of one line of text. An invalid status becomes 500.
 pub fn plain_response(status: u16, line: &str) -> Response<ResponseBody> {
     let mut answer = Response::new(ResponseBody::of(format!("{line}\n")));
     *answer.status_mut() = StatusCode::from_u16(status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     answer
 }
 
+/// A response of JSON. An invalid status becomes 500.
 pub fn json_response(status: u16, text: String) -> Response<ResponseBody> {
     let mut answer = Response::new(ResponseBody::of(text));
     *answer.status_mut() = StatusCode::from_u16(status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
@@ -245,7 +264,7 @@
     answer
 }
 
-/// A field as text, empty when there is none.
+/// The value of a header without surrounding spaces; empty if there is none or it isn't text.
 pub fn header_str<'a>(headers: &'a HeaderMap, name: &HeaderName) -> &'a str {
     headers.get(name).and_then(|value| value.to_str().ok()).unwrap_or_default().trim()
 }
--- a/balancer/src/mesh/proxy/session_affinity.rs
+++ b/balancer/src/mesh/proxy/session_affinity.rs
@@ -1,6 +1,16 @@
-//! The sessions that this machine's gate has: whose reqs it sends on without asking, and under which fence. It owns what
-//! is held here, the asks to the core, and the hand-over between gates. It must never keep or tell the value that names a
-//! person, hold a session that the core gave to another, nor keep a req waiting for long: exactly once rests on keys.
+//! Sessions at an outbound proxy: which sessions it owns, the upstream that each is bound to, and the handover between proxies.
+//!
+//! [`acquire`] finds the session of a request, or acquires it from the replicas and asks the previous owner to let it go.
+//! [`attempt_starting`] binds a session without a usable upstream before the first attempt there, so that whoever acquires the
+//! session next finds the binding; [`attempt_succeeded`] counts how the binding was kept.
+//!
+//! Main types: [`SessionTable`] (what this proxy owns), [`BoundSession`] (the session of one request), [`AffinityCounts`].
+//!
+//! Invariants:
+//! - The value that names a person is neither stored nor passed on, only its hash.
+//! - A session that the replicas gave to another owner is not kept.
+//! - A request waits for its session only for a short time and then goes on without it: what must run once is kept by the lease
+//!   on its key, not by the session.
 
 use std::collections::{BTreeSet, HashMap};
 use std::net::SocketAddr;
@@ -27,28 +37,30 @@
 use crate::mesh::rpc::{InternalRequest, InternalResponse};
 
 const MS: Nanos = 1_000_000;
-/// A req waits so long for the core, and one steward is waited for so long.
+/// How long a request waits for the replicas in all.
 const ACQUIRE_TIMEOUT: Duration = Duration::from_millis(500);
+/// How long one replica is waited for.
 const REPLICA_TIMEOUT: Duration = Duration::from_millis(220);
-/// And so long for the gate that had the session; its keys are safe by their claims.
+/// How long the previous owner of a session is waited for. Its requests with keys are safe by their leases.
 const HANDOVER_TIMEOUT: Nanos = 150 * MS;
-/// The core is told of a session that is used so often.
+/// How often the replicas are told that a session is in use.
 const RENEW_INTERVAL: Nanos = 60_000 * MS;
-/// What was not used for so long is asked for again: the core may have forgotten it.
+/// A session that was not used for this long is acquired again, since the replicas may have dropped it.
 const REACQUIRE_AFTER: Nanos = 600_000 * MS;
-/// So many are held; those that were not used for longest are asked for again.
+/// How many sessions are kept; those not used for longest are dropped first and acquired again when needed.
 const MAX_SESSIONS: usize = 20_000;
-/// Others wait so long for the first req of a session, and so many sessions have one.
+/// How long other requests of a session wait for its first one.
 const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(300);
+/// Above this number, sessions without a first request in flight are dropped from the table of these.
 const MAX_FIRST_REQUESTS: usize = 4_096;
-/// Keys told of one session.
+/// Most keys in flight that are reported of one session.
 const MAX_HANDED_OVER_KEYS: usize = 64;
-/// Times of moves that are remembered.
+/// How many durations of moves are remembered.
 const MAX_MOVE_SAMPLES: usize = 512;
-/// What a hand-over says in place of a req's session.
+/// Marks a handover in the header that otherwise has a request's fencing token.
 const HANDOVER_PREFIX: &str = "moved ";
 
-/// A person's session by its service, the header that names it and that header's value.
+/// Identifies a session: a hash of its service, the header that names it and that header's value.
 pub fn session_id(service: &str, header: &str, value: &str) -> SessionId {
     let mut sum = Sha256::new();
     for part in [service, &header.to_ascii_lowercase(), value] {
@@ -59,62 +71,74 @@
     sum.iter().take(16).fold(0, |all, byte| all << 8 | SessionId::from(*byte))
 }
 
+/// A session that this proxy owns.
 struct OwnedSession {
     owner: SessionOwner,
     binding: Option<SessionBinding>,
-    /// When the core was last told, and when it was last used.
-    told: Nanos,
-    used: Nanos,
+    /// When the replicas last heard of its use.
+    renewed_at: Nanos,
+    used_at: Nanos,
 }
 
 #[derive(Default)]
 struct SessionState {
     held: HashMap<SessionId, OwnedSession>,
+    /// The sessions by their last use.
     order: BTreeSet<(Nanos, SessionId)>,
-    /// Keys that are at work here.
+    /// Keys of requests in flight.
     keys: HashMap<SessionId, Vec<LeaseKey>>,
-    /// First reqs of sessions.
+    /// Locks that the first request of a session holds until it is known where the session is bound.
     firsts: HashMap<SessionId, Arc<tokio::sync::Mutex<()>>>,
-    /// Doors know of a holder since then.
+    /// Later terms that inbound proxies have reported: the session is acquired with a term above.
     above: HashMap<SessionId, u64>,
     counts: AffinityCounts,
-    times: Vec<Nanos>,
+    /// Durations of the last moves, as a ring.
+    move_times: Vec<Nanos>,
 }
 
-/// What this gate has seen of sessions since its start.
+/// What this outbound proxy has seen of sessions since its start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct AffinityCounts {
-    /// OwnedSession now; taken that nobody had; moved here from another gate, and of these those whose gate did not answer.
+    /// Sessions owned now.
     pub held: usize,
+    /// Acquired sessions that had no owner.
     pub begun: u64,
+    /// Sessions that moved here from another owner.
     pub moves: u64,
+    /// Of these, those whose previous owner did not answer.
     pub unheard: u64,
-    /// Let go to another gate, and turned away at a door for that.
+    /// Sessions given up to another owner.
     pub left: u64,
+    /// Requests that an inbound proxy refused since the session has a later owner.
     pub fenced: u64,
-    /// Reqs that went without one, for want of the core.
+    /// Requests that went on without a session since no replica answered in time.
     pub without: u64,
-    /// Requests that ran at the upstream of their tie, and at another while that stood; ties that passed to a successor,
-    /// as their upstream was gone.
+    /// Requests that ran at the upstream to which their session is bound.
     pub kept: u64,
+    /// Requests that ran at another upstream though that one still runs.
     pub crowded: u64,
+    /// Sessions that were bound to another upstream since theirs was gone.
     pub gone: u64,
-    /// Of a move, in ns: half and all but one in a hundred are faster.
+    /// Median duration of a move, in ns.
     pub move_half: Nanos,
+    /// 99th percentile of the duration of a move, in ns.
     pub move_most: Nanos,
 }
 
+/// The sessions that an outbound proxy owns.
 #[derive(Default)]
 pub struct SessionTable(Mutex<SessionState>);
 
-/// A req's session.
+/// The session of one request.
 pub struct BoundSession {
+    /// Goes with each attempt to the inbound proxy.
     pub token: FencingToken,
+    /// The upstream to which the session is bound; none if it is new.
     pub binding: Option<SessionBinding>,
     owner: SessionOwner,
-    /// It is the first of its session here: others wait until it is known where that lives.
+    /// Held by the first request of a session here: others wait until it is known where the session is bound.
     first: Option<OwnedMutexGuard<()>>,
-    /// Its session was tied to no open upstream when it came: it writes the tie before it is sent.
+    /// The session was bound to no upstream that accepts requests when the request came: it is bound before an attempt is sent.
     unplaced: bool,
 }
 
@@ -127,65 +151,72 @@
         BoundSession { token: fencing_token, binding, owner, first: None, unplaced: false }
     }
 
-    /// Whether its session is tied to an upstream that takes requests.
+    /// Whether the session is bound to an upstream that accepts requests.
     fn is_placed(&self, scheduler: &RequestScheduler) -> bool {
         self.binding
             .as_ref()
             .is_some_and(|binding| scheduler.accepts_requests(&binding.upstream_id.as_str().into()))
     }
 
+    /// Whether the session is bound to this incarnation of an upstream.
     pub fn is_bound_to(&self, srv: &str) -> bool {
         self.binding.as_ref().is_some_and(|binding| binding.upstream_id == srv)
     }
 }
 
-/// A key at work in a session, until this is dropped.
-pub struct KeyInFlight(Arc<Node>, SessionId, LeaseKey);
+/// Marks a key as in flight in a session until it is dropped.
+pub struct KeyInFlight {
+    node: Arc<Node>,
+    session: SessionId,
+    key: LeaseKey,
+}
 
 impl Drop for KeyInFlight {
     fn drop(&mut self) {
-        let mut inner = held(&self.0.sessions().0);
-        if let Some(keys) = inner.keys.get_mut(&self.1) {
-            keys.retain(|key| *key != self.2);
+        let mut inner = held(&self.node.sessions().0);
+        if let Some(keys) = inner.keys.get_mut(&self.session) {
+            keys.retain(|key| *key != self.key);
             if keys.is_empty() {
-                inner.keys.remove(&self.1);
+                inner.keys.remove(&self.session);
             }
         }
     }
 }
 
 impl SessionState {
-    fn ends(&mut self, session: SessionId) {
+    /// Drops a session.
+    fn remove(&mut self, session: SessionId) {
         if let Some(was) = self.held.remove(&session) {
-            self.order.remove(&(was.used, session));
+            self.order.remove(&(was.used_at, session));
         }
     }
 
+    /// Adds a session, in place of the one not used for longest if there are too many.
     fn put(&mut self, now: Nanos, session: SessionId, agreed: &CommittedSession, owner: SessionOwner) {
-        self.ends(session);
+        self.remove(session);
         while self.held.len() >= MAX_SESSIONS
             && let Some(&(_, oldest)) = self.order.first()
         {
-            self.ends(oldest);
+            self.remove(oldest);
         }
         let binding = agreed.ownership.binding.clone();
-        self.held.insert(session, OwnedSession { owner, binding, told: now, used: now });
+        self.held.insert(session, OwnedSession { owner, binding, renewed_at: now, used_at: now });
         self.order.insert((now, session));
     }
 
-    /// The hold that stands, and whether the core is to be told that it is used.
-    fn uses(&mut self, now: Nanos, session: SessionId) -> Option<(BoundSession, bool)> {
+    /// The session if it is owned, now counted as used, and whether the replicas are to be told of that.
+    fn use_session(&mut self, now: Nanos, session: SessionId) -> Option<(BoundSession, bool)> {
         let has = self.held.get_mut(&session)?;
-        if now > has.used.saturating_add(REACQUIRE_AFTER) {
-            self.ends(session);
+        if now > has.used_at.saturating_add(REACQUIRE_AFTER) {
+            self.remove(session);
             return None;
         }
-        self.order.remove(&(has.used, session));
-        has.used = now;
+        self.order.remove(&(has.used_at, session));
+        has.used_at = now;
         self.order.insert((now, session));
-        let renew = now > has.told.saturating_add(RENEW_INTERVAL);
+        let renew = now > has.renewed_at.saturating_add(RENEW_INTERVAL);
         if renew {
-            has.told = now;
+            has.renewed_at = now;
         }
         let fencing_token = FencingToken { session, since_term: has.owner.since_term };
         Some((BoundSession::new(fencing_token, has.binding.clone(), has.owner), renew))
@@ -193,16 +224,17 @@
 }
 
 impl SessionTable {
+    /// The counts now, with the percentiles of the last moves.
     pub fn counts(&self) -> AffinityCounts {
         let inner = held(&self.0);
-        let mut times = inner.times.clone();
+        let mut times = inner.move_times.clone();
         times.sort_unstable();
         let at = |part: usize| times.get((times.len() * part / 100).min(times.len().saturating_sub(1)));
         let (half, most) = (at(50).copied().unwrap_or(0), at(99).copied().unwrap_or(0));
         AffinityCounts { held: inner.held.len(), move_half: half, move_most: most, ..inner.counts }
     }
 
-    /// For operators, with how many reqs the door of this machine has turned away.
+    /// The counts as JSON for operators; `fenced_here` is how many requests the inbound proxy of this node has refused.
     pub fn status_json(&self, fenced_here: u64) -> String {
         let counts = self.counts();
         let ms = |nanos: Nanos| nanos as f64 / 1e6;
@@ -219,7 +251,7 @@
         })
     }
 
-    /// Another gate has taken a session since that epoch: it is let go here. Told with the keys that are at work.
+    /// Gives up a session that another proxy owns since the token's term. Returns the keys of its requests in flight here.
     pub fn release(&self, fencing_token: FencingToken) -> Vec<LeaseKey> {
         let mut inner = held(&self.0);
         if inner
@@ -227,24 +259,24 @@
             .get(&fencing_token.session)
             .is_some_and(|has| has.owner.since_term < fencing_token.since_term)
         {
-            inner.ends(fencing_token.session);
+            inner.remove(fencing_token.session);
             inner.counts.left += 1;
         }
         inner.keys.get(&fencing_token.session).cloned().unwrap_or_default()
     }
 
-    /// What a hand-over asks at a door, where the field is one.
+    /// Answers a handover: the keys in flight, one a line. `None` if the header is not one of a handover.
     pub fn handle_handover(&self, word: &str) -> Option<String> {
         let fencing_token = FencingToken::from_header(word.strip_prefix(HANDOVER_PREFIX)?)?;
         Some(self.release(fencing_token).iter().map(|key| format!("{key:032x}\n")).collect())
     }
 
-    /// A door turned a req away, for it knows of a later holder.
+    /// Notes that an inbound proxy refused a request since it knows the later term `known`.
     pub fn fenced(&self, fencing_token: FencingToken, known: u64) {
         let mut inner = held(&self.0);
         inner.counts.fenced += 1;
         if inner.held.get(&fencing_token.session).is_some_and(|has| has.owner.since_term < known) {
-            inner.ends(fencing_token.session);
+            inner.remove(fencing_token.session);
         }
         if inner.above.len() >= MAX_SESSIONS {
             inner.above.clear();
@@ -252,6 +284,7 @@
         inner.above.insert(fencing_token.session, known);
     }
 
+    /// Takes over what the replicas have committed of a session; `None` if this proxy, `me`, doesn't own it.
     fn learn(
         &self,
         now: Nanos,
@@ -261,7 +294,7 @@
     ) -> Option<BoundSession> {
         let mut inner = held(&self.0);
         let Some(owner) = got.ownership.owner.filter(|owner| owner.outbound_proxy == me) else {
-            inner.ends(session);
+            inner.remove(session);
             return None;
         };
         let newer = |has: &OwnedSession| has.owner.since_term > owner.since_term;
@@ -274,7 +307,7 @@
     }
 }
 
-/// Asks the core, one steward after the other.
+/// Asks the replicas one after the other. The outer `None`: none answered in time.
 async fn ask(node: &Node, session: SessionId, wish: SessionRequest) -> Option<Option<CommittedSession>> {
     let until = Instant::now() + ACQUIRE_TIMEOUT;
     for replica in node.replicas.replicas_for_key(session) {
@@ -294,8 +327,8 @@
     None
 }
 
-/// The session of a req that came here, taken from whoever had it. None where the core is not there in time: the req
-/// goes on without, for what must run once does so by its key.
+/// The session of a request, acquired from its previous owner if it isn't owned here. `None` if the replicas don't answer in
+/// time: the request then goes on without a session. `ties` says whether the request follows the session's binding.
 pub async fn acquire(
     node: &Arc<Node>,
     scheduler: &RequestScheduler,
@@ -303,7 +336,7 @@
     ties: bool,
 ) -> Option<BoundSession> {
     let known = || {
-        let (bound, renew) = held(&node.sessions().0).uses(node.clock.now(), session)?;
+        let (bound, renew) = held(&node.sessions().0).use_session(node.clock.now(), session)?;
         if renew {
             tokio::spawn(renewal(node.clone(), session, bound.owner));
         }
@@ -330,6 +363,7 @@
     Some(bound)
 }
 
+/// Acquires a session from the replicas, and has its previous owner give it up.
 async fn ask_for(node: &Arc<Node>, session: SessionId) -> Option<BoundSession> {
     let (now, me, all) = (node.clock.now(), node.inbound_address(), node.sessions());
     let above = held(&all.0).above.get(&session).copied().unwrap_or(0);
@@ -354,9 +388,9 @@
             inner.counts.moves += 1;
             inner.counts.unheard += u64::from(!heard);
             let at = inner.counts.moves as usize % MAX_MOVE_SAMPLES;
-            match inner.times.get_mut(at) {
+            match inner.move_times.get_mut(at) {
                 Some(time) => *time = took,
-                None => inner.times.push(took),
+                None => inner.move_times.push(took),
             }
         }
         None => held(&all.0).counts.begun += u64::from(fresh),
@@ -364,6 +398,7 @@
     Some(bound)
 }
 
+/// Tells the replicas that a session is in use; gives it up if it turns out to have a later owner.
 async fn renewal(node: Arc<Node>, session: SessionId, owner: SessionOwner) {
     if let Some(Some(agreed)) = ask(&node, session, SessionRequest::Renew(owner)).await
         && let Some(other) = agreed.ownership.owner
@@ -373,7 +408,7 @@
     }
 }
 
-/// Asks the gate that had a session to let it go. Told with the keys at work there.
+/// Asks the previous owner of a session to give it up. Returns the keys in flight there; `None` if it didn't answer in time.
 async fn hand_over(node: &Arc<Node>, gate: SocketAddr, fencing_token: FencingToken) -> Option<Vec<LeaseKey>> {
     let mut head = hyper::Request::new(());
     *head.method_mut() = hyper::Method::POST;
@@ -387,41 +422,43 @@
     let until = node.clock.now() + HANDOVER_TIMEOUT;
     let ours = |head: &hyper::http::response::Parts| head.headers.contains_key(&WAY);
     let answer = node.connection_pool(gate).exchange(&message, &fields, until, None, ours).await;
-    let (head, flow) = answer.ok()?;
+    let (head, body) = answer.ok()?;
     if header_str(&head.headers, &WAY).split(' ').next() != Some("ran") {
-        return None; // An older program, which holds no sessions.
+        return None; // An older version, which owns no sessions.
     }
-    let body = http_body_util::BodyExt::collect(flow).await.ok()?.to_bytes();
+    let body = http_body_util::BodyExt::collect(body).await.ok()?.to_bytes();
     let keys = std::str::from_utf8(&body).ok()?.lines();
     Some(keys.take(MAX_HANDED_OVER_KEYS).filter_map(|key| LeaseKey::from_str_radix(key, 16).ok()).collect())
 }
 
-/// A key is at work in a session here.
+/// Marks a key as in flight in a session, so that a handover reports it.
 pub fn track_key(node: &Arc<Node>, session: SessionId, key: LeaseKey) -> KeyInFlight {
     let mut inner = held(&node.sessions().0);
     let keys = inner.keys.entry(session).or_default();
     if keys.len() < MAX_HANDED_OVER_KEYS {
         keys.push(key);
     }
-    KeyInFlight(node.clone(), session, key)
+    KeyInFlight { node: node.clone(), session, key }
 }
 
-/// A request is about to go to this place. Where its session is tied to nothing, or to an upstream that is gone, it is
-/// tied here from now on, before anything can have run there: whoever takes the session next finds that. False where
-/// somebody else has it now, or tied it elsewhere.
+/// To be called before an attempt is sent to an endpoint. If the session is bound to no upstream, or to one that is gone, it is
+/// bound to this one before anything can have run there, so that the next owner finds the binding. Returns false if another
+/// proxy owns the session now or has bound it elsewhere: the attempt must then not be sent.
 pub async fn attempt_starting(
     node: &Arc<Node>,
     scheduler: &RequestScheduler,
     bound: &mut BoundSession,
-    place: &Endpoint,
+    endpoint: &Endpoint,
 ) -> bool {
     bound.unplaced |= !bound.is_placed(scheduler);
-    // Without the core nobody is kept waiting for it, as in `ask_for`.
-    if !bound.unplaced || bound.is_bound_to(&place.upstream_id) || node.quorum_unreachable() {
+    // While no quorum is reachable, requests don't wait for it, as in `ask_for`.
+    if !bound.unplaced || bound.is_bound_to(&endpoint.upstream_id) || node.quorum_unreachable() {
         return true;
     }
-    let binding =
-        SessionBinding { upstream_id: place.upstream_id.to_string(), inbound_proxy: place.inbound_proxy };
+    let binding = SessionBinding {
+        upstream_id: endpoint.upstream_id.to_string(),
+        inbound_proxy: endpoint.inbound_proxy,
+    };
     let was = bound.binding.as_ref().map(|binding| binding.upstream_id.clone());
     let succeeds = was.is_some() && !bound.is_placed(scheduler);
     let wish =
@@ -438,12 +475,12 @@
     ours
 }
 
-/// AffinityCounts a request of a session that ran well at this place.
-pub fn attempt_succeeded(node: &Node, bound: &BoundSession, place: &Endpoint) {
+/// Counts a request that succeeded at this endpoint.
+pub fn attempt_succeeded(node: &Node, bound: &BoundSession, endpoint: &Endpoint) {
     let counts = &mut held(&node.sessions().0).counts;
     match &bound.binding {
-        Some(binding) if *binding.upstream_id == *place.upstream_id => counts.kept += 1,
-        // The instance lives on there: it is but at capacity, or failed this once.
+        Some(binding) if *binding.upstream_id == *endpoint.upstream_id => counts.kept += 1,
+        // The session stays bound there: that upstream was only at capacity, or failed this once.
         Some(_) => counts.crowded += 1,
         None => {}
     }
