--- a/balancer/src/mesh/mod.rs
+++ b/balancer/src/mesh/mod.rs
@@ -1,5 +1,8 @@
-//! The mesh's roles on sockets: the attendant beside an upstream and its clients, and the steward of the core. It owns
-//! how they start; what they decide together is in `ochreshed-catalog`, `ochreshed-traffic` and in the module.
+//! The service mesh's programs: the data plane ([`proxy`]), the control plane ([`control`]), the operators' client
+//! ([`operator_client`]) and the load tool ([`hollow`]).
+//!
+//! [`parse`] reads a command line, [`run`] carries it out. What the programs decide is in the crates `ochreshed-catalog`,
+//! `ochreshed-traffic` and `ochreshed-consensus` and in the decision module; here it is connected to sockets and disks.
 
 mod command_line;
 mod control;
@@ -15,7 +18,7 @@
 use command_line::{Command, CommandLineError};
 pub use command_line::{HELP, parse};
 
-/// Carries out a command of the mesh's; an error is a plain line for whoever started the program.
+/// Carries out a command. An error is one line of text for the person who started the program.
 pub fn run(command: Result<Command, CommandLineError>) -> Result<ExitCode, String> {
     match command {
         Ok(Command::Attendant { settings }) => proxy::run(settings).map_err(|why| why.to_string()),
--- a/balancer/src/mesh/rpc.rs
+++ b/balancer/src/mesh/rpc.rs
@@ -1,6 +1,12 @@
-//! Calls between the system's own processes: frames of CBOR over TCP, many calls at once on one connection. It owns the
-//! framing, the connections and the wait for replies. It must never send a call twice by itself, nor keep a caller
-//! waiting for a connection that has ended.
+//! Calls between our own processes: frames of CBOR over TCP, many calls at once on one connection.
+//!
+//! [`RpcClient::call`] sends a request and waits for its response; [`RpcClient::post`] sends a message between replicas, which
+//! may be lost. [`answer`] is the server's side. Each frame is its length in 4 bytes (big endian) and a CBOR value with the
+//! number of the call; 0 is the number of messages that get no response.
+//!
+//! Main types: [`RpcClient`] (one process), [`RpcClients`] (clients by address), [`RpcError`].
+//!
+//! Invariants: a call is never sent twice; a caller never waits for a connection that has ended.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -22,21 +28,25 @@
 
 use crate::link::held;
 
+/// How long a connection may take to come up.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
-/// Bytes that nobody acknowledges for so long end the connection.
+/// A connection ends when sent bytes stay unacknowledged for this long.
 const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Frames that wait to be written, and callers at one door.
+/// Frames that wait to be written to one connection; further ones wait, and messages without a response are dropped.
 const MAX_QUEUED_FRAMES: usize = 4_096;
+/// Connections that one listener serves at a time; further ones wait to be accepted.
 const MAX_CONNECTIONS: usize = 2_048;
-/// After a failed connection the next one waits this long.
+/// Pause after a failed connection, before another is tried.
 const RECONNECT_INTERVAL: Duration = Duration::from_millis(60);
 
+/// Why a call has no response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RpcError {
-    /// No connection came up, or none has room.
+    /// No connection came up, or the request could not be encoded: it was not received.
     NotSent,
-    /// The connection ended before a reply.
+    /// The connection ended before the response: the request may have been received.
     ConnectionLost,
+    /// No response came in time: the request may have been received.
     TimedOut,
 }
 
@@ -63,7 +73,7 @@
     ciborium::from_reader(&bytes[..]).map_err(io::Error::other)
 }
 
-/// Writes what comes, as much at once as there is.
+/// Writes frames as they come, several at once if several wait.
 async fn write(mut to: OwnedWriteHalf, mut frames: mpsc::Receiver<Vec<u8>>) {
     let mut many = Vec::new();
     while frames.recv_many(&mut many, 64).await > 0 {
@@ -75,6 +85,8 @@
     }
 }
 
+/// Sets the options of a connection between our own processes: no delay, keep-alive, and an early end when the other side is
+/// gone.
 pub fn tune(stream: &TcpStream) {
     let _ = stream.set_nodelay(true);
     let socket = socket2::SockRef::from(stream);
@@ -85,13 +97,15 @@
     let _ = socket.set_tcp_keepalive(&alive.with_retries(2));
 }
 
+/// Where the responses of calls go, by their numbers.
 type Pending = Arc<Mutex<HashMap<u64, oneshot::Sender<InternalResponse>>>>;
 
-/// Calls to one process.
+/// Calls to one process, over one connection that is opened when it is first needed.
 pub struct RpcClient {
     to: SocketAddr,
     ids: AtomicU64,
     open: Mutex<Option<OpenConnection>>,
+    /// Held while a connection is opened, so that only one is at a time; when the last attempt failed, if it did.
     connecting: tokio::sync::Mutex<Option<tokio::time::Instant>>,
 }
 
@@ -106,6 +120,7 @@
         Arc::new(RpcClient { to, ids: 1.into(), open: Mutex::default(), connecting: Default::default() })
     }
 
+    /// Sends a request and waits for its response, for `within` in all.
     pub async fn call(&self, ask: InternalRequest, within: Duration) -> Result<InternalResponse, RpcError> {
         let work = async {
             let open = self.open().await.ok_or(RpcError::NotSent)?;
@@ -120,7 +135,7 @@
         timeout(within, work).await.unwrap_or(Err(RpcError::TimedOut))
     }
 
-    /// Sends a letter, which may get lost. One connection is tried for at a time.
+    /// Sends a message between replicas, which may be lost: if the queue is full or no connection comes up, it is dropped.
     pub fn post(self: &Arc<Self>, letter: Message) {
         let Some(bytes) = encode(&Frame { id: 0, payload: InternalRequest::ReplicaMessage(letter) }) else {
             return;
@@ -138,6 +153,7 @@
         });
     }
 
+    /// The open connection, or a new one; `None` if none comes up, or one has failed just now.
     async fn open(&self) -> Option<OpenConnection> {
         let standing = || held(&self.open).clone().filter(|open| !open.frames.is_closed());
         if let Some(open) = standing() {
@@ -179,7 +195,7 @@
     }
 }
 
-/// A call that waits; its place is freed when it is given up.
+/// A call that waits for its response. Dropping it removes it from the pending ones.
 struct PendingReply {
     id: u64,
     pending: Pending,
@@ -191,17 +207,18 @@
     }
 }
 
-/// RpcClients by address.
+/// One client for each address.
 #[derive(Default)]
 pub struct RpcClients(Mutex<HashMap<SocketAddr, Arc<RpcClient>>>);
 
 impl RpcClients {
+    /// The client for an address, made when it is first asked for.
     pub fn to(&self, address: SocketAddr) -> Arc<RpcClient> {
         held(&self.0).entry(address).or_insert_with(|| RpcClient::new(address)).clone()
     }
 }
 
-/// Answers calls until it is dropped. `answer` is asked for each; letters get no reply.
+/// Serves calls until it is dropped. `answer` is called for each; messages with the number 0 get no response.
 pub async fn answer<F, A>(listener: TcpListener, answer: F)
 where
     F: Fn(InternalRequest) -> A + Clone + Send + Sync + 'static,
@@ -221,6 +238,7 @@
     }
 }
 
+/// Serves one connection. Messages without a response are handled in their order, calls at the same time.
 async fn guest<F, A>(stream: TcpStream, answer: F)
 where
     F: Fn(InternalRequest) -> A + Send + Sync + 'static,
