--- a/balancer/src/mesh/hollow.rs
+++ b/balancer/src/mesh/hollow.rs
@@ -1,9 +1,9 @@
 //! Hollow attendants: a load tool for the control plane. Many attendants in one process that watch, send heartbeats,
-//! report and claim keys by the same code as a real one, each with its own connections and its own copy of the endpoint
+//! report and acquire leases by the same code as a real one, each with its own connections and its own copy of the endpoint
 //! table, but without a data plane: no socket listens, no request is served, and the upstream beside each is made up.
 //!
 //! Commands come on standard input, a line each: `changes N` (endpoint records that change a second, of all together),
-//! `claims N` (keys claimed and settled a second, of all together), `figures` (prints a line), `end`.
+//! `claims N` (leases acquired and completed a second, of all together), `figures` (prints a line), `end`.
 
 use std::io::BufRead;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -22,26 +22,27 @@
 use crate::clock::Clock;
 use crate::mesh::proxy::node::Node;
 
-/// How often it is looked whether all have a configuration.
-const LOOK: Duration = Duration::from_millis(5);
-/// How long a claim may take.
-const CLAIM: Duration = Duration::from_millis(900);
-/// As many attendants are started at a time, and how long after them the next ones are.
+/// How often it is checked whether all attendants have a configuration.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// How long acquiring a lease may take.
+const LEASE_TIMEOUT: Duration = Duration::from_millis(900);
+/// How many attendants are started at a time.
 const STARTED_AT_ONCE: usize = 20;
+/// Pause before the next ones are started.
 const START_PAUSE: Duration = Duration::from_millis(50);
-/// Slots of each made-up upstream.
+/// Concurrency limit of each made-up upstream.
 const SLOTS: u32 = 6;
 
-/// What is asked for on the command line.
+/// Options of the command line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HollowOptions {
     /// How many attendants.
     pub count: usize,
     /// The number of the first one, so that several processes have different ones.
     pub first: usize,
-    /// Control addresses of stewards.
+    /// Control addresses of replicas.
     pub seeds: Vec<SocketAddr>,
-    /// The port that the system's own processes use on all machines.
+    /// The port that our own processes use for calls to each other, the same on all machines.
     pub internal_port: u16,
     /// How many services the upstreams are of.
     pub services: usize,
@@ -49,17 +50,18 @@
 
 /// All hollow attendants of this process.
 struct Fleet {
-    branches: Vec<Arc<Node>>,
+    nodes: Vec<Arc<Node>>,
     options: HollowOptions,
     changes_per_s: AtomicUsize,
     claims_per_s: AtomicUsize,
     claimed: AtomicU64,
-    /// Claims that were not granted in their time.
+    /// Leases that were not granted in time.
     missed: AtomicU64,
-    /// Nanoseconds that claims took, together.
+    /// Nanoseconds that acquiring leases took, in sum.
     claim_time: AtomicU64,
 }
 
+/// Runs the load tool until the command `end` or the end of standard input.
 pub fn run(options: HollowOptions) -> Result<ExitCode, SettingsError> {
     let settings = Settings::parse(&settings_of(&options)).map_err(SettingsError::Invalid)?;
     start::init_logging();
@@ -86,13 +88,13 @@
 
 async fn load(options: HollowOptions, settings: Settings) -> ExitCode {
     let clock = Clock::new();
-    let branches = (0..options.count).map(|nth| {
-        let branch = Node::new(settings.clone(), address(options.first + nth), clock);
-        branch.inbound.serving.store(true, Relaxed);
-        branch
+    let nodes = (0..options.count).map(|nth| {
+        let node = Node::new(settings.clone(), address(options.first + nth), clock);
+        node.inbound.serving.store(true, Relaxed);
+        node
     });
     let fleet = Arc::new(Fleet {
-        branches: branches.collect(),
+        nodes: nodes.collect(),
         options,
         changes_per_s: AtomicUsize::new(0),
         claims_per_s: AtomicUsize::new(0),
@@ -101,7 +103,7 @@
         claim_time: AtomicU64::new(0),
     });
     tokio::spawn(fleet.clone().start());
-    tokio::spawn(fleet.clone().tell_versions());
+    tokio::spawn(fleet.clone().print_versions());
     tokio::spawn(fleet.clone().change());
     tokio::spawn(fleet.clone().claim());
     let mut commands = commands();
@@ -134,18 +136,18 @@
 
 impl Fleet {
     async fn start(self: Arc<Self>) {
-        for (nth, branch) in self.branches.iter().enumerate() {
+        for (nth, node) in self.nodes.iter().enumerate() {
             self.new_life(nth, 0);
             let many = 2;
             (0..many)
-                .for_each(|which| drop(tokio::spawn(control_plane_watch::run(branch.clone(), which, many))));
+                .for_each(|which| drop(tokio::spawn(control_plane_watch::run(node.clone(), which, many))));
             if nth % STARTED_AT_ONCE == STARTED_AT_ONCE - 1 {
                 sleep(START_PAUSE).await;
             }
         }
     }
 
-    /// The upstream beside an attendant begins another life.
+    /// The upstream beside an attendant begins another incarnation.
     fn new_life(&self, nth: usize, life: u64) {
         let number = self.options.first + nth;
         let beat = format!(
@@ -154,26 +156,26 @@
             number % self.options.services
         );
         if let Err(why) =
-            self.branches[nth].inbound.handle_heartbeat(&format!("h-{number}-{life}"), beat.as_bytes())
+            self.nodes[nth].inbound.handle_heartbeat(&format!("h-{number}-{life}"), beat.as_bytes())
         {
             eprintln!("a beat was refused: {why}");
         }
     }
 
-    /// Prints each version once all have it in force, with the time of day in ms.
-    async fn tell_versions(self: Arc<Self>) {
-        let version = |branch: &Arc<Node>| {
-            branch.configuration.load().as_ref().map_or(0, |timetable| timetable.version)
+    /// Prints each version of the configuration once all have it in force, with the time of day in ms.
+    async fn print_versions(self: Arc<Self>) {
+        let version = |node: &Arc<Node>| {
+            node.configuration.load().as_ref().map_or(0, |configuration| configuration.version)
         };
         let mut told = 0;
         loop {
-            let least = self.branches.iter().map(version).min().unwrap_or(0);
+            let least = self.nodes.iter().map(version).min().unwrap_or(0);
             if least > told {
                 told = least;
                 let now = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
                 println!("version {least} {}", now.as_millis());
             }
-            sleep(LOOK).await;
+            sleep(POLL_INTERVAL).await;
         }
     }
 
@@ -186,7 +188,7 @@
             if per_s > 0 {
                 self.new_life(nth, life);
                 nth += 1;
-                if nth == self.branches.len() {
+                if nth == self.nodes.len() {
                     (nth, life) = (0, life + 1);
                 }
             }
@@ -200,39 +202,42 @@
             next = paced(next, per_s).await;
             if per_s > 0 {
                 number += 1;
-                tokio::spawn(self.clone().claim_one(number));
+                tokio::spawn(self.clone().acquire_one_lease(number));
             }
         }
     }
 
-    async fn claim_one(self: Arc<Self>, number: u64) {
-        let branch = &self.branches[number as usize % self.branches.len()];
-        let token: LeaseToken = branch.new_token();
+    async fn acquire_one_lease(self: Arc<Self>, number: u64) {
+        let node = &self.nodes[number as usize % self.nodes.len()];
+        let token: LeaseToken = node.new_token();
         let key = u128::from(token) << 64 | u128::from(number);
         let began = Instant::now();
-        let got = lease_client::acquire_lease(&branch.replicas, &branch.rpc, (key, token), 900, CLAIM).await;
+        let response =
+            lease_client::acquire_lease(&node.replicas, &node.rpc, (key, token), 900, LEASE_TIMEOUT).await;
         self.claim_time.fetch_add(began.elapsed().as_nanos() as u64, Relaxed);
         self.claimed.fetch_add(1, Relaxed);
-        if got == CoreResponse::LeaseGranted {
-            let settled = Some(LeaseOutcome::Indeterminate);
-            lease_client::complete_lease(branch.replicas.clone(), branch.rpc.clone(), (key, token), settled);
+        if response == CoreResponse::LeaseGranted {
+            let outcome = Some(LeaseOutcome::Indeterminate);
+            lease_client::complete_lease(node.replicas.clone(), node.rpc.clone(), (key, token), outcome);
         } else {
             self.missed.fetch_add(1, Relaxed);
         }
     }
 
-    /// Attendants, those of whose tables the least is told, claims, those missed, and the mean of a claim in us.
+    /// A line of figures: attendants, the length of the shortest endpoint table, leases asked for, those not granted, and the
+    /// mean time of acquiring one in us.
     fn figures(&self) -> String {
-        let records = self.branches.iter().map(|branch| branch.records()).min().unwrap_or(0);
+        let records = self.nodes.iter().map(|node| node.records()).min().unwrap_or(0);
         let (claimed, missed) = (self.claimed.load(Relaxed), self.missed.load(Relaxed));
         let mean_us = self.claim_time.load(Relaxed) / 1_000 / claimed.max(1);
-        format!("figures {} {records} {claimed} {missed} {mean_us}", self.branches.len())
+        format!("figures {} {records} {claimed} {missed} {mean_us}", self.nodes.len())
     }
 }
 
-/// Waits for the next of so many a second, and tells when it was; looks again soon where there are none.
+/// Waits for the next of `per_s` events a second and returns when it was due. With 0 a second it only waits a while, so that a
+/// new rate is noticed soon.
 async fn paced(last: Instant, per_s: usize) -> Instant {
-    let step = if per_s == 0 { LOOK * 10 } else { Duration::from_secs(1) / per_s as u32 };
+    let step = if per_s == 0 { POLL_INTERVAL * 10 } else { Duration::from_secs(1) / per_s as u32 };
     let next = (last + step).max(Instant::now() - Duration::from_millis(200));
     sleep_until(next).await;
     next
