--- a/balancer/src/mesh/control/mod.rs
+++ b/balancer/src/mesh/control/mod.rs
@@ -1,6 +1,6 @@
 //! The control plane's role: a few replicas that keep the operator's configuration, the table of endpoints, the leases on
 //! idempotency keys and the owners of sessions. Decisions are made by the core in `ochreshed-consensus` and the rules in
-//! `ochreshed-mesh`; this folder gives them sockets, a disk and time.
+//! `ochreshed-catalog` and `ochreshed-traffic`; this folder gives them sockets, a disk and time.
 //!
 //! Main types: [`replica_server::ReplicaServer`], what all tasks of a replica share; [`replica::Replica`], the event loop
 //! that owns the core.
--- a/consensus/src/core/leases.rs
+++ b/consensus/src/core/leases.rs
@@ -28,7 +28,7 @@
 const LEASE_TIMEOUT: Nanos = 1000 * MS;
 
 /// A call waits for another lease's outcome no longer than this, and no longer than `1 / OUTCOME_WAIT_DIVISOR` of its
-/// request's time left. Both are shorter than outbound proxies wait for an answer (`mesh/src/claim_breaker.rs`), so
+/// request's time left. Both are shorter than outbound proxies wait for an answer (`traffic/src/lease_circuit_breaker.rs`), so
 /// that they learn that the key is in use.
 const MAX_OUTCOME_WAIT: Nanos = 700 * MS;
 
