--- a/adapter/src/main.rs
+++ b/adapter/src/main.rs
@@ -1,3 +1,6 @@
+//! The adapter's program: serves `ochreshed_adapter::serve` over standard input and output, and ends with a failure
+//! code and one line on standard error when that ends with an error.
+
 use std::io::{BufReader, BufWriter, stdin, stdout};
 use std::process::ExitCode;
 
