--- a/balancer/tests/copies.rs
+++ b/balancer/tests/copies.rs
@@ -74,6 +74,8 @@
         instance.until("fleet.members", 2);
     }
     let mut new = old.beside();
+    // The phase changes just after the line that names the address, so that line alone doesn't show that it serves.
+    new.logged("Serving");
     // It serves already, and waits for the port only.
     assert_eq!(new.ask("GET /api/ready").0, "200 OK");
     old.signal("-TERM");
