--- a/recovery/tests/frozen_forms.rs
+++ b/recovery/tests/frozen_forms.rs
@@ -3,8 +3,10 @@
 
 use std::path::{Path, PathBuf};
 
-use ochreshed_recovery::disk::NAME;
-use ochreshed_recovery::snapshot::{Entry, Snapshot};
+use ochreshed_recovery::begin::Source;
+use ochreshed_recovery::disk::{NAME, NEW};
+use ochreshed_recovery::snapshot::{Entry, Snapshot, Wrong};
+use ochreshed_recovery::start::{Knows, Start};
 use ochreshed_replica::stamp::Stamp;
 use ochreshed_replica::words::{State, Word};
 
@@ -69,4 +71,34 @@
 #[test]
 fn the_file_has_its_name() {
     assert_eq!(NAME, "snapshot");
+    assert_eq!(NEW, "snapshot.new");
+}
+
+/// `ochreshed snapshot` and the log print these texts.
+#[test]
+fn snapshot_errors_keep_their_texts() {
+    let texts = [
+        (Wrong::NotOurs, "no snapshot"),
+        (Wrong::Torn, "not whole"),
+        (Wrong::Checksum, "damaged: its checksum is another"),
+        (Wrong::Format(9), "of format 9, which this build does not know"),
+        (Wrong::Unreadable, "its checksum is right and its body can't be read"),
+        (Wrong::Foreign("n1 of fleet shop".into()), "of n1 of fleet shop"),
+        (Wrong::Future(900), "written 900 s from now"),
+    ];
+    for (error, text) in texts {
+        assert_eq!(error.to_string(), text);
+    }
+}
+
+/// The log prints where the first list came from by `{:?}`; the log and the metric `start.knows` show what a start goes
+/// by, as a text and as a number.
+#[test]
+fn a_start_is_logged_and_measured_as_before() {
+    let sources = [Source::Nothing, Source::Facts, Source::Snapshot].map(|source| format!("{source:?}"));
+    assert_eq!(sources, ["Nothing", "Facts", "Snapshot"]);
+    let all = [Knows::Nothing, Knows::OldList, Knows::Others, Knows::Discovery];
+    assert_eq!(all.map(Knows::name), ["nothing", "an old list", "told by others", "told by discovery"]);
+    assert_eq!(all.map(|knows| knows as u64), [0, 1, 2, 3]);
+    assert_eq!([false, true].map(|list| Start::new(0, list).knows() as u64), [0, 1]);
 }
--- a/replica/tests/frozen_forms.rs
+++ b/replica/tests/frozen_forms.rs
@@ -131,3 +131,19 @@
     again.hear(1, read(delta).expect("items"), |_| Some(7));
     assert_eq!(&again.delta(1_000, 3), delta);
 }
+
+/// The operators' page and its log lines print these types by `{:?}`, and tools match the printed words.
+#[test]
+fn debug_texts_on_the_operators_page_stay() {
+    let states = [State::Serves, State::Drains, State::Gone].map(|state| format!("{state:?}"));
+    assert_eq!(states, ["Serves", "Drains", "Gone"]);
+    assert_eq!(format!("{:?}", Stamp { epoch: 2, version: 7 }), "Stamp { epoch: 2, version: 7 }");
+}
+
+/// Peers log these texts and count rejected datagrams under them.
+#[test]
+fn decoding_errors_keep_their_texts() {
+    assert_eq!(read(&[1, 9, 0, 1]), Err("an item is cut"));
+    assert_eq!(read(&[1, 9]), Err("an item is cut"));
+    assert_eq!(read(&[1, 1, 0, 9]), Err("an item can't be read"));
+}
