--- a/balancer/src/decisions.rs
+++ b/balancer/src/decisions.rs
@@ -12,7 +12,7 @@
 use hyper::Response;
 use ochreshed::{Balancer, How, Listed, Name, Nanos, Outcome, Req};
 use ochreshed_hands::{Act, End, Hands};
-use ochreshed_replica::rows::Counts;
+use ochreshed_replica::outcomes::OutcomeCounts;
 use tokio::sync::mpsc::error::TrySendError;
 use tokio::sync::mpsc::{self, OwnedPermit};
 use tokio::sync::oneshot;
@@ -70,7 +70,7 @@
 }
 
 /// What dispatches came to here, by srv and rule set, for the others; gathered only where instances speak.
-pub type Evidence = Arc<Mutex<HashMap<(Name, Name), Counts>>>;
+pub type Evidence = Arc<Mutex<HashMap<(Name, Name), OutcomeCounts>>>;
 
 /// The one final answer to a req.
 pub enum Answer {
@@ -157,7 +157,7 @@
     }
     let counts = all.entry(key).or_default();
     let count = match how {
-        How::Done => &mut counts.done,
+        How::Done => &mut counts.succeeded,
         How::Error => &mut counts.failed,
         How::NoConnection | How::Reset | How::TimedOut => &mut counts.lost,
         // Given up because its site answers nobody here.
--- a/balancer/src/fleet.rs
+++ b/balancer/src/fleet.rs
@@ -20,8 +20,8 @@
 use ochreshed_recovery::begin::{self, First, Given, Source};
 use ochreshed_recovery::snapshot::{self, Snapshot};
 use ochreshed_recovery::start::{self, Knows, Start};
-use ochreshed_replica::rows::Counts;
-use ochreshed_replica::words;
+use ochreshed_replica::outcomes::OutcomeCounts;
+use ochreshed_replica::status::ServerStatus;
 use tokio::net::{TcpListener, UdpSocket};
 use tokio::sync::{mpsc, watch};
 use tokio::task::AbortHandle;
@@ -185,7 +185,7 @@
             version.is_some_and(|version| version > snapshot.stamp.version) && first.source == Source::Facts;
         peer.recall(snapshot.stamp, &snapshot.words, snapshot.floor);
         if newer {
-            let said: Vec<(String, words::State)> = first
+            let said: Vec<(String, ServerStatus)> = first
                 .entries
                 .iter()
                 .map(|(listed, _)| (listed.srv.to_string(), to_word(listed.state)))
@@ -321,16 +321,16 @@
 
     fn write(&mut self, now: Nanos) {
         let store = self.peer.store();
-        let worse = store.words().iter().filter(|(_, word)| word.state != words::State::Serves);
+        let worse = store.statuses().iter().filter(|(_, word)| word.status != ServerStatus::Serving);
         let snapshot = Snapshot {
             fleet: self.file.fleet.clone(),
             instance: self.peer.swim().name().to_owned(),
             number: self.kept + 1,
             written: unix_nanos(),
-            stamp: store.own(),
+            stamp: store.discovery_stamp(),
             list: self.known.list().map(|(listed, address)| snapshot::Entry::of(listed, *address)).collect(),
             words: worse.map(|(srv, word)| (srv.clone(), *word)).collect(),
-            floor: store.words().floor(),
+            floor: store.statuses().floor(),
         };
         let Some(keep) = &mut self.keep else { return };
         if keep.write(snapshot) {
@@ -373,11 +373,11 @@
             if whole || !entries.is_empty() {
                 self.changed(now);
             }
-            let said: Vec<(String, words::State)> =
+            let said: Vec<(String, ServerStatus)> =
                 entries.iter().map(|(listed, _)| (listed.srv.to_string(), to_word(listed.state))).collect();
             self.peer.listed(version, whole, &said);
         }
-        self.known.told(self.peer.store().words(), whole, &mut entries);
+        self.known.told(self.peer.store().statuses(), whole, &mut entries);
         Mail::List { whole, old, version, entries }
     }
 
@@ -452,7 +452,7 @@
             }
             Output::Changed(srvs) => {
                 self.changed(now);
-                let news = self.known.changed(self.peer.store().words(), srvs.iter().map(String::as_str));
+                let news = self.known.changed(self.peer.store().statuses(), srvs.iter().map(String::as_str));
                 if let Some((first, _)) = news.first() {
                     self.counts.told_early += news.len() as u64;
                     info!("fleet: told of {} srvs by others, {} is {:?}", news.len(), first.srv, first.state);
@@ -462,8 +462,8 @@
                 }
             }
             Output::Counted { srv, set, counts } if self.known.has(&srv) => {
-                let Counts { done, failed, lost } = counts;
-                for (how, times) in [(How::Done, done), (How::Error, failed), (How::Reset, lost)] {
+                let OutcomeCounts { succeeded, failed, lost } = counts;
+                for (how, times) in [(How::Done, succeeded), (How::Error, failed), (How::Reset, lost)] {
                     if times > 0 {
                         let (srv, rule_set) = (srv.as_str().into(), set.as_str().into());
                         let _ = self.decisions.send(Mail::Others { srv, rule_set, how, times }).await;
--- a/balancer/src/fleet/keep.rs
+++ b/balancer/src/fleet/keep.rs
@@ -167,7 +167,7 @@
             )
         }));
         lines.extend(words.iter().map(|(srv, word)| {
-            format!("word {srv} {:?} by list {}.{}", word.state, word.stamp.epoch, word.stamp.version)
+            format!("word {srv} {:?} by list {}.{}", word.status, word.stamp.epoch, word.stamp.version)
         }));
     }
     Ok(lines.join("\n"))
--- a/balancer/src/fleet/page.rs
+++ b/balancer/src/fleet/page.rs
@@ -8,7 +8,7 @@
 use ochreshed_gossip::peer::Peer;
 use ochreshed_gossip::{Nanos, S};
 use ochreshed_recovery::start::Start;
-use ochreshed_replica::words;
+use ochreshed_replica::status::ServerStatus;
 
 /// Srvs that drain or are gone are shown up to so many.
 const MOST_SHOWN: usize = 200;
@@ -25,7 +25,7 @@
 /// Members, what is held and how much, what was wrong.
 pub fn show(peer: &Peer, fleet: &str, counts: Counts, now: Nanos) -> String {
     let mut page = String::new();
-    let (swim, words, traffic) = (peer.swim(), peer.store().words(), peer.traffic());
+    let (swim, words, traffic) = (peer.swim(), peer.store().statuses(), peer.traffic());
     let (name, mine) = (swim.name(), swim.mine());
     // Writing to a String does not fail.
     let mut line = |line: std::fmt::Arguments| {
@@ -60,17 +60,17 @@
         ));
     }
     // What serves is not worth a line.
-    let worse = words.iter().filter(|(_, word)| word.state != words::State::Serves);
+    let worse = words.iter().filter(|(_, word)| word.status != ServerStatus::Serving);
     for (srv, word) in worse.take(MOST_SHOWN) {
-        line(format_args!("srv {srv} {:?} by list {}.{}", word.state, word.stamp.epoch, word.stamp.version));
+        line(format_args!("srv {srv} {:?} by list {}.{}", word.status, word.stamp.epoch, word.stamp.version));
     }
     page
 }
 
 /// The same in numbers: a name, a value, and whether it is a count or a gauge.
 pub fn figures(peer: &Peer, counts: Counts, start: &Start) -> Vec<(&'static str, u64, &'static str)> {
-    let (swim, words, traffic) = (peer.swim(), peer.store().words(), peer.traffic());
-    let worse = words.iter().filter(|(_, word)| word.state != words::State::Serves).count();
+    let (swim, words, traffic) = (peer.swim(), peer.store().statuses(), peer.traffic());
+    let worse = words.iter().filter(|(_, word)| word.status != ServerStatus::Serving).count();
     vec![
         ("fleet.members", swim.there().count() as u64 + 1, "g"),
         ("fleet.health", u64::from(swim.health()), "g"),
--- a/emulator/src/fleet.rs
+++ b/emulator/src/fleet.rs
@@ -9,7 +9,7 @@
 use ochreshed_gossip::known::{Known, to_word};
 use ochreshed_gossip::peer::{Output, Peer, Settings};
 use ochreshed_membership::swim::{Config, To};
-use ochreshed_replica::rows::Counts;
+use ochreshed_replica::outcomes::OutcomeCounts;
 use serde::Deserialize;
 
 use crate::chance::{Span, Stream};
@@ -38,7 +38,7 @@
         instance: usize,
         srv: Name,
         set: Name,
-        counts: Counts,
+        counts: OutcomeCounts,
     },
 }
 
@@ -127,7 +127,7 @@
     /// The list as an instance has it from before: no news to anybody.
     pub fn began(&mut self, now: Nanos, number: usize, entries: &[Listed]) -> Vec<Effect> {
         let mut entries: Vec<(Listed, ())> = entries.iter().map(|listed| (listed.clone(), ())).collect();
-        self.known[number].told(self.peers[number].store().words(), true, &mut entries);
+        self.known[number].told(self.peers[number].store().statuses(), true, &mut entries);
         self.follow(now, number)
     }
 
@@ -142,13 +142,20 @@
         let said = (entry.srv.to_string(), to_word(entry.state));
         self.peers[number].listed(version, false, &[said]);
         let mut entries = [(entry, ())];
-        self.known[number].told(self.peers[number].store().words(), false, &mut entries);
+        self.known[number].told(self.peers[number].store().statuses(), false, &mut entries);
         let [(listed, ())] = entries;
         (listed, self.follow(now, number))
     }
 
     /// What came of a dispatch.
-    pub fn count(&mut self, now: Nanos, number: usize, srv: &str, set: &str, counts: Counts) -> Vec<Effect> {
+    pub fn count(
+        &mut self,
+        now: Nanos,
+        number: usize,
+        srv: &str,
+        set: &str,
+        counts: OutcomeCounts,
+    ) -> Vec<Effect> {
         self.peers[number].count(now, srv, set, counts);
         self.follow(now, number)
     }
@@ -203,7 +210,7 @@
             match output {
                 Output::Send { to, bytes } => self.send(number, &to, bytes, &mut effects),
                 Output::Changed(srvs) => {
-                    let words = self.peers[number].store().words();
+                    let words = self.peers[number].store().statuses();
                     let news = self.known[number].changed(words, srvs.iter().map(String::as_str));
                     if !news.is_empty() {
                         let news = news.into_iter().map(|(listed, ())| listed).collect();
--- a/emulator/src/world.rs
+++ b/emulator/src/world.rs
@@ -9,7 +9,7 @@
 
 use ochreshed::{How, Listed, Name, Req, State};
 use ochreshed_hands::Act;
-use ochreshed_replica::rows::Counts;
+use ochreshed_replica::outcomes::OutcomeCounts;
 
 use crate::audit::{Answer, Audit, Breach, Key};
 use crate::chance::Stream;
@@ -281,8 +281,11 @@
                     self.settle(instance);
                 }
                 Effect::Counted { instance, srv, set, counts } => {
-                    let outcomes =
-                        [(How::Done, counts.done), (How::Error, counts.failed), (How::Reset, counts.lost)];
+                    let outcomes = [
+                        (How::Done, counts.succeeded),
+                        (How::Error, counts.failed),
+                        (How::Reset, counts.lost),
+                    ];
                     for (how, times) in outcomes {
                         self.instances[instance].chooser.others(now, &srv, &set, how, times);
                     }
@@ -620,10 +623,10 @@
     /// What the others are told of a dispatch, as the program gathers it.
     fn count(&mut self, now: Nanos, instance: usize, srv: usize, set: usize, how: How) {
         let counts = match how {
-            How::Done => Counts { done: 1, ..Counts::default() },
-            How::Error => Counts { failed: 1, ..Counts::default() },
+            How::Done => OutcomeCounts { succeeded: 1, ..OutcomeCounts::default() },
+            How::Error => OutcomeCounts { failed: 1, ..OutcomeCounts::default() },
             How::NoConnection | How::Reset | How::TimedOut | How::Recalled => {
-                Counts { lost: 1, ..Counts::default() }
+                OutcomeCounts { lost: 1, ..OutcomeCounts::default() }
             }
             How::Full | How::NotSent | How::Turned => return,
         };
--- a/gossip/src/known.rs
+++ b/gossip/src/known.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, HashMap};
 
 use ochreshed::{Listed, Name, State};
-use ochreshed_replica::words::{self, Words};
+use ochreshed_replica::status::{ServerStatus, StatusTable};
 
 /// With each srv goes what the caller keeps beside it: where it is reached.
 #[derive(Clone, Debug, Default)]
@@ -35,7 +35,7 @@
     }
 
     /// Discovery's own news goes on to the module, but for what others have heard of later lists.
-    pub fn told(&mut self, words: &Words, whole: bool, entries: &mut [(Listed, A)]) {
+    pub fn told(&mut self, words: &StatusTable, whole: bool, entries: &mut [(Listed, A)]) {
         if whole {
             self.list = entries.iter().map(|entry| (entry.0.srv.clone(), entry.clone())).collect();
         }
@@ -57,7 +57,7 @@
     /// Something else stands of these srvs now: what the module is to be told of it.
     pub fn changed<'a>(
         &mut self,
-        words: &Words,
+        words: &StatusTable,
         srvs: impl IntoIterator<Item = &'a str>,
     ) -> Vec<(Listed, A)> {
         let mut news = Vec::new();
@@ -80,27 +80,27 @@
 }
 
 /// What others have heard of a srv since, if that is worse than this.
-fn worse(words: &Words, listed: &Listed) -> Option<State> {
+fn worse(words: &StatusTable, listed: &Listed) -> Option<State> {
     let word = words.get(&listed.srv)?;
-    let worse = match word.state {
-        words::State::Serves => return None,
-        words::State::Drains => State::Draining,
-        words::State::Gone => State::Gone,
+    let worse = match word.status {
+        ServerStatus::Serving => return None,
+        ServerStatus::Draining => State::Draining,
+        ServerStatus::Gone => State::Gone,
     };
-    (word.state > to_word(listed.state)).then_some(worse)
+    (word.status > to_word(listed.state)).then_some(worse)
 }
 
-pub fn to_word(state: State) -> words::State {
+pub fn to_word(state: State) -> ServerStatus {
     match state {
-        State::Up => words::State::Serves,
-        State::Draining => words::State::Drains,
-        State::Gone => words::State::Gone,
+        State::Up => ServerStatus::Serving,
+        State::Draining => ServerStatus::Draining,
+        State::Gone => ServerStatus::Gone,
     }
 }
 
 #[cfg(test)]
 mod tests {
-    use ochreshed_replica::store::{Store, read};
+    use ochreshed_replica::store::{Store, decode_updates};
 
     use super::*;
 
@@ -116,8 +116,8 @@
     /// A copy that was told by another of a drain, by list 2.
     fn told_of_a_drain() -> Store {
         let (mut one, mut other) = (Store::new("n1", 1, 10), Store::new("n2", 1, 10));
-        one.listed(2, false, &[("s".into(), words::State::Drains)]);
-        other.hear(0, read(&one.delta(1_000, 3)).expect("items"), |_| Some(1));
+        one.apply_discovery(2, false, &[("s".into(), ServerStatus::Draining)]);
+        other.merge_updates(0, decode_updates(&one.next_delta(1_000, 3)).expect("items"), |_| Some(1));
         other
     }
 
@@ -125,14 +125,18 @@
     fn what_others_heard_worse_stands_against_the_own_list_until_that_is_newer() {
         let (mut store, mut known) = (told_of_a_drain(), Known::new());
         let mut list = [entry("s", State::Up), entry("t", State::Up)];
-        store.listed(1, true, &[("s".into(), words::State::Serves), ("t".into(), words::State::Serves)]);
-        known.told(store.words(), true, &mut list);
+        store.apply_discovery(
+            1,
+            true,
+            &[("s".into(), ServerStatus::Serving), ("t".into(), ServerStatus::Serving)],
+        );
+        known.told(store.statuses(), true, &mut list);
         assert_eq!(states(&list), [("s", State::Draining), ("t", State::Up)]);
         // Told once: the same again is no news to the module.
-        assert!(known.changed(store.words(), ["s", "t", "elsewhere"]).is_empty());
-        let fresh = store.listed(3, false, &[("s".into(), words::State::Serves)]);
+        assert!(known.changed(store.statuses(), ["s", "t", "elsewhere"]).is_empty());
+        let fresh = store.apply_discovery(3, false, &[("s".into(), ServerStatus::Serving)]);
         assert_eq!(
-            states(&known.changed(store.words(), fresh.iter().map(String::as_str))),
+            states(&known.changed(store.statuses(), fresh.iter().map(String::as_str))),
             [("s", State::Up)]
         );
         assert_eq!(known.overruled(), 0);
@@ -142,7 +146,7 @@
     #[test]
     fn of_a_srv_that_the_own_list_does_not_have_nothing_is_told() {
         let (store, mut known) = (told_of_a_drain(), Known::new());
-        known.told(store.words(), true, &mut [entry("t", State::Up)]);
-        assert!(known.changed(store.words(), ["s"]).is_empty() && !known.has("s"));
+        known.told(store.statuses(), true, &mut [entry("t", State::Up)]);
+        assert!(known.changed(store.statuses(), ["s"]).is_empty() && !known.has("s"));
     }
 }
--- a/gossip/src/meet.rs
+++ b/gossip/src/meet.rs
@@ -3,7 +3,7 @@
 //! them. It owns the form of what goes over the stream and its bounds, and must never take more than those, whatever the
 //! bytes say.
 
-use ochreshed_replica::store::FINE;
+use ochreshed_replica::store::FINE_DIGEST_BUCKETS;
 use serde::{Deserialize, Serialize};
 
 const FORMAT: u8 = 1;
@@ -21,7 +21,7 @@
     pub fleet: u64,
     pub name: String,
     pub start: u64,
-    /// Sums over what it holds, in `FINE` parts.
+    /// Sums over what it holds, in `FINE_DIGEST_BUCKETS` parts.
     pub digest: Vec<u32>,
 }
 
@@ -47,7 +47,8 @@
     /// Reads the body of a frame as a greeting of this fleet.
     pub fn read(fleet: u64, body: &[u8]) -> Result<Hello, Wrong> {
         let hello: Hello = postcard::from_bytes(body).map_err(|_| Wrong::Hello)?;
-        let right = hello.format == FORMAT && hello.fleet == fleet && hello.digest.len() == FINE;
+        let right =
+            hello.format == FORMAT && hello.fleet == fleet && hello.digest.len() == FINE_DIGEST_BUCKETS;
         if right { Ok(hello) } else { Err(Wrong::Hello) }
     }
 }
@@ -80,7 +81,12 @@
     use super::*;
 
     fn hello() -> Hello {
-        Hello::new(9, "n1", 5, (0..FINE as u32).map(|part| part.wrapping_mul(0x9e37_79b9)).collect())
+        Hello::new(
+            9,
+            "n1",
+            5,
+            (0..FINE_DIGEST_BUCKETS as u32).map(|part| part.wrapping_mul(0x9e37_79b9)).collect(),
+        )
     }
 
     fn body(bytes: &[u8]) -> Result<&[u8], Wrong> {
--- a/gossip/src/peer.rs
+++ b/gossip/src/peer.rs
@@ -8,10 +8,10 @@
 use ochreshed_membership::swim::{self, Config, Swim, To};
 use ochreshed_membership::wire::{self, FIRST_OTHER, From, MOST, Message, What};
 use ochreshed_membership::{MS, Nanos, S};
-use ochreshed_replica::rows::{Counts, MOST_SETS, Row};
+use ochreshed_replica::outcomes::{MAX_RULE_SETS_PER_ROW, OutcomeCounts, OutcomeRow};
 use ochreshed_replica::stamp::Stamp;
-use ochreshed_replica::store::{Digest, Store, read};
-use ochreshed_replica::words::{State, Word};
+use ochreshed_replica::status::{ServerStatus, StampedStatus};
+use ochreshed_replica::store::{Digest, Store, decode_updates};
 
 use crate::meet::{self, Hello};
 
@@ -82,7 +82,7 @@
     Counted {
         srv: String,
         set: String,
-        counts: Counts,
+        counts: OutcomeCounts,
     },
     Joined(String),
     Lost(String),
@@ -120,7 +120,7 @@
 /// Guards against others that hear of each failure and of little else: where all is overloaded any srv would look bad.
 #[derive(Clone, Copy, Debug)]
 struct Gathered {
-    counts: Counts,
+    counts: OutcomeCounts,
     before: u16,
     since: Nanos,
 }
@@ -130,14 +130,14 @@
     fn turn(&mut self, now: Nanos) -> bool {
         let spans = now.saturating_sub(self.since) / DONE_SPAN;
         if spans > 0 {
-            self.before = if spans == 1 { self.counts.done } else { 0 };
-            (self.counts.done, self.since) = (0, self.since + spans * DONE_SPAN);
+            self.before = if spans == 1 { self.counts.succeeded } else { 0 };
+            (self.counts.succeeded, self.since) = (0, self.since + spans * DONE_SPAN);
         }
-        self.before > 0 || self.counts.all() > 0
+        self.before > 0 || self.counts.total() > 0
     }
 
     fn done(&self) -> u16 {
-        self.before.saturating_add(self.counts.done)
+        self.before.saturating_add(self.counts.succeeded)
     }
 }
 
@@ -213,8 +213,8 @@
     }
 
     /// What this instance knew before it started anew.
-    pub fn recall(&mut self, own: Stamp, words: &[(String, Word)], floor: Stamp) {
-        self.store.recall(own, words, floor);
+    pub fn recall(&mut self, own: Stamp, words: &[(String, StampedStatus)], floor: Stamp) {
+        self.store.restore(own, words, floor);
     }
 
     /// Whether others have told what they know since the start.
@@ -223,21 +223,21 @@
     }
 
     /// Discovery has told this instance a list, or changes of it.
-    pub fn listed(&mut self, version: u64, whole: bool, entries: &[(String, State)]) {
-        self.store.listed(version, whole, entries);
+    pub fn listed(&mut self, version: u64, whole: bool, entries: &[(String, ServerStatus)]) {
+        self.store.apply_discovery(version, whole, entries);
     }
 
     /// What this instance's own dispatches to a srv came to, of a rule set, since this was called last.
-    pub fn count(&mut self, now: Nanos, srv: &str, set: &str, counts: Counts) {
+    pub fn count(&mut self, now: Nanos, srv: &str, set: &str, counts: OutcomeCounts) {
         let key = (srv.to_owned(), set.to_owned());
         if self.gathered.len() >= MOST_COUNTED && !self.gathered.contains_key(&key) {
             return;
         }
-        let none = Gathered { counts: Counts::default(), before: 0, since: now };
+        let none = Gathered { counts: OutcomeCounts::default(), before: 0, since: now };
         let gathered = self.gathered.entry(key).or_insert(none);
         gathered.turn(now);
         gathered.counts.add(counts);
-        self.failed |= counts.bad() > 0;
+        self.failed |= counts.unsuccessful() > 0;
     }
 
     /// Goes for good, and says so.
@@ -248,7 +248,7 @@
 
     /// When `tick` is to be called at the latest.
     pub fn next(&self) -> Nanos {
-        let spread = if self.store.has_news() { self.spread_at } else { Nanos::MAX };
+        let spread = if self.store.has_pending_updates() { self.spread_at } else { Nanos::MAX };
         let count = if self.failed { self.count_at } else { Nanos::MAX };
         let greet = if self.greet.is_empty() { Nanos::MAX } else { self.greet_at };
         self.swim.next().min(spread).min(count).min(greet).min(self.digest_at)
@@ -262,7 +262,7 @@
         if self.failed && self.count_at <= now {
             self.write_row(now);
         }
-        if self.store.has_news() && self.spread_at <= now {
+        if self.store.has_pending_updates() && self.spread_at <= now {
             self.spread_at = now + SPREAD_EVERY;
             for _ in 0..FANOUT {
                 let Some(name) = self.swim.any() else { break };
@@ -293,7 +293,7 @@
         self.gathered.retain(|_, gathered| gathered.turn(now));
         let swim = &self.swim;
         let there = |name: &str| swim.members().get(name).is_some_and(|member| member.word.state.there());
-        self.store.forget(now, OLD, there);
+        self.store.evict_outcomes(now, OLD, there);
         self.heard.retain(|writer, _| there(writer));
     }
 
@@ -308,18 +308,20 @@
             let done = well.entry(srv.clone()).or_default();
             *done = done.saturating_add(gathered.done());
         }
-        let mut told: Vec<(String, String, Counts)> = Vec::new();
+        let mut told: Vec<(String, String, OutcomeCounts)> = Vec::new();
         for ((srv, set), gathered) in &mut self.gathered {
-            let Counts { failed, lost, .. } = gathered.counts;
-            if gathered.counts.bad() > 0 {
+            let OutcomeCounts { failed, lost, .. } = gathered.counts;
+            if gathered.counts.unsuccessful() > 0 {
                 let of_srv = well.get(srv).copied().unwrap_or(0);
                 let done = if lost > 0 { of_srv } else { gathered.done() };
-                told.push((srv.clone(), set.clone(), Counts { done, failed, lost }));
+                told.push((srv.clone(), set.clone(), OutcomeCounts { succeeded: done, failed, lost }));
                 (gathered.counts.failed, gathered.counts.lost) = (0, 0);
             }
         }
         // Where most failed comes first, if not all fit.
-        told.sort_by_key(|(srv, set, counts)| (std::cmp::Reverse(counts.bad()), srv.clone(), set.clone()));
+        told.sort_by_key(|(srv, set, counts)| {
+            (std::cmp::Reverse(counts.unsuccessful()), srv.clone(), set.clone())
+        });
         told.truncate(TOLD_SRVS);
         let (mut sets, mut srvs) = (Vec::<String>::new(), Vec::new());
         let mut room = ROOM.saturating_sub(self.zone.len() + self.swim.name().len() + 40);
@@ -331,14 +333,20 @@
             });
             // What one datagram has no room for is told by the next row, if it goes on.
             room = room.saturating_sub(srv.len() + 12);
-            if at < MOST_SETS && room > 0 {
+            if at < MAX_RULE_SETS_PER_ROW && room > 0 {
                 srvs.push((srv, at as u8, counts));
             }
         }
         if !srvs.is_empty() {
             self.traffic.rows += 1;
-            let row = Row { start: 0, number: 0, zone: self.zone.clone(), sets, srvs };
-            let item = self.store.count(now, row);
+            let row = OutcomeRow {
+                start_id: 0,
+                sequence: 0,
+                zone: self.zone.clone(),
+                rule_sets: sets,
+                entries: srvs,
+            };
+            let item = self.store.record_own_outcomes(now, row);
             let there = self.swim.members().iter().filter(|(_, member)| member.word.state.there());
             let near = there.filter(|(_, member)| member.word.zone == self.zone);
             let mut near: Vec<String> = near.map(|(name, _)| name.clone()).collect();
@@ -395,13 +403,13 @@
     }
 
     fn hear_items(&mut self, now: Nanos, body: &[u8]) -> Result<(), &'static str> {
-        let items = read(body)?;
+        let items = decode_updates(body)?;
         let swim = &self.swim;
         let lives = |writer: &str| {
             let member = swim.members().get(writer).filter(|member| member.word.state.there());
             member.map(|member| member.word.start)
         };
-        let changed = self.store.hear(now, items, lives);
+        let changed = self.store.merge_updates(now, items, lives);
         if !changed.is_empty() {
             self.out.push_back(Output::Changed(changed));
         }
@@ -416,14 +424,14 @@
             self.confirmed = true;
             return true;
         }
-        if self.store.count_differing(theirs) > MANY {
+        if self.store.count_differences(theirs) > MANY {
             if self.meet_at <= now {
                 self.meet_at = now + MEET_EVERY;
                 self.out.push_back(Output::Meet(name.to_owned()));
             }
             return false;
         }
-        for piece in self.store.differing(theirs, ROOM).into_iter().take(PIECES) {
+        for piece in self.store.encode_differences(theirs, ROOM).into_iter().take(PIECES) {
             self.say(name, vec![(ITEMS, piece)]);
         }
         false
@@ -433,15 +441,15 @@
     /// matter: what is cut off from them may be well from here.
     fn tell_counts(&mut self, now: Nanos) {
         let own = self.swim.name();
-        for (writer, held) in self.store.rows().iter().filter(|(writer, _)| *writer != own) {
-            let number = (held.row.start, held.row.number);
-            let fresh = now.saturating_sub(held.written) <= OLD && held.row.zone == self.zone;
+        for (writer, held) in self.store.outcomes().iter().filter(|(writer, _)| *writer != own) {
+            let number = (held.row.start_id, held.row.sequence);
+            let fresh = now.saturating_sub(held.written_at) <= OLD && held.row.zone == self.zone;
             if !fresh || self.heard.insert(writer.clone(), number) == Some(number) {
                 continue;
             }
             for (srv, set, counts) in held.row.counts() {
-                let counts = counts.at_most(TIMES);
-                self.traffic.counted += u64::from(counts.all());
+                let counts = counts.scaled_down(TIMES);
+                self.traffic.counted += u64::from(counts.total());
                 self.out.push_back(Output::Counted { srv: srv.into(), set: set.into(), counts });
             }
         }
@@ -455,7 +463,7 @@
 
     fn delta(&mut self, room: usize) -> Vec<u8> {
         let times = self.times();
-        self.store.delta(room, times)
+        self.store.next_delta(room, times)
     }
 
     fn say_digest(&mut self, name: &str, kind: u16) {
@@ -507,7 +515,7 @@
 
     /// What the membership sends takes news of the replica along.
     fn send(&mut self, to: To, mut message: Message) {
-        if matches!(to, To::Member(_)) && self.store.has_news() {
+        if matches!(to, To::Member(_)) && self.store.has_pending_updates() {
             let room = MOST.saturating_sub(wire::write(self.fleet, &message).len() + PART);
             let items = self.delta(room);
             if !items.is_empty() {
@@ -519,7 +527,7 @@
 
     /// How a meeting begins, at either side.
     pub fn hello(&self) -> Hello {
-        Hello::new(self.fleet, self.swim.name(), self.swim.mine().start, self.store.fine())
+        Hello::new(self.fleet, self.swim.name(), self.swim.mine().start, self.store.fine_digest())
     }
 
     /// The other one's greeting, from the body of its first frame: only a member that is there is met.
@@ -534,7 +542,7 @@
 
     /// What we hold where that digest differs, as bodies of frames.
     pub fn differing(&self, theirs: &Hello) -> Vec<Vec<u8>> {
-        let mut pieces = self.store.differing(&theirs.digest, meet::PIECE);
+        let mut pieces = self.store.encode_differences(&theirs.digest, meet::PIECE);
         pieces.truncate(meet::MOST_FRAMES);
         pieces
     }
--- a/gossip/tests/fleet.rs
+++ b/gossip/tests/fleet.rs
@@ -4,11 +4,12 @@
 mod world;
 
 use ochreshed_gossip::{MS, S};
-use ochreshed_replica::rows::Counts;
-use ochreshed_replica::words::State;
+use ochreshed_replica::outcomes::OutcomeCounts;
+use ochreshed_replica::status::ServerStatus;
 use world::{World, name};
 
-const SRVS: [(&str, State); 3] = [("s1", State::Serves), ("s2", State::Serves), ("s3", State::Serves)];
+const SRVS: [(&str, ServerStatus); 3] =
+    [("s1", ServerStatus::Serving), ("s2", ServerStatus::Serving), ("s3", ServerStatus::Serving)];
 
 /// A fleet in which all have the same list and know each other.
 fn fleet(size: usize, seed: u64) -> World {
@@ -20,7 +21,7 @@
     world
 }
 
-fn knows(srv: &'static str, state: State) -> impl Fn(&World) -> bool {
+fn knows(srv: &'static str, state: ServerStatus) -> impl Fn(&World) -> bool {
     move |world| world.share(|number, _| world.state(number, srv) == Some(state)) >= 0.99
 }
 
@@ -33,14 +34,14 @@
             let mut world = fleet(24, seed);
             world.loss = loss;
             world.run(5 * S);
-            world.tell(seed as usize, 2, false, &[("s2", State::Drains)]);
+            world.tell(seed as usize, 2, false, &[("s2", ServerStatus::Draining)]);
             let told = world.now;
             let mut known = [None; 24];
             while known.iter().any(Option::is_none) {
                 assert!(world.now - told < 20 * S, "one never hears of it, seed {seed}");
                 world.run(20 * MS);
                 for (number, known) in known.iter_mut().enumerate() {
-                    if world.state(number, "s2") == Some(State::Drains) {
+                    if world.state(number, "s2") == Some(ServerStatus::Draining) {
                         known.get_or_insert(world.now - told);
                     }
                 }
@@ -61,16 +62,19 @@
         world.cut = Box::new(|a, b| (a < 12) != (b < 12));
         world.run(S);
         // The one half hears that it drains, and later that it serves again; the other, between these, that it is gone.
-        world.tell(3, 2, false, &[("s1", State::Drains), ("s3", State::Drains)]);
-        world.tell(15, 3, false, &[("s1", State::Gone)]);
+        world.tell(3, 2, false, &[("s1", ServerStatus::Draining), ("s3", ServerStatus::Draining)]);
+        world.tell(15, 3, false, &[("s1", ServerStatus::Gone)]);
         world.run(30 * S);
-        world.tell(4, 4, false, &[("s1", State::Serves)]);
+        world.tell(4, 4, false, &[("s1", ServerStatus::Serving)]);
         world.run(30 * S);
-        assert_eq!((world.state(0, "s1"), world.state(23, "s1")), (Some(State::Serves), Some(State::Gone)));
+        assert_eq!(
+            (world.state(0, "s1"), world.state(23, "s1")),
+            (Some(ServerStatus::Serving), Some(ServerStatus::Gone))
+        );
         world.cut = Box::new(|_, _| false);
         let took = world.until(10 * S, 50 * MS, |world| world.agree());
         assert!(took <= 2 * S, "{} ms, seed {seed}", took / MS);
-        assert!(knows("s1", State::Serves)(&world) && knows("s3", State::Drains)(&world));
+        assert!(knows("s1", ServerStatus::Serving)(&world) && knows("s3", ServerStatus::Draining)(&world));
     }
 }
 
@@ -80,9 +84,9 @@
     // Nobody hears the first three, who hear all.
     world.cut = Box::new(|a, _| a < 3);
     world.run(10 * S);
-    world.tell(7, 2, false, &[("s2", State::Drains)]);
+    world.tell(7, 2, false, &[("s2", ServerStatus::Draining)]);
     world.until(5 * S, 50 * MS, |world| {
-        world.share(|n, _| n < 3 || world.state(n, "s2") == Some(State::Drains)) >= 1.0
+        world.share(|n, _| n < 3 || world.state(n, "s2") == Some(ServerStatus::Draining)) >= 1.0
     });
     world.cut = Box::new(|_, _| false);
     world.until(3 * S, 50 * MS, |world| world.agree());
@@ -95,31 +99,31 @@
         // One sleeps for 30 s, another is killed and starts with nothing; both miss the news.
         world.asleep.insert(5);
         world.crash(6);
-        world.tell(0, 2, false, &[("s1", State::Gone), ("s2", State::Drains)]);
+        world.tell(0, 2, false, &[("s1", ServerStatus::Gone), ("s2", ServerStatus::Draining)]);
         world.run(30 * S);
         world.asleep.remove(&5);
         world.flush(5);
         world.start(6);
-        let up = |world: &World, number| world.state(number, "s2") == Some(State::Drains);
+        let up = |world: &World, number| world.state(number, "s2") == Some(ServerStatus::Draining);
         let met = world.until(5 * S, 10 * MS, |world| world.peers[&6].swim().there().count() > 0);
         let caught_up = world.until(5 * S, 10 * MS, |world| up(world, 6));
         assert!(caught_up <= S / 2, "{} ms after {} ms, seed {seed}", caught_up / MS, met / MS);
         world.until(2 * S, 10 * MS, |world| up(world, 5) && world.agree());
         // What the sleeper holds of old does not unhear anything.
-        assert!(knows("s1", State::Gone)(&world));
+        assert!(knows("s1", ServerStatus::Gone)(&world));
     }
 }
 
 #[test]
 fn all_restarted_one_after_the_other_still_know_what_drains() {
     let mut world = fleet(8, 3);
-    world.tell(2, 2, false, &[("s3", State::Drains)]);
+    world.tell(2, 2, false, &[("s3", ServerStatus::Draining)]);
     world.until(2 * S, 50 * MS, |world| world.agree());
     for number in 0..8 {
         world.crash(number);
         world.run(S);
         world.start(number);
-        world.until(10 * S, 50 * MS, |world| world.state(number, "s3") == Some(State::Drains));
+        world.until(10 * S, 50 * MS, |world| world.state(number, "s3") == Some(ServerStatus::Draining));
     }
     world.until(10 * S, 50 * MS, |world| world.agree() && world.found());
 }
@@ -129,7 +133,8 @@
 fn ten_thousand_srvs_after_a_cut_are_told_by_meetings() {
     let mut world = fleet(6, 2);
     let names: Vec<String> = (0..10_000).map(|number| format!("cell-7/srv-{number:05}")).collect();
-    let long: Vec<(&str, State)> = names.iter().map(|name| (name.as_str(), State::Serves)).collect();
+    let long: Vec<(&str, ServerStatus)> =
+        names.iter().map(|name| (name.as_str(), ServerStatus::Serving)).collect();
     (0..6).for_each(|number| world.tell(number, 2, true, &long));
     world.run(3 * S);
     assert!(world.agree());
@@ -140,8 +145,8 @@
     assert!(each < 1_000, "{each} bytes a second each");
     world.cut = Box::new(|a, b| (a < 3) != (b < 3));
     world.run(5 * S);
-    let drained: Vec<(&str, State)> =
-        names.iter().step_by(7).map(|name| (name.as_str(), State::Drains)).collect();
+    let drained: Vec<(&str, ServerStatus)> =
+        names.iter().step_by(7).map(|name| (name.as_str(), ServerStatus::Draining)).collect();
     world.tell(0, 3, false, &drained);
     world.until(60 * S, 100 * MS, |world| {
         world.peers[&1].store().digest() == world.peers[&0].store().digest()
@@ -156,27 +161,27 @@
 #[test]
 fn counts_reach_the_own_zone_once_and_in_proportion() {
     let mut world = fleet(12, 4);
-    world.count(0, "s1", Counts { done: 9, failed: 0, lost: 0 });
+    world.count(0, "s1", OutcomeCounts { succeeded: 9, failed: 0, lost: 0 });
     world.run(300 * MS);
     assert!(world.counted.is_empty(), "nothing failed: nothing to tell");
-    world.count(0, "s1", Counts { done: 0, failed: 1, lost: 2 });
-    world.count(0, "s2", Counts { done: 5, failed: 0, lost: 0 });
+    world.count(0, "s1", OutcomeCounts { succeeded: 0, failed: 1, lost: 2 });
+    world.count(0, "s2", OutcomeCounts { succeeded: 5, failed: 0, lost: 0 });
     world.run(2 * S);
     // 3 of 12 failed: of four outcomes one.
-    let told = Counts { done: 2, failed: 0, lost: 1 };
+    let told = OutcomeCounts { succeeded: 2, failed: 0, lost: 1 };
     for number in 1..12 {
         let heard = world.counted.get(&number).and_then(|counted| counted.get("s1")).copied();
-        let expected = (number % 3 == 0).then_some(Counts { done: 3, ..told });
+        let expected = (number % 3 == 0).then_some(OutcomeCounts { succeeded: 3, ..told });
         assert_eq!(heard, expected, "n{number}");
         assert!(world.counted.get(&number).is_none_or(|counted| !counted.contains_key("s2")));
     }
     // What was counted too long ago is not told any more.
-    world.count(0, "s1", Counts { done: 9, failed: 0, lost: 0 });
+    world.count(0, "s1", OutcomeCounts { succeeded: 9, failed: 0, lost: 0 });
     world.run(3 * S);
     world.counted.clear();
-    world.count(0, "s1", Counts { done: 0, failed: 0, lost: 1 });
+    world.count(0, "s1", OutcomeCounts { succeeded: 0, failed: 0, lost: 1 });
     world.run(2 * S);
-    assert_eq!(world.counted[&3]["s1"], Counts { done: 0, failed: 0, lost: 1 });
+    assert_eq!(world.counted[&3]["s1"], OutcomeCounts { succeeded: 0, failed: 0, lost: 1 });
 }
 
 #[test]
--- a/gossip/tests/frozen_forms.rs
+++ b/gossip/tests/frozen_forms.rs
@@ -11,9 +11,9 @@
 use ochreshed_gossip::{MS, S};
 use ochreshed_membership::swim::{Config, To};
 use ochreshed_membership::wire;
-use ochreshed_replica::rows::Counts;
-use ochreshed_replica::store::{self, FINE};
-use ochreshed_replica::words::State;
+use ochreshed_replica::outcomes::OutcomeCounts;
+use ochreshed_replica::status::ServerStatus;
+use ochreshed_replica::store::{self, FINE_DIGEST_BUCKETS};
 
 fn file(name: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(name)
@@ -55,7 +55,7 @@
 
 #[test]
 fn greetings_and_frames_are_written_and_read_as_before() {
-    let hello = Hello::new(FLEET, "n1", 5, (0..FINE as u32).map(|part| part % 300).collect());
+    let hello = Hello::new(FLEET, "n1", 5, (0..FINE_DIGEST_BUCKETS as u32).map(|part| part % 300).collect());
     let samples = [
         ("hello".to_owned(), hello.write()),
         ("frame".to_owned(), frame(b"what differs")),
@@ -111,11 +111,11 @@
     let mut first = BTreeMap::new();
     for step in 0..600u64 {
         let now = step * 20 * MS;
-        let list = |state| vec![("i-1".to_owned(), State::Serves), ("i-2".to_owned(), state)];
+        let list = |state| vec![("i-1".to_owned(), ServerStatus::Serving), ("i-2".to_owned(), state)];
         match step {
-            100 => peers[0].listed(1, true, &list(State::Serves)),
-            150 => peers[0].listed(2, true, &list(State::Drains)),
-            200 => peers[1].count(now, "i-1", "read", Counts { done: 3, failed: 2, lost: 1 }),
+            100 => peers[0].listed(1, true, &list(ServerStatus::Serving)),
+            150 => peers[0].listed(2, true, &list(ServerStatus::Draining)),
+            200 => peers[1].count(now, "i-1", "read", OutcomeCounts { succeeded: 3, failed: 2, lost: 1 }),
             550 => peers[1].leave(now),
             _ => {}
         }
@@ -158,7 +158,7 @@
         for (kind, body) in &message.more {
             kinds.push(*kind);
             if *kind == wire::FIRST_OTHER {
-                assert!(!store::read(body).expect("items").is_empty());
+                assert!(!store::decode_updates(body).expect("items").is_empty());
             }
         }
         listener.receive(S, address(1), bytes);
--- a/gossip/tests/world/mod.rs
+++ b/gossip/tests/world/mod.rs
@@ -11,8 +11,8 @@
 use ochreshed_gossip::peer::{Output, Peer, Settings};
 use ochreshed_gossip::{MS, Nanos, S};
 use ochreshed_membership::swim::{Config, To};
-use ochreshed_replica::rows::Counts;
-use ochreshed_replica::words::State;
+use ochreshed_replica::outcomes::OutcomeCounts;
+use ochreshed_replica::status::ServerStatus;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -26,7 +26,7 @@
     pub zones: usize,
     pub seeds: Vec<SocketAddr>,
     /// What each was told that others had counted.
-    pub counted: BTreeMap<usize, BTreeMap<String, Counts>>,
+    pub counted: BTreeMap<usize, BTreeMap<String, OutcomeCounts>>,
     pub bytes: Vec<u64>,
     number: u64,
     due: BTreeMap<(Nanos, u64), Due>,
@@ -105,8 +105,8 @@
     }
 
     /// Discovery tells one of them.
-    pub fn tell(&mut self, number: usize, version: u64, whole: bool, entries: &[(&str, State)]) {
-        let entries: Vec<(String, State)> =
+    pub fn tell(&mut self, number: usize, version: u64, whole: bool, entries: &[(&str, ServerStatus)]) {
+        let entries: Vec<(String, ServerStatus)> =
             entries.iter().map(|(srv, state)| ((*srv).to_owned(), *state)).collect();
         if let Some(peer) = self.peers.get_mut(&number) {
             peer.listed(version, whole, &entries);
@@ -114,7 +114,7 @@
         self.flush(number);
     }
 
-    pub fn count(&mut self, number: usize, srv: &str, counts: Counts) {
+    pub fn count(&mut self, number: usize, srv: &str, counts: OutcomeCounts) {
         if let Some(peer) = self.peers.get_mut(&number) {
             peer.count(self.now, srv, "read", counts);
         }
@@ -241,8 +241,8 @@
         self.now - from
     }
 
-    pub fn state(&self, number: usize, srv: &str) -> Option<State> {
-        self.peers.get(&number)?.store().words().get(srv).map(|word| word.state)
+    pub fn state(&self, number: usize, srv: &str) -> Option<ServerStatus> {
+        self.peers.get(&number)?.store().statuses().get(srv).map(|word| word.status)
     }
 
     /// The share of those that are awake of whom this is true.
--- a/recovery/src/begin.rs
+++ b/recovery/src/begin.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeSet;
 
 use ochreshed::Listed;
-use ochreshed_replica::words::State as Heard;
+use ochreshed_replica::status::ServerStatus;
 
 use crate::snapshot::{Entry, Snapshot};
 use crate::{Nanos, S};
@@ -60,15 +60,15 @@
         }
     };
     // A word of an earlier count or an older list is settled by the list itself.
-    let newer = |heard: Heard| -> BTreeSet<&str> {
-        let stands = snapshot.words.iter().filter(|(_, word)| word.state == heard);
+    let newer = |heard: ServerStatus| -> BTreeSet<&str> {
+        let stands = snapshot.words.iter().filter(|(_, word)| word.status == heard);
         let stands = stands.filter(|(_, word)| {
             word.stamp.epoch > snapshot.stamp.epoch
                 || (word.stamp.version >= version && word.stamp.epoch == snapshot.stamp.epoch)
         });
         stands.map(|(srv, _)| srv.as_str()).collect()
     };
-    let (gone, drains) = (newer(Heard::Gone), newer(Heard::Drains));
+    let (gone, drains) = (newer(ServerStatus::Gone), newer(ServerStatus::Draining));
     let before = entries.len();
     entries.retain(|(listed, _)| !gone.contains(&*listed.srv));
     let gone = before - entries.len();
@@ -88,7 +88,7 @@
 
     use ochreshed::State;
     use ochreshed_replica::stamp::Stamp;
-    use ochreshed_replica::words::Word;
+    use ochreshed_replica::status::StampedStatus;
     use proptest::prelude::*;
 
     use super::*;
@@ -105,10 +105,10 @@
         }
     }
 
-    fn snapshot(version: u64, srvs: &str, words: &[(&str, u64, Heard)]) -> Snapshot {
+    fn snapshot(version: u64, srvs: &str, words: &[(&str, u64, ServerStatus)]) -> Snapshot {
         let stamp = |version| Stamp { epoch: 0, version };
-        let word = |(srv, version, state): &(&str, u64, Heard)| {
-            ((*srv).to_owned(), Word { stamp: stamp(*version), state: *state })
+        let word = |(srv, version, state): &(&str, u64, ServerStatus)| {
+            ((*srv).to_owned(), StampedStatus { stamp: stamp(*version), status: *state })
         };
         Snapshot {
             fleet: String::new(),
@@ -136,11 +136,11 @@
     #[test]
     fn the_newer_list_is_taken_and_nothing_that_was_known_to_be_gone() {
         // An old list in the facts, as all that restart have it: the snapshot's is newer.
-        let old = snapshot(7, "a b", &[("c", 6, Heard::Gone), ("b", 7, Heard::Drains)]);
+        let old = snapshot(7, "a b", &[("c", 6, ServerStatus::Gone), ("b", 7, ServerStatus::Draining)]);
         let start = first(given(3, "a b c"), Some(&old), 0);
         assert_eq!((names(&start).as_str(), start.source), ("a b!", Source::Snapshot));
         // The facts' list is newer, and what others had told of later lists stands against it.
-        let told = snapshot(2, "a b c", &[("b", 9, Heard::Gone), ("a", 1, Heard::Drains)]);
+        let told = snapshot(2, "a b c", &[("b", 9, ServerStatus::Gone), ("a", 1, ServerStatus::Draining)]);
         let start = first(given(3, "a b c"), Some(&told), 0);
         assert_eq!((names(&start).as_str(), start.source, start.gone), ("a c", Source::Facts, 1));
         // A snapshot from last week is no list, and still no srv comes back that it knew to be gone.
@@ -170,10 +170,10 @@
             age in 0..2 * OLD_LIST,
         ) {
             let list = |srvs: &BTreeSet<u8>| srvs.iter().map(|srv| format!("s{srv} ")).collect::<String>();
-            let said: Vec<(String, u64, Heard)> = words.iter().map(|(srv, version, gone)| {
-                (format!("s{srv}"), *version, if *gone { Heard::Gone } else { Heard::Drains })
+            let said: Vec<(String, u64, ServerStatus)> = words.iter().map(|(srv, version, gone)| {
+                (format!("s{srv}"), *version, if *gone { ServerStatus::Gone } else { ServerStatus::Draining })
             }).collect();
-            let said: Vec<(&str, u64, Heard)> = said.iter().map(|(srv, version, state)| (srv.as_str(), *version, *state)).collect();
+            let said: Vec<(&str, u64, ServerStatus)> = said.iter().map(|(srv, version, state)| (srv.as_str(), *version, *state)).collect();
             let snapshot = snapshot(held.0, &list(&held.1), &said);
             let start = first(given(facts.0, &list(&facts.1)), Some(&snapshot), age);
             let version = if start.source == Source::Facts { facts.0 } else { held.0 };
--- a/recovery/src/snapshot.rs
+++ b/recovery/src/snapshot.rs
@@ -6,7 +6,7 @@
 
 use ochreshed::{Listed, State};
 use ochreshed_replica::stamp::Stamp;
-use ochreshed_replica::words::Word;
+use ochreshed_replica::status::StampedStatus;
 use serde::{Deserialize, Serialize};
 
 const MAGIC: [u8; 8] = *b"ochresnp";
@@ -67,7 +67,7 @@
     pub stamp: Stamp,
     pub list: Vec<Entry>,
     /// What was heard of srvs that drain or are gone, and what is forgotten.
-    pub words: Vec<(String, Word)>,
+    pub words: Vec<(String, StampedStatus)>,
     pub floor: Stamp,
 }
 
@@ -152,7 +152,7 @@
 
 #[cfg(test)]
 pub(crate) mod tests {
-    use ochreshed_replica::words::State as Heard;
+    use ochreshed_replica::status::ServerStatus;
     use proptest::prelude::*;
 
     use super::*;
@@ -175,7 +175,7 @@
             written: 1_000_000_000_000 + number,
             stamp,
             list: (0..20 + number % 7).map(entry).collect(),
-            words: vec![("gone".into(), Word { stamp, state: Heard::Gone })],
+            words: vec![("gone".into(), StampedStatus { stamp, status: ServerStatus::Gone })],
             floor: Stamp::default(),
         }
     }
--- a/recovery/tests/frozen_forms.rs
+++ b/recovery/tests/frozen_forms.rs
@@ -8,7 +8,7 @@
 use ochreshed_recovery::snapshot::{Entry, Snapshot, Wrong};
 use ochreshed_recovery::start::{Knows, Start};
 use ochreshed_replica::stamp::Stamp;
-use ochreshed_replica::words::{State, Word};
+use ochreshed_replica::status::{ServerStatus, StampedStatus};
 
 fn file(name: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(name)
@@ -35,8 +35,9 @@
         cell: 300,
         address: address.parse().expect("an address"),
     };
-    let word =
-        |srv: &str, epoch, version, state| (srv.to_owned(), Word { stamp: Stamp { epoch, version }, state });
+    let word = |srv: &str, epoch, version, status| {
+        (srv.to_owned(), StampedStatus { stamp: Stamp { epoch, version }, status })
+    };
     Snapshot {
         fleet: "shop".into(),
         instance: "n1".into(),
@@ -48,9 +49,9 @@
             entry("i-2", true, Some(1_700_000_000_000), 0.25, "[2001:db8::1]:65535"),
         ],
         words: vec![
-            word("i-1", 1, 41, State::Serves),
-            word("i-2", 1, 40, State::Drains),
-            word("i-3", 0, u64::MAX, State::Gone),
+            word("i-1", 1, 41, ServerStatus::Serving),
+            word("i-2", 1, 40, ServerStatus::Draining),
+            word("i-3", 0, u64::MAX, ServerStatus::Gone),
         ],
         floor: Stamp { epoch: 0, version: 7 },
     }
--- a/replica/src/store.rs
+++ b/replica/src/store.rs
@@ -8,27 +8,27 @@
 use xxhash_rust::xxh32::xxh32;
 
 use crate::Nanos;
-use crate::rows::{Row, Rows};
-use crate::stamp::{Counting, Stamp};
-use crate::words::{State, Word, Words};
+use crate::outcomes::{OutcomeRow, OutcomeTable};
+use crate::stamp::{EpochTracker, Stamp};
+use crate::status::{ServerStatus, StampedStatus, StatusTable};
 
 /// A sum for each part of all srvs' ids.
-pub const PARTS: usize = 16;
-pub type Digest = [u32; PARTS];
+pub const DIGEST_BUCKETS: usize = 16;
+pub type Digest = [u32; DIGEST_BUCKETS];
 /// Parts of the digest by which copies meet that differ in much: a few words fall into each of a long list's.
-pub const FINE: usize = 1_024;
+pub const FINE_DIGEST_BUCKETS: usize = 1_024;
 
 /// What copies tell each other.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Item {
-    Word {
-        srv: String,
-        word: Word,
+pub enum Update {
+    Status {
+        server: String,
+        stamped: StampedStatus,
     },
     /// Its age when it is sent, so that no two machines' clocks are compared.
-    Row {
+    Outcomes {
         writer: String,
-        row: Row,
+        row: OutcomeRow,
         age: Nanos,
     },
     Floor(Stamp),
@@ -46,9 +46,9 @@
 pub struct Store {
     name: String,
     start: u64,
-    words: Words,
-    rows: Rows,
-    counting: Counting,
+    statuses: StatusTable,
+    outcomes: OutcomeTable,
+    epochs: EpochTracker,
     number: u64,
     /// How often each srv's word was passed on that is news.
     news: BTreeMap<String, u32>,
@@ -60,54 +60,62 @@
         Store {
             name: name.into(),
             start,
-            words: Words::new(most_srvs),
-            rows: Rows::default(),
-            counting: Counting::default(),
+            statuses: StatusTable::new(most_srvs),
+            outcomes: OutcomeTable::default(),
+            epochs: EpochTracker::default(),
             number: 0,
             news: BTreeMap::new(),
         }
     }
 
-    pub fn words(&self) -> &Words {
-        &self.words
+    pub fn statuses(&self) -> &StatusTable {
+        &self.statuses
     }
 
-    pub fn rows(&self) -> &Rows {
-        &self.rows
+    pub fn outcomes(&self) -> &OutcomeTable {
+        &self.outcomes
     }
 
     /// Discovery has told this instance a list or changes of this version: what it says of each srv named, and for a whole
     /// list that those held and not named are gone. What of it is news to this copy.
-    pub fn listed(&mut self, version: u64, whole: bool, entries: &[(String, State)]) -> Vec<String> {
-        let stamp = self.counting.told(version);
-        let mut said: Vec<(String, State)> = entries.to_vec();
+    pub fn apply_discovery(
+        &mut self,
+        version: u64,
+        whole: bool,
+        entries: &[(String, ServerStatus)],
+    ) -> Vec<String> {
+        let stamp = self.epochs.record_discovery_version(version);
+        let mut said: Vec<(String, ServerStatus)> = entries.to_vec();
         if whole {
             let named: HashSet<&String> = entries.iter().map(|(srv, _)| srv).collect();
-            let gone =
-                self.words.iter().filter(|(srv, word)| word.state != State::Gone && !named.contains(srv));
+            let gone = self
+                .statuses
+                .iter()
+                .filter(|(srv, word)| word.status != ServerStatus::Gone && !named.contains(srv));
             // What somebody else has heard of since is not gone by an older list.
-            let gone =
-                gone.filter(|(_, word)| word.stamp <= stamp).map(|(srv, _)| (srv.clone(), State::Gone));
+            let gone = gone
+                .filter(|(_, word)| word.stamp <= stamp)
+                .map(|(srv, _)| (srv.clone(), ServerStatus::Gone));
             said.extend(gone.collect::<Vec<_>>());
         }
-        said.retain(|(srv, state)| self.hear_word(srv, Word { stamp, state: *state }));
+        said.retain(|(srv, state)| self.merge_status(srv, StampedStatus { stamp, status: *state }));
         said.into_iter().map(|(srv, _)| srv).collect()
     }
 
-    fn hear_word(&mut self, srv: &str, word: Word) -> bool {
-        self.counting.heard(word.stamp);
-        let news = match self.words.get(srv) {
+    fn merge_status(&mut self, srv: &str, word: StampedStatus) -> bool {
+        self.epochs.observe_peer_stamp(word.stamp);
+        let news = match self.statuses.get(srv) {
             // The same said by a newer list is no news to anybody: it would make every list one.
-            Some(held) if held.state == word.state && word.stamp > held.stamp => {
-                self.words.hear(srv, word);
+            Some(held) if held.status == word.status && word.stamp > held.stamp => {
+                self.statuses.merge(srv, word);
                 false
             }
             // That one serves which nobody spoke of is each one's own list's to say; else a first list would all be news.
-            None if word.state == State::Serves => {
-                self.words.hear(srv, word);
+            None if word.status == ServerStatus::Serving => {
+                self.statuses.merge(srv, word);
                 false
             }
-            _ => self.words.hear(srv, word),
+            _ => self.statuses.merge(srv, word),
         };
         if news {
             self.news.insert(srv.into(), 0);
@@ -116,75 +124,80 @@
     }
 
     /// What this instance knew before it started anew: no news to anybody.
-    pub fn recall(&mut self, own: Stamp, words: &[(String, Word)], floor: Stamp) {
-        self.counting.recall(own);
-        self.words.raise(floor);
+    pub fn restore(&mut self, own: Stamp, words: &[(String, StampedStatus)], floor: Stamp) {
+        self.epochs.restore(own);
+        self.statuses.raise_floor(floor);
         for (srv, word) in words {
-            self.counting.heard(word.stamp);
-            self.words.hear(srv, *word);
+            self.epochs.observe_peer_stamp(word.stamp);
+            self.statuses.merge(srv, *word);
         }
     }
 
     /// Of the newest list that discovery told this instance.
-    pub fn own(&self) -> Stamp {
-        self.counting.own()
+    pub fn discovery_stamp(&self) -> Stamp {
+        self.epochs.discovery_stamp()
     }
 
     /// What this instance has counted since the last time, as an item for those that it counts for. It is not passed on: to
     /// tell each of a zone once costs less than gossip, where each passes it on several times.
-    pub fn count(&mut self, now: Nanos, mut row: Row) -> Vec<u8> {
+    pub fn record_own_outcomes(&mut self, now: Nanos, mut row: OutcomeRow) -> Vec<u8> {
         self.number += 1;
-        (row.start, row.number) = (self.start, self.number);
+        (row.start_id, row.sequence) = (self.start, self.number);
         let (name, start) = (self.name.clone(), self.start);
-        self.rows.hear(now, &name, row.clone(), 0, start);
+        self.outcomes.merge(now, &name, row.clone(), 0, start);
         let mut bytes = Vec::new();
-        write(&mut bytes, &Item::Row { writer: name, row, age: 0 }, usize::from(u16::MAX));
+        encode_update(&mut bytes, &Update::Outcomes { writer: name, row, age: 0 }, usize::from(u16::MAX));
         bytes
     }
 
     /// Hears what another copy tells; the srvs on which something else stands now. `lives` tells the start of a member that
     /// is there.
-    pub fn hear(&mut self, now: Nanos, items: Vec<Item>, lives: impl Fn(&str) -> Option<u64>) -> Vec<String> {
+    pub fn merge_updates(
+        &mut self,
+        now: Nanos,
+        items: Vec<Update>,
+        lives: impl Fn(&str) -> Option<u64>,
+    ) -> Vec<String> {
         let mut changed = Vec::new();
         for item in items {
             match item {
-                Item::Word { srv, word } => {
-                    if self.hear_word(&srv, word) {
-                        changed.push(srv);
+                Update::Status { server, stamped } => {
+                    if self.merge_status(&server, stamped) {
+                        changed.push(server);
                     }
                 }
-                Item::Row { writer, row, age } => {
+                Update::Outcomes { writer, row, age } => {
                     let Some(start) = lives(&writer).filter(|_| writer != self.name) else { continue };
-                    self.rows.hear(now, &writer, row, age, start);
+                    self.outcomes.merge(now, &writer, row, age, start);
                 }
-                Item::Floor(floor) => self.words.raise(floor),
+                Update::Floor(floor) => self.statuses.raise_floor(floor),
             }
         }
         changed
     }
 
     /// Drops rows that are too old or whose writers are not there.
-    pub fn forget(&mut self, now: Nanos, age: Nanos, there: impl Fn(&str) -> bool) {
+    pub fn evict_outcomes(&mut self, now: Nanos, age: Nanos, there: impl Fn(&str) -> bool) {
         let own = self.name.clone();
-        self.rows.forget(now, age, |writer| writer == own || there(writer));
+        self.outcomes.evict(now, age, |writer| writer == own || there(writer));
     }
 
-    pub fn has_news(&self) -> bool {
+    pub fn has_pending_updates(&self) -> bool {
         !self.news.is_empty()
     }
 
     /// News to pass on, as bytes that fit: what was passed on least comes first, and goes after so many times.
-    pub fn delta(&mut self, room: usize, times: u32) -> Vec<u8> {
+    pub fn next_delta(&mut self, room: usize, times: u32) -> Vec<u8> {
         let mut order: Vec<(u32, String)> =
             self.news.iter().map(|(srv, sent)| (*sent, srv.clone())).collect();
         order.sort();
         let mut bytes = Vec::new();
         for (sent, srv) in order {
-            let Some(word) = self.words.get(&srv) else {
+            let Some(word) = self.statuses.get(&srv) else {
                 self.news.remove(&srv);
                 continue;
             };
-            if !write(&mut bytes, &Item::Word { srv: srv.clone(), word }, room) {
+            if !encode_update(&mut bytes, &Update::Status { server: srv.clone(), stamped: word }, room) {
                 continue;
             }
             if sent + 1 >= times {
@@ -199,53 +212,56 @@
     /// Sums over the words, by the part that a srv's id falls into. Stamps are left out, for a list that says the same again
     /// makes no two copies differ; and what serves, for that is what stands where nothing is held.
     pub fn digest(&self) -> Digest {
-        let mut digest = [0u32; PARTS];
+        let mut digest = [0u32; DIGEST_BUCKETS];
         self.sum_up(&mut digest);
         digest
     }
 
-    /// The same in `FINE` parts.
-    pub fn fine(&self) -> Vec<u32> {
-        let mut digest = vec![0u32; FINE];
+    /// The same in `FINE_DIGEST_BUCKETS` parts.
+    pub fn fine_digest(&self) -> Vec<u32> {
+        let mut digest = vec![0u32; FINE_DIGEST_BUCKETS];
         self.sum_up(&mut digest);
         digest
     }
 
     fn sum_up(&self, digest: &mut [u32]) {
-        for (srv, word) in self.words.iter().filter(|(_, word)| word.state != State::Serves) {
+        for (srv, word) in self.statuses.iter().filter(|(_, word)| word.status != ServerStatus::Serving) {
             let part = part(srv, digest.len());
             // By a sum the order does not matter. Not of CRCs, nor by exclusive or: CRCs of two srvs that change alike change
             // by the same bits, so that two changes in one part would look like none.
-            digest[part] = digest[part].wrapping_add(xxh32(srv.as_bytes(), 1 + word.state as u32));
+            digest[part] = digest[part].wrapping_add(xxh32(srv.as_bytes(), 1 + word.status as u32));
         }
     }
 
     /// The words of the parts in which another copy's digest, of any number of parts, is not ours.
-    fn of_differing<'a>(&'a self, theirs: &'a [u32]) -> impl Iterator<Item = (&'a String, &'a Word)> {
+    fn of_differing<'a>(
+        &'a self,
+        theirs: &'a [u32],
+    ) -> impl Iterator<Item = (&'a String, &'a StampedStatus)> {
         let mut ours = vec![0u32; theirs.len().max(1)];
         self.sum_up(&mut ours);
         let differs = move |srv: &str| {
             let part = part(srv, ours.len());
             Some(&ours[part]) != theirs.get(part)
         };
-        self.words.iter().filter(move |(srv, _)| differs(srv))
+        self.statuses.iter().filter(move |(srv, _)| differs(srv))
     }
 
-    /// How many words `differing` would tell.
-    pub fn count_differing(&self, theirs: &[u32]) -> usize {
+    /// How many words `encode_differences` would tell.
+    pub fn count_differences(&self, theirs: &[u32]) -> usize {
         self.of_differing(theirs).count()
     }
 
     /// The words of the parts in which another copy's digest is not ours, and our floor, in pieces of so many bytes.
-    pub fn differing(&self, theirs: &[u32], room: usize) -> Vec<Vec<u8>> {
+    pub fn encode_differences(&self, theirs: &[u32], room: usize) -> Vec<Vec<u8>> {
         let words = self.of_differing(theirs);
-        let items = words.map(|(srv, word)| Item::Word { srv: srv.clone(), word: *word });
+        let items = words.map(|(srv, word)| Update::Status { server: srv.clone(), stamped: *word });
         let mut pieces = vec![Vec::new()];
-        for item in [Item::Floor(self.words.floor())].into_iter().chain(items) {
+        for item in [Update::Floor(self.statuses.floor())].into_iter().chain(items) {
             let last = pieces.len() - 1;
-            if !write(&mut pieces[last], &item, room) {
+            if !encode_update(&mut pieces[last], &item, room) {
                 let mut piece = Vec::new();
-                write(&mut piece, &item, room);
+                encode_update(&mut piece, &item, room);
                 pieces.push(piece);
             }
         }
@@ -259,11 +275,11 @@
 }
 
 /// Writes an item where it fits.
-fn write(bytes: &mut Vec<u8>, item: &Item, room: usize) -> bool {
+fn encode_update(bytes: &mut Vec<u8>, item: &Update, room: usize) -> bool {
     let (kind, body) = match item {
-        Item::Word { srv, word } => (WORD, postcard::to_stdvec(&(srv, word))),
-        Item::Row { writer, row, age } => (ROW, postcard::to_stdvec(&(writer, row, age))),
-        Item::Floor(floor) => (FLOOR, postcard::to_stdvec(floor)),
+        Update::Status { server, stamped } => (WORD, postcard::to_stdvec(&(server, stamped))),
+        Update::Outcomes { writer, row, age } => (ROW, postcard::to_stdvec(&(writer, row, age))),
+        Update::Floor(floor) => (FLOOR, postcard::to_stdvec(floor)),
     };
     // These are plain values: writing them to memory does not fail.
     let body = body.unwrap_or_default();
@@ -278,7 +294,7 @@
 }
 
 /// Reads items; kinds that are not known are skipped. An error where the bytes are no items.
-pub fn read(mut bytes: &[u8]) -> Result<Vec<Item>, &'static str> {
+pub fn decode_updates(mut bytes: &[u8]) -> Result<Vec<Update>, &'static str> {
     let mut items = Vec::new();
     while !bytes.is_empty() {
         let (head, rest) = bytes.split_at_checked(HEAD).ok_or("an item is cut")?;
@@ -286,9 +302,9 @@
         let (body, rest) = rest.split_at_checked(length).ok_or("an item is cut")?;
         bytes = rest;
         let item = match head[0] {
-            WORD => postcard::from_bytes(body).map(|(srv, word)| Item::Word { srv, word }),
-            ROW => postcard::from_bytes(body).map(|(writer, row, age)| Item::Row { writer, row, age }),
-            FLOOR => postcard::from_bytes(body).map(Item::Floor),
+            WORD => postcard::from_bytes(body).map(|(server, stamped)| Update::Status { server, stamped }),
+            ROW => postcard::from_bytes(body).map(|(writer, row, age)| Update::Outcomes { writer, row, age }),
+            FLOOR => postcard::from_bytes(body).map(Update::Floor),
             _ => continue,
         };
         items.push(item.map_err(|_| "an item can't be read")?);
@@ -301,104 +317,108 @@
     use proptest::prelude::*;
 
     use super::*;
-    use crate::rows::Counts;
+    use crate::outcomes::OutcomeCounts;
 
     fn store(name: &str) -> Store {
         Store::new(name, 1, 1_000)
     }
 
-    fn list(of: &str) -> Vec<(String, State)> {
+    fn list(of: &str) -> Vec<(String, ServerStatus)> {
         let state = |end: &str| match end {
-            "!" => State::Drains,
-            "-" => State::Gone,
-            _ => State::Serves,
+            "!" => ServerStatus::Draining,
+            "-" => ServerStatus::Gone,
+            _ => ServerStatus::Serving,
         };
         of.split(' ').map(|srv| (srv[..1].to_owned(), state(&srv[1..]))).collect()
     }
 
     fn pass(from: &mut Store, to: &mut Store) -> Vec<String> {
-        let items = read(&from.delta(1_000, 3)).expect("items");
-        to.hear(0, items, |_| Some(1))
+        let items = decode_updates(&from.next_delta(1_000, 3)).expect("items");
+        to.merge_updates(0, items, |_| Some(1))
     }
 
-    fn state(store: &Store, srv: &str) -> Option<State> {
-        store.words().get(srv).map(|word| word.state)
+    fn state(store: &Store, srv: &str) -> Option<ServerStatus> {
+        store.statuses().get(srv).map(|word| word.status)
     }
 
     #[test]
     fn a_drain_told_to_one_is_heard_by_the_other_and_lists_without_news_are_none() {
         let (mut one, mut other) = (store("n1"), store("n2"));
-        one.listed(1, true, &list("a b c"));
-        other.listed(1, true, &list("a b c"));
+        one.apply_discovery(1, true, &list("a b c"));
+        other.apply_discovery(1, true, &list("a b c"));
         for _ in 0..3 {
             pass(&mut one, &mut other);
             pass(&mut other, &mut one);
         }
-        assert!(!one.has_news() && !other.has_news() && one.digest() == other.digest());
-        assert!(one.listed(2, true, &list("a b c")).is_empty() && !one.has_news());
-        assert_eq!(one.listed(3, false, &list("b!")), ["b"]);
+        assert!(!one.has_pending_updates() && !other.has_pending_updates() && one.digest() == other.digest());
+        assert!(one.apply_discovery(2, true, &list("a b c")).is_empty() && !one.has_pending_updates());
+        assert_eq!(one.apply_discovery(3, false, &list("b!")), ["b"]);
         assert_eq!(
             (pass(&mut one, &mut other), state(&other, "b")),
-            (vec!["b".to_owned()], Some(State::Drains))
+            (vec!["b".to_owned()], Some(ServerStatus::Draining))
         );
         // The other one's own list is older: it says that b serves, and is not believed.
-        assert!(other.listed(2, true, &list("a b c")).is_empty());
-        assert_eq!(state(&other, "b"), Some(State::Drains));
+        assert!(other.apply_discovery(2, true, &list("a b c")).is_empty());
+        assert_eq!(state(&other, "b"), Some(ServerStatus::Draining));
     }
 
     #[test]
     fn discovery_that_counts_anew_is_newer_and_what_it_leaves_out_is_gone() {
         let (mut one, mut other) = (store("n1"), store("n2"));
-        one.listed(41, true, &list("a b c"));
-        other.listed(41, true, &list("a b c"));
-        assert_eq!(one.listed(1, true, &list("a b")), ["c"]);
+        one.apply_discovery(41, true, &list("a b c"));
+        other.apply_discovery(41, true, &list("a b c"));
+        assert_eq!(one.apply_discovery(1, true, &list("a b")), ["c"]);
         pass(&mut one, &mut other);
-        assert_eq!(state(&other, "c"), Some(State::Gone));
-        assert!(other.listed(41, true, &list("a b c")).is_empty(), "the old count is old");
-        assert_eq!(other.listed(2, false, &list("c")), ["c"]);
+        assert_eq!(state(&other, "c"), Some(ServerStatus::Gone));
+        assert!(other.apply_discovery(41, true, &list("a b c")).is_empty(), "the old count is old");
+        assert_eq!(other.apply_discovery(2, false, &list("c")), ["c"]);
     }
 
     #[test]
     fn copies_that_differ_agree_once_they_have_met() {
         let (mut one, mut other) = (store("n1"), store("n2"));
-        let long: Vec<(String, State)> = (0..300)
+        let long: Vec<(String, ServerStatus)> = (0..300)
             .map(|number| {
-                (format!("srv-{number}"), if number % 3 == 0 { State::Drains } else { State::Serves })
+                (
+                    format!("srv-{number}"),
+                    if number % 3 == 0 { ServerStatus::Draining } else { ServerStatus::Serving },
+                )
             })
             .collect();
-        one.listed(5, true, &long);
-        other.listed(4, true, &long[..200]);
+        one.apply_discovery(5, true, &long);
+        other.apply_discovery(4, true, &long[..200]);
         for (from, to) in [(0, 1), (1, 0)] {
             let stores = [&mut one, &mut other];
             let theirs = stores[to].digest();
-            let pieces = stores[from].differing(&theirs, 1_000);
+            let pieces = stores[from].encode_differences(&theirs, 1_000);
             assert!(pieces.iter().all(|piece| piece.len() <= 1_000));
             for piece in pieces {
-                stores[to].hear(0, read(&piece).expect("items"), |_| Some(1));
+                stores[to].merge_updates(0, decode_updates(&piece).expect("items"), |_| Some(1));
             }
         }
         assert_eq!(one.digest(), other.digest());
-        let drains =
-            |store: &Store| store.words().iter().filter(|(_, word)| word.state == State::Drains).count();
+        let drains = |store: &Store| {
+            store.statuses().iter().filter(|(_, word)| word.status == ServerStatus::Draining).count()
+        };
         assert_eq!((drains(&one), drains(&other)), (100, 100));
     }
 
     /// Guards against a digest in which two changes of a kind cancel out: the copies would differ for ever.
     #[test]
     fn any_number_of_like_changes_shows_in_the_digest() {
-        let long: Vec<(String, State)> =
-            (0..60).map(|number| (format!("srv-{number:02}"), State::Serves)).collect();
+        let long: Vec<(String, ServerStatus)> =
+            (0..60).map(|number| (format!("srv-{number:02}"), ServerStatus::Serving)).collect();
         for changed in 1..60 {
             let (mut one, mut other) = (store("n1"), store("n2"));
-            one.listed(5, true, &long);
-            other.listed(5, true, &long);
-            let drained: Vec<(String, State)> =
-                long[..changed].iter().map(|(srv, _)| (srv.clone(), State::Drains)).collect();
-            one.listed(6, false, &drained);
+            one.apply_discovery(5, true, &long);
+            other.apply_discovery(5, true, &long);
+            let drained: Vec<(String, ServerStatus)> =
+                long[..changed].iter().map(|(srv, _)| (srv.clone(), ServerStatus::Draining)).collect();
+            one.apply_discovery(6, false, &drained);
             let told: usize = one
-                .differing(&other.digest(), 1_000)
+                .encode_differences(&other.digest(), 1_000)
                 .iter()
-                .map(|piece| other.hear(0, read(piece).expect("items"), |_| Some(1)).len())
+                .map(|piece| other.merge_updates(0, decode_updates(piece).expect("items"), |_| Some(1)).len())
                 .sum();
             assert_eq!(told, changed, "of so many changes");
         }
@@ -408,56 +428,60 @@
     #[test]
     fn of_a_long_list_little_more_is_told_than_differs() {
         let (mut one, mut other) = (store("n1"), store("n2"));
-        (one.words, other.words) = (Words::new(20_000), Words::new(20_000));
-        let long: Vec<(String, State)> =
-            (0..10_000).map(|number| (format!("srv-{number}"), State::Serves)).collect();
-        one.listed(5, true, &long);
-        other.listed(5, true, &long);
-        let drained: Vec<(String, State)> =
-            (0..50).map(|number| (format!("srv-{}", number * 99), State::Drains)).collect();
-        one.listed(6, false, &drained);
-        let (coarse, fine) = (one.count_differing(&other.digest()), one.count_differing(&other.fine()));
+        (one.statuses, other.statuses) = (StatusTable::new(20_000), StatusTable::new(20_000));
+        let long: Vec<(String, ServerStatus)> =
+            (0..10_000).map(|number| (format!("srv-{number}"), ServerStatus::Serving)).collect();
+        one.apply_discovery(5, true, &long);
+        other.apply_discovery(5, true, &long);
+        let drained: Vec<(String, ServerStatus)> =
+            (0..50).map(|number| (format!("srv-{}", number * 99), ServerStatus::Draining)).collect();
+        one.apply_discovery(6, false, &drained);
+        let (coarse, fine) =
+            (one.count_differences(&other.digest()), one.count_differences(&other.fine_digest()));
         assert!(coarse > 8_000 && (50..1_000).contains(&fine), "{coarse} by 16 parts, {fine} by 1,024");
-        for piece in one.differing(&other.fine(), 16_000) {
+        for piece in one.encode_differences(&other.fine_digest(), 16_000) {
             assert!(piece.len() <= 16_000);
-            other.hear(0, read(&piece).expect("items"), |_| Some(1));
+            other.merge_updates(0, decode_updates(&piece).expect("items"), |_| Some(1));
         }
         assert_eq!(one.digest(), other.digest());
         // A digest of no parts differs in all.
-        assert_eq!(one.count_differing(&[]), 10_000);
+        assert_eq!(one.count_differences(&[]), 10_000);
     }
 
     #[test]
     fn a_row_is_its_writers_alone_and_of_the_start_that_lives() {
         let (mut one, mut other) = (store("n1"), store("n2"));
-        let counts = Counts { done: 3, ..Counts::default() };
-        let row = Row {
-            start: 0,
-            number: 0,
+        let counts = OutcomeCounts { succeeded: 3, ..OutcomeCounts::default() };
+        let row = OutcomeRow {
+            start_id: 0,
+            sequence: 0,
             zone: "a".into(),
-            sets: vec!["x".into()],
-            srvs: vec![("s".into(), 0, counts)],
+            rule_sets: vec!["x".into()],
+            entries: vec![("s".into(), 0, counts)],
         };
-        let items = read(&one.count(100, row.clone())).expect("items");
-        other.hear(1_000, items.clone(), |_| Some(1));
-        assert_eq!(other.rows().get("n1").map(|held| (held.written, held.row.number)), Some((1_000, 1)));
-        assert!(!other.has_news(), "rows are not passed on");
+        let items = decode_updates(&one.record_own_outcomes(100, row.clone())).expect("items");
+        other.merge_updates(1_000, items.clone(), |_| Some(1));
+        assert_eq!(
+            other.outcomes().get("n1").map(|held| (held.written_at, held.row.sequence)),
+            Some((1_000, 1))
+        );
+        assert!(!other.has_pending_updates(), "rows are not passed on");
         // What others say of one's own row is not heard, nor a row of a start that does not live.
-        one.hear(9_000, items.clone(), |_| Some(1));
-        assert_eq!(one.rows().get("n1").map(|held| held.written), Some(100));
+        one.merge_updates(9_000, items.clone(), |_| Some(1));
+        assert_eq!(one.outcomes().get("n1").map(|held| held.written_at), Some(100));
         let mut late = store("n4");
-        late.hear(0, items, |_| Some(2));
-        assert!(late.rows().get("n1").is_none());
+        late.merge_updates(0, items, |_| Some(2));
+        assert!(late.outcomes().get("n1").is_none());
     }
 
     #[test]
     fn kinds_that_this_build_does_not_know_are_skipped() {
         let mut one = store("n1");
-        one.listed(1, true, &list("a!"));
+        one.apply_discovery(1, true, &list("a!"));
         let mut bytes = vec![99, 2, 0, 1, 1];
-        bytes.extend(one.delta(1_000, 3));
-        assert_eq!(read(&bytes).map(|items| items.len()), Ok(1));
-        assert!(read(&bytes[..bytes.len() - 1]).is_err());
+        bytes.extend(one.next_delta(1_000, 3));
+        assert_eq!(decode_updates(&bytes).map(|items| items.len()), Ok(1));
+        assert!(decode_updates(&bytes[..bytes.len() - 1]).is_err());
     }
 
     proptest! {
@@ -465,9 +489,9 @@
 
         #[test]
         fn any_bytes_are_items_or_an_error(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
-            if let Ok(items) = read(&bytes) {
+            if let Ok(items) = decode_updates(&bytes) {
                 prop_assert!(items.len() <= bytes.len() / HEAD);
-                store("n1").hear(0, items, |_| Some(1));
+                store("n1").merge_updates(0, items, |_| Some(1));
             }
         }
     }
--- a/replica/tests/search.rs
+++ b/replica/tests/search.rs
@@ -6,8 +6,8 @@
 use std::collections::{BTreeMap, HashSet};
 use std::hash::{Hash, Hasher};
 
-use ochreshed_replica::store::{Item, Store, read};
-use ochreshed_replica::words::{State, Word};
+use ochreshed_replica::status::{ServerStatus, StampedStatus};
+use ochreshed_replica::store::{Store, Update, decode_updates};
 
 const COPIES: usize = 3;
 const SRV: &str = "s";
@@ -26,15 +26,15 @@
 struct World {
     copies: Vec<Store>,
     /// What a mutant holds in place of its copy's words.
-    mutants: Vec<BTreeMap<String, Word>>,
+    mutants: Vec<BTreeMap<String, StampedStatus>>,
     /// Messages under way: to whom, and what.
     messages: Vec<(usize, Vec<u8>)>,
     /// Discovery's versions, oldest first: the state of the srv in each.
-    versions: Vec<State>,
+    versions: Vec<ServerStatus>,
     /// The count starts anew at this version.
     lost_at: usize,
     /// The greatest word that each copy's process has held.
-    heard: Vec<Option<Word>>,
+    heard: Vec<Option<StampedStatus>>,
     starts: u64,
 }
 
@@ -52,27 +52,27 @@
             copies,
             mutants: vec![BTreeMap::new(); COPIES],
             messages: Vec::new(),
-            versions: vec![State::Serves],
+            versions: vec![ServerStatus::Serving],
             lost_at: 0,
             heard: vec![None; COPIES],
             starts: 1,
         }
     }
 
-    fn held(&self, merge: Merge, copy: usize) -> Option<Word> {
+    fn held(&self, merge: Merge, copy: usize) -> Option<StampedStatus> {
         match merge {
-            Merge::Shipped => self.copies[copy].words().get(SRV),
+            Merge::Shipped => self.copies[copy].statuses().get(SRV),
             _ => self.mutants[copy].get(SRV).copied(),
         }
     }
 
     /// A mutant hears what its copy heard, by its own rule.
-    fn mutate(&mut self, merge: Merge, copy: usize, word: Word) {
+    fn mutate(&mut self, merge: Merge, copy: usize, word: StampedStatus) {
         let held = self.mutants[copy].get(SRV).copied();
         let stands = match (merge, held) {
             (_, None) | (Merge::ByArrival, _) => true,
             (Merge::BetterOfTies, Some(held)) => {
-                word.stamp > held.stamp || word.stamp == held.stamp && word.state < held.state
+                word.stamp > held.stamp || word.stamp == held.stamp && word.status < held.status
             }
             (Merge::Shipped, _) => false,
         };
@@ -85,17 +85,17 @@
     fn ask(&mut self, merge: Merge, copy: usize) {
         let state = self.versions[self.versions.len() - 1];
         let version = (self.versions.len() - self.lost_at) as u64;
-        let entries: Vec<(String, State)> =
-            (state != State::Gone).then(|| (SRV.to_owned(), state)).into_iter().collect();
-        self.copies[copy].listed(version, true, &entries);
-        let said = self.copies[copy].words().get(SRV);
+        let entries: Vec<(String, ServerStatus)> =
+            (state != ServerStatus::Gone).then(|| (SRV.to_owned(), state)).into_iter().collect();
+        self.copies[copy].apply_discovery(version, true, &entries);
+        let said = self.copies[copy].statuses().get(SRV);
         if let Some(word) = said {
             self.mutate(merge, copy, word);
         }
     }
 
     fn send(&mut self, from: usize, to: usize) {
-        let bytes = self.copies[from].delta(1_000, 2);
+        let bytes = self.copies[from].next_delta(1_000, 2);
         if !bytes.is_empty() {
             self.messages.push((to, bytes));
         }
@@ -103,13 +103,13 @@
 
     fn deliver(&mut self, merge: Merge, number: usize) {
         let (to, bytes) = self.messages[number].clone();
-        let items = read(&bytes).expect("items");
+        let items = decode_updates(&bytes).expect("items");
         for item in &items {
-            if let Item::Word { word, .. } = item {
+            if let Update::Status { stamped: word, .. } = item {
                 self.mutate(merge, to, *word);
             }
         }
-        self.copies[to].hear(0, items, |_| Some(1));
+        self.copies[to].merge_updates(0, items, |_| Some(1));
     }
 
     /// All copies meet until none learns anything; what differs then, if anything.
@@ -119,8 +119,9 @@
             for from in 0..COPIES {
                 for to in (0..COPIES).filter(|to| *to != from) {
                     let theirs = world.copies[to].digest();
-                    for piece in world.copies[from].differing(&theirs, 1_000) {
-                        world.copies[to].hear(0, read(&piece).expect("items"), |_| Some(1));
+                    for piece in world.copies[from].encode_differences(&theirs, 1_000) {
+                        world.copies[to]
+                            .merge_updates(0, decode_updates(&piece).expect("items"), |_| Some(1));
                     }
                 }
             }
@@ -168,14 +169,14 @@
             change(&mut after);
             self.visit(after, left - 1);
         };
-        for state in [State::Serves, State::Drains, State::Gone] {
+        for state in [ServerStatus::Serving, ServerStatus::Draining, ServerStatus::Gone] {
             if world.versions.len() < 4 && world.versions[world.versions.len() - 1] != state {
                 next(&|world| world.versions.push(state));
             }
         }
         for copy in 0..COPIES {
             next(&|world| world.ask(merge, copy));
-            for to in (0..COPIES).filter(|to| *to != copy && world.copies[copy].has_news()) {
+            for to in (0..COPIES).filter(|to| *to != copy && world.copies[copy].has_pending_updates()) {
                 next(&|world| world.send(copy, to));
             }
         }
