--- a/balancer/src/fleet.rs
+++ b/balancer/src/fleet.rs
@@ -17,9 +17,9 @@
 use ochreshed_gossip::peer::{Output, Peer, Settings};
 use ochreshed_membership::swim::{Config, To};
 use ochreshed_membership::wire::MOST;
-use ochreshed_recovery::begin::{self, First, Given, Source};
-use ochreshed_recovery::snapshot::{self, Snapshot};
-use ochreshed_recovery::start::{self, Knows, Start};
+use ochreshed_recovery::initial_list::{FactsList, InitialList, ListSource, select_initial_list};
+use ochreshed_recovery::snapshot::{Snapshot, SnapshotEntry};
+use ochreshed_recovery::start_progress::{ListFreshness, StartProgress, max_wait_for_peers};
 use ochreshed_replica::outcomes::OutcomeCounts;
 use ochreshed_replica::status::ServerStatus;
 use tokio::net::{TcpListener, UdpSocket};
@@ -56,7 +56,7 @@
     /// Where the module's actor puts what the others are to be told.
     pub evidence: Evidence,
     /// The list to begin with, and where it is from.
-    pub first: (Source, Vec<Entry>),
+    pub first: (ListSource, Vec<Entry>),
     /// Others have told what they know; and how long a start may wait for that.
     pub confirmed: watch::Receiver<bool>,
     pub wait: Duration,
@@ -112,7 +112,7 @@
     keep_at: Option<Nanos>,
     kept: u64,
     spread: Nanos,
-    start: Start,
+    start: StartProgress,
     figures: Arc<Figures>,
     /// Reqs that had ended when that was looked at last, and those of them that were lost.
     ends: (u64, u64),
@@ -153,19 +153,19 @@
     let keep = file.snapshots.as_deref().map(Keep::new);
     let unix = unix_nanos();
     let snapshot = keep.as_ref().and_then(|keep| keep.read(&file.fleet, name, unix));
-    let age = snapshot.as_ref().map(|snapshot| unix.saturating_sub(snapshot.written));
+    let age = snapshot.as_ref().map(|snapshot| unix.saturating_sub(snapshot.written_at_unix_ns));
     let version = given.as_ref().map(|(version, _)| *version);
-    let given = given.map(|(version, entries)| Given { version, entries });
-    let first: First<SocketAddr> = begin::first(given, snapshot.as_ref(), age.unwrap_or(0));
+    let given = given.map(|(version, entries)| FactsList { version, entries });
+    let first: InitialList<SocketAddr> = select_initial_list(given, snapshot.as_ref(), age.unwrap_or(0));
     if let Some(age) = age {
-        let First { source, entries, gone, drain } = &first;
+        let InitialList { source, entries, excluded_as_gone, marked_draining } = &first;
         info!(
-            "snapshot {} s old: begins with {} srvs by {source:?}, {gone} left out as gone, {drain} avoided",
+            "snapshot {} s old: begins with {} srvs by {source:?}, {excluded_as_gone} left out as gone, {marked_draining} avoided",
             age / S,
             entries.len()
         );
     }
-    let wait = start::wait(age, !file.seeds.is_empty());
+    let wait = max_wait_for_peers(age, !file.seeds.is_empty());
     let settings = Settings {
         fleet: file.fleet.clone(),
         name: name.into(),
@@ -181,9 +181,9 @@
     let (mut peer, counts) = (Peer::new(settings, now), page::Counts::default());
     if let Some(snapshot) = &snapshot {
         // What the facts' list is newer in is settled by it.
-        let newer =
-            version.is_some_and(|version| version > snapshot.stamp.version) && first.source == Source::Facts;
-        peer.recall(snapshot.stamp, &snapshot.words, snapshot.floor);
+        let newer = version.is_some_and(|version| version > snapshot.stamp.version)
+            && first.source == ListSource::Facts;
+        peer.recall(snapshot.stamp, &snapshot.statuses, snapshot.floor);
         if newer {
             let said: Vec<(String, ServerStatus)> = first
                 .entries
@@ -193,7 +193,7 @@
             peer.listed(version.unwrap_or_default(), true, &said);
         }
     }
-    let start = Start::new(now, !first.entries.is_empty());
+    let start = StartProgress::new(now, !first.entries.is_empty());
     let (confirmed, told) = watch::channel(false);
     let page = (page::show(&peer, &file.fleet, counts, now), page::figures(&peer, counts, &start));
     let (pages, shown) = watch::channel(page);
@@ -216,7 +216,7 @@
         evidence: evidence.clone(),
         keep,
         keep_at: None,
-        kept: snapshot.map_or(0, |snapshot| snapshot.number),
+        kept: snapshot.map_or(0, |snapshot| snapshot.sequence),
         spread,
         start,
         figures,
@@ -282,7 +282,7 @@
                     self.meet(mail);
                 },
                 () = life.reached(Phase::Serving), if !serves => {
-                    self.start.ready(self.clock.now());
+                    self.start.mark_ready(self.clock.now());
                     serves = true;
                 }
                 // One that is to end says so: it is no loss to the others. It still hears what drains.
@@ -325,11 +325,15 @@
         let snapshot = Snapshot {
             fleet: self.file.fleet.clone(),
             instance: self.peer.swim().name().to_owned(),
-            number: self.kept + 1,
-            written: unix_nanos(),
+            sequence: self.kept + 1,
+            written_at_unix_ns: unix_nanos(),
             stamp: store.discovery_stamp(),
-            list: self.known.list().map(|(listed, address)| snapshot::Entry::of(listed, *address)).collect(),
-            words: worse.map(|(srv, word)| (srv.clone(), *word)).collect(),
+            entries: self
+                .known
+                .list()
+                .map(|(listed, address)| SnapshotEntry::from_listed(listed, *address))
+                .collect(),
+            statuses: worse.map(|(srv, word)| (srv.clone(), *word)).collect(),
             floor: store.statuses().floor(),
         };
         let Some(keep) = &mut self.keep else { return };
@@ -344,22 +348,22 @@
     /// How far the start has come.
     fn look(&mut self, now: Nanos) {
         if self.peer.confirmed() {
-            self.start.told(now, Knows::Others);
+            self.start.record_confirmation(now, ListFreshness::ConfirmedByPeers);
             self.confirmed.send_if_modified(|told| !std::mem::replace(told, true));
         }
         let (ended, lost) = self.figures.ends();
-        self.start.ended(now, ended - self.ends.0, lost - self.ends.1);
+        self.start.record_requests(now, ended - self.ends.0, lost - self.ends.1);
         self.ends = (ended, lost);
-        if let Some(told) = self.start.look(now) {
+        if let Some(told) = self.start.check_full_service(now) {
             let ms = |span: Nanos| span / 1_000_000;
             let some = |span: Option<Nanos>| span.map_or("never".into(), |span| format!("{} ms", ms(span)));
             info!(
                 "full service {} ms after the start: began by {}, ready {} ms, told by others {}, by discovery {}",
-                ms(told.full),
-                told.began_by.name(),
-                ms(told.ready),
-                some(told.others),
-                some(told.discovery)
+                ms(told.full_service_after),
+                told.initial_freshness.label(),
+                ms(told.ready_after),
+                some(told.peers_after),
+                some(told.discovery_after)
             );
         }
     }
@@ -369,7 +373,7 @@
         let Mail::List { whole, old, version, mut entries } = mail else { return mail };
         let now = self.clock.now();
         if !old {
-            self.start.told(now, Knows::Discovery);
+            self.start.record_confirmation(now, ListFreshness::ConfirmedByDiscovery);
             if whole || !entries.is_empty() {
                 self.changed(now);
             }
--- a/balancer/src/fleet/keep.rs
+++ b/balancer/src/fleet/keep.rs
@@ -7,8 +7,8 @@
 use std::sync::atomic::{AtomicBool, Ordering::Relaxed};
 use std::sync::{Arc, Mutex, PoisonError};
 
-use ochreshed_recovery::disk::{self, Disk, NAME};
-use ochreshed_recovery::snapshot::{MOST, Snapshot};
+use ochreshed_recovery::snapshot::{MAX_SNAPSHOT_BYTES, Snapshot};
+use ochreshed_recovery::snapshot_file::{SNAPSHOT_FILE_NAME, SnapshotDir, save_snapshot};
 use tokio::task::spawn_blocking;
 use tracing::warn;
 
@@ -16,26 +16,26 @@
 
 struct Folder<'a>(&'a Path);
 
-impl Disk for Folder<'_> {
+impl SnapshotDir for Folder<'_> {
     type Error = io::Error;
 
-    fn write(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
+    fn write_file(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
         File::create(self.0.join(name))?.write_all(bytes)
     }
 
-    fn flush(&mut self, name: &str) -> io::Result<()> {
+    fn sync_file(&mut self, name: &str) -> io::Result<()> {
         File::open(self.0.join(name))?.sync_all()
     }
 
-    fn rename(&mut self, from: &str, to: &str) -> io::Result<()> {
+    fn rename_file(&mut self, from: &str, to: &str) -> io::Result<()> {
         fs::rename(self.0.join(from), self.0.join(to))
     }
 
-    fn flush_folder(&mut self) -> io::Result<()> {
+    fn sync_directory(&mut self) -> io::Result<()> {
         File::open(self.0)?.sync_all()
     }
 
-    fn remove(&mut self, name: &str) -> io::Result<()> {
+    fn remove_file(&mut self, name: &str) -> io::Result<()> {
         fs::remove_file(self.0.join(name))
     }
 }
@@ -66,10 +66,10 @@
 
     /// The snapshot of this instance, if there is one that can be taken; else why not, where there is something.
     pub fn read(&self, fleet: &str, instance: &str, now: u64) -> Option<Snapshot> {
-        let path = self.folder.join(NAME);
+        let path = self.folder.join(SNAPSHOT_FILE_NAME);
         match read(&path) {
             Ok(None) => None,
-            Ok(Some(bytes)) => match Snapshot::own(&bytes, fleet, instance, now) {
+            Ok(Some(bytes)) => match Snapshot::decode_for_instance(&bytes, fleet, instance, now) {
                 Ok(snapshot) => Some(snapshot),
                 Err(wrong) => {
                     warn!("snapshot {}: {wrong}; the start goes on without", path.display());
@@ -102,7 +102,7 @@
                 format!("no snapshots in {}: {why}", folder.display())
             });
             let written = owned.and_then(|()| {
-                let saved = disk::save(&mut Folder(&folder), &snapshot.write());
+                let saved = save_snapshot(&mut Folder(&folder), &snapshot.encode());
                 saved.map_err(|why| format!("snapshot in {}: {why}; the one before stands", folder.display()))
             });
             match written {
@@ -136,7 +136,7 @@
         Err(why) => return Err(why),
     };
     let mut bytes = Vec::new();
-    file.take(MOST as u64 + 1).read_to_end(&mut bytes)?;
+    file.take(MAX_SNAPSHOT_BYTES as u64 + 1).read_to_end(&mut bytes)?;
     Ok(Some(bytes))
 }
 
@@ -145,28 +145,29 @@
     let said = |why: String| format!("{}: {why}", path.display());
     let bytes =
         read(path).map_err(|e| said(e.to_string()))?.ok_or_else(|| said("there is no such file".into()))?;
-    let snapshot = Snapshot::read(&bytes).map_err(|wrong| said(wrong.to_string()))?;
-    let Snapshot { fleet, instance, number, written, stamp, list, words, floor } = snapshot;
-    let age = super::unix_nanos().saturating_sub(written) / 1_000_000_000;
+    let snapshot = Snapshot::decode(&bytes).map_err(|wrong| said(wrong.to_string()))?;
+    let Snapshot { fleet, instance, sequence, written_at_unix_ns, stamp, entries, statuses, floor } =
+        snapshot;
+    let age = super::unix_nanos().saturating_sub(written_at_unix_ns) / 1_000_000_000;
     let mut lines = vec![format!(
-        "snapshot {number} of {instance} of fleet {fleet}, {age} s old, {} bytes: list {}.{} of {} srvs, {} words, floor {}.{}",
+        "snapshot {sequence} of {instance} of fleet {fleet}, {age} s old, {} bytes: list {}.{} of {} srvs, {} words, floor {}.{}",
         bytes.len(),
         stamp.epoch,
         stamp.version,
-        list.len(),
-        words.len(),
+        entries.len(),
+        statuses.len(),
         floor.epoch,
         floor.version
     )];
     if show {
-        lines.extend(list.iter().map(|entry| {
-            let state = if entry.drains { "drains" } else { "serves" };
+        lines.extend(entries.iter().map(|entry| {
+            let state = if entry.draining { "drains" } else { "serves" };
             format!(
                 "srv {} {state} in {} at {}, weight {}",
-                entry.srv, entry.site, entry.address, entry.weight
+                entry.server, entry.site, entry.address, entry.weight
             )
         }));
-        lines.extend(words.iter().map(|(srv, word)| {
+        lines.extend(statuses.iter().map(|(srv, word)| {
             format!("word {srv} {:?} by list {}.{}", word.status, word.stamp.epoch, word.stamp.version)
         }));
     }
--- a/balancer/src/fleet/page.rs
+++ b/balancer/src/fleet/page.rs
@@ -7,7 +7,7 @@
 
 use ochreshed_gossip::peer::Peer;
 use ochreshed_gossip::{Nanos, S};
-use ochreshed_recovery::start::Start;
+use ochreshed_recovery::start_progress::StartProgress;
 use ochreshed_replica::status::ServerStatus;
 
 /// Srvs that drain or are gone are shown up to so many.
@@ -68,7 +68,7 @@
 }
 
 /// The same in numbers: a name, a value, and whether it is a count or a gauge.
-pub fn figures(peer: &Peer, counts: Counts, start: &Start) -> Vec<(&'static str, u64, &'static str)> {
+pub fn figures(peer: &Peer, counts: Counts, start: &StartProgress) -> Vec<(&'static str, u64, &'static str)> {
     let (swim, words, traffic) = (peer.swim(), peer.store().statuses(), peer.traffic());
     let worse = words.iter().filter(|(_, word)| word.status != ServerStatus::Serving).count();
     vec![
@@ -84,9 +84,9 @@
         ("fleet.sent_bytes", traffic.sent_bytes, "c"),
         ("fleet.received_bytes", traffic.received_bytes, "c"),
         ("fleet.unreadable", traffic.wrong.values().sum(), "c"),
-        ("start.knows", start.knows() as u64, "g"),
+        ("start.knows", start.freshness() as u64, "g"),
         // 0 until it is reached.
-        ("start.full_service_ms", start.full().unwrap_or(0) / 1_000_000, "g"),
+        ("start.full_service_ms", start.full_service_after().unwrap_or(0) / 1_000_000, "g"),
     ]
 }
 
--- a/balancer/src/phases.rs
+++ b/balancer/src/phases.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use ochreshed::{Balancer, Facts, Name, Nanos, Value, list as facts_list, span, text};
-use ochreshed_recovery::begin::Source;
+use ochreshed_recovery::initial_list::ListSource;
 use tokio::net::TcpListener;
 use tokio::signal::unix::{Signal, SignalKind, signal};
 use tokio::sync::{Semaphore, mpsc, oneshot, watch};
@@ -185,12 +185,12 @@
     let news = fleet.as_ref().map_or(&mail, |fleet| &fleet.news).clone();
     let first = match &mut fleet {
         Some(fleet) => {
-            if fleet.first.0 == Source::Snapshot {
+            if fleet.first.0 == ListSource::Snapshot {
                 // Changes since the facts' list say nothing of one that is of another count: the whole is asked for.
                 known = None;
             }
             let entries = std::mem::take(&mut fleet.first.1);
-            (fleet.first.0 != Source::Nothing).then_some((true, entries))
+            (fleet.first.0 != ListSource::Nothing).then_some((true, entries))
         }
         None => given.map(|(_, whole, entries)| (whole, entries)),
     };
--- a/recovery/src/snapshot.rs
+++ b/recovery/src/snapshot.rs
@@ -14,14 +14,14 @@
 /// Magic, format, length of the body, and the CRC-32C over these and the body.
 const HEAD: usize = 8 + 2 + 4 + 4;
 /// No list that there is comes near it.
-pub const MOST: usize = 16 << 20;
+pub const MAX_SNAPSHOT_BYTES: usize = 16 << 20;
 
 /// An entry of the list as discovery told it here.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Entry {
-    pub srv: String,
+pub struct SnapshotEntry {
+    pub server: String,
     /// It drains; what is gone has no entry.
-    pub drains: bool,
+    pub draining: bool,
     pub came_up: Option<u64>,
     pub weight: f64,
     pub site: String,
@@ -30,11 +30,11 @@
     pub address: SocketAddr,
 }
 
-impl Entry {
-    pub fn of(listed: &Listed, address: SocketAddr) -> Entry {
-        Entry {
-            srv: listed.srv.to_string(),
-            drains: listed.state != State::Up,
+impl SnapshotEntry {
+    pub fn from_listed(listed: &Listed, address: SocketAddr) -> SnapshotEntry {
+        SnapshotEntry {
+            server: listed.srv.to_string(),
+            draining: listed.state != State::Up,
             came_up: listed.came_up,
             weight: listed.weight,
             site: listed.site.to_string(),
@@ -43,10 +43,10 @@
         }
     }
 
-    pub fn listed(&self) -> Listed {
+    pub fn to_listed(&self) -> Listed {
         Listed {
-            srv: self.srv.as_str().into(),
-            state: if self.drains { State::Draining } else { State::Up },
+            srv: self.server.as_str().into(),
+            state: if self.draining { State::Draining } else { State::Up },
             came_up: self.came_up,
             weight: self.weight,
             site: self.site.as_str().into(),
@@ -60,50 +60,52 @@
     pub fleet: String,
     pub instance: String,
     /// Grows with each that the instance writes.
-    pub number: u64,
+    pub sequence: u64,
     /// On the machine's own clock, in nanoseconds since 1970: for how old it is, never for which of two is newer.
-    pub written: u64,
+    pub written_at_unix_ns: u64,
     /// Of the list: discovery's version, in the count of the balancers.
     pub stamp: Stamp,
-    pub list: Vec<Entry>,
+    pub entries: Vec<SnapshotEntry>,
     /// What was heard of srvs that drain or are gone, and what is forgotten.
-    pub words: Vec<(String, StampedStatus)>,
+    pub statuses: Vec<(String, StampedStatus)>,
     pub floor: Stamp,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Wrong {
+pub enum SnapshotError {
     /// Too short, too long, or not begun as ours are.
-    NotOurs,
+    NotASnapshot,
     /// Its end is missing, or something stands behind it.
-    Torn,
-    Checksum,
+    LengthMismatch,
+    ChecksumMismatch,
     /// Of a build that writes another format.
-    Format(u16),
+    UnsupportedFormat(u16),
     /// Its body can't be read.
-    Unreadable,
+    UndecodableBody,
     /// Of another fleet or another instance, which it names.
-    Foreign(String),
+    OtherOwner(String),
     /// Written later than now, by so many seconds: the clock went back.
-    Future(u64),
+    WrittenInFuture(u64),
 }
 
-impl std::fmt::Display for Wrong {
+impl std::fmt::Display for SnapshotError {
     fn fmt(&self, to: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Wrong::NotOurs => write!(to, "no snapshot"),
-            Wrong::Torn => write!(to, "not whole"),
-            Wrong::Checksum => write!(to, "damaged: its checksum is another"),
-            Wrong::Format(format) => write!(to, "of format {format}, which this build does not know"),
-            Wrong::Unreadable => write!(to, "its checksum is right and its body can't be read"),
-            Wrong::Foreign(whose) => write!(to, "of {whose}"),
-            Wrong::Future(seconds) => write!(to, "written {seconds} s from now"),
+            SnapshotError::NotASnapshot => write!(to, "no snapshot"),
+            SnapshotError::LengthMismatch => write!(to, "not whole"),
+            SnapshotError::ChecksumMismatch => write!(to, "damaged: its checksum is another"),
+            SnapshotError::UnsupportedFormat(format) => {
+                write!(to, "of format {format}, which this build does not know")
+            }
+            SnapshotError::UndecodableBody => write!(to, "its checksum is right and its body can't be read"),
+            SnapshotError::OtherOwner(whose) => write!(to, "of {whose}"),
+            SnapshotError::WrittenInFuture(seconds) => write!(to, "written {seconds} s from now"),
         }
     }
 }
 
 impl Snapshot {
-    pub fn write(&self) -> Vec<u8> {
+    pub fn encode(&self) -> Vec<u8> {
         // Plain values: writing them to memory does not fail.
         let body = postcard::to_stdvec(self).unwrap_or_default();
         let mut bytes = Vec::with_capacity(HEAD + body.len());
@@ -117,35 +119,43 @@
     }
 
     /// Reads one, whosever it is.
-    pub fn read(bytes: &[u8]) -> Result<Snapshot, Wrong> {
-        if bytes.len() < HEAD || bytes.len() > MOST || bytes[..8] != MAGIC {
-            return Err(Wrong::NotOurs);
+    pub fn decode(bytes: &[u8]) -> Result<Snapshot, SnapshotError> {
+        if bytes.len() < HEAD || bytes.len() > MAX_SNAPSHOT_BYTES || bytes[..8] != MAGIC {
+            return Err(SnapshotError::NotASnapshot);
         }
         let format = u16::from_le_bytes([bytes[8], bytes[9]]);
         if format != FORMAT {
-            return Err(Wrong::Format(format));
+            return Err(SnapshotError::UnsupportedFormat(format));
         }
         let length = u32::from_le_bytes([bytes[10], bytes[11], bytes[12], bytes[13]]) as usize;
         let body = &bytes[HEAD..];
         if body.len() != length {
-            return Err(Wrong::Torn);
+            return Err(SnapshotError::LengthMismatch);
         }
         if bytes[14..HEAD] != crc32c::crc32c_append(crc32c::crc32c(&bytes[..14]), body).to_le_bytes() {
-            return Err(Wrong::Checksum);
+            return Err(SnapshotError::ChecksumMismatch);
         }
-        postcard::from_bytes(body).map_err(|_| Wrong::Unreadable)
+        postcard::from_bytes(body).map_err(|_| SnapshotError::UndecodableBody)
     }
 
     /// Reads one of this instance of this fleet, at this time of the machine's clock.
-    pub fn own(bytes: &[u8], fleet: &str, instance: &str, now: u64) -> Result<Snapshot, Wrong> {
-        let snapshot = Snapshot::read(bytes)?;
+    pub fn decode_for_instance(
+        bytes: &[u8],
+        fleet: &str,
+        instance: &str,
+        now: u64,
+    ) -> Result<Snapshot, SnapshotError> {
+        let snapshot = Snapshot::decode(bytes)?;
         if snapshot.fleet != fleet || snapshot.instance != instance {
-            return Err(Wrong::Foreign(format!("{} of fleet {}", snapshot.instance, snapshot.fleet)));
+            return Err(SnapshotError::OtherOwner(format!(
+                "{} of fleet {}",
+                snapshot.instance, snapshot.fleet
+            )));
         }
-        match snapshot.written.saturating_sub(now) / 1_000_000_000 {
+        match snapshot.written_at_unix_ns.saturating_sub(now) / 1_000_000_000 {
             // Clocks are set right by a little all day.
             0..=60 => Ok(snapshot),
-            ahead => Err(Wrong::Future(ahead)),
+            ahead => Err(SnapshotError::WrittenInFuture(ahead)),
         }
     }
 }
@@ -158,9 +168,9 @@
     use super::*;
 
     pub fn snapshot(number: u64) -> Snapshot {
-        let entry = |at: u64| Entry {
-            srv: format!("s{at}"),
-            drains: at.is_multiple_of(5),
+        let entry = |at: u64| SnapshotEntry {
+            server: format!("s{at}"),
+            draining: at.is_multiple_of(5),
             came_up: at.is_multiple_of(3).then_some(at),
             weight: 1.5,
             site: "a".into(),
@@ -171,34 +181,43 @@
         Snapshot {
             fleet: "shop".into(),
             instance: "n1".into(),
-            number,
-            written: 1_000_000_000_000 + number,
+            sequence: number,
+            written_at_unix_ns: 1_000_000_000_000 + number,
             stamp,
-            list: (0..20 + number % 7).map(entry).collect(),
-            words: vec![("gone".into(), StampedStatus { stamp, status: ServerStatus::Gone })],
+            entries: (0..20 + number % 7).map(entry).collect(),
+            statuses: vec![("gone".into(), StampedStatus { stamp, status: ServerStatus::Gone })],
             floor: Stamp::default(),
         }
     }
 
     #[test]
     fn it_is_read_as_written_by_its_own_instance_only() {
-        let (bytes, now) = (snapshot(3).write(), 2_000_000_000_000);
-        assert_eq!(Snapshot::own(&bytes, "shop", "n1", now), Ok(snapshot(3)));
-        assert_eq!(Snapshot::own(&bytes, "shop", "n2", now), Err(Wrong::Foreign("n1 of fleet shop".into())));
-        assert!(matches!(Snapshot::own(&bytes, "bank", "n1", now), Err(Wrong::Foreign(_))));
-        assert_eq!(Snapshot::own(&bytes, "shop", "n1", 100_000_000_000), Err(Wrong::Future(900)));
+        let (bytes, now) = (snapshot(3).encode(), 2_000_000_000_000);
+        assert_eq!(Snapshot::decode_for_instance(&bytes, "shop", "n1", now), Ok(snapshot(3)));
+        assert_eq!(
+            Snapshot::decode_for_instance(&bytes, "shop", "n2", now),
+            Err(SnapshotError::OtherOwner("n1 of fleet shop".into()))
+        );
+        assert!(matches!(
+            Snapshot::decode_for_instance(&bytes, "bank", "n1", now),
+            Err(SnapshotError::OtherOwner(_))
+        ));
+        assert_eq!(
+            Snapshot::decode_for_instance(&bytes, "shop", "n1", 100_000_000_000),
+            Err(SnapshotError::WrittenInFuture(900))
+        );
         let mut newer = bytes.clone();
         newer[8] = 2;
-        assert_eq!(Snapshot::read(&newer), Err(Wrong::Format(2)));
-        assert_eq!(Snapshot::read(&[bytes.clone(), vec![0]].concat()), Err(Wrong::Torn));
-        assert_eq!(Snapshot::read(b"{}"), Err(Wrong::NotOurs));
+        assert_eq!(Snapshot::decode(&newer), Err(SnapshotError::UnsupportedFormat(2)));
+        assert_eq!(Snapshot::decode(&[bytes.clone(), vec![0]].concat()), Err(SnapshotError::LengthMismatch));
+        assert_eq!(Snapshot::decode(b"{}"), Err(SnapshotError::NotASnapshot));
     }
 
     #[test]
     fn an_entry_is_the_lists() {
-        let entry = &snapshot(0).list[5];
-        let again = Entry::of(&entry.listed(), entry.address);
-        assert_eq!((&again, entry.listed().state), (entry, State::Draining));
+        let entry = &snapshot(0).entries[5];
+        let again = SnapshotEntry::from_listed(&entry.to_listed(), entry.address);
+        assert_eq!((&again, entry.to_listed().state), (entry, State::Draining));
     }
 
     proptest! {
@@ -206,23 +225,23 @@
 
         #[test]
         fn damaged_or_cut_it_is_refused(at in any::<prop::sample::Index>(), flip in 1..=255u8, cut in any::<prop::sample::Index>()) {
-            let whole = snapshot(1).write();
+            let whole = snapshot(1).encode();
             let mut bytes = whole.clone();
             let at = at.index(bytes.len());
             bytes[at] ^= flip;
-            prop_assert!(Snapshot::read(&bytes).is_err());
-            prop_assert!(Snapshot::read(&whole[..cut.index(whole.len())]).is_err());
+            prop_assert!(Snapshot::decode(&bytes).is_err());
+            prop_assert!(Snapshot::decode(&whole[..cut.index(whole.len())]).is_err());
         }
 
         #[test]
         fn any_bytes_behind_a_right_head_are_one_or_an_error(body in prop::collection::vec(any::<u8>(), 0..400)) {
-            let mut bytes = snapshot(1).write()[..10].to_vec();
+            let mut bytes = snapshot(1).encode()[..10].to_vec();
             bytes.extend_from_slice(&(body.len() as u32).to_le_bytes());
             let sum = crc32c::crc32c_append(crc32c::crc32c(&bytes), &body);
             bytes.extend_from_slice(&sum.to_le_bytes());
             bytes.extend_from_slice(&body);
-            if let Ok(read) = Snapshot::read(&bytes) {
-                prop_assert!(read.list.len() + read.words.len() <= body.len());
+            if let Ok(read) = Snapshot::decode(&bytes) {
+                prop_assert!(read.entries.len() + read.statuses.len() <= body.len());
             }
         }
     }
--- a/recovery/src/start.rs
+++ b/recovery/src/start_progress.rs
@@ -6,24 +6,24 @@
 
 /// What a start goes by.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Knows {
+pub enum ListFreshness {
     /// No list at all: nothing can be sent.
-    Nothing,
+    NoList,
     /// A list from before the start.
-    OldList,
+    StaleList,
     /// Others have told what they know.
-    Others,
+    ConfirmedByPeers,
     /// Discovery has told a list since the start.
-    Discovery,
+    ConfirmedByDiscovery,
 }
 
-impl Knows {
-    pub fn name(self) -> &'static str {
+impl ListFreshness {
+    pub fn label(self) -> &'static str {
         match self {
-            Knows::Nothing => "nothing",
-            Knows::OldList => "an old list",
-            Knows::Others => "told by others",
-            Knows::Discovery => "told by discovery",
+            ListFreshness::NoList => "nothing",
+            ListFreshness::StaleList => "an old list",
+            ListFreshness::ConfirmedByPeers => "told by others",
+            ListFreshness::ConfirmedByDiscovery => "told by discovery",
         }
     }
 }
@@ -46,17 +46,17 @@
 /// How long a start with a list of this age may wait for others to tell what has changed since. With nobody to ask, or a list
 /// whose age is not known, it serves at once: to guess an age cost each start 36 ms, a fourteenth of the half second in which
 /// all restart.
-pub fn wait(age: Option<Nanos>, others: bool) -> Nanos {
-    let Some(age) = age.filter(|_| others) else { return 0 };
+pub fn max_wait_for_peers(list_age: Option<Nanos>, has_peers: bool) -> Nanos {
+    let Some(age) = list_age.filter(|_| has_peers) else { return 0 };
     let changed = 1.0 - 0.5f64.powf(age as f64 / 1e9 / HALF_CHANGED);
     let worth = changed * LOST_OF_STALE * DISCOVERY_TAKES;
     ((worth * 1e9) as Nanos).min(WAIT_MOST)
 }
 
 #[derive(Clone, Debug)]
-pub struct Start {
+pub struct StartProgress {
     began: Nanos,
-    knows: Knows,
+    freshness: ListFreshness,
     /// When each was reached first.
     reached: [Option<Nanos>; 4],
     ready: Option<Nanos>,
@@ -71,24 +71,24 @@
 
 /// How a start went, once it is over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Told {
+pub struct StartSummary {
     /// Spans from the process's start.
-    pub ready: Nanos,
-    pub full: Nanos,
-    pub others: Option<Nanos>,
-    pub discovery: Option<Nanos>,
+    pub ready_after: Nanos,
+    pub full_service_after: Nanos,
+    pub peers_after: Option<Nanos>,
+    pub discovery_after: Option<Nanos>,
     /// What it served by until then.
-    pub began_by: Knows,
+    pub initial_freshness: ListFreshness,
 }
 
-impl Start {
-    pub fn new(now: Nanos, list: bool) -> Start {
-        let knows = if list { Knows::OldList } else { Knows::Nothing };
+impl StartProgress {
+    pub fn new(now: Nanos, list: bool) -> StartProgress {
+        let freshness = if list { ListFreshness::StaleList } else { ListFreshness::NoList };
         let mut reached = [None; 4];
-        reached[knows as usize] = Some(now);
-        Start {
+        reached[freshness as usize] = Some(now);
+        StartProgress {
             began: now,
-            knows,
+            freshness,
             reached,
             ready: None,
             full: None,
@@ -99,30 +99,30 @@
         }
     }
 
-    pub fn knows(&self) -> Knows {
-        self.knows
+    pub fn freshness(&self) -> ListFreshness {
+        self.freshness
     }
 
     /// When full service was reached, from the process's start.
-    pub fn full(&self) -> Option<Nanos> {
+    pub fn full_service_after(&self) -> Option<Nanos> {
         self.full.map(|full| full.saturating_sub(self.began))
     }
 
     /// It serves.
-    pub fn ready(&mut self, now: Nanos) {
+    pub fn mark_ready(&mut self, now: Nanos) {
         if self.ready.is_none() {
             (self.ready, self.window, self.ended, self.lost) = (Some(now), now, 0, 0);
         }
     }
 
     /// Others, or discovery, have told what they know. Never less than before.
-    pub fn told(&mut self, now: Nanos, by: Knows) {
+    pub fn record_confirmation(&mut self, now: Nanos, by: ListFreshness) {
         self.reached[by as usize].get_or_insert(now);
-        self.knows = self.knows.max(by);
+        self.freshness = self.freshness.max(by);
     }
 
     /// So many reqs have ended; lost are those whose clients got no answer that they wanted.
-    pub fn ended(&mut self, now: Nanos, ended: u64, lost: u64) {
+    pub fn record_requests(&mut self, now: Nanos, ended: u64, lost: u64) {
         self.turn(now);
         (self.ended, self.lost) = (self.ended + ended, self.lost + lost);
     }
@@ -142,24 +142,25 @@
     }
 
     /// Looks whether it is over; the first time that it is, how it went.
-    pub fn look(&mut self, now: Nanos) -> Option<Told> {
+    pub fn check_full_service(&mut self, now: Nanos) -> Option<StartSummary> {
         self.turn(now);
         let ready = self.ready?;
         // Somebody has confirmed the list since.
-        let confirmed = self.reached[Knows::Others as usize..].iter().flatten().min().copied()?;
+        let confirmed =
+            self.reached[ListFreshness::ConfirmedByPeers as usize..].iter().flatten().min().copied()?;
         let full = self.bad_until.max(confirmed).max(ready);
         if self.full.is_some() || now < full + QUIET {
             return None;
         }
         self.full = Some(full);
         let span = |at: Nanos| at.saturating_sub(self.began);
-        let old = self.reached[Knows::OldList as usize].is_some();
-        Some(Told {
-            ready: span(ready),
-            full: span(full),
-            others: self.reached[Knows::Others as usize].map(span),
-            discovery: self.reached[Knows::Discovery as usize].map(span),
-            began_by: if old { Knows::OldList } else { Knows::Nothing },
+        let old = self.reached[ListFreshness::StaleList as usize].is_some();
+        Some(StartSummary {
+            ready_after: span(ready),
+            full_service_after: span(full),
+            peers_after: self.reached[ListFreshness::ConfirmedByPeers as usize].map(span),
+            discovery_after: self.reached[ListFreshness::ConfirmedByDiscovery as usize].map(span),
+            initial_freshness: if old { ListFreshness::StaleList } else { ListFreshness::NoList },
         })
     }
 }
@@ -170,41 +171,58 @@
 
     #[test]
     fn full_service_is_when_the_last_bad_window_ended_and_somebody_confirmed_the_list() {
-        let mut start = Start::new(0, true);
-        start.ready(300 * MS);
-        assert_eq!(start.look(10 * S), None, "nobody has confirmed its list");
-        let mut start = Start::new(0, true);
-        start.ready(300 * MS);
-        start.ended(400 * MS, 100, 30);
-        start.told(600 * MS, Knows::Others);
-        start.ended(900 * MS, 100, 2);
-        start.ended(S, 2, 0);
-        assert_eq!(start.look(2_700 * MS), None, "the quiet has not lasted");
-        let told = start.look(2_800 * MS).expect("over");
-        assert_eq!((told.ready, told.full, told.others), (300 * MS, 800 * MS, Some(600 * MS)));
-        assert_eq!((told.began_by, told.discovery, start.knows()), (Knows::OldList, None, Knows::Others));
-        assert_eq!((start.look(9 * S), start.full()), (None, Some(800 * MS)), "it is told once");
+        let mut start = StartProgress::new(0, true);
+        start.mark_ready(300 * MS);
+        assert_eq!(start.check_full_service(10 * S), None, "nobody has confirmed its list");
+        let mut start = StartProgress::new(0, true);
+        start.mark_ready(300 * MS);
+        start.record_requests(400 * MS, 100, 30);
+        start.record_confirmation(600 * MS, ListFreshness::ConfirmedByPeers);
+        start.record_requests(900 * MS, 100, 2);
+        start.record_requests(S, 2, 0);
+        assert_eq!(start.check_full_service(2_700 * MS), None, "the quiet has not lasted");
+        let told = start.check_full_service(2_800 * MS).expect("over");
+        assert_eq!(
+            (told.ready_after, told.full_service_after, told.peers_after),
+            (300 * MS, 800 * MS, Some(600 * MS))
+        );
+        assert_eq!(
+            (told.initial_freshness, told.discovery_after, start.freshness()),
+            (ListFreshness::StaleList, None, ListFreshness::ConfirmedByPeers)
+        );
+        assert_eq!(
+            (start.check_full_service(9 * S), start.full_service_after()),
+            (None, Some(800 * MS)),
+            "it is told once"
+        );
     }
 
     #[test]
     fn where_hardly_anything_is_asked_any_loss_is_bad_and_none_is_needed() {
-        let mut start = Start::new(0, false);
-        start.ready(100 * MS);
-        start.told(50 * MS, Knows::Discovery);
-        start.ended(S, 1, 1);
-        let told = start.look(5 * S).expect("over");
-        assert_eq!((told.full, told.began_by), (1_500 * MS, Knows::Nothing));
-        let mut idle = Start::new(0, false);
-        idle.ready(100 * MS);
-        idle.told(50 * MS, Knows::Discovery);
-        assert_eq!(idle.look(2_100 * MS).map(|told| told.full), Some(100 * MS));
+        let mut start = StartProgress::new(0, false);
+        start.mark_ready(100 * MS);
+        start.record_confirmation(50 * MS, ListFreshness::ConfirmedByDiscovery);
+        start.record_requests(S, 1, 1);
+        let told = start.check_full_service(5 * S).expect("over");
+        assert_eq!((told.full_service_after, told.initial_freshness), (1_500 * MS, ListFreshness::NoList));
+        let mut idle = StartProgress::new(0, false);
+        idle.mark_ready(100 * MS);
+        idle.record_confirmation(50 * MS, ListFreshness::ConfirmedByDiscovery);
+        assert_eq!(idle.check_full_service(2_100 * MS).map(|told| told.full_service_after), Some(100 * MS));
     }
 
     #[test]
     fn a_wait_is_bounded_and_grows_with_what_it_may_save() {
-        assert_eq!((wait(Some(0), true), wait(Some(S), false), wait(None, false)), (0, 0, 0));
-        let minutes = |count: u64| wait(Some(count * 60 * S), true);
+        assert_eq!(
+            (
+                max_wait_for_peers(Some(0), true),
+                max_wait_for_peers(Some(S), false),
+                max_wait_for_peers(None, false)
+            ),
+            (0, 0, 0)
+        );
+        let minutes = |count: u64| max_wait_for_peers(Some(count * 60 * S), true);
         assert!(minutes(1) < 5 * MS && minutes(10) > 20 * MS && minutes(10) < 60 * MS);
-        assert_eq!((minutes(6_000), wait(None, true)), (300 * MS, 0));
+        assert_eq!((minutes(6_000), max_wait_for_peers(None, true)), (300 * MS, 0));
     }
 }
--- a/recovery/tests/frozen_forms.rs
+++ b/recovery/tests/frozen_forms.rs
@@ -3,10 +3,10 @@
 
 use std::path::{Path, PathBuf};
 
-use ochreshed_recovery::begin::Source;
-use ochreshed_recovery::disk::{NAME, NEW};
-use ochreshed_recovery::snapshot::{Entry, Snapshot, Wrong};
-use ochreshed_recovery::start::{Knows, Start};
+use ochreshed_recovery::initial_list::ListSource;
+use ochreshed_recovery::snapshot::{Snapshot, SnapshotEntry, SnapshotError};
+use ochreshed_recovery::snapshot_file::{SNAPSHOT_FILE_NAME, TEMP_FILE_NAME};
+use ochreshed_recovery::start_progress::{ListFreshness, StartProgress};
 use ochreshed_replica::stamp::Stamp;
 use ochreshed_replica::status::{ServerStatus, StampedStatus};
 
@@ -26,9 +26,9 @@
 const FILE: &str = "snapshot.bin";
 
 fn snapshot() -> Snapshot {
-    let entry = |srv: &str, drains, came_up, weight, address: &str| Entry {
-        srv: srv.into(),
-        drains,
+    let entry = |srv: &str, draining, came_up, weight, address: &str| SnapshotEntry {
+        server: srv.into(),
+        draining,
         came_up,
         weight,
         site: "quito-a".into(),
@@ -41,14 +41,14 @@
     Snapshot {
         fleet: "shop".into(),
         instance: "n1".into(),
-        number: 70_000,
-        written: 1_700_000_000_123_456_789,
+        sequence: 70_000,
+        written_at_unix_ns: 1_700_000_000_123_456_789,
         stamp: Stamp { epoch: 1, version: 41 },
-        list: vec![
+        entries: vec![
             entry("i-1", false, None, 1.0, "10.1.0.8:8300"),
             entry("i-2", true, Some(1_700_000_000_000), 0.25, "[2001:db8::1]:65535"),
         ],
-        words: vec![
+        statuses: vec![
             word("i-1", 1, 41, ServerStatus::Serving),
             word("i-2", 1, 40, ServerStatus::Draining),
             word("i-3", 0, u64::MAX, ServerStatus::Gone),
@@ -59,33 +59,33 @@
 
 #[test]
 fn a_snapshot_is_written_and_read_as_before() {
-    let bytes = snapshot().write();
+    let bytes = snapshot().encode();
     written(FILE, &bytes);
     let kept = std::fs::read(file(FILE)).expect("a fixture");
-    let read = Snapshot::read(&kept).unwrap_or_else(|why| panic!("{why}"));
+    let read = Snapshot::decode(&kept).unwrap_or_else(|why| panic!("{why}"));
     assert_eq!(read, snapshot());
-    assert_eq!(read.write(), kept);
+    assert_eq!(read.encode(), kept);
     assert_eq!(bytes, kept);
-    assert_eq!(Snapshot::own(&kept, "shop", "n1", 1_700_000_001_000_000_000), Ok(snapshot()));
+    assert_eq!(Snapshot::decode_for_instance(&kept, "shop", "n1", 1_700_000_001_000_000_000), Ok(snapshot()));
 }
 
 #[test]
 fn the_file_has_its_name() {
-    assert_eq!(NAME, "snapshot");
-    assert_eq!(NEW, "snapshot.new");
+    assert_eq!(SNAPSHOT_FILE_NAME, "snapshot");
+    assert_eq!(TEMP_FILE_NAME, "snapshot.new");
 }
 
 /// `ochreshed snapshot` and the log print these texts.
 #[test]
 fn snapshot_errors_keep_their_texts() {
     let texts = [
-        (Wrong::NotOurs, "no snapshot"),
-        (Wrong::Torn, "not whole"),
-        (Wrong::Checksum, "damaged: its checksum is another"),
-        (Wrong::Format(9), "of format 9, which this build does not know"),
-        (Wrong::Unreadable, "its checksum is right and its body can't be read"),
-        (Wrong::Foreign("n1 of fleet shop".into()), "of n1 of fleet shop"),
-        (Wrong::Future(900), "written 900 s from now"),
+        (SnapshotError::NotASnapshot, "no snapshot"),
+        (SnapshotError::LengthMismatch, "not whole"),
+        (SnapshotError::ChecksumMismatch, "damaged: its checksum is another"),
+        (SnapshotError::UnsupportedFormat(9), "of format 9, which this build does not know"),
+        (SnapshotError::UndecodableBody, "its checksum is right and its body can't be read"),
+        (SnapshotError::OtherOwner("n1 of fleet shop".into()), "of n1 of fleet shop"),
+        (SnapshotError::WrittenInFuture(900), "written 900 s from now"),
     ];
     for (error, text) in texts {
         assert_eq!(error.to_string(), text);
@@ -96,10 +96,19 @@
 /// by, as a text and as a number.
 #[test]
 fn a_start_is_logged_and_measured_as_before() {
-    let sources = [Source::Nothing, Source::Facts, Source::Snapshot].map(|source| format!("{source:?}"));
+    let sources =
+        [ListSource::Nothing, ListSource::Facts, ListSource::Snapshot].map(|source| format!("{source:?}"));
     assert_eq!(sources, ["Nothing", "Facts", "Snapshot"]);
-    let all = [Knows::Nothing, Knows::OldList, Knows::Others, Knows::Discovery];
-    assert_eq!(all.map(Knows::name), ["nothing", "an old list", "told by others", "told by discovery"]);
-    assert_eq!(all.map(|knows| knows as u64), [0, 1, 2, 3]);
-    assert_eq!([false, true].map(|list| Start::new(0, list).knows() as u64), [0, 1]);
+    let all = [
+        ListFreshness::NoList,
+        ListFreshness::StaleList,
+        ListFreshness::ConfirmedByPeers,
+        ListFreshness::ConfirmedByDiscovery,
+    ];
+    assert_eq!(
+        all.map(ListFreshness::label),
+        ["nothing", "an old list", "told by others", "told by discovery"]
+    );
+    assert_eq!(all.map(|freshness| freshness as u64), [0, 1, 2, 3]);
+    assert_eq!([false, true].map(|list| StartProgress::new(0, list).freshness() as u64), [0, 1]);
 }
--- a/recovery/tests/disk.rs
+++ b/recovery/tests/snapshot_file.rs
@@ -5,8 +5,8 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use ochreshed_recovery::disk::{Disk, NAME, NEW, save};
-use ochreshed_recovery::snapshot::{Entry, Snapshot};
+use ochreshed_recovery::snapshot::{Snapshot, SnapshotEntry};
+use ochreshed_recovery::snapshot_file::{SNAPSHOT_FILE_NAME, SnapshotDir, TEMP_FILE_NAME, save_snapshot};
 use ochreshed_replica::stamp::Stamp;
 use proptest::prelude::*;
 
@@ -52,10 +52,10 @@
     }
 }
 
-impl Disk for Platter {
+impl SnapshotDir for Platter {
     type Error = &'static str;
 
-    fn write(&mut self, name: &str, bytes: &[u8]) -> Result<(), &'static str> {
+    fn write_file(&mut self, name: &str, bytes: &[u8]) -> Result<(), &'static str> {
         let short = match self.step(true) {
             Ok(()) => bytes.len(),
             // Cut off in the middle of it, or with no room for the rest.
@@ -74,14 +74,14 @@
         if short == bytes.len() { Ok(()) } else { Err("cut") }
     }
 
-    fn flush(&mut self, name: &str) -> Result<(), &'static str> {
+    fn sync_file(&mut self, name: &str) -> Result<(), &'static str> {
         self.step(false)?;
         let file = self.names[name];
         self.safe_files.insert(file, self.files[&file].clone());
         Ok(())
     }
 
-    fn rename(&mut self, from: &str, to: &str) -> Result<(), &'static str> {
+    fn rename_file(&mut self, from: &str, to: &str) -> Result<(), &'static str> {
         self.step(false)?;
         let file = self.names.remove(from).expect("a file of that name");
         self.names.insert(to.to_owned(), file);
@@ -89,14 +89,14 @@
         Ok(())
     }
 
-    fn flush_folder(&mut self) -> Result<(), &'static str> {
+    fn sync_directory(&mut self) -> Result<(), &'static str> {
         self.step(false)?;
         self.safe_names = self.names.clone();
         self.between.clear();
         Ok(())
     }
 
-    fn remove(&mut self, name: &str) -> Result<(), &'static str> {
+    fn remove_file(&mut self, name: &str) -> Result<(), &'static str> {
         self.step(false)?;
         self.names.remove(name);
         self.between.push(self.names.clone());
@@ -107,29 +107,29 @@
 /// The steps with one left out.
 fn faulty(fault: Fault, disk: &mut Platter, bytes: &[u8]) -> Result<(), &'static str> {
     match fault {
-        Fault::None => save(disk, bytes),
+        Fault::None => save_snapshot(disk, bytes),
         Fault::NoFlush => {
-            disk.write(NEW, bytes)?;
-            disk.rename(NEW, NAME)?;
-            disk.flush_folder()
+            disk.write_file(TEMP_FILE_NAME, bytes)?;
+            disk.rename_file(TEMP_FILE_NAME, SNAPSHOT_FILE_NAME)?;
+            disk.sync_directory()
         }
         Fault::NoFolder => {
-            disk.write(NEW, bytes)?;
-            disk.flush(NEW)?;
-            disk.rename(NEW, NAME)
+            disk.write_file(TEMP_FILE_NAME, bytes)?;
+            disk.sync_file(TEMP_FILE_NAME)?;
+            disk.rename_file(TEMP_FILE_NAME, SNAPSHOT_FILE_NAME)
         }
         Fault::InPlace => {
-            disk.write(NAME, bytes)?;
-            disk.flush(NAME)?;
-            disk.flush_folder()
+            disk.write_file(SNAPSHOT_FILE_NAME, bytes)?;
+            disk.sync_file(SNAPSHOT_FILE_NAME)?;
+            disk.sync_directory()
         }
     }
 }
 
 fn snapshot(number: u64) -> Snapshot {
-    let entry = |at: u64| Entry {
-        srv: format!("cell-{number}/srv-{at}"),
-        drains: at.is_multiple_of(2),
+    let entry = |at: u64| SnapshotEntry {
+        server: format!("cell-{number}/srv-{at}"),
+        draining: at.is_multiple_of(2),
         came_up: Some(number),
         weight: 1.0,
         site: "b".into(),
@@ -137,15 +137,15 @@
         address: SocketAddr::from(([127, 0, 0, 1], 80)),
     };
     let stamp = Stamp { epoch: 0, version: number };
-    let list = (0..10 + number).map(entry).collect();
+    let entries = (0..10 + number).map(entry).collect();
     Snapshot {
         fleet: "shop".into(),
         instance: "n1".into(),
-        number,
-        written: number,
+        sequence: number,
+        written_at_unix_ns: number,
         stamp,
-        list,
-        words: Vec::new(),
+        entries,
+        statuses: Vec::new(),
         floor: Stamp::default(),
     }
 }
@@ -153,7 +153,7 @@
 /// What may be read after the power went, by what the disk made of what was not flushed.
 fn left(disk: &Platter, names: usize, keep: usize, garbage: bool, flip: Option<usize>) -> Option<Vec<u8>> {
     let all: Vec<&BTreeMap<String, u32>> = std::iter::once(&disk.safe_names).chain(&disk.between).collect();
-    let file = all[names % all.len()].get(NAME)?;
+    let file = all[names % all.len()].get(SNAPSHOT_FILE_NAME)?;
     let mut bytes = match disk.safe_files.get(file) {
         Some(bytes) if Some(bytes) == disk.files.get(file) => bytes.clone(),
         // Not flushed since it was written: any beginning of it, and zeros or nothing for the rest.
@@ -207,16 +207,18 @@
             break;
         }
         begun = number;
-        if faulty(fault, &mut disk, &snapshot(number).write()).is_ok() {
+        if faulty(fault, &mut disk, &snapshot(number).encode()).is_ok() {
             stands = number;
         }
     }
     let read =
-        left(&disk, case.names, case.keep, case.garbage, case.flip).map(|bytes| Snapshot::read(&bytes));
+        left(&disk, case.names, case.keep, case.garbage, case.flip).map(|bytes| Snapshot::decode(&bytes));
     match read {
         // Whatever is read was written, and by no earlier save than the last that was well.
-        Some(Ok(read)) if read == snapshot(read.number) && (stands..=begun).contains(&read.number) => Ok(()),
-        Some(Ok(read)) => Err(format!("read {} of {begun}, {stands} stands", read.number)),
+        Some(Ok(read)) if read == snapshot(read.sequence) && (stands..=begun).contains(&read.sequence) => {
+            Ok(())
+        }
+        Some(Ok(read)) => Err(format!("read {} of {begun}, {stands} stands", read.sequence)),
         // A flipped bit is seen, and then there is none.
         Some(Err(_)) if case.flip.is_some() => Ok(()),
         Some(Err(why)) => Err(format!("{why}, and {stands} stands")),
