--- a/replica/src/status.rs
+++ b/replica/src/status.rs
@@ -1,7 +1,10 @@
-//! What was heard of srvs: which drain, are gone, or serve, each by the stamp of the list that said so. The newest stands;
-//! of the same stamp the worse, so that a drain that one has heard is never unheard by a copy that says better of the
-//! same time. It owns the bound on what it holds, and must never take back a srv on an old word: what was forgotten leaves
-//! a floor, and of srvs that are not held no word under it counts.
+//! The replicated status of each server: serving, draining or gone, with the stamp of the discovery list that said so.
+//!
+//! Of two statuses of a server the one with the newer stamp wins; with equal stamps, the worse one wins, so that a
+//! drain that one instance knows of is never undone by a replica that reports a better status of the same version.
+//!
+//! Invariants: the table has a bounded size; evicting entries raises a floor, and a status at or below the floor is
+//! never accepted for a server that has no entry. So a stale replica cannot bring an evicted server back.
 
 use std::collections::BTreeMap;
 
@@ -9,10 +12,10 @@
 
 use crate::stamp::Stamp;
 
-/// Longer ids are no ids of srvs here.
+/// Statuses of servers with longer ids are not accepted.
 pub const MAX_SERVER_ID_BYTES: usize = 128;
 
-/// The worse is the greater.
+/// The status of a server. The derived order is from better to worse.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum ServerStatus {
     Serving,
@@ -31,18 +34,18 @@
     }
 }
 
-/// A saying on a server. The greater one stands.
+/// A status with the stamp of the list that it comes from. Of two for the same server the greater one wins.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct StampedStatus {
     pub stamp: Stamp,
     pub status: ServerStatus,
 }
 
-/// StatusTable by the srvs' ids.
+/// Statuses by server id.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct StatusTable {
     entries: BTreeMap<String, StampedStatus>,
-    /// No word up to this stamp counts of a srv that is not held.
+    /// Statuses up to this stamp are ignored for servers without an entry.
     floor: Stamp,
     max_entries: usize,
 }
@@ -72,8 +75,8 @@
         self.floor
     }
 
-    /// Another copy's floor: what is not held here and not newer is forgotten there, and counts no more here either. What
-    /// is gone and not newer may go here too.
+    /// Adopts the floor of another replica if it is higher: what that replica has evicted is not accepted here either.
+    /// Entries for servers that are gone and not newer than the floor are dropped.
     pub fn raise_floor(&mut self, floor: Stamp) {
         if floor > self.floor {
             self.floor = floor;
@@ -81,10 +84,10 @@
         }
     }
 
-    /// Hears a word; whether it stands now and did not before.
+    /// Merges a status and returns whether it has replaced the previous one, or was added.
     pub fn merge(&mut self, server: &str, stamped: StampedStatus) -> bool {
         match self.entries.get_mut(server) {
-            Some(held) if stamped > *held => *held = stamped,
+            Some(current) if stamped > *current => *current = stamped,
             Some(_) => return false,
             None if stamped.stamp <= self.floor
                 || server.is_empty()
@@ -100,8 +103,9 @@
         self.entries.contains_key(server)
     }
 
-    /// Forgets the oldest of what is gone, and where there is none the oldest of all: memory is bounded with srvs that come
-    /// and go all day. The floor rises to it, so that no copy brings it back.
+    /// Evicts the oldest entries of servers that are gone or, if there are none, the oldest entries of all. Raises the
+    /// floor to their stamp, so that no other replica brings them back. This bounds memory while servers come and go
+    /// all day.
     fn evict_oldest(&mut self) {
         let gone = self
             .entries
@@ -131,7 +135,7 @@
     }
 
     #[test]
-    fn a_drain_is_not_unheard_and_a_return_wants_a_newer_word() {
+    fn a_drain_is_only_undone_by_a_newer_status() {
         let mut table = StatusTable::new(10);
         assert!(table.merge("s", stamped(5, ServerStatus::Draining)));
         assert!(
@@ -145,17 +149,20 @@
         );
     }
 
-    /// Guards against a copy that slept and hands back what all others have forgotten.
+    /// Guards against a replica that was suspended and sends back entries that all others have evicted.
     #[test]
-    fn what_was_forgotten_does_not_come_back() {
+    fn evicted_entries_do_not_come_back() {
         let mut table = StatusTable::new(3);
         table.merge("old", stamped(1, ServerStatus::Gone));
-        for number in 2..5 {
-            table.merge(&format!("s{number}"), stamped(number, ServerStatus::Serving));
+        for version in 2..5 {
+            table.merge(&format!("s{version}"), stamped(version, ServerStatus::Serving));
         }
         assert_eq!((table.len(), table.get("old")), (3, None));
-        assert!(!table.merge("old", stamped(1, ServerStatus::Serving)), "an old word brought it back");
-        assert!(table.merge("old", stamped(9, ServerStatus::Serving)), "fresh word counts");
+        assert!(!table.merge("old", stamped(1, ServerStatus::Serving)), "a status at the floor was accepted");
+        assert!(
+            table.merge("old", stamped(9, ServerStatus::Serving)),
+            "a status above the floor is accepted"
+        );
         let mut other = StatusTable::new(3);
         other.merge("old", stamped(1, ServerStatus::Gone));
         other.raise_floor(table.floor());
@@ -169,33 +176,34 @@
     proptest! {
         #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-        /// Whatever the order, and however often each is heard, copies that heard the same hold the same.
+        /// Merging is commutative and idempotent.
         #[test]
-        fn copies_that_heard_the_same_hold_the_same(
-            said in prop::collection::vec((0..4u8, 1..6u64, any_status()), 0..30),
+        fn replicas_that_merged_the_same_statuses_are_equal(
+            updates in prop::collection::vec((0..4u8, 1..6u64, any_status()), 0..30),
             order in prop::collection::vec(any::<prop::sample::Index>(), 0..60),
         ) {
             let (mut one, mut other) = (StatusTable::new(100), StatusTable::new(100));
-            for (server, version, status) in &said {
+            for (server, version, status) in &updates {
                 one.merge(&server.to_string(), stamped(*version, *status));
             }
-            let again = order.iter().filter(|_| !said.is_empty()).map(|at| at.get(&said)).chain(said.iter().rev());
-            for (server, version, status) in again {
+            let repeated =
+                order.iter().filter(|_| !updates.is_empty()).map(|at| at.get(&updates)).chain(updates.iter().rev());
+            for (server, version, status) in repeated {
                 other.merge(&server.to_string(), stamped(*version, *status));
             }
             prop_assert_eq!(one, other);
         }
 
-        /// Its bound holds, and no word under the floor brings in a srv that is not held.
+        /// The table stays within its bound, and no status at or below the floor adds an entry.
         #[test]
-        fn memory_is_bounded(said in prop::collection::vec((any::<u8>(), 1..200u64, any_status()), 0..300)) {
+        fn memory_is_bounded(updates in prop::collection::vec((any::<u8>(), 1..200u64, any_status()), 0..300)) {
             let mut table = StatusTable::new(20);
-            for (server, version, status) in said {
+            for (server, version, status) in updates {
                 let (server, stamped, floor) = (server.to_string(), stamped(version, status), table.floor());
-                let held = table.get(&server).is_some();
-                let heard = table.merge(&server, stamped);
+                let had_entry = table.get(&server).is_some();
+                let merged = table.merge(&server, stamped);
                 prop_assert!(table.len() <= 20 && table.floor() >= floor);
-                prop_assert!(!heard || held || stamped.stamp > floor);
+                prop_assert!(!merged || had_entry || stamped.stamp > floor);
             }
         }
     }
