--- a/replica/src/outcomes.rs
+++ b/replica/src/outcomes.rs
@@ -1,6 +1,10 @@
-//! What each instance counts: one row an instance, which only it writes. The row with the greatest number stands; of two
-//! starts under a name that of the start its members hold. It owns the rows and their ages, and must never add a verdict:
-//! a reader sums counts of those that live, so that no opinion comes back as an echo.
+//! Counts of request outcomes: one row per instance, which only that instance writes.
+//!
+//! A row replaces one with a smaller sequence number. Rows of different processes under one instance name are told
+//! apart by their start ids; the row of the process that the membership considers live is kept.
+//!
+//! Invariant: rows hold counts, never verdicts. Each reader adds up the counts of live instances itself, so that no
+//! instance gets its own verdict back as if it were another's observation.
 
 use std::collections::BTreeMap;
 
@@ -8,18 +12,17 @@
 
 use crate::Nanos;
 
-/// Srvs in one row, counted once for each rule set: those that were heard of most of late.
+/// Entries of one row, each for a server and a rule set. Readers ignore further ones.
 pub const MAX_ENTRIES_PER_ROW: usize = 64;
-/// Rule sets that one row names.
 pub const MAX_RULE_SETS_PER_ROW: usize = 32;
 
-/// What came of one writer's dispatches at a srv, of one rule set, in a short while.
+/// Outcomes of one instance's recent dispatches to a server under one rule set.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct OutcomeCounts {
     pub succeeded: u16,
-    /// Errors of its own.
+    /// Responses that report an error of the server itself.
     pub failed: u16,
-    /// No connection, a reset, or no answer in time.
+    /// Dispatches without a connection, with a reset, or without a response in time.
     pub lost: u16,
 }
 
@@ -34,54 +37,56 @@
         u32::from(self.succeeded) + u32::from(self.failed) + u32::from(self.lost)
     }
 
-    /// The same in as many outcomes as these at the most, in proportion, and rounded.
-    pub fn scaled_down(self, most: u16) -> OutcomeCounts {
-        let all = self.total();
-        if all <= u32::from(most) {
+    /// Scales the counts down to a total of at most `max_total`, in proportion and rounded.
+    pub fn scaled_down(self, max_total: u16) -> OutcomeCounts {
+        let total = self.total();
+        if total <= u32::from(max_total) {
             return self;
         }
-        // At most `most`, and so a u16.
-        let part = |of: u16| ((u32::from(of) * u32::from(most) + all / 2) / all) as u16;
-        let lost = part(self.lost);
-        // Where both are rounded up one of them gives way.
-        let failed = part(self.failed).min(most - lost);
-        OutcomeCounts { succeeded: most - failed - lost, failed, lost }
+        // The result is at most `max_total` and so fits a u16.
+        let scale = |count: u16| ((u32::from(count) * u32::from(max_total) + total / 2) / total) as u16;
+        let lost = scale(self.lost);
+        // If both are rounded up, their sum can exceed `max_total` by one.
+        let failed = scale(self.failed).min(max_total - lost);
+        OutcomeCounts { succeeded: max_total - failed - lost, failed, lost }
     }
 
-    /// What did not go well.
     pub fn unsuccessful(self) -> u32 {
         u32::from(self.failed) + u32::from(self.lost)
     }
 }
 
+/// The counts that one instance publishes.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct OutcomeRow {
-    /// The process's start, as its membership has it.
+    /// The start id of the writing process, as in its membership record.
     pub start_id: u64,
-    /// Grows with each row that the process writes.
+    /// Increases with each row that the process writes.
     pub sequence: u64,
     pub zone: String,
-    /// Rule sets, by the place at which counts name them.
     pub rule_sets: Vec<String>,
+    /// A server, an index into `rule_sets`, and the counts.
     pub entries: Vec<(String, u8, OutcomeCounts)>,
 }
 
 impl OutcomeRow {
-    /// Its counts by srv and rule set. One that names a rule set which is not there is left out.
+    /// The counts by server and rule set. Skips entries whose rule set index is out of range.
     pub fn counts(&self) -> impl Iterator<Item = (&str, &str, OutcomeCounts)> {
-        let set = |at: &u8| self.rule_sets.get(usize::from(*at)).map(String::as_str);
-        self.entries.iter().filter_map(move |(srv, at, counts)| Some((srv.as_str(), set(at)?, *counts)))
+        let rule_set = |index: &u8| self.rule_sets.get(usize::from(*index)).map(String::as_str);
+        self.entries
+            .iter()
+            .filter_map(move |(server, index, counts)| Some((server.as_str(), rule_set(index)?, *counts)))
     }
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct StoredRow {
     pub row: OutcomeRow,
-    /// When it was written, on the holder's clock: when it came less its age then.
+    /// When it was written: the time of its receipt on the local clock less its age then.
     pub written_at: Nanos,
 }
 
-/// OutcomeTable by their writers' names.
+/// Rows by the names of the instances that write them.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct OutcomeTable(BTreeMap<String, StoredRow>);
 
@@ -94,28 +99,35 @@
         self.0.iter()
     }
 
-    /// Hears a row of that age; whether it stands now and did not before. Of another start of the writer's, the caller says
-    /// which of them lives.
-    pub fn merge(&mut self, now: Nanos, writer: &str, mut row: OutcomeRow, age: Nanos, lives: u64) -> bool {
-        if row.start_id != lives {
+    /// Merges a row of the given age and returns whether it was stored. `live_start_id` is that of the writer's live
+    /// process; rows of its other processes are ignored.
+    pub fn merge(
+        &mut self,
+        now: Nanos,
+        writer: &str,
+        mut row: OutcomeRow,
+        age: Nanos,
+        live_start_id: u64,
+    ) -> bool {
+        if row.start_id != live_start_id {
             return false;
         }
         row.entries.truncate(MAX_ENTRIES_PER_ROW);
         row.rule_sets.truncate(MAX_RULE_SETS_PER_ROW);
         let written_at = now.saturating_sub(age);
         match self.0.get_mut(writer) {
-            Some(held) if held.row.start_id == row.start_id && held.row.sequence >= row.sequence => {
+            Some(stored) if stored.row.start_id == row.start_id && stored.row.sequence >= row.sequence => {
                 return false;
             }
-            Some(held) => *held = StoredRow { row, written_at },
+            Some(stored) => *stored = StoredRow { row, written_at },
             None => drop(self.0.insert(writer.to_owned(), StoredRow { row, written_at })),
         }
         true
     }
 
-    /// Drops what is older than this, and all of writers that are not held to be there.
-    pub fn evict(&mut self, now: Nanos, age: Nanos, there: impl Fn(&str) -> bool) {
-        self.0.retain(|writer, held| there(writer) && now.saturating_sub(held.written_at) <= age);
+    /// Drops rows that are older than `max_age` or whose writer is not a live member.
+    pub fn evict(&mut self, now: Nanos, max_age: Nanos, is_live: impl Fn(&str) -> bool) {
+        self.0.retain(|writer, stored| is_live(writer) && now.saturating_sub(stored.written_at) <= max_age);
     }
 }
 
@@ -127,43 +139,43 @@
 
     const S: Nanos = 1_000_000_000;
 
-    fn row(start: u64, number: u64, lost: u16) -> OutcomeRow {
+    fn row(start_id: u64, sequence: u64, lost: u16) -> OutcomeRow {
         let counts = OutcomeCounts { lost, ..OutcomeCounts::default() };
         OutcomeRow {
-            start_id: start,
-            sequence: number,
+            start_id,
+            sequence,
             zone: "a".into(),
             rule_sets: vec!["x".into()],
             entries: vec![("s".into(), 0, counts)],
         }
     }
 
-    fn lost(rows: &OutcomeTable) -> Option<u16> {
-        rows.get("n1").and_then(|held| held.row.counts().next()).map(|(_, _, counts)| counts.lost)
+    fn lost(table: &OutcomeTable) -> Option<u16> {
+        table.get("n1").and_then(|stored| stored.row.counts().next()).map(|(_, _, counts)| counts.lost)
     }
 
     #[test]
-    fn the_newest_row_of_the_process_that_lives_stands() {
-        let mut rows = OutcomeTable::default();
-        assert!(rows.merge(10 * S, "n1", row(7, 2, 1), S, 7));
-        assert!(!rows.merge(10 * S, "n1", row(7, 1, 9), 0, 7), "an older one came late");
-        assert!(!rows.merge(10 * S, "n1", row(6, 9, 9), 0, 7), "an earlier process's came late");
-        assert_eq!(lost(&rows), Some(1));
-        assert!(rows.merge(10 * S, "n1", row(8, 1, 3), 0, 8), "another start counts anew");
-        assert_eq!(lost(&rows), Some(3));
-        rows.evict(12 * S, S, |_| true);
-        assert_eq!(lost(&rows), None, "it is too old by then");
-        rows.merge(12 * S, "n1", row(8, 2, 3), 0, 8);
-        rows.evict(12 * S, 10 * S, |writer| writer != "n1");
-        assert_eq!(rows.iter().count(), 0);
+    fn the_newest_row_of_the_live_process_is_kept() {
+        let mut table = OutcomeTable::default();
+        assert!(table.merge(10 * S, "n1", row(7, 2, 1), S, 7));
+        assert!(!table.merge(10 * S, "n1", row(7, 1, 9), 0, 7), "an older row is ignored");
+        assert!(!table.merge(10 * S, "n1", row(6, 9, 9), 0, 7), "a row of an earlier process is ignored");
+        assert_eq!(lost(&table), Some(1));
+        assert!(table.merge(10 * S, "n1", row(8, 1, 3), 0, 8), "a new process starts its sequence anew");
+        assert_eq!(lost(&table), Some(3));
+        table.evict(12 * S, S, |_| true);
+        assert_eq!(lost(&table), None, "the row has exceeded the maximum age");
+        table.merge(12 * S, "n1", row(8, 2, 3), 0, 8);
+        table.evict(12 * S, 10 * S, |writer| writer != "n1");
+        assert_eq!(table.iter().count(), 0);
     }
 
     #[test]
-    fn a_row_that_names_a_rule_set_which_is_not_there_counts_elsewhere_only() {
-        let mut odd = row(1, 1, 2);
-        odd.entries.push(("t".into(), 9, OutcomeCounts { succeeded: 1, ..OutcomeCounts::default() }));
+    fn entries_with_an_unknown_rule_set_are_skipped() {
+        let mut row = row(1, 1, 2);
+        row.entries.push(("t".into(), 9, OutcomeCounts { succeeded: 1, ..OutcomeCounts::default() }));
         assert_eq!(
-            odd.counts().collect::<Vec<_>>(),
+            row.counts().collect::<Vec<_>>(),
             [("s", "x", OutcomeCounts { lost: 2, ..OutcomeCounts::default() })]
         );
     }
@@ -171,18 +183,20 @@
     proptest! {
         #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-        /// Told in fewer outcomes, a srv looks as unsuccessful as it is and no worse.
+        /// Scaled counts make a server look as bad as it is and no worse.
         #[test]
-        fn fewer_outcomes_keep_the_proportion(succeeded in 0..500u16, failed in 0..500u16, lost in 0..500u16, most in 1..9u16) {
+        fn scaled_counts_keep_the_proportion(
+            succeeded in 0..500u16, failed in 0..500u16, lost in 0..500u16, max_total in 1..9u16,
+        ) {
             let counts = OutcomeCounts { succeeded, failed, lost };
-            let told = counts.scaled_down(most);
-            prop_assert_eq!(told.total(), counts.total().min(u32::from(most)));
-            // Each within one outcome of its part, and nothing is told that was not.
-            for (told, of) in [(told.succeeded, succeeded), (told.failed, failed), (told.lost, lost)] {
-                let part = f64::from(of) * f64::from(most) / f64::from(counts.total().max(u32::from(most)));
-                prop_assert!((f64::from(told) - part).abs() <= 1.0 && (of > 0 || told <= 1), "{told} of {part}");
+            let scaled = counts.scaled_down(max_total);
+            prop_assert_eq!(scaled.total(), counts.total().min(u32::from(max_total)));
+            // Each is within one outcome of its exact share, and a count of zero is at most rounded up to one.
+            for (scaled, count) in [(scaled.succeeded, succeeded), (scaled.failed, failed), (scaled.lost, lost)] {
+                let share = f64::from(count) * f64::from(max_total) / f64::from(counts.total().max(u32::from(max_total)));
+                prop_assert!((f64::from(scaled) - share).abs() <= 1.0 && (count > 0 || scaled <= 1), "{scaled} of {share}");
             }
-            prop_assert!(counts.unsuccessful() > 0 || told.unsuccessful() == 0);
+            prop_assert!(counts.unsuccessful() > 0 || scaled.unsuccessful() == 0);
         }
     }
 }
