--- a/replica/src/store.rs
+++ b/replica/src/store.rs
@@ -1,6 +1,9 @@
-//! The state of one copy and how copies meet: what is new is passed on in deltas that fit a datagram, a bounded number of
-//! times; digests tell which parts of two copies differ, and only those are sent. It owns what is passed on and must never
-//! pass on what did not stand here.
+//! One instance's replica of the shared state, and how replicas converge.
+//!
+//! Status changes spread in deltas that fit a datagram, each sent a bounded number of times. Digests show in which
+//! buckets two replicas differ, and only the statuses of those are exchanged.
+//!
+//! Invariant: only statuses that this replica has accepted are passed on.
 
 use std::collections::{BTreeMap, HashSet};
 
@@ -12,59 +15,62 @@
 use crate::stamp::{EpochTracker, Stamp};
 use crate::status::{ServerStatus, StampedStatus, StatusTable};
 
-/// A sum for each part of all srvs' ids.
 pub const DIGEST_BUCKETS: usize = 16;
+/// One sum for each bucket of server ids.
 pub type Digest = [u32; DIGEST_BUCKETS];
-/// Parts of the digest by which copies meet that differ in much: a few words fall into each of a long list's.
+/// Buckets of the digest for replicas that differ in many statuses. Even of a long list, only a few statuses fall into
+/// each.
 pub const FINE_DIGEST_BUCKETS: usize = 1_024;
 
-/// What copies tell each other.
+/// What replicas send each other.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Update {
     Status {
         server: String,
         stamped: StampedStatus,
     },
-    /// Its age when it is sent, so that no two machines' clocks are compared.
+    /// `age` is that of the row when it is sent, so that clocks of different machines are never compared.
     Outcomes {
         writer: String,
         row: OutcomeRow,
         age: Nanos,
     },
+    /// The floor of the sender's [`StatusTable`].
     Floor(Stamp),
 }
 
-/// Kinds of items as bytes. One that this build does not know is skipped.
-const WORD: u8 = 1;
-const FLOOR: u8 = 3;
-/// 2 was a row of counts without rule sets.
-const ROW: u8 = 4;
-/// An item's head: its kind and its length.
-const HEAD: usize = 3;
+// The kinds of encoded updates. Unknown kinds are skipped.
+const STATUS_KIND: u8 = 1;
+const FLOOR_KIND: u8 = 3;
+/// Kind 2 was a row of counts without rule sets.
+const OUTCOMES_KIND: u8 = 4;
+/// The header of an encoded update: one byte for the kind, two for the length.
+const UPDATE_HEADER_BYTES: usize = 3;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Store {
-    name: String,
-    start: u64,
+    instance: String,
+    start_id: u64,
     statuses: StatusTable,
     outcomes: OutcomeTable,
     epochs: EpochTracker,
-    number: u64,
-    /// How often each srv's word was passed on that is news.
-    news: BTreeMap<String, u32>,
+    /// The sequence number of the last row written here.
+    row_sequence: u64,
+    /// Servers with a status change to pass on, and how often it has been sent.
+    pending: BTreeMap<String, u32>,
 }
 
 impl Store {
-    /// A copy of the instance of this name and start, which holds words on so many srvs at the most.
-    pub fn new(name: &str, start: u64, most_srvs: usize) -> Store {
+    /// Creates the replica of the given instance, with statuses of at most `max_servers` servers.
+    pub fn new(instance: &str, start_id: u64, max_servers: usize) -> Store {
         Store {
-            name: name.into(),
-            start,
-            statuses: StatusTable::new(most_srvs),
+            instance: instance.into(),
+            start_id,
+            statuses: StatusTable::new(max_servers),
             outcomes: OutcomeTable::default(),
             epochs: EpochTracker::default(),
-            number: 0,
-            news: BTreeMap::new(),
+            row_sequence: 0,
+            pending: BTreeMap::new(),
         }
     }
 
@@ -76,99 +82,104 @@
         &self.outcomes
     }
 
-    /// Discovery has told this instance a list or changes of this version: what it says of each srv named, and for a whole
-    /// list that those held and not named are gone. What of it is news to this copy.
+    /// Applies a list, or changes of it, that discovery has sent to this instance. A full list also marks the known
+    /// servers that it does not contain as gone. Returns the servers whose status has changed.
     pub fn apply_discovery(
         &mut self,
         version: u64,
-        whole: bool,
+        is_full_list: bool,
         entries: &[(String, ServerStatus)],
     ) -> Vec<String> {
         let stamp = self.epochs.record_discovery_version(version);
-        let mut said: Vec<(String, ServerStatus)> = entries.to_vec();
-        if whole {
-            let named: HashSet<&String> = entries.iter().map(|(srv, _)| srv).collect();
-            let gone = self
+        let mut changes: Vec<(String, ServerStatus)> = entries.to_vec();
+        if is_full_list {
+            let listed: HashSet<&String> = entries.iter().map(|(server, _)| server).collect();
+            let missing = self
                 .statuses
                 .iter()
-                .filter(|(srv, word)| word.status != ServerStatus::Gone && !named.contains(srv));
-            // What somebody else has heard of since is not gone by an older list.
-            let gone = gone
-                .filter(|(_, word)| word.stamp <= stamp)
-                .map(|(srv, _)| (srv.clone(), ServerStatus::Gone));
-            said.extend(gone.collect::<Vec<_>>());
+                .filter(|(server, stamped)| stamped.status != ServerStatus::Gone && !listed.contains(server));
+            // A list says nothing of servers whose status is from a newer one.
+            let missing = missing
+                .filter(|(_, stamped)| stamped.stamp <= stamp)
+                .map(|(server, _)| (server.clone(), ServerStatus::Gone));
+            changes.extend(missing.collect::<Vec<_>>());
         }
-        said.retain(|(srv, state)| self.merge_status(srv, StampedStatus { stamp, status: *state }));
-        said.into_iter().map(|(srv, _)| srv).collect()
+        changes
+            .retain(|(server, status)| self.merge_status(server, StampedStatus { stamp, status: *status }));
+        changes.into_iter().map(|(server, _)| server).collect()
     }
 
-    fn merge_status(&mut self, srv: &str, word: StampedStatus) -> bool {
-        self.epochs.observe_peer_stamp(word.stamp);
-        let news = match self.statuses.get(srv) {
-            // The same said by a newer list is no news to anybody: it would make every list one.
-            Some(held) if held.status == word.status && word.stamp > held.stamp => {
-                self.statuses.merge(srv, word);
+    fn merge_status(&mut self, server: &str, stamped: StampedStatus) -> bool {
+        self.epochs.observe_peer_stamp(stamped.stamp);
+        let changed = match self.statuses.get(server) {
+            // An unchanged status with a newer stamp is not passed on, or else every list would be passed on whole.
+            Some(current) if current.status == stamped.status && stamped.stamp > current.stamp => {
+                self.statuses.merge(server, stamped);
                 false
             }
-            // That one serves which nobody spoke of is each one's own list's to say; else a first list would all be news.
-            None if word.status == ServerStatus::Serving => {
-                self.statuses.merge(srv, word);
+            // Nor is a new server that is serving: each instance learns that from its own list, and otherwise the whole
+            // first list would be passed on.
+            None if stamped.status == ServerStatus::Serving => {
+                self.statuses.merge(server, stamped);
                 false
             }
-            _ => self.statuses.merge(srv, word),
+            _ => self.statuses.merge(server, stamped),
         };
-        if news {
-            self.news.insert(srv.into(), 0);
+        if changed {
+            self.pending.insert(server.into(), 0);
         }
-        news
+        changed
     }
 
-    /// What this instance knew before it started anew: no news to anybody.
-    pub fn restore(&mut self, own: Stamp, words: &[(String, StampedStatus)], floor: Stamp) {
-        self.epochs.restore(own);
+    /// Restores what this instance knew before a restart. Nothing of it is passed on.
+    pub fn restore(&mut self, discovery_stamp: Stamp, statuses: &[(String, StampedStatus)], floor: Stamp) {
+        self.epochs.restore(discovery_stamp);
         self.statuses.raise_floor(floor);
-        for (srv, word) in words {
-            self.epochs.observe_peer_stamp(word.stamp);
-            self.statuses.merge(srv, *word);
+        for (server, stamped) in statuses {
+            self.epochs.observe_peer_stamp(stamped.stamp);
+            self.statuses.merge(server, *stamped);
         }
     }
 
-    /// Of the newest list that discovery told this instance.
+    /// The stamp of the newest list that discovery has sent to this instance.
     pub fn discovery_stamp(&self) -> Stamp {
         self.epochs.discovery_stamp()
     }
 
-    /// What this instance has counted since the last time, as an item for those that it counts for. It is not passed on: to
-    /// tell each of a zone once costs less than gossip, where each passes it on several times.
+    /// Stores this instance's own row and returns it as an encoded update for the instances that use it. Sets the row's
+    /// start id and sequence number. The row is not gossiped: sending it once to each instance of the zone costs less
+    /// than gossip, in which each instance forwards it several times.
     pub fn record_own_outcomes(&mut self, now: Nanos, mut row: OutcomeRow) -> Vec<u8> {
-        self.number += 1;
-        (row.start_id, row.sequence) = (self.start, self.number);
-        let (name, start) = (self.name.clone(), self.start);
-        self.outcomes.merge(now, &name, row.clone(), 0, start);
+        self.row_sequence += 1;
+        (row.start_id, row.sequence) = (self.start_id, self.row_sequence);
+        let (writer, start_id) = (self.instance.clone(), self.start_id);
+        self.outcomes.merge(now, &writer, row.clone(), 0, start_id);
         let mut bytes = Vec::new();
-        encode_update(&mut bytes, &Update::Outcomes { writer: name, row, age: 0 }, usize::from(u16::MAX));
+        encode_update(&mut bytes, &Update::Outcomes { writer, row, age: 0 }, usize::from(u16::MAX));
         bytes
     }
 
-    /// Hears what another copy tells; the srvs on which something else stands now. `lives` tells the start of a member that
-    /// is there.
+    /// Merges updates from another replica and returns the servers whose status has changed. `live_start_id` returns
+    /// the start id of a live member.
     pub fn merge_updates(
         &mut self,
         now: Nanos,
-        items: Vec<Update>,
-        lives: impl Fn(&str) -> Option<u64>,
+        updates: Vec<Update>,
+        live_start_id: impl Fn(&str) -> Option<u64>,
     ) -> Vec<String> {
         let mut changed = Vec::new();
-        for item in items {
-            match item {
+        for update in updates {
+            match update {
                 Update::Status { server, stamped } => {
                     if self.merge_status(&server, stamped) {
                         changed.push(server);
                     }
                 }
                 Update::Outcomes { writer, row, age } => {
-                    let Some(start) = lives(&writer).filter(|_| writer != self.name) else { continue };
-                    self.outcomes.merge(now, &writer, row, age, start);
+                    let Some(start_id) = live_start_id(&writer).filter(|_| writer != self.instance) else {
+                        continue;
+                    };
+                    self.outcomes.merge(now, &writer, row, age, start_id);
                 }
                 Update::Floor(floor) => self.statuses.raise_floor(floor),
             }
@@ -176,115 +187,120 @@
         changed
     }
 
-    /// Drops rows that are too old or whose writers are not there.
-    pub fn evict_outcomes(&mut self, now: Nanos, age: Nanos, there: impl Fn(&str) -> bool) {
-        let own = self.name.clone();
-        self.outcomes.evict(now, age, |writer| writer == own || there(writer));
+    /// Drops rows that are older than `max_age` or whose writer is neither a live member nor this instance.
+    pub fn evict_outcomes(&mut self, now: Nanos, max_age: Nanos, is_live: impl Fn(&str) -> bool) {
+        let own = self.instance.clone();
+        self.outcomes.evict(now, max_age, |writer| writer == own || is_live(writer));
     }
 
     pub fn has_pending_updates(&self) -> bool {
-        !self.news.is_empty()
+        !self.pending.is_empty()
     }
 
-    /// News to pass on, as bytes that fit: what was passed on least comes first, and goes after so many times.
-    pub fn next_delta(&mut self, room: usize, times: u32) -> Vec<u8> {
+    /// Encodes pending status changes in at most `max_bytes`, those sent least often first. Each is dropped from the
+    /// pending ones after `max_sends` sends.
+    pub fn next_delta(&mut self, max_bytes: usize, max_sends: u32) -> Vec<u8> {
         let mut order: Vec<(u32, String)> =
-            self.news.iter().map(|(srv, sent)| (*sent, srv.clone())).collect();
+            self.pending.iter().map(|(server, sends)| (*sends, server.clone())).collect();
         order.sort();
         let mut bytes = Vec::new();
-        for (sent, srv) in order {
-            let Some(word) = self.statuses.get(&srv) else {
-                self.news.remove(&srv);
+        for (sends, server) in order {
+            let Some(stamped) = self.statuses.get(&server) else {
+                self.pending.remove(&server);
                 continue;
             };
-            if !encode_update(&mut bytes, &Update::Status { server: srv.clone(), stamped: word }, room) {
+            if !encode_update(&mut bytes, &Update::Status { server: server.clone(), stamped }, max_bytes) {
                 continue;
             }
-            if sent + 1 >= times {
-                self.news.remove(&srv);
+            if sends + 1 >= max_sends {
+                self.pending.remove(&server);
             } else {
-                self.news.insert(srv, sent + 1);
+                self.pending.insert(server, sends + 1);
             }
         }
         bytes
     }
 
-    /// Sums over the words, by the part that a srv's id falls into. Stamps are left out, for a list that says the same again
-    /// makes no two copies differ; and what serves, for that is what stands where nothing is held.
+    /// Sums over the statuses in each bucket of server ids. Stamps are left out, since replicas that got the same
+    /// statuses from different lists do not differ. So are serving servers, since a server without an entry counts as
+    /// serving.
     pub fn digest(&self) -> Digest {
         let mut digest = [0u32; DIGEST_BUCKETS];
-        self.sum_up(&mut digest);
+        self.add_to_digest(&mut digest);
         digest
     }
 
-    /// The same in `FINE_DIGEST_BUCKETS` parts.
+    /// The digest with [`FINE_DIGEST_BUCKETS`] buckets.
     pub fn fine_digest(&self) -> Vec<u32> {
         let mut digest = vec![0u32; FINE_DIGEST_BUCKETS];
-        self.sum_up(&mut digest);
+        self.add_to_digest(&mut digest);
         digest
     }
 
-    fn sum_up(&self, digest: &mut [u32]) {
-        for (srv, word) in self.statuses.iter().filter(|(_, word)| word.status != ServerStatus::Serving) {
-            let part = part(srv, digest.len());
-            // By a sum the order does not matter. Not of CRCs, nor by exclusive or: CRCs of two srvs that change alike change
-            // by the same bits, so that two changes in one part would look like none.
-            digest[part] = digest[part].wrapping_add(xxh32(srv.as_bytes(), 1 + word.status as u32));
+    fn add_to_digest(&self, digest: &mut [u32]) {
+        let not_serving = self.statuses.iter().filter(|(_, stamped)| stamped.status != ServerStatus::Serving);
+        for (server, stamped) in not_serving {
+            let bucket = bucket_index(server, digest.len());
+            // A sum does not depend on the order. CRCs or exclusive or would not do: the CRCs of two servers with the
+            // same change differ in the same bits, so that two changes in one bucket would cancel out.
+            digest[bucket] = digest[bucket].wrapping_add(xxh32(server.as_bytes(), 1 + stamped.status as u32));
         }
     }
 
-    /// The words of the parts in which another copy's digest, of any number of parts, is not ours.
-    fn of_differing<'a>(
+    /// The statuses in the buckets in which another replica's digest, with any number of buckets, differs from ours.
+    fn statuses_in_differing_buckets<'a>(
         &'a self,
         theirs: &'a [u32],
     ) -> impl Iterator<Item = (&'a String, &'a StampedStatus)> {
         let mut ours = vec![0u32; theirs.len().max(1)];
-        self.sum_up(&mut ours);
-        let differs = move |srv: &str| {
-            let part = part(srv, ours.len());
-            Some(&ours[part]) != theirs.get(part)
+        self.add_to_digest(&mut ours);
+        let differs = move |server: &str| {
+            let bucket = bucket_index(server, ours.len());
+            Some(&ours[bucket]) != theirs.get(bucket)
         };
-        self.statuses.iter().filter(move |(srv, _)| differs(srv))
+        self.statuses.iter().filter(move |(server, _)| differs(server))
     }
 
-    /// How many words `encode_differences` would tell.
+    /// The number of statuses that [`Store::encode_differences`] would return.
     pub fn count_differences(&self, theirs: &[u32]) -> usize {
-        self.of_differing(theirs).count()
-    }
-
-    /// The words of the parts in which another copy's digest is not ours, and our floor, in pieces of so many bytes.
-    pub fn encode_differences(&self, theirs: &[u32], room: usize) -> Vec<Vec<u8>> {
-        let words = self.of_differing(theirs);
-        let items = words.map(|(srv, word)| Update::Status { server: srv.clone(), stamped: *word });
-        let mut pieces = vec![Vec::new()];
-        for item in [Update::Floor(self.statuses.floor())].into_iter().chain(items) {
-            let last = pieces.len() - 1;
-            if !encode_update(&mut pieces[last], &item, room) {
-                let mut piece = Vec::new();
-                encode_update(&mut piece, &item, room);
-                pieces.push(piece);
+        self.statuses_in_differing_buckets(theirs).count()
+    }
+
+    /// Encodes the floor and the statuses in the buckets in which another replica's digest differs from ours, in chunks
+    /// of at most `max_chunk_bytes`.
+    pub fn encode_differences(&self, theirs: &[u32], max_chunk_bytes: usize) -> Vec<Vec<u8>> {
+        let statuses = self.statuses_in_differing_buckets(theirs);
+        let updates =
+            statuses.map(|(server, stamped)| Update::Status { server: server.clone(), stamped: *stamped });
+        let mut chunks = vec![Vec::new()];
+        for update in [Update::Floor(self.statuses.floor())].into_iter().chain(updates) {
+            let last = chunks.len() - 1;
+            if !encode_update(&mut chunks[last], &update, max_chunk_bytes) {
+                let mut chunk = Vec::new();
+                encode_update(&mut chunk, &update, max_chunk_bytes);
+                chunks.push(chunk);
             }
         }
-        pieces
+        chunks
     }
 }
 
-/// The part of so many that a srv's id falls into.
-fn part(srv: &str, parts: usize) -> usize {
-    xxh32(srv.as_bytes(), 0) as usize % parts.max(1)
+/// The bucket, out of `bucket_count`, that a server id falls into.
+fn bucket_index(server: &str, bucket_count: usize) -> usize {
+    xxh32(server.as_bytes(), 0) as usize % bucket_count.max(1)
 }
 
-/// Writes an item where it fits.
-fn encode_update(bytes: &mut Vec<u8>, item: &Update, room: usize) -> bool {
-    let (kind, body) = match item {
-        Update::Status { server, stamped } => (WORD, postcard::to_stdvec(&(server, stamped))),
-        Update::Outcomes { writer, row, age } => (ROW, postcard::to_stdvec(&(writer, row, age))),
-        Update::Floor(floor) => (FLOOR, postcard::to_stdvec(floor)),
+/// Appends an update if the result has at most `max_bytes`, and returns whether it did.
+fn encode_update(bytes: &mut Vec<u8>, update: &Update, max_bytes: usize) -> bool {
+    let (kind, body) = match update {
+        Update::Status { server, stamped } => (STATUS_KIND, postcard::to_stdvec(&(server, stamped))),
+        Update::Outcomes { writer, row, age } => (OUTCOMES_KIND, postcard::to_stdvec(&(writer, row, age))),
+        Update::Floor(floor) => (FLOOR_KIND, postcard::to_stdvec(floor)),
     };
-    // These are plain values: writing them to memory does not fail.
+    // Serializing plain values to memory does not fail.
     let body = body.unwrap_or_default();
     let Ok(length) = u16::try_from(body.len()) else { return false };
-    let fits = bytes.len() + HEAD + body.len() <= room;
+    let fits = bytes.len() + UPDATE_HEADER_BYTES + body.len() <= max_bytes;
     if fits {
         bytes.push(kind);
         bytes.extend_from_slice(&length.to_le_bytes());
@@ -293,23 +309,27 @@
     fits
 }
 
-/// Reads items; kinds that are not known are skipped. An error where the bytes are no items.
+/// Decodes updates. Skips unknown kinds; fails if the bytes are truncated or the body of a known kind is malformed.
 pub fn decode_updates(mut bytes: &[u8]) -> Result<Vec<Update>, &'static str> {
-    let mut items = Vec::new();
+    let mut updates = Vec::new();
     while !bytes.is_empty() {
-        let (head, rest) = bytes.split_at_checked(HEAD).ok_or("an item is cut")?;
-        let length = usize::from(u16::from_le_bytes([head[1], head[2]]));
+        let (header, rest) = bytes.split_at_checked(UPDATE_HEADER_BYTES).ok_or("an item is cut")?;
+        let length = usize::from(u16::from_le_bytes([header[1], header[2]]));
         let (body, rest) = rest.split_at_checked(length).ok_or("an item is cut")?;
         bytes = rest;
-        let item = match head[0] {
-            WORD => postcard::from_bytes(body).map(|(server, stamped)| Update::Status { server, stamped }),
-            ROW => postcard::from_bytes(body).map(|(writer, row, age)| Update::Outcomes { writer, row, age }),
-            FLOOR => postcard::from_bytes(body).map(Update::Floor),
+        let update = match header[0] {
+            STATUS_KIND => {
+                postcard::from_bytes(body).map(|(server, stamped)| Update::Status { server, stamped })
+            }
+            OUTCOMES_KIND => {
+                postcard::from_bytes(body).map(|(writer, row, age)| Update::Outcomes { writer, row, age })
+            }
+            FLOOR_KIND => postcard::from_bytes(body).map(Update::Floor),
             _ => continue,
         };
-        items.push(item.map_err(|_| "an item can't be read")?);
+        updates.push(update.map_err(|_| "an item can't be read")?);
     }
-    Ok(items)
+    Ok(updates)
 }
 
 #[cfg(test)]
@@ -319,65 +339,69 @@
     use super::*;
     use crate::outcomes::OutcomeCounts;
 
-    fn store(name: &str) -> Store {
-        Store::new(name, 1, 1_000)
+    fn store(instance: &str) -> Store {
+        Store::new(instance, 1, 1_000)
     }
 
-    fn list(of: &str) -> Vec<(String, ServerStatus)> {
-        let state = |end: &str| match end {
+    /// Parses servers with one-letter ids; `!` after an id means draining, `-` gone.
+    fn list(text: &str) -> Vec<(String, ServerStatus)> {
+        let status = |suffix: &str| match suffix {
             "!" => ServerStatus::Draining,
             "-" => ServerStatus::Gone,
             _ => ServerStatus::Serving,
         };
-        of.split(' ').map(|srv| (srv[..1].to_owned(), state(&srv[1..]))).collect()
+        text.split(' ').map(|server| (server[..1].to_owned(), status(&server[1..]))).collect()
     }
 
-    fn pass(from: &mut Store, to: &mut Store) -> Vec<String> {
-        let items = decode_updates(&from.next_delta(1_000, 3)).expect("items");
-        to.merge_updates(0, items, |_| Some(1))
+    fn send_delta(from: &mut Store, to: &mut Store) -> Vec<String> {
+        let updates = decode_updates(&from.next_delta(1_000, 3)).expect("updates");
+        to.merge_updates(0, updates, |_| Some(1))
     }
 
-    fn state(store: &Store, srv: &str) -> Option<ServerStatus> {
-        store.statuses().get(srv).map(|word| word.status)
+    fn status(store: &Store, server: &str) -> Option<ServerStatus> {
+        store.statuses().get(server).map(|stamped| stamped.status)
     }
 
     #[test]
-    fn a_drain_told_to_one_is_heard_by_the_other_and_lists_without_news_are_none() {
+    fn a_drain_spreads_and_lists_without_changes_do_not() {
         let (mut one, mut other) = (store("n1"), store("n2"));
         one.apply_discovery(1, true, &list("a b c"));
         other.apply_discovery(1, true, &list("a b c"));
         for _ in 0..3 {
-            pass(&mut one, &mut other);
-            pass(&mut other, &mut one);
+            send_delta(&mut one, &mut other);
+            send_delta(&mut other, &mut one);
         }
         assert!(!one.has_pending_updates() && !other.has_pending_updates() && one.digest() == other.digest());
         assert!(one.apply_discovery(2, true, &list("a b c")).is_empty() && !one.has_pending_updates());
         assert_eq!(one.apply_discovery(3, false, &list("b!")), ["b"]);
         assert_eq!(
-            (pass(&mut one, &mut other), state(&other, "b")),
+            (send_delta(&mut one, &mut other), status(&other, "b")),
             (vec!["b".to_owned()], Some(ServerStatus::Draining))
         );
-        // The other one's own list is older: it says that b serves, and is not believed.
+        // The other instance's own list is older than the drain, so it does not undo it.
         assert!(other.apply_discovery(2, true, &list("a b c")).is_empty());
-        assert_eq!(state(&other, "b"), Some(ServerStatus::Draining));
+        assert_eq!(status(&other, "b"), Some(ServerStatus::Draining));
     }
 
     #[test]
-    fn discovery_that_counts_anew_is_newer_and_what_it_leaves_out_is_gone() {
+    fn a_list_after_a_restart_of_discovery_is_newer_and_marks_missing_servers_as_gone() {
         let (mut one, mut other) = (store("n1"), store("n2"));
         one.apply_discovery(41, true, &list("a b c"));
         other.apply_discovery(41, true, &list("a b c"));
         assert_eq!(one.apply_discovery(1, true, &list("a b")), ["c"]);
-        pass(&mut one, &mut other);
-        assert_eq!(state(&other, "c"), Some(ServerStatus::Gone));
-        assert!(other.apply_discovery(41, true, &list("a b c")).is_empty(), "the old count is old");
+        send_delta(&mut one, &mut other);
+        assert_eq!(status(&other, "c"), Some(ServerStatus::Gone));
+        assert!(
+            other.apply_discovery(41, true, &list("a b c")).is_empty(),
+            "a list of the earlier epoch is old"
+        );
         assert_eq!(other.apply_discovery(2, false, &list("c")), ["c"]);
     }
 
     #[test]
-    fn copies_that_differ_agree_once_they_have_met() {
+    fn replicas_that_exchange_their_differences_converge() {
         let (mut one, mut other) = (store("n1"), store("n2"));
-        let long: Vec<(String, ServerStatus)> = (0..300)
+        let servers: Vec<(String, ServerStatus)> = (0..300)
             .map(|number| {
                 (
                     format!("srv-{number}"),
@@ -385,71 +409,78 @@
                 )
             })
             .collect();
-        one.apply_discovery(5, true, &long);
-        other.apply_discovery(4, true, &long[..200]);
+        one.apply_discovery(5, true, &servers);
+        other.apply_discovery(4, true, &servers[..200]);
         for (from, to) in [(0, 1), (1, 0)] {
             let stores = [&mut one, &mut other];
             let theirs = stores[to].digest();
-            let pieces = stores[from].encode_differences(&theirs, 1_000);
-            assert!(pieces.iter().all(|piece| piece.len() <= 1_000));
-            for piece in pieces {
-                stores[to].merge_updates(0, decode_updates(&piece).expect("items"), |_| Some(1));
+            let chunks = stores[from].encode_differences(&theirs, 1_000);
+            assert!(chunks.iter().all(|chunk| chunk.len() <= 1_000));
+            for chunk in chunks {
+                stores[to].merge_updates(0, decode_updates(&chunk).expect("updates"), |_| Some(1));
             }
         }
         assert_eq!(one.digest(), other.digest());
-        let drains = |store: &Store| {
-            store.statuses().iter().filter(|(_, word)| word.status == ServerStatus::Draining).count()
+        let draining_servers = |store: &Store| {
+            store.statuses().iter().filter(|(_, stamped)| stamped.status == ServerStatus::Draining).count()
         };
-        assert_eq!((drains(&one), drains(&other)), (100, 100));
+        assert_eq!((draining_servers(&one), draining_servers(&other)), (100, 100));
     }
 
-    /// Guards against a digest in which two changes of a kind cancel out: the copies would differ for ever.
+    /// Guards against a digest in which equal changes cancel out, so that replicas would differ for ever.
     #[test]
-    fn any_number_of_like_changes_shows_in_the_digest() {
-        let long: Vec<(String, ServerStatus)> =
+    fn any_number_of_equal_changes_shows_in_the_digest() {
+        let servers: Vec<(String, ServerStatus)> =
             (0..60).map(|number| (format!("srv-{number:02}"), ServerStatus::Serving)).collect();
-        for changed in 1..60 {
+        for change_count in 1..60 {
             let (mut one, mut other) = (store("n1"), store("n2"));
-            one.apply_discovery(5, true, &long);
-            other.apply_discovery(5, true, &long);
-            let drained: Vec<(String, ServerStatus)> =
-                long[..changed].iter().map(|(srv, _)| (srv.clone(), ServerStatus::Draining)).collect();
+            one.apply_discovery(5, true, &servers);
+            other.apply_discovery(5, true, &servers);
+            let drained: Vec<(String, ServerStatus)> = servers[..change_count]
+                .iter()
+                .map(|(server, _)| (server.clone(), ServerStatus::Draining))
+                .collect();
             one.apply_discovery(6, false, &drained);
-            let told: usize = one
+            let merged: usize = one
                 .encode_differences(&other.digest(), 1_000)
                 .iter()
-                .map(|piece| other.merge_updates(0, decode_updates(piece).expect("items"), |_| Some(1)).len())
+                .map(|chunk| {
+                    other.merge_updates(0, decode_updates(chunk).expect("updates"), |_| Some(1)).len()
+                })
                 .sum();
-            assert_eq!(told, changed, "of so many changes");
+            assert_eq!(merged, change_count, "statuses merged");
         }
     }
 
-    /// Guards against a whole list sent for the few words in which two copies of it differ.
+    /// Guards against sending a whole list for the few statuses in which two replicas differ.
     #[test]
-    fn of_a_long_list_little_more_is_told_than_differs() {
+    fn differences_by_the_fine_digest_are_few_even_of_a_long_list() {
         let (mut one, mut other) = (store("n1"), store("n2"));
         (one.statuses, other.statuses) = (StatusTable::new(20_000), StatusTable::new(20_000));
-        let long: Vec<(String, ServerStatus)> =
+        let servers: Vec<(String, ServerStatus)> =
             (0..10_000).map(|number| (format!("srv-{number}"), ServerStatus::Serving)).collect();
-        one.apply_discovery(5, true, &long);
-        other.apply_discovery(5, true, &long);
+        one.apply_discovery(5, true, &servers);
+        other.apply_discovery(5, true, &servers);
         let drained: Vec<(String, ServerStatus)> =
             (0..50).map(|number| (format!("srv-{}", number * 99), ServerStatus::Draining)).collect();
         one.apply_discovery(6, false, &drained);
         let (coarse, fine) =
             (one.count_differences(&other.digest()), one.count_differences(&other.fine_digest()));
-        assert!(coarse > 8_000 && (50..1_000).contains(&fine), "{coarse} by 16 parts, {fine} by 1,024");
-        for piece in one.encode_differences(&other.fine_digest(), 16_000) {
-            assert!(piece.len() <= 16_000);
-            other.merge_updates(0, decode_updates(&piece).expect("items"), |_| Some(1));
+        assert!(
+            coarse > 8_000 && (50..1_000).contains(&fine),
+            "{coarse} differences by 16 buckets, {fine} by 1,024"
+        );
+        for chunk in one.encode_differences(&other.fine_digest(), 16_000) {
+            assert!(chunk.len() <= 16_000);
+            other.merge_updates(0, decode_updates(&chunk).expect("updates"), |_| Some(1));
         }
         assert_eq!(one.digest(), other.digest());
-        // A digest of no parts differs in all.
+        // Everything differs from a digest without buckets.
         assert_eq!(one.count_differences(&[]), 10_000);
     }
 
     #[test]
-    fn a_row_is_its_writers_alone_and_of_the_start_that_lives() {
+    fn only_the_live_process_of_an_instance_writes_its_row() {
         let (mut one, mut other) = (store("n1"), store("n2"));
         let counts = OutcomeCounts { succeeded: 3, ..OutcomeCounts::default() };
         let row = OutcomeRow {
@@ -459,28 +490,28 @@
             rule_sets: vec!["x".into()],
             entries: vec![("s".into(), 0, counts)],
         };
-        let items = decode_updates(&one.record_own_outcomes(100, row.clone())).expect("items");
-        other.merge_updates(1_000, items.clone(), |_| Some(1));
+        let updates = decode_updates(&one.record_own_outcomes(100, row.clone())).expect("updates");
+        other.merge_updates(1_000, updates.clone(), |_| Some(1));
         assert_eq!(
-            other.outcomes().get("n1").map(|held| (held.written_at, held.row.sequence)),
+            other.outcomes().get("n1").map(|stored| (stored.written_at, stored.row.sequence)),
             Some((1_000, 1))
         );
-        assert!(!other.has_pending_updates(), "rows are not passed on");
-        // What others say of one's own row is not heard, nor a row of a start that does not live.
-        one.merge_updates(9_000, items.clone(), |_| Some(1));
-        assert_eq!(one.outcomes().get("n1").map(|held| held.written_at), Some(100));
+        assert!(!other.has_pending_updates(), "rows are not gossiped");
+        // An instance ignores its own row from others, and a row of a process that is not live.
+        one.merge_updates(9_000, updates.clone(), |_| Some(1));
+        assert_eq!(one.outcomes().get("n1").map(|stored| stored.written_at), Some(100));
         let mut late = store("n4");
-        late.merge_updates(0, items, |_| Some(2));
+        late.merge_updates(0, updates, |_| Some(2));
         assert!(late.outcomes().get("n1").is_none());
     }
 
     #[test]
-    fn kinds_that_this_build_does_not_know_are_skipped() {
+    fn unknown_kinds_of_updates_are_skipped() {
         let mut one = store("n1");
         one.apply_discovery(1, true, &list("a!"));
         let mut bytes = vec![99, 2, 0, 1, 1];
         bytes.extend(one.next_delta(1_000, 3));
-        assert_eq!(decode_updates(&bytes).map(|items| items.len()), Ok(1));
+        assert_eq!(decode_updates(&bytes).map(|updates| updates.len()), Ok(1));
         assert!(decode_updates(&bytes[..bytes.len() - 1]).is_err());
     }
 
@@ -488,10 +519,10 @@
         #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
         #[test]
-        fn any_bytes_are_items_or_an_error(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
-            if let Ok(items) = decode_updates(&bytes) {
-                prop_assert!(items.len() <= bytes.len() / HEAD);
-                store("n1").merge_updates(0, items, |_| Some(1));
+        fn any_bytes_decode_to_updates_or_an_error(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
+            if let Ok(updates) = decode_updates(&bytes) {
+                prop_assert!(updates.len() <= bytes.len() / UPDATE_HEADER_BYTES);
+                store("n1").merge_updates(0, updates, |_| Some(1));
             }
         }
     }
