--- a/replica/src/lib.rs
+++ b/replica/src/lib.rs
@@ -1,13 +1,17 @@
-//! What the balancers of a fleet know, held in common. [`stamp`] tells which news of a list is newer, also when discovery
-//! has lost its state and counts anew; [`status`] holds what was heard of srvs (drains, departures, returns) so that one
-//! that is heeded once is never unheard; [`outcomes`] holds what each instance counts, which only it writes; [`store`] puts them
-//! together: deltas to pass on, digests, what differs. Nothing here does I/O or reads a clock, and no machine's clock is
-//! trusted for order; it knows and never decides.
+//! The state that the balancers of a fleet replicate among themselves.
+//!
+//! - [`stamp`]: the order of discovery's lists, also when discovery has lost its state and numbers them anew;
+//! - [`status`]: which servers serve, drain or are gone;
+//! - [`outcomes`]: counts of request outcomes, one row per instance, which only that instance writes;
+//! - [`store`]: one instance's replica of all this, with deltas, digests and differences.
+//!
+//! Invariants: this crate does no I/O, reads no clock and makes no routing decisions; no order depends on the clock of
+//! a machine.
 
 pub mod outcomes;
 pub mod stamp;
 pub mod status;
 pub mod store;
 
-/// Nanoseconds on a clock of the caller's, which never goes back.
+/// Nanoseconds on the caller's monotonic clock.
 pub type Nanos = u64;
