--- a/recovery/src/snapshot_file.rs
+++ b/recovery/src/snapshot_file.rs
@@ -1,14 +1,18 @@
-//! How a snapshot is put down: a new file, flushed, then renamed over the old one, then the folder flushed. Cut off at any
-//! step, the last one or the one before stands. It owns that order and must never name a file before it is flushed.
+//! Atomic replacement of the snapshot file: the new content is written to a temporary file and synced, the file is
+//! renamed over the old one, and the directory is synced. After an interruption at any step, the new or the previous
+//! snapshot is left.
+//!
+//! Invariant: a file is never renamed to the snapshot's name before its content is synced.
 
-/// The name that a start reads, and the one that is written first.
+/// The file that a starting instance reads.
 pub const SNAPSHOT_FILE_NAME: &str = "snapshot";
+/// The file that is written before it replaces the snapshot.
 pub const TEMP_FILE_NAME: &str = "snapshot.new";
 
-/// One folder, as a caller or a test has it.
+/// The directory of the snapshots, on a file system or simulated by a test.
 pub trait SnapshotDir {
     type Error;
-    /// Makes the file anew, with these bytes; nothing is promised of it until it is flushed.
+    /// Creates or truncates the file and writes the bytes. Their durability is not guaranteed until the file is synced.
     fn write_file(&mut self, name: &str, bytes: &[u8]) -> Result<(), Self::Error>;
     fn sync_file(&mut self, name: &str) -> Result<(), Self::Error>;
     fn rename_file(&mut self, from: &str, to: &str) -> Result<(), Self::Error>;
@@ -16,14 +20,14 @@
     fn remove_file(&mut self, name: &str) -> Result<(), Self::Error>;
 }
 
-/// Once this is well the snapshot stands, whatever happens after. Where it is not, the one before does.
+/// Replaces the snapshot. On success it is durable; on an error the previous one is left.
 pub fn save_snapshot<D: SnapshotDir>(directory: &mut D, bytes: &[u8]) -> Result<(), D::Error> {
     let written =
         directory.write_file(TEMP_FILE_NAME, bytes).and_then(|()| directory.sync_file(TEMP_FILE_NAME));
-    if let Err(why) = written {
-        // A full directory is not filled further. What is left of it is written over the next time, if this fails too.
+    if let Err(error) = written {
+        // Frees the space on a full disk. If that fails too, the next save overwrites the file.
         let _ = directory.remove_file(TEMP_FILE_NAME);
-        return Err(why);
+        return Err(error);
     }
     directory.rename_file(TEMP_FILE_NAME, SNAPSHOT_FILE_NAME)?;
     directory.sync_directory()
