--- a/recovery/src/initial_list.rs
+++ b/recovery/src/initial_list.rs
@@ -1,5 +1,7 @@
-//! What a start takes over. It owns the rules by which what is old is dropped, and must never take a srv back that any source
-//! knew to be gone or draining: only discovery's fresh word does that.
+//! The list of servers that a starting instance uses, and how old sources are corrected or rejected.
+//!
+//! Invariant: a server that any source knew to be gone or draining is not used again because of a restart. Only a newer
+//! list from discovery brings it back.
 
 use std::collections::BTreeSet;
 
@@ -9,16 +11,16 @@
 use crate::snapshot::{Snapshot, SnapshotEntry};
 use crate::{Nanos, S};
 
-/// A list in which so much may have changed is worse than none that says so: it is dropped where another one is there.
+/// The list of a snapshot older than this may have changed so much that another list, if there is one, is preferred.
 pub const STALE_SNAPSHOT_AGE: Nanos = 24 * 3_600 * S;
 
-/// What the start facts say, in discovery's count.
+/// The list in the start facts, with discovery's version.
 pub struct FactsList<A> {
     pub version: u64,
     pub entries: Vec<(Listed, A)>,
 }
 
-/// Where the first list came from, for the log.
+/// The source of the initial list. The log prints these names.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ListSource {
     Nothing,
@@ -26,23 +28,22 @@
     Snapshot,
 }
 
-/// The list to begin with.
 pub struct InitialList<A> {
     pub source: ListSource,
     pub entries: Vec<(Listed, A)>,
-    /// Left out because the snapshot knew them to be gone.
+    /// The number of servers left out since the snapshot knew them to be gone.
     pub excluded_as_gone: usize,
-    /// Avoided because it knew them to drain.
+    /// The number of servers marked as draining since the snapshot knew them to drain.
     pub marked_draining: usize,
 }
 
-/// Of the list in the start facts and the one in the snapshot the newer, by discovery's version, so that a start's list is
-/// never older than what this instance knew before. Of either, no srv is used that the snapshot knew to be gone or to
-/// drain by a newer list than that. `age` is the snapshot's, by the machine's clock.
+/// Selects the newer list of those in the start facts and in the snapshot, by discovery's version, so that a start
+/// never uses an older list than this instance knew before. Servers that the snapshot knew to be gone or draining by a
+/// list not older than the selected one are left out or marked as draining. `snapshot_age` is by the system clock.
 pub fn select_initial_list<A: From<std::net::SocketAddr>>(
     facts: Option<FactsList<A>>,
     snapshot: Option<&Snapshot>,
-    age: Nanos,
+    snapshot_age: Nanos,
 ) -> InitialList<A> {
     let Some(snapshot) = snapshot else {
         let source = if facts.is_some() { ListSource::Facts } else { ListSource::Nothing };
@@ -53,33 +54,33 @@
             marked_draining: 0,
         };
     };
-    // The facts' list is newer, or the snapshot's is so old that any other one is better.
-    let facts = facts.filter(|facts| {
-        facts.version > snapshot.stamp.version || (age > STALE_SNAPSHOT_AGE && !facts.entries.is_empty())
+    let preferred_facts = facts.filter(|facts| {
+        facts.version > snapshot.stamp.version
+            || (snapshot_age > STALE_SNAPSHOT_AGE && !facts.entries.is_empty())
     });
-    let (source, version, mut entries) = match facts {
+    let (source, version, mut entries) = match preferred_facts {
         Some(facts) => (ListSource::Facts, facts.version, facts.entries),
         None => {
             let entry = |entry: &SnapshotEntry| (entry.to_listed(), A::from(entry.address));
             (ListSource::Snapshot, snapshot.stamp.version, snapshot.entries.iter().map(entry).collect())
         }
     };
-    // A word of an earlier count or an older list is settled by the list itself.
-    let newer = |heard: ServerStatus| -> BTreeSet<&str> {
-        let stands = snapshot.statuses.iter().filter(|(_, word)| word.status == heard);
-        let stands = stands.filter(|(_, word)| {
-            word.stamp.epoch > snapshot.stamp.epoch
-                || (word.stamp.version >= version && word.stamp.epoch == snapshot.stamp.epoch)
+    // The selected list itself supersedes statuses of an earlier epoch or of an older list.
+    let servers_with = |status: ServerStatus| -> BTreeSet<&str> {
+        let statuses = snapshot.statuses.iter().filter(|(_, stamped)| stamped.status == status);
+        let current = statuses.filter(|(_, stamped)| {
+            stamped.stamp.epoch > snapshot.stamp.epoch
+                || (stamped.stamp.version >= version && stamped.stamp.epoch == snapshot.stamp.epoch)
         });
-        stands.map(|(srv, _)| srv.as_str()).collect()
+        current.map(|(server, _)| server.as_str()).collect()
     };
-    let (gone, drains) = (newer(ServerStatus::Gone), newer(ServerStatus::Draining));
-    let before = entries.len();
+    let (gone, draining) = (servers_with(ServerStatus::Gone), servers_with(ServerStatus::Draining));
+    let initial_count = entries.len();
     entries.retain(|(listed, _)| !gone.contains(&*listed.srv));
-    let excluded_as_gone = before - entries.len();
+    let excluded_as_gone = initial_count - entries.len();
     let mut marked_draining = 0;
     for (listed, _) in &mut entries {
-        if listed.state == ochreshed::State::Up && drains.contains(&*listed.srv) {
+        if listed.state == ochreshed::State::Up && draining.contains(&*listed.srv) {
             listed.state = ochreshed::State::Draining;
             marked_draining += 1;
         }
@@ -98,9 +99,9 @@
 
     use super::*;
 
-    fn entry(srv: &str) -> SnapshotEntry {
+    fn entry(server: &str) -> SnapshotEntry {
         SnapshotEntry {
-            server: srv.into(),
+            server: server.into(),
             draining: false,
             came_up: None,
             weight: 1.0,
@@ -110,10 +111,10 @@
         }
     }
 
-    fn snapshot(version: u64, srvs: &str, words: &[(&str, u64, ServerStatus)]) -> Snapshot {
+    fn snapshot(version: u64, servers: &str, statuses: &[(&str, u64, ServerStatus)]) -> Snapshot {
         let stamp = |version| Stamp { epoch: 0, version };
-        let word = |(srv, version, state): &(&str, u64, ServerStatus)| {
-            ((*srv).to_owned(), StampedStatus { stamp: stamp(*version), status: *state })
+        let stamped = |(server, version, status): &(&str, u64, ServerStatus)| {
+            ((*server).to_owned(), StampedStatus { stamp: stamp(*version), status: *status })
         };
         Snapshot {
             fleet: String::new(),
@@ -121,74 +122,78 @@
             sequence: 1,
             written_at_unix_ns: 0,
             stamp: stamp(version),
-            entries: srvs.split_whitespace().map(entry).collect(),
-            statuses: words.iter().map(word).collect(),
+            entries: servers.split_whitespace().map(entry).collect(),
+            statuses: statuses.iter().map(stamped).collect(),
             floor: Stamp::default(),
         }
     }
 
-    fn given(version: u64, srvs: &str) -> Option<FactsList<SocketAddr>> {
-        let entries = srvs.split_whitespace().map(|srv| (entry(srv).to_listed(), entry(srv).address));
+    fn facts(version: u64, servers: &str) -> Option<FactsList<SocketAddr>> {
+        let entries =
+            servers.split_whitespace().map(|server| (entry(server).to_listed(), entry(server).address));
         Some(FactsList { version, entries: entries.collect() })
     }
 
-    fn names(first: &InitialList<SocketAddr>) -> String {
-        let up = |state| if state == State::Up { "" } else { "!" };
-        let names = first.entries.iter().map(|(listed, _)| format!("{}{}", listed.srv, up(listed.state)));
+    /// The server ids, with `!` after those that are not up.
+    fn names(initial: &InitialList<SocketAddr>) -> String {
+        let suffix = |state| if state == State::Up { "" } else { "!" };
+        let names =
+            initial.entries.iter().map(|(listed, _)| format!("{}{}", listed.srv, suffix(listed.state)));
         names.collect::<Vec<_>>().join(" ")
     }
 
     #[test]
-    fn the_newer_list_is_taken_and_nothing_that_was_known_to_be_gone() {
-        // An old list in the facts, as all that restart have it: the snapshot's is newer.
-        let old = snapshot(7, "a b", &[("c", 6, ServerStatus::Gone), ("b", 7, ServerStatus::Draining)]);
-        let start = select_initial_list(given(3, "a b c"), Some(&old), 0);
-        assert_eq!((names(&start).as_str(), start.source), ("a b!", ListSource::Snapshot));
-        // The facts' list is newer, and what others had told of later lists stands against it.
-        let told = snapshot(2, "a b c", &[("b", 9, ServerStatus::Gone), ("a", 1, ServerStatus::Draining)]);
-        let start = select_initial_list(given(3, "a b c"), Some(&told), 0);
+    fn the_newer_list_is_used_without_servers_known_to_be_gone() {
+        // The facts hold an old list, as they do for all that restart; the snapshot's is newer.
+        let newer = snapshot(7, "a b", &[("c", 6, ServerStatus::Gone), ("b", 7, ServerStatus::Draining)]);
+        let initial = select_initial_list(facts(3, "a b c"), Some(&newer), 0);
+        assert_eq!((names(&initial).as_str(), initial.source), ("a b!", ListSource::Snapshot));
+        // The facts' list is newer, but a status that came from a later list still applies.
+        let older = snapshot(2, "a b c", &[("b", 9, ServerStatus::Gone), ("a", 1, ServerStatus::Draining)]);
+        let initial = select_initial_list(facts(3, "a b c"), Some(&older), 0);
         assert_eq!(
-            (names(&start).as_str(), start.source, start.excluded_as_gone),
+            (names(&initial).as_str(), initial.source, initial.excluded_as_gone),
             ("a c", ListSource::Facts, 1)
         );
-        // A snapshot from last week is no list, and still no srv comes back that it knew to be gone.
-        let start = select_initial_list(given(3, "a b c"), Some(&old), 7 * STALE_SNAPSHOT_AGE);
-        assert_eq!((names(&start).as_str(), start.source), ("a b!", ListSource::Facts));
-        let start = select_initial_list(None, Some(&old), 7 * STALE_SNAPSHOT_AGE);
-        assert_eq!((names(&start).as_str(), start.source), ("a b!", ListSource::Snapshot));
+        // The list of a week-old snapshot is not used, but servers that it knew to be gone stay out.
+        let initial = select_initial_list(facts(3, "a b c"), Some(&newer), 7 * STALE_SNAPSHOT_AGE);
+        assert_eq!((names(&initial).as_str(), initial.source), ("a b!", ListSource::Facts));
+        let initial = select_initial_list(None, Some(&newer), 7 * STALE_SNAPSHOT_AGE);
+        assert_eq!((names(&initial).as_str(), initial.source), ("a b!", ListSource::Snapshot));
     }
 
     #[test]
-    fn without_a_snapshot_all_is_as_the_facts_say() {
-        let start = select_initial_list(given(3, "a b"), None, 0);
-        assert_eq!((names(&start).as_str(), start.source), ("a b", ListSource::Facts));
+    fn without_a_snapshot_the_facts_are_used() {
+        let initial = select_initial_list(facts(3, "a b"), None, 0);
+        assert_eq!((names(&initial).as_str(), initial.source), ("a b", ListSource::Facts));
         assert_eq!(select_initial_list::<SocketAddr>(None, None, 0).source, ListSource::Nothing);
     }
 
     proptest! {
         #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-        /// Whatever the sources say: nothing is used that a word not older than the list knew to be gone or draining, and
-        /// nothing that no source lists.
+        /// Whatever the sources contain, no server is up that a status not older than the list knew to be gone or
+        /// draining, and none that no source lists.
         #[test]
-        fn no_srv_comes_back_by_a_start(
-            facts in (0..9u64, prop::collection::btree_set(0..6u8, 0..6)),
-            held in (0..9u64, prop::collection::btree_set(0..6u8, 0..6)),
-            words in prop::collection::vec((0..6u8, 0..9u64, any::<bool>()), 0..6),
+        fn a_restart_brings_no_server_back(
+            facts_list in (0..9u64, prop::collection::btree_set(0..6u8, 0..6)),
+            snapshot_list in (0..9u64, prop::collection::btree_set(0..6u8, 0..6)),
+            statuses in prop::collection::vec((0..6u8, 0..9u64, any::<bool>()), 0..6),
             age in 0..2 * STALE_SNAPSHOT_AGE,
         ) {
-            let list = |srvs: &BTreeSet<u8>| srvs.iter().map(|srv| format!("s{srv} ")).collect::<String>();
-            let said: Vec<(String, u64, ServerStatus)> = words.iter().map(|(srv, version, gone)| {
-                (format!("s{srv}"), *version, if *gone { ServerStatus::Gone } else { ServerStatus::Draining })
+            let list = |servers: &BTreeSet<u8>| servers.iter().map(|server| format!("s{server} ")).collect::<String>();
+            let named: Vec<(String, u64, ServerStatus)> = statuses.iter().map(|(server, version, gone)| {
+                (format!("s{server}"), *version, if *gone { ServerStatus::Gone } else { ServerStatus::Draining })
             }).collect();
-            let said: Vec<(&str, u64, ServerStatus)> = said.iter().map(|(srv, version, state)| (srv.as_str(), *version, *state)).collect();
-            let snapshot = snapshot(held.0, &list(&held.1), &said);
-            let start = select_initial_list(given(facts.0, &list(&facts.1)), Some(&snapshot), age);
-            let version = if start.source == ListSource::Facts { facts.0 } else { held.0 };
-            for (listed, _) in start.entries.iter().filter(|(listed, _)| listed.state == State::Up) {
-                let srv: u8 = listed.srv[1..].parse().expect("a number");
-                prop_assert!(facts.1.contains(&srv) || held.1.contains(&srv));
-                prop_assert!(!words.iter().any(|(of, at, _)| *of == srv && *at >= version), "{srv}");
+            let named: Vec<(&str, u64, ServerStatus)> =
+                named.iter().map(|(server, version, status)| (server.as_str(), *version, *status)).collect();
+            let snapshot = snapshot(snapshot_list.0, &list(&snapshot_list.1), &named);
+            let initial = select_initial_list(facts(facts_list.0, &list(&facts_list.1)), Some(&snapshot), age);
+            let version = if initial.source == ListSource::Facts { facts_list.0 } else { snapshot_list.0 };
+            for (listed, _) in initial.entries.iter().filter(|(listed, _)| listed.state == State::Up) {
+                let server: u8 = listed.srv[1..].parse().expect("a number");
+                prop_assert!(facts_list.1.contains(&server) || snapshot_list.1.contains(&server));
+                prop_assert!(!statuses.iter().any(|(of, at, _)| *of == server && *at >= version), "{server}");
             }
         }
     }
