--- a/recovery/src/start_progress.rs
+++ b/recovery/src/start_progress.rs
@@ -1,23 +1,28 @@
-//! The way from a process's start to full service, as a machine with names. It owns what counts as full service and when it
-//! was reached, and must never hold a req back: it only says what a start still lacks, and how long it may wait before it
-//! serves at all.
+//! The progress of a starting instance to full service.
+//!
+//! Full service is reached when the instance is ready, peers or discovery have confirmed its list, and requests are no
+//! longer lost.
+//!
+//! Invariant: this module never holds a request back. It only reports progress, and how long a start may wait before it
+//! becomes ready.
 
 use crate::{MS, Nanos, S};
 
-/// What a start goes by.
+/// How current the list in use is. The metric `start.knows` shows the discriminant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ListFreshness {
-    /// No list at all: nothing can be sent.
+    /// There is no list, so no request can be forwarded.
     NoList,
-    /// A list from before the start.
+    /// The list is from before the start.
     StaleList,
-    /// Others have told what they know.
+    /// Peers have sent the changes they know of since the start.
     ConfirmedByPeers,
-    /// Discovery has told a list since the start.
+    /// Discovery has sent a list since the start.
     ConfirmedByDiscovery,
 }
 
 impl ListFreshness {
+    /// The text in the log line on full service.
     pub fn label(self) -> &'static str {
         match self {
             ListFreshness::NoList => "nothing",
@@ -28,74 +33,80 @@
     }
 }
 
-/// A window is bad where more than this part of what ended in it was lost; where few ended, any loss.
-const WINDOW: Nanos = 500 * MS;
-const LOST: f64 = 0.05;
-const ENOUGH: u64 = 8;
-/// Full service is told once no window has been bad for so long. It was reached at the end of the last bad one.
-const QUIET: Nanos = 2 * S;
-
-/// A start's wait for others before it serves is worth while it costs less than what it saves. An old list of this age has
-/// so much changed (half of a fleet in an hour of deploying), each req at a srv that is gone is lost in one of three cases
-/// (the others go elsewhere at once), for as long as discovery takes to tell.
-const HALF_CHANGED: f64 = 3_600.0;
-const LOST_OF_STALE: f64 = 0.33;
-const DISCOVERY_TAKES: f64 = 1.0;
-const WAIT_MOST: Nanos = 300 * MS;
-
-/// How long a start with a list of this age may wait for others to tell what has changed since. With nobody to ask, or a list
-/// whose age is not known, it serves at once: to guess an age cost each start 36 ms, a fourteenth of the half second in which
-/// all restart.
+/// The length of the windows in which lost requests are counted.
+const LOSS_WINDOW: Nanos = 500 * MS;
+/// A window is bad if more than this part of its requests was lost.
+const MAX_LOSS_RATIO: f64 = 0.05;
+/// In a window with fewer requests, any lost one makes it bad.
+const MIN_REQUESTS_FOR_RATIO: u64 = 8;
+/// Full service is reported after this time without a bad window. It counts from the end of the last bad window.
+const STABLE_PERIOD: Nanos = 2 * S;
+
+// Waiting for peers is worthwhile while it costs less time than it saves in lost requests. That is the part of the list
+// that has changed, times the part of requests to gone servers that are lost, times the time until discovery responds.
+
+/// The age at which half of a list has changed: deploying replaces half of a fleet in an hour.
+const LIST_HALF_LIFE_S: f64 = 3_600.0;
+/// The part of requests to gone servers that are lost; the others are retried elsewhere at once.
+const STALE_SERVER_LOSS_RATIO: f64 = 0.33;
+const DISCOVERY_LATENCY_S: f64 = 1.0;
+const MAX_WAIT: Nanos = 300 * MS;
+
+/// The time that a start with a list of this age may wait for peers to report what has changed since.
+///
+/// Without peers, or if the age is unknown, it does not wait: waiting for a guessed age cost each start 36 ms, a
+/// fourteenth of the half second in which all instances restart.
 pub fn max_wait_for_peers(list_age: Option<Nanos>, has_peers: bool) -> Nanos {
     let Some(age) = list_age.filter(|_| has_peers) else { return 0 };
-    let changed = 1.0 - 0.5f64.powf(age as f64 / 1e9 / HALF_CHANGED);
-    let worth = changed * LOST_OF_STALE * DISCOVERY_TAKES;
-    ((worth * 1e9) as Nanos).min(WAIT_MOST)
+    let changed_ratio = 1.0 - 0.5f64.powf(age as f64 / 1e9 / LIST_HALF_LIFE_S);
+    let saved_s = changed_ratio * STALE_SERVER_LOSS_RATIO * DISCOVERY_LATENCY_S;
+    ((saved_s * 1e9) as Nanos).min(MAX_WAIT)
 }
 
 #[derive(Clone, Debug)]
 pub struct StartProgress {
-    began: Nanos,
+    started_at: Nanos,
     freshness: ListFreshness,
-    /// When each was reached first.
-    reached: [Option<Nanos>; 4],
-    ready: Option<Nanos>,
-    full: Option<Nanos>,
-    /// The window under way: its begin, and what ended in it.
-    window: Nanos,
-    ended: u64,
-    lost: u64,
-    /// The end of the last bad one.
-    bad_until: Nanos,
+    /// When each [`ListFreshness`] was first reached.
+    reached_at: [Option<Nanos>; 4],
+    ready_at: Option<Nanos>,
+    full_service_at: Option<Nanos>,
+    window_start: Nanos,
+    /// Requests that ended in the current window, and how many of them were lost.
+    window_ended: u64,
+    window_lost: u64,
+    /// The end of the last bad window.
+    last_bad_window_end: Nanos,
 }
 
-/// How a start went, once it is over.
+/// The course of a start. Times count from the start of the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StartSummary {
-    /// Spans from the process's start.
     pub ready_after: Nanos,
     pub full_service_after: Nanos,
+    /// When peers confirmed the list.
     pub peers_after: Option<Nanos>,
+    /// When discovery confirmed the list.
     pub discovery_after: Option<Nanos>,
-    /// What it served by until then.
+    /// The freshness of the list that it started with.
     pub initial_freshness: ListFreshness,
 }
 
 impl StartProgress {
-    pub fn new(now: Nanos, list: bool) -> StartProgress {
-        let freshness = if list { ListFreshness::StaleList } else { ListFreshness::NoList };
-        let mut reached = [None; 4];
-        reached[freshness as usize] = Some(now);
+    pub fn new(now: Nanos, has_list: bool) -> StartProgress {
+        let freshness = if has_list { ListFreshness::StaleList } else { ListFreshness::NoList };
+        let mut reached_at = [None; 4];
+        reached_at[freshness as usize] = Some(now);
         StartProgress {
-            began: now,
+            started_at: now,
             freshness,
-            reached,
-            ready: None,
-            full: None,
-            window: now,
-            ended: 0,
-            lost: 0,
-            bad_until: now,
+            reached_at,
+            ready_at: None,
+            full_service_at: None,
+            window_start: now,
+            window_ended: 0,
+            window_lost: 0,
+            last_bad_window_end: now,
         }
     }
 
@@ -103,64 +114,64 @@
         self.freshness
     }
 
-    /// When full service was reached, from the process's start.
+    /// The time from the start of the process to full service, once that is reached.
     pub fn full_service_after(&self) -> Option<Nanos> {
-        self.full.map(|full| full.saturating_sub(self.began))
+        self.full_service_at.map(|at| at.saturating_sub(self.started_at))
     }
 
-    /// It serves.
+    /// Records that the instance accepts requests.
     pub fn mark_ready(&mut self, now: Nanos) {
-        if self.ready.is_none() {
-            (self.ready, self.window, self.ended, self.lost) = (Some(now), now, 0, 0);
+        if self.ready_at.is_none() {
+            (self.ready_at, self.window_start, self.window_ended, self.window_lost) = (Some(now), now, 0, 0);
         }
     }
 
-    /// Others, or discovery, have told what they know. Never less than before.
-    pub fn record_confirmation(&mut self, now: Nanos, by: ListFreshness) {
-        self.reached[by as usize].get_or_insert(now);
-        self.freshness = self.freshness.max(by);
+    /// Records that peers or discovery have confirmed the list. The freshness never decreases.
+    pub fn record_confirmation(&mut self, now: Nanos, freshness: ListFreshness) {
+        self.reached_at[freshness as usize].get_or_insert(now);
+        self.freshness = self.freshness.max(freshness);
     }
 
-    /// So many reqs have ended; lost are those whose clients got no answer that they wanted.
+    /// Records requests that have ended. Lost are those whose clients got no response or not one they could use.
     pub fn record_requests(&mut self, now: Nanos, ended: u64, lost: u64) {
-        self.turn(now);
-        (self.ended, self.lost) = (self.ended + ended, self.lost + lost);
+        self.advance_window(now);
+        (self.window_ended, self.window_lost) = (self.window_ended + ended, self.window_lost + lost);
     }
 
-    fn turn(&mut self, now: Nanos) {
-        if now < self.window + WINDOW {
+    /// Evaluates the current window if it has passed, and begins the next.
+    fn advance_window(&mut self, now: Nanos) {
+        if now < self.window_start + LOSS_WINDOW {
             return;
         }
-        let bad = match self.ended {
-            0..ENOUGH => self.lost > 0,
-            ended => self.lost as f64 > LOST * ended as f64,
+        let is_bad = match self.window_ended {
+            0..MIN_REQUESTS_FOR_RATIO => self.window_lost > 0,
+            ended => self.window_lost as f64 > MAX_LOSS_RATIO * ended as f64,
         };
-        if bad {
-            self.bad_until = self.window + WINDOW;
+        if is_bad {
+            self.last_bad_window_end = self.window_start + LOSS_WINDOW;
         }
-        (self.window, self.ended, self.lost) = (now, 0, 0);
+        (self.window_start, self.window_ended, self.window_lost) = (now, 0, 0);
     }
 
-    /// Looks whether it is over; the first time that it is, how it went.
+    /// Returns the summary of the start once, after full service has lasted for [`STABLE_PERIOD`].
     pub fn check_full_service(&mut self, now: Nanos) -> Option<StartSummary> {
-        self.turn(now);
-        let ready = self.ready?;
-        // Somebody has confirmed the list since.
-        let confirmed =
-            self.reached[ListFreshness::ConfirmedByPeers as usize..].iter().flatten().min().copied()?;
-        let full = self.bad_until.max(confirmed).max(ready);
-        if self.full.is_some() || now < full + QUIET {
+        self.advance_window(now);
+        let ready_at = self.ready_at?;
+        let confirmed_at =
+            self.reached_at[ListFreshness::ConfirmedByPeers as usize..].iter().flatten().min().copied()?;
+        let full_service_at = self.last_bad_window_end.max(confirmed_at).max(ready_at);
+        if self.full_service_at.is_some() || now < full_service_at + STABLE_PERIOD {
             return None;
         }
-        self.full = Some(full);
-        let span = |at: Nanos| at.saturating_sub(self.began);
-        let old = self.reached[ListFreshness::StaleList as usize].is_some();
+        self.full_service_at = Some(full_service_at);
+        let after_start = |at: Nanos| at.saturating_sub(self.started_at);
+        let had_list = self.reached_at[ListFreshness::StaleList as usize].is_some();
         Some(StartSummary {
-            ready_after: span(ready),
-            full_service_after: span(full),
-            peers_after: self.reached[ListFreshness::ConfirmedByPeers as usize].map(span),
-            discovery_after: self.reached[ListFreshness::ConfirmedByDiscovery as usize].map(span),
-            initial_freshness: if old { ListFreshness::StaleList } else { ListFreshness::NoList },
+            ready_after: after_start(ready_at),
+            full_service_after: after_start(full_service_at),
+            peers_after: self.reached_at[ListFreshness::ConfirmedByPeers as usize].map(after_start),
+            discovery_after: self.reached_at[ListFreshness::ConfirmedByDiscovery as usize].map(after_start),
+            initial_freshness: if had_list { ListFreshness::StaleList } else { ListFreshness::NoList },
         })
     }
 }
@@ -170,49 +181,55 @@
     use super::*;
 
     #[test]
-    fn full_service_is_when_the_last_bad_window_ended_and_somebody_confirmed_the_list() {
+    fn full_service_begins_after_the_last_bad_window_and_a_confirmed_list() {
         let mut start = StartProgress::new(0, true);
         start.mark_ready(300 * MS);
-        assert_eq!(start.check_full_service(10 * S), None, "nobody has confirmed its list");
+        assert_eq!(start.check_full_service(10 * S), None, "nobody has confirmed the list");
         let mut start = StartProgress::new(0, true);
         start.mark_ready(300 * MS);
         start.record_requests(400 * MS, 100, 30);
         start.record_confirmation(600 * MS, ListFreshness::ConfirmedByPeers);
         start.record_requests(900 * MS, 100, 2);
         start.record_requests(S, 2, 0);
-        assert_eq!(start.check_full_service(2_700 * MS), None, "the quiet has not lasted");
-        let told = start.check_full_service(2_800 * MS).expect("over");
+        assert_eq!(start.check_full_service(2_700 * MS), None, "the stable period has not passed");
+        let summary = start.check_full_service(2_800 * MS).expect("full service");
         assert_eq!(
-            (told.ready_after, told.full_service_after, told.peers_after),
+            (summary.ready_after, summary.full_service_after, summary.peers_after),
             (300 * MS, 800 * MS, Some(600 * MS))
         );
         assert_eq!(
-            (told.initial_freshness, told.discovery_after, start.freshness()),
+            (summary.initial_freshness, summary.discovery_after, start.freshness()),
             (ListFreshness::StaleList, None, ListFreshness::ConfirmedByPeers)
         );
         assert_eq!(
             (start.check_full_service(9 * S), start.full_service_after()),
             (None, Some(800 * MS)),
-            "it is told once"
+            "the summary is returned once"
         );
     }
 
     #[test]
-    fn where_hardly_anything_is_asked_any_loss_is_bad_and_none_is_needed() {
+    fn with_few_requests_any_lost_one_makes_a_window_bad_and_none_are_needed() {
         let mut start = StartProgress::new(0, false);
         start.mark_ready(100 * MS);
         start.record_confirmation(50 * MS, ListFreshness::ConfirmedByDiscovery);
         start.record_requests(S, 1, 1);
-        let told = start.check_full_service(5 * S).expect("over");
-        assert_eq!((told.full_service_after, told.initial_freshness), (1_500 * MS, ListFreshness::NoList));
+        let summary = start.check_full_service(5 * S).expect("full service");
+        assert_eq!(
+            (summary.full_service_after, summary.initial_freshness),
+            (1_500 * MS, ListFreshness::NoList)
+        );
         let mut idle = StartProgress::new(0, false);
         idle.mark_ready(100 * MS);
         idle.record_confirmation(50 * MS, ListFreshness::ConfirmedByDiscovery);
-        assert_eq!(idle.check_full_service(2_100 * MS).map(|told| told.full_service_after), Some(100 * MS));
+        assert_eq!(
+            idle.check_full_service(2_100 * MS).map(|summary| summary.full_service_after),
+            Some(100 * MS)
+        );
     }
 
     #[test]
-    fn a_wait_is_bounded_and_grows_with_what_it_may_save() {
+    fn the_wait_for_peers_grows_with_the_age_of_the_list_and_is_bounded() {
         assert_eq!(
             (
                 max_wait_for_peers(Some(0), true),
