--- a/recovery/src/initial_list.rs
+++ b/recovery/src/initial_list.rs
@@ -103,7 +103,7 @@
         SnapshotEntry {
             server: server.into(),
             draining: false,
-            came_up: None,
+            started_at: None,
             weight: 1.0,
             site: "a".into(),
             cell: 0,
--- a/recovery/src/snapshot.rs
+++ b/recovery/src/snapshot.rs
@@ -22,7 +22,8 @@
 pub struct SnapshotEntry {
     pub server: String,
     pub draining: bool,
-    pub came_up: Option<u64>,
+    /// When the server's process last started, in nanoseconds; none if that is long ago.
+    pub started_at: Option<u64>,
     pub weight: f64,
     pub site: String,
     pub cell: u64,
@@ -35,7 +36,7 @@
         SnapshotEntry {
             server: listed.srv.to_string(),
             draining: listed.state != State::Up,
-            came_up: listed.came_up,
+            started_at: listed.came_up,
             weight: listed.weight,
             site: listed.site.to_string(),
             cell: listed.cell,
@@ -47,7 +48,7 @@
         Listed {
             srv: self.server.as_str().into(),
             state: if self.draining { State::Draining } else { State::Up },
-            came_up: self.came_up,
+            came_up: self.started_at,
             weight: self.weight,
             site: self.site.as_str().into(),
             cell: self.cell,
@@ -177,7 +178,7 @@
         let entry = |number: u64| SnapshotEntry {
             server: format!("s{number}"),
             draining: number.is_multiple_of(5),
-            came_up: number.is_multiple_of(3).then_some(number),
+            started_at: number.is_multiple_of(3).then_some(number),
             weight: 1.5,
             site: "a".into(),
             cell: number,
