--- a/recovery/tests/frozen_forms.rs
+++ b/recovery/tests/frozen_forms.rs
@@ -1,5 +1,5 @@
-//! A snapshot as builds that are in service write it, byte for byte: a build that starts in the place of another must
-//! read what that one knew.
+//! The encoding of a snapshot, byte for byte as builds in service write it, and the texts and numbers that operators
+//! see. A build must read the snapshot that another build left.
 
 use std::path::{Path, PathBuf};
 
@@ -10,33 +10,32 @@
 use ochreshed_replica::stamp::Stamp;
 use ochreshed_replica::status::{ServerStatus, StampedStatus};
 
-fn file(name: &str) -> PathBuf {
+const FIXTURE: &str = "snapshot.bin";
+
+fn fixture_path(name: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(name)
 }
 
-/// With WRITE_FIXTURES=1 a fixture is written, and the test fails all the same: it never passes on what it has just
-/// written.
-fn written(name: &str, bytes: &[u8]) {
-    if std::env::var_os("WRITE_FIXTURES").is_some_and(|told| told == "1") {
-        std::fs::write(file(name), bytes).expect("a fixture");
+/// With WRITE_FIXTURES=1 writes the fixture. The test then fails, so that it never passes on what it has just written.
+fn write_if_requested(name: &str, bytes: &[u8]) {
+    if std::env::var_os("WRITE_FIXTURES").is_some_and(|value| value == "1") {
+        std::fs::write(fixture_path(name), bytes).expect("a writable fixture");
         panic!("fixtures written");
     }
 }
 
-const FILE: &str = "snapshot.bin";
-
 fn snapshot() -> Snapshot {
-    let entry = |srv: &str, draining, came_up, weight, address: &str| SnapshotEntry {
-        server: srv.into(),
+    let entry = |server: &str, draining, started_at, weight, address: &str| SnapshotEntry {
+        server: server.into(),
         draining,
-        came_up,
+        started_at,
         weight,
         site: "quito-a".into(),
         cell: 300,
         address: address.parse().expect("an address"),
     };
-    let word = |srv: &str, epoch, version, status| {
-        (srv.to_owned(), StampedStatus { stamp: Stamp { epoch, version }, status })
+    let status = |server: &str, epoch, version, status| {
+        (server.to_owned(), StampedStatus { stamp: Stamp { epoch, version }, status })
     };
     Snapshot {
         fleet: "shop".into(),
@@ -49,35 +48,38 @@
             entry("i-2", true, Some(1_700_000_000_000), 0.25, "[2001:db8::1]:65535"),
         ],
         statuses: vec![
-            word("i-1", 1, 41, ServerStatus::Serving),
-            word("i-2", 1, 40, ServerStatus::Draining),
-            word("i-3", 0, u64::MAX, ServerStatus::Gone),
+            status("i-1", 1, 41, ServerStatus::Serving),
+            status("i-2", 1, 40, ServerStatus::Draining),
+            status("i-3", 0, u64::MAX, ServerStatus::Gone),
         ],
         floor: Stamp { epoch: 0, version: 7 },
     }
 }
 
 #[test]
-fn a_snapshot_is_written_and_read_as_before() {
+fn encoded_snapshots_stay() {
     let bytes = snapshot().encode();
-    written(FILE, &bytes);
-    let kept = std::fs::read(file(FILE)).expect("a fixture");
-    let read = Snapshot::decode(&kept).unwrap_or_else(|why| panic!("{why}"));
-    assert_eq!(read, snapshot());
-    assert_eq!(read.encode(), kept);
-    assert_eq!(bytes, kept);
-    assert_eq!(Snapshot::decode_for_instance(&kept, "shop", "n1", 1_700_000_001_000_000_000), Ok(snapshot()));
+    write_if_requested(FIXTURE, &bytes);
+    let expected = std::fs::read(fixture_path(FIXTURE)).expect("a fixture");
+    let decoded = Snapshot::decode(&expected).unwrap_or_else(|error| panic!("{error}"));
+    assert_eq!(decoded, snapshot());
+    assert_eq!(decoded.encode(), expected);
+    assert_eq!(bytes, expected);
+    assert_eq!(
+        Snapshot::decode_for_instance(&expected, "shop", "n1", 1_700_000_001_000_000_000),
+        Ok(snapshot())
+    );
 }
 
 #[test]
-fn the_file_has_its_name() {
+fn file_names_stay() {
     assert_eq!(SNAPSHOT_FILE_NAME, "snapshot");
     assert_eq!(TEMP_FILE_NAME, "snapshot.new");
 }
 
 /// `ochreshed snapshot` and the log print these texts.
 #[test]
-fn snapshot_errors_keep_their_texts() {
+fn texts_of_snapshot_errors_stay() {
     let texts = [
         (SnapshotError::NotASnapshot, "no snapshot"),
         (SnapshotError::LengthMismatch, "not whole"),
@@ -92,10 +94,10 @@
     }
 }
 
-/// The log prints where the first list came from by `{:?}`; the log and the metric `start.knows` show what a start goes
-/// by, as a text and as a number.
+/// The log prints the source of the initial list by `{:?}`. The freshness of the list appears in the log as a text and
+/// in the metric `start.knows` as a number.
 #[test]
-fn a_start_is_logged_and_measured_as_before() {
+fn logged_texts_and_metric_values_of_a_start_stay() {
     let sources =
         [ListSource::Nothing, ListSource::Facts, ListSource::Snapshot].map(|source| format!("{source:?}"));
     assert_eq!(sources, ["Nothing", "Facts", "Snapshot"]);
@@ -110,5 +112,5 @@
         ["nothing", "an old list", "told by others", "told by discovery"]
     );
     assert_eq!(all.map(|freshness| freshness as u64), [0, 1, 2, 3]);
-    assert_eq!([false, true].map(|list| StartProgress::new(0, list).freshness() as u64), [0, 1]);
+    assert_eq!([false, true].map(|has_list| StartProgress::new(0, has_list).freshness() as u64), [0, 1]);
 }
--- a/recovery/tests/snapshot_file.rs
+++ b/recovery/tests/snapshot_file.rs
@@ -1,6 +1,8 @@
-//! Snapshots on a disk that tears, loses what was not flushed, reorders, flips bits and fills up: at thousands of points
-//! where power goes, nothing false is read, and what was put down for good is still there. Saves that leave out a step
-//! are caught.
+//! Saves a snapshot on a simulated disk that tears writes, loses or reorders what was not synced, flips bits and fills
+//! up.
+//!
+//! After a power failure at any of thousands of points, only complete snapshots are read, and none older than the last
+//! successful save. Faulty saves that omit a step must be detected.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -11,114 +13,116 @@
 use proptest::prelude::*;
 
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-enum Fault {
+enum SaveFault {
     None,
-    /// The new file is named before it is flushed.
-    NoFlush,
-    /// The folder is never flushed: the name may be lost.
-    NoFolder,
-    /// Written over in place.
-    InPlace,
+    /// The temporary file is renamed before it is synced.
+    FileNotSynced,
+    /// The directory is never synced, so that the rename may be lost.
+    DirectoryNotSynced,
+    /// The snapshot file is overwritten in place.
+    WrittenInPlace,
 }
 
-/// A folder whose files and names reach the platter when they are flushed, or earlier, or never. Power goes at a step.
+/// A directory whose contents and names become durable when they are synced, or earlier, or never. Power fails at a
+/// given step.
 #[derive(Clone, Default)]
-struct Platter {
-    /// As the running system sees it: names, and files by number.
+struct SimulatedDisk {
+    /// The view of the running system: file numbers by name, and contents by file number.
     names: BTreeMap<String, u32>,
     files: BTreeMap<u32, Vec<u8>>,
-    /// What is surely on it.
-    safe_names: BTreeMap<String, u32>,
-    safe_files: BTreeMap<u32, Vec<u8>>,
-    /// Names as they were between flushes: any of them may be what is left.
-    between: Vec<BTreeMap<String, u32>>,
-    next: u32,
-    steps: usize,
-    /// No step after this one happens; and none that needs room, from the one on that fills it up.
-    power_until: usize,
-    full_from: usize,
+    /// What is certainly durable.
+    durable_names: BTreeMap<String, u32>,
+    durable_files: BTreeMap<u32, Vec<u8>>,
+    /// The names after each change since the directory was last synced. Any of them may be left after a power failure.
+    unsynced_names: Vec<BTreeMap<String, u32>>,
+    last_file: u32,
+    step_count: usize,
+    /// No step after this one is carried out.
+    power_fails_after: usize,
+    /// No step after this one can allocate space.
+    full_after: usize,
 }
 
-impl Platter {
-    fn step(&mut self, needs_room: bool) -> Result<(), &'static str> {
-        self.steps += 1;
-        if self.steps > self.power_until {
-            Err("power")
-        } else if needs_room && self.steps > self.full_from {
-            Err("full")
+impl SimulatedDisk {
+    fn next_step(&mut self, allocates: bool) -> Result<(), &'static str> {
+        self.step_count += 1;
+        if self.step_count > self.power_fails_after {
+            Err("power failure")
+        } else if allocates && self.step_count > self.full_after {
+            Err("disk full")
         } else {
             Ok(())
         }
     }
 }
 
-impl SnapshotDir for Platter {
+impl SnapshotDir for SimulatedDisk {
     type Error = &'static str;
 
     fn write_file(&mut self, name: &str, bytes: &[u8]) -> Result<(), &'static str> {
-        let short = match self.step(true) {
+        let written_bytes = match self.next_step(true) {
             Ok(()) => bytes.len(),
-            // Cut off in the middle of it, or with no room for the rest.
+            // A power failure in the middle of the write, or no space for the rest.
             Err(_) => bytes.len() / 2,
         };
         let file = match self.names.get(name) {
             Some(file) => *file,
             None => {
-                self.next += 1;
-                self.names.insert(name.to_owned(), self.next);
-                self.between.push(self.names.clone());
-                self.next
+                self.last_file += 1;
+                self.names.insert(name.to_owned(), self.last_file);
+                self.unsynced_names.push(self.names.clone());
+                self.last_file
             }
         };
-        self.files.insert(file, bytes[..short].to_vec());
-        if short == bytes.len() { Ok(()) } else { Err("cut") }
+        self.files.insert(file, bytes[..written_bytes].to_vec());
+        if written_bytes == bytes.len() { Ok(()) } else { Err("incomplete write") }
     }
 
     fn sync_file(&mut self, name: &str) -> Result<(), &'static str> {
-        self.step(false)?;
+        self.next_step(false)?;
         let file = self.names[name];
-        self.safe_files.insert(file, self.files[&file].clone());
+        self.durable_files.insert(file, self.files[&file].clone());
         Ok(())
     }
 
     fn rename_file(&mut self, from: &str, to: &str) -> Result<(), &'static str> {
-        self.step(false)?;
+        self.next_step(false)?;
         let file = self.names.remove(from).expect("a file of that name");
         self.names.insert(to.to_owned(), file);
-        self.between.push(self.names.clone());
+        self.unsynced_names.push(self.names.clone());
         Ok(())
     }
 
     fn sync_directory(&mut self) -> Result<(), &'static str> {
-        self.step(false)?;
-        self.safe_names = self.names.clone();
-        self.between.clear();
+        self.next_step(false)?;
+        self.durable_names = self.names.clone();
+        self.unsynced_names.clear();
         Ok(())
     }
 
     fn remove_file(&mut self, name: &str) -> Result<(), &'static str> {
-        self.step(false)?;
+        self.next_step(false)?;
         self.names.remove(name);
-        self.between.push(self.names.clone());
+        self.unsynced_names.push(self.names.clone());
         Ok(())
     }
 }
 
-/// The steps with one left out.
-fn faulty(fault: Fault, disk: &mut Platter, bytes: &[u8]) -> Result<(), &'static str> {
+/// Saves a snapshot without the step that the fault omits.
+fn save_with_fault(fault: SaveFault, disk: &mut SimulatedDisk, bytes: &[u8]) -> Result<(), &'static str> {
     match fault {
-        Fault::None => save_snapshot(disk, bytes),
-        Fault::NoFlush => {
+        SaveFault::None => save_snapshot(disk, bytes),
+        SaveFault::FileNotSynced => {
             disk.write_file(TEMP_FILE_NAME, bytes)?;
             disk.rename_file(TEMP_FILE_NAME, SNAPSHOT_FILE_NAME)?;
             disk.sync_directory()
         }
-        Fault::NoFolder => {
+        SaveFault::DirectoryNotSynced => {
             disk.write_file(TEMP_FILE_NAME, bytes)?;
             disk.sync_file(TEMP_FILE_NAME)?;
             disk.rename_file(TEMP_FILE_NAME, SNAPSHOT_FILE_NAME)
         }
-        Fault::InPlace => {
+        SaveFault::WrittenInPlace => {
             disk.write_file(SNAPSHOT_FILE_NAME, bytes)?;
             disk.sync_file(SNAPSHOT_FILE_NAME)?;
             disk.sync_directory()
@@ -126,23 +130,23 @@
     }
 }
 
-fn snapshot(number: u64) -> Snapshot {
-    let entry = |at: u64| SnapshotEntry {
-        server: format!("cell-{number}/srv-{at}"),
-        draining: at.is_multiple_of(2),
-        came_up: Some(number),
+fn snapshot(sequence: u64) -> Snapshot {
+    let entry = |number: u64| SnapshotEntry {
+        server: format!("cell-{sequence}/srv-{number}"),
+        draining: number.is_multiple_of(2),
+        started_at: Some(sequence),
         weight: 1.0,
         site: "b".into(),
-        cell: at,
+        cell: number,
         address: SocketAddr::from(([127, 0, 0, 1], 80)),
     };
-    let stamp = Stamp { epoch: 0, version: number };
-    let entries = (0..10 + number).map(entry).collect();
+    let stamp = Stamp { epoch: 0, version: sequence };
+    let entries = (0..10 + sequence).map(entry).collect();
     Snapshot {
         fleet: "shop".into(),
         instance: "n1".into(),
-        sequence: number,
-        written_at_unix_ns: number,
+        sequence,
+        written_at_unix_ns: sequence,
         stamp,
         entries,
         statuses: Vec::new(),
@@ -150,24 +154,31 @@
     }
 }
 
-/// What may be read after the power went, by what the disk made of what was not flushed.
-fn left(disk: &Platter, names: usize, keep: usize, garbage: bool, flip: Option<usize>) -> Option<Vec<u8>> {
-    let all: Vec<&BTreeMap<String, u32>> = std::iter::once(&disk.safe_names).chain(&disk.between).collect();
-    let file = all[names % all.len()].get(SNAPSHOT_FILE_NAME)?;
-    let mut bytes = match disk.safe_files.get(file) {
+/// The snapshot file that is left after the power failure.
+fn file_after_power_failure(
+    disk: &SimulatedDisk,
+    names_index: usize,
+    kept_bytes: usize,
+    zero_filled: bool,
+    flipped_bit: Option<usize>,
+) -> Option<Vec<u8>> {
+    let names: Vec<&BTreeMap<String, u32>> =
+        std::iter::once(&disk.durable_names).chain(&disk.unsynced_names).collect();
+    let file = names[names_index % names.len()].get(SNAPSHOT_FILE_NAME)?;
+    let mut bytes = match disk.durable_files.get(file) {
         Some(bytes) if Some(bytes) == disk.files.get(file) => bytes.clone(),
-        // Not flushed since it was written: any beginning of it, and zeros or nothing for the rest.
+        // Not synced since it was written.
         _ => {
             let written = disk.files.get(file).cloned().unwrap_or_default();
-            let kept = keep % (written.len() + 1);
+            let kept = kept_bytes % (written.len() + 1);
             let mut bytes = written[..kept].to_vec();
-            bytes.resize(if garbage { written.len() } else { kept }, 0);
+            bytes.resize(if zero_filled { written.len() } else { kept }, 0);
             bytes
         }
     };
-    if let Some(flip) = flip.filter(|_| !bytes.is_empty()) {
-        let at = flip / 8 % bytes.len();
-        bytes[at] ^= 1 << (flip % 8);
+    if let Some(bit) = flipped_bit.filter(|_| !bytes.is_empty()) {
+        let at = bit / 8 % bytes.len();
+        bytes[at] ^= 1 << (bit % 8);
     }
     Some(bytes)
 }
@@ -175,55 +186,72 @@
 #[derive(Clone, Debug)]
 struct Case {
     saves: u64,
-    power_until: usize,
-    full_from: usize,
-    names: usize,
-    keep: usize,
-    garbage: bool,
-    flip: Option<usize>,
+    power_fails_after: usize,
+    full_after: usize,
+    /// Selects one of the states of the names since the directory was last synced.
+    names_index: usize,
+    /// How many bytes are left of a file that was not synced, modulo its length plus one.
+    kept_bytes: usize,
+    /// Whether zeros follow the bytes that are left, up to the length of the file.
+    zero_filled: bool,
+    flipped_bit: Option<usize>,
 }
 
-fn case() -> impl Strategy<Value = Case> {
+fn any_case() -> impl Strategy<Value = Case> {
     let disk = (any::<usize>(), any::<usize>(), any::<bool>(), prop::option::weighted(0.2, any::<usize>()));
     (1..5u64, 0..25usize, prop_oneof![Just(99usize), 0..20usize], disk).prop_map(
-        |(saves, power_until, full_from, (names, keep, garbage, flip))| Case {
+        |(saves, power_fails_after, full_after, (names_index, kept_bytes, zero_filled, flipped_bit))| Case {
             saves,
-            power_until,
-            full_from,
-            names,
-            keep,
-            garbage,
-            flip,
+            power_fails_after,
+            full_after,
+            names_index,
+            kept_bytes,
+            zero_filled,
+            flipped_bit,
         },
     )
 }
 
-/// What is wrong after it, if anything.
-fn run(fault: Fault, case: &Case) -> Result<(), String> {
-    let mut disk = Platter { power_until: case.power_until, full_from: case.full_from, ..Platter::default() };
-    let (mut stands, mut begun) = (0, 0);
-    for number in 1..=case.saves {
-        if disk.steps >= case.power_until {
+/// Runs the saves of a case and returns an error if the snapshot that is left is not acceptable.
+fn check_case(fault: SaveFault, case: &Case) -> Result<(), String> {
+    let mut disk = SimulatedDisk {
+        power_fails_after: case.power_fails_after,
+        full_after: case.full_after,
+        ..SimulatedDisk::default()
+    };
+    let (mut last_saved, mut last_begun) = (0, 0);
+    for sequence in 1..=case.saves {
+        if disk.step_count >= case.power_fails_after {
             break;
         }
-        begun = number;
-        if faulty(fault, &mut disk, &snapshot(number).encode()).is_ok() {
-            stands = number;
+        last_begun = sequence;
+        if save_with_fault(fault, &mut disk, &snapshot(sequence).encode()).is_ok() {
+            last_saved = sequence;
         }
     }
-    let read =
-        left(&disk, case.names, case.keep, case.garbage, case.flip).map(|bytes| Snapshot::decode(&bytes));
-    match read {
-        // Whatever is read was written, and by no earlier save than the last that was well.
-        Some(Ok(read)) if read == snapshot(read.sequence) && (stands..=begun).contains(&read.sequence) => {
+    let decoded = file_after_power_failure(
+        &disk,
+        case.names_index,
+        case.kept_bytes,
+        case.zero_filled,
+        case.flipped_bit,
+    )
+    .map(|bytes| Snapshot::decode(&bytes));
+    match decoded {
+        // A decoded snapshot is one that was written, by the last successful save or a later one.
+        Some(Ok(read))
+            if read == snapshot(read.sequence) && (last_saved..=last_begun).contains(&read.sequence) =>
+        {
             Ok(())
         }
-        Some(Ok(read)) => Err(format!("read {} of {begun}, {stands} stands", read.sequence)),
-        // A flipped bit is seen, and then there is none.
-        Some(Err(_)) if case.flip.is_some() => Ok(()),
-        Some(Err(why)) => Err(format!("{why}, and {stands} stands")),
-        None if stands == 0 => Ok(()),
-        None => Err(format!("none, and {stands} stands")),
+        Some(Ok(read)) => {
+            Err(format!("read snapshot {} of {last_begun}, but {last_saved} was saved", read.sequence))
+        }
+        // A flipped bit is detected and the snapshot rejected.
+        Some(Err(_)) if case.flipped_bit.is_some() => Ok(()),
+        Some(Err(error)) => Err(format!("rejected as {error}, but snapshot {last_saved} was saved")),
+        None if last_saved == 0 => Ok(()),
+        None => Err(format!("no snapshot, but {last_saved} was saved")),
     }
 }
 
@@ -231,26 +259,26 @@
     #![proptest_config(ProptestConfig { cases: 10_000, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn wherever_power_goes_the_last_snapshot_or_the_one_before_stands(case in case()) {
-        if let Err(why) = run(Fault::None, &case) {
+    fn after_any_power_failure_the_last_saved_snapshot_or_a_later_one_is_left(case in any_case()) {
+        if let Err(why) = check_case(SaveFault::None, &case) {
             prop_assert!(false, "{why}");
         }
     }
 }
 
 #[test]
-fn saves_that_leave_out_a_step_are_caught() {
-    for fault in [Fault::NoFlush, Fault::NoFolder, Fault::InPlace] {
+fn saves_that_omit_a_step_are_detected() {
+    for fault in [SaveFault::FileNotSynced, SaveFault::DirectoryNotSynced, SaveFault::WrittenInPlace] {
         let cases = (0..20_000usize).map(|number| Case {
             saves: 1 + number as u64 % 4,
-            power_until: number / 4 % 25,
-            full_from: 99,
-            names: number / 100,
-            keep: number * 7_919,
-            garbage: number.is_multiple_of(2),
-            flip: None,
+            power_fails_after: number / 4 % 25,
+            full_after: 99,
+            names_index: number / 100,
+            kept_bytes: number * 7_919,
+            zero_filled: number.is_multiple_of(2),
+            flipped_bit: None,
         });
-        let caught = cases.filter(|case| run(fault, case).is_err()).count();
-        assert!(caught > 100, "{fault:?}: caught {caught} times");
+        let detected = cases.filter(|case| check_case(fault, case).is_err()).count();
+        assert!(detected > 100, "{fault:?}: detected in {detected} cases");
     }
 }
