--- a/replica/tests/search.rs
+++ b/replica/tests/search.rs
@@ -1,6 +1,7 @@
-//! A search over all orders of what can happen to three copies, up to a depth: discovery's changes told to one or another,
-//! messages delivered, doubled, held back as long as one likes or lost, processes that start anew, discovery that loses its
-//! count. The copies are the package's own. Each invariant has a mutant of the merge that the search catches.
+//! An exhaustive search, up to a depth, over the orders of events at three replicas: lists from discovery, messages
+//! that are delivered, duplicated, delayed or lost, restarts of a process, and a discovery that loses its state.
+//!
+//! The search runs the code of this crate. For each invariant there is a faulty merge rule that the search must detect.
 
 use std::collections::hash_map::DefaultHasher;
 use std::collections::{BTreeMap, HashSet};
@@ -9,215 +10,217 @@
 use ochreshed_replica::status::{ServerStatus, StampedStatus};
 use ochreshed_replica::store::{Store, Update, decode_updates};
 
-const COPIES: usize = 3;
-const SRV: &str = "s";
+const REPLICAS: usize = 3;
+const SERVER: &str = "s";
 
-/// How a copy merges: as shipped, or with a fault put in.
+/// How a replica merges statuses: by the real rule, or by a faulty one.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-enum Merge {
-    Shipped,
-    /// What arrives last stands.
-    ByArrival,
-    /// Of the same time the better word stands.
-    BetterOfTies,
+enum MergeRule {
+    Real,
+    /// The last status to arrive wins.
+    LastArrival,
+    /// With equal stamps the better status wins.
+    BetterOfEqualStamps,
 }
 
 #[derive(Clone, PartialEq, Eq, Hash)]
 struct World {
-    copies: Vec<Store>,
-    /// What a mutant holds in place of its copy's words.
-    mutants: Vec<BTreeMap<String, StampedStatus>>,
-    /// Messages under way: to whom, and what.
+    replicas: Vec<Store>,
+    /// The statuses under a faulty merge rule, in place of the replicas' own.
+    faulty_statuses: Vec<BTreeMap<String, StampedStatus>>,
+    /// Messages in flight: the receiver and the bytes.
     messages: Vec<(usize, Vec<u8>)>,
-    /// Discovery's versions, oldest first: the state of the srv in each.
+    /// The status of the server in each of discovery's versions, oldest first.
     versions: Vec<ServerStatus>,
-    /// The count starts anew at this version.
-    lost_at: usize,
-    /// The greatest word that each copy's process has held.
-    heard: Vec<Option<StampedStatus>>,
-    starts: u64,
+    /// Discovery loses its state at this index and numbers its versions anew; 0 if it does not.
+    state_lost_at: usize,
+    /// The status that each process held last.
+    last_held: Vec<Option<StampedStatus>>,
+    start_count: u64,
 }
 
 struct Search {
-    merge: Merge,
+    rule: MergeRule,
     seen: HashSet<(u64, usize)>,
-    states: usize,
-    broken: Option<String>,
+    state_count: usize,
+    violation: Option<String>,
 }
 
 impl World {
     fn new() -> World {
-        let copies = (0..COPIES).map(|number| Store::new(&format!("n{number}"), 1, 10)).collect();
+        let replicas = (0..REPLICAS).map(|number| Store::new(&format!("n{number}"), 1, 10)).collect();
         World {
-            copies,
-            mutants: vec![BTreeMap::new(); COPIES],
+            replicas,
+            faulty_statuses: vec![BTreeMap::new(); REPLICAS],
             messages: Vec::new(),
             versions: vec![ServerStatus::Serving],
-            lost_at: 0,
-            heard: vec![None; COPIES],
-            starts: 1,
+            state_lost_at: 0,
+            last_held: vec![None; REPLICAS],
+            start_count: 1,
         }
     }
 
-    fn held(&self, merge: Merge, copy: usize) -> Option<StampedStatus> {
-        match merge {
-            Merge::Shipped => self.copies[copy].statuses().get(SRV),
-            _ => self.mutants[copy].get(SRV).copied(),
+    fn held_status(&self, rule: MergeRule, replica: usize) -> Option<StampedStatus> {
+        match rule {
+            MergeRule::Real => self.replicas[replica].statuses().get(SERVER),
+            _ => self.faulty_statuses[replica].get(SERVER).copied(),
         }
     }
 
-    /// A mutant hears what its copy heard, by its own rule.
-    fn mutate(&mut self, merge: Merge, copy: usize, word: StampedStatus) {
-        let held = self.mutants[copy].get(SRV).copied();
-        let stands = match (merge, held) {
-            (_, None) | (Merge::ByArrival, _) => true,
-            (Merge::BetterOfTies, Some(held)) => {
-                word.stamp > held.stamp || word.stamp == held.stamp && word.status < held.status
+    /// Merges a status that the replica has received by a faulty rule.
+    fn merge_faulty(&mut self, rule: MergeRule, replica: usize, received: StampedStatus) {
+        let held = self.faulty_statuses[replica].get(SERVER).copied();
+        let wins = match (rule, held) {
+            (_, None) | (MergeRule::LastArrival, _) => true,
+            (MergeRule::BetterOfEqualStamps, Some(held)) => {
+                received.stamp > held.stamp || received.stamp == held.stamp && received.status < held.status
             }
-            (Merge::Shipped, _) => false,
+            (MergeRule::Real, _) => false,
         };
-        if stands {
-            self.mutants[copy].insert(SRV.into(), word);
+        if wins {
+            self.faulty_statuses[replica].insert(SERVER.into(), received);
         }
     }
 
-    /// Discovery answers a copy with its newest list.
-    fn ask(&mut self, merge: Merge, copy: usize) {
-        let state = self.versions[self.versions.len() - 1];
-        let version = (self.versions.len() - self.lost_at) as u64;
+    /// Discovery sends its newest list to a replica.
+    fn send_list(&mut self, rule: MergeRule, replica: usize) {
+        let status = self.versions[self.versions.len() - 1];
+        let version = (self.versions.len() - self.state_lost_at) as u64;
         let entries: Vec<(String, ServerStatus)> =
-            (state != ServerStatus::Gone).then(|| (SRV.to_owned(), state)).into_iter().collect();
-        self.copies[copy].apply_discovery(version, true, &entries);
-        let said = self.copies[copy].statuses().get(SRV);
-        if let Some(word) = said {
-            self.mutate(merge, copy, word);
+            (status != ServerStatus::Gone).then(|| (SERVER.to_owned(), status)).into_iter().collect();
+        self.replicas[replica].apply_discovery(version, true, &entries);
+        let held = self.replicas[replica].statuses().get(SERVER);
+        if let Some(stamped) = held {
+            self.merge_faulty(rule, replica, stamped);
         }
     }
 
-    fn send(&mut self, from: usize, to: usize) {
-        let bytes = self.copies[from].next_delta(1_000, 2);
+    fn send_delta(&mut self, from: usize, to: usize) {
+        let bytes = self.replicas[from].next_delta(1_000, 2);
         if !bytes.is_empty() {
             self.messages.push((to, bytes));
         }
     }
 
-    fn deliver(&mut self, merge: Merge, number: usize) {
-        let (to, bytes) = self.messages[number].clone();
-        let items = decode_updates(&bytes).expect("items");
-        for item in &items {
-            if let Update::Status { stamped: word, .. } = item {
-                self.mutate(merge, to, *word);
+    fn deliver_message(&mut self, rule: MergeRule, index: usize) {
+        let (to, bytes) = self.messages[index].clone();
+        let updates = decode_updates(&bytes).expect("updates");
+        for update in &updates {
+            if let Update::Status { stamped, .. } = update {
+                self.merge_faulty(rule, to, *stamped);
             }
         }
-        self.copies[to].merge_updates(0, items, |_| Some(1));
+        self.replicas[to].merge_updates(0, updates, |_| Some(1));
     }
 
-    /// All copies meet until none learns anything; what differs then, if anything.
-    fn differs_after_meeting(&self) -> Option<String> {
+    /// Lets all replicas exchange their differences until they have converged, and returns an error if they have not.
+    fn check_convergence(&self) -> Option<String> {
         let mut world = self.clone();
-        for _ in 0..COPIES {
-            for from in 0..COPIES {
-                for to in (0..COPIES).filter(|to| *to != from) {
-                    let theirs = world.copies[to].digest();
-                    for piece in world.copies[from].encode_differences(&theirs, 1_000) {
-                        world.copies[to]
-                            .merge_updates(0, decode_updates(&piece).expect("items"), |_| Some(1));
+        for _ in 0..REPLICAS {
+            for from in 0..REPLICAS {
+                for to in (0..REPLICAS).filter(|to| *to != from) {
+                    let theirs = world.replicas[to].digest();
+                    for chunk in world.replicas[from].encode_differences(&theirs, 1_000) {
+                        world.replicas[to]
+                            .merge_updates(0, decode_updates(&chunk).expect("updates"), |_| Some(1));
                     }
                 }
             }
         }
-        let first = world.copies[0].digest();
-        let alike = world.copies.iter().all(|copy| copy.digest() == first);
-        (!alike).then(|| "copies that have met differ".into())
+        let first = world.replicas[0].digest();
+        let equal = world.replicas.iter().all(|replica| replica.digest() == first);
+        (!equal).then(|| "replicas differ after they have exchanged their differences".into())
     }
 }
 
 impl Search {
-    fn run(merge: Merge, depth: usize) -> Search {
-        let mut search = Search { merge, seen: HashSet::new(), states: 0, broken: None };
+    fn run(rule: MergeRule, depth: usize) -> Search {
+        let mut search = Search { rule, seen: HashSet::new(), state_count: 0, violation: None };
         search.visit(World::new(), depth);
         search
     }
 
-    fn visit(&mut self, mut world: World, left: usize) {
-        // What a process has held is never unheard: words only ever grow.
-        for copy in 0..COPIES {
-            let held = world.held(self.merge, copy);
-            if world.heard[copy] > held {
-                let was = world.heard[copy];
-                self.broken.get_or_insert(format!("copy {copy} held {was:?} and now {held:?}"));
+    fn visit(&mut self, mut world: World, remaining_depth: usize) {
+        // A status that a process holds is only ever replaced by a greater one.
+        for replica in 0..REPLICAS {
+            let held = world.held_status(self.rule, replica);
+            if world.last_held[replica] > held {
+                let before = world.last_held[replica];
+                self.violation.get_or_insert(format!("replica {replica} held {before:?} and now {held:?}"));
             }
-            world.heard[copy] = held;
+            world.last_held[replica] = held;
         }
-        if self.merge == Merge::Shipped
-            && let Some(why) = world.differs_after_meeting()
+        if self.rule == MergeRule::Real
+            && let Some(violation) = world.check_convergence()
         {
-            self.broken.get_or_insert(why);
+            self.violation.get_or_insert(violation);
         }
-        let mut hash = DefaultHasher::new();
-        world.hash(&mut hash);
-        if self.broken.is_some() || !self.seen.insert((hash.finish(), left)) {
+        let mut hasher = DefaultHasher::new();
+        world.hash(&mut hasher);
+        if self.violation.is_some() || !self.seen.insert((hasher.finish(), remaining_depth)) {
             return;
         }
-        self.states += 1;
-        if left == 0 {
+        self.state_count += 1;
+        if remaining_depth == 0 {
             return;
         }
-        let merge = self.merge;
-        let mut next = |change: &dyn Fn(&mut World)| {
+        let rule = self.rule;
+        let mut visit_after = |event: &dyn Fn(&mut World)| {
             let mut after = world.clone();
-            change(&mut after);
-            self.visit(after, left - 1);
+            event(&mut after);
+            self.visit(after, remaining_depth - 1);
         };
-        for state in [ServerStatus::Serving, ServerStatus::Draining, ServerStatus::Gone] {
-            if world.versions.len() < 4 && world.versions[world.versions.len() - 1] != state {
-                next(&|world| world.versions.push(state));
+        for status in [ServerStatus::Serving, ServerStatus::Draining, ServerStatus::Gone] {
+            if world.versions.len() < 4 && world.versions[world.versions.len() - 1] != status {
+                visit_after(&|world| world.versions.push(status));
             }
         }
-        for copy in 0..COPIES {
-            next(&|world| world.ask(merge, copy));
-            for to in (0..COPIES).filter(|to| *to != copy && world.copies[copy].has_pending_updates()) {
-                next(&|world| world.send(copy, to));
+        for replica in 0..REPLICAS {
+            visit_after(&|world| world.send_list(rule, replica));
+            for to in
+                (0..REPLICAS).filter(|to| *to != replica && world.replicas[replica].has_pending_updates())
+            {
+                visit_after(&|world| world.send_delta(replica, to));
             }
         }
-        for number in 0..world.messages.len() {
-            // Delivered and under way still: it may come once more, at any time. Or lost.
-            next(&|world| world.deliver(merge, number));
-            next(&|world| drop(world.messages.remove(number)));
+        for index in 0..world.messages.len() {
+            // A delivered message stays in flight, so that it can be delivered again at any time. Or it is lost.
+            visit_after(&|world| world.deliver_message(rule, index));
+            visit_after(&|world| drop(world.messages.remove(index)));
         }
-        if world.lost_at == 0 && world.versions.len() > 1 {
-            next(&|world| world.lost_at = world.versions.len() - 1);
+        if world.state_lost_at == 0 && world.versions.len() > 1 {
+            visit_after(&|world| world.state_lost_at = world.versions.len() - 1);
         }
-        if world.starts < 3 {
-            next(&|world| {
-                world.starts += 1;
-                world.copies[0] = Store::new("n0", world.starts, 10);
-                world.mutants[0].clear();
-                world.heard[0] = None;
+        if world.start_count < 3 {
+            visit_after(&|world| {
+                world.start_count += 1;
+                world.replicas[0] = Store::new("n0", world.start_count, 10);
+                world.faulty_statuses[0].clear();
+                world.last_held[0] = None;
             });
         }
     }
 }
 
-fn depth() -> usize {
-    // Deeper by hand: SEARCH_DEPTH=8.
+/// The depth of the search; SEARCH_DEPTH=8 searches deeper.
+fn search_depth() -> usize {
     std::env::var("SEARCH_DEPTH").ok().and_then(|depth| depth.parse().ok()).unwrap_or(5)
 }
 
 #[test]
-fn in_all_orders_nothing_heard_is_unheard_and_copies_that_meet_agree() {
-    let search = Search::run(Merge::Shipped, depth());
-    println!("{} states to a depth of {}", search.states, depth());
-    assert_eq!(search.broken, None);
-    assert!(search.states > 5_000, "only {} states", search.states);
+fn in_all_orders_statuses_only_grow_and_replicas_converge() {
+    let search = Search::run(MergeRule::Real, search_depth());
+    println!("{} states to a depth of {}", search.state_count, search_depth());
+    assert_eq!(search.violation, None);
+    assert!(search.state_count > 5_000, "only {} states", search.state_count);
 }
 
 #[test]
-fn a_merge_by_arrival_is_caught() {
-    assert!(Search::run(Merge::ByArrival, 7).broken.is_some());
+fn a_merge_by_arrival_is_detected() {
+    assert!(Search::run(MergeRule::LastArrival, 7).violation.is_some());
 }
 
 #[test]
-fn a_merge_that_takes_the_better_of_two_words_is_caught() {
-    assert!(Search::run(Merge::BetterOfTies, 8).broken.is_some());
+fn a_merge_that_takes_the_better_of_equal_stamps_is_detected() {
+    assert!(Search::run(MergeRule::BetterOfEqualStamps, 8).violation.is_some());
 }
