--- a/adapter/src/host.rs
+++ b/adapter/src/host.rs
@@ -2,7 +2,7 @@
 
 use std::fmt::Write;
 
-use ochreshed::{Balancer, Listed, Nanos, Outcome, Req};
+use ochreshed::{Balancer, Event, ListedEndpoint, Nanos, RequestContext};
 use ochreshed_hands::{Act, End, Hands};
 
 use crate::wire::{self, Line, millis};
@@ -19,16 +19,16 @@
     }
 
     pub fn submit(&mut self, now: Nanos, line: &Line, out: &mut String) -> Result<(), String> {
-        let req = Req {
+        let req = RequestContext {
             id: line.int("RequestId")?,
             rule_set: line.must("Kind")?.into(),
             customer: line.get("Org").unwrap_or_default().into(),
-            again: line.flag("AgainByClient"),
-            taken: now,
-            ends: now + line.time("Budget")?,
-            coming: false,
-            work: line.time("CostGuess").ok(),
-            tie: None,
+            is_client_retry: line.flag("AgainByClient"),
+            received_at: now,
+            deadline: now + line.time("Budget")?,
+            body_pending: false,
+            expected_cost: line.time("CostGuess").ok(),
+            preferred_endpoint: None,
             dispatches: Vec::new(),
         };
         self.hands.take(now, req);
@@ -54,18 +54,21 @@
     pub fn probed(&mut self, now: Nanos, line: &Line) -> Result<(), String> {
         let (how, took, report) = (wire::how(line.must("How")?)?, line.time("Duration")?, line.report());
         let srv = line.must("Upstream")?;
-        self.hands.news(now, Outcome::Probe { srv, how, took, report: &report });
+        self.hands.news(
+            now,
+            Event::ProbeEnded { endpoint: srv, outcome: how, duration: took, load_report: &report },
+        );
         Ok(())
     }
 
-    pub fn fleet(&mut self, now: Nanos, line: &Line, pool: Option<&[Listed]>) -> Result<(), String> {
+    pub fn fleet(&mut self, now: Nanos, line: &Line, pool: Option<&[ListedEndpoint]>) -> Result<(), String> {
         let how = line.must("How")?;
         let news = match how {
-            "Error" => Outcome::ListFailed,
-            "Partial" | "Complete" | "Persisted" => Outcome::List {
-                whole: how != "Partial",
-                old: how == "Persisted",
-                entries: pool.ok_or("fleet names a pool that was never given")?,
+            "Error" => Event::EndpointListFailed,
+            "Partial" | "Complete" | "Persisted" => Event::EndpointsListed {
+                is_complete: how != "Partial",
+                is_stale: how == "Persisted",
+                endpoints: pool.ok_or("fleet names a pool that was never given")?,
             },
             _ => return Err(format!("How={how} is no kind of list")),
         };
--- a/adapter/src/lib.rs
+++ b/adapter/src/lib.rs
@@ -9,7 +9,7 @@
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
 use host::Host;
-use ochreshed::{Balancer, Listed, Nanos};
+use ochreshed::{Balancer, ListedEndpoint, Nanos};
 use wire::Line;
 
 /// Serves batches until the input ends; an error says which line could not be taken and why.
@@ -50,7 +50,7 @@
 #[derive(Default)]
 struct Adapter {
     hosts: BTreeMap<u64, Host>,
-    pools: BTreeMap<u64, Vec<Listed>>,
+    pools: BTreeMap<u64, Vec<ListedEndpoint>>,
 }
 
 impl Adapter {
@@ -166,7 +166,7 @@
         &mut self,
         number: u64,
         reply: &mut String,
-        run: impl FnOnce(&mut Host, &BTreeMap<u64, Vec<Listed>>, &mut String) -> Result<(), String>,
+        run: impl FnOnce(&mut Host, &BTreeMap<u64, Vec<ListedEndpoint>>, &mut String) -> Result<(), String>,
     ) -> Result<(), String> {
         let Some(host) = self.hosts.get_mut(&number) else { return Ok(()) };
         match catch_unwind(AssertUnwindSafe(|| run(host, &self.pools, reply))) {
--- a/adapter/src/wire.rs
+++ b/adapter/src/wire.rs
@@ -1,6 +1,6 @@
 //! Lines of the simulator's wire: splitting them, and milliseconds to nanoseconds and back.
 
-use ochreshed::{How, Listed, Name, Nanos, State};
+use ochreshed::{DispatchOutcome, EndpointState, ListedEndpoint, Name, Nanos};
 
 const SETTINGS: &str = "\tProfileData=";
 
@@ -73,34 +73,34 @@
     format!("{}.{:06}", time / 1_000_000, time % 1_000_000)
 }
 
-pub fn how(code: &str) -> Result<How, String> {
+pub fn how(code: &str) -> Result<DispatchOutcome, String> {
     Ok(match code {
-        "Ok" => How::Done,
-        "Failed" => How::Error,
-        "QueueFull" => How::Full,
-        "TimedOut" => How::TimedOut,
-        "ConnectError" => How::NoConnection,
-        "ResetByPeer" => How::Reset,
-        "Canceled" => How::Recalled,
-        "Ignored" => How::NotSent,
+        "Ok" => DispatchOutcome::Done,
+        "Failed" => DispatchOutcome::Error,
+        "QueueFull" => DispatchOutcome::Full,
+        "TimedOut" => DispatchOutcome::TimedOut,
+        "ConnectError" => DispatchOutcome::NoConnection,
+        "ResetByPeer" => DispatchOutcome::Reset,
+        "Canceled" => DispatchOutcome::Cancelled,
+        "Ignored" => DispatchOutcome::NotSent,
         _ => return Err(format!("How={code} is no outcome")),
     })
 }
 
 /// One `upstream` line of a `pool`.
-pub fn listed(line: &Line) -> Result<Listed, String> {
+pub fn listed(line: &Line) -> Result<ListedEndpoint, String> {
     let state = match line.must("Condition")? {
-        "up" => State::Up,
-        "draining" => State::Draining,
-        "removed" => State::Gone,
+        "up" => EndpointState::Up,
+        "draining" => EndpointState::Draining,
+        "removed" => EndpointState::Gone,
         other => return Err(format!("Condition={other} is no state")),
     };
     let weight =
         line.get("CapacityHint").and_then(|v| v.parse().ok()).filter(|w: &f64| w.is_finite() && *w > 0.0);
-    Ok(Listed {
-        srv: line.must("Upstream")?.into(),
+    Ok(ListedEndpoint {
+        name: line.must("Upstream")?.into(),
         state,
-        came_up: line.get("CameUp").and_then(nanos).filter(|t| *t > 0),
+        started_at: line.get("CameUp").and_then(nanos).filter(|t| *t > 0),
         weight: weight.unwrap_or(1.0),
         site: Name::from(line.get("Hall").unwrap_or_default()),
         cell: line.get("Stripe").and_then(|v| v.parse().ok()).unwrap_or(0),
--- a/balancer/src/decisions.rs
+++ b/balancer/src/decisions.rs
@@ -10,7 +10,7 @@
 use std::task::{Context, Poll};
 
 use hyper::Response;
-use ochreshed::{Balancer, How, Listed, Name, Nanos, Outcome, Req};
+use ochreshed::{Balancer, DispatchOutcome, Event, ListedEndpoint, Name, Nanos, RequestContext};
 use ochreshed_hands::{Act, End, Hands};
 use ochreshed_replica::rows::Counts;
 use tokio::sync::mpsc::error::TrySendError;
@@ -27,7 +27,7 @@
 
 pub enum Mail {
     Take {
-        req: Req,
+        req: RequestContext,
         message: Arc<Message>,
         reply: oneshot::Sender<Answer>,
     },
@@ -41,7 +41,7 @@
     Ended {
         id: u64,
         number: usize,
-        how: How,
+        how: DispatchOutcome,
         at: Nanos,
         /// How long its body took to come, if that was waited for.
         waited: Nanos,
@@ -49,7 +49,7 @@
     },
     Probed {
         srv: Name,
-        how: How,
+        how: DispatchOutcome,
         took: Nanos,
     },
     List {
@@ -64,7 +64,7 @@
     Others {
         srv: Name,
         rule_set: Name,
-        how: How,
+        how: DispatchOutcome,
         times: u16,
     },
 }
@@ -80,7 +80,7 @@
 }
 
 /// A req for the module and the message to carry. Its id is given here.
-pub type Offer = (Req, Message);
+pub type Offer = (RequestContext, Message);
 
 /// The decisions as a service, for whatever protocol stands before them.
 #[derive(Clone)]
@@ -149,7 +149,7 @@
 const MOST_COUNTED: usize = 1_000;
 
 /// Adds an outcome to what the others are told.
-fn note(evidence: &Evidence, (srv, rule_set): (Name, Name), how: How, left: bool) {
+fn note(evidence: &Evidence, (srv, rule_set): (Name, Name), how: DispatchOutcome, left: bool) {
     let mut all = evidence.lock().unwrap_or_else(PoisonError::into_inner);
     let key = (srv, rule_set);
     if all.len() >= MOST_COUNTED && !all.contains_key(&key) {
@@ -157,12 +157,17 @@
     }
     let counts = all.entry(key).or_default();
     let count = match how {
-        How::Done => &mut counts.done,
-        How::Error => &mut counts.failed,
-        How::NoConnection | How::Reset | How::TimedOut => &mut counts.lost,
+        DispatchOutcome::Done => &mut counts.done,
+        DispatchOutcome::Error => &mut counts.failed,
+        DispatchOutcome::NoConnection | DispatchOutcome::Reset | DispatchOutcome::TimedOut => {
+            &mut counts.lost
+        }
         // Given up because its site answers nobody here.
-        How::Recalled if !left => &mut counts.lost,
-        How::Recalled | How::Full | How::NotSent | How::Turned => return,
+        DispatchOutcome::Cancelled if !left => &mut counts.lost,
+        DispatchOutcome::Cancelled
+        | DispatchOutcome::Full
+        | DispatchOutcome::NotSent
+        | DispatchOutcome::Rejected => return,
     };
     *count = count.saturating_add(1);
 }
@@ -260,18 +265,24 @@
                 if let Some(answer) = answer {
                     taken.answer(Answer::Done(answer));
                 }
-                let end = End { how, took, closed: how == How::Done, report: &[] };
+                let end = End { how, took, closed: how == DispatchOutcome::Done, report: &[] };
                 self.hands.ended(now, id, number, end);
                 self.touched.push(id);
             }
             Mail::Probed { srv, how, took } => {
-                self.hands.news(now, Outcome::Probe { srv: &srv, how, took, report: &[] });
+                self.hands.news(
+                    now,
+                    Event::ProbeEnded { endpoint: &srv, outcome: how, duration: took, load_report: &[] },
+                );
             }
             Mail::List { whole, old, entries, .. } => self.follow_list(now, whole, old, entries),
-            Mail::ListFailed => self.hands.news(now, Outcome::ListFailed),
+            Mail::ListFailed => self.hands.news(now, Event::EndpointListFailed),
             Mail::Others { srv, rule_set, how, times } => {
                 for _ in 0..times {
-                    self.hands.news(now, Outcome::Others { srv: &srv, rule_set: &rule_set, how });
+                    self.hands.news(
+                        now,
+                        Event::PeerDispatchEnded { endpoint: &srv, rule_set: &rule_set, outcome: how },
+                    );
                 }
             }
         }
@@ -279,22 +290,23 @@
 
     fn follow_list(&mut self, now: Nanos, whole: bool, old: bool, entries: Vec<Entry>) {
         if whole {
-            let listed: HashSet<&Name> = entries.iter().map(|(listed, _)| &listed.srv).collect();
+            let listed: HashSet<&Name> = entries.iter().map(|(listed, _)| &listed.name).collect();
             self.peers.retain(|name, _| listed.contains(name));
         }
         for (listed, address) in &entries {
-            if listed.state == ochreshed::State::Gone {
-                self.peers.remove(&listed.srv);
-            } else if self.peers.get(&listed.srv).is_none_or(|peer| peer.address != *address) {
-                self.peers.insert(listed.srv.clone(), Peer { address: *address, mail: None });
+            if listed.state == ochreshed::EndpointState::Gone {
+                self.peers.remove(&listed.name);
+            } else if self.peers.get(&listed.name).is_none_or(|peer| peer.address != *address) {
+                self.peers.insert(listed.name.clone(), Peer { address: *address, mail: None });
             }
         }
         if !old && let Some(fresh) = self.fresh.take() {
             // Nobody waits for it at an ordinary start.
             let _ = fresh.send(());
         }
-        let entries: Vec<Listed> = entries.into_iter().map(|(listed, _)| listed).collect();
-        self.hands.news(now, Outcome::List { whole, old, entries: &entries });
+        let entries: Vec<ListedEndpoint> = entries.into_iter().map(|(listed, _)| listed).collect();
+        self.hands
+            .news(now, Event::EndpointsListed { is_complete: whole, is_stale: old, endpoints: &entries });
     }
 
     /// Does what the module wants done; answers with the time it is asked again.
@@ -312,7 +324,7 @@
                 return next;
             }
             for (id, number) in unsent {
-                let end = End { how: How::NotSent, took: 0, closed: false, report: &[] };
+                let end = End { how: DispatchOutcome::NotSent, took: 0, closed: false, report: &[] };
                 self.hands.ended(now, id, number, end);
             }
         }
@@ -404,7 +416,7 @@
 mod tests {
     use std::time::Duration;
 
-    use ochreshed::Facts;
+    use ochreshed::Parameters;
     use tokio::sync::Semaphore;
 
     use super::*;
@@ -425,7 +437,7 @@
             figures: Figures::new([]),
         };
         Actor::new(
-            Balancer::new(1, 1, Facts::new()),
+            Balancer::new(1, 1, Parameters::new()),
             HashSet::new(),
             common,
             list,
@@ -436,8 +448,8 @@
 
     fn listed(number: u64) -> Entry {
         let srv = format!("s{number}").into();
-        let (state, came_up, site) = (ochreshed::State::Up, None, "x".into());
-        let listed = Listed { srv, state, came_up, weight: 1.0, site, cell: 0 };
+        let (state, came_up, site) = (ochreshed::EndpointState::Up, None, "x".into());
+        let listed = ListedEndpoint { name: srv, state, started_at: came_up, weight: 1.0, site, cell: 0 };
         (listed, SocketAddr::from(([127, 0, 0, 1], 9)))
     }
 
--- a/balancer/src/fleet.rs
+++ b/balancer/src/fleet.rs
@@ -12,7 +12,7 @@
 use std::sync::{Arc, PoisonError};
 use std::time::Duration;
 
-use ochreshed::{How, Nanos};
+use ochreshed::{DispatchOutcome, Nanos};
 use ochreshed_gossip::known::{Known, to_word};
 use ochreshed_gossip::peer::{Output, Peer, Settings};
 use ochreshed_membership::swim::{Config, To};
@@ -188,7 +188,7 @@
             let said: Vec<(String, words::State)> = first
                 .entries
                 .iter()
-                .map(|(listed, _)| (listed.srv.to_string(), to_word(listed.state)))
+                .map(|(listed, _)| (listed.name.to_string(), to_word(listed.state)))
                 .collect();
             peer.listed(version.unwrap_or_default(), true, &said);
         }
@@ -374,7 +374,7 @@
                 self.changed(now);
             }
             let said: Vec<(String, words::State)> =
-                entries.iter().map(|(listed, _)| (listed.srv.to_string(), to_word(listed.state))).collect();
+                entries.iter().map(|(listed, _)| (listed.name.to_string(), to_word(listed.state))).collect();
             self.peer.listed(version, whole, &said);
         }
         self.known.told(self.peer.store().words(), whole, &mut entries);
@@ -455,7 +455,12 @@
                 let news = self.known.changed(self.peer.store().words(), srvs.iter().map(String::as_str));
                 if let Some((first, _)) = news.first() {
                     self.counts.told_early += news.len() as u64;
-                    info!("fleet: told of {} srvs by others, {} is {:?}", news.len(), first.srv, first.state);
+                    info!(
+                        "fleet: told of {} srvs by others, {} is {:?}",
+                        news.len(),
+                        first.name,
+                        first.state
+                    );
                     let news = Mail::List { whole: false, old: true, version: 0, entries: news };
                     // With the module's actor gone the program ends.
                     let _ = self.decisions.send(news).await;
@@ -463,7 +468,11 @@
             }
             Output::Counted { srv, set, counts } if self.known.has(&srv) => {
                 let Counts { done, failed, lost } = counts;
-                for (how, times) in [(How::Done, done), (How::Error, failed), (How::Reset, lost)] {
+                for (how, times) in [
+                    (DispatchOutcome::Done, done),
+                    (DispatchOutcome::Error, failed),
+                    (DispatchOutcome::Reset, lost),
+                ] {
                     if times > 0 {
                         let (srv, rule_set) = (srv.as_str().into(), set.as_str().into());
                         let _ = self.decisions.send(Mail::Others { srv, rule_set, how, times }).await;
--- a/balancer/src/front.rs
+++ b/balancer/src/front.rs
@@ -21,7 +21,7 @@
 use hyper::server::conn::http1;
 use hyper::{Method, Request, Response, StatusCode};
 use hyper_util::service::TowerToHyperService;
-use ochreshed::{Name, Nanos, Req, seconds};
+use ochreshed::{Name, Nanos, RequestContext, to_seconds};
 use socket2::SockRef;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{Notify, OwnedSemaphorePermit, Semaphore};
@@ -545,7 +545,7 @@
         // Whatever is read from here on belongs to the next req.
         self.meter.take_first();
         // A req is taken once its last byte has come.
-        offer.0.taken = self.meter.last_read().max(came);
+        offer.0.received_at = self.meter.last_read().max(came);
         let answer = tokio::select! {
             biased;
             answer = self.decisions.clone().oneshot(offer) => answer,
@@ -572,7 +572,7 @@
                 hand.ends(Ended::Overload);
                 let mut answer = say(503, "denied: safe to try again");
                 if come_back > 0 {
-                    let value = HeaderValue::try_from(format!("{:.3}", seconds(come_back)));
+                    let value = HeaderValue::try_from(format!("{:.3}", to_seconds(come_back)));
                     value.into_iter().for_each(|value| drop(answer.headers_mut().insert(RETRY_AFTER, value)));
                 }
                 answer
@@ -628,16 +628,16 @@
         // What can't be read is not told: it is worth less than the req.
         let cost = told(&self.bounds.headers.cost).and_then(|text| text.parse::<f64>().ok());
         let cost = cost.filter(|ms| *ms >= 0.0 && *ms <= MOST_BUDGET * 1e3);
-        let mut ours = Req {
+        let mut ours = RequestContext {
             id: 0,
             rule_set: known.ok_or(Bad(400, "no such class"))?,
             customer: told(&self.bounds.headers.customer).unwrap_or_default().into(),
-            again: field("x-again") == Some("1"),
-            taken: came,
-            ends: came + ((budget * 1e9) as Nanos).saturating_sub(WAY_BACK),
-            coming: false,
-            work: cost.map(|ms| (ms * 1e6) as Nanos),
-            tie: None,
+            is_client_retry: field("x-again") == Some("1"),
+            received_at: came,
+            deadline: came + ((budget * 1e9) as Nanos).saturating_sub(WAY_BACK),
+            body_pending: false,
+            expected_cost: cost.map(|ms| (ms * 1e6) as Nanos),
+            preferred_endpoint: None,
             dispatches: Vec::new(),
         };
         if body.size_hint().lower() > MOST_LONG {
@@ -654,8 +654,8 @@
         let length = if whole { Some(first.len() as u64) } else { length };
         if long.is_some() {
             // Its time runs from its last byte, which is still to come.
-            ours.coming = true;
-            ours.ends += self.clock.now().saturating_sub(came);
+            ours.body_pending = true;
+            ours.deadline += self.clock.now().saturating_sub(came);
         }
         let framed = head.headers.contains_key(CONTENT_LENGTH) || !first.is_empty();
         drop_hop_fields(&mut head.headers);
--- a/balancer/src/list.rs
+++ b/balancer/src/list.rs
@@ -9,7 +9,7 @@
 use bytes::Bytes;
 use hyper::header::HOST;
 use hyper::{Request, StatusCode};
-use ochreshed::{Facts, Listed, State, number};
+use ochreshed::{EndpointState, ListedEndpoint, Parameters, read_number};
 use serde_json::Value as Json;
 use tokio::sync::{Semaphore, mpsc};
 use tokio::task::spawn_blocking;
@@ -46,7 +46,7 @@
 pub type News = (String, bool, Vec<Entry>);
 
 /// An entry of the list, and where that srv is reached from here.
-pub type Entry = (Listed, SocketAddr);
+pub type Entry = (ListedEndpoint, SocketAddr);
 
 struct List {
     discovery: SocketAddr,
@@ -63,8 +63,8 @@
 
 /// How long a watch waits in a fleet of so many instances. Guards against a watch that has fallen silent: nothing
 /// tells it from one without news until its wait is over, and what it missed is learned too late.
-pub fn wait(facts: &Facts) -> Duration {
-    let all = number(facts, "instances", 1.0) * number(facts, "tiers", 1.0);
+pub fn wait(facts: &Parameters) -> Duration {
+    let all = read_number(facts, "instances", 1.0) * read_number(facts, "tiers", 1.0);
     Duration::from_secs_f64((all / CALLS_PER_S).clamp(WAIT_LEAST, WAIT_MOST))
 }
 
@@ -189,26 +189,26 @@
 fn entry(json: &Json) -> Result<Option<Entry>, String> {
     let srv = json["instanceId"].as_str().ok_or("an entry without instanceId")?;
     let state = match json["lifecycle"].as_str() {
-        Some("SERVING") => State::Up,
-        Some("DRAINING") => State::Draining,
-        Some("DELETED") => State::Gone,
+        Some("SERVING") => EndpointState::Up,
+        Some("DRAINING") => EndpointState::Draining,
+        Some("DELETED") => EndpointState::Gone,
         // Whatever else it is, it is not up.
         other => {
             warn!("list: {srv} is {}, taken for draining", other.unwrap_or("in no state"));
-            State::Draining
+            EndpointState::Draining
         }
     };
     let address = json["hostPort"].as_str().and_then(|text| text.parse().ok());
-    let Some(address) = address.or((state == State::Gone).then_some(NOWHERE)) else {
+    let Some(address) = address.or((state == EndpointState::Gone).then_some(NOWHERE)) else {
         warn!("list: {srv} has no address that can be reached");
         return Ok(None);
     };
     let came_up = json["startedAtMs"].as_f64().filter(|ms| *ms > 0.0).map(|ms| (ms * 1e6) as u64);
     let weight = json["weight"].as_f64().filter(|weight| weight.is_finite() && *weight > 0.0);
-    let listed = Listed {
-        srv: srv.into(),
+    let listed = ListedEndpoint {
+        name: srv.into(),
         state,
-        came_up,
+        started_at: came_up,
         weight: weight.unwrap_or(1.0),
         site: json["zone"].as_str().unwrap_or_default().into(),
         cell: json["cell"].as_u64().unwrap_or(0),
@@ -223,7 +223,7 @@
 mod tests {
     use std::fmt::Write;
 
-    use ochreshed::Value;
+    use ochreshed::ParameterValue;
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
     use tokio::net::{TcpListener, TcpStream};
 
@@ -239,8 +239,10 @@
         (String::from_utf8_lossy(&call).lines().next().unwrap_or_default().to_owned(), caller)
     }
 
-    fn fleet(instances: f64) -> Facts {
-        [("instances", instances), ("tiers", 3.0)].map(|(name, n)| (name.into(), Value::Number(n))).into()
+    fn fleet(instances: f64) -> Parameters {
+        [("instances", instances), ("tiers", 3.0)]
+            .map(|(name, n)| (name.into(), ParameterValue::Number(n)))
+            .into()
     }
 
     #[tokio::test]
@@ -293,7 +295,7 @@
             assert_eq!(answer.len() > SHORT, srvs > 1);
             let (generation, whole, entries) = parse(answer).await.expect("a list");
             assert_eq!((&*generation, whole, entries.len()), ("7", true, srvs + 1));
-            assert_eq!(entries[srvs].0.state, State::Draining);
+            assert_eq!(entries[srvs].0.state, EndpointState::Draining);
         }
         for srvs in [1, 5_000] {
             let why = parse(answer(srvs, r#"{"hostPort":"127.0.0.1:9"}"#)).await.err();
--- a/balancer/src/mesh/proxy/outbound.rs
+++ b/balancer/src/mesh/proxy/outbound.rs
@@ -22,7 +22,7 @@
 use hyper::header::{HOST, HeaderMap, HeaderName, HeaderValue, RETRY_AFTER};
 use hyper::http::response::Parts;
 use hyper::{Response, StatusCode};
-use ochreshed::{How, Name, Nanos, Req, seconds};
+use ochreshed::{DispatchOutcome, Name, Nanos, RequestContext, to_seconds};
 use ochreshed_catalog::configuration::{RepeatPolicy, Route};
 use ochreshed_catalog::traffic_reports::{OutcomeCounts, RouteEdition};
 use ochreshed_consensus::messages::{CoreResponse, LeaseKey, LeaseOutcome, LeaseToken, StoredResponse};
@@ -158,7 +158,7 @@
 fn rejection_response(retry_after: Nanos) -> Response<ResponseBody> {
     let mut answer = plain_response(503, "not run: come back");
     let back = if retry_after == 0 { DEFAULT_RETRY_AFTER } else { MIN_RETRY_AFTER + retry_after };
-    if let Ok(value) = HeaderValue::try_from(format!("{:.3}", seconds(back))) {
+    if let Ok(value) = HeaderValue::try_from(format!("{:.3}", to_seconds(back))) {
         answer.headers_mut().insert(RETRY_AFTER, value);
     }
     answer
@@ -348,10 +348,10 @@
             .zip(self.key)
             .map(|(fencing_token, key)| session_affinity::track_key(&self.node, fencing_token.session, key));
         let route_class: Name = request_scheduler::route_class(&self.route).as_str().into();
-        let mut request = Req::new(0, route_class, "".into(), self.received_at, self.deadline);
-        request.again = self.caller_is_retry;
-        request.coming = self.message.long.is_some();
-        request.tie = bound
+        let mut request = RequestContext::new(0, route_class, "".into(), self.received_at, self.deadline);
+        request.is_client_retry = self.caller_is_retry;
+        request.body_pending = self.message.long.is_some();
+        request.preferred_endpoint = bound
             .as_ref()
             .and_then(|bound| bound.binding.as_ref())
             .map(|binding| binding.upstream_id.as_str().into());
@@ -374,14 +374,14 @@
                     }
                     let began = self.node.clock.now();
                     let Some(endpoint) = scheduler.endpoint(&srv) else {
-                        scheduled.attempt_ended(number, How::NotSent, 0, false, None);
+                        scheduled.attempt_ended(number, DispatchOutcome::NotSent, 0, false, None);
                         continue;
                     };
                     if let Some(bound) = bound.as_mut().filter(|_| !large)
                         && !session_affinity::attempt_starting(&self.node, &scheduler, bound, &endpoint).await
                     {
                         // The session has moved to another owner or upstream. The client retries, and the retry finds it.
-                        scheduled.attempt_ended(number, How::NotSent, 0, false, None);
+                        scheduled.attempt_ended(number, DispatchOutcome::NotSent, 0, false, None);
                         scheduled.finish();
                         break;
                     }
@@ -394,7 +394,7 @@
                         self.dispatch(&mut scheduled, &endpoint, attempt, give_up).await
                     else {
                         may_have_run = true;
-                        scheduled.attempt_ended(number, How::Recalled, 0, false, None);
+                        scheduled.attempt_ended(number, DispatchOutcome::Cancelled, 0, false, None);
                         continue;
                     };
                     sent +=
@@ -406,7 +406,7 @@
                     let took = self.node.clock.now() - began;
                     let how = match outcome {
                         UpstreamOutcome::Responded(head, body) if is_success(&head) => {
-                            scheduled.attempt_ended(number, How::Done, took, true, load);
+                            scheduled.attempt_ended(number, DispatchOutcome::Done, took, true, load);
                             if let Some(bound) = bound.as_ref().filter(|_| !large) {
                                 session_affinity::attempt_succeeded(&self.node, bound, &endpoint);
                             }
@@ -419,29 +419,29 @@
                             let untrue =
                                 !self.route.repeat_policy.repeatable() && promises_not_run(head.status);
                             last = (!untrue).then_some((head, body));
-                            How::Error
+                            DispatchOutcome::Error
                         }
-                        UpstreamOutcome::UpstreamFull | UpstreamOutcome::Gone => How::Full,
-                        UpstreamOutcome::Rejected => How::Turned,
+                        UpstreamOutcome::UpstreamFull | UpstreamOutcome::Gone => DispatchOutcome::Full,
+                        UpstreamOutcome::Rejected => DispatchOutcome::Rejected,
                         UpstreamOutcome::Fenced(known) => {
                             // Another proxy owns the session since a later term, so that this request comes too late. It
                             // ends here, and the client's retry goes to the new owner.
                             fencing_token
                                 .into_iter()
                                 .for_each(|fencing_token| self.node.sessions().fenced(fencing_token, known));
-                            scheduled.attempt_ended(number, How::Turned, took, false, load);
+                            scheduled.attempt_ended(number, DispatchOutcome::Rejected, took, false, load);
                             scheduled.finish();
                             break;
                         }
-                        UpstreamOutcome::ConnectFailed => How::NoConnection,
-                        UpstreamOutcome::NotSent => How::NotSent,
+                        UpstreamOutcome::ConnectFailed => DispatchOutcome::NoConnection,
+                        UpstreamOutcome::NotSent => DispatchOutcome::NotSent,
                         UpstreamOutcome::Reset => {
                             may_have_run = true;
-                            How::Reset
+                            DispatchOutcome::Reset
                         }
                         UpstreamOutcome::TimedOut => {
                             may_have_run = true;
-                            How::TimedOut
+                            DispatchOutcome::TimedOut
                         }
                     };
                     scheduled.attempt_ended(number, how, took, false, load);
--- a/balancer/src/mesh/proxy/request_scheduler.rs
+++ b/balancer/src/mesh/proxy/request_scheduler.rs
@@ -17,7 +17,10 @@
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, Weak};
 
-use ochreshed::{Balancer, Facts, How, Listed, Name, Nanos, Outcome, Req, State, Value};
+use ochreshed::{
+    Balancer, DispatchOutcome, EndpointState, Event, ListedEndpoint, Name, Nanos, ParameterValue, Parameters,
+    RequestContext,
+};
 use ochreshed_catalog::configuration::WeightedService;
 use ochreshed_catalog::configuration::{Configuration, RepeatPolicy, Route};
 use ochreshed_catalog::endpoints::{EndpointRecord, UpstreamState};
@@ -206,25 +209,27 @@
     }
 
     /// The settings as the decision module reads them.
-    fn facts(&self) -> Facts {
-        let number = |value: f64| Value::Number(value);
+    fn facts(&self) -> Parameters {
+        let number = |value: f64| ParameterValue::Number(value);
         let class_facts = |class: &RouteClass| {
             let utility = 0.5f64.powi(class.priority.min(8) as i32);
-            Facts::from([
-                ("name".into(), Value::Text((*class.name).into())),
-                ("response_target".into(), Value::Span(class.latency_target_ms * MS)),
+            Parameters::from([
+                ("name".into(), ParameterValue::Text((*class.name).into())),
+                ("response_target".into(), ParameterValue::Duration(class.latency_target_ms * MS)),
                 ("utility".into(), number(utility)),
                 ("late_utility".into(), number(0.2 * utility)),
                 (
                     "effect".into(),
-                    Value::Text(if class.repeatable { "replayable" } else { "non-replayable" }.into()),
+                    ParameterValue::Text(
+                        if class.repeatable { "replayable" } else { "non-replayable" }.into(),
+                    ),
                 ),
             ])
         };
-        Facts::from([
+        Parameters::from([
             ("instances".into(), number(self.outbound_proxies as f64)),
             // The concurrency limit of an upstream is kept by the inbound proxy beside it, not by the module.
-            ("level".into(), Value::Text("doors".into())),
+            ("level".into(), ParameterValue::Text("doors".into())),
             ("report_in_flight".into(), number(0.0)),
             ("again_part".into(), number(self.retry_ratio)),
             ("again_floor".into(), number(self.retry_slack)),
@@ -233,12 +238,15 @@
             ("tier".into(), number(0.0)),
             ("tiers".into(), number(if self.calls { 2.0 } else { 1.0 })),
             ("max_dispatches".into(), number(f64::from(self.plan.max_attempts))),
-            ("may_recall".into(), Value::Flag(true)),
-            ("come_back_passed".into(), Value::Flag(true)),
-            ("max_come_back".into(), Value::Span(1_000 * MS)),
-            ("cold".into(), Value::Span(SLOW_START)),
+            ("may_recall".into(), ParameterValue::Flag(true)),
+            ("come_back_passed".into(), ParameterValue::Flag(true)),
+            ("max_come_back".into(), ParameterValue::Duration(1_000 * MS)),
+            ("cold".into(), ParameterValue::Duration(SLOW_START)),
             ("cold_share".into(), number(SLOW_START_INITIAL_SHARE)),
-            ("rule_sets".into(), Value::List(self.plan.route_classes.iter().map(class_facts).collect())),
+            (
+                "rule_sets".into(),
+                ParameterValue::List(self.plan.route_classes.iter().map(class_facts).collect()),
+            ),
         ])
     }
 }
@@ -263,7 +271,7 @@
     /// When the module next wants to be asked.
     wake_at: Nanos,
     /// The endpoints as the module was last told them.
-    listed: HashMap<Name, Listed>,
+    listed: HashMap<Name, ListedEndpoint>,
     endpoints: HashMap<Name, Endpoint>,
     retry_account: RetryAccount,
     /// The retry budget of the service where it is divided among members and the platform; else the scheduler has its own.
@@ -435,7 +443,7 @@
     }
 
     /// Hands a request to the module, which may act on it at once. Its id is set here.
-    pub fn schedule(self: &Arc<Self>, mut req: Req) -> ScheduledRequest {
+    pub fn schedule(self: &Arc<Self>, mut req: RequestContext) -> ScheduledRequest {
         let mut inner = held(&self.inner);
         inner.last_id += 1;
         let id = inner.last_id;
@@ -443,8 +451,8 @@
         let (sender, actions) = mpsc::unbounded_channel();
         inner.action_senders.insert(id, sender);
         let now = self.clock.now();
-        let attempts = RequestAttempts::new(self.settings.is_repeatable(&req.rule_set), req.ends);
-        if req.again {
+        let attempts = RequestAttempts::new(self.settings.is_repeatable(&req.rule_set), req.deadline);
+        if req.is_client_retry {
             inner.retry_account.nested_call_retried(now);
             self.count_in_pool(&inner, now, AttemptCounts { retried: 1, ..AttemptCounts::default() });
         }
@@ -461,7 +469,7 @@
 
     /// Whether this incarnation of an upstream is known and accepts requests.
     pub fn accepts_requests(&self, srv: &Name) -> bool {
-        held(&self.inner).listed.get(srv).is_some_and(|listed| listed.state == State::Up)
+        held(&self.inner).listed.get(srv).is_some_and(|listed| listed.state == EndpointState::Up)
     }
 
     /// Where this incarnation of an upstream is reached, if it is known.
@@ -493,40 +501,49 @@
             records.into_iter().filter(|received| wanted(&received.record))
         {
             let state = if accepts(record) {
-                State::Up
+                EndpointState::Up
             } else if record.state == UpstreamState::Absent || !record.accepts_clients {
-                State::Gone
+                EndpointState::Gone
             } else {
-                State::Draining
+                EndpointState::Draining
             };
             let srv: Name = record.upstream_id.as_str().into();
             let was = inner.listed.get(&srv);
-            let came_up = was.and_then(|was| was.came_up);
+            let came_up = was.and_then(|was| was.started_at);
             let warm_at = received_at + record.warming_up_ms * MS;
             let came_up = came_up.or((warm_at > now).then(|| warm_at.saturating_sub(SLOW_START)));
             let far = near && record.zone != zone;
             let weight =
                 f64::from(record.concurrency_limit.max(1)) * if far { OTHER_ZONE_WEIGHT } else { 1.0 };
             let site: Name = record.zone.as_str().into();
-            let listed = Listed { srv: srv.clone(), state, came_up, weight, site: site.clone(), cell: 0 };
+            let listed = ListedEndpoint {
+                name: srv.clone(),
+                state,
+                started_at: came_up,
+                weight,
+                site: site.clone(),
+                cell: 0,
+            };
             current.insert(
                 srv.clone(),
                 (listed, Endpoint { inbound_proxy: record.inbound_proxy, upstream_id: srv, zone: site }),
             );
         }
-        let is_same = |(srv, (listed, endpoint)): (&Name, &(Listed, Endpoint))| {
-            let was = inner.listed.get(srv).map(|was| (was.state, was.weight, was.came_up, &was.site));
-            was == Some((listed.state, listed.weight, listed.came_up, &listed.site))
+        let is_same = |(srv, (listed, endpoint)): (&Name, &(ListedEndpoint, Endpoint))| {
+            let was = inner.listed.get(srv).map(|was| (was.state, was.weight, was.started_at, &was.site));
+            was == Some((listed.state, listed.weight, listed.started_at, &listed.site))
                 && inner.endpoints.get(srv) == Some(endpoint)
         };
         if current.len() == inner.listed.len() && current.iter().all(is_same) {
             return;
         }
-        let entries: Vec<Listed> = current.values().map(|(listed, _)| listed.clone()).collect();
+        let entries: Vec<ListedEndpoint> = current.values().map(|(listed, _)| listed.clone()).collect();
         inner.endpoints =
             current.iter().map(|(srv, (_, endpoint))| (srv.clone(), endpoint.clone())).collect();
         inner.listed = current.into_iter().map(|(srv, (listed, _))| (srv, listed)).collect();
-        inner.policy.news(now, Outcome::List { whole: true, old: false, entries: &entries });
+        inner
+            .policy
+            .news(now, Event::EndpointsListed { is_complete: true, is_stale: false, endpoints: &entries });
         self.dispatch_and_wake(&mut inner);
     }
 }
@@ -550,7 +567,14 @@
 
     /// To be called when an attempt has ended, after `took`. `closed` says that its response is the final answer of the
     /// request; `inside` is the load that the inbound proxy reported, if it did.
-    pub fn attempt_ended(&mut self, number: usize, how: How, took: Nanos, closed: bool, inside: Option<f64>) {
+    pub fn attempt_ended(
+        &mut self,
+        number: usize,
+        how: DispatchOutcome,
+        took: Nanos,
+        closed: bool,
+        inside: Option<f64>,
+    ) {
         let mut inner = held(&self.scheduler.inner);
         self.attempts.ended(how);
         self.finished |= closed;
@@ -581,7 +605,7 @@
                     now,
                     self.id,
                     number,
-                    End { how: How::Recalled, took: 0, closed: true, report: &[] },
+                    End { how: DispatchOutcome::Cancelled, took: 0, closed: true, report: &[] },
                 );
             }
             self.scheduler.dispatch_and_wake(&mut inner);
--- a/balancer/src/mesh/proxy/tests/request_scheduler_tests.rs
+++ b/balancer/src/mesh/proxy/tests/request_scheduler_tests.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
 
-use ochreshed::{How, Nanos, Req};
+use ochreshed::{DispatchOutcome, Nanos, RequestContext};
 use ochreshed_catalog::configuration::{Configuration, MemberShares};
 use ochreshed_catalog::endpoints::{EndpointRecord, UpstreamState};
 use ochreshed_catalog::traffic_reports::AttemptCounts;
@@ -70,8 +70,8 @@
 
 fn take(scheduler: &Arc<RequestScheduler>, again: bool) -> ScheduledRequest {
     let now = Clock::new().now();
-    let mut req = Req::new(0, "again-10000-1".into(), "".into(), now, now + 20_000 * MS);
-    req.again = again;
+    let mut req = RequestContext::new(0, "again-10000-1".into(), "".into(), now, now + 20_000 * MS);
+    req.is_client_retry = again;
     scheduler.schedule(req)
 }
 
@@ -90,10 +90,10 @@
     }
 }
 
-async fn one(scheduler: &Arc<RequestScheduler>, how: How) -> String {
+async fn one(scheduler: &Arc<RequestScheduler>, how: DispatchOutcome) -> String {
     let mut scheduled = take(scheduler, false);
     let (number, srv) = goes(&mut scheduled).await.expect("sent");
-    scheduled.attempt_ended(number, how, MS, how == How::Done, None);
+    scheduled.attempt_ended(number, how, MS, how == DispatchOutcome::Done, None);
     srv
 }
 
@@ -118,7 +118,7 @@
         list(&scheduler, &records, suspected);
         let mut to = BTreeSet::new();
         for _ in 0..40 {
-            to.insert(one(&scheduler, How::Done).await);
+            to.insert(one(&scheduler, DispatchOutcome::Done).await);
         }
         to
     };
@@ -147,7 +147,7 @@
         let mut to = BTreeSet::new();
         while let Some((number, srv)) = goes(&mut scheduled).await {
             assert!(to.insert(srv), "twice to the same");
-            scheduled.attempt_ended(number, How::Turned, MS, false, None);
+            scheduled.attempt_ended(number, DispatchOutcome::Rejected, MS, false, None);
         }
         assert!(to.len() >= 2, "{to:?}");
     }
@@ -178,10 +178,10 @@
     let fails = async |scheduler: &Arc<RequestScheduler>| {
         let mut scheduled = take(scheduler, false);
         let (number, _) = goes(&mut scheduled).await.expect("sent");
-        scheduled.attempt_ended(number, How::Reset, MS, false, None);
+        scheduled.attempt_ended(number, DispatchOutcome::Reset, MS, false, None);
         let again = goes(&mut scheduled).await;
         if let Some((number, _)) = again {
-            scheduled.attempt_ended(number, How::Reset, MS, true, None);
+            scheduled.attempt_ended(number, DispatchOutcome::Reset, MS, true, None);
         }
         again.is_some()
     };
@@ -213,7 +213,7 @@
     let fails = async |scheduler: &Arc<RequestScheduler>| {
         let mut scheduled = take(scheduler, false);
         let (number, _) = goes(&mut scheduled).await.expect("sent");
-        scheduled.attempt_ended(number, How::Reset, MS, false, None);
+        scheduled.attempt_ended(number, DispatchOutcome::Reset, MS, false, None);
         goes(&mut scheduled).await.is_some()
     };
     // One may be sent again in a window at a gate that has sent little.
@@ -227,7 +227,7 @@
     list(&called, &records, &[]);
     let mut call = take(&called, true);
     let (number, _) = goes(&mut call).await.expect("sent");
-    call.attempt_ended(number, How::Done, MS, true, None);
+    call.attempt_ended(number, DispatchOutcome::Done, MS, true, None);
     assert!(!fails(&called).await);
     assert_eq!(called.attempt_counts(), AttemptCounts { first: 2, retried: 1, denied: 1 });
     // Where it calls others itself its errors are not ours to send again, whatever is allowed.
@@ -235,7 +235,7 @@
     list(&middle, &records, &[]);
     let mut scheduled = take(&middle, false);
     let (number, _) = goes(&mut scheduled).await.expect("sent");
-    scheduled.attempt_ended(number, How::Error, MS, false, None);
+    scheduled.attempt_ended(number, DispatchOutcome::Error, MS, false, None);
     assert_eq!(goes(&mut scheduled).await, None);
     // What was counted before the module began anew is still told.
     assert_eq!(middle.attempt_counts(), AttemptCounts { first: 3, retried: 1, denied: 1 });
--- a/balancer/src/peer.rs
+++ b/balancer/src/peer.rs
@@ -14,7 +14,7 @@
 use hyper::body::Incoming;
 use hyper::header::{HOST, HeaderName, HeaderValue};
 use hyper::{Request, Response, StatusCode, Version};
-use ochreshed::{How, Name, Nanos, seconds};
+use ochreshed::{DispatchOutcome, Name, Nanos, to_seconds};
 use tokio::sync::{OwnedSemaphorePermit, Semaphore, mpsc, oneshot};
 use tokio::task::yield_now;
 use tokio::time::{sleep, sleep_until, timeout};
@@ -167,13 +167,13 @@
             let mut work = pin!(self.dispatch(&mut link, &message, give_up));
             tokio::select! {
                 biased;
-                Ok(()) = &mut recalled => Err(How::Recalled),
+                Ok(()) = &mut recalled => Err(DispatchOutcome::Cancelled),
                 result = &mut work => result,
                 () = self.due((id, number), &message, begun, give_up) => {
                     // Guards against a pause of the whole process, after which timers come before the news of
                     // sockets: an answer that is there counts.
                     yield_now().await;
-                    work.now_or_never().unwrap_or(Err(How::TimedOut))
+                    work.now_or_never().unwrap_or(Err(DispatchOutcome::TimedOut))
                 }
             }
         };
@@ -183,12 +183,16 @@
         let (how, got) = match result {
             Ok(got) => {
                 let how = judge(&got.answer);
-                (how, Some(got).filter(|_| how == How::Done))
+                (how, Some(got).filter(|_| how == DispatchOutcome::Done))
             }
             // Given up or broken before it was written whole: it is proved never to have run. If its client did not
             // send all of it, that is no fault of the srv.
-            Err(How::Recalled | How::TimedOut) if !sent_whole(&link) => (How::NotSent, None),
-            Err(How::NoConnection) if long.is_some_and(|long| long.broke()) => (How::NotSent, None),
+            Err(DispatchOutcome::Cancelled | DispatchOutcome::TimedOut) if !sent_whole(&link) => {
+                (DispatchOutcome::NotSent, None)
+            }
+            Err(DispatchOutcome::NoConnection) if long.is_some_and(|long| long.broke()) => {
+                (DispatchOutcome::NotSent, None)
+            }
             Err(how) => (how, None),
         };
         match got {
@@ -261,7 +265,7 @@
         link: &mut Option<Link>,
         message: &Arc<Message>,
         give_up: Nanos,
-    ) -> Result<Got, How> {
+    ) -> Result<Got, DispatchOutcome> {
         let mut reused = link.is_some();
         loop {
             let on = match link {
@@ -271,20 +275,20 @@
             let left = give_up.saturating_sub(self.common.clock.now());
             if left == 0 {
                 // Guards against a pause of the whole process: nothing is sent for a req that is over.
-                return Err(How::NotSent);
+                return Err(DispatchOutcome::NotSent);
             }
             let asked = self.common.clock.now();
             // A long body of which a part has gone to another srv can't be sent whole any more.
-            let req = self.address_to(message, left).ok_or(How::NotSent)?;
+            let req = self.address_to(message, left).ok_or(DispatchOutcome::NotSent)?;
             let answer = self.exchange(on, req, message).await;
             if reused {
                 self.common.reuse.note(answer.is_err() && on.sent_whole() && on.last_read() < asked);
             }
             match answer {
                 Ok(answer) => return Ok(answer),
-                Err(_) if on.sent_whole() => return Err(How::Reset),
+                Err(_) if on.sent_whole() => return Err(DispatchOutcome::Reset),
                 Err(_) if reused && !on.began() => (*link, reused) = (None, false),
-                Err(_) => return Err(How::NoConnection),
+                Err(_) => return Err(DispatchOutcome::NoConnection),
             }
         }
     }
@@ -318,15 +322,19 @@
         let asked = async {
             let mut link = self.open().await?;
             let ping = Request::get("/ping").header(HOST, self.address.to_string()).body(());
-            let answer = link.exchange(ping.map_err(|_| How::NotSent)?, MOST_BODY, &self.common.large).await;
-            Ok((answer.map_err(|_| How::Reset)?.0, link))
+            let answer = link
+                .exchange(ping.map_err(|_| DispatchOutcome::NotSent)?, MOST_BODY, &self.common.large)
+                .await;
+            Ok((answer.map_err(|_| DispatchOutcome::Reset)?.0, link))
         };
         let asked = tokio::time::timeout_at(self.common.clock.instant(give_up), asked).await;
         let (how, link) = match asked {
-            Ok(Ok((answer, link))) if answer.status() == StatusCode::OK => (How::Done, Some(link)),
-            Ok(Ok(_)) => (How::Full, None),
+            Ok(Ok((answer, link))) if answer.status() == StatusCode::OK => {
+                (DispatchOutcome::Done, Some(link))
+            }
+            Ok(Ok(_)) => (DispatchOutcome::Full, None),
             Ok(Err(how)) => (how, None),
-            Err(_) => (How::TimedOut, None),
+            Err(_) => (DispatchOutcome::TimedOut, None),
         };
         let now = self.common.clock.now();
         let mail = decisions::Mail::Probed { srv: self.srv.clone(), how, took: now - at };
@@ -334,14 +342,14 @@
         link
     }
 
-    async fn open(&self) -> Result<Link, How> {
+    async fn open(&self) -> Result<Link, DispatchOutcome> {
         // At the bound no connection is opened: it is ours, not the srv's.
-        let permit = self.common.sockets.clone().try_acquire_owned().map_err(|_| How::NotSent)?;
+        let permit = self.common.sockets.clone().try_acquire_owned().map_err(|_| DispatchOutcome::NotSent)?;
         let figures = Some(self.common.figures.clone());
         let opening = Link::open(self.address, self.common.clock, Some(permit), figures);
         match timeout(self.common.connect_timeout, opening).await {
             Ok(Ok(link)) => Ok(link),
-            Ok(Err(_)) | Err(_) => Err(How::NoConnection),
+            Ok(Err(_)) | Err(_) => Err(DispatchOutcome::NoConnection),
         }
     }
 
@@ -350,7 +358,7 @@
         let load = message.load()?;
         let mut req = message.head.clone().map(|()| load);
         req.headers_mut().insert(HOST, text(self.address.to_string()));
-        req.headers_mut().insert(BUDGET, text(format!("{:.6}", seconds(left))));
+        req.headers_mut().insert(BUDGET, text(format!("{:.6}", to_seconds(left))));
         Some(req)
     }
 }
@@ -373,11 +381,11 @@
 }
 
 /// What an answer says of its dispatch.
-fn judge(answer: &Response<Bytes>) -> How {
+fn judge(answer: &Response<Bytes>) -> DispatchOutcome {
     let turned_away = answer.headers().get("x-rejected").is_some_and(|value| value == "1");
     match answer.status() {
-        StatusCode::OK => How::Done,
-        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if turned_away => How::Full,
-        _ => How::Error,
+        StatusCode::OK => DispatchOutcome::Done,
+        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if turned_away => DispatchOutcome::Full,
+        _ => DispatchOutcome::Error,
     }
 }
--- a/balancer/src/phases.rs
+++ b/balancer/src/phases.rs
@@ -8,7 +8,7 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering::Relaxed};
 use std::time::Duration;
 
-use ochreshed::{Balancer, Facts, Name, Nanos, Value, list as facts_list, span, text};
+use ochreshed::{Balancer, Name, Nanos, ParameterValue, Parameters, read_duration, read_list, read_text};
 use ochreshed_recovery::begin::Source;
 use tokio::net::TcpListener;
 use tokio::signal::unix::{Signal, SignalKind, signal};
@@ -170,12 +170,12 @@
         known = Some(generation);
     }
     let rule_sets: Arc<[Name]> =
-        facts_list(&start.facts, "rule_sets").iter().map(|set| text(set, "name").into()).collect();
+        read_list(&start.facts, "rule_sets").iter().map(|set| read_text(set, "name").into()).collect();
     let figures = Figures::new(rule_sets.iter().cloned());
     let mut fleet = match fleet {
         None => None,
         Some(file) => {
-            let (name, zone) = (&start.name, text(&start.facts, "site"));
+            let (name, zone) = (&start.name, read_text(&start.facts, "site"));
             let given = given.take().map(|(version, _, entries)| (version, entries));
             let began = fleet::Began { seed: start.seed, others, given, figures: figures.clone() };
             Some(fleet::start(file, name, zone, began, (clock, life.clone()), mail.clone()).await?)
@@ -202,13 +202,14 @@
     // Where the list doesn't wait to be asked by the module, a watch stands from the start.
     if others > 0 {
         listed.try_send(list::Mail::Fetch).map_err(|e| e.to_string())?;
-    } else if text(&start.facts, "list_mode") != "ask" {
+    } else if read_text(&start.facts, "list_mode") != "ask" {
         listed.try_send(list::Mail::Watch).map_err(|e| e.to_string())?;
     }
     if !start.unused.is_empty() {
         info!("allowed and not used: {}", start.unused.join(", "));
     }
-    let longest = facts_list(&start.facts, "rule_sets").iter().map(|set| span(set, "client_timeout", S));
+    let longest =
+        read_list(&start.facts, "rule_sets").iter().map(|set| read_duration(set, "client_timeout", S));
     let longest = longest.max().unwrap_or(LONGEST).min(LONGEST);
     let common = peer::Common {
         figures: figures.clone(),
@@ -218,8 +219,8 @@
         reuse: Arc::default(),
         large: holds.large.clone(),
         spare: start.most_out / 4,
-        connect_timeout: Duration::from_nanos(span(&start.facts, "connect_timeout", S)),
-        idle: span(&start.facts, "connection_idle", 10 * S),
+        connect_timeout: Duration::from_nanos(read_duration(&start.facts, "connect_timeout", S)),
+        idle: read_duration(&start.facts, "connection_idle", 10 * S),
     };
     tokio::spawn(read_again(hangup, start.file, start.discovery, listed.clone()));
     let told = fleet.as_ref().map(|fleet| (fleet.confirmed.clone(), fleet.wait));
@@ -238,11 +239,12 @@
         headers: start.headers,
         figures: figures.clone(),
     };
-    let once = |set: &&Facts| text(set, "effect") == "non-replayable";
-    let once = facts_list(&start.facts, "rule_sets").iter().filter(once).map(|set| text(set, "name").into());
+    let once = |set: &&Parameters| read_text(set, "effect") == "non-replayable";
+    let once =
+        read_list(&start.facts, "rule_sets").iter().filter(once).map(|set| read_text(set, "name").into());
     let once = once.collect();
     let mut facts = start.facts;
-    facts.insert("connections".into(), Value::Number(start.most_out as f64));
+    facts.insert("connections".into(), ParameterValue::Number(start.most_out as f64));
     let balancer = Balancer::new(clock.now(), start.seed, facts);
     let (fresh, news) = oneshot::channel();
     let actor = Actor::new(balancer, once, common, listed, fresh, evidence);
--- a/balancer/src/start.rs
+++ b/balancer/src/start.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-use ochreshed::Facts;
+use ochreshed::Parameters;
 use ochreshed_hands::facts;
 use serde_json::Value as Json;
 
@@ -38,7 +38,7 @@
     pub most_bodies: usize,
     /// The list as this balancer last had it, in discovery's form.
     pub known: Json,
-    pub facts: Facts,
+    pub facts: Parameters,
     /// Where callers tell more of a req.
     pub headers: Headers,
     /// What the settings allow and is not done here.
--- a/emulator/src/chooser.rs
+++ b/emulator/src/chooser.rs
@@ -3,7 +3,10 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use ochreshed::{Balancer, Facts, How, Listed, Name, Outcome, Req, State, Value};
+use ochreshed::{
+    Balancer, DispatchOutcome, EndpointState, Event, ListedEndpoint, Name, ParameterValue, Parameters,
+    RequestContext,
+};
 use ochreshed_hands::{Act, End, Hands};
 
 use crate::Nanos;
@@ -71,37 +74,37 @@
     pub instances: usize,
 }
 
-fn facts(scenario: &Scenario, seat: Seat) -> Facts {
-    let text = |text: &str| Value::Text(text.into());
+fn facts(scenario: &Scenario, seat: Seat) -> Parameters {
+    let text = |text: &str| ParameterValue::Text(text.into());
     let set = |set: &crate::scenario::RuleSet| {
         let effect = match set.effect {
             Effect::Replayable => "replayable",
             Effect::Uniqued => "uniqued",
             Effect::NonReplayable => "non-replayable",
         };
-        Facts::from([
+        Parameters::from([
             ("name".into(), text(&set.name)),
             ("effect".into(), text(effect)),
             ("group".into(), text("all")),
-            ("window".into(), Value::Span(set.window)),
-            ("response_target".into(), Value::Span(set.response_target)),
-            ("client_timeout".into(), Value::Span(set.client_timeout)),
-            ("utility".into(), Value::Number(set.utility)),
-            ("late_utility".into(), Value::Number(0.1 * set.utility)),
+            ("window".into(), ParameterValue::Duration(set.window)),
+            ("response_target".into(), ParameterValue::Duration(set.response_target)),
+            ("client_timeout".into(), ParameterValue::Duration(set.client_timeout)),
+            ("utility".into(), ParameterValue::Number(set.utility)),
+            ("late_utility".into(), ParameterValue::Number(0.1 * set.utility)),
         ])
     };
-    let mut facts = Facts::from([
-        ("tier".into(), Value::Number(seat.tier as f64)),
-        ("tiers".into(), Value::Number(scenario.tiers.len() as f64)),
-        ("instances".into(), Value::Number(seat.instances as f64)),
-        ("me".into(), Value::Number(seat.me as f64)),
-        ("max_dispatches".into(), Value::Number(4.0)),
-        ("may_recall".into(), Value::Flag(true)),
-        ("rule_sets".into(), Value::List(scenario.rule_sets.iter().map(set).collect())),
+    let mut facts = Parameters::from([
+        ("tier".into(), ParameterValue::Number(seat.tier as f64)),
+        ("tiers".into(), ParameterValue::Number(scenario.tiers.len() as f64)),
+        ("instances".into(), ParameterValue::Number(seat.instances as f64)),
+        ("me".into(), ParameterValue::Number(seat.me as f64)),
+        ("max_dispatches".into(), ParameterValue::Number(4.0)),
+        ("may_recall".into(), ParameterValue::Flag(true)),
+        ("rule_sets".into(), ParameterValue::List(scenario.rule_sets.iter().map(set).collect())),
     ]);
     if let Some(cold) = scenario.tiers[seat.tier].cold {
-        facts.insert("cold".into(), Value::Span(cold.lasts));
-        facts.insert("cold_share".into(), Value::Number(cold.share));
+        facts.insert("cold".into(), ParameterValue::Duration(cold.lasts));
+        facts.insert("cold_share".into(), ParameterValue::Number(cold.share));
     }
     facts
 }
@@ -113,36 +116,43 @@
 
 /// What the world asks of an instance.
 pub trait Chooser {
-    fn take(&mut self, now: Nanos, req: Req);
-    fn ended(&mut self, now: Nanos, id: u64, number: usize, how: How, took: Nanos);
+    fn take(&mut self, now: Nanos, req: RequestContext);
+    fn ended(&mut self, now: Nanos, id: u64, number: usize, how: DispatchOutcome, took: Nanos);
     fn left(&mut self, now: Nanos, id: u64);
-    fn list(&mut self, now: Nanos, entries: &[Listed]);
+    fn list(&mut self, now: Nanos, entries: &[ListedEndpoint]);
     /// What another instance has seen, so often.
-    fn others(&mut self, now: Nanos, srv: &str, rule_set: &str, how: How, times: u16);
+    fn others(&mut self, now: Nanos, srv: &str, rule_set: &str, how: DispatchOutcome, times: u16);
     /// Does what is due; answers with when it is to be asked again.
     fn settle(&mut self, now: Nanos) -> Nanos;
     fn acts(&mut self) -> Vec<Act>;
 }
 
 impl Chooser for Hands {
-    fn take(&mut self, now: Nanos, req: Req) {
+    fn take(&mut self, now: Nanos, req: RequestContext) {
         Hands::take(self, now, req);
     }
 
-    fn ended(&mut self, now: Nanos, id: u64, number: usize, how: How, took: Nanos) {
-        Hands::ended(self, now, id, number, End { how, took, closed: how == How::Done, report: &[] });
+    fn ended(&mut self, now: Nanos, id: u64, number: usize, how: DispatchOutcome, took: Nanos) {
+        Hands::ended(
+            self,
+            now,
+            id,
+            number,
+            End { how, took, closed: how == DispatchOutcome::Done, report: &[] },
+        );
     }
 
     fn left(&mut self, now: Nanos, id: u64) {
         Hands::left(self, now, id);
     }
 
-    fn list(&mut self, now: Nanos, entries: &[Listed]) {
-        self.news(now, Outcome::List { whole: false, old: false, entries });
+    fn list(&mut self, now: Nanos, entries: &[ListedEndpoint]) {
+        self.news(now, Event::EndpointsListed { is_complete: false, is_stale: false, endpoints: entries });
     }
 
-    fn others(&mut self, now: Nanos, srv: &str, rule_set: &str, how: How, times: u16) {
-        (0..times).for_each(|_| self.news(now, Outcome::Others { srv, rule_set, how }));
+    fn others(&mut self, now: Nanos, srv: &str, rule_set: &str, how: DispatchOutcome, times: u16) {
+        (0..times)
+            .for_each(|_| self.news(now, Event::PeerDispatchEnded { endpoint: srv, rule_set, outcome: how }));
     }
 
     fn settle(&mut self, now: Nanos) -> Nanos {
@@ -162,7 +172,7 @@
     /// The srvs that are up, with what is in flight there.
     srvs: BTreeMap<Name, usize>,
     next: usize,
-    reqs: BTreeMap<u64, Req>,
+    reqs: BTreeMap<u64, RequestContext>,
     acts: Vec<Act>,
 }
 
@@ -204,20 +214,26 @@
     fn send(&mut self, now: Nanos, id: u64) {
         let picked = self.pick();
         let Some(req) = self.reqs.get_mut(&id) else { return };
-        let Some(srv) = picked.filter(|_| now < req.ends) else {
+        let Some(srv) = picked.filter(|_| now < req.deadline) else {
             self.reqs.remove(&id);
             return self.acts.push(Act::Abort { id });
         };
         *self.srvs.entry(srv.clone()).or_default() += 1;
-        let (number, give_up) = (req.dispatches.len(), req.ends);
+        let (number, give_up) = (req.dispatches.len(), req.deadline);
         let (site, cell) = ("".into(), 0);
-        req.dispatches.push(ochreshed::Dispatch { srv: srv.clone(), site, cell, at: now, how: None });
+        req.dispatches.push(ochreshed::Dispatch {
+            endpoint: srv.clone(),
+            site,
+            cell,
+            sent_at: now,
+            outcome: None,
+        });
         self.acts.push(Act::Send { id, number, srv, give_up });
     }
 }
 
 impl Chooser for Plain {
-    fn take(&mut self, now: Nanos, req: Req) {
+    fn take(&mut self, now: Nanos, req: RequestContext) {
         let id = req.id;
         // The first rule broken: a req that is never answered.
         if self.policy == Policy::Breaks(1) && id.is_multiple_of(50) {
@@ -227,51 +243,51 @@
         self.send(now, id);
     }
 
-    fn ended(&mut self, now: Nanos, id: u64, number: usize, how: How, _: Nanos) {
+    fn ended(&mut self, now: Nanos, id: u64, number: usize, how: DispatchOutcome, _: Nanos) {
         let tries = self.tries();
         let Some(req) = self.reqs.get_mut(&id) else { return };
-        req.dispatches[number].how = Some(how);
-        if let Some(out) = self.srvs.get_mut(&req.dispatches[number].srv) {
+        req.dispatches[number].outcome = Some(how);
+        if let Some(out) = self.srvs.get_mut(&req.dispatches[number].endpoint) {
             *out = out.saturating_sub(1);
         }
-        if how == How::Done {
+        if how == DispatchOutcome::Done {
             self.reqs.remove(&id);
             return;
         }
         // Even a naive one keeps to what may run twice, but for the one that breaks that rule.
         let once = !self.replayable.contains(&req.rule_set)
-            && req.may_have_run().is_some()
+            && req.first_possible_run().is_some()
             && self.policy != Policy::Breaks(2);
         if req.dispatches.len() < tries && !once {
             return self.send(now, id);
         }
-        let ran = req.may_have_run().is_some();
+        let ran = req.first_possible_run().is_some();
         self.reqs.remove(&id);
         self.acts.push(if ran { Act::Abort { id } } else { Act::Deny { id, come_back: 0 } });
     }
 
     fn left(&mut self, _: Nanos, id: u64) {
         if let Some(req) = self.reqs.remove(&id) {
-            for dispatch in req.dispatches.iter().filter(|d| d.how.is_none()) {
-                if let Some(out) = self.srvs.get_mut(&dispatch.srv) {
+            for dispatch in req.dispatches.iter().filter(|d| d.outcome.is_none()) {
+                if let Some(out) = self.srvs.get_mut(&dispatch.endpoint) {
                     *out = out.saturating_sub(1);
                 }
             }
         }
     }
 
-    fn list(&mut self, _: Nanos, entries: &[Listed]) {
+    fn list(&mut self, _: Nanos, entries: &[ListedEndpoint]) {
         for entry in entries {
-            if entry.state == State::Up {
-                self.srvs.entry(entry.srv.clone()).or_default();
+            if entry.state == EndpointState::Up {
+                self.srvs.entry(entry.name.clone()).or_default();
             } else if self.policy != Policy::Breaks(3) {
-                self.srvs.remove(&entry.srv);
+                self.srvs.remove(&entry.name);
             }
         }
     }
 
     /// A baseline learns by itself.
-    fn others(&mut self, _: Nanos, _: &str, _: &str, _: How, _: u16) {}
+    fn others(&mut self, _: Nanos, _: &str, _: &str, _: DispatchOutcome, _: u16) {}
 
     fn settle(&mut self, _: Nanos) -> Nanos {
         Nanos::MAX
--- a/emulator/src/fleet.rs
+++ b/emulator/src/fleet.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use ochreshed::{Listed, Name};
+use ochreshed::{ListedEndpoint, Name};
 use ochreshed_gossip::known::{Known, to_word};
 use ochreshed_gossip::peer::{Output, Peer, Settings};
 use ochreshed_membership::swim::{Config, To};
@@ -33,7 +33,7 @@
 pub enum Effect {
     Later(Nanos, Due),
     /// Others have heard something else of these srvs.
-    News(usize, Vec<Listed>),
+    News(usize, Vec<ListedEndpoint>),
     Counted {
         instance: usize,
         srv: Name,
@@ -125,8 +125,9 @@
     }
 
     /// The list as an instance has it from before: no news to anybody.
-    pub fn began(&mut self, now: Nanos, number: usize, entries: &[Listed]) -> Vec<Effect> {
-        let mut entries: Vec<(Listed, ())> = entries.iter().map(|listed| (listed.clone(), ())).collect();
+    pub fn began(&mut self, now: Nanos, number: usize, entries: &[ListedEndpoint]) -> Vec<Effect> {
+        let mut entries: Vec<(ListedEndpoint, ())> =
+            entries.iter().map(|listed| (listed.clone(), ())).collect();
         self.known[number].told(self.peers[number].store().words(), true, &mut entries);
         self.follow(now, number)
     }
@@ -137,9 +138,9 @@
         now: Nanos,
         number: usize,
         version: u64,
-        entry: Listed,
-    ) -> (Listed, Vec<Effect>) {
-        let said = (entry.srv.to_string(), to_word(entry.state));
+        entry: ListedEndpoint,
+    ) -> (ListedEndpoint, Vec<Effect>) {
+        let said = (entry.name.to_string(), to_word(entry.state));
         self.peers[number].listed(version, false, &[said]);
         let mut entries = [(entry, ())];
         self.known[number].told(self.peers[number].store().words(), false, &mut entries);
--- a/emulator/src/world.rs
+++ b/emulator/src/world.rs
@@ -7,7 +7,7 @@
 
 use std::collections::BTreeMap;
 
-use ochreshed::{How, Listed, Name, Req, State};
+use ochreshed::{DispatchOutcome, EndpointState, ListedEndpoint, Name, RequestContext};
 use ochreshed_hands::Act;
 use ochreshed_replica::rows::Counts;
 
@@ -49,12 +49,12 @@
     Back {
         key: Key,
         number: usize,
-        how: How,
+        how: DispatchOutcome,
     },
     News {
         instance: usize,
         version: u64,
-        entry: Listed,
+        entry: ListedEndpoint,
     },
     Fleet(Due),
     Trouble(usize, bool),
@@ -256,7 +256,7 @@
     fn first_list(&mut self, now: Nanos, instance: usize) {
         let tier = self.instances[instance].tier;
         let of = self.srvs.iter().filter(|srv| srv.tier == tier);
-        let entries: Vec<Listed> = of.map(|srv| self.entry(srv, State::Up, None)).collect();
+        let entries: Vec<ListedEndpoint> = of.map(|srv| self.entry(srv, EndpointState::Up, None)).collect();
         self.instances[instance].chooser.list(now, &entries);
         if let Some(net) = self.fleet.as_mut().filter(|net| instance < net.instances()) {
             let effects = net.began(now, instance, &entries);
@@ -271,18 +271,21 @@
                 Effect::Later(at, due) => self.events.at(at, Event::Fleet(due)),
                 Effect::News(instance, entries) => {
                     for entry in &entries {
-                        let leaves = entry.state != State::Up;
-                        self.audit.told(now, instance, &entry.srv, leaves);
+                        let leaves = entry.state != EndpointState::Up;
+                        self.audit.told(now, instance, &entry.name, leaves);
                         if leaves {
-                            self.heeded.note_last(now, instance, &entry.srv);
+                            self.heeded.note_last(now, instance, &entry.name);
                         }
                     }
                     self.instances[instance].chooser.list(now, &entries);
                     self.settle(instance);
                 }
                 Effect::Counted { instance, srv, set, counts } => {
-                    let outcomes =
-                        [(How::Done, counts.done), (How::Error, counts.failed), (How::Reset, counts.lost)];
+                    let outcomes = [
+                        (DispatchOutcome::Done, counts.done),
+                        (DispatchOutcome::Error, counts.failed),
+                        (DispatchOutcome::Reset, counts.lost),
+                    ];
                     for (how, times) in outcomes {
                         self.instances[instance].chooser.others(now, &srv, &set, how, times);
                     }
@@ -309,7 +312,7 @@
         let from = self.list_down_until.max(now);
         for srv in 0..self.srvs.len() {
             if self.srvs[srv].tier == tier {
-                let state = if self.srvs[srv].draining { State::Draining } else { State::Up };
+                let state = if self.srvs[srv].draining { EndpointState::Draining } else { EndpointState::Up };
                 let came_up = Some(self.srvs[srv].started).filter(|at| *at > START);
                 let entry = self.entry(&self.srvs[srv], state, came_up);
                 let delay = self.scenario.list.delay.draw(&mut self.net);
@@ -328,9 +331,16 @@
         number
     }
 
-    fn entry(&self, srv: &Srv, state: State, came_up: Option<Nanos>) -> Listed {
+    fn entry(&self, srv: &Srv, state: EndpointState, came_up: Option<Nanos>) -> ListedEndpoint {
         let site = format!("site-{}", srv.site).into();
-        Listed { srv: srv.name.clone(), state, came_up, weight: 1.0, site, cell: srv.site as u64 }
+        ListedEndpoint {
+            name: srv.name.clone(),
+            state,
+            started_at: came_up,
+            weight: 1.0,
+            site,
+            cell: srv.site as u64,
+        }
     }
 
     fn run(mut self) -> (Result, Vec<(Nanos, String)>) {
@@ -370,7 +380,7 @@
                     self.settle(key.0);
                     // What is out is closed, and the instance hears so: else it would count as out for ever.
                     if let Some((number, ..)) = self.under.get(&key).and_then(|under| under.out) {
-                        self.back(now, key, number, How::Recalled);
+                        self.back(now, key, number, DispatchOutcome::Cancelled);
                     }
                     self.under.remove(&key);
                 }
@@ -382,7 +392,7 @@
                 }
             }
             Event::Reach { key, number, srv } => self.reach(now, key, number, srv),
-            Event::GiveUp { key, number } => self.back(now, key, number, How::TimedOut),
+            Event::GiveUp { key, number } => self.back(now, key, number, DispatchOutcome::TimedOut),
             Event::WorkEnd { job, ends } => {
                 if self.jobs.get(&job).is_some_and(|job| job.ends == ends) {
                     self.work_ends(now, job);
@@ -390,14 +400,14 @@
             }
             Event::Back { key, number, how } => self.back(now, key, number, how),
             Event::News { instance, version, entry } => {
-                if instance < self.scenario.clients.instances && entry.state != State::Up {
-                    self.heeded.note(now, instance, &entry.srv, version);
+                if instance < self.scenario.clients.instances && entry.state != EndpointState::Up {
+                    self.heeded.note(now, instance, &entry.name, version);
                 }
                 let (entry, effects) = match self.fleet.as_mut().filter(|net| instance < net.instances()) {
                     Some(net) => net.listed(now, instance, version, entry),
                     None => (entry, Vec::new()),
                 };
-                self.audit.told(now, instance, &entry.srv, entry.state != State::Up);
+                self.audit.told(now, instance, &entry.name, entry.state != EndpointState::Up);
                 self.instances[instance].chooser.list(now, &[entry]);
                 self.settle(instance);
                 self.carry(now, effects);
@@ -411,7 +421,7 @@
             Event::Trouble(number, begins) => self.trouble(now, number, begins),
             Event::Drain(srv) => {
                 self.srvs[srv].draining = true;
-                self.tell(srv, State::Draining, None);
+                self.tell(srv, EndpointState::Draining, None);
             }
             Event::Replace(srv) => self.replace(now, srv),
             Event::Unpause(srv) => {
@@ -462,16 +472,16 @@
         self.audit.taken(now, key, ends, rule_set.effect, rule_set.window);
         self.under.insert(key, Under { caller, set, ends, out: None });
         self.events.at(ends + MS, Event::Left(key));
-        let req = Req {
+        let req = RequestContext {
             id: key.1,
             rule_set: rule_set.name.as_str().into(),
             customer: "".into(),
-            again: matches!(caller, Caller::Client { try_number, .. } if try_number > 0),
-            taken: now,
-            ends,
-            coming: false,
-            work: None,
-            tie: None,
+            is_client_retry: matches!(caller, Caller::Client { try_number, .. } if try_number > 0),
+            received_at: now,
+            deadline: ends,
+            body_pending: false,
+            expected_cost: None,
+            preferred_endpoint: None,
             dispatches: Vec::new(),
         };
         self.instances[instance].chooser.take(now, req);
@@ -491,7 +501,9 @@
                 Act::Send { id, number, srv, give_up } => {
                     self.send(now, (instance, id), number, &srv, give_up)
                 }
-                Act::Recall { id, number } => self.back(now, (instance, id), number, How::Recalled),
+                Act::Recall { id, number } => {
+                    self.back(now, (instance, id), number, DispatchOutcome::Cancelled)
+                }
                 Act::Deny { id, .. } => self.answer(now, (instance, id), Answer::Denied),
                 Act::Abort { id } => self.answer(now, (instance, id), Answer::Aborted),
                 Act::Watch | Act::List | Act::Probe(_) | Act::Close(_) | Act::Log(_) => {}
@@ -534,7 +546,7 @@
         let work = (tier.work.draw(&mut self.work) as f64 * self.slow[self.srvs[srv].tier]) as Nanos;
         if self.srvs[srv].failing_fast {
             self.audit.ran(now, key, &self.srvs[srv].name);
-            return self.reply(srv, key, number, How::Error);
+            return self.reply(srv, key, number, DispatchOutcome::Error);
         }
         if now < self.srvs[srv].cold_until {
             let speed = self.srvs[srv].station.speed(now);
@@ -547,7 +559,7 @@
         self.next_id += 1;
         let job = self.next_id;
         match self.srvs[srv].station.offer(now, job, work) {
-            Offer::Full => self.reply(srv, key, number, How::Full),
+            Offer::Full => self.reply(srv, key, number, DispatchOutcome::Full),
             Offer::Waits => drop(self.jobs.insert(job, Job { key, number, srv, ends: 0 })),
             Offer::Starts { ends } => {
                 self.jobs.insert(job, Job { key, number, srv, ends: 0 });
@@ -577,22 +589,22 @@
         self.started(now, started);
         let failing = self.scenario.tiers[self.srvs[srv].tier].failing;
         if self.fate.happens(self.resets[self.srvs[srv].tier]) {
-            return self.reply(srv, key, dispatch, How::Reset);
+            return self.reply(srv, key, dispatch, DispatchOutcome::Reset);
         }
         if self.fate.happens(failing) {
-            return self.reply(srv, key, dispatch, How::Error);
+            return self.reply(srv, key, dispatch, DispatchOutcome::Error);
         }
         // The call below goes on even where the caller has given up: it can't be told from here.
         match (self.srvs[srv].below, self.under.get(&key).map(|under| (under.set, under.ends))) {
             (Some(below), Some((set, ends))) if now + LITTLE < ends => {
                 self.take(now, below, set, ends - LITTLE, Caller::Job { key, number: dispatch, srv });
             }
-            (Some(_), _) => self.reply(srv, key, dispatch, How::Error),
-            (None, _) => self.reply(srv, key, dispatch, How::Done),
+            (Some(_), _) => self.reply(srv, key, dispatch, DispatchOutcome::Error),
+            (None, _) => self.reply(srv, key, dispatch, DispatchOutcome::Done),
         }
     }
 
-    fn reply(&mut self, srv: usize, key: Key, number: usize, how: How) {
+    fn reply(&mut self, srv: usize, key: Key, number: usize, how: DispatchOutcome) {
         let site = self.instances[key.0].site;
         if !self.cut(site, srv) {
             let delay = self.delay(site, srv);
@@ -601,15 +613,17 @@
     }
 
     /// A dispatch is over for its instance.
-    fn back(&mut self, now: Nanos, key: Key, number: usize, how: How) {
+    fn back(&mut self, now: Nanos, key: Key, number: usize, how: DispatchOutcome) {
         let Some(under) = self.under.get_mut(&key) else { return };
         let Some((_, srv, sent)) = under.out.take_if(|out| out.0 == number) else { return };
         let set = under.set;
-        self.audit.ended(now, key, number, &format!("{how:?}"));
-        if !matches!(how, How::Done | How::Error | How::Full) {
+        // The audit trail writes `Cancelled` as "Recalled".
+        let text = if how == DispatchOutcome::Cancelled { "Recalled".into() } else { format!("{how:?}") };
+        self.audit.ended(now, key, number, &text);
+        if !matches!(how, DispatchOutcome::Done | DispatchOutcome::Error | DispatchOutcome::Full) {
             self.abandon(now, srv, key, number);
         }
-        if how == How::Done {
+        if how == DispatchOutcome::Done {
             self.answer(now, key, Answer::Done);
         }
         self.instances[key.0].chooser.ended(now, key.1, number, how, now - sent);
@@ -618,14 +632,15 @@
     }
 
     /// What the others are told of a dispatch, as the program gathers it.
-    fn count(&mut self, now: Nanos, instance: usize, srv: usize, set: usize, how: How) {
+    fn count(&mut self, now: Nanos, instance: usize, srv: usize, set: usize, how: DispatchOutcome) {
         let counts = match how {
-            How::Done => Counts { done: 1, ..Counts::default() },
-            How::Error => Counts { failed: 1, ..Counts::default() },
-            How::NoConnection | How::Reset | How::TimedOut | How::Recalled => {
-                Counts { lost: 1, ..Counts::default() }
-            }
-            How::Full | How::NotSent | How::Turned => return,
+            DispatchOutcome::Done => Counts { done: 1, ..Counts::default() },
+            DispatchOutcome::Error => Counts { failed: 1, ..Counts::default() },
+            DispatchOutcome::NoConnection
+            | DispatchOutcome::Reset
+            | DispatchOutcome::TimedOut
+            | DispatchOutcome::Cancelled => Counts { lost: 1, ..Counts::default() },
+            DispatchOutcome::Full | DispatchOutcome::NotSent | DispatchOutcome::Rejected => return,
         };
         let set = self.set(set).name.as_str();
         if let Some(net) = self.fleet.as_mut().filter(|net| instance < net.instances()) {
@@ -657,7 +672,7 @@
                 _ => {}
             },
             Caller::Job { key, number, srv } => {
-                let how = if answer == Answer::Done { How::Done } else { How::Error };
+                let how = if answer == Answer::Done { DispatchOutcome::Done } else { DispatchOutcome::Error };
                 self.reply(srv, key, number, how);
             }
         }
@@ -675,7 +690,7 @@
         self.by_set[set].1 += utility;
     }
 
-    fn tell(&mut self, srv: usize, state: State, came_up: Option<Nanos>) {
+    fn tell(&mut self, srv: usize, state: EndpointState, came_up: Option<Nanos>) {
         self.version += 1;
         let tier = self.srvs[srv].tier;
         for instance in 0..self.instances.len() {
@@ -721,7 +736,7 @@
             What::Drain => {
                 for srv in of.into_iter().take(*srvs) {
                     self.srvs[srv].draining = begins;
-                    self.tell(srv, if begins { State::Draining } else { State::Up }, None);
+                    self.tell(srv, if begins { EndpointState::Draining } else { EndpointState::Up }, None);
                 }
             }
             What::Slow => self.slow[tier] = if begins { *times } else { 1.0 },
@@ -744,13 +759,13 @@
             self.jobs.iter().filter(|(_, job)| job.srv == srv).map(|(job, _)| *job).collect();
         for job in held {
             if let Some(job) = self.jobs.remove(&job) {
-                self.reply(srv, job.key, job.number, How::Reset);
+                self.reply(srv, job.key, job.number, DispatchOutcome::Reset);
             }
         }
         let srv_ = &mut self.srvs[srv];
         (srv_.station, srv_.started, srv_.draining) = (Station::new(tier.build(), now), now, false);
         srv_.cold_until = now + tier.cold.map_or(0, |cold| cold.lasts);
-        self.tell(srv, State::Up, Some(now));
+        self.tell(srv, EndpointState::Up, Some(now));
     }
 
     fn finish(mut self) -> Result {
--- a/gossip/src/known.rs
+++ b/gossip/src/known.rs
@@ -4,15 +4,15 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-use ochreshed::{Listed, Name, State};
+use ochreshed::{EndpointState, ListedEndpoint, Name};
 use ochreshed_replica::words::{self, Words};
 
 /// With each srv goes what the caller keeps beside it: where it is reached.
 #[derive(Clone, Debug, Default)]
 pub struct Known<A> {
-    list: HashMap<Name, (Listed, A)>,
+    list: HashMap<Name, (ListedEndpoint, A)>,
     /// Srvs of which the module was told something else than the list says.
-    overruled: BTreeMap<Name, State>,
+    overruled: BTreeMap<Name, EndpointState>,
 }
 
 impl<A: Clone> Known<A> {
@@ -25,7 +25,7 @@
     }
 
     /// The list as discovery last told it here.
-    pub fn list(&self) -> impl Iterator<Item = &(Listed, A)> {
+    pub fn list(&self) -> impl Iterator<Item = &(ListedEndpoint, A)> {
         self.list.values()
     }
 
@@ -35,21 +35,21 @@
     }
 
     /// Discovery's own news goes on to the module, but for what others have heard of later lists.
-    pub fn told(&mut self, words: &Words, whole: bool, entries: &mut [(Listed, A)]) {
+    pub fn told(&mut self, words: &Words, whole: bool, entries: &mut [(ListedEndpoint, A)]) {
         if whole {
-            self.list = entries.iter().map(|entry| (entry.0.srv.clone(), entry.clone())).collect();
+            self.list = entries.iter().map(|entry| (entry.0.name.clone(), entry.clone())).collect();
         }
         for entry in entries.iter() {
             match entry.0.state {
-                State::Gone => drop(self.list.remove(&entry.0.srv)),
-                _ => drop(self.list.insert(entry.0.srv.clone(), entry.clone())),
+                EndpointState::Gone => drop(self.list.remove(&entry.0.name)),
+                _ => drop(self.list.insert(entry.0.name.clone(), entry.clone())),
             }
         }
-        self.overruled.retain(|srv, _| !whole && !entries.iter().any(|(listed, _)| listed.srv == *srv));
+        self.overruled.retain(|srv, _| !whole && !entries.iter().any(|(listed, _)| listed.name == *srv));
         for (listed, _) in entries {
             if let Some(worse) = worse(words, listed) {
                 listed.state = worse;
-                self.overruled.insert(listed.srv.clone(), worse);
+                self.overruled.insert(listed.name.clone(), worse);
             }
         }
     }
@@ -59,17 +59,17 @@
         &mut self,
         words: &Words,
         srvs: impl IntoIterator<Item = &'a str>,
-    ) -> Vec<(Listed, A)> {
+    ) -> Vec<(ListedEndpoint, A)> {
         let mut news = Vec::new();
         for srv in srvs {
             let Some((listed, beside)) = self.list.get(srv) else { continue };
             let now = worse(words, listed);
-            if now == self.overruled.get(&listed.srv).copied() {
+            if now == self.overruled.get(&listed.name).copied() {
                 continue;
             }
             match now {
-                Some(worse) => drop(self.overruled.insert(listed.srv.clone(), worse)),
-                None => drop(self.overruled.remove(&listed.srv)),
+                Some(worse) => drop(self.overruled.insert(listed.name.clone(), worse)),
+                None => drop(self.overruled.remove(&listed.name)),
             }
             let mut listed = listed.clone();
             listed.state = now.unwrap_or(listed.state);
@@ -80,21 +80,21 @@
 }
 
 /// What others have heard of a srv since, if that is worse than this.
-fn worse(words: &Words, listed: &Listed) -> Option<State> {
-    let word = words.get(&listed.srv)?;
+fn worse(words: &Words, listed: &ListedEndpoint) -> Option<EndpointState> {
+    let word = words.get(&listed.name)?;
     let worse = match word.state {
         words::State::Serves => return None,
-        words::State::Drains => State::Draining,
-        words::State::Gone => State::Gone,
+        words::State::Drains => EndpointState::Draining,
+        words::State::Gone => EndpointState::Gone,
     };
     (word.state > to_word(listed.state)).then_some(worse)
 }
 
-pub fn to_word(state: State) -> words::State {
+pub fn to_word(state: EndpointState) -> words::State {
     match state {
-        State::Up => words::State::Serves,
-        State::Draining => words::State::Drains,
-        State::Gone => words::State::Gone,
+        EndpointState::Up => words::State::Serves,
+        EndpointState::Draining => words::State::Drains,
+        EndpointState::Gone => words::State::Gone,
     }
 }
 
@@ -104,13 +104,20 @@
 
     use super::*;
 
-    fn entry(srv: &str, state: State) -> (Listed, u16) {
-        let listed = Listed { srv: srv.into(), state, came_up: None, weight: 1.0, site: "a".into(), cell: 0 };
+    fn entry(srv: &str, state: EndpointState) -> (ListedEndpoint, u16) {
+        let listed = ListedEndpoint {
+            name: srv.into(),
+            state,
+            started_at: None,
+            weight: 1.0,
+            site: "a".into(),
+            cell: 0,
+        };
         (listed, 7)
     }
 
-    fn states(entries: &[(Listed, u16)]) -> Vec<(&str, State)> {
-        entries.iter().map(|(listed, _)| (&*listed.srv, listed.state)).collect()
+    fn states(entries: &[(ListedEndpoint, u16)]) -> Vec<(&str, EndpointState)> {
+        entries.iter().map(|(listed, _)| (&*listed.name, listed.state)).collect()
     }
 
     /// A copy that was told by another of a drain, by list 2.
@@ -124,16 +131,16 @@
     #[test]
     fn what_others_heard_worse_stands_against_the_own_list_until_that_is_newer() {
         let (mut store, mut known) = (told_of_a_drain(), Known::new());
-        let mut list = [entry("s", State::Up), entry("t", State::Up)];
+        let mut list = [entry("s", EndpointState::Up), entry("t", EndpointState::Up)];
         store.listed(1, true, &[("s".into(), words::State::Serves), ("t".into(), words::State::Serves)]);
         known.told(store.words(), true, &mut list);
-        assert_eq!(states(&list), [("s", State::Draining), ("t", State::Up)]);
+        assert_eq!(states(&list), [("s", EndpointState::Draining), ("t", EndpointState::Up)]);
         // Told once: the same again is no news to the module.
         assert!(known.changed(store.words(), ["s", "t", "elsewhere"]).is_empty());
         let fresh = store.listed(3, false, &[("s".into(), words::State::Serves)]);
         assert_eq!(
             states(&known.changed(store.words(), fresh.iter().map(String::as_str))),
-            [("s", State::Up)]
+            [("s", EndpointState::Up)]
         );
         assert_eq!(known.overruled(), 0);
     }
@@ -142,7 +149,7 @@
     #[test]
     fn of_a_srv_that_the_own_list_does_not_have_nothing_is_told() {
         let (store, mut known) = (told_of_a_drain(), Known::new());
-        known.told(store.words(), true, &mut [entry("t", State::Up)]);
+        known.told(store.words(), true, &mut [entry("t", EndpointState::Up)]);
         assert!(known.changed(store.words(), ["s"]).is_empty() && !known.has("s"));
     }
 }
--- a/hands/benches/req.rs
+++ b/hands/benches/req.rs
@@ -15,10 +15,17 @@
     divan::main();
 }
 
-fn listed(number: u64, came_up: Option<Nanos>) -> Listed {
+fn listed(number: u64, came_up: Option<Nanos>) -> ListedEndpoint {
     let site = format!("x{}", number % 5).into();
     let srv = format!("s{number:05}").into();
-    Listed { srv, state: State::Up, came_up, weight: 1.0, site, cell: number % 50 }
+    ListedEndpoint {
+        name: srv,
+        state: EndpointState::Up,
+        started_at: came_up,
+        weight: 1.0,
+        site,
+        cell: number % 50,
+    }
 }
 
 /// An instance with reqs on their way through it.
@@ -41,21 +48,21 @@
 impl Road {
     fn new(size: u64, cold: bool) -> Road {
         let now = 1_000_000 * MS;
-        let set = Facts::from([
-            ("name".into(), Value::Text("read".into())),
-            ("effect".into(), Value::Text("replayable".into())),
-            ("response_target".into(), Value::Span(1_000 * MS)),
+        let set = Parameters::from([
+            ("name".into(), ParameterValue::Text("read".into())),
+            ("effect".into(), ParameterValue::Text("replayable".into())),
+            ("response_target".into(), ParameterValue::Duration(1_000 * MS)),
         ]);
-        let facts = Facts::from([
-            ("tier".into(), Value::Number(0.0)),
-            ("cold".into(), Value::Span(1_000_000 * MS)),
-            ("cold_share".into(), Value::Number(0.2)),
-            ("rule_sets".into(), Value::List(vec![set])),
+        let facts = Parameters::from([
+            ("tier".into(), ParameterValue::Number(0.0)),
+            ("cold".into(), ParameterValue::Duration(1_000_000 * MS)),
+            ("cold_share".into(), ParameterValue::Number(0.2)),
+            ("rule_sets".into(), ParameterValue::List(vec![set])),
         ]);
         let mut hands = Hands::new(Balancer::new(now, 7, facts));
         let came_up = |number: u64| (cold && number.is_multiple_of(3)).then_some(now);
-        let entries: Vec<Listed> = (0..size).map(|number| listed(number, came_up(number))).collect();
-        hands.news(now, Outcome::List { whole: true, old: false, entries: &entries });
+        let entries: Vec<ListedEndpoint> = (0..size).map(|number| listed(number, came_up(number))).collect();
+        hands.news(now, Event::EndpointsListed { is_complete: true, is_stale: false, endpoints: &entries });
         let out = Default::default();
         Road {
             hands,
@@ -93,12 +100,12 @@
         self.waiting += 1;
         let (rule_set, customer) = ("read".into(), "".into());
         let (id, taken, ends) = (self.id, self.now, self.now + 3_000 * MS);
-        self.hands.take(self.now, Req::new(id, rule_set, customer, taken, ends));
+        self.hands.take(self.now, RequestContext::new(id, rule_set, customer, taken, ends));
         self.settle();
     }
 
     fn end(&mut self, at: Nanos, id: u64, number: usize, fails: bool) {
-        let how = if fails { How::NoConnection } else { How::Done };
+        let how = if fails { DispatchOutcome::NoConnection } else { DispatchOutcome::Done };
         let end = End { how, took: self.takes, closed: !fails, report: &[] };
         self.hands.ended(at.max(self.now - self.gap), id, number, end);
         self.settle();
@@ -200,17 +207,21 @@
         let (mut road, mut number) = (road.borrow_mut(), number.borrow_mut());
         *number += 1;
         let mut entry = listed(*number * 7919 % road.size, None);
-        entry.state = if *number % 2 == 0 { State::Up } else { State::Draining };
+        entry.state = if *number % 2 == 0 { EndpointState::Up } else { EndpointState::Draining };
         let now = road.now;
-        road.hands.news(now, Outcome::List { whole: false, old: false, entries: &[entry] });
+        road.hands
+            .news(now, Event::EndpointsListed { is_complete: false, is_stale: false, endpoints: &[entry] });
     });
 }
 
 #[divan::bench(args = SIZES, sample_count = 20, sample_size = 1)]
 fn a_whole_list_is_applied(bencher: Bencher, size: u64) {
-    let entries: Vec<Listed> = (0..size).map(|number| listed(number, None)).collect();
+    let entries: Vec<ListedEndpoint> = (0..size).map(|number| listed(number, None)).collect();
     bencher.with_inputs(|| Road::new(0, false)).bench_local_values(|mut road| {
-        road.hands.news(road.now, Outcome::List { whole: true, old: false, entries: &entries });
+        road.hands.news(
+            road.now,
+            Event::EndpointsListed { is_complete: true, is_stale: false, endpoints: &entries },
+        );
         road
     });
 }
@@ -218,11 +229,12 @@
 /// The same list again, as after each call to discovery that starts anew.
 #[divan::bench(args = SIZES, sample_count = 20, sample_size = 1)]
 fn a_whole_list_brings_nothing_new(bencher: Bencher, size: u64) {
-    let entries: Vec<Listed> = (0..size).map(|number| listed(number, None)).collect();
+    let entries: Vec<ListedEndpoint> = (0..size).map(|number| listed(number, None)).collect();
     let road = RefCell::new(Road::new(size, false));
     bencher.bench_local(|| {
         let mut road = road.borrow_mut();
         let now = road.now;
-        road.hands.news(now, Outcome::List { whole: true, old: false, entries: &entries });
+        road.hands
+            .news(now, Event::EndpointsListed { is_complete: true, is_stale: false, endpoints: &entries });
     });
 }
--- a/hands/src/facts.rs
+++ b/hands/src/facts.rs
@@ -1,7 +1,7 @@
 //! The operators' settings object to a plain map in the project's own words. What is not named here is
 //! skipped.
 
-use ochreshed::{Facts, Value};
+use ochreshed::{ParameterValue, Parameters};
 use serde_json::Value as Json;
 
 enum Unit {
@@ -59,18 +59,18 @@
 const CUSTOMER: &[(&str, &str, Unit)] =
     &[("/Name", "name", Text), ("/QuotaPerS", "share_per_s", Number), ("/Share", "share", Number)];
 
-pub fn read(text: &str) -> Result<Facts, String> {
+pub fn read(text: &str) -> Result<Parameters, String> {
     let json: Json = serde_json::from_str(text).map_err(|e| format!("settings: {e}"))?;
     from_json(&json)
 }
 
-pub fn from_json(json: &Json) -> Result<Facts, String> {
+pub fn from_json(json: &Json) -> Result<Parameters, String> {
     if !json.is_object() {
         return Err("settings: not an object".into());
     }
     let mut facts = pick(json, TOP)?;
     let tiers = json.pointer("/Tiers").and_then(Json::as_array).map_or(1, |tiers| tiers.len());
-    facts.insert("tiers".into(), Value::Number(tiers as f64));
+    facts.insert("tiers".into(), ParameterValue::Number(tiers as f64));
     facts.insert("rule_sets".into(), list(json, "/RuleSets", RULE_SET)?);
     facts.insert("customers".into(), list(json, "/Tenants", CUSTOMER)?);
     let fields = json.pointer("/Report/Fields").and_then(Json::as_array);
@@ -85,26 +85,26 @@
             "err_ps" => "report_errors_per_s",
             _ => continue,
         };
-        facts.insert(name.into(), Value::Number(at as f64));
+        facts.insert(name.into(), ParameterValue::Number(at as f64));
     }
     Ok(facts)
 }
 
-fn list(json: &Json, path: &str, table: &[(&str, &str, Unit)]) -> Result<Value, String> {
+fn list(json: &Json, path: &str, table: &[(&str, &str, Unit)]) -> Result<ParameterValue, String> {
     let items = json.pointer(path).and_then(Json::as_array).into_iter().flatten();
-    Ok(Value::List(items.map(|item| pick(item, table)).collect::<Result<_, _>>()?))
+    Ok(ParameterValue::List(items.map(|item| pick(item, table)).collect::<Result<_, _>>()?))
 }
 
-fn pick(json: &Json, table: &[(&str, &str, Unit)]) -> Result<Facts, String> {
-    let mut facts = Facts::new();
+fn pick(json: &Json, table: &[(&str, &str, Unit)]) -> Result<Parameters, String> {
+    let mut facts = Parameters::new();
     for (path, name, unit) in table {
         let Some(found) = json.pointer(path).filter(|v| !v.is_null()) else { continue };
         let value = match unit {
-            Number => found.as_f64().map(Value::Number),
-            Span => found.as_f64().map(|ms| Value::Span((ms.max(0.0) * 1e6).round() as u64)),
-            Text => found.as_str().map(|text| Value::Text(text.into())),
-            Word => found.as_str().map(|text| Value::Text(word(text).into())),
-            Flag => found.as_bool().map(Value::Flag),
+            Number => found.as_f64().map(ParameterValue::Number),
+            Span => found.as_f64().map(|ms| ParameterValue::Duration((ms.max(0.0) * 1e6).round() as u64)),
+            Text => found.as_str().map(|text| ParameterValue::Text(text.into())),
+            Word => found.as_str().map(|text| ParameterValue::Text(word(text).into())),
+            Flag => found.as_bool().map(ParameterValue::Flag),
         };
         facts.insert((*name).into(), value.ok_or_else(|| format!("settings: {path} can't be read"))?);
     }
--- a/hands/src/lib.rs
+++ b/hands/src/lib.rs
@@ -6,7 +6,9 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use ochreshed::{Balancer, Follow, How, Name, Nanos, Outcome, Place, Req, Wait};
+use ochreshed::{
+    Balancer, DispatchOutcome, Event, Name, Nanos, NextAction, NextStep, RequestContext, RoutingDecision,
+};
 
 /// Something for the protocol's side to do, in the order given.
 #[derive(Debug)]
@@ -40,7 +42,7 @@
 
 /// How a dispatch ended, and how long it was out.
 pub struct End<'a> {
-    pub how: How,
+    pub how: DispatchOutcome,
     pub took: Nanos,
     /// Its req has had its final answer, by this or before.
     pub closed: bool,
@@ -56,7 +58,7 @@
 }
 
 struct Held {
-    req: Req,
+    req: RequestContext,
     ended: bool,
     ask_at: Option<Nanos>,
 }
@@ -66,13 +68,13 @@
         Hands { balancer, reqs: BTreeMap::new(), due: BTreeSet::new(), acts: Vec::new() }
     }
 
-    /// What may be sent again from now on, as `Balancer::allow` has it.
+    /// What may be sent again from now on, as `Balancer::set_retry_budget` has it.
     pub fn allow(&mut self, part: f64, floor: f64) {
-        self.balancer.allow(part, floor);
+        self.balancer.set_retry_budget(part, floor);
     }
 
     /// A new req, which gets exactly one final answer from here on.
-    pub fn take(&mut self, now: Nanos, req: Req) {
+    pub fn take(&mut self, now: Nanos, req: RequestContext) {
         let id = req.id;
         self.reqs.insert(id, Held { req, ended: false, ask_at: None });
         self.place(now, id);
@@ -81,7 +83,8 @@
     /// The last byte of a req that was still coming is on its way to the srv of this dispatch.
     pub fn written(&mut self, now: Nanos, id: u64, number: usize) {
         if let Some(held) = self.reqs.get(&id) {
-            self.balancer.after(now, Outcome::Written { req: &held.req, number });
+            self.balancer
+                .handle_event(now, Event::RequestSent { request: &held.req, dispatch_index: number });
         }
     }
 
@@ -89,12 +92,22 @@
     pub fn ended(&mut self, now: Nanos, id: u64, number: usize, end: End) {
         let End { how, took, closed, report } = end;
         let Some(held) = self.reqs.get_mut(&id) else { return };
-        if held.req.dispatches.get(number).is_none_or(|d| d.how.is_some()) {
+        if held.req.dispatches.get(number).is_none_or(|d| d.outcome.is_some()) {
             return;
         }
         let closed = closed || held.ended;
         let req = &mut held.req;
-        let follow = self.balancer.after(now, Outcome::Dispatch { req, number, how, took, closed, report });
+        let follow = self.balancer.handle_event(
+            now,
+            Event::DispatchEnded {
+                request: req,
+                dispatch_index: number,
+                outcome: how,
+                duration: took,
+                is_final: closed,
+                load_report: report,
+            },
+        );
         held.ended = closed;
         self.follow(now, id, follow);
         self.forget(id);
@@ -103,15 +116,15 @@
     /// The client has gone; no answer is owed.
     pub fn left(&mut self, now: Nanos, id: u64) {
         let Some(held) = self.reqs.get_mut(&id).filter(|held| !held.ended) else { return };
-        let follow = self.balancer.after(now, Outcome::Left { req: &mut held.req });
+        let follow = self.balancer.handle_event(now, Event::ClientDisconnected { request: &mut held.req });
         self.end(id);
         self.follow(now, id, follow);
         self.forget(id);
     }
 
     /// News that are no req's: of the list, or of a probe.
-    pub fn news(&mut self, now: Nanos, outcome: Outcome) {
-        self.balancer.after(now, outcome);
+    pub fn news(&mut self, now: Nanos, outcome: Event) {
+        self.balancer.handle_event(now, outcome);
     }
 
     /// Asks for what is due and does the chores; answers with the time to call this again at the latest.
@@ -121,15 +134,17 @@
             self.place(now, id);
         }
         let until = loop {
-            match self.balancer.wait(now) {
-                Wait::Watch => self.acts.push(Act::Watch),
-                Wait::List => self.acts.push(Act::List),
-                Wait::Probe(srv) => self.acts.push(Act::Probe(srv)),
-                Wait::Close(srv) => self.acts.push(Act::Close(srv)),
-                Wait::Log(line) => self.acts.push(Act::Log(line)),
-                Wait::Recall(id, number) => self.follow(now, id, Follow::Recall(number)),
-                Wait::Place(id) => self.place(now, id),
-                Wait::Until(until) => break until,
+            match self.balancer.next_action(now) {
+                NextAction::WatchEndpoints => self.acts.push(Act::Watch),
+                NextAction::FetchEndpoints => self.acts.push(Act::List),
+                NextAction::Probe(srv) => self.acts.push(Act::Probe(srv)),
+                NextAction::CloseIdleConnections(srv) => self.acts.push(Act::Close(srv)),
+                NextAction::Log(line) => self.acts.push(Act::Log(line)),
+                NextAction::CancelDispatch(id, number) => {
+                    self.follow(now, id, NextStep::CancelDispatch(number))
+                }
+                NextAction::Route(id) => self.place(now, id),
+                NextAction::SleepUntil(until) => break until,
             }
         };
         self.due.first().map_or(until, |(at, _)| until.min(*at))
@@ -137,7 +152,8 @@
 
     /// How many srvs are listed, and how many of them are avoided now.
     pub fn standing(&self) -> (usize, usize) {
-        self.balancer.standing()
+        let counts = self.balancer.count_endpoints();
+        (counts.listed, counts.avoided)
     }
 
     /// What is to be done since this was last called.
@@ -155,18 +171,18 @@
         if let Some(at) = held.ask_at.take() {
             self.due.remove(&(at, id));
         }
-        match self.balancer.place(now, &mut held.req) {
-            Place::Send { srv, give_up } => {
+        match self.balancer.route(now, &mut held.req) {
+            RoutingDecision::Send { endpoint: srv, give_up_at: give_up } => {
                 let number = held.req.dispatches.len() - 1;
                 self.acts.push(Act::Send { id, number, srv, give_up });
             }
-            Place::Later { ask_at } => {
+            RoutingDecision::Wait { until: ask_at } => {
                 let at = ask_at.max(now + 1);
                 held.ask_at = Some(at);
                 self.due.insert((at, id));
             }
-            Place::Deny { come_back } => self.answer(id, Act::Deny { id, come_back }),
-            Place::Abort => self.answer(id, Act::Abort { id }),
+            RoutingDecision::Deny { retry_after: come_back } => self.answer(id, Act::Deny { id, come_back }),
+            RoutingDecision::Abort => self.answer(id, Act::Abort { id }),
         }
     }
 
@@ -176,11 +192,11 @@
         self.forget(id);
     }
 
-    fn follow(&mut self, now: Nanos, id: u64, follow: Follow) {
+    fn follow(&mut self, now: Nanos, id: u64, follow: NextStep) {
         match follow {
-            Follow::Nothing => {}
-            Follow::Place => self.place(now, id),
-            Follow::Recall(number) => self.acts.push(Act::Recall { id, number }),
+            NextStep::Nothing => {}
+            NextStep::Route => self.place(now, id),
+            NextStep::CancelDispatch(number) => self.acts.push(Act::Recall { id, number }),
         }
     }
 
@@ -194,7 +210,7 @@
 
     /// Drops an ended req once none of its dispatches is out.
     fn forget(&mut self, id: u64) {
-        let out = |held: &Held| held.req.dispatches.iter().any(|d| d.how.is_none());
+        let out = |held: &Held| held.req.dispatches.iter().any(|d| d.outcome.is_none());
         if self.reqs.get(&id).is_some_and(|held| held.ended && !out(held)) {
             self.reqs.remove(&id);
         }
--- a/recovery/src/begin.rs
+++ b/recovery/src/begin.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeSet;
 
-use ochreshed::Listed;
+use ochreshed::ListedEndpoint;
 use ochreshed_replica::words::State as Heard;
 
 use crate::snapshot::{Entry, Snapshot};
@@ -15,7 +15,7 @@
 /// What the start facts say, in discovery's count.
 pub struct Given<A> {
     pub version: u64,
-    pub entries: Vec<(Listed, A)>,
+    pub entries: Vec<(ListedEndpoint, A)>,
 }
 
 /// Where the first list came from, for the log.
@@ -29,7 +29,7 @@
 /// The list to begin with.
 pub struct First<A> {
     pub source: Source,
-    pub entries: Vec<(Listed, A)>,
+    pub entries: Vec<(ListedEndpoint, A)>,
     /// Left out because the snapshot knew them to be gone.
     pub gone: usize,
     /// Avoided because it knew them to drain.
@@ -70,12 +70,12 @@
     };
     let (gone, drains) = (newer(Heard::Gone), newer(Heard::Drains));
     let before = entries.len();
-    entries.retain(|(listed, _)| !gone.contains(&*listed.srv));
+    entries.retain(|(listed, _)| !gone.contains(&*listed.name));
     let gone = before - entries.len();
     let mut drain = 0;
     for (listed, _) in &mut entries {
-        if listed.state == ochreshed::State::Up && drains.contains(&*listed.srv) {
-            listed.state = ochreshed::State::Draining;
+        if listed.state == ochreshed::EndpointState::Up && drains.contains(&*listed.name) {
+            listed.state = ochreshed::EndpointState::Draining;
             drain += 1;
         }
     }
@@ -86,7 +86,7 @@
 mod tests {
     use std::net::SocketAddr;
 
-    use ochreshed::State;
+    use ochreshed::EndpointState;
     use ochreshed_replica::stamp::Stamp;
     use ochreshed_replica::words::Word;
     use proptest::prelude::*;
@@ -128,8 +128,8 @@
     }
 
     fn names(first: &First<SocketAddr>) -> String {
-        let up = |state| if state == State::Up { "" } else { "!" };
-        let names = first.entries.iter().map(|(listed, _)| format!("{}{}", listed.srv, up(listed.state)));
+        let up = |state| if state == EndpointState::Up { "" } else { "!" };
+        let names = first.entries.iter().map(|(listed, _)| format!("{}{}", listed.name, up(listed.state)));
         names.collect::<Vec<_>>().join(" ")
     }
 
@@ -177,8 +177,8 @@
             let snapshot = snapshot(held.0, &list(&held.1), &said);
             let start = first(given(facts.0, &list(&facts.1)), Some(&snapshot), age);
             let version = if start.source == Source::Facts { facts.0 } else { held.0 };
-            for (listed, _) in start.entries.iter().filter(|(listed, _)| listed.state == State::Up) {
-                let srv: u8 = listed.srv[1..].parse().expect("a number");
+            for (listed, _) in start.entries.iter().filter(|(listed, _)| listed.state == EndpointState::Up) {
+                let srv: u8 = listed.name[1..].parse().expect("a number");
                 prop_assert!(facts.1.contains(&srv) || held.1.contains(&srv));
                 prop_assert!(!words.iter().any(|(of, at, _)| *of == srv && *at >= version), "{srv}");
             }
--- a/recovery/src/snapshot.rs
+++ b/recovery/src/snapshot.rs
@@ -4,7 +4,7 @@
 
 use std::net::SocketAddr;
 
-use ochreshed::{Listed, State};
+use ochreshed::{EndpointState, ListedEndpoint};
 use ochreshed_replica::stamp::Stamp;
 use ochreshed_replica::words::Word;
 use serde::{Deserialize, Serialize};
@@ -31,11 +31,11 @@
 }
 
 impl Entry {
-    pub fn of(listed: &Listed, address: SocketAddr) -> Entry {
+    pub fn of(listed: &ListedEndpoint, address: SocketAddr) -> Entry {
         Entry {
-            srv: listed.srv.to_string(),
-            drains: listed.state != State::Up,
-            came_up: listed.came_up,
+            srv: listed.name.to_string(),
+            drains: listed.state != EndpointState::Up,
+            came_up: listed.started_at,
             weight: listed.weight,
             site: listed.site.to_string(),
             cell: listed.cell,
@@ -43,11 +43,11 @@
         }
     }
 
-    pub fn listed(&self) -> Listed {
-        Listed {
-            srv: self.srv.as_str().into(),
-            state: if self.drains { State::Draining } else { State::Up },
-            came_up: self.came_up,
+    pub fn listed(&self) -> ListedEndpoint {
+        ListedEndpoint {
+            name: self.srv.as_str().into(),
+            state: if self.drains { EndpointState::Draining } else { EndpointState::Up },
+            started_at: self.came_up,
             weight: self.weight,
             site: self.site.as_str().into(),
             cell: self.cell,
@@ -198,7 +198,7 @@
     fn an_entry_is_the_lists() {
         let entry = &snapshot(0).list[5];
         let again = Entry::of(&entry.listed(), entry.address);
-        assert_eq!((&again, entry.listed().state), (entry, State::Draining));
+        assert_eq!((&again, entry.listed().state), (entry, EndpointState::Draining));
     }
 
     proptest! {
--- a/src/decide.rs
+++ b/src/decide.rs
@@ -28,9 +28,9 @@
 
 use crate::fleet::{Fleet, Sent};
 use crate::measure::{Chance, Gaps, Seen};
-use crate::plain::*;
 use crate::queue::{Queue, Waiting};
 use crate::told::{Effect, Group, RuleSet, Told};
+use crate::types::*;
 
 const MS: Nanos = 1_000_000;
 pub(crate) const S: Nanos = 1_000 * MS;
@@ -104,11 +104,11 @@
 }
 
 impl Balancer {
-    pub fn new(now: Nanos, seed: u64, facts: Facts) -> Balancer {
+    pub fn new(now: Nanos, seed: u64, facts: Parameters) -> Balancer {
         let mut chance = Chance::new(seed);
         let told = Told::new(&facts);
         // All instances may have started in one step: the list is one service for all of them.
-        let watch_at = (text(&facts, "list_mode") == "ask").then(|| now + chance.span(S));
+        let watch_at = (read_text(&facts, "list_mode") == "ask").then(|| now + chance.span(S));
         Balancer {
             born: now,
             asked_at: now,
@@ -140,35 +140,35 @@
     }
 
     /// Where this req goes now.
-    pub fn place(&mut self, now: Nanos, req: &mut Req) -> Place {
+    pub fn route(&mut self, now: Nanos, req: &mut RequestContext) -> RoutingDecision {
         let called = self.called.take() == Some(req.id);
         let held = self.waiting.take(req.id);
         if let Some(last) = req.dispatches.last() {
-            if last.how.is_none() {
+            if last.outcome.is_none() {
                 // Never two dispatches of one req at once.
-                return Place::Later { ask_at: req.ends };
+                return RoutingDecision::Wait { until: req.deadline };
             }
             let srv = if self.may_go_again(now, req) { self.pick(now, req) } else { None };
             return match srv {
                 Some(srv) => {
-                    self.seen.sent_again(now, req.turned());
+                    self.seen.sent_again(now, req.was_rejected());
                     self.send(now, req, srv)
                 }
                 None => self.give_up_on(now, req, 0),
             };
         }
-        if now >= req.ends {
+        if now >= req.deadline {
             return self.give_up_on(now, req, 0);
         }
         if held.is_none() {
             self.seen.asked.add(now, 1.0);
-            if self.told.doors && req.again {
+            if self.told.doors && req.is_client_retry {
                 // A call of a run that was itself sent again counts as one that is sent again.
                 self.seen.sent_again(now, false);
             }
             let utility = self.told.rule_set(&req.rule_set).map_or(1.0, |set| set.utility);
             self.seen.utilities.add(now, utility);
-            req.work.iter().for_each(|work| self.seen.works.add(now, seconds(*work)));
+            req.expected_cost.iter().for_each(|work| self.seen.works.add(now, to_seconds(*work)));
             // Guards against levels that sank while clients were sent away, and deny them when they return.
             let pause = now.saturating_sub(std::mem::replace(&mut self.asked_at, now));
             if pause > IDLE {
@@ -192,14 +192,21 @@
     }
 
     /// Over the level: wait in the queue if an answer in time can still be expected, else be denied at once.
-    fn hold(&mut self, now: Nanos, req: &Req, held: Option<Waiting>, over_share: bool) -> Place {
+    fn hold(
+        &mut self,
+        now: Nanos,
+        req: &RequestContext,
+        held: Option<Waiting>,
+        over_share: bool,
+    ) -> RoutingDecision {
         let set = self.told.rule_set(&req.rule_set);
         let mut rank = set.map_or(1.0, |set| self.rank(now, set));
         let patience = set.map_or(S, |set| (set.target as f64 * PATIENCE_PART) as Nanos);
         if over_share {
             rank *= self.told.excess_utility;
         }
-        let (set, until) = (self.told.health_at(&req.rule_set), (req.taken + patience).min(req.ends));
+        let (set, until) =
+            (self.told.health_at(&req.rule_set), (req.received_at + patience).min(req.deadline));
         let waiting = held.unwrap_or(Waiting { id: req.id, set, rank, until });
         let at = self.waiting.place(waiting.rank);
         let wait = self.wait_at(now, at);
@@ -209,7 +216,7 @@
         }
         let ask_at = waiting.until;
         self.waiting.insert(waiting);
-        Place::Later { ask_at }
+        RoutingDecision::Wait { until: ask_at }
     }
 
     /// How long the req at this place of the queue is likely to wait. At a quiet instance what is in flight
@@ -226,7 +233,7 @@
     }
 
     fn span_when(&self, now: Nanos, overload: bool) -> f64 {
-        let target = seconds(self.told.target);
+        let target = to_seconds(self.told.target);
         let left = self.told.tiers.saturating_sub(self.told.tier).max(1);
         let most = target * LEVEL_MOST * left as f64 / self.told.tiers as f64;
         if self.told.tier > 0 {
@@ -241,13 +248,13 @@
     }
 
     /// How much more than the mean this req is told to cost, in seconds; less where it is below 0.
-    fn over_mean(&self, now: Nanos, req: &Req) -> f64 {
-        req.work.map_or(0.0, |work| seconds(work) - self.seen.works.mean(now))
+    fn over_mean(&self, now: Nanos, req: &RequestContext) -> f64 {
+        req.expected_cost.map_or(0.0, |work| to_seconds(work) - self.seen.works.mean(now))
     }
 
     /// How much longer than others this req may take before it is late: by its own response target and what
     /// it is told to cost. Guards against reqs that may take their time and count as their srvs' failures.
-    fn grace(&self, now: Nanos, req: &Req) -> Nanos {
+    fn grace(&self, now: Nanos, req: &RequestContext) -> Nanos {
         let set = self.told.rule_set(&req.rule_set);
         let more = set.map_or(1.0, |set| set.target as f64 / self.told.target as f64) - 1.0;
         let more = SILENT * (self.span_allowed(now) * more + self.over_mean(now, req).max(0.0));
@@ -329,74 +336,92 @@
     }
 
     /// Whether this req's failure is ours to send again, and its rule set and the tenth allow it.
-    fn may_go_again(&self, now: Nanos, req: &Req) -> bool {
-        let owned = match req.dispatches.last().and_then(|d| d.how) {
-            Some(How::NoConnection | How::Reset | How::Full | How::Turned) => true,
-            Some(How::Error | How::TimedOut) => self.last_tier(),
+    fn may_go_again(&self, now: Nanos, req: &RequestContext) -> bool {
+        let owned = match req.dispatches.last().and_then(|d| d.outcome) {
+            Some(
+                DispatchOutcome::NoConnection
+                | DispatchOutcome::Reset
+                | DispatchOutcome::Full
+                | DispatchOutcome::Rejected,
+            ) => true,
+            Some(DispatchOutcome::Error | DispatchOutcome::TimedOut) => self.last_tier(),
             _ => false,
         };
         owned
-            && (req.sends() < self.told.max_dispatches && req.turns(None) < self.told.most_turned)
-            && now < req.ends
-            && (req.turned() || self.seen.room_again(now, self.told.tenth, self.told.floor))
+            && (req.count_attempts() < self.told.max_dispatches
+                && req.count_rejections(None) < self.told.most_turned)
+            && now < req.deadline
+            && (req.was_rejected() || self.seen.room_again(now, self.told.tenth, self.told.floor))
             && self.may_run_again(now, req)
     }
 
     /// The second rule: another run only where it can't be a second effect.
-    fn may_run_again(&self, now: Nanos, req: &Req) -> bool {
-        let Some(ran) = req.may_have_run() else { return true };
+    fn may_run_again(&self, now: Nanos, req: &RequestContext) -> bool {
+        let Some(ran) = req.first_possible_run() else { return true };
         match self.told.rule_set(&req.rule_set) {
-            Some(set) if set.effect == Effect::Uniqued => now + MS < ran.at + set.window,
+            Some(set) if set.effect == Effect::Uniqued => now + MS < ran.sent_at + set.window,
             Some(set) => set.effect == Effect::Replayable,
             None => false,
         }
     }
 
     /// The final answer for what we give up on: a deny where a repeat by the client is safe.
-    fn give_up_on(&mut self, now: Nanos, req: &Req, wait: Nanos) -> Place {
+    fn give_up_on(&mut self, now: Nanos, req: &RequestContext, wait: Nanos) -> RoutingDecision {
         let set = self.told.rule_set(&req.rule_set);
         let all = set.is_some_and(|s| s.effect != Effect::Uniqued || s.group == Group::All);
-        if req.may_have_run().is_some() && !(all && self.may_run_again(now, req)) {
-            return Place::Abort;
+        if req.first_possible_run().is_some() && !(all && self.may_run_again(now, req)) {
+            return RoutingDecision::Abort;
         }
         // Those that failed together need not wait for room, only part by about the time of an answer.
         let part = if wait > 0 { S / 2 } else { ((self.seen.took.mean(now) * S as f64) as Nanos).min(S / 2) };
         let come_back = if self.told.come_back_passed { wait + self.chance.span(part.max(MS)) } else { 0 };
-        Place::Deny { come_back: come_back.min(self.told.max_come_back) }
+        RoutingDecision::Deny { retry_after: come_back.min(self.told.max_come_back) }
     }
 
     /// Where an answer after the response target has no utility, the first tier stops waiting for it then.
-    fn give_up_time(&self, req: &Req) -> Nanos {
+    fn give_up_time(&self, req: &RequestContext) -> Nanos {
         match self.told.rule_set(&req.rule_set) {
             Some(set) if self.told.tier == 0 && set.late_utility <= 0.0 => {
-                req.ends.min(req.taken + set.target)
+                req.deadline.min(req.received_at + set.target)
             }
-            _ => req.ends,
+            _ => req.deadline,
         }
     }
 
     /// What follows an outcome; news of the list enters here too.
-    pub fn after(&mut self, now: Nanos, outcome: Outcome) -> Follow {
+    pub fn handle_event(&mut self, now: Nanos, outcome: Event) -> NextStep {
         self.fleet.advance(now);
         match outcome {
-            Outcome::Dispatch { req, number, how, took, closed, report } => {
-                let Some(dispatch) = req.dispatches.get_mut(number) else { return Follow::Nothing };
-                dispatch.how = Some(how);
+            Event::DispatchEnded {
+                request: req,
+                dispatch_index: number,
+                outcome: how,
+                duration: took,
+                is_final: closed,
+                load_report: report,
+            } => {
+                let Some(dispatch) = req.dispatches.get_mut(number) else { return NextStep::Nothing };
+                dispatch.outcome = Some(how);
                 self.seen.ended(now, how);
-                let name = dispatch.srv.clone();
+                let name = dispatch.endpoint.clone();
                 self.in_flight = self.in_flight.saturating_sub(1);
                 let who = self.fleet.find(&name);
                 if let Some(who) = who {
-                    let idle = self.fleet.ended(now, who, req.id, number, how == How::Done);
+                    let idle = self.fleet.ended(now, who, req.id, number, how == DispatchOutcome::Done);
                     self.note_idle(now, idle, how);
                     let srv = self.fleet.get_mut(who);
                     match how {
-                        How::Done | How::Error => (srv.heard, srv.turned_away) = (now, 0),
-                        How::Full => (srv.heard, srv.turned_away) = (now, srv.turned_away + 1),
-                        How::NoConnection | How::Reset | How::TimedOut => self.fleet.lose(who),
-                        How::Recalled | How::NotSent | How::Turned => {}
+                        DispatchOutcome::Done | DispatchOutcome::Error => {
+                            (srv.heard, srv.turned_away) = (now, 0)
+                        }
+                        DispatchOutcome::Full => (srv.heard, srv.turned_away) = (now, srv.turned_away + 1),
+                        DispatchOutcome::NoConnection
+                        | DispatchOutcome::Reset
+                        | DispatchOutcome::TimedOut => self.fleet.lose(who),
+                        DispatchOutcome::Cancelled | DispatchOutcome::NotSent | DispatchOutcome::Rejected => {
+                        }
                     }
-                    if matches!(how, How::Done | How::Error | How::Full) {
+                    if matches!(how, DispatchOutcome::Done | DispatchOutcome::Error | DispatchOutcome::Full) {
                         let site = self.fleet.site(who);
                         site.heard = now;
                         site.heal();
@@ -406,65 +431,67 @@
                     }
                     self.note_report(now, who, report);
                 }
-                if how == How::Done {
+                if how == DispatchOutcome::Done {
                     // Told as the time of a req of the mean cost, so that what differs is the srvs' doing.
-                    let even = (seconds(took) - self.over_mean(now, req)).max(0.0);
+                    let even = (to_seconds(took) - self.over_mean(now, req)).max(0.0);
                     self.seen.done.add(now, even);
                     self.seen.took.add(now, even);
                     self.seen.took_long.add(now, even);
                     if let Some(set) = self.told.rule_sets.iter_mut().find(|set| set.name == req.rule_set) {
-                        set.took.add(now, seconds(took));
+                        set.took.add(now, to_seconds(took));
                     }
                 }
                 let took = took.saturating_sub(self.grace(now, req));
                 self.judge(now, who, self.told.health_at(&req.rule_set), how, took);
-                if closed { Follow::Nothing } else { Follow::Place }
+                if closed { NextStep::Nothing } else { NextStep::Route }
             }
-            Outcome::Written { req, number } => {
-                let out = req.dispatches.get(number).filter(|dispatch| dispatch.how.is_none());
-                if let Some(who) = out.and_then(|dispatch| self.fleet.find(&dispatch.srv)) {
+            Event::RequestSent { request: req, dispatch_index: number } => {
+                let out = req.dispatches.get(number).filter(|dispatch| dispatch.outcome.is_none());
+                if let Some(who) = out.and_then(|dispatch| self.fleet.find(&dispatch.endpoint)) {
                     let grace = self.grace(now, req);
                     self.fleet.sent(now, who, req.id, number, grace);
                 }
-                Follow::Nothing
+                NextStep::Nothing
             }
-            Outcome::Probe { srv, report, .. } => {
+            Event::ProbeEnded { endpoint: srv, load_report: report, .. } => {
                 self.fleet.find(srv).into_iter().for_each(|who| self.note_report(now, who, report));
-                Follow::Nothing
+                NextStep::Nothing
             }
-            Outcome::Others { srv, rule_set, how } => {
+            Event::PeerDispatchEnded { endpoint: srv, rule_set, outcome: how } => {
                 let who = self.fleet.find(srv).filter(|_| !self.overload(now));
-                let new = who.filter(|who| how == How::Reset && self.fleet.get(*who).health[0].failed() == 0);
+                let new = who.filter(|who| {
+                    how == DispatchOutcome::Reset && self.fleet.get(*who).health[0].failed() == 0
+                });
                 new.into_iter().for_each(|who| self.fleet.lose(who));
                 let own = self.seen.outcomes.clone();
                 self.judge(now, who, self.told.health_at(rule_set), how, 0);
                 self.seen.outcomes = own;
-                Follow::Nothing
+                NextStep::Nothing
             }
-            Outcome::List { whole, old, entries } => {
+            Event::EndpointsListed { is_complete: whole, is_stale: old, endpoints: entries } => {
                 self.follow_list(now, whole, old, entries);
-                Follow::Nothing
+                NextStep::Nothing
             }
-            Outcome::ListFailed => {
+            Event::EndpointListFailed => {
                 // The list is one service for all: ask again after a pause that grows and is partly random.
                 self.watch_at = Some(now + self.watch_pause / 2 + self.chance.span(self.watch_pause));
                 self.watch_pause = (self.watch_pause * 2).min(4 * S);
-                Follow::Nothing
+                NextStep::Nothing
             }
-            Outcome::Left { req } => {
+            Event::ClientDisconnected { request: req } => {
                 self.waiting.take(req.id);
-                let out = req.dispatches.iter().position(|d| d.how.is_none());
-                out.filter(|_| self.told.may_recall).map_or(Follow::Nothing, Follow::Recall)
+                let out = req.dispatches.iter().position(|d| d.outcome.is_none());
+                out.filter(|_| self.told.may_recall).map_or(NextStep::Nothing, NextStep::CancelDispatch)
             }
         }
     }
 
-    fn follow_list(&mut self, now: Nanos, whole: bool, old: bool, entries: &[Listed]) {
+    fn follow_list(&mut self, now: Nanos, whole: bool, old: bool, entries: &[ListedEndpoint]) {
         if !old {
             self.watch_pause = S;
         }
         if whole {
-            let listed: HashSet<&str> = entries.iter().map(|entry| &*entry.srv).collect();
+            let listed: HashSet<&str> = entries.iter().map(|entry| &*entry.name).collect();
             let gone = |who: &u32| !listed.contains(&*self.fleet.get(*who).name);
             for who in self.fleet.known().filter(gone).collect::<Vec<_>>() {
                 self.fleet.go(now, who);
@@ -472,7 +499,7 @@
         }
         self.count_sent(now);
         for entry in entries {
-            let (who, fresh) = match self.fleet.find(&entry.srv) {
+            let (who, fresh) = match self.fleet.find(&entry.name) {
                 Some(who) => (who, self.fleet.heed(now, who, entry)),
                 // A random start of its turn, so that instances don't walk the list in step.
                 None => {
@@ -491,42 +518,42 @@
     }
 
     /// A chore to do first, or when to ask again.
-    pub fn wait(&mut self, now: Nanos) -> Wait {
+    pub fn next_action(&mut self, now: Nanos) -> NextAction {
         if let Some(line) = self.log.pop_front() {
-            return Wait::Log(line);
+            return NextAction::Log(line);
         }
         self.fleet.advance(now);
         self.sweep(now);
         self.close_idle(now);
         if let Some(name) = self.closes.pop_front() {
-            return Wait::Close(name);
+            return NextAction::CloseIdleConnections(name);
         }
         if let Some((id, number)) = self.recalls.pop_front() {
-            return Wait::Recall(id, number);
+            return NextAction::CancelDispatch(id, number);
         }
         if self.watch_at.is_some_and(|at| at <= now) {
             self.watch_at = None;
-            return Wait::Watch;
+            return NextAction::WatchEndpoints;
         }
         let holding = !self.waiting.is_empty();
         if holding != self.holding {
             self.holding = holding;
             let (rate, out) = (self.seen.done.rate(now, self.born), self.in_flight);
             let mode = if holding { "holding" } else { "open" };
-            return Wait::Log(format!("{mode}: {out} in flight, {rate:.0} done a second"));
+            return NextAction::Log(format!("{mode}: {out} in flight, {rate:.0} done a second"));
         }
         let first = self.waiting.front().map(|first| (first.id, first.set));
         if let Some((first, set)) = first
             && self.any_fit(now, set)
         {
             self.called = Some(first);
-            return Wait::Place(first);
+            return NextAction::Route(first);
         }
         if let Some(last) = self.waiting.back()
             && now + self.wait_at(now, self.waiting.len() - 1) > last.until
         {
             // Those that came with more utility have pushed it out: it is told now, not when its time is up.
-            return Wait::Place(last.id);
+            return NextAction::Route(last.id);
         }
         let poll = match (holding, self.in_flight) {
             (true, _) => now + 20 * MS,
@@ -534,6 +561,6 @@
             // What is out may become overdue without anything else happening here.
             _ => now + S / 4,
         };
-        Wait::Until(self.watch_at.unwrap_or(Nanos::MAX).min(self.idle_at).min(poll))
+        NextAction::SleepUntil(self.watch_at.unwrap_or(Nanos::MAX).min(self.idle_at).min(poll))
     }
 }
--- a/src/decide/days.rs
+++ b/src/decide/days.rs
@@ -35,12 +35,12 @@
 struct World {
     now: Nanos,
     balancer: Balancer,
-    reqs: BTreeMap<u64, Req>,
+    reqs: BTreeMap<u64, RequestContext>,
     /// When dispatches end, and how.
     ends: BTreeSet<(Nanos, u64, usize)>,
-    hows: BTreeMap<(u64, usize), How>,
+    hows: BTreeMap<(u64, usize), DispatchOutcome>,
     asked: BTreeSet<(Nanos, u64)>,
-    list: BTreeMap<Name, Listed>,
+    list: BTreeMap<Name, ListedEndpoint>,
     /// What each srv lost since its site last answered or was set aside.
     lost: BTreeMap<Name, usize>,
     chance: Chance,
@@ -63,9 +63,9 @@
 impl World {
     fn new(day: &Day) -> World {
         let mut facts = facts(day.tier as f64, day.instances as f64);
-        facts.insert("me".into(), Value::Number((day.seed % day.instances) as f64));
+        facts.insert("me".into(), ParameterValue::Number((day.seed % day.instances) as f64));
         if day.reports {
-            facts.insert("report_in_flight".into(), Value::Number(0.0));
+            facts.insert("report_in_flight".into(), ParameterValue::Number(0.0));
         }
         let now = 1_000 * S;
         let mut world = World {
@@ -85,18 +85,18 @@
         };
         for number in 0..day.srvs {
             let cold = world.one_in(day.cold);
-            let listed = Listed {
-                srv: format!("s{number}").into(),
-                state: State::Up,
-                came_up: cold.then_some(now),
+            let listed = ListedEndpoint {
+                name: format!("s{number}").into(),
+                state: EndpointState::Up,
+                started_at: cold.then_some(now),
                 // No two come to the same, so that ties are not decided by rounding.
                 weight: 1.0 + (number % 3) as f64 * 0.5 + 0.0314 * (number as f64).sqrt(),
                 site: format!("x{}", number % day.sites).into(),
                 cell: number % 4,
             };
-            world.list.insert(listed.srv.clone(), listed);
+            world.list.insert(listed.name.clone(), listed);
         }
-        let all: Vec<Listed> = world.list.values().cloned().collect();
+        let all: Vec<ListedEndpoint> = world.list.values().cloned().collect();
         world.news(true, &all);
         world
     }
@@ -109,13 +109,16 @@
         self.differences.push(format!("{} ms: {what}", (self.now - 1_000 * S) / MS));
     }
 
-    fn news(&mut self, whole: bool, entries: &[Listed]) {
-        self.balancer.after(self.now, Outcome::List { whole, old: false, entries });
+    fn news(&mut self, whole: bool, entries: &[ListedEndpoint]) {
+        self.balancer.handle_event(
+            self.now,
+            Event::EndpointsListed { is_complete: whole, is_stale: false, endpoints: entries },
+        );
         // One that has left takes its losses along.
         self.lost.retain(|srv, _| self.balancer.fleet.find(srv).is_some());
     }
 
-    fn walk(&self, req: &Req) -> Walk {
+    fn walk(&self, req: &RequestContext) -> Walk {
         let (balancer, now) = (&self.balancer, self.now);
         let again = !req.dispatches.is_empty();
         let srvs: Vec<&Srv> = balancer.fleet.known().map(|who| balancer.fleet.get(who)).collect();
@@ -153,7 +156,7 @@
                 return walk;
             }
         }
-        let ran = req.may_have_run();
+        let ran = req.first_possible_run();
         let group = balancer.told.rule_set(&req.rule_set).filter(|set| set.effect == Effect::Uniqued);
         for srv in srvs {
             let site = &balancer.fleet.sites[srv.site as usize].name;
@@ -162,14 +165,14 @@
                 (Some(ran), Group::Cell) => srv.cell == ran.cell,
                 _ => true,
             };
-            let mut tried = req.dispatches.iter().filter(|d| d.srv == srv.name);
+            let mut tried = req.dispatches.iter().filter(|d| d.endpoint == srv.name);
             let before = tried.clone().next().is_some();
-            let open = srv.state == State::Up
+            let open = srv.state == EndpointState::Up
                 && if again { srv.weight > 0.0 } else { srv.ours > 0.0 }
                 && (set == 0 || srv.health[set].aside_until <= now)
                 && (!srv.cold(now, balancer.told.cold) || balancer.budget(now, srv) >= 1.0);
             let room = again || (srv.counted(now, narrow) as f64) < room(srv);
-            if !open || !bound || !room || tried.any(|d| d.how != Some(How::Reset)) {
+            if !open || !bound || !room || tried.any(|d| d.outcome != Some(DispatchOutcome::Reset)) {
                 continue;
             }
             let sound = srv.usable() && !srv.owes(now, narrow) && !srv.crowded(now, narrow, &means);
@@ -241,37 +244,37 @@
         let called = self.balancer.called == Some(id);
         let others = self.balancer.waiting.len() - usize::from(self.balancer.waiting.holds(id));
         // Whether it comes to a pick at all.
-        let picks = now < req.ends
+        let picks = now < req.deadline
             && if again { self.balancer.may_go_again(now, &req) } else { called || others == 0 };
         // What is asked for counts before the pick, and may turn these.
         let turns = |balancer: &Balancer| (balancer.widening(now), balancer.overload(now), balancer.back);
         let before = turns(&self.balancer);
-        let took = self.balancer.place(now, &mut req);
+        let took = self.balancer.route(now, &mut req);
         let turned = turns(&self.balancer) != before;
         let best = [&walk.sound, &walk.doubtful, &walk.tried].into_iter().find(|fit| !fit.is_empty());
         let right = match (&took, best) {
-            (Place::Send { srv, .. }, Some(best)) => picks && best.contains(srv),
-            (Place::Send { .. }, None) => false,
+            (RoutingDecision::Send { endpoint: srv, .. }, Some(best)) => picks && best.contains(srv),
+            (RoutingDecision::Send { .. }, None) => false,
             (_, best) => !picks || best.is_none(),
         };
         if !right && !walk.tie && !turned {
             self.differ(format!("{id}: {took:?}, picks {picks}, among {best:?}"));
         }
         match took {
-            Place::Send { srv, .. } => {
+            RoutingDecision::Send { endpoint: srv, .. } => {
                 let number = req.dispatches.len() - 1;
-                let (how, takes) = self.fate(&srv, req.ends.saturating_sub(now));
+                let (how, takes) = self.fate(&srv, req.deadline.saturating_sub(now));
                 self.ends.insert((now + takes, id, number));
                 self.hows.insert((id, number), how);
                 self.sent += 1;
             }
-            Place::Later { ask_at } => drop(self.asked.insert((ask_at.max(now + 1), id))),
-            Place::Deny { .. } | Place::Abort => return,
+            RoutingDecision::Wait { until: ask_at } => drop(self.asked.insert((ask_at.max(now + 1), id))),
+            RoutingDecision::Deny { .. } | RoutingDecision::Abort => return,
         }
         self.reqs.insert(id, req);
     }
 
-    fn fate(&mut self, srv: &str, left: Nanos) -> (How, Nanos) {
+    fn fate(&mut self, srv: &str, left: Nanos) -> (DispatchOutcome, Nanos) {
         let number: u64 = srv[1..].parse().unwrap_or(0);
         let slow = number * 37 % 100 < self.day.slow;
         let part = self.chance.part();
@@ -279,38 +282,51 @@
         // A site is cut off for a while in the middle of the day.
         let lost = number % self.day.sites == 1 && (4 * S..9 * S).contains(&(self.now - 1_000 * S));
         if lost || takes > left {
-            return (How::TimedOut, left);
+            return (DispatchOutcome::TimedOut, left);
         }
         let failing = if number.is_multiple_of(5) { self.day.failing * 4 } else { self.day.failing / 4 };
         if !self.one_in(failing) {
-            return (How::Done, takes);
+            return (DispatchOutcome::Done, takes);
         }
         match self.chance.next() % 4 {
-            0 => (How::Full, MS),
-            1 => (How::NoConnection, 3 * MS),
-            2 => (How::Reset, takes / 2),
-            _ => (How::Error, takes / 3),
+            0 => (DispatchOutcome::Full, MS),
+            1 => (DispatchOutcome::NoConnection, 3 * MS),
+            2 => (DispatchOutcome::Reset, takes / 2),
+            _ => (DispatchOutcome::Error, takes / 3),
         }
     }
 
-    fn end(&mut self, id: u64, number: usize, how: How) {
-        let Some(Dispatch { srv, at, .. }) = self.reqs.get(&id).map(|req| req.dispatches[number].clone())
+    fn end(&mut self, id: u64, number: usize, how: DispatchOutcome) {
+        let Some(Dispatch { endpoint: srv, sent_at: at, .. }) =
+            self.reqs.get(&id).map(|req| req.dispatches[number].clone())
         else {
             return;
         };
         match how {
-            How::NoConnection | How::Reset | How::TimedOut => *self.lost.entry(srv).or_default() += 1,
-            How::Done | How::Error | How::Full => {
+            DispatchOutcome::NoConnection | DispatchOutcome::Reset | DispatchOutcome::TimedOut => {
+                *self.lost.entry(srv).or_default() += 1
+            }
+            DispatchOutcome::Done | DispatchOutcome::Error | DispatchOutcome::Full => {
                 let site = self.list[&srv].site.clone();
                 self.forgive(&site);
             }
-            How::Recalled | How::NotSent | How::Turned => {}
+            DispatchOutcome::Cancelled | DispatchOutcome::NotSent | DispatchOutcome::Rejected => {}
         }
         let report = if self.day.reports { &[f64::from(self.chance.next() % 5)][..] } else { &[] };
-        let (took, closed) = (self.now - at, how == How::Done);
+        let (took, closed) = (self.now - at, how == DispatchOutcome::Done);
         let Some(req) = self.reqs.get_mut(&id) else { return };
-        match self.balancer.after(self.now, Outcome::Dispatch { req, number, how, took, closed, report }) {
-            Follow::Place => self.place(id),
+        match self.balancer.handle_event(
+            self.now,
+            Event::DispatchEnded {
+                request: req,
+                dispatch_index: number,
+                outcome: how,
+                duration: took,
+                is_final: closed,
+                load_report: report,
+            },
+        ) {
+            NextStep::Route => self.place(id),
             _ => drop(self.reqs.remove(&id)),
         }
     }
@@ -318,13 +334,13 @@
     fn wait(&mut self) {
         self.sweep();
         loop {
-            match self.balancer.wait(self.now) {
-                Wait::Until(_) => return,
-                Wait::Place(id) => self.place(id),
-                Wait::Recall(id, number) => {
+            match self.balancer.next_action(self.now) {
+                NextAction::SleepUntil(_) => return,
+                NextAction::Route(id) => self.place(id),
+                NextAction::CancelDispatch(id, number) => {
                     let end = self.ends.iter().find(|end| (end.1, end.2) == (id, number)).copied();
                     if let Some(end) = end {
-                        self.hows.insert((id, number), How::Recalled);
+                        self.hows.insert((id, number), DispatchOutcome::Cancelled);
                         self.ends.remove(&end);
                         self.ends.insert((self.now + MS, id, number));
                     }
@@ -344,7 +360,7 @@
             self.now = next.min(end).min(asked).min(until).max(self.now);
             if let Some(&(at, id, number)) = self.ends.first().filter(|end| end.0 <= self.now) {
                 self.ends.remove(&(at, id, number));
-                let how = self.hows.remove(&(id, number)).unwrap_or(How::Done);
+                let how = self.hows.remove(&(id, number)).unwrap_or(DispatchOutcome::Done);
                 self.end(id, number, how);
             } else if asked <= self.now {
                 if let Some((_, id)) = self.asked.pop_first() {
@@ -356,7 +372,7 @@
                 let rule_set = ["read", "move", "charge"][self.chance.next() as usize % 3];
                 let ends = self.now + 3 * S;
                 let (rule_set, customer) = (rule_set.into(), "".into());
-                let req = Req::new(id, rule_set, customer, self.now, ends);
+                let req = RequestContext::new(id, rule_set, customer, self.now, ends);
                 self.reqs.insert(id, req);
                 self.place(id);
                 let gap = -self.chance.part().max(1e-9).ln() / self.day.rate as f64;
@@ -372,10 +388,19 @@
         let srv = names[self.chance.next() as usize % names.len()].clone();
         let Some(listed) = self.list.get_mut(&srv) else { return };
         match self.chance.next() % 4 {
-            0 => listed.state = if listed.state == State::Up { State::Draining } else { State::Up },
-            1 => listed.came_up = Some(self.now),
+            0 => {
+                listed.state = if listed.state == EndpointState::Up {
+                    EndpointState::Draining
+                } else {
+                    EndpointState::Up
+                }
+            }
+            1 => listed.started_at = Some(self.now),
             2 => listed.weight *= 1.4567,
-            _ => listed.state = if listed.state == State::Up { State::Gone } else { State::Up },
+            _ => {
+                listed.state =
+                    if listed.state == EndpointState::Up { EndpointState::Gone } else { EndpointState::Up }
+            }
         }
         let listed = listed.clone();
         self.news(false, &[listed]);
--- a/src/decide/judge.rs
+++ b/src/decide/judge.rs
@@ -33,33 +33,48 @@
     /// Judges a srv by its last few outcomes, against how the others do: what fails everywhere is not its
     /// fault. Errors of one rule set, while another does well there, keep only that one away: else the other
     /// would lose the srv too, or hide it.
-    pub(super) fn judge(&mut self, now: Nanos, who: Option<u32>, set: usize, how: How, took: Nanos) {
+    pub(super) fn judge(
+        &mut self,
+        now: Nanos,
+        who: Option<u32>,
+        set: usize,
+        how: DispatchOutcome,
+        took: Nanos,
+    ) {
         let failure = match how {
-            How::Done => !self.told.doors && seconds(took) > self.span_allowed(now) * SILENT,
-            How::Error | How::Reset | How::TimedOut | How::NoConnection => true,
+            DispatchOutcome::Done => !self.told.doors && to_seconds(took) > self.span_allowed(now) * SILENT,
+            DispatchOutcome::Error
+            | DispatchOutcome::Reset
+            | DispatchOutcome::TimedOut
+            | DispatchOutcome::NoConnection => true,
             // Guards against a srv that drains before we are told: it is never crowded, and draws ever more.
-            How::Full if who.is_some_and(|who| self.fleet.get(who).turned_away > 1) => true,
-            How::Full | How::Recalled | How::NotSent | How::Turned => return,
+            DispatchOutcome::Full if who.is_some_and(|who| self.fleet.get(who).turned_away > 1) => true,
+            DispatchOutcome::Full
+            | DispatchOutcome::Cancelled
+            | DispatchOutcome::NotSent
+            | DispatchOutcome::Rejected => return,
         };
         self.seen.outcomes.add(now, f64::from(u8::from(failure)));
         let (everywhere, last_tier) = (self.seen.outcomes.mean(now), self.last_tier());
         let Some(who) = who else { return };
         let srv = self.fleet.get_mut(who);
-        if set > 0 && matches!(how, How::Done | How::Error) {
-            srv.health[set].note(how == How::Error, 1);
+        if set > 0 && matches!(how, DispatchOutcome::Done | DispatchOutcome::Error) {
+            srv.health[set].note(how == DispatchOutcome::Error, 1);
         }
         let well = |(at, health): (usize, &Health)| at > 0 && health.judged >= TOLD && health.failed() == 0;
-        let at = if how == How::Error && srv.health.iter().enumerate().any(well) { set } else { 0 };
+        let at =
+            if how == DispatchOutcome::Error && srv.health.iter().enumerate().any(well) { set } else { 0 };
         if at == 0 {
             // No connection, or no answer, tells more than an error: it weighs double. So does a slow answer
             // of the last tier, whose cause can't lie below. Guards against a jammed srv that is only late.
-            let heavy = matches!(how, How::NoConnection | How::TimedOut) || (how == How::Done && last_tier);
+            let heavy = matches!(how, DispatchOutcome::NoConnection | DispatchOutcome::TimedOut)
+                || (how == DispatchOutcome::Done && last_tier);
             srv.health[0].note(failure, if failure && heavy { 2 } else { 1 });
         }
         let Health { judged, aside_until, .. } = srv.health[at];
         let (failed, allowed) = (srv.health[at].failed(), f64::from(judged) * (2.0 * everywhere + 0.2));
         // Guards against srvs whose processes are gone, and that make up what fails everywhere by themselves.
-        let refused = (how == How::NoConnection && failed == judged).then_some(srv.heard);
+        let refused = (how == DispatchOutcome::NoConnection && failed == judged).then_some(srv.heard);
         let alone = refused.is_some_and(|heard| self.fleet.sites.iter().any(|site| site.heard > heard));
         if failure
             && aside_until <= now
@@ -107,7 +122,7 @@
         let part = if self.told.tier == 0 && overload { 1.0 } else { SILENT_SITE };
         let late: Vec<(u32, u32, Nanos)> = {
             let late = self.fleet.flight.iter();
-            let late = late.take_while(|(_, out)| seconds(now - out.at) > overdue * part);
+            let late = late.take_while(|(_, out)| to_seconds(now - out.at) > overdue * part);
             let late = late.filter(|(_, out)| age(now, out.at, out.grace) > overdue * part);
             late.map(|(place, out)| (place, out.srv, out.at)).collect()
         };
@@ -183,15 +198,15 @@
             if !self.overload(now) {
                 self.site_lost = Some(now);
             }
-            let silent = seconds(now - last.max(self.born));
+            let silent = to_seconds(now - last.max(self.born));
             self.log
                 .push_back(format!("aside site {name}: silent for {silent:.1} s, {count} owed, {lost} lost"));
         }
     }
 
-    pub(super) fn note_idle(&mut self, now: Nanos, idle: Nanos, how: How) {
-        let lost = matches!(how, How::Reset | How::TimedOut);
-        if idle > 0 && (lost || how == How::Done) {
+    pub(super) fn note_idle(&mut self, now: Nanos, idle: Nanos, how: DispatchOutcome) {
+        let lost = matches!(how, DispatchOutcome::Reset | DispatchOutcome::TimedOut);
+        if idle > 0 && (lost || how == DispatchOutcome::Done) {
             self.gaps.note(now, idle, lost, FADE);
             if lost && self.gaps.limit(REAPED.0, REAPED.1).is_some() {
                 self.idle_at = now;
--- a/src/decide/pick.rs
+++ b/src/decide/pick.rs
@@ -56,11 +56,11 @@
 
 impl Balancer {
     /// Smooth weighted round robin over the srvs that may take this req now.
-    pub(super) fn pick(&mut self, now: Nanos, req: &Req) -> Option<u32> {
+    pub(super) fn pick(&mut self, now: Nanos, req: &RequestContext) -> Option<u32> {
         let again = Some(req).filter(|req| !req.dispatches.is_empty());
         let set = self.told.health_at(&req.rule_set);
         let view = self.view(now, again.is_some(), set)?;
-        let tied = req.tie.as_ref().and_then(|tie| self.fleet.find(tie));
+        let tied = req.preferred_endpoint.as_ref().and_then(|tie| self.fleet.find(tie));
         let tied = tied.filter(|who| !self.fleet.get(*who).aside);
         if tied.is_some_and(|who| self.look(&view, who, set, again) <= Fit::Doubtful) {
             return tied;
@@ -99,7 +99,7 @@
     }
 
     /// The srvs that a turn is among, where they are few or the req is bound to a group of them, be it empty.
-    fn few(&mut self, now: Nanos, again: Option<&Req>) -> Option<Vec<u32>> {
+    fn few(&mut self, now: Nanos, again: Option<&RequestContext>) -> Option<Vec<u32>> {
         let few = self.those_few(again)?;
         if self.fleet.any_cold {
             few.iter().for_each(|who| self.fill(now, *who));
@@ -107,7 +107,7 @@
         Some(few)
     }
 
-    fn those_few(&self, again: Option<&Req>) -> Option<Vec<u32>> {
+    fn those_few(&self, again: Option<&RequestContext>) -> Option<Vec<u32>> {
         let Fleet { turns, rest, .. } = &self.fleet;
         if let Some((req, members)) = again.and_then(|req| Some((req, self.group(req)?))) {
             let from = req.id as usize % members.len().max(1);
@@ -121,7 +121,13 @@
     /// With every srv set aside or crowded, a doubtful one is better than none; the level holds all the
     /// same. Last comes a sound one that reset the req, where only its group knows a repeat. Guards against
     /// a group of one srv, where an answer once spoilt could not be had again.
-    fn turn_among(&mut self, view: &View, set: usize, again: Option<&Req>, few: &[u32]) -> Option<u32> {
+    fn turn_among(
+        &mut self,
+        view: &View,
+        set: usize,
+        again: Option<&RequestContext>,
+        few: &[u32],
+    ) -> Option<u32> {
         let fits: Vec<(Fit, u32)> = few.iter().map(|who| (self.look(view, *who, set, again), *who)).collect();
         let bound = again.is_some_and(|req| self.group(req).is_some());
         let best = fits.iter().map(|(fit, _)| *fit).min()?;
@@ -149,7 +155,7 @@
         &self,
         view: &View,
         set: usize,
-        again: Option<&Req>,
+        again: Option<&RequestContext>,
         rest: bool,
         lost: &mut Vec<(u32, bool)>,
     ) -> (Option<u32>, Option<u32>) {
@@ -170,8 +176,8 @@
     }
 
     /// The members of the group that a req is bound to, which knows a repeat of it.
-    fn group(&self, req: &Req) -> Option<&[u32]> {
-        let ran = req.may_have_run()?;
+    fn group(&self, req: &RequestContext) -> Option<&[u32]> {
+        let ran = req.first_possible_run()?;
         let set = self.told.rule_set(&req.rule_set).filter(|set| set.effect == Effect::Uniqued)?;
         let members = match set.group {
             Group::All => return None,
@@ -183,19 +189,21 @@
         Some(members.map_or(&[], Vec::as_slice))
     }
 
-    fn look(&self, view: &View, who: u32, set: usize, again: Option<&Req>) -> Fit {
+    fn look(&self, view: &View, who: u32, set: usize, again: Option<&RequestContext>) -> Fit {
         let (srv, now) = (self.fleet.get(who), view.now);
         let tried = again.map_or(&[][..], |req| &req.dispatches);
-        let mut tried = tried.iter().filter(|d| d.srv == srv.name).peekable();
+        let mut tried = tried.iter().filter(|d| d.endpoint == srv.name).peekable();
         let before = tried.peek().is_some();
         let site = &*self.fleet.sites[srv.site as usize].name;
-        let turned = again.is_some_and(|req| req.turns(Some(site)) >= self.told.most_turned_by_site);
-        if turned || tried.any(|d| d.how != Some(How::Reset)) {
+        let turned =
+            again.is_some_and(|req| req.count_rejections(Some(site)) >= self.told.most_turned_by_site);
+        if turned || tried.any(|d| d.outcome != Some(DispatchOutcome::Reset)) {
             return Fit::NotThis;
         }
         let warm = !srv.cold(now, self.told.cold);
         let ready = warm || self.told.doors || self.budget(now, srv) >= 1.0;
-        let open = srv.state == State::Up && (set == 0 || srv.health[set].aside_until <= now) && ready;
+        let open =
+            srv.state == EndpointState::Up && (set == 0 || srv.health[set].aside_until <= now) && ready;
         let room = || {
             let level = srv.level(self.fleet.done_rate(now, srv), view.wide, view.floor);
             let chance = if warm { view.calm * by_chance(level, self.turned_by()) } else { 0.0 };
@@ -275,12 +283,12 @@
         if self.fleet.any_cold {
             let sent = self.seen.taken(now, self.born);
             self.sent.rate = sent / self.fleet.ramped_weight().max(1e-9);
-            self.sent.sum += self.sent.rate * seconds(now - since.min(now));
+            self.sent.sum += self.sent.rate * to_seconds(now - since.min(now));
             self.sent.floor = COLD_FLOOR_PER_S / self.turned_by();
         }
     }
 
-    pub(super) fn send(&mut self, now: Nanos, req: &mut Req, who: u32) -> Place {
+    pub(super) fn send(&mut self, now: Nanos, req: &mut RequestContext, who: u32) -> RoutingDecision {
         let give_up = self.give_up_time(req);
         let srv = self.fleet.get(who);
         if srv.cold(now, self.told.cold) {
@@ -288,15 +296,21 @@
             self.fleet.get_mut(who).budget -= 1.0;
         }
         // A body that is still coming may take seconds, and its srv has not begun.
-        if !req.coming {
+        if !req.body_pending {
             let grace = self.grace(now, req);
             self.fleet.sent(now, who, req.id, req.dispatches.len(), grace);
         }
         let srv = self.fleet.get(who);
         let site = self.fleet.sites[srv.site as usize].name.clone();
-        req.dispatches.push(Dispatch { srv: srv.name.clone(), site, cell: srv.cell, at: now, how: None });
+        req.dispatches.push(Dispatch {
+            endpoint: srv.name.clone(),
+            site,
+            cell: srv.cell,
+            sent_at: now,
+            outcome: None,
+        });
         self.in_flight += 1;
-        Place::Send { srv: srv.name.clone(), give_up }
+        RoutingDecision::Send { endpoint: srv.name.clone(), give_up_at: give_up }
     }
 
     /// How many instances turn to each srv.
--- a/src/decide/srv.rs
+++ b/src/decide/srv.rs
@@ -63,7 +63,7 @@
     /// instance has there is no more.
     pub fn crowded(&self, now: Nanos, span: f64, means: &Means) -> bool {
         self.out.len() as f64 > CROWD * means.moment * self.ours + 1.0
-            || self.mean_out(now) > CROWD * means.lasting * self.ours + span / seconds(CROWD_SPAN)
+            || self.mean_out(now) > CROWD * means.lasting * self.ours + span / to_seconds(CROWD_SPAN)
             || (self.fresh && self.reported > CROWD * means.reported * self.weight + 2.0)
     }
 
@@ -75,6 +75,6 @@
         let part = self.ours * self.ramp(since + (now - since) / 2, cold, share) * COLD_HEADROOM;
         let grown = (sent.sum - self.budget_from) * part;
         let most = (sent.rate * part / 2.0).max(1.0);
-        (self.budget + grown.max(sent.floor * seconds(now - since))).min(most)
+        (self.budget + grown.max(sent.floor * to_seconds(now - since))).min(most)
     }
 }
--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -9,7 +9,7 @@
 use crate::flight::{Flight, age};
 use crate::measure::{BUCKETS, Counts, Health, Ring};
 use crate::order::{Order, Turn};
-use crate::plain::*;
+use crate::types::*;
 
 /// How old the ramps may be that are summed up: in this time one grows by a thousandth of a long one.
 const RENEW: Nanos = S / 50;
@@ -38,7 +38,7 @@
     pub ours: f64,
     pub site: u32,
     pub cell: u64,
-    pub state: State,
+    pub state: EndpointState,
     pub came_up: Option<Nanos>,
     /// The dispatches that are out, the oldest first.
     pub out: Vec<Owed>,
@@ -285,7 +285,7 @@
         let (wide, part) = (i128::from(sign), sign as f64);
         let site = &mut self.sites[srv.site as usize];
         let one = |count: &mut usize| *count = count.wrapping_add_signed(sign as isize);
-        if srv.state == State::Up {
+        if srv.state == EndpointState::Up {
             one(&mut site.up);
             one(&mut self.up);
         }
@@ -413,13 +413,13 @@
         let ramp = srv.ramp(now, self.cold, self.cold_share);
         let off = if srv.turning() { srv.ours * (1.0 - ramp) } else { 0.0 };
         self.ramped_off += off - std::mem::replace(&mut srv.off, off);
-        self.any_cold |= srv.state == State::Up && srv.cold(now, self.cold);
+        self.any_cold |= srv.state == EndpointState::Up && srv.cold(now, self.cold);
     }
 
     /// Gives a srv its weight in the orders of turns.
     pub fn weigh(&mut self, now: Nanos, who: u32) {
         let srv = &mut self.srvs[who as usize];
-        let (up, ramp) = (srv.state == State::Up, srv.ramp(now, self.cold, self.cold_share));
+        let (up, ramp) = (srv.state == EndpointState::Up, srv.ramp(now, self.cold, self.cold_share));
         srv.ramped = ramp;
         self.turns.weigh(who, &mut srv.turn, if up { srv.ours * ramp } else { 0.0 }, srv.part);
         let rest = if up && srv.ours <= 0.0 { srv.weight * ramp } else { 0.0 };
@@ -525,12 +525,12 @@
     }
 
     /// Heeds what the list says of a known srv; answers whether its process is a fresh one.
-    pub fn heed(&mut self, now: Nanos, who: u32, entry: &Listed) -> bool {
+    pub fn heed(&mut self, now: Nanos, who: u32, entry: &ListedEndpoint) -> bool {
         let srv = self.get(who);
-        let fresh = srv.came_up != entry.came_up && entry.state == State::Up;
-        if (srv.state, srv.weight, srv.came_up) != (entry.state, entry.weight, entry.came_up) {
+        let fresh = srv.came_up != entry.started_at && entry.state == EndpointState::Up;
+        if (srv.state, srv.weight, srv.came_up) != (entry.state, entry.weight, entry.started_at) {
             self.change(who, |srv| {
-                (srv.state, srv.weight, srv.came_up) = (entry.state, entry.weight, entry.came_up);
+                (srv.state, srv.weight, srv.came_up) = (entry.state, entry.weight, entry.started_at);
                 if fresh {
                     // Nothing known of the old process holds.
                     srv.health.fill(Health::default());
@@ -540,7 +540,7 @@
             });
             self.place(who);
             self.weigh(now, who);
-            if entry.state == State::Gone {
+            if entry.state == EndpointState::Gone {
                 self.gone.insert(who);
             }
         }
@@ -549,14 +549,14 @@
 
     /// The list does not name it any more.
     pub fn go(&mut self, now: Nanos, who: u32) {
-        self.change(who, |srv| srv.state = State::Gone);
+        self.change(who, |srv| srv.state = EndpointState::Gone);
         self.place(who);
         self.weigh(now, who);
         self.gone.insert(who);
     }
 
     /// Takes in a srv, which starts at this part of its first turn.
-    pub fn add(&mut self, now: Nanos, entry: &Listed, part: f64) -> u32 {
+    pub fn add(&mut self, now: Nanos, entry: &ListedEndpoint, part: f64) -> u32 {
         let at = self.sites.iter().position(|site| site.name == entry.site).unwrap_or_else(|| {
             let site = Site {
                 name: entry.site.clone(),
@@ -580,13 +580,13 @@
             }
         });
         let srv = Srv {
-            name: entry.srv.clone(),
+            name: entry.name.clone(),
             weight: entry.weight,
             ours: 0.0,
             site: at as u32,
             cell: entry.cell,
             state: entry.state,
-            came_up: entry.came_up,
+            came_up: entry.started_at,
             out: Vec::new(),
             held: Ring::over(CROWD_SPAN),
             done: Ring::over(DONE_SPAN),
@@ -620,13 +620,13 @@
             Some(place) => *place = srv,
             None => self.srvs.push(srv),
         }
-        self.numbers.insert(entry.srv.clone(), who);
+        self.numbers.insert(entry.name.clone(), who);
         self.sites[at].members.push(who);
         self.cells.entry(entry.cell).or_default().push(who);
         self.count(who, 1);
         self.place(who);
         self.newcomers.push(who);
-        if entry.state == State::Gone {
+        if entry.state == EndpointState::Gone {
             self.gone.insert(who);
         }
         who
@@ -635,7 +635,7 @@
     /// Keeps its place in the list by name.
     fn place(&mut self, who: u32) {
         let (srvs, srv) = (&self.srvs, &self.srvs[who as usize]);
-        let weight = if srv.state == State::Up { srv.weight } else { 0.0 };
+        let weight = if srv.state == EndpointState::Up { srv.weight } else { 0.0 };
         let at = self.by_name.binary_search_by(|place| srvs[place.who as usize].name.cmp(&srv.name));
         match at {
             Ok(at) => self.by_name[at].weight = weight,
@@ -647,7 +647,7 @@
     pub fn forget(&mut self, now: Nanos) {
         let mut over = BTreeSet::new();
         for who in std::mem::take(&mut self.gone) {
-            if self.get(who).state != State::Gone {
+            if self.get(who).state != EndpointState::Gone {
                 continue;
             }
             if !self.get(who).out.is_empty() {
@@ -678,9 +678,9 @@
 
     /// How many are listed, and how many of them are avoided: draining, or set aside. Those that are gone but owe
     /// an answer are not listed.
-    pub fn standing(&self) -> (usize, usize) {
+    pub fn count_endpoints(&self) -> EndpointCounts {
         let listed = self.numbers.len() - self.gone.len().min(self.numbers.len());
-        (listed, listed - self.usable.min(listed))
+        EndpointCounts { listed, avoided: listed - self.usable.min(listed) }
     }
 
     /// The known srvs, in the order of their names.
@@ -762,7 +762,7 @@
 
 impl Srv {
     pub fn usable(&self) -> bool {
-        self.state == State::Up && !self.aside
+        self.state == EndpointState::Up && !self.aside
     }
 
     /// Usable, and in our turns.
@@ -814,11 +814,12 @@
         prop::collection::vec(event, 1..200)
     }
 
-    fn entry(number: u8, state: u8, weight: u8, came_up: Option<Nanos>) -> Listed {
-        Listed {
-            srv: format!("s{number}").into(),
-            state: [State::Up, State::Up, State::Draining, State::Gone][usize::from(state)],
-            came_up,
+    fn entry(number: u8, state: u8, weight: u8, came_up: Option<Nanos>) -> ListedEndpoint {
+        ListedEndpoint {
+            name: format!("s{number}").into(),
+            state: [EndpointState::Up, EndpointState::Up, EndpointState::Draining, EndpointState::Gone]
+                [usize::from(state)],
+            started_at: came_up,
             weight: [1.0, 0.25, 1e9, 1e-6][usize::from(weight)],
             site: format!("x{}", number % 3).into(),
             cell: u64::from(number % 2),
@@ -842,7 +843,7 @@
                 if let Some(who) = who(fleet, number) {
                     *id += 1;
                     fleet.sent(*now, who, *id, 0, 0);
-                    if fleet.get(who).state == State::Up {
+                    if fleet.get(who).state == EndpointState::Up {
                         fleet.take(*now, who, &[]);
                     }
                 }
@@ -895,8 +896,8 @@
             let aside = srv.health[0].aside_until > now;
             prop_assert_eq!(srv.aside, aside, "{} set aside", srv.name);
             prop_assert_eq!(srv.fresh, srv.reported_at > 0 && now < srv.reported_at + FRESH);
-            prop_assert_eq!(srv.turn.weight > 0.0, srv.state == State::Up && srv.ours > 0.0);
-            prop_assert_eq!(srv.rest.weight > 0.0, srv.state == State::Up && srv.ours <= 0.0);
+            prop_assert_eq!(srv.turn.weight > 0.0, srv.state == EndpointState::Up && srv.ours > 0.0);
+            prop_assert_eq!(srv.rest.weight > 0.0, srv.state == EndpointState::Up && srv.ours <= 0.0);
         }
         let each = |sum: f64, weight: f64| if weight > 0.0 { sum / weight } else { 0.0 };
         let turning = || srvs().filter(|srv| srv.turning());
@@ -923,7 +924,7 @@
         prop_assert_eq!(fleet.usable, srvs().filter(|srv| srv.usable()).count());
         for site in &fleet.sites {
             let of = |srv: &&Srv| fleet.sites[srv.site as usize].name == site.name;
-            prop_assert_eq!(site.up, srvs().filter(of).filter(|srv| srv.state == State::Up).count());
+            prop_assert_eq!(site.up, srvs().filter(of).filter(|srv| srv.state == EndpointState::Up).count());
             prop_assert_eq!(site.usable, srvs().filter(of).filter(|srv| srv.usable()).count());
         }
         let summed = fleet.level(now, 0.7, 0.4);
@@ -949,27 +950,27 @@
     fn srvs_that_come_and_go_all_day_leave_nothing_behind() {
         let mut now = 1_000 * S;
         let mut fleet = Fleet::new(now, 2, 20 * S, 0.2);
-        let listed = |number: u32, state| Listed {
-            srv: format!("s{number}").into(),
+        let listed = |number: u32, state| ListedEndpoint {
+            name: format!("s{number}").into(),
             state,
-            came_up: None,
+            started_at: None,
             weight: 1.0,
             site: format!("x{}", number / 1_000).into(),
             cell: u64::from(number / 100),
         };
         for number in 0..2_000 {
-            fleet.add(now, &listed(number, State::Up), 0.5);
+            fleet.add(now, &listed(number, EndpointState::Up), 0.5);
         }
         for number in 0..10_000u32 {
             now += 10 * MS;
             fleet.advance(now);
-            fleet.add(now, &listed(number + 2_000, State::Up), 0.5);
+            fleet.add(now, &listed(number + 2_000, EndpointState::Up), 0.5);
             let who = fleet.find(&format!("s{number}")).expect("listed");
             fleet.sent(now, who, u64::from(number), 0, 0);
             fleet.report(now, who, 1.0);
             fleet.ended(now, who, u64::from(number), 0, true);
             fleet.set_aside(now, who, now + S);
-            fleet.heed(now, who, &listed(number, State::Gone));
+            fleet.heed(now, who, &listed(number, EndpointState::Gone));
             fleet.forget(now);
         }
         fleet.stretch(now, 0.0, 1.0);
--- a/src/flight.rs
+++ b/src/flight.rs
@@ -3,7 +3,7 @@
 //! Nothing here decides; a place is used again once its dispatch has ended, so nothing grows but with what
 //! is out at once.
 
-use crate::plain::{Nanos, seconds};
+use crate::types::{Nanos, to_seconds};
 
 const NONE: u32 = u32::MAX;
 
@@ -35,7 +35,7 @@
 
 /// Seconds since one was sent, less what its rule set and its cost allow it over others.
 pub fn age(now: Nanos, at: Nanos, grace: Nanos) -> f64 {
-    seconds(now.saturating_sub(at + grace))
+    to_seconds(now.saturating_sub(at + grace))
 }
 
 impl Flight {
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,6 +1,6 @@
-//! ochreshed decides where a balancer sends each req. Every decision is made in [`decide`]; the plain values
-//! that go in and out of it are in [`plain`]; `measure`, `fleet`, `flight`, `order` and `queue` hold what it
-//! measures and counts with, `told` what it was told. Nothing here knows a wire or a clock.
+//! ochreshed decides where a balancer sends each request. [`decide`] makes every decision; [`types`] holds the values that go
+//! in and out. `measure`, `fleet`, `flight`, `order` and `queue` hold the state that decisions depend on, `told` the
+//! configuration. Nothing here depends on a protocol or reads a clock.
 
 // The tests' helper file names the crate as other crates do.
 #[cfg(test)]
@@ -11,9 +11,9 @@
 mod flight;
 mod measure;
 mod order;
-pub mod plain;
 mod queue;
 mod told;
+pub mod types;
 
 pub use decide::Balancer;
-pub use plain::*;
+pub use types::*;
--- a/src/measure.rs
+++ b/src/measure.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::plain::{How, Nanos};
+use crate::types::{DispatchOutcome, Nanos};
 
 /// A multiply-with-carry generator.
 pub struct Chance(u64);
@@ -191,8 +191,8 @@
 }
 
 impl Seen {
-    pub fn ended(&mut self, now: Nanos, how: How) {
-        if how.never_ran() && how != How::Turned {
+    pub fn ended(&mut self, now: Nanos, how: DispatchOutcome) {
+        if how.never_ran() && how != DispatchOutcome::Rejected {
             self.refused.add(now, 1.0);
         }
     }
--- a/src/queue.rs
+++ b/src/queue.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{HashMap, VecDeque};
 
-use crate::plain::Nanos;
+use crate::types::Nanos;
 
 pub struct Waiting {
     pub id: u64,
--- a/src/told.rs
+++ b/src/told.rs
@@ -5,7 +5,7 @@
 
 use crate::decide::S;
 use crate::measure::Ring;
-use crate::plain::*;
+use crate::types::*;
 
 /// What the facts tell once and for all.
 pub struct Told {
@@ -73,33 +73,37 @@
 }
 
 impl Told {
-    pub fn new(facts: &Facts) -> Told {
+    pub fn new(facts: &Parameters) -> Told {
         let report_at = ["report_in_flight", "report_queue"].iter().find_map(|field| facts.get(*field));
-        let rule_sets: Vec<RuleSet> = list(facts, "rule_sets").iter().map(RuleSet::new).collect();
-        let instances = number(facts, "instances", 1.0).max(1.0);
+        let rule_sets: Vec<RuleSet> = read_list(facts, "rule_sets").iter().map(RuleSet::new).collect();
+        let instances = read_number(facts, "instances", 1.0).max(1.0);
         Told {
-            tenth: number(facts, "again_part", 0.1).clamp(0.0, 0.1),
-            floor: (number(facts, "again_floor", 10.0) / instances).min(1.0),
+            tenth: read_number(facts, "again_part", 0.1).clamp(0.0, 0.1),
+            floor: (read_number(facts, "again_floor", 10.0) / instances).min(1.0),
             target: rule_sets.iter().map(|set| set.target).min().unwrap_or(S).max(1),
             rule_sets,
-            customers: list(facts, "customers").iter().map(Customer::new).collect(),
-            tier: number(facts, "tier", 0.0) as usize,
-            tiers: number(facts, "tiers", 1.0) as usize,
+            customers: read_list(facts, "customers").iter().map(Customer::new).collect(),
+            tier: read_number(facts, "tier", 0.0) as usize,
+            tiers: read_number(facts, "tiers", 1.0) as usize,
             instances,
-            me: number(facts, "me", 0.0),
-            doors: text(facts, "level") == "doors",
-            max_dispatches: number(facts, "max_dispatches", 2.0) as usize,
-            most_turned: number(facts, "most_turned", f64::INFINITY) as usize,
-            most_turned_by_site: number(facts, "most_turned_by_site", f64::INFINITY) as usize,
-            may_recall: flag(facts, "may_recall"),
-            come_back_passed: flag(facts, "come_back_passed"),
-            max_come_back: span(facts, "max_come_back", S),
-            excess_utility: number(facts, "excess_utility", 1.0),
-            utility_by_work: text(facts, "utility_by") == "work",
-            cold: span(facts, "cold", 0),
-            cold_share: number(facts, "cold_share", 1.0),
-            connections: number(facts, "connections", f64::INFINITY),
-            report_at: if let Some(Value::Number(at)) = report_at { Some(*at as usize) } else { None },
+            me: read_number(facts, "me", 0.0),
+            doors: read_text(facts, "level") == "doors",
+            max_dispatches: read_number(facts, "max_dispatches", 2.0) as usize,
+            most_turned: read_number(facts, "most_turned", f64::INFINITY) as usize,
+            most_turned_by_site: read_number(facts, "most_turned_by_site", f64::INFINITY) as usize,
+            may_recall: read_flag(facts, "may_recall"),
+            come_back_passed: read_flag(facts, "come_back_passed"),
+            max_come_back: read_duration(facts, "max_come_back", S),
+            excess_utility: read_number(facts, "excess_utility", 1.0),
+            utility_by_work: read_text(facts, "utility_by") == "work",
+            cold: read_duration(facts, "cold", 0),
+            cold_share: read_number(facts, "cold_share", 1.0),
+            connections: read_number(facts, "connections", f64::INFINITY),
+            report_at: if let Some(ParameterValue::Number(at)) = report_at {
+                Some(*at as usize)
+            } else {
+                None
+            },
         }
     }
 
@@ -114,19 +118,19 @@
 }
 
 impl RuleSet {
-    pub fn new(facts: &Facts) -> RuleSet {
+    pub fn new(facts: &Parameters) -> RuleSet {
         RuleSet {
-            name: text(facts, "name").into(),
-            target: span(facts, "response_target", S),
-            window: span(facts, "window", 0),
-            utility: number(facts, "utility", 1.0),
-            late_utility: number(facts, "late_utility", 0.0),
-            effect: match text(facts, "effect") {
+            name: read_text(facts, "name").into(),
+            target: read_duration(facts, "response_target", S),
+            window: read_duration(facts, "window", 0),
+            utility: read_number(facts, "utility", 1.0),
+            late_utility: read_number(facts, "late_utility", 0.0),
+            effect: match read_text(facts, "effect") {
                 "replayable" => Effect::Replayable,
                 "uniqued" => Effect::Uniqued,
                 _ => Effect::NonReplayable,
             },
-            group: match text(facts, "group") {
+            group: match read_text(facts, "group") {
                 "all" => Group::All,
                 "site" => Group::Site,
                 _ => Group::Cell,
@@ -137,8 +141,8 @@
 }
 
 impl Customer {
-    pub fn new(facts: &Facts) -> (Name, Customer) {
-        let share_per_s = number(facts, "share_per_s", f64::INFINITY);
-        (text(facts, "name").into(), Customer { share_per_s, asked: Ring::over(4 * S) })
+    pub fn new(facts: &Parameters) -> (Name, Customer) {
+        let share_per_s = read_number(facts, "share_per_s", f64::INFINITY);
+        (read_text(facts, "name").into(), Customer { share_per_s, asked: Ring::over(4 * S) })
     }
 }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -30,7 +30,7 @@
     now: Nanos,
     mix: u64,
     due: BTreeSet<(Nanos, usize, Due)>,
-    reqs: BTreeMap<u64, Req>,
+    reqs: BTreeMap<u64, RequestContext>,
     /// Answers, denies and errors, and what was out at the fullest srv.
     ends: BTreeMap<&'static str, u64>,
     out: BTreeMap<Name, u64>,
@@ -43,7 +43,7 @@
     fn new(instances: usize, srvs: u64, bad: fn(&str) -> bool) -> Many {
         let balancers = (0..instances).map(|me| {
             let mut facts = facts(0.0, instances as f64);
-            facts.insert("me".into(), Value::Number(me as f64));
+            facts.insert("me".into(), ParameterValue::Number(me as f64));
             Balancer::new(START, me as u64 * 7_919 + 3, facts)
         });
         let mut many = Many {
@@ -66,17 +66,20 @@
 
     /// The whole list, told to all at once, with when each srv came up.
     fn list(&mut self, came_up: &dyn Fn(u64) -> Option<Nanos>) {
-        let listed = |number: u64| Listed {
-            srv: format!("s{number:02}").into(),
-            state: State::Up,
-            came_up: came_up(number),
+        let listed = |number: u64| ListedEndpoint {
+            name: format!("s{number:02}").into(),
+            state: EndpointState::Up,
+            started_at: came_up(number),
             weight: 1.0,
             site: format!("x{}", number % 4).into(),
             cell: number % 4,
         };
-        let entries: Vec<Listed> = (0..self.srvs).map(listed).collect();
+        let entries: Vec<ListedEndpoint> = (0..self.srvs).map(listed).collect();
         for balancer in &mut self.balancers {
-            balancer.after(self.now, Outcome::List { whole: true, old: false, entries: &entries });
+            balancer.handle_event(
+                self.now,
+                Event::EndpointsListed { is_complete: true, is_stale: false, endpoints: &entries },
+            );
         }
     }
 
@@ -91,8 +94,8 @@
 
     fn place(&mut self, me: usize, id: u64) {
         let Some(mut req) = self.reqs.remove(&id) else { return };
-        match self.balancers[me].place(self.now, &mut req) {
-            Place::Send { srv, .. } => {
+        match self.balancers[me].route(self.now, &mut req) {
+            RoutingDecision::Send { endpoint: srv, .. } => {
                 let out = self.out.entry(srv.clone()).or_default();
                 *out += 1;
                 self.fullest = self.fullest.max(*out);
@@ -103,12 +106,12 @@
                 self.due.insert((self.now + took, me, Due::End(id)));
                 self.reqs.insert(id, req);
             }
-            Place::Later { ask_at } => {
+            RoutingDecision::Wait { until: ask_at } => {
                 self.due.insert((ask_at.max(self.now + 1), me, Due::Ask(id)));
                 self.reqs.insert(id, req);
             }
-            Place::Deny { .. } => self.count("denied"),
-            Place::Abort => self.count("aborted"),
+            RoutingDecision::Deny { .. } => self.count("denied"),
+            RoutingDecision::Abort => self.count("aborted"),
         }
     }
 
@@ -128,27 +131,33 @@
                     let (id, rule_set) = (self.mix >> 12, "charge".into());
                     let (taken, ends) = (at, at + 3 * S);
                     let customer = "".into();
-                    self.reqs.insert(id, Req::new(id, rule_set, customer, taken, ends));
+                    self.reqs.insert(id, RequestContext::new(id, rule_set, customer, taken, ends));
                     self.place(me, id);
                 }
                 Due::End(id) => {
                     let mut req = self.reqs.remove(&id).expect("a req that is out");
                     let last = req.dispatches.last().expect("a dispatch");
-                    let (srv, took) = (last.srv.clone(), at - last.at);
+                    let (srv, took) = (last.endpoint.clone(), at - last.sent_at);
                     *self.out.get_mut(&srv).expect("one that is out") -= 1;
-                    let how = if took < 100 * MS { How::Error } else { How::Done };
+                    let how = if took < 100 * MS { DispatchOutcome::Error } else { DispatchOutcome::Done };
                     let (req, number) = (&mut req, 0);
-                    let outcome =
-                        Outcome::Dispatch { req, number, how, took, closed: how == How::Done, report: &[] };
-                    self.balancers[me].after(at, outcome);
-                    self.count(if how == How::Done { "done" } else { "failed" });
+                    let outcome = Event::DispatchEnded {
+                        request: req,
+                        dispatch_index: number,
+                        outcome: how,
+                        duration: took,
+                        is_final: how == DispatchOutcome::Done,
+                        load_report: &[],
+                    };
+                    self.balancers[me].handle_event(at, outcome);
+                    self.count(if how == DispatchOutcome::Done { "done" } else { "failed" });
                 }
                 Due::Ask(id) => self.place(me, id),
             }
             loop {
-                match self.balancers[me].wait(at) {
-                    Wait::Place(id) => self.place(me, id),
-                    Wait::Until(_) => break,
+                match self.balancers[me].next_action(at) {
+                    NextAction::Route(id) => self.place(me, id),
+                    NextAction::SleepUntil(_) => break,
                     _ => {}
                 }
             }
@@ -179,12 +188,12 @@
     let mut at = vec![START; 100];
     for (me, at) in at.iter_mut().enumerate() {
         while *at < START + 30 * S {
-            match many.balancers[me].wait(*at) {
-                Wait::Watch => {
+            match many.balancers[me].next_action(*at) {
+                NextAction::WatchEndpoints => {
                     calls.push((*at, me));
-                    many.balancers[me].after(*at, Outcome::ListFailed);
+                    many.balancers[me].handle_event(*at, Event::EndpointListFailed);
                 }
-                Wait::Until(next) => *at = next.max(*at + 1),
+                NextAction::SleepUntil(next) => *at = next.max(*at + 1),
                 _ => {}
             }
         }
--- a/tests/helper/mod.rs
+++ b/tests/helper/mod.rs
@@ -12,7 +12,7 @@
 pub struct Scene {
     pub balancer: Balancer,
     now: Nanos,
-    reqs: BTreeMap<u64, Req>,
+    reqs: BTreeMap<u64, RequestContext>,
     pub trace: String,
     /// What the next reqs are told to cost.
     pub work: Option<Nanos>,
@@ -20,17 +20,17 @@
     pub come_back: Nanos,
 }
 
-pub fn facts(tier: f64, instances: f64) -> Facts {
-    let text = |t: &str| Value::Text(t.into());
+pub fn facts(tier: f64, instances: f64) -> Parameters {
+    let text = |t: &str| ParameterValue::Text(t.into());
     let rule_set = |name: &str, effect: &str, group: &str, utility: f64| {
-        Facts::from([
+        Parameters::from([
             ("name".into(), text(name)),
             ("effect".into(), text(effect)),
             ("group".into(), text(group)),
-            ("window".into(), Value::Span(1_000 * MS)),
-            ("response_target".into(), Value::Span(1_000 * MS)),
-            ("utility".into(), Value::Number(utility)),
-            ("late_utility".into(), Value::Number(0.2)),
+            ("window".into(), ParameterValue::Duration(1_000 * MS)),
+            ("response_target".into(), ParameterValue::Duration(1_000 * MS)),
+            ("utility".into(), ParameterValue::Number(utility)),
+            ("late_utility".into(), ParameterValue::Number(0.2)),
         ])
     };
     let sets = vec![
@@ -38,22 +38,22 @@
         rule_set("move", "uniqued", "site", 3.0),
         rule_set("charge", "non-replayable", "all", 9.0),
     ];
-    Facts::from([
-        ("tier".into(), Value::Number(tier)),
-        ("tiers".into(), Value::Number(3.0)),
-        ("instances".into(), Value::Number(instances)),
+    Parameters::from([
+        ("tier".into(), ParameterValue::Number(tier)),
+        ("tiers".into(), ParameterValue::Number(3.0)),
+        ("instances".into(), ParameterValue::Number(instances)),
         ("list_mode".into(), text("ask")),
-        ("max_dispatches".into(), Value::Number(4.0)),
-        ("may_recall".into(), Value::Flag(true)),
-        ("cold".into(), Value::Span(20_000 * MS)),
-        ("cold_share".into(), Value::Number(0.2)),
-        ("rule_sets".into(), Value::List(sets)),
+        ("max_dispatches".into(), ParameterValue::Number(4.0)),
+        ("may_recall".into(), ParameterValue::Flag(true)),
+        ("cold".into(), ParameterValue::Duration(20_000 * MS)),
+        ("cold_share".into(), ParameterValue::Number(0.2)),
+        ("rule_sets".into(), ParameterValue::List(sets)),
     ])
 }
 
 impl Scene {
     /// An instance that knows these srvs: `name@site`, with `!` behind it when draining, `*` when just started.
-    pub fn new(facts: Facts, srvs: &str) -> Scene {
+    pub fn new(facts: Parameters, srvs: &str) -> Scene {
         let now = 1_000_000 * MS;
         let balancer = Balancer::new(now, 7, facts);
         let mut scene =
@@ -65,17 +65,20 @@
     pub fn list(&mut self, whole: bool, srvs: &str) {
         let listed = |entry: &str| {
             let (name, site) = entry.trim_end_matches(['!', '*']).split_once('@').expect("name@site");
-            Listed {
-                srv: name.into(),
-                state: if entry.ends_with('!') { State::Draining } else { State::Up },
-                came_up: entry.ends_with('*').then_some(self.now),
+            ListedEndpoint {
+                name: name.into(),
+                state: if entry.ends_with('!') { EndpointState::Draining } else { EndpointState::Up },
+                started_at: entry.ends_with('*').then_some(self.now),
                 weight: 1.0,
                 site: site.into(),
                 cell: 0,
             }
         };
-        let entries: Vec<Listed> = srvs.split_whitespace().map(listed).collect();
-        self.balancer.after(self.now, Outcome::List { whole, old: false, entries: &entries });
+        let entries: Vec<ListedEndpoint> = srvs.split_whitespace().map(listed).collect();
+        self.balancer.handle_event(
+            self.now,
+            Event::EndpointsListed { is_complete: whole, is_stale: false, endpoints: &entries },
+        );
     }
 
     pub fn pass(&mut self, ms: u64) -> &mut Scene {
@@ -94,16 +97,16 @@
     fn take(&mut self, id: u64, rule_set: &str, customer: &str) -> &mut Scene {
         self.reqs.insert(
             id,
-            Req {
+            RequestContext {
                 id,
                 rule_set: rule_set.into(),
                 customer: customer.into(),
-                again: false,
-                taken: self.now,
-                ends: self.now + 3_000 * MS,
-                coming: false,
-                work: self.work,
-                tie: None,
+                is_client_retry: false,
+                received_at: self.now,
+                deadline: self.now + 3_000 * MS,
+                body_pending: false,
+                expected_cost: self.work,
+                preferred_endpoint: None,
                 dispatches: Vec::new(),
             },
         );
@@ -112,14 +115,14 @@
 
     pub fn place(&mut self, id: u64) -> &mut Scene {
         let req = self.reqs.get_mut(&id).expect("a req in hand");
-        let what = match self.balancer.place(self.now, req) {
-            Place::Send { srv, .. } => format!("to {srv}"),
-            Place::Later { ask_at } => format!("later, in {} ms", (ask_at - self.now) / MS),
-            Place::Deny { come_back } => {
+        let what = match self.balancer.route(self.now, req) {
+            RoutingDecision::Send { endpoint: srv, .. } => format!("to {srv}"),
+            RoutingDecision::Wait { until: ask_at } => format!("later, in {} ms", (ask_at - self.now) / MS),
+            RoutingDecision::Deny { retry_after: come_back } => {
                 self.come_back = come_back;
                 "deny".into()
             }
-            Place::Abort => "abort".into(),
+            RoutingDecision::Abort => "abort".into(),
         };
         self.say(&format!("{id}: {what}"))
     }
@@ -130,12 +133,13 @@
     }
 
     /// Another instance has seen this.
-    pub fn others(&mut self, srv: &str, how: How) -> &mut Scene {
+    pub fn others(&mut self, srv: &str, how: DispatchOutcome) -> &mut Scene {
         self.others_of("charge", srv, how)
     }
 
-    pub fn others_of(&mut self, rule_set: &str, srv: &str, how: How) -> &mut Scene {
-        self.balancer.after(self.now, Outcome::Others { srv, rule_set, how });
+    pub fn others_of(&mut self, rule_set: &str, srv: &str, how: DispatchOutcome) -> &mut Scene {
+        self.balancer
+            .handle_event(self.now, Event::PeerDispatchEnded { endpoint: srv, rule_set, outcome: how });
         self
     }
 
@@ -144,22 +148,29 @@
         self.reqs
             .get(&id)
             .and_then(|req| req.dispatches.last())
-            .is_some_and(|dispatch| dispatch.how.is_none())
+            .is_some_and(|dispatch| dispatch.outcome.is_none())
     }
 
     /// Ends a req's last dispatch, and places it again where that follows.
-    pub fn end(&mut self, id: u64, how: How) -> &mut Scene {
-        if self.fail(id, how) == Follow::Place { self.place(id) } else { self }
+    pub fn end(&mut self, id: u64, how: DispatchOutcome) -> &mut Scene {
+        if self.fail(id, how) == NextStep::Route { self.place(id) } else { self }
     }
 
     /// Ends a req's last dispatch and leaves what follows to be done.
-    pub fn fail(&mut self, id: u64, how: How) -> Follow {
+    pub fn fail(&mut self, id: u64, how: DispatchOutcome) -> NextStep {
         let req = self.reqs.get_mut(&id).expect("a req in hand");
         let number = req.dispatches.len() - 1;
-        let took = self.now - req.dispatches[number].at;
-        let closed = how == How::Done;
-        let outcome = Outcome::Dispatch { req, number, how, took, closed, report: &[] };
-        let follow = self.balancer.after(self.now, outcome);
+        let took = self.now - req.dispatches[number].sent_at;
+        let closed = how == DispatchOutcome::Done;
+        let outcome = Event::DispatchEnded {
+            request: req,
+            dispatch_index: number,
+            outcome: how,
+            duration: took,
+            is_final: closed,
+            load_report: &[],
+        };
+        let follow = self.balancer.handle_event(self.now, outcome);
         if !closed {
             self.say(&format!("{id}: {how:?}"));
         }
@@ -168,7 +179,7 @@
 
     /// Sends a req, and ends it well 100 ms later.
     pub fn done(&mut self, id: u64) -> &mut Scene {
-        self.req(id, "read").pass(100).end(id, How::Done)
+        self.req(id, "read").pass(100).end(id, DispatchOutcome::Done)
     }
 
     /// Whether the last line of the trace is a dispatch to one of these srvs.
@@ -188,11 +199,13 @@
 
     pub fn wait(&mut self) -> &mut Scene {
         loop {
-            match self.balancer.wait(self.now) {
-                Wait::Until(_) => return self,
-                Wait::Place(id) => self.place(id),
-                Wait::Log(line) => self.say(&format!("log: {line}")),
-                Wait::Recall(id, number) => self.say(&format!("recall {id}, dispatch {number}")),
+            match self.balancer.next_action(self.now) {
+                NextAction::SleepUntil(_) => return self,
+                NextAction::Route(id) => self.place(id),
+                NextAction::Log(line) => self.say(&format!("log: {line}")),
+                NextAction::CancelDispatch(id, number) => {
+                    self.say(&format!("recall {id}, dispatch {number}"))
+                }
                 chore => self.say(&format!("{chore:?}")),
             };
         }
