--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -7,7 +7,7 @@
 use helper::{MS, facts};
 use ochreshed::*;
 
-type Fails = dyn Fn(u64, &str) -> Option<How>;
+type Fails = dyn Fn(u64, &str) -> Option<DispatchOutcome>;
 
 /// An instance and srvs that each answer after a time of their own, in simulated time.
 struct Fleet {
@@ -16,7 +16,7 @@
     id: u64,
     mix: u64,
     out: BTreeSet<(Nanos, u64)>,
-    reqs: BTreeMap<u64, Req>,
+    reqs: BTreeMap<u64, RequestContext>,
     takes: fn(&str) -> Nanos,
     fails: Box<Fails>,
     /// The rule sets that reqs are of.
@@ -29,13 +29,20 @@
     srv[1..].parse().expect("a number")
 }
 
-fn listed(number: u64, state: State, came_up: Option<Nanos>, weight: f64) -> Listed {
+fn listed(number: u64, state: EndpointState, came_up: Option<Nanos>, weight: f64) -> ListedEndpoint {
     let site = format!("x{}", number % 5).into();
-    Listed { srv: format!("s{number:05}").into(), state, came_up, weight, site, cell: number % 50 }
+    ListedEndpoint {
+        name: format!("s{number:05}").into(),
+        state,
+        started_at: came_up,
+        weight,
+        site,
+        cell: number % 50,
+    }
 }
 
 impl Fleet {
-    fn new(facts: Facts) -> Fleet {
+    fn new(facts: Parameters) -> Fleet {
         let now = 1_000_000 * MS;
         Fleet {
             balancer: Balancer::new(now, 5, facts),
@@ -52,24 +59,27 @@
         }
     }
 
-    fn list(&mut self, whole: bool, entries: &[Listed]) {
-        self.balancer.after(self.now, Outcome::List { whole, old: false, entries });
+    fn list(&mut self, whole: bool, entries: &[ListedEndpoint]) {
+        self.balancer.handle_event(
+            self.now,
+            Event::EndpointsListed { is_complete: whole, is_stale: false, endpoints: entries },
+        );
     }
 
     fn count(&mut self, how: &'static str) {
         *self.ends.entry(how).or_default() += 1;
     }
 
-    fn place(&mut self, mut req: Req) {
-        match self.balancer.place(self.now, &mut req) {
-            Place::Send { srv, .. } => {
+    fn place(&mut self, mut req: RequestContext) {
+        match self.balancer.route(self.now, &mut req) {
+            RoutingDecision::Send { endpoint: srv, .. } => {
                 *self.sends.entry(srv.clone()).or_default() += 1;
                 self.out.insert((self.now + (self.takes)(&srv), req.id));
                 self.reqs.insert(req.id, req);
             }
-            Place::Later { .. } => drop(self.reqs.insert(req.id, req)),
-            Place::Deny { .. } => self.count("deny"),
-            Place::Abort => self.count("abort"),
+            RoutingDecision::Wait { .. } => drop(self.reqs.insert(req.id, req)),
+            RoutingDecision::Deny { .. } => self.count("deny"),
+            RoutingDecision::Abort => self.count("abort"),
         }
     }
 
@@ -84,7 +94,7 @@
             let (rule_set, customer) = (self.sets[set as usize % self.sets.len()].into(), "".into());
             let ends = self.now + 3_000 * MS;
             let (id, taken) = (self.id, self.now);
-            self.place(Req::new(id, rule_set, customer, taken, ends));
+            self.place(RequestContext::new(id, rule_set, customer, taken, ends));
         }
     }
 
@@ -96,11 +106,19 @@
             let Some(mut req) = self.reqs.remove(&id) else { continue };
             let last = req.dispatches.len() - 1;
             let dispatch = &req.dispatches[last];
-            let how = (self.fails)(number(&dispatch.srv), &req.rule_set).unwrap_or(How::Done);
-            let (took, closed) = (self.now - dispatch.at, how == How::Done);
-            let outcome = Outcome::Dispatch { req: &mut req, number: last, how, took, closed, report: &[] };
-            match self.balancer.after(self.now, outcome) {
-                Follow::Place => self.place(req),
+            let how =
+                (self.fails)(number(&dispatch.endpoint), &req.rule_set).unwrap_or(DispatchOutcome::Done);
+            let (took, closed) = (self.now - dispatch.sent_at, how == DispatchOutcome::Done);
+            let outcome = Event::DispatchEnded {
+                request: &mut req,
+                dispatch_index: last,
+                outcome: how,
+                duration: took,
+                is_final: closed,
+                load_report: &[],
+            };
+            match self.balancer.handle_event(self.now, outcome) {
+                NextStep::Route => self.place(req),
                 _ => self.count(if closed { "done" } else { "lost" }),
             }
             self.wait();
@@ -111,9 +129,9 @@
 
     fn wait(&mut self) {
         loop {
-            match self.balancer.wait(self.now) {
-                Wait::Until(_) => return,
-                Wait::Place(id) => {
+            match self.balancer.next_action(self.now) {
+                NextAction::SleepUntil(_) => return,
+                NextAction::Route(id) => {
                     let req = self.reqs.remove(&id).expect("held");
                     self.place(req);
                 }
@@ -131,7 +149,8 @@
 fn shares_are_as_the_weights_say_within_a_hundredth() {
     let mut fleet = Fleet::new(facts(0.0, 1.0));
     let weight = |number: u64| [1.0, 0.5, 2.0, 3.5][number as usize % 4];
-    let list: Vec<Listed> = (0..1_000).map(|n| listed(n, State::Up, None, weight(n))).collect();
+    let list: Vec<ListedEndpoint> =
+        (0..1_000).map(|n| listed(n, EndpointState::Up, None, weight(n))).collect();
     fleet.list(true, &list);
     fleet.run(400_000, MS / 4);
     let total: f64 = (0..1_000).map(weight).sum();
@@ -147,7 +166,7 @@
 #[test]
 fn a_skipped_srv_s_turns_go_to_the_others_evenly() {
     let mut fleet = Fleet::new(facts(0.0, 1.0));
-    let list: Vec<Listed> = (0..1_000).map(|n| listed(n, State::Up, None, 1.0)).collect();
+    let list: Vec<ListedEndpoint> = (0..1_000).map(|n| listed(n, EndpointState::Up, None, 1.0)).collect();
     fleet.list(true, &list);
     // One in ten is many times slower and so crowded; the others have no reason to differ.
     fleet.takes = |srv| if number(srv).is_multiple_of(10) { 2_000 * MS } else { 40 * MS };
@@ -168,7 +187,8 @@
     let mut fleet = Fleet::new(facts(0.0, 1.0));
     let now = fleet.now;
     let cold = |n: u64| n.is_multiple_of(3);
-    let list: Vec<Listed> = (0..999).map(|n| listed(n, State::Up, cold(n).then_some(now), 1.0)).collect();
+    let list: Vec<ListedEndpoint> =
+        (0..999).map(|n| listed(n, EndpointState::Up, cold(n).then_some(now), 1.0)).collect();
     fleet.list(true, &list);
     for second in 0..20u64 {
         fleet.sends.clear();
@@ -185,13 +205,13 @@
 #[test]
 fn draining_and_gone_srvs_get_nothing_from_the_moment_it_is_told() {
     let mut fleet = Fleet::new(facts(2.0, 1.0));
-    let list: Vec<Listed> = (0..2_000).map(|n| listed(n, State::Up, None, 1.0)).collect();
+    let list: Vec<ListedEndpoint> = (0..2_000).map(|n| listed(n, EndpointState::Up, None, 1.0)).collect();
     fleet.list(true, &list);
     // Sends again go among the whole list too.
-    fleet.fails = Box::new(|n, _| n.is_multiple_of(25).then_some(How::Error));
+    fleet.fails = Box::new(|n, _| n.is_multiple_of(25).then_some(DispatchOutcome::Error));
     fleet.run(20_000, MS / 4);
-    let left: Vec<Listed> = (0..1_000)
-        .map(|n| listed(n, if n < 500 { State::Draining } else { State::Gone }, None, 1.0))
+    let left: Vec<ListedEndpoint> = (0..1_000)
+        .map(|n| listed(n, if n < 500 { EndpointState::Draining } else { EndpointState::Gone }, None, 1.0))
         .collect();
     fleet.list(false, &left);
     fleet.sends.clear();
@@ -206,16 +226,16 @@
 #[test]
 fn a_doubtful_srv_is_better_than_none_and_all_have_their_turn() {
     let mut fleet = Fleet::new(facts(0.0, 1.0));
-    let list: Vec<Listed> = (0..100).map(|n| listed(n, State::Up, None, 1.0)).collect();
+    let list: Vec<ListedEndpoint> = (0..100).map(|n| listed(n, EndpointState::Up, None, 1.0)).collect();
     fleet.list(true, &list);
     fleet.run(8_000, MS / 2);
     // Sites are lost one after the other, and the one that is not goes: all are set aside.
     for site in 0..4 {
-        fleet.fails = Box::new(move |n, _| (n % 5 == site).then_some(How::NoConnection));
+        fleet.fails = Box::new(move |n, _| (n % 5 == site).then_some(DispatchOutcome::NoConnection));
         fleet.run(100, 2 * MS);
     }
     fleet.fails = Box::new(|_, _| None);
-    let left: Vec<Listed> = list.into_iter().filter(|l| &*l.site != "x4").collect();
+    let left: Vec<ListedEndpoint> = list.into_iter().filter(|l| &*l.site != "x4").collect();
     fleet.list(true, &left);
     fleet.sends.clear();
     fleet.ends.clear();
@@ -229,13 +249,13 @@
 #[test]
 fn a_srv_kept_from_one_rule_set_gets_no_more_of_the_others() {
     let mut fleet = Fleet::new(facts(2.0, 1.0));
-    let list: Vec<Listed> = (0..61).map(|n| listed(n, State::Up, None, 1.0)).collect();
+    let list: Vec<ListedEndpoint> = (0..61).map(|n| listed(n, EndpointState::Up, None, 1.0)).collect();
     fleet.list(true, &list);
     fleet.sets = &["read", "charge"];
     // Both rule sets do well there at first: else it would be set aside for all.
     fleet.run(2_000, MS);
     fleet.sends.clear();
-    fleet.fails = Box::new(|n, set| (n == 7 && set == "charge").then_some(How::Error));
+    fleet.fails = Box::new(|n, set| (n == 7 && set == "charge").then_some(DispatchOutcome::Error));
     fleet.run(60_000, MS);
     // Its turns that come up for what it is kept from are lost, not kept for the next read: else it would get
     // twice its part of them.
@@ -247,7 +267,8 @@
 fn a_cold_srv_that_is_the_only_one_with_room_gets_its_budget_and_no_more() {
     let mut fleet = Fleet::new(facts(0.0, 1.0));
     let now = fleet.now;
-    let list: Vec<Listed> = (0..41).map(|n| listed(n, State::Up, (n == 40).then_some(now), 1.0)).collect();
+    let list: Vec<ListedEndpoint> =
+        (0..41).map(|n| listed(n, EndpointState::Up, (n == 40).then_some(now), 1.0)).collect();
     fleet.list(true, &list);
     // The warm ones hold what they got for so long that they have no room; the cold one answers at once.
     fleet.takes = |srv| if number(srv) == 40 { 20 * MS } else { 2_500 * MS };
@@ -263,13 +284,13 @@
 fn weights_of_zero_tiny_and_huge_and_jumps_of_time_do_no_harm() {
     let mut fleet = Fleet::new(facts(0.0, 1.0));
     let weight = |n: u64| [0.0, 1e-9, 1.0, 1e9][n as usize % 4];
-    let list: Vec<Listed> = (0..200).map(|n| listed(n, State::Up, None, weight(n))).collect();
+    let list: Vec<ListedEndpoint> = (0..200).map(|n| listed(n, EndpointState::Up, None, weight(n))).collect();
     fleet.list(true, &list);
     fleet.run(5_000, MS);
     assert_eq!(fleet.sent(|n| n % 4 == 0), 0);
     assert!(fleet.sent(|n| n % 4 == 3) > 4_900);
     // The huge ones go: what is left must not drown in what they leave behind in the sums.
-    let left: Vec<Listed> = list.iter().filter(|l| l.weight == 1.0).cloned().collect();
+    let left: Vec<ListedEndpoint> = list.iter().filter(|l| l.weight == 1.0).cloned().collect();
     fleet.list(true, &left);
     fleet.sends.clear();
     fleet.run(5_000, MS);
@@ -291,10 +312,10 @@
     let mut sends = BTreeMap::<Name, u64>::new();
     for me in 0..24 {
         let mut facts = facts(0.0, 24.0);
-        facts.insert("me".into(), Value::Number(f64::from(me)));
-        facts.insert("connections".into(), Value::Number(400.0));
+        facts.insert("me".into(), ParameterValue::Number(f64::from(me)));
+        facts.insert("connections".into(), ParameterValue::Number(400.0));
         let mut fleet = Fleet::new(facts);
-        let list: Vec<Listed> = (0..1_000).map(|n| listed(n, State::Up, None, 1.0)).collect();
+        let list: Vec<ListedEndpoint> = (0..1_000).map(|n| listed(n, EndpointState::Up, None, 1.0)).collect();
         fleet.list(true, &list);
         // Enough to hear of all in time: without the bound the turns would go among the whole list.
         fleet.run(20_000, MS / 4);
--- a/tests/shape.rs
+++ b/tests/shape.rs
@@ -3,14 +3,14 @@
 mod helper;
 
 use helper::{MS, Scene, facts};
-use ochreshed::{Facts, How, Value};
+use ochreshed::{DispatchOutcome, ParameterValue, Parameters};
 
 /// One tier that is first and last, with response targets of 250 ms ("read"), 1 s and 1 s.
-fn one_tier(instances: f64) -> Facts {
+fn one_tier(instances: f64) -> Parameters {
     let mut facts = facts(0.0, instances);
-    facts.insert("tiers".into(), Value::Number(1.0));
-    if let Some(Value::List(sets)) = facts.get_mut("rule_sets") {
-        sets[0].insert("response_target".into(), Value::Span(250 * MS));
+    facts.insert("tiers".into(), ParameterValue::Number(1.0));
+    if let Some(ParameterValue::List(sets)) = facts.get_mut("rule_sets") {
+        sets[0].insert("response_target".into(), ParameterValue::Duration(250 * MS));
     }
     facts
 }
@@ -22,7 +22,7 @@
         let mut scene = Scene::new(one_tier(1.0), "a@x b@x c@y d@y");
         scene.past(40);
         for id in 0..8 {
-            scene.req(id, rule_set).pass(600).end(id, How::Done).wait();
+            scene.req(id, rule_set).pass(600).end(id, DispatchOutcome::Done).wait();
         }
         scene.trace.contains("log: aside")
     };
@@ -39,7 +39,7 @@
         scene.past(40);
         scene.work = Some(work * MS);
         for id in 0..4 {
-            scene.req(id, "read").pass(500).end(id, How::Done).wait();
+            scene.req(id, "read").pass(500).end(id, DispatchOutcome::Done).wait();
         }
         scene.trace.contains("log: aside")
     };
@@ -52,11 +52,15 @@
 fn when_answers_are_slow_a_quiet_instance_keeps_its_level_for_utility() {
     let sent = |rule_set: &str| {
         let mut facts = one_tier(20.0);
-        facts.insert("utility_by".into(), Value::Text("work".into()));
+        facts.insert("utility_by".into(), ParameterValue::Text("work".into()));
         let mut scene = Scene::new(facts, "a@x b@x c@y d@y");
         scene.past(400);
         for id in 0..30 {
-            scene.req(id, ["read", "charge"][id as usize % 2]).pass(400).end(id, How::Done).wait();
+            scene
+                .req(id, ["read", "charge"][id as usize % 2])
+                .pass(400)
+                .end(id, DispatchOutcome::Done)
+                .wait();
         }
         scene.trace.clear();
         for id in 100..120 {
@@ -79,14 +83,14 @@
             scene.pass(700);
             for id in 0..at_once {
                 if scene.holds(100 * second + id) {
-                    scene.end(100 * second + id, How::Done);
+                    scene.end(100 * second + id, DispatchOutcome::Done);
                 }
             }
             scene.pass(300);
         }
         // Little is done, and slowly, for longer than the levels remember.
         for id in 5_000..5_005 {
-            scene.req(id, "charge").pass(1_400).end(id, How::Done);
+            scene.req(id, "charge").pass(1_400).end(id, DispatchOutcome::Done);
         }
         scene.trace.clear();
         for id in 6_000..6_040 {
@@ -101,11 +105,11 @@
 /// reset, or gets no answer, though a new one would carry it.
 #[test]
 fn connections_are_closed_before_the_age_at_which_they_are_lost() {
-    let closed = |how: How| {
+    let closed = |how: DispatchOutcome| {
         let mut scene = Scene::new(one_tier(8.0), "a@x b@x c@x d@x");
         scene.past(20).wait();
         for id in 0..8 {
-            scene.req(id, "charge").pass(200).end(id, How::Done).pass(10).wait();
+            scene.req(id, "charge").pass(200).end(id, DispatchOutcome::Done).pass(10).wait();
         }
         // Idle for over a second: each loses what is sent first.
         scene.pass(1_000);
@@ -115,7 +119,11 @@
         scene.pass(1_000).wait();
         scene.trace.matches("Close").count()
     };
-    assert_eq!(closed(How::Done), 0);
-    assert!(closed(How::Reset) >= 4, "{} closed after resets", closed(How::Reset));
-    assert!(closed(How::TimedOut) >= 4, "{} closed after silence", closed(How::TimedOut));
+    assert_eq!(closed(DispatchOutcome::Done), 0);
+    assert!(closed(DispatchOutcome::Reset) >= 4, "{} closed after resets", closed(DispatchOutcome::Reset));
+    assert!(
+        closed(DispatchOutcome::TimedOut) >= 4,
+        "{} closed after silence",
+        closed(DispatchOutcome::TimedOut)
+    );
 }
--- a/tests/standing.rs
+++ b/tests/standing.rs
@@ -1,25 +1,34 @@
 //! What a balancer says of its list: how many srvs are listed, and how many of those it avoids.
 
-use ochreshed::{Balancer, Facts, How, Listed, Name, Outcome, Place, Req, State, Value};
+use ochreshed::{
+    Balancer, DispatchOutcome, EndpointCounts, EndpointState, Event, ListedEndpoint, Name, ParameterValue,
+    Parameters, RequestContext, RoutingDecision,
+};
 
-fn entry(number: u64, state: State) -> Listed {
+fn entry(number: u64, state: EndpointState) -> ListedEndpoint {
     let srv = format!("s{number}").into();
-    Listed { srv, state, came_up: None, weight: 1.0, site: "x".into(), cell: number }
+    ListedEndpoint { name: srv, state, started_at: None, weight: 1.0, site: "x".into(), cell: number }
 }
 
 /// Guards against a figure that forgets those that drain, or still counts those that have gone.
 #[test]
 fn those_that_drain_are_listed_and_avoided_and_those_gone_are_neither() {
-    let mut balancer = Balancer::new(1, 1, Facts::new());
-    assert_eq!(balancer.standing(), (0, 0));
-    let whole: Vec<Listed> = (0..10).map(|number| entry(number, State::Up)).collect();
-    balancer.after(2, Outcome::List { whole: true, old: false, entries: &whole });
-    assert_eq!(balancer.standing(), (10, 0));
-    let changed = [entry(0, State::Draining), entry(1, State::Gone), entry(20, State::Up)];
-    balancer.after(3, Outcome::List { whole: false, old: false, entries: &changed });
-    assert_eq!(balancer.standing(), (10, 1));
-    balancer.after(4, Outcome::List { whole: true, old: false, entries: &whole[2..4] });
-    assert_eq!(balancer.standing(), (2, 0));
+    let mut balancer = Balancer::new(1, 1, Parameters::new());
+    assert_eq!(balancer.count_endpoints(), EndpointCounts { listed: 0, avoided: 0 });
+    let whole: Vec<ListedEndpoint> = (0..10).map(|number| entry(number, EndpointState::Up)).collect();
+    balancer
+        .handle_event(2, Event::EndpointsListed { is_complete: true, is_stale: false, endpoints: &whole });
+    assert_eq!(balancer.count_endpoints(), EndpointCounts { listed: 10, avoided: 0 });
+    let changed =
+        [entry(0, EndpointState::Draining), entry(1, EndpointState::Gone), entry(20, EndpointState::Up)];
+    balancer
+        .handle_event(3, Event::EndpointsListed { is_complete: false, is_stale: false, endpoints: &changed });
+    assert_eq!(balancer.count_endpoints(), EndpointCounts { listed: 10, avoided: 1 });
+    balancer.handle_event(
+        4,
+        Event::EndpointsListed { is_complete: true, is_stale: false, endpoints: &whole[2..4] },
+    );
+    assert_eq!(balancer.count_endpoints(), EndpointCounts { listed: 2, avoided: 0 });
 }
 
 /// Guards against long bodies that are still coming and fill the level: their srv has not begun, and everything else
@@ -27,26 +36,29 @@
 #[test]
 fn a_req_that_is_still_coming_counts_at_its_srv_from_its_last_byte() {
     let calm = |coming: bool| {
-        let mut balancer = Balancer::new(1, 1, Facts::new());
-        let whole: Vec<Listed> = (0..2).map(|number| entry(number, State::Up)).collect();
-        balancer.after(2, Outcome::List { whole: true, old: false, entries: &whole });
+        let mut balancer = Balancer::new(1, 1, Parameters::new());
+        let whole: Vec<ListedEndpoint> = (0..2).map(|number| entry(number, EndpointState::Up)).collect();
+        balancer.handle_event(
+            2,
+            Event::EndpointsListed { is_complete: true, is_stale: false, endpoints: &whole },
+        );
         let mut placed = 0;
         for id in 0..200 {
-            let mut req = Req {
+            let mut req = RequestContext {
                 id,
                 rule_set: "a".into(),
                 customer: "".into(),
-                again: false,
-                taken: 10,
-                ends: 3_000_000_000,
-                coming,
-                work: None,
-                tie: None,
+                is_client_retry: false,
+                received_at: 10,
+                deadline: 3_000_000_000,
+                body_pending: coming,
+                expected_cost: None,
+                preferred_endpoint: None,
                 dispatches: Vec::new(),
             };
-            placed += usize::from(matches!(balancer.place(10 + id, &mut req), Place::Send { .. }));
+            placed += usize::from(matches!(balancer.route(10 + id, &mut req), RoutingDecision::Send { .. }));
             if coming && id == 100 {
-                balancer.after(11 + id, Outcome::Written { req: &req, number: 0 });
+                balancer.handle_event(11 + id, Event::RequestSent { request: &req, dispatch_index: 0 });
             }
         }
         placed
@@ -60,20 +72,27 @@
 #[test]
 fn after_a_pause_without_reqs_it_takes_what_it_took_before() {
     const MS: u64 = 1_000_000;
-    let facts = Facts::from([("instances".to_owned(), Value::Number(2.0))]);
+    let facts = Parameters::from([("instances".to_owned(), ParameterValue::Number(2.0))]);
     let mut balancer = Balancer::new(1, 1, facts);
-    let whole: Vec<Listed> = (0..8).map(|number| entry(number, State::Up)).collect();
-    balancer.after(2, Outcome::List { whole: true, old: false, entries: &whole });
+    let whole: Vec<ListedEndpoint> = (0..8).map(|number| entry(number, EndpointState::Up)).collect();
+    balancer
+        .handle_event(2, Event::EndpointsListed { is_complete: true, is_stale: false, endpoints: &whole });
     let (mut id, mut denied) = (0, [0, 0]);
-    let mut out: Vec<(u64, Req)> = Vec::new();
+    let mut out: Vec<(u64, RequestContext)> = Vec::new();
     // 60 a second, each done after 400 ms: for 8 s, and again after a pause of 4.5 s.
     for (part, from) in [(0, 0), (1, 12_500)] {
         for now in (from..from + 8_000).map(|ms| ms * MS + 10) {
             for (_, mut req) in out.extract_if(.., |(due, _)| *due <= now) {
-                let (how, took) = (How::Done, 400 * MS);
-                let end =
-                    Outcome::Dispatch { req: &mut req, number: 0, how, took, closed: true, report: &[] };
-                balancer.after(now, end);
+                let (how, took) = (DispatchOutcome::Done, 400 * MS);
+                let end = Event::DispatchEnded {
+                    request: &mut req,
+                    dispatch_index: 0,
+                    outcome: how,
+                    duration: took,
+                    is_final: true,
+                    load_report: &[],
+                };
+                balancer.handle_event(now, end);
             }
             if (now / MS) % 50 >= 3 {
                 continue;
@@ -81,18 +100,25 @@
             id += 1;
             let (rule_set, customer) = ("a".into(), "".into());
             let (taken, ends) = (now, now + 3_000 * MS);
-            let mut req = Req::new(id, rule_set, customer, taken, ends);
-            match balancer.place(now, &mut req) {
-                Place::Send { .. } => out.push((now + 400 * MS, req)),
+            let mut req = RequestContext::new(id, rule_set, customer, taken, ends);
+            match balancer.route(now, &mut req) {
+                RoutingDecision::Send { .. } => out.push((now + 400 * MS, req)),
                 _ => denied[part] += 1,
             }
         }
         // What is out is done before the pause.
         for (due, mut req) in out.drain(..) {
-            let (how, took) = (How::Done, 400 * MS);
-            balancer.after(
+            let (how, took) = (DispatchOutcome::Done, 400 * MS);
+            balancer.handle_event(
                 due,
-                Outcome::Dispatch { req: &mut req, number: 0, how, took, closed: true, report: &[] },
+                Event::DispatchEnded {
+                    request: &mut req,
+                    dispatch_index: 0,
+                    outcome: how,
+                    duration: took,
+                    is_final: true,
+                    load_report: &[],
+                },
             );
         }
     }
@@ -102,17 +128,27 @@
 #[test]
 fn a_tied_req_goes_to_its_srv_while_that_is_up_and_elsewhere_when_it_is_not() {
     const MS: u64 = 1_000_000;
-    let mut balancer = Balancer::new(1, 1, Facts::new());
-    let whole: Vec<Listed> = (0..6).map(|number| entry(number, State::Up)).collect();
-    balancer.after(2, Outcome::List { whole: true, old: false, entries: &whole });
-    let tie = whole[3].srv.clone();
+    let mut balancer = Balancer::new(1, 1, Parameters::new());
+    let whole: Vec<ListedEndpoint> = (0..6).map(|number| entry(number, EndpointState::Up)).collect();
+    balancer
+        .handle_event(2, Event::EndpointsListed { is_complete: true, is_stale: false, endpoints: &whole });
+    let tie = whole[3].name.clone();
     let go = |balancer: &mut Balancer, now: u64, tie: &Name| {
-        let mut req = Req::new(now, "a".into(), "".into(), now, now + 3_000 * MS);
-        req.tie = Some(tie.clone());
-        let Place::Send { srv, .. } = balancer.place(now, &mut req) else { panic!("{now}") };
-        let (how, took) = (How::Done, 20 * MS);
-        let end = Outcome::Dispatch { req: &mut req, number: 0, how, took, closed: true, report: &[] };
-        balancer.after(now + took, end);
+        let mut req = RequestContext::new(now, "a".into(), "".into(), now, now + 3_000 * MS);
+        req.preferred_endpoint = Some(tie.clone());
+        let RoutingDecision::Send { endpoint: srv, .. } = balancer.route(now, &mut req) else {
+            panic!("{now}")
+        };
+        let (how, took) = (DispatchOutcome::Done, 20 * MS);
+        let end = Event::DispatchEnded {
+            request: &mut req,
+            dispatch_index: 0,
+            outcome: how,
+            duration: took,
+            is_final: true,
+            load_report: &[],
+        };
+        balancer.handle_event(now + took, end);
         srv
     };
     let at = |nth: u64| (nth + 1) * 30 * MS;
@@ -120,6 +156,13 @@
     // One that nobody knows ties to nothing.
     let free: Vec<Name> = (40..60).map(|nth| go(&mut balancer, at(nth), &"gone".into())).collect();
     assert!(free.iter().any(|srv| *srv != free[0]));
-    balancer.after(at(60), Outcome::List { whole: false, old: false, entries: &[entry(3, State::Draining)] });
+    balancer.handle_event(
+        at(60),
+        Event::EndpointsListed {
+            is_complete: false,
+            is_stale: false,
+            endpoints: &[entry(3, EndpointState::Draining)],
+        },
+    );
     assert!((61..80).all(|nth| go(&mut balancer, at(nth), &tie) != tie));
 }
--- a/tests/traces.rs
+++ b/tests/traces.rs
@@ -6,7 +6,7 @@
 
 use expect_test::{Expect, expect};
 use helper::{MS, Scene, facts};
-use ochreshed::{Facts, How, Value};
+use ochreshed::{DispatchOutcome, ParameterValue, Parameters};
 
 fn check(scene: &mut Scene, expected: Expect) {
     expected.assert_eq(&scene.trace);
@@ -34,7 +34,7 @@
 #[test]
 fn a_middle_tiers_error_is_passed_up_and_the_last_tiers_is_sent_again() {
     let mut middle = Scene::new(facts(1.0, 4.0), "a@x b@x");
-    middle.past(20).req(1, "read").pass(50).end(1, How::Error);
+    middle.past(20).req(1, "read").pass(50).end(1, DispatchOutcome::Error);
     check(
         &mut middle,
         expect![[r#"
@@ -44,7 +44,7 @@
     "#]],
     );
     let mut last = Scene::new(facts(2.0, 4.0), "a@x b@x");
-    last.past(20).req(1, "read").pass(50).end(1, How::Error);
+    last.past(20).req(1, "read").pass(50).end(1, DispatchOutcome::Error);
     check(
         &mut last,
         expect![[r#"
@@ -58,7 +58,13 @@
 #[test]
 fn a_refused_connection_is_owned_at_any_tier_and_safe_for_every_rule_set() {
     let mut scene = Scene::new(facts(0.0, 1.0), "a@x b@x");
-    scene.past(20).req(1, "charge").pass(5).end(1, How::NoConnection).pass(50).end(1, How::Reset);
+    scene
+        .past(20)
+        .req(1, "charge")
+        .pass(5)
+        .end(1, DispatchOutcome::NoConnection)
+        .pass(50)
+        .end(1, DispatchOutcome::Reset);
     check(
         &mut scene,
         expect![[r#"
@@ -76,7 +82,12 @@
     let mut scene = Scene::new(facts(0.0, 1.0), "a@x b@x c@x d@x");
     scene.past(10);
     for id in 1..5 {
-        scene.req(id, "read").pass(10).end(id, How::Full).pass(100).end(id, How::Done);
+        scene
+            .req(id, "read")
+            .pass(10)
+            .end(id, DispatchOutcome::Full)
+            .pass(100)
+            .end(id, DispatchOutcome::Done);
     }
     check(
         &mut scene,
@@ -102,9 +113,14 @@
     let mut scene = Scene::new(facts(2.0, 1.0), "a@x b@x c@y d@y");
     scene.past(40);
     for id in 1..4 {
-        scene.req(id, "move").pass(10).end(id, How::Reset).pass(100).end(id, How::Done);
+        scene
+            .req(id, "move")
+            .pass(10)
+            .end(id, DispatchOutcome::Reset)
+            .pass(100)
+            .end(id, DispatchOutcome::Done);
     }
-    scene.req(9, "move").pass(1_100).end(9, How::Reset);
+    scene.req(9, "move").pass(1_100).end(9, DispatchOutcome::Reset);
     check(
         &mut scene,
         expect![[r#"
@@ -128,10 +144,15 @@
 fn a_srv_alone_in_its_group_may_be_sent_again_what_it_reset() {
     let mut scene = Scene::new(facts(0.0, 1.0), "a@x b@y");
     scene.past(40);
-    scene.req(1, "move").pass(10).end(1, How::NoConnection).pass(10).end(1, How::Reset);
-    scene.pass(10).end(1, How::Reset).pass(10).end(1, How::Done);
-    scene.req(2, "move").pass(10).end(2, How::TimedOut);
-    scene.req(3, "charge").pass(10).end(3, How::Reset);
+    scene
+        .req(1, "move")
+        .pass(10)
+        .end(1, DispatchOutcome::NoConnection)
+        .pass(10)
+        .end(1, DispatchOutcome::Reset);
+    scene.pass(10).end(1, DispatchOutcome::Reset).pass(10).end(1, DispatchOutcome::Done);
+    scene.req(2, "move").pass(10).end(2, DispatchOutcome::TimedOut);
+    scene.req(3, "charge").pass(10).end(3, DispatchOutcome::Reset);
     check(
         &mut scene,
         expect![[r#"
@@ -218,7 +239,7 @@
     scene.past(40);
     for id in 1..9 {
         scene.req(id, "charge").pass(50);
-        let how = if scene.went_to(&["b"]) { How::Error } else { How::Done };
+        let how = if scene.went_to(&["b"]) { DispatchOutcome::Error } else { DispatchOutcome::Done };
         scene.end(id, how).wait();
     }
     scene.pass(5_000).done(21).done(22).done(23).done(24);
@@ -226,7 +247,7 @@
         &mut scene,
         expect![[r#"
         4000 1: to d
-        4050 Watch
+        4050 WatchEndpoints
         4050 2: to b
         4100 2: Error
         4100 2: abort
@@ -254,7 +275,11 @@
     for id in 1..15 {
         let name = if id % 3 == 0 { "read" } else { "charge" };
         scene.req(id, name).pass(50);
-        let how = if id % 3 > 0 && scene.went_to(&["b", "d"]) { How::Error } else { How::Done };
+        let how = if id % 3 > 0 && scene.went_to(&["b", "d"]) {
+            DispatchOutcome::Error
+        } else {
+            DispatchOutcome::Done
+        };
         scene.end(id, how).wait();
     }
     check(
@@ -263,7 +288,7 @@
             2000 1: to d
             2050 1: Error
             2050 1: abort
-            2050 Watch
+            2050 WatchEndpoints
             2050 2: to b
             2100 2: Error
             2100 2: abort
@@ -295,17 +320,17 @@
     scene.past(40);
     for id in 1..14 {
         scene.req(id, "charge").pass(10);
-        let how = if scene.went_to(&["b"]) { How::Full } else { How::Done };
+        let how = if scene.went_to(&["b"]) { DispatchOutcome::Full } else { DispatchOutcome::Done };
         scene.end(id, how).pass(40).wait();
-        if how == How::Full {
-            scene.end(id, How::Done);
+        if how == DispatchOutcome::Full {
+            scene.end(id, DispatchOutcome::Done);
         }
     }
     check(
         &mut scene,
         expect![[r#"
         4000 1: to d
-        4050 Watch
+        4050 WatchEndpoints
         4050 2: to b
         4060 2: Full
         4060 2: to a
@@ -336,20 +361,20 @@
     for id in 1..7 {
         scene.req(id, "charge").pass(20);
         if scene.went_to(&["d", "e", "f"]) {
-            scene.end(id, How::Done);
+            scene.end(id, DispatchOutcome::Done);
         }
     }
     scene.pass(500);
     for id in 31..37 {
         scene.req(id, "charge").pass(50);
         if scene.went_to(&["d", "e", "f"]) {
-            scene.end(id, How::Done).wait();
+            scene.end(id, DispatchOutcome::Done).wait();
         }
     }
     check(
         &mut scene,
         expect![[r#"
-            4000 Watch
+            4000 WatchEndpoints
             4000 1: to c
             4020 2: to e
             4040 3: to d
@@ -377,14 +402,14 @@
     for id in 1..10 {
         scene.req(id, "charge").pass(20);
         while scene.went_to(&["a", "b", "c"]) {
-            scene.end(id, How::NoConnection).pass(20);
+            scene.end(id, DispatchOutcome::NoConnection).pass(20);
         }
-        scene.end(id, How::Done).wait();
+        scene.end(id, DispatchOutcome::Done).wait();
     }
     check(
         &mut scene,
         expect![[r#"
-        10000 Watch
+        10000 WatchEndpoints
         10000 1: to c
         10020 1: NoConnection
         10020 1: to e
@@ -411,18 +436,18 @@
 #[test]
 fn srvs_that_refuse_all_are_set_aside_however_much_fails() {
     let mut facts = facts(0.0, 24.0);
-    facts.insert("me".into(), Value::Number(19.0));
+    facts.insert("me".into(), ParameterValue::Number(19.0));
     let list = "a@x b@y c@z d@x e@y f@z g@x h@y i@z j@x k@y l@z m@x n@y o@z p@x q@y r@z";
     let gone = ["o", "p", "q", "r"];
     let mut scene = Scene::new(facts, list);
     for id in 1..200 {
         scene.req(id, "read");
         while scene.went_to(&gone) {
-            scene.end(id, How::NoConnection);
+            scene.end(id, DispatchOutcome::NoConnection);
         }
         scene.pass(40);
         if scene.holds_out(id) {
-            scene.end(id, How::Done);
+            scene.end(id, DispatchOutcome::Done);
         }
         scene.wait();
     }
@@ -434,8 +459,8 @@
 #[test]
 fn what_failed_may_come_back_after_about_the_time_of_an_answer() {
     let mut facts = facts(2.0, 24.0);
-    facts.insert("come_back_passed".into(), Value::Flag(true));
-    facts.insert("max_come_back".into(), Value::Span(2_000 * MS));
+    facts.insert("come_back_passed".into(), ParameterValue::Flag(true));
+    facts.insert("max_come_back".into(), ParameterValue::Duration(2_000 * MS));
     let mut scene = Scene::new(facts, "a@x b@x c@x d@x");
     scene.past(40);
     let mut longest = 0;
@@ -443,7 +468,7 @@
         scene.req(id, "read");
         // What a tenth allows is sent again, and fails too.
         while scene.holds_out(id) {
-            scene.end(id, How::Error);
+            scene.end(id, DispatchOutcome::Error);
             longest = longest.max(scene.come_back);
         }
         scene.pass(100);
@@ -457,13 +482,16 @@
 fn what_others_lost_counts_as_an_outcome_of_ones_own() {
     let mut scene = Scene::new(facts(0.0, 60.0), "a@x b@x c@x d@y e@y f@y");
     scene.past(20).wait().trace.clear();
-    scene.others("a", How::Done).others("a", How::Reset).wait();
+    scene.others("a", DispatchOutcome::Done).others("a", DispatchOutcome::Reset).wait();
     assert_eq!(scene.trace, "", "one loss is chance, for others as for us");
-    scene.others("a", How::Reset).wait();
-    scene.others("d", How::Reset).others("e", How::Reset).others("f", How::Reset);
+    scene.others("a", DispatchOutcome::Reset).wait();
+    scene
+        .others("d", DispatchOutcome::Reset)
+        .others("e", DispatchOutcome::Reset)
+        .others("f", DispatchOutcome::Reset);
     // The other site answers since.
     scene.past(4).wait();
-    scene.others("nobody", How::Reset).wait();
+    scene.others("nobody", DispatchOutcome::Reset).wait();
     check(
         &mut scene,
         expect![[r#"
@@ -479,7 +507,7 @@
     let mut scene = Scene::new(facts(0.0, 60.0), "a@x b@x c@x d@y e@y f@y");
     scene.past(20).wait().trace.clear();
     for _ in 0..6 {
-        scene.others("d", How::Reset).others("e", How::Reset);
+        scene.others("d", DispatchOutcome::Reset).others("e", DispatchOutcome::Reset);
         scene.past(1).wait();
     }
     // No more than half of a site one by one.
@@ -493,14 +521,14 @@
     scene.past(20).wait().trace.clear();
     // For others too the srv does well in another rule set, and then errs in this one.
     for _ in 0..4 {
-        scene.others_of("read", "b", How::Done);
+        scene.others_of("read", "b", DispatchOutcome::Done);
     }
-    scene.others("b", How::Error).others("b", How::Error).wait();
+    scene.others("b", DispatchOutcome::Error).others("b", DispatchOutcome::Error).wait();
     let mut went = Vec::new();
     for (id, rule_set) in (1..25).map(|id| (id, if id % 2 == 0 { "read" } else { "charge" })) {
         scene.req(id, rule_set).pass(20);
         went.push((rule_set, scene.went_to(&["b"])));
-        scene.end(id, How::Done).wait();
+        scene.end(id, DispatchOutcome::Done).wait();
     }
     assert!(scene.trace.contains("log: aside b: 2 of its last 2 of charge failed"), "{}", scene.trace);
     assert!(went.contains(&("read", true)) && !went.contains(&("charge", true)), "{went:?}");
@@ -513,7 +541,7 @@
     for id in 1..13 {
         scene.req(id, "charge");
         let slow = scene.went_to(&["b"]);
-        scene.pass(if slow { 900 } else { 50 }).end(id, How::Done);
+        scene.pass(if slow { 900 } else { 50 }).end(id, DispatchOutcome::Done);
     }
     check(
         &mut scene,
@@ -541,7 +569,7 @@
     for id in 1..9 {
         scene.req(id, "charge").pass(400);
         if scene.went_to(&["b"]) {
-            scene.end(id, How::Done);
+            scene.end(id, DispatchOutcome::Done);
         }
     }
     check(
@@ -563,9 +591,12 @@
 fn a_customer_over_its_share_is_denied_while_anyone_waits() {
     let mut facts = facts(0.0, 1.0);
     let share = |name: &str, per_s| {
-        Facts::from([("name".into(), Value::Text(name.into())), ("share_per_s".into(), Value::Number(per_s))])
+        Parameters::from([
+            ("name".into(), ParameterValue::Text(name.into())),
+            ("share_per_s".into(), ParameterValue::Number(per_s)),
+        ])
     };
-    facts.insert("customers".into(), Value::List(vec![share("big", 0.5), share("small", 1e6)]));
+    facts.insert("customers".into(), ParameterValue::List(vec![share("big", 0.5), share("small", 1e6)]));
     let mut scene = Scene::new(facts, "a@x");
     scene.past(40);
     for id in 1..13 {
@@ -597,7 +628,7 @@
     for id in 1..9 {
         scene.req(id, "read").pass(1);
     }
-    scene.req(9, "charge").wait().pass(40).end(1, How::Done).wait().pass(200).place(7).wait();
+    scene.req(9, "charge").wait().pass(40).end(1, DispatchOutcome::Done).wait().pass(200).place(7).wait();
     check(
         &mut scene,
         expect![[r#"
@@ -610,7 +641,7 @@
         4006 7: to a
         4007 8: later, in 200 ms
         4008 9: later, in 200 ms
-        4008 Watch
+        4008 WatchEndpoints
         4008 log: holding: 7 in flight, 11 done a second
         4048 9: to a
         4248 7: later, in 2758 ms
@@ -624,13 +655,13 @@
 fn the_list_is_watched_and_asked_for_again_after_a_pause() {
     let mut scene = Scene::new(facts(0.0, 1.0), "a@x");
     scene.wait().pass(1_000).wait();
-    scene.balancer.after(1_001_000 * helper::MS, ochreshed::Outcome::ListFailed);
+    scene.balancer.handle_event(1_001_000 * helper::MS, ochreshed::Event::EndpointListFailed);
     scene.wait().pass(2_000).wait();
     check(
         &mut scene,
         expect![[r#"
-        1000 Watch
-        3000 Watch
+        1000 WatchEndpoints
+        3000 WatchEndpoints
     "#]],
     );
 }
@@ -638,8 +669,8 @@
 #[test]
 fn time_out_of_hand_is_answered_with_an_abort_where_it_may_have_run() {
     let mut scene = Scene::new(facts(0.0, 1.0), "a@x b@x");
-    scene.req(1, "charge").pass(3_000).end(1, How::TimedOut);
-    scene.req(2, "read").pass(3_000).end(2, How::TimedOut);
+    scene.req(1, "charge").pass(3_000).end(1, DispatchOutcome::TimedOut);
+    scene.req(2, "read").pass(3_000).end(2, DispatchOutcome::TimedOut);
     check(
         &mut scene,
         expect![[r#"
@@ -659,11 +690,11 @@
     scene.past(20);
     let mut id = 1;
     while !scene.req(id, "move").went_to(&["a"]) {
-        scene.end(id, How::Done);
+        scene.end(id, DispatchOutcome::Done);
         id += 1;
     }
     scene.trace.clear();
-    scene.fail(id, How::Reset);
+    scene.fail(id, DispatchOutcome::Reset);
     scene.list(true, "b@y c@y");
     scene.place(id);
     check(
@@ -682,7 +713,7 @@
     let mut trace = String::new();
     for me in 0..40 {
         let mut facts = facts(0.0, 40.0);
-        facts.insert("me".into(), Value::Number(f64::from(me)));
+        facts.insert("me".into(), ParameterValue::Number(f64::from(me)));
         let mut scene = Scene::new(facts, list);
         for id in 1..9 {
             scene.done(id).pass(2_000);
@@ -715,7 +746,7 @@
     check(
         &mut scene,
         expect![[r#"
-            800 Watch
+            800 WatchEndpoints
             800 1: to b
             1100 2: to a
             1400 3: to d
@@ -739,7 +770,7 @@
         for id in 11..20 {
             scene.pass(100).req(id, "read");
             if scene.went_to(&["d", "e"]) {
-                scene.pass(100).end(id, How::Done);
+                scene.pass(100).end(id, DispatchOutcome::Done);
             }
             if id == 15 {
                 for id in 100..100 + burst {
@@ -768,7 +799,8 @@
     for left in [0, 2] {
         let mut scene = Scene::new(facts(0.0, 4.0), "a@x b@x d@y e@y");
         for id in 1..321 {
-            let how = if id > 160 && id % 3 < left { How::Recalled } else { How::Done };
+            let how =
+                if id > 160 && id % 3 < left { DispatchOutcome::Cancelled } else { DispatchOutcome::Done };
             scene.req(id, "read").pass(25).end(id, how);
         }
         for id in 401..417 {
@@ -793,7 +825,7 @@
         for id in 1..5 {
             scene.req(id, "read").pass(10);
             if scene.went_to(&["c", "d"]) {
-                scene.end(id, How::Done);
+                scene.end(id, DispatchOutcome::Done);
             }
         }
         while !scene.trace.contains("aside site") {
@@ -811,45 +843,50 @@
 }
 
 /// As where balancers beside the srvs hold what those may have at once.
-fn doors() -> Facts {
+fn doors() -> Parameters {
     let mut facts = facts(0.0, 1.0);
-    facts.insert("level".into(), Value::Text("doors".into()));
+    facts.insert("level".into(), ParameterValue::Text("doors".into()));
     facts
 }
 
 #[test]
 fn so_many_doors_of_one_site_and_of_all_may_turn_a_req_away() {
     let mut facts = doors();
-    facts.insert("most_turned".into(), Value::Number(3.0));
-    facts.insert("most_turned_by_site".into(), Value::Number(2.0));
+    facts.insert("most_turned".into(), ParameterValue::Number(3.0));
+    facts.insert("most_turned_by_site".into(), ParameterValue::Number(2.0));
     let mut scene = Scene::new(facts, "a@x b@x c@x d@y e@y f@y");
     for id in 1..4 {
-        scene.req(id, "charge").pass(1).end(id, How::Turned).pass(1).end(id, How::Turned);
-        scene.pass(1).end(id, How::Turned);
+        scene
+            .req(id, "charge")
+            .pass(1)
+            .end(id, DispatchOutcome::Rejected)
+            .pass(1)
+            .end(id, DispatchOutcome::Rejected);
+        scene.pass(1).end(id, DispatchOutcome::Rejected);
     }
     check(
         &mut scene,
         expect![[r#"
         0 1: to d
-        1 1: Turned
+        1 1: Rejected
         1 1: to f
-        2 1: Turned
+        2 1: Rejected
         2 1: to b
-        3 1: Turned
+        3 1: Rejected
         3 1: deny
         3 2: to a
-        4 2: Turned
+        4 2: Rejected
         4 2: to c
-        5 2: Turned
+        5 2: Rejected
         5 2: to e
-        6 2: Turned
+        6 2: Rejected
         6 2: deny
         6 3: to b
-        7 3: Turned
+        7 3: Rejected
         7 3: to e
-        8 3: Turned
+        8 3: Rejected
         8 3: to f
-        9 3: Turned
+        9 3: Rejected
         9 3: deny
     "#]],
     );
@@ -860,39 +897,45 @@
     let mut scene = Scene::new(doors(), "a@x b@x c@x d@x");
     // Nothing was sent before, so the allowance holds one at most.
     for id in 1..3 {
-        scene.req(id, "charge").pass(1).end(id, How::Turned).pass(1).end(id, How::Turned).pass(1);
-        scene.end(id, How::Turned).pass(100).end(id, How::Done);
+        scene
+            .req(id, "charge")
+            .pass(1)
+            .end(id, DispatchOutcome::Rejected)
+            .pass(1)
+            .end(id, DispatchOutcome::Rejected)
+            .pass(1);
+        scene.end(id, DispatchOutcome::Rejected).pass(100).end(id, DispatchOutcome::Done);
     }
     // When all have turned it away it is given up at once, and safely.
     scene.req(3, "charge");
     for _ in 0..4 {
-        scene.pass(1).end(3, How::Turned);
+        scene.pass(1).end(3, DispatchOutcome::Rejected);
     }
     check(
         &mut scene,
         expect![[r#"
         0 1: to d
-        1 1: Turned
+        1 1: Rejected
         1 1: to b
-        2 1: Turned
+        2 1: Rejected
         2 1: to a
-        3 1: Turned
+        3 1: Rejected
         3 1: to c
         103 2: to c
-        104 2: Turned
+        104 2: Rejected
         104 2: to a
-        105 2: Turned
+        105 2: Rejected
         105 2: to b
-        106 2: Turned
+        106 2: Rejected
         106 2: to d
         206 3: to d
-        207 3: Turned
+        207 3: Rejected
         207 3: to b
-        208 3: Turned
+        208 3: Rejected
         208 3: to a
-        209 3: Turned
+        209 3: Rejected
         209 3: to c
-        210 3: Turned
+        210 3: Rejected
         210 3: deny
     "#]],
     );
@@ -901,8 +944,8 @@
 #[test]
 fn where_doors_stand_nothing_is_held_for_a_level_nor_for_cold_srvs() {
     let mut facts = doors();
-    facts.insert("cold".into(), Value::Span(4_000 * MS));
-    facts.insert("cold_share".into(), Value::Number(0.4));
+    facts.insert("cold".into(), ParameterValue::Duration(4_000 * MS));
+    facts.insert("cold_share".into(), ParameterValue::Number(0.4));
     let mut scene = Scene::new(facts, "a@x* b@x*");
     for id in 1..40 {
         scene.req(id, "read");
--- a/traffic/src/retry_budget.rs
+++ b/traffic/src/retry_budget.rs
@@ -6,7 +6,7 @@
 //!
 //! Invariants: nothing is decided here, and the memory of an account does not depend on what is counted.
 
-use ochreshed::{How, Nanos};
+use ochreshed::{DispatchOutcome, Nanos};
 use ochreshed_catalog::traffic_reports::AttemptCounts;
 
 use crate::sliding_window::SlidingWindow;
@@ -37,7 +37,7 @@
     /// The attempts that an inbound proxy has not rejected.
     attempts: u32,
     may_have_run: bool,
-    last_outcome: Option<How>,
+    last_outcome: Option<DispatchOutcome>,
 }
 
 impl RequestAttempts {
@@ -47,10 +47,10 @@
     }
 
     /// Notes the outcome of an attempt.
-    pub fn ended(&mut self, outcome: How) {
+    pub fn ended(&mut self, outcome: DispatchOutcome) {
         self.last_outcome = Some(outcome);
         // What an inbound proxy rejected does not count as sent.
-        self.attempts += u32::from(outcome != How::Turned);
+        self.attempts += u32::from(outcome != DispatchOutcome::Rejected);
         self.may_have_run |= !outcome.never_ran();
     }
 }
@@ -115,7 +115,7 @@
     pub fn attempt_started(&mut self, now: Nanos, request: &RequestAttempts) -> AttemptCounts {
         let counts = match request.last_outcome {
             None => AttemptCounts { first: 1, ..AttemptCounts::NONE },
-            Some(How::Turned) => return AttemptCounts::NONE,
+            Some(DispatchOutcome::Rejected) => return AttemptCounts::NONE,
             Some(_) => AttemptCounts { retried: 1, ..AttemptCounts::NONE },
         };
         self.add(now, counts);
@@ -136,8 +136,8 @@
     /// Whether a request could be retried if there were budget.
     fn could_retry(&self, now: Nanos, request: &RequestAttempts) -> bool {
         let is_retried_here = match request.last_outcome {
-            Some(How::NoConnection | How::Reset | How::Full) => true,
-            Some(How::Error | How::TimedOut) => self.limits.last_tier,
+            Some(DispatchOutcome::NoConnection | DispatchOutcome::Reset | DispatchOutcome::Full) => true,
+            Some(DispatchOutcome::Error | DispatchOutcome::TimedOut) => self.limits.last_tier,
             _ => false,
         };
         is_retried_here
--- a/traffic/tests/retry_budget.rs
+++ b/traffic/tests/retry_budget.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use ochreshed::How;
+use ochreshed::DispatchOutcome;
 use ochreshed_catalog::internal_rpc::CollectedReport;
 use ochreshed_catalog::traffic_reports::{AttemptCounts, BudgetReport};
 use ochreshed_traffic::budget_reports::{AttemptTotals, BudgetReports, MAX_SERVICES};
@@ -23,7 +23,13 @@
 }
 
 /// A request with this outcome that the policy retries or gives up.
-fn run_request(account: &mut RetryAccount, now: u64, repeatable: bool, how: How, is_retried: bool) {
+fn run_request(
+    account: &mut RetryAccount,
+    now: u64,
+    repeatable: bool,
+    how: DispatchOutcome,
+    is_retried: bool,
+) {
     let mut request = RequestAttempts::new(repeatable, now + 100 * MS);
     account.attempt_started(now, &request);
     request.ended(how);
@@ -38,29 +44,29 @@
 fn a_request_counts_by_its_outcome() {
     let mut account = RetryAccount::new(WINDOW, LIMITS);
     let now = 50_000 * MS;
-    run_request(&mut account, now, true, How::Done, false);
-    run_request(&mut account, now, true, How::Full, true);
+    run_request(&mut account, now, true, DispatchOutcome::Done, false);
+    run_request(&mut account, now, true, DispatchOutcome::Full, true);
     assert_eq!(account.reported_counts(now), counts(2, 1, 0));
     // Two first attempts and a floor of one leave no second retry.
-    run_request(&mut account, now, true, How::Reset, false);
+    run_request(&mut account, now, true, DispatchOutcome::Reset, false);
     assert_eq!(account.reported_counts(now), counts(3, 1, 1));
     // A rejected request was not sent; one that may have run is not denied for want of budget.
-    run_request(&mut account, now, true, How::Turned, true);
-    run_request(&mut account, now, false, How::Reset, false);
-    run_request(&mut account, now, false, How::Full, false);
+    run_request(&mut account, now, true, DispatchOutcome::Rejected, true);
+    run_request(&mut account, now, false, DispatchOutcome::Reset, false);
+    run_request(&mut account, now, false, DispatchOutcome::Full, false);
     assert_eq!(account.reported_counts(now), counts(6, 1, 2));
     account.nested_call_retried(now);
     assert_eq!(account.reported_counts(now), counts(6, 2, 2));
     // Where there is budget the policy had another reason.
-    (0..20).for_each(|_| run_request(&mut account, now, true, How::Done, false));
-    run_request(&mut account, now, true, How::Full, false);
+    (0..20).for_each(|_| run_request(&mut account, now, true, DispatchOutcome::Done, false));
+    run_request(&mut account, now, true, DispatchOutcome::Full, false);
     assert_eq!(account.reported_counts(now), counts(27, 2, 2));
     // The failure is another service's, or the deadline has passed.
     let mut middle = RetryAccount::new(WINDOW, RetryLimits { last_tier: false, floor: 0.0, ..LIMITS });
-    run_request(&mut middle, now, true, How::Error, false);
+    run_request(&mut middle, now, true, DispatchOutcome::Error, false);
     let mut late = RequestAttempts::new(true, now);
     middle.attempt_started(now, &late);
-    late.ended(How::Full);
+    late.ended(DispatchOutcome::Full);
     middle.request_given_up(now, &late);
     assert_eq!(middle.reported_counts(now), counts(2, 0, 0));
     assert_eq!(account.restart(WINDOW, LIMITS).reported_counts(now), account.reported_counts(now));
@@ -75,7 +81,7 @@
         let (mut now, mut all) = (100_000 * MS, Vec::new());
         for (wait, is_retried) in steps {
             now += wait * MS;
-            run_request(&mut account, now, true, How::Full, is_retried);
+            run_request(&mut account, now, true, DispatchOutcome::Full, is_retried);
             all.push((now, is_retried));
             let within = |span: u64| all.iter().filter(|(at, _)| now - at < span).count() as u32;
             let reported = account.reported_counts(now).first;
