--- a/recovery/src/initial_list.rs
+++ b/recovery/src/initial_list.rs
@@ -5,7 +5,7 @@
 
 use std::collections::BTreeSet;
 
-use ochreshed::Listed;
+use ochreshed::ListedEndpoint;
 use ochreshed_replica::status::ServerStatus;
 
 use crate::snapshot::{Snapshot, SnapshotEntry};
@@ -17,7 +17,7 @@
 /// The list in the start facts, with discovery's version.
 pub struct FactsList<A> {
     pub version: u64,
-    pub entries: Vec<(Listed, A)>,
+    pub entries: Vec<(ListedEndpoint, A)>,
 }
 
 /// The source of the initial list. The log prints these names.
@@ -30,7 +30,7 @@
 
 pub struct InitialList<A> {
     pub source: ListSource,
-    pub entries: Vec<(Listed, A)>,
+    pub entries: Vec<(ListedEndpoint, A)>,
     /// The number of servers left out since the snapshot knew them to be gone.
     pub excluded_as_gone: usize,
     /// The number of servers marked as draining since the snapshot knew them to drain.
@@ -76,12 +76,12 @@
     };
     let (gone, draining) = (servers_with(ServerStatus::Gone), servers_with(ServerStatus::Draining));
     let initial_count = entries.len();
-    entries.retain(|(listed, _)| !gone.contains(&*listed.srv));
+    entries.retain(|(listed, _)| !gone.contains(&*listed.name));
     let excluded_as_gone = initial_count - entries.len();
     let mut marked_draining = 0;
     for (listed, _) in &mut entries {
-        if listed.state == ochreshed::State::Up && draining.contains(&*listed.srv) {
-            listed.state = ochreshed::State::Draining;
+        if listed.state == ochreshed::EndpointState::Up && draining.contains(&*listed.name) {
+            listed.state = ochreshed::EndpointState::Draining;
             marked_draining += 1;
         }
     }
@@ -92,7 +92,7 @@
 mod tests {
     use std::net::SocketAddr;
 
-    use ochreshed::State;
+    use ochreshed::EndpointState;
     use ochreshed_replica::stamp::Stamp;
     use ochreshed_replica::status::StampedStatus;
     use proptest::prelude::*;
@@ -136,9 +136,9 @@
 
     /// The server ids, with `!` after those that are not up.
     fn names(initial: &InitialList<SocketAddr>) -> String {
-        let suffix = |state| if state == State::Up { "" } else { "!" };
+        let suffix = |state| if state == EndpointState::Up { "" } else { "!" };
         let names =
-            initial.entries.iter().map(|(listed, _)| format!("{}{}", listed.srv, suffix(listed.state)));
+            initial.entries.iter().map(|(listed, _)| format!("{}{}", listed.name, suffix(listed.state)));
         names.collect::<Vec<_>>().join(" ")
     }
 
@@ -190,8 +190,8 @@
             let snapshot = snapshot(snapshot_list.0, &list(&snapshot_list.1), &named);
             let initial = select_initial_list(facts(facts_list.0, &list(&facts_list.1)), Some(&snapshot), age);
             let version = if initial.source == ListSource::Facts { facts_list.0 } else { snapshot_list.0 };
-            for (listed, _) in initial.entries.iter().filter(|(listed, _)| listed.state == State::Up) {
-                let server: u8 = listed.srv[1..].parse().expect("a number");
+            for (listed, _) in initial.entries.iter().filter(|(listed, _)| listed.state == EndpointState::Up) {
+                let server: u8 = listed.name[1..].parse().expect("a number");
                 prop_assert!(facts_list.1.contains(&server) || snapshot_list.1.contains(&server));
                 prop_assert!(!statuses.iter().any(|(of, at, _)| *of == server && *at >= version), "{server}");
             }
--- a/recovery/src/snapshot.rs
+++ b/recovery/src/snapshot.rs
@@ -5,7 +5,7 @@
 
 use std::net::SocketAddr;
 
-use ochreshed::{Listed, State};
+use ochreshed::{EndpointState, ListedEndpoint};
 use ochreshed_replica::stamp::Stamp;
 use ochreshed_replica::status::StampedStatus;
 use serde::{Deserialize, Serialize};
@@ -32,11 +32,11 @@
 }
 
 impl SnapshotEntry {
-    pub fn from_listed(listed: &Listed, address: SocketAddr) -> SnapshotEntry {
+    pub fn from_listed(listed: &ListedEndpoint, address: SocketAddr) -> SnapshotEntry {
         SnapshotEntry {
-            server: listed.srv.to_string(),
-            draining: listed.state != State::Up,
-            started_at: listed.came_up,
+            server: listed.name.to_string(),
+            draining: listed.state != EndpointState::Up,
+            started_at: listed.started_at,
             weight: listed.weight,
             site: listed.site.to_string(),
             cell: listed.cell,
@@ -44,11 +44,11 @@
         }
     }
 
-    pub fn to_listed(&self) -> Listed {
-        Listed {
-            srv: self.server.as_str().into(),
-            state: if self.draining { State::Draining } else { State::Up },
-            came_up: self.started_at,
+    pub fn to_listed(&self) -> ListedEndpoint {
+        ListedEndpoint {
+            name: self.server.as_str().into(),
+            state: if self.draining { EndpointState::Draining } else { EndpointState::Up },
+            started_at: self.started_at,
             weight: self.weight,
             site: self.site.as_str().into(),
             cell: self.cell,
@@ -224,7 +224,7 @@
     fn an_entry_converts_to_a_listed_server_and_back() {
         let entry = &snapshot(0).entries[5];
         let converted = SnapshotEntry::from_listed(&entry.to_listed(), entry.address);
-        assert_eq!((&converted, entry.to_listed().state), (entry, State::Draining));
+        assert_eq!((&converted, entry.to_listed().state), (entry, EndpointState::Draining));
     }
 
     proptest! {
