--- a/gossip/tests/frozen_forms.rs
+++ b/gossip/tests/frozen_forms.rs
@@ -171,3 +171,38 @@
     // Items, a digest, one that wants another back, and one that answers.
     assert_eq!(kinds, [16, 17, 18, 19]);
 }
+
+/// Operators read these reasons on the fleet's page and in the log.
+#[test]
+fn reasons_for_rejected_datagrams_keep_their_words() {
+    let from = wire::From { name: "n1".into(), start: 8 };
+    let gossip =
+        |more| wire::Message { from: from.clone(), what: wire::What::Gossip, words: Vec::new(), more };
+    let valid = wire::write(FLEET, &gossip(Vec::new()));
+    let other_fleet = wire::write(FLEET + 1, &gossip(Vec::new()));
+    let mut other_format = valid.clone();
+    other_format[2] += 1;
+    let mut damaged = valid.clone();
+    damaged[11] ^= 1;
+    let long_name = wire::From { name: "n".repeat(65), start: 8 };
+    let unnamed = wire::write(FLEET, &wire::Message { from: long_name, ..gossip(Vec::new()) });
+    // Extensions are read only from members.
+    let mut receiver = peer(0);
+    let address = address(1);
+    let word = ochreshed_membership::word::Word {
+        incarnation: 1,
+        state: ochreshed_membership::word::State::Alive,
+        start: 8,
+        address,
+        zone: "a".into(),
+    };
+    let join = wire::What::Join { padding: vec![0; 900] };
+    let join = wire::Message { what: join, words: vec![("n1".into(), word)], ..gossip(Vec::new()) };
+    receiver.receive(0, address, &wire::write(FLEET, &join));
+    let short_digest = wire::write(FLEET, &gossip(vec![(wire::FIRST_OTHER + 1, vec![0; 8])]));
+    for bytes in [b"GET / HTTP/1.1".to_vec(), other_fleet, other_format, damaged, unnamed, short_digest] {
+        receiver.receive(0, address, &bytes);
+    }
+    let reasons: Vec<&str> = receiver.traffic().wrong.keys().map(String::as_str).collect();
+    assert_eq!(reasons, ["Checksum", "Fleet", "Format", "NotOurs", "Part", "a digest can't be read"]);
+}
--- a/membership/tests/frozen_forms.rs
+++ b/membership/tests/frozen_forms.rs
@@ -3,7 +3,7 @@
 
 use std::path::{Path, PathBuf};
 
-use ochreshed_membership::wire::{FIRST_OTHER, From, Message, PARTS, What, read, write};
+use ochreshed_membership::wire::{FIRST_OTHER, From, Message, PARTS, What, Wrong, read, write};
 use ochreshed_membership::word::{Named, State, Word};
 
 fn file(name: &str) -> PathBuf {
@@ -108,3 +108,16 @@
         assert_eq!(write(FLEET, &read), bytes, "{name}");
     }
 }
+
+/// Operators read these words on the fleet's page and in the log.
+#[test]
+fn states_and_reasons_for_rejection_keep_their_words() {
+    let states = [State::Alive, State::Suspect, State::Dead, State::Left];
+    assert_eq!(states.map(|state| format!("{state:?}")), ["Alive", "Suspect", "Dead", "Left"]);
+    let errors = [Wrong::NotOurs, Wrong::Checksum, Wrong::Fleet, Wrong::Format, Wrong::Part];
+    // A new one does not compile until it is above.
+    errors.iter().for_each(|error| match error {
+        Wrong::NotOurs | Wrong::Checksum | Wrong::Fleet | Wrong::Format | Wrong::Part => {}
+    });
+    assert_eq!(errors.map(|error| format!("{error:?}")), ["NotOurs", "Checksum", "Fleet", "Format", "Part"]);
+}
