--- a/balancer/src/fleet.rs
+++ b/balancer/src/fleet.rs
@@ -15,8 +15,8 @@
 use ochreshed::{How, Nanos};
 use ochreshed_gossip::known::{Known, to_word};
 use ochreshed_gossip::peer::{Output, Peer, Settings};
-use ochreshed_membership::swim::{Config, To};
-use ochreshed_membership::wire::MOST;
+use ochreshed_membership::swim::{Destination, SwimConfig};
+use ochreshed_membership::wire::MAX_MESSAGE_BYTES;
 use ochreshed_recovery::begin::{self, First, Given, Source};
 use ochreshed_recovery::snapshot::{self, Snapshot};
 use ochreshed_recovery::start::{self, Knows, Start};
@@ -174,7 +174,7 @@
         // Another process under this name has another start: by its time and its number, over the facts' seed.
         start: seed ^ (std::process::id() as u64).rotate_left(40) ^ unix_nanos(),
         seeds: file.seeds.clone(),
-        membership: Config::default(),
+        membership: SwimConfig::default(),
     };
     let (news, mailbox) = mpsc::channel(MAILBOX);
     let spread = settings.start % KEEP_AFTER;
@@ -263,7 +263,7 @@
         mut meetings: mpsc::Receiver<meeting::Mail>,
         life: Life,
     ) {
-        let (mut bytes, mut serves, mut left) = (vec![0; MOST + 1], false, false);
+        let (mut bytes, mut serves, mut left) = (vec![0; MAX_MESSAGE_BYTES + 1], false, false);
         let mut bind_at = Instant::now();
         loop {
             let next = self.next();
@@ -480,7 +480,7 @@
                     "fleet: another live process at {address} has this name; nothing is said or heard any more"
                 );
             }
-            Output::Meet(name) => match self.reach(&To::Member(name)) {
+            Output::Meet(name) => match self.reach(&Destination::Member(name)) {
                 Some(to) => meeting::begin(to, self.desk.clone()),
                 None => self.peer.parted(now, false),
             },
@@ -488,11 +488,11 @@
         }
     }
 
-    fn reach(&self, to: &To) -> Option<SocketAddr> {
+    fn reach(&self, to: &Destination) -> Option<SocketAddr> {
         match to {
-            To::Address(address) => Some(*address),
-            To::Member(name) => {
-                let listens = self.peer.swim().members().get(name).map(|member| member.word.address);
+            Destination::Address(address) => Some(*address),
+            Destination::Member(name) => {
+                let listens = self.peer.swim().members().get(name).map(|member| member.record.address);
                 self.file.reach.get(name).copied().or(listens)
             }
         }
--- a/balancer/src/fleet/page.rs
+++ b/balancer/src/fleet/page.rs
@@ -26,7 +26,7 @@
 pub fn show(peer: &Peer, fleet: &str, counts: Counts, now: Nanos) -> String {
     let mut page = String::new();
     let (swim, words, traffic) = (peer.swim(), peer.store().words(), peer.traffic());
-    let (name, mine) = (swim.name(), swim.mine());
+    let (name, mine) = (swim.name(), swim.own_record());
     // Writing to a String does not fail.
     let mut line = |line: std::fmt::Arguments| {
         let _ = writeln!(page, "{line}");
@@ -34,7 +34,7 @@
     line(format_args!(
         "instance {name} of fleet {fleet}, incarnation {}, health {}",
         mine.incarnation,
-        swim.health()
+        swim.health_score()
     ));
     line(format_args!(
         "sent {} messages, {} bytes; received {}, {} bytes; {} meetings",
@@ -53,7 +53,7 @@
     }
     line(format_args!("member {name} {:?} here, incarnation {}", mine.state, mine.incarnation));
     for (name, member) in swim.members() {
-        let (word, since) = (&member.word, (now.saturating_sub(member.since)) / S);
+        let (word, since) = (&member.record, (now.saturating_sub(member.changed_at)) / S);
         line(format_args!(
             "member {name} {:?} in zone {} at {}, incarnation {}, for {since} s",
             word.state, word.zone, word.address, word.incarnation
@@ -72,8 +72,8 @@
     let (swim, words, traffic) = (peer.swim(), peer.store().words(), peer.traffic());
     let worse = words.iter().filter(|(_, word)| word.state != words::State::Serves).count();
     vec![
-        ("fleet.members", swim.there().count() as u64 + 1, "g"),
-        ("fleet.health", u64::from(swim.health()), "g"),
+        ("fleet.members", swim.live_members().count() as u64 + 1, "g"),
+        ("fleet.health", u64::from(swim.health_score()), "g"),
         ("fleet.words", words.len() as u64, "g"),
         ("fleet.worse", worse as u64, "g"),
         ("fleet.overruled", counts.overruled, "g"),
--- a/emulator/src/fleet.rs
+++ b/emulator/src/fleet.rs
@@ -8,7 +8,7 @@
 use ochreshed::{Listed, Name};
 use ochreshed_gossip::known::{Known, to_word};
 use ochreshed_gossip::peer::{Output, Peer, Settings};
-use ochreshed_membership::swim::{Config, To};
+use ochreshed_membership::swim::{Destination, SwimConfig};
 use ochreshed_replica::rows::Counts;
 use serde::Deserialize;
 
@@ -103,7 +103,7 @@
             zone: format!("site-{}", number % self.zones.max(1)),
             start: (self.chance.part() * 2f64.powi(60)) as u64,
             seeds: (0..3).map(address).collect(),
-            membership: Config::default(),
+            membership: SwimConfig::default(),
         };
         Peer::new(settings, now)
     }
@@ -215,7 +215,7 @@
                     effects.push(Effect::Counted { instance: number, srv, set, counts });
                 }
                 Output::Meet(name) => {
-                    if let Some(other) = self.reach(number, &To::Member(name)) {
+                    if let Some(other) = self.reach(number, &Destination::Member(name)) {
                         effects.push(Effect::Later(now + MEETING, Due::Meeting(number, other)));
                     }
                 }
@@ -236,15 +236,15 @@
         effects
     }
 
-    fn reach(&self, number: usize, to: &To) -> Option<usize> {
+    fn reach(&self, number: usize, to: &Destination) -> Option<usize> {
         let address = match to {
-            To::Address(address) => *address,
-            To::Member(name) => self.peers[number].swim().members().get(name)?.word.address,
+            Destination::Address(address) => *address,
+            Destination::Member(name) => self.peers[number].swim().members().get(name)?.record.address,
         };
         number_of(address).filter(|other| *other < self.peers.len())
     }
 
-    fn send(&mut self, from: usize, to: &To, bytes: Vec<u8>, effects: &mut Vec<Effect>) {
+    fn send(&mut self, from: usize, to: &Destination, bytes: Vec<u8>, effects: &mut Vec<Effect>) {
         let Some(to) = self.reach(from, to) else { return };
         self.bytes[from] += bytes.len() as u64;
         self.messages += 1;
--- a/gossip/src/peer.rs
+++ b/gossip/src/peer.rs
@@ -5,8 +5,10 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 
-use ochreshed_membership::swim::{self, Config, Swim, To};
-use ochreshed_membership::wire::{self, FIRST_OTHER, From, MOST, Message, What};
+use ochreshed_membership::swim::{self, Destination, Swim, SwimConfig};
+use ochreshed_membership::wire::{
+    self, FIRST_EXTENSION_KIND, MAX_MESSAGE_BYTES, Message, MessageBody, Sender,
+};
 use ochreshed_membership::{MS, Nanos, S};
 use ochreshed_replica::rows::{Counts, MOST_SETS, Row};
 use ochreshed_replica::stamp::Stamp;
@@ -16,15 +18,15 @@
 use crate::meet::{self, Hello};
 
 /// Kinds of parts behind a message: items of the replica, and its digest.
-const ITEMS: u16 = FIRST_OTHER;
-const DIGEST: u16 = FIRST_OTHER + 1;
+const ITEMS: u16 = FIRST_EXTENSION_KIND;
+const DIGEST: u16 = FIRST_EXTENSION_KIND + 1;
 /// A digest that wants one back also where it is the same; and one that answers another.
-const GREETING: u16 = FIRST_OTHER + 2;
-const ANSWER: u16 = FIRST_OTHER + 3;
+const GREETING: u16 = FIRST_EXTENSION_KIND + 2;
+const ANSWER: u16 = FIRST_EXTENSION_KIND + 3;
 /// A part's own head.
 const PART: usize = 4;
 /// Room for items in a message of their own.
-const ROOM: usize = MOST - 200;
+const ROOM: usize = MAX_MESSAGE_BYTES - 200;
 /// News goes out so often while there is any, to so many; a digest so often, to one.
 const SPREAD_EVERY: Nanos = 100 * MS;
 const FANOUT: usize = 3;
@@ -67,13 +69,13 @@
     /// Drawn anew at each start of a process.
     pub start: u64,
     pub seeds: Vec<SocketAddr>,
-    pub membership: Config,
+    pub membership: SwimConfig,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Output {
     Send {
-        to: To,
+        to: Destination,
         bytes: Vec<u8>,
     },
     /// Of these srvs something else stands now.
@@ -251,12 +253,12 @@
         let spread = if self.store.has_news() { self.spread_at } else { Nanos::MAX };
         let count = if self.failed { self.count_at } else { Nanos::MAX };
         let greet = if self.greet.is_empty() { Nanos::MAX } else { self.greet_at };
-        self.swim.next().min(spread).min(count).min(greet).min(self.digest_at)
+        self.swim.next_tick_at().min(spread).min(count).min(greet).min(self.digest_at)
     }
 
     /// Does what is due.
     pub fn tick(&mut self, now: Nanos) {
-        if self.swim.next() <= now {
+        if self.swim.next_tick_at() <= now {
             self.swim.tick(now);
         }
         if self.failed && self.count_at <= now {
@@ -265,7 +267,7 @@
         if self.store.has_news() && self.spread_at <= now {
             self.spread_at = now + SPREAD_EVERY;
             for _ in 0..FANOUT {
-                let Some(name) = self.swim.any() else { break };
+                let Some(name) = self.swim.random_live_member() else { break };
                 let items = self.delta(ROOM);
                 if !items.is_empty() {
                     self.say(&name, vec![(ITEMS, items)]);
@@ -274,7 +276,7 @@
         }
         if self.digest_at <= now {
             self.digest_at = now + DIGEST_EVERY;
-            if let Some(name) = self.swim.any() {
+            if let Some(name) = self.swim.random_live_member() {
                 self.say_digest(&name, DIGEST);
             }
             // What is too old is dropped, whether or not anything is counted here.
@@ -292,7 +294,7 @@
     fn forget(&mut self, now: Nanos) {
         self.gathered.retain(|_, gathered| gathered.turn(now));
         let swim = &self.swim;
-        let there = |name: &str| swim.members().get(name).is_some_and(|member| member.word.state.there());
+        let there = |name: &str| swim.members().get(name).is_some_and(|member| member.record.state.is_live());
         self.store.forget(now, OLD, there);
         self.heard.retain(|writer, _| there(writer));
     }
@@ -339,8 +341,8 @@
             self.traffic.rows += 1;
             let row = Row { start: 0, number: 0, zone: self.zone.clone(), sets, srvs };
             let item = self.store.count(now, row);
-            let there = self.swim.members().iter().filter(|(_, member)| member.word.state.there());
-            let near = there.filter(|(_, member)| member.word.zone == self.zone);
+            let there = self.swim.members().iter().filter(|(_, member)| member.record.state.is_live());
+            let near = there.filter(|(_, member)| member.record.zone == self.zone);
             let mut near: Vec<String> = near.map(|(name, _)| name.clone()).collect();
             // Of a large zone so many, others each time.
             let from = (self.traffic.rows as usize).wrapping_mul(MOST_TOLD) % near.len().max(1);
@@ -355,11 +357,11 @@
     pub fn receive(&mut self, now: Nanos, from: SocketAddr, bytes: &[u8]) {
         self.traffic.received += 1;
         self.traffic.received_bytes += bytes.len() as u64;
-        match wire::read(self.fleet, bytes) {
+        match wire::decode(self.fleet, bytes) {
             // Who is no member, or was dead for us, is heard for membership only.
             Ok(message) if self.swim.receive(now, from, &message) => self.hear(now, from, &message),
             Ok(_) => {}
-            Err(wrong) => self.wrong(from, format!("{wrong:?}")),
+            Err(wrong) => self.wrong(from, wrong.reason().into()),
         }
         self.drain();
     }
@@ -370,7 +372,7 @@
     }
 
     fn hear(&mut self, now: Nanos, from: SocketAddr, message: &Message) {
-        for (kind, body) in &message.more {
+        for (kind, body) in &message.extensions {
             match *kind {
                 ITEMS => {
                     if let Err(why) = self.hear_items(now, body) {
@@ -379,11 +381,11 @@
                 }
                 DIGEST | GREETING | ANSWER => match digest(body) {
                     Some(theirs) => {
-                        let same = self.hear_digest(now, &message.from.name, &theirs);
+                        let same = self.hear_digest(now, &message.sender.name, &theirs);
                         // What they hold and we don't they tell by our digest. Guards against one that all news has
                         // passed by, and that is asked more often than it asks.
                         if *kind == GREETING || *kind == DIGEST && !same {
-                            self.say_digest(&message.from.name, ANSWER);
+                            self.say_digest(&message.sender.name, ANSWER);
                         }
                     }
                     None => self.wrong(from, "a digest can't be read".into()),
@@ -398,8 +400,8 @@
         let items = read(body)?;
         let swim = &self.swim;
         let lives = |writer: &str| {
-            let member = swim.members().get(writer).filter(|member| member.word.state.there());
-            member.map(|member| member.word.start)
+            let member = swim.members().get(writer).filter(|member| member.record.state.is_live());
+            member.map(|member| member.record.start_id)
         };
         let changed = self.store.hear(now, items, lives);
         if !changed.is_empty() {
@@ -464,13 +466,13 @@
     }
 
     fn say(&mut self, name: &str, more: Vec<(u16, Vec<u8>)>) {
-        let from = From { name: self.swim.name().to_owned(), start: self.swim.mine().start };
-        let message = Message { from, what: What::Gossip, words: Vec::new(), more };
-        self.put(To::Member(name.to_owned()), &message);
+        let sender = Sender { name: self.swim.name().to_owned(), start_id: self.swim.own_record().start_id };
+        let message = Message { sender, body: MessageBody::Gossip, records: Vec::new(), extensions: more };
+        self.put(Destination::Member(name.to_owned()), &message);
     }
 
-    fn put(&mut self, to: To, message: &Message) {
-        let bytes = wire::write(self.fleet, message);
+    fn put(&mut self, to: Destination, message: &Message) {
+        let bytes = wire::encode(self.fleet, message);
         self.traffic.sent += 1;
         self.traffic.sent_bytes += bytes.len() as u64;
         self.out.push_back(Output::Send { to, bytes });
@@ -478,7 +480,7 @@
 
     /// Takes on what the membership wants said and has seen.
     fn drain(&mut self) {
-        while let Some(output) = self.swim.output() {
+        while let Some(output) = self.swim.poll_output() {
             let output = match output {
                 swim::Output::Send { to, message } => {
                     self.send(to, message);
@@ -490,7 +492,7 @@
                     }
                     Output::Joined(name)
                 }
-                swim::Output::Lost { name } => {
+                swim::Output::Failed { name } => {
                     self.greet.retain(|other| *other != name);
                     Output::Lost(name)
                 }
@@ -498,7 +500,7 @@
                     self.greet.retain(|other| *other != name);
                     Output::Left(name)
                 }
-                swim::Output::Returned => Output::Returned,
+                swim::Output::DeclaredDead => Output::Returned,
                 swim::Output::Displaced { address } => Output::Displaced(address),
             };
             self.out.push_back(output);
@@ -506,12 +508,12 @@
     }
 
     /// What the membership sends takes news of the replica along.
-    fn send(&mut self, to: To, mut message: Message) {
-        if matches!(to, To::Member(_)) && self.store.has_news() {
-            let room = MOST.saturating_sub(wire::write(self.fleet, &message).len() + PART);
+    fn send(&mut self, to: Destination, mut message: Message) {
+        if matches!(to, Destination::Member(_)) && self.store.has_news() {
+            let room = MAX_MESSAGE_BYTES.saturating_sub(wire::encode(self.fleet, &message).len() + PART);
             let items = self.delta(room);
             if !items.is_empty() {
-                message.more.push((ITEMS, items));
+                message.extensions.push((ITEMS, items));
             }
         }
         self.put(to, &message);
@@ -519,14 +521,14 @@
 
     /// How a meeting begins, at either side.
     pub fn hello(&self) -> Hello {
-        Hello::new(self.fleet, self.swim.name(), self.swim.mine().start, self.store.fine())
+        Hello::new(self.fleet, self.swim.name(), self.swim.own_record().start_id, self.store.fine())
     }
 
     /// The other one's greeting, from the body of its first frame: only a member that is there is met.
     pub fn greeted(&self, body: &[u8]) -> Result<Hello, String> {
         let hello = Hello::read(self.fleet, body).map_err(|wrong| format!("{wrong:?}"))?;
-        let member = self.swim.members().get(&hello.name).filter(|member| member.word.state.there());
-        match member.filter(|member| member.word.start == hello.start) {
+        let member = self.swim.members().get(&hello.name).filter(|member| member.record.state.is_live());
+        match member.filter(|member| member.record.start_id == hello.start) {
             Some(_) => Ok(hello),
             None => Err("no member of this name and start".into()),
         }
--- a/gossip/tests/fleet.rs
+++ b/gossip/tests/fleet.rs
@@ -101,7 +101,7 @@
         world.flush(5);
         world.start(6);
         let up = |world: &World, number| world.state(number, "s2") == Some(State::Drains);
-        let met = world.until(5 * S, 10 * MS, |world| world.peers[&6].swim().there().count() > 0);
+        let met = world.until(5 * S, 10 * MS, |world| world.peers[&6].swim().live_members().count() > 0);
         let caught_up = world.until(5 * S, 10 * MS, |world| up(world, 6));
         assert!(caught_up <= S / 2, "{} ms after {} ms, seed {seed}", caught_up / MS, met / MS);
         world.until(2 * S, 10 * MS, |world| up(world, 5) && world.agree());
@@ -190,7 +190,7 @@
         zone: "z0".into(),
         start: 1,
         seeds: vec![world::address(0)],
-        membership: ochreshed_membership::swim::Config::default(),
+        membership: ochreshed_membership::swim::SwimConfig::default(),
     };
     world.bytes.resize(10, 0);
     world.peers.insert(9, ochreshed_gossip::peer::Peer::new(settings, world.now));
@@ -198,10 +198,11 @@
     world.run(20 * S);
     // One of the two says nothing more, and the others go on as they were.
     let speaks = |world: &World, number: usize| {
-        world.peers[&number].next() < world.now + 60 * S && world.peers[&number].swim().next() < u64::MAX
+        world.peers[&number].next() < world.now + 60 * S
+            && world.peers[&number].swim().next_tick_at() < u64::MAX
     };
     assert!(speaks(&world, 2) != speaks(&world, 9), "{} {}", speaks(&world, 2), speaks(&world, 9));
-    assert!([0, 1, 3, 4, 5].iter().all(|number| world.peers[number].swim().there().count() == 5));
+    assert!([0, 1, 3, 4, 5].iter().all(|number| world.peers[number].swim().live_members().count() == 5));
 }
 
 #[test]
--- a/gossip/tests/frozen_forms.rs
+++ b/gossip/tests/frozen_forms.rs
@@ -9,7 +9,7 @@
 use ochreshed_gossip::meet::{HEAD, Hello, check, frame, length};
 use ochreshed_gossip::peer::{Output, Peer, Settings};
 use ochreshed_gossip::{MS, S};
-use ochreshed_membership::swim::{Config, To};
+use ochreshed_membership::swim::{Destination, SwimConfig};
 use ochreshed_membership::wire;
 use ochreshed_replica::rows::Counts;
 use ochreshed_replica::store::{self, FINE};
@@ -90,18 +90,26 @@
         zone: "a".into(),
         start: 7 + nth as u64,
         seeds: vec![address(0)],
-        membership: Config::default(),
+        membership: SwimConfig::default(),
     };
     Peer::new(settings, 0)
 }
 
 /// What a datagram is, and of which parts.
 fn kind(bytes: &[u8]) -> String {
-    let message = wire::read(FLEET, bytes).expect("a message");
-    let what = format!("{:?}", message.what);
-    let what = what.split([' ', '{']).next().expect("a word").to_owned();
-    let words = if message.words.is_empty() { "" } else { " words" };
-    message.more.iter().fold(format!("{what}{words}"), |told, (kind, _)| format!("{told} {kind}"))
+    let message = wire::decode(FLEET, bytes).expect("a message");
+    let body = match message.body {
+        wire::MessageBody::Ping { .. } => "Ping",
+        wire::MessageBody::Ack { .. } => "Ack",
+        wire::MessageBody::Nack { .. } => "Nack",
+        wire::MessageBody::PingRequest { .. } => "PingFor",
+        wire::MessageBody::Join { .. } => "Join",
+        wire::MessageBody::JoinReply => "Welcome",
+        wire::MessageBody::DigestMismatch { .. } => "Differ",
+        wire::MessageBody::Gossip => "Gossip",
+    };
+    let words = if message.records.is_empty() { "" } else { " words" };
+    message.extensions.iter().fold(format!("{body}{words}"), |told, (kind, _)| format!("{told} {kind}"))
 }
 
 /// The first datagram of each kind in a talk of three instances, which is the same in every run: chance comes from their
@@ -135,8 +143,8 @@
         for (from, to, bytes) in sent {
             first.entry(kind(&bytes)).or_insert_with(|| bytes.clone());
             let to = match to {
-                To::Member(name) => name[1..].parse().expect("a number"),
-                To::Address(at) => (0..3).find(|nth| address(*nth) == at).expect("one of them"),
+                Destination::Member(name) => name[1..].parse().expect("a number"),
+                Destination::Address(at) => (0..3).find(|nth| address(*nth) == at).expect("one of them"),
             };
             // The third one is not reached for a while.
             if !((300..500).contains(&step) && (to == 2 || from == 2)) && to != from {
@@ -153,11 +161,11 @@
     let kept = frozen("datagrams.txt", &samples);
     let (mut listener, mut kinds) = (peer(9), Vec::new());
     for bytes in &kept {
-        let message = wire::read(FLEET, bytes).expect("a message");
-        assert_eq!(&wire::write(FLEET, &message), bytes);
-        for (kind, body) in &message.more {
+        let message = wire::decode(FLEET, bytes).expect("a message");
+        assert_eq!(&wire::encode(FLEET, &message), bytes);
+        for (kind, body) in &message.extensions {
             kinds.push(*kind);
-            if *kind == wire::FIRST_OTHER {
+            if *kind == wire::FIRST_EXTENSION_KIND {
                 assert!(!store::read(body).expect("items").is_empty());
             }
         }
@@ -175,31 +183,35 @@
 /// Operators read these reasons on the fleet's page and in the log.
 #[test]
 fn reasons_for_rejected_datagrams_keep_their_words() {
-    let from = wire::From { name: "n1".into(), start: 8 };
-    let gossip =
-        |more| wire::Message { from: from.clone(), what: wire::What::Gossip, words: Vec::new(), more };
-    let valid = wire::write(FLEET, &gossip(Vec::new()));
-    let other_fleet = wire::write(FLEET + 1, &gossip(Vec::new()));
+    let sender = wire::Sender { name: "n1".into(), start_id: 8 };
+    let gossip = |more| wire::Message {
+        sender: sender.clone(),
+        body: wire::MessageBody::Gossip,
+        records: Vec::new(),
+        extensions: more,
+    };
+    let valid = wire::encode(FLEET, &gossip(Vec::new()));
+    let other_fleet = wire::encode(FLEET + 1, &gossip(Vec::new()));
     let mut other_format = valid.clone();
     other_format[2] += 1;
     let mut damaged = valid.clone();
     damaged[11] ^= 1;
-    let long_name = wire::From { name: "n".repeat(65), start: 8 };
-    let unnamed = wire::write(FLEET, &wire::Message { from: long_name, ..gossip(Vec::new()) });
+    let long_name = wire::Sender { name: "n".repeat(65), start_id: 8 };
+    let unnamed = wire::encode(FLEET, &wire::Message { sender: long_name, ..gossip(Vec::new()) });
     // Extensions are read only from members.
     let mut receiver = peer(0);
     let address = address(1);
-    let word = ochreshed_membership::word::Word {
+    let record = ochreshed_membership::record::MemberRecord {
         incarnation: 1,
-        state: ochreshed_membership::word::State::Alive,
-        start: 8,
+        state: ochreshed_membership::record::MemberState::Alive,
+        start_id: 8,
         address,
         zone: "a".into(),
     };
-    let join = wire::What::Join { padding: vec![0; 900] };
-    let join = wire::Message { what: join, words: vec![("n1".into(), word)], ..gossip(Vec::new()) };
-    receiver.receive(0, address, &wire::write(FLEET, &join));
-    let short_digest = wire::write(FLEET, &gossip(vec![(wire::FIRST_OTHER + 1, vec![0; 8])]));
+    let join = wire::MessageBody::Join { padding: vec![0; 900] };
+    let join = wire::Message { body: join, records: vec![("n1".into(), record)], ..gossip(Vec::new()) };
+    receiver.receive(0, address, &wire::encode(FLEET, &join));
+    let short_digest = wire::encode(FLEET, &gossip(vec![(wire::FIRST_EXTENSION_KIND + 1, vec![0; 8])]));
     for bytes in [b"GET / HTTP/1.1".to_vec(), other_fleet, other_format, damaged, unnamed, short_digest] {
         receiver.receive(0, address, &bytes);
     }
--- a/gossip/tests/world/mod.rs
+++ b/gossip/tests/world/mod.rs
@@ -10,7 +10,7 @@
 
 use ochreshed_gossip::peer::{Output, Peer, Settings};
 use ochreshed_gossip::{MS, Nanos, S};
-use ochreshed_membership::swim::{Config, To};
+use ochreshed_membership::swim::{Destination, SwimConfig};
 use ochreshed_replica::rows::Counts;
 use ochreshed_replica::words::State;
 use rand::{Rng, SeedableRng};
@@ -90,7 +90,7 @@
             zone: format!("z{}", number % self.zones),
             start: self.chance.random(),
             seeds: self.seeds.clone(),
-            membership: Config::default(),
+            membership: SwimConfig::default(),
         };
         self.peers.insert(number, Peer::new(settings, self.now));
         self.counted.remove(&number);
@@ -129,7 +129,7 @@
                     self.counted.entry(number).or_default().entry(srv).or_default().add(counts);
                 }
                 Output::Meet(other) => {
-                    let to = self.reach(number, &To::Member(other));
+                    let to = self.reach(number, &Destination::Member(other));
                     self.put(5 * MS, Due::Meeting(number, number_of(to)));
                 }
                 Output::Wrong { why, .. } => panic!("could not be read: {why}"),
@@ -147,10 +147,10 @@
         }
     }
 
-    fn reach(&self, number: usize, to: &To) -> SocketAddr {
+    fn reach(&self, number: usize, to: &Destination) -> SocketAddr {
         match to {
-            To::Address(address) => *address,
-            To::Member(name) => self.peers[&number].swim().members()[name].word.address,
+            Destination::Address(address) => *address,
+            Destination::Member(name) => self.peers[&number].swim().members()[name].record.address,
         }
     }
 
@@ -159,7 +159,7 @@
         self.due.insert((self.now + later, self.number), due);
     }
 
-    fn send(&mut self, number: usize, to: &To, bytes: Vec<u8>) {
+    fn send(&mut self, number: usize, to: &Destination, bytes: Vec<u8>) {
         let to = number_of(self.reach(number, to));
         self.bytes[number] += bytes.len() as u64;
         let lossy = self.loss > 0.0;
@@ -263,6 +263,6 @@
     /// All that are awake know each other.
     pub fn found(&self) -> bool {
         let size = self.peers.keys().filter(|number| !self.asleep.contains(number)).count();
-        self.share(|_, peer| peer.swim().there().count() + 1 >= size) >= 1.0
+        self.share(|_, peer| peer.swim().live_members().count() + 1 >= size) >= 1.0
     }
 }
--- a/membership/benches/curve.rs
+++ b/membership/benches/curve.rs
@@ -47,7 +47,7 @@
     world.members.remove(&(size - 1));
     let gone = format!("n{}", size - 1);
     let heard = |world: &World| {
-        let of = world.members.values().filter(|swim| !swim.there().any(|name| *name == gone)).count();
+        let of = world.members.values().filter(|swim| !swim.live_members().any(|name| *name == gone)).count();
         of as f64 / (size - 1) as f64
     };
     let most = seconds(world.until(120 * S, |world| heard(world) >= 0.99));
--- a/membership/src/swim.rs
+++ b/membership/src/swim.rs
@@ -1,6 +1,7 @@
-//! The protocol as a machine. It owns what this member believes of the others and its own incarnation, and must never send
-//! more to an address that is not a member than came from there, nor let what a member says that was dead for the others
-//! pass for news: such a one is told of it first, and comes back by a new incarnation.
+//! The SWIM protocol as a state machine: what this member knows of the others, and its own incarnation.
+//!
+//! An address that is not a member's is never sent more bytes than came from there. A member that the others hold for dead
+//! is first told so and comes back by a new incarnation; until then only its records of itself and of this member count.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
@@ -9,196 +10,207 @@
 use rand_chacha::ChaCha8Rng;
 use xxhash_rust::xxh32::xxh32;
 
-use crate::wire::{Digest, From, MOST, Message, PARTS, What};
-use crate::word::{Named, State, Word};
+use crate::record::{MemberRecord, MemberState, NamedRecord};
+use crate::wire::{DIGEST_BUCKETS, Digest, MAX_MESSAGE_BYTES, Message, MessageBody, Sender};
 use crate::{MS, Nanos, S};
 
-/// What a fleet agrees on. All spans are stretched by the local health, as in Lifeguard.
+/// Settings that all members of a fleet share. The local health score stretches the probe interval and time-out, as in
+/// Lifeguard.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Config {
-    /// A member probes another one so often.
-    pub period: Nanos,
-    /// An answer takes no longer than this where all is well; then others are asked to probe.
-    pub timeout: Nanos,
-    /// So many others.
-    pub indirect: usize,
-    /// A suspicion lasts this many periods times the logarithm of the fleet's size at the least, and so many times that
-    /// at the most: the more members confirm it, the shorter.
-    pub suspicion: f64,
-    pub suspicion_most: f64,
-    pub confirmations: u32,
-    /// A saying is sent on this many times the logarithm of the fleet's size.
-    pub spread: f64,
-    /// While there is news, it goes to so many members so often.
-    pub gossip: Nanos,
-    pub fanout: usize,
-    /// A dead member is still called so often, one at a time: a cut ends some day.
-    pub call_dead: Nanos,
-    /// And is forgotten after this.
-    pub forget: Nanos,
-    pub most_members: usize,
+pub struct SwimConfig {
+    /// The interval between a member's probes.
+    pub probe_interval: Nanos,
+    /// A probe without an answer after this is passed to other members.
+    pub probe_timeout: Nanos,
+    /// The number of members asked to probe indirectly.
+    pub indirect_probes: usize,
+    /// The shortest suspicion lasts this many probe intervals times the logarithm of the fleet's size.
+    pub min_suspicion_factor: f64,
+    /// The longest suspicion lasts this many times the shortest.
+    pub max_suspicion_factor: f64,
+    /// Confirmations by other members that shorten a suspicion to the shortest.
+    pub expected_confirmations: u32,
+    /// A record is sent this many times the logarithm of the fleet's size.
+    pub retransmit_factor: f64,
+    /// While there are records to pass on, they are sent to `gossip_fanout` members at this interval.
+    pub gossip_interval: Nanos,
+    pub gossip_fanout: usize,
+    /// One dead member is pinged at this interval, so that the halves of a network partition find each other once it ends.
+    pub dead_probe_interval: Nanos,
+    /// Members that are dead or have left are forgotten after this.
+    pub dead_retention: Nanos,
+    pub max_members: usize,
 }
 
-impl Default for Config {
-    fn default() -> Config {
-        Config {
-            period: 500 * MS,
-            timeout: 150 * MS,
-            indirect: 3,
-            suspicion: 4.0,
-            suspicion_most: 3.0,
-            confirmations: 3,
-            spread: 4.0,
-            gossip: 100 * MS,
-            fanout: 3,
-            call_dead: S,
-            forget: 600 * S,
-            most_members: 1_000,
+impl Default for SwimConfig {
+    fn default() -> SwimConfig {
+        SwimConfig {
+            probe_interval: 500 * MS,
+            probe_timeout: 150 * MS,
+            indirect_probes: 3,
+            min_suspicion_factor: 4.0,
+            max_suspicion_factor: 3.0,
+            expected_confirmations: 3,
+            retransmit_factor: 4.0,
+            gossip_interval: 100 * MS,
+            gossip_fanout: 3,
+            dead_probe_interval: S,
+            dead_retention: 600 * S,
+            max_members: 1_000,
         }
     }
 }
 
-/// The most that local health stretches spans by.
-const HEALTH_MOST: u32 = 8;
-/// Sayings on members in one message; the rest of it is other packages'.
-const WORDS: usize = 10;
-/// Another live process that takes our name so often is no earlier start of ours.
-const RIVAL: u32 = 3;
-/// Alone, the seeds are asked so often.
-const ASK_SEEDS: Nanos = S;
-/// Words sent at once to one whose digest differs; the rest goes with the next time that it does.
-const MOST_DIFFERING: usize = 80;
-/// Probes done for others at once.
-const MOST_RELAYED: usize = 64;
-
-/// Where a message goes: a member is reached as its word says, unless the caller knows better.
+const MAX_HEALTH_SCORE: u32 = 8;
+/// Leaves room in a message for extensions.
+const MAX_RECORDS_PER_MESSAGE: usize = 10;
+/// A process that claims this member's name so often is alive, and no earlier start of this member.
+const CLAIMS_OF_LIVE_PROCESS: u32 = 3;
+/// A member that knows no live one asks the seeds at this interval.
+const JOIN_INTERVAL: Nanos = S;
+/// Records sent at once to a member whose digest differs; the rest follows the next time that it does.
+const MAX_DIFFERING_RECORDS: usize = 80;
+/// Indirect probes in flight for other members.
+const MAX_RELAYED_PROBES: usize = 64;
+/// A record takes at most about 100 bytes where names are short. A join reply carries one record for this much padding in
+/// the request, and so is never longer than it.
+const PADDING_BYTES_PER_RECORD: usize = 150;
+
+/// The destination of a message.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum To {
+pub enum Destination {
+    /// At the address in the member's record, unless the caller has another one for it.
     Member(String),
     Address(SocketAddr),
 }
 
+/// What the caller has to do or to know.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Output {
     Send {
-        to: To,
+        to: Destination,
         message: Message,
     },
-    /// It is there, for the first time or again; under a new start where it is another process.
+    /// A member is live for the first time, again, or as another process.
     Joined {
         name: String,
-        start: u64,
+        start_id: u64,
     },
-    Lost {
+    /// A member has been declared dead.
+    Failed {
         name: String,
     },
+    /// A member has announced its departure.
     Left {
         name: String,
     },
-    /// The others had taken us for dead: what we know may be old.
-    Returned,
-    /// Another live process has our name and keeps it: we say nothing any more.
+    /// The others held this member for dead, so what it knows may be out of date.
+    DeclaredDead,
+    /// Another live process keeps this member's name. This one sends and hears nothing more.
     Displaced {
         address: SocketAddr,
     },
 }
 
+/// Another member, as this one knows it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Member {
-    pub word: Word,
-    /// Since when it stands so.
-    pub since: Nanos,
-    /// Who has said that it is suspect, while it is.
-    doubters: BTreeSet<String>,
+    pub record: MemberRecord,
+    /// When the record last changed.
+    pub changed_at: Nanos,
+    /// The members that suspect it, while it is a suspect.
+    suspected_by: BTreeSet<String>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Probe {
-    name: String,
-    number: u64,
-    answered: bool,
-    /// When others are asked, if they have not been yet; and when it is over.
-    ask_at: Option<Nanos>,
-    ends: Nanos,
-    /// Those asked who have not been heard of.
-    unheard: BTreeSet<String>,
+    target: String,
+    sequence: u64,
+    acked: bool,
+    /// When relays are asked; empty once they have been.
+    indirect_at: Option<Nanos>,
+    deadline: Nanos,
+    /// Relays that have sent neither an answer nor a nack.
+    silent_relays: BTreeSet<String>,
 }
 
-/// A probe done for another member.
+/// An indirect probe in flight for another member.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Relayed {
-    own: u64,
-    theirs: u64,
-    asker: String,
-    /// When it is told that there is no answer yet, if it has not been.
+struct RelayedProbe {
+    sequence: u64,
+    requester_sequence: u64,
+    requester: String,
+    /// When the requester is told that there is no answer yet; empty once it has been.
     nack_at: Option<Nanos>,
-    ends: Nanos,
+    deadline: Nanos,
 }
 
+/// One member's side of the protocol.
 #[derive(Clone, Debug)]
 pub struct Swim {
-    config: Config,
+    config: SwimConfig,
     name: String,
-    mine: Word,
+    own_record: MemberRecord,
     seeds: Vec<SocketAddr>,
     members: BTreeMap<String, Member>,
-    /// The order of probes, shuffled anew each time round.
-    order: Vec<String>,
+    /// Members still to be probed in this round, shuffled for each round.
+    probe_order: Vec<String>,
     probe: Option<Probe>,
-    relayed: Vec<Relayed>,
-    /// Lifeguard's local health: 0 is well.
-    health: u32,
-    /// Sayings to pass on, with how often they have been.
-    news: BTreeMap<String, u32>,
-    number: u64,
-    probe_at: Nanos,
-    gossip_at: Nanos,
-    dead_at: Nanos,
-    join_at: Nanos,
-    /// How often each other start has claimed our name.
-    rivals: BTreeMap<u64, u32>,
+    relayed_probes: Vec<RelayedProbe>,
+    /// Lifeguard's local health score: 0 is healthy.
+    health_score: u32,
+    /// Members whose records are to be passed on, with how often they have been.
+    pending_updates: BTreeMap<String, u32>,
+    last_sequence: u64,
+    next_probe_at: Nanos,
+    next_gossip_at: Nanos,
+    next_dead_probe_at: Nanos,
+    next_join_at: Nanos,
+    /// How often each other process has claimed this member's name, by its start.
+    name_claims: BTreeMap<u64, u32>,
     leaving: bool,
     displaced: bool,
-    chance: ChaCha8Rng,
-    out: VecDeque<Output>,
+    rng: ChaCha8Rng,
+    outputs: VecDeque<Output>,
 }
 
 impl Swim {
-    /// A member that starts now. The start is drawn by the caller, new for each process.
+    /// A member that starts now. The caller draws a new start for each process; it also seeds the random numbers.
     pub fn new(
-        config: Config,
+        config: SwimConfig,
         name: &str,
         address: SocketAddr,
         zone: &str,
-        start: u64,
+        start_id: u64,
         seeds: Vec<SocketAddr>,
         now: Nanos,
     ) -> Swim {
-        let mine = Word { incarnation: 1, state: State::Alive, start, address, zone: zone.into() };
-        let mut chance = ChaCha8Rng::seed_from_u64(start);
-        // Members that start together don't probe together.
-        let probe_at = now + chance.random_range(0..config.period.max(1));
+        let state = MemberState::Alive;
+        let own_record = MemberRecord { incarnation: 1, state, start_id, address, zone: zone.into() };
+        let mut rng = ChaCha8Rng::seed_from_u64(start_id);
+        // Spreads the probes of members that start together.
+        let next_probe_at = now + rng.random_range(0..config.probe_interval.max(1));
         Swim {
             config,
             name: name.into(),
-            mine,
+            own_record,
             seeds,
             members: BTreeMap::new(),
-            order: Vec::new(),
+            probe_order: Vec::new(),
             probe: None,
-            relayed: Vec::new(),
-            health: 0,
-            news: BTreeMap::new(),
-            number: 0,
-            probe_at,
-            gossip_at: now,
-            dead_at: now,
-            join_at: now,
-            rivals: BTreeMap::new(),
+            relayed_probes: Vec::new(),
+            health_score: 0,
+            pending_updates: BTreeMap::new(),
+            last_sequence: 0,
+            next_probe_at,
+            next_gossip_at: now,
+            next_dead_probe_at: now,
+            next_join_at: now,
+            name_claims: BTreeMap::new(),
             leaving: false,
             displaced: false,
-            chance,
-            out: VecDeque::new(),
+            rng,
+            outputs: VecDeque::new(),
         }
     }
 
@@ -206,534 +218,570 @@
         &self.name
     }
 
-    pub fn mine(&self) -> &Word {
-        &self.mine
+    pub fn own_record(&self) -> &MemberRecord {
+        &self.own_record
     }
 
-    /// All others that are known of, also those that are gone.
+    /// All other members known, also those that are dead or have left.
     pub fn members(&self) -> &BTreeMap<String, Member> {
         &self.members
     }
 
-    /// Those that are there, without us.
-    pub fn there(&self) -> impl Iterator<Item = &String> {
-        self.members.iter().filter(|(_, member)| member.word.state.there()).map(|(name, _)| name)
+    /// The names of the other members that are live.
+    pub fn live_members(&self) -> impl Iterator<Item = &String> {
+        self.members.iter().filter(|(_, member)| member.record.state.is_live()).map(|(name, _)| name)
     }
 
-    pub fn health(&self) -> u32 {
-        self.health
+    /// Lifeguard's local health score: 0 is healthy.
+    pub fn health_score(&self) -> u32 {
+        self.health_score
     }
 
-    pub fn output(&mut self) -> Option<Output> {
-        self.out.pop_front()
+    /// Takes the next output, if there is one.
+    pub fn poll_output(&mut self) -> Option<Output> {
+        self.outputs.pop_front()
     }
 
-    /// A member to talk to about anything, at random.
-    pub fn any(&mut self) -> Option<String> {
-        let count = self.there().count();
-        let at = if count > 0 { self.chance.random_range(0..count) } else { return None };
-        self.there().nth(at).cloned()
+    /// Picks a live member at random.
+    pub fn random_live_member(&mut self) -> Option<String> {
+        let count = self.live_members().count();
+        let index = if count > 0 { self.rng.random_range(0..count) } else { return None };
+        self.live_members().nth(index).cloned()
     }
 
-    /// Goes for good: the others are told, and hear nothing more.
+    /// Leaves the fleet for good and tells the others. Nothing is sent afterwards.
     pub fn leave(&mut self, now: Nanos) {
         if self.leaving || self.displaced {
             return;
         }
         self.leaving = true;
-        self.mine.state = State::Left;
-        for name in self.some(self.config.fanout.max(3), &BTreeSet::new()) {
-            self.send(To::Member(name), What::Gossip, None);
+        self.own_record.state = MemberState::Left;
+        for name in self.random_live_members(self.config.gossip_fanout.max(3), &BTreeSet::new()) {
+            self.send(Destination::Member(name), MessageBody::Gossip, None);
         }
-        self.gossip_at = now;
+        self.next_gossip_at = now;
     }
 
-    /// When `tick` is to be called at the latest.
-    pub fn next(&self) -> Nanos {
+    /// The latest time at which `tick` must be called.
+    pub fn next_tick_at(&self) -> Nanos {
         if self.displaced || self.leaving {
             return Nanos::MAX;
         }
-        let probe = self
-            .probe
-            .as_ref()
-            .map_or(self.probe_at, |probe| probe.ask_at.unwrap_or(probe.ends).min(probe.ends));
-        let relayed = self.relayed.iter().map(|relayed| relayed.nack_at.unwrap_or(relayed.ends));
-        let suspects = self.members.iter().filter(|(_, member)| member.word.state == State::Suspect);
-        let suspects = suspects.map(|(_, member)| self.dead_by(member));
-        let gossip = if self.news.is_empty() { Nanos::MAX } else { self.gossip_at };
-        let join = if self.there().next().is_none() { self.join_at } else { Nanos::MAX };
-        let dead = if self.any_dead() { self.dead_at } else { Nanos::MAX };
-        let fixed = [probe, gossip, join, dead];
+        let probe = self.probe.as_ref().map_or(self.next_probe_at, |probe| {
+            probe.indirect_at.unwrap_or(probe.deadline).min(probe.deadline)
+        });
+        let relayed = self.relayed_probes.iter().map(|probe| probe.nack_at.unwrap_or(probe.deadline));
+        let suspects = self.members.values().filter(|member| member.record.state == MemberState::Suspect);
+        let suspects = suspects.map(|member| self.suspicion_deadline(member));
+        let gossip = if self.pending_updates.is_empty() { Nanos::MAX } else { self.next_gossip_at };
+        let join = if self.live_members().next().is_none() { self.next_join_at } else { Nanos::MAX };
+        let dead_probe = if self.has_dead_members() { self.next_dead_probe_at } else { Nanos::MAX };
+        let fixed = [probe, gossip, join, dead_probe];
         relayed.chain(suspects).chain(fixed).min().unwrap_or(Nanos::MAX)
     }
 
-    fn any_dead(&self) -> bool {
-        self.members.values().any(|member| member.word.state == State::Dead)
+    fn has_dead_members(&self) -> bool {
+        self.members.values().any(|member| member.record.state == MemberState::Dead)
     }
 
-    /// Does what is due.
+    /// Does what is due at this time.
     pub fn tick(&mut self, now: Nanos) {
         if self.displaced || self.leaving {
             return;
         }
         self.tick_probe(now);
-        self.tick_relayed(now);
-        self.tick_suspects(now);
-        if self.there().next().is_none() && self.join_at <= now {
-            self.join_at = now + ASK_SEEDS;
-            let own = self.mine.address;
-            for seed in self.seeds.clone().into_iter().filter(|seed| *seed != own) {
-                let message = self.message(What::Join { padding: Vec::new() }, Some(self.own_word()));
-                self.out.push_back(Output::Send { to: To::Address(seed), message: padded(message) });
+        self.tick_relayed_probes(now);
+        self.expire_suspicions(now);
+        if self.live_members().next().is_none() && self.next_join_at <= now {
+            self.next_join_at = now + JOIN_INTERVAL;
+            let own_address = self.own_record.address;
+            for seed in self.seeds.clone().into_iter().filter(|seed| *seed != own_address) {
+                let body = MessageBody::Join { padding: Vec::new() };
+                let message = self.new_message(body, Some(self.own_named_record()));
+                let message = pad_join(message);
+                self.outputs.push_back(Output::Send { to: Destination::Address(seed), message });
             }
         }
-        if self.dead_at <= now && self.any_dead() {
-            self.dead_at = now + self.config.call_dead;
-            let dead = self.members.iter().filter(|(_, member)| member.word.state == State::Dead);
+        if self.next_dead_probe_at <= now && self.has_dead_members() {
+            self.next_dead_probe_at = now + self.config.dead_probe_interval;
+            let dead = self.members.iter().filter(|(_, member)| member.record.state == MemberState::Dead);
             let dead: Vec<String> = dead.map(|(name, _)| name.clone()).collect();
-            let name = dead[self.chance.random_range(0..dead.len())].clone();
-            let word = self.members.get(&name).map(|member| (name.clone(), member.word.clone()));
-            self.number += 1;
-            self.send(To::Member(name), What::Ping { number: self.number }, word);
-        }
-        if self.gossip_at <= now && !self.news.is_empty() {
-            self.gossip_at = now + self.config.gossip;
-            for name in self.some(self.config.fanout, &BTreeSet::new()) {
-                self.send(To::Member(name), What::Gossip, None);
+            let name = dead[self.rng.random_range(0..dead.len())].clone();
+            let record = self.named_record(&name);
+            self.last_sequence += 1;
+            self.send(Destination::Member(name), MessageBody::Ping { sequence: self.last_sequence }, record);
+        }
+        if self.next_gossip_at <= now && !self.pending_updates.is_empty() {
+            self.next_gossip_at = now + self.config.gossip_interval;
+            for name in self.random_live_members(self.config.gossip_fanout, &BTreeSet::new()) {
+                self.send(Destination::Member(name), MessageBody::Gossip, None);
             }
         }
-        let forget = self.config.forget;
-        self.members.retain(|_, member| member.word.state.there() || now < member.since + forget);
+        let retention = self.config.dead_retention;
+        self.members.retain(|_, member| member.record.state.is_live() || now < member.changed_at + retention);
     }
 
-    /// Sums over what is there, by the part that a name falls into. The dead are left out: they are forgotten at other
-    /// times here than there.
+    /// One sum over the live members in each bucket of names. Dead members are left out, because each member forgets them
+    /// at another time.
     fn digest(&self) -> Digest {
-        let mut digest = [0u32; PARTS];
-        let there = self.members.iter().filter(|(_, member)| member.word.state.there());
-        for (name, word) in there.map(|(name, member)| (name, &member.word)).chain([(&self.name, &self.mine)])
-        {
-            let Word { incarnation, state, start, .. } = word;
-            let mut sum = 0;
-            for number in [*incarnation, *state as u64, *start] {
-                sum = xxh32(&number.to_le_bytes(), sum);
+        let mut digest = [0u32; DIGEST_BUCKETS];
+        let live = self.members.iter().filter(|(_, member)| member.record.state.is_live());
+        let live = live.map(|(name, member)| (name, &member.record));
+        for (name, record) in live.chain([(&self.name, &self.own_record)]) {
+            let MemberRecord { incarnation, state, start_id, .. } = record;
+            let mut hash = 0;
+            for number in [*incarnation, *state as u64, *start_id] {
+                hash = xxh32(&number.to_le_bytes(), hash);
             }
-            // By a sum the order does not matter. Not of CRCs, nor by exclusive or: those of two members that change alike
-            // change by the same bits, so that two changes in one part would look like none.
-            let at = part(name);
-            digest[at] = digest[at].wrapping_add(xxh32(name.as_bytes(), sum));
+            // A sum does not depend on the order. Neither CRCs nor exclusive or will do: the CRCs of two members that change
+            // alike change by the same bits, so that two changes in one bucket would cancel out.
+            let bucket = digest_bucket(name);
+            digest[bucket] = digest[bucket].wrapping_add(xxh32(name.as_bytes(), hash));
         }
         digest
     }
 
-    /// Sends our words of the parts in which the other one's digest is not ours; nothing while news is on its way, which
-    /// explains what differs.
-    fn send_differing(&mut self, name: &str, theirs: &Digest, asked: bool) {
+    /// Sends the records of the buckets in which another member's digest differs. With `request_records` it is also asked
+    /// for its own; then nothing is sent while updates are still being passed on, which explain the difference.
+    fn send_differing_records(&mut self, name: &str, theirs: &Digest, request_records: bool) {
         let digest = self.digest();
-        if digest == *theirs || (asked && !self.news.is_empty()) {
+        if digest == *theirs || (request_records && !self.pending_updates.is_empty()) {
             return;
         }
-        let differs = |name: &str| digest[part(name)] != theirs[part(name)];
-        let held = self.members.iter().map(|(name, member)| (name.clone(), member.word.clone()));
-        let words: Vec<Named> = held.chain([self.own_word()]).filter(|(name, _)| differs(name)).collect();
-        for (number, words) in words.chunks(WORDS).take(MOST_DIFFERING / WORDS).enumerate() {
-            let what = if asked && number == 0 { What::Differ { digest } } else { What::Gossip };
-            let message = Message { words: words.to_vec(), ..self.message(what, None) };
-            self.out.push_back(Output::Send { to: To::Member(name.into()), message });
+        let differs = |name: &str| digest[digest_bucket(name)] != theirs[digest_bucket(name)];
+        let known = self.members.iter().map(|(name, member)| (name.clone(), member.record.clone()));
+        let records: Vec<NamedRecord> =
+            known.chain([self.own_named_record()]).filter(|(name, _)| differs(name)).collect();
+        let max_messages = MAX_DIFFERING_RECORDS / MAX_RECORDS_PER_MESSAGE;
+        for (index, records) in records.chunks(MAX_RECORDS_PER_MESSAGE).take(max_messages).enumerate() {
+            let body = if request_records && index == 0 {
+                MessageBody::DigestMismatch { digest }
+            } else {
+                MessageBody::Gossip
+            };
+            let message = Message { records: records.to_vec(), ..self.new_message(body, None) };
+            self.outputs.push_back(Output::Send { to: Destination::Member(name.into()), message });
         }
-        if words.is_empty() && asked {
-            self.send(To::Member(name.into()), What::Differ { digest }, None);
+        if records.is_empty() && request_records {
+            self.send(Destination::Member(name.into()), MessageBody::DigestMismatch { digest }, None);
         }
     }
 
-    fn stretch(&self, span: Nanos) -> Nanos {
-        span * u64::from(self.health + 1)
+    fn scale_by_health(&self, span: Nanos) -> Nanos {
+        span * u64::from(self.health_score + 1)
     }
 
-    fn worse(&mut self, by: u32) {
-        self.health = (self.health + by).min(HEALTH_MOST);
+    fn raise_health_score(&mut self, by: u32) {
+        self.health_score = (self.health_score + by).min(MAX_HEALTH_SCORE);
     }
 
     fn tick_probe(&mut self, now: Nanos) {
         if let Some(mut probe) = self.probe.take() {
-            if probe.answered && now >= probe.ends {
-                self.health = self.health.saturating_sub(1);
-            } else if now >= probe.ends {
-                // Those who were asked and say nothing tell that it may be us who hear nothing.
-                let unheard = probe.unheard.len() as u32;
-                self.worse(if unheard > 0 || probe.ask_at.is_some() { unheard } else { 1 });
-                self.doubt(now, &probe.name);
+            if probe.acked && now >= probe.deadline {
+                self.health_score = self.health_score.saturating_sub(1);
+            } else if now >= probe.deadline {
+                // Relays that stay silent suggest that this member itself hears nothing.
+                let silent = probe.silent_relays.len() as u32;
+                self.raise_health_score(if silent > 0 || probe.indirect_at.is_some() { silent } else { 1 });
+                self.suspect(now, &probe.target);
             } else {
-                if probe.ask_at.is_some_and(|at| at <= now) && !probe.answered {
-                    probe.ask_at = None;
-                    let without = BTreeSet::from([probe.name.clone()]);
-                    for name in self.some(self.config.indirect, &without) {
-                        let (number, of) = (probe.number, probe.name.clone());
-                        self.send(To::Member(name.clone()), What::PingFor { number, name: of }, None);
-                        probe.unheard.insert(name);
+                if probe.indirect_at.is_some_and(|at| at <= now) && !probe.acked {
+                    probe.indirect_at = None;
+                    let excluded = BTreeSet::from([probe.target.clone()]);
+                    for name in self.random_live_members(self.config.indirect_probes, &excluded) {
+                        let (sequence, target) = (probe.sequence, probe.target.clone());
+                        let body = MessageBody::PingRequest { sequence, target };
+                        self.send(Destination::Member(name.clone()), body, None);
+                        probe.silent_relays.insert(name);
                     }
                 }
                 self.probe = Some(probe);
                 return;
             }
         }
-        if now < self.probe_at {
+        if now < self.next_probe_at {
             return;
         }
-        self.probe_at = now + self.config.period;
-        let Some(name) = self.next_in_order() else { return };
-        self.number += 1;
-        // A suspect is told of it first of all, so that it can contradict.
-        let word = self.members.get(&name).filter(|member| member.word.state == State::Suspect);
-        let word = word.map(|member| (name.clone(), member.word.clone()));
-        self.send(To::Member(name.clone()), What::Ping { number: self.number }, word);
-        let (ask_at, ends) =
-            (now + self.stretch(self.config.timeout), now + self.stretch(self.config.period));
-        let (number, unheard) = (self.number, BTreeSet::new());
-        self.probe_at = ends;
-        self.probe = Some(Probe { name, number, answered: false, ask_at: Some(ask_at), ends, unheard });
-    }
-
-    fn next_in_order(&mut self) -> Option<String> {
+        self.next_probe_at = now + self.config.probe_interval;
+        let Some(target) = self.next_probe_target() else { return };
+        self.last_sequence += 1;
+        let sequence = self.last_sequence;
+        // A suspect is sent its record, so that it can refute it.
+        let suspect = self.members.get(&target).filter(|member| member.record.state == MemberState::Suspect);
+        let record = suspect.map(|member| (target.clone(), member.record.clone()));
+        self.send(Destination::Member(target.clone()), MessageBody::Ping { sequence }, record);
+        let indirect_at = Some(now + self.scale_by_health(self.config.probe_timeout));
+        let deadline = now + self.scale_by_health(self.config.probe_interval);
+        self.next_probe_at = deadline;
+        let silent_relays = BTreeSet::new();
+        self.probe = Some(Probe { target, sequence, acked: false, indirect_at, deadline, silent_relays });
+    }
+
+    fn next_probe_target(&mut self) -> Option<String> {
         loop {
-            if self.order.is_empty() {
-                self.order = self.there().cloned().collect();
-                for at in (1..self.order.len()).rev() {
-                    let other = self.chance.random_range(0..=at);
-                    self.order.swap(at, other);
+            if self.probe_order.is_empty() {
+                self.probe_order = self.live_members().cloned().collect();
+                for index in (1..self.probe_order.len()).rev() {
+                    let other = self.rng.random_range(0..=index);
+                    self.probe_order.swap(index, other);
                 }
             }
-            let name = self.order.pop()?;
-            if self.members.get(&name).is_some_and(|member| member.word.state.there()) {
+            let name = self.probe_order.pop()?;
+            if self.members.get(&name).is_some_and(|member| member.record.state.is_live()) {
                 return Some(name);
             }
         }
     }
 
-    fn tick_relayed(&mut self, now: Nanos) {
-        let mut relayed = std::mem::take(&mut self.relayed);
-        for probe in &mut relayed {
+    fn tick_relayed_probes(&mut self, now: Nanos) {
+        let mut probes = std::mem::take(&mut self.relayed_probes);
+        for probe in &mut probes {
             if probe.nack_at.is_some_and(|at| at <= now) {
                 probe.nack_at = None;
-                self.send(To::Member(probe.asker.clone()), What::Nack { number: probe.theirs }, None);
+                let body = MessageBody::Nack { sequence: probe.requester_sequence };
+                self.send(Destination::Member(probe.requester.clone()), body, None);
             }
         }
-        relayed.retain(|probe| now < probe.ends);
-        self.relayed = relayed;
+        probes.retain(|probe| now < probe.deadline);
+        self.relayed_probes = probes;
     }
 
-    fn tick_suspects(&mut self, now: Nanos) {
-        let over = |member: &Member| member.word.state == State::Suspect && self.dead_by(member) <= now;
-        let dead: Vec<Named> = self
+    fn expire_suspicions(&mut self, now: Nanos) {
+        let expired = |member: &Member| {
+            member.record.state == MemberState::Suspect && self.suspicion_deadline(member) <= now
+        };
+        let dead: Vec<NamedRecord> = self
             .members
             .iter()
-            .filter(|(_, member)| over(member))
-            .map(|(name, member)| (name.clone(), Word { state: State::Dead, ..member.word.clone() }))
+            .filter(|(_, member)| expired(member))
+            .map(|(name, member)| {
+                (name.clone(), MemberRecord { state: MemberState::Dead, ..member.record.clone() })
+            })
             .collect();
-        for (name, word) in dead {
-            self.hear(now, &name, word, None);
+        for (name, record) in dead {
+            self.apply_record(now, &name, record, None);
         }
     }
 
-    /// When a suspect is taken for dead: the sooner, the more members doubt it.
-    fn dead_by(&self, member: &Member) -> Nanos {
-        let Config { period, suspicion, suspicion_most, confirmations, .. } = self.config;
+    /// When a suspect is declared dead: the sooner, the more members suspect it.
+    fn suspicion_deadline(&self, member: &Member) -> Nanos {
+        let SwimConfig {
+            probe_interval,
+            min_suspicion_factor,
+            max_suspicion_factor,
+            expected_confirmations,
+            ..
+        } = self.config;
         let size = (self.members.len() + 1) as f64;
-        let least = suspicion * size.log10().max(1.0) * period as f64;
-        let most = least * suspicion_most;
-        let confirmed = member.doubters.len().saturating_sub(1) as f64;
-        // In a small fleet there are not so many to confirm it.
-        let wanted = f64::from(confirmations).min((self.members.len() as f64 - 1.0).max(0.0));
-        let part = if wanted > 0.0 { (confirmed + 1.0).ln() / (wanted + 1.0).ln() } else { 1.0 };
-        member.since + (most - (most - least) * part).max(least) as Nanos
+        let shortest = min_suspicion_factor * size.log10().max(1.0) * probe_interval as f64;
+        let longest = shortest * max_suspicion_factor;
+        let confirmations = member.suspected_by.len().saturating_sub(1) as f64;
+        // A small fleet has fewer members that could confirm it.
+        let expected = f64::from(expected_confirmations).min((self.members.len() as f64 - 1.0).max(0.0));
+        let share = if expected > 0.0 { (confirmations + 1.0).ln() / (expected + 1.0).ln() } else { 1.0 };
+        member.changed_at + (longest - (longest - shortest) * share).max(shortest) as Nanos
     }
 
-    /// It did not answer us.
-    fn doubt(&mut self, now: Nanos, name: &str) {
-        if let Some(member) = self.members.get(name).filter(|member| member.word.state.there()) {
-            let word = Word { state: State::Suspect, ..member.word.clone() };
-            let own = self.name.clone();
-            self.hear(now, name, word, Some(&own));
+    /// Suspects a live member that did not answer a probe.
+    fn suspect(&mut self, now: Nanos, name: &str) {
+        if let Some(member) = self.members.get(name).filter(|member| member.record.state.is_live()) {
+            let record = MemberRecord { state: MemberState::Suspect, ..member.record.clone() };
+            let own_name = self.name.clone();
+            self.apply_record(now, name, record, Some(&own_name));
         }
     }
 
-    /// So many members that are there, at random.
-    fn some(&mut self, most: usize, without: &BTreeSet<String>) -> Vec<String> {
-        let there = self.members.iter().filter(|(_, member)| member.word.state.there());
-        let mut there: Vec<&String> =
-            there.map(|(name, _)| name).filter(|name| !without.contains(*name)).collect();
-        for at in 0..most.min(there.len()) {
-            let other = self.chance.random_range(at..there.len());
-            there.swap(at, other);
+    /// Picks up to `count` live members at random, without those excluded.
+    fn random_live_members(&mut self, count: usize, excluded: &BTreeSet<String>) -> Vec<String> {
+        let live = self.members.iter().filter(|(_, member)| member.record.state.is_live());
+        let mut live: Vec<&String> =
+            live.map(|(name, _)| name).filter(|name| !excluded.contains(*name)).collect();
+        for index in 0..count.min(live.len()) {
+            let other = self.rng.random_range(index..live.len());
+            live.swap(index, other);
         }
-        there.into_iter().take(most).cloned().collect()
+        live.into_iter().take(count).cloned().collect()
+    }
+
+    fn own_named_record(&self) -> NamedRecord {
+        (self.name.clone(), self.own_record.clone())
     }
 
-    fn own_word(&self) -> Named {
-        (self.name.clone(), self.mine.clone())
+    /// The record of another member, if it is known.
+    fn named_record(&self, name: &str) -> Option<NamedRecord> {
+        self.members.get(name).map(|member| (name.to_owned(), member.record.clone()))
     }
 
-    fn message(&self, what: What, first: Option<Named>) -> Message {
-        let from = From { name: self.name.clone(), start: self.mine.start };
-        Message { from, what, words: first.into_iter().collect(), more: Vec::new() }
+    fn new_message(&self, body: MessageBody, record: Option<NamedRecord>) -> Message {
+        let sender = Sender { name: self.name.clone(), start_id: self.own_record.start_id };
+        Message { sender, body, records: record.into_iter().collect(), extensions: Vec::new() }
     }
 
-    /// Sends it with news on it, those that were passed on least first.
-    fn send(&mut self, to: To, what: What, first: Option<Named>) {
-        let probes = matches!(what, What::Ping { .. });
-        let mut message = self.message(what, first);
-        if self.leaving || probes {
-            message.words.push(self.own_word());
+    /// Sends a message with pending updates on it, those that were passed on least first.
+    fn send(&mut self, to: Destination, body: MessageBody, record: Option<NamedRecord>) {
+        let is_ping = matches!(body, MessageBody::Ping { .. });
+        let mut message = self.new_message(body, record);
+        if self.leaving || is_ping {
+            message.records.push(self.own_named_record());
         }
         let size = (self.members.len() + 2) as f64;
-        let most = (self.config.spread * size.log10()).ceil().max(1.0) as u32;
-        let mut news: Vec<(u32, String)> =
-            self.news.iter().map(|(name, sent)| (*sent, name.clone())).collect();
-        news.sort();
-        for (sent, name) in news.into_iter().take(WORDS) {
-            let word = if name == self.name {
-                Some(self.mine.clone())
+        let max_sends = (self.config.retransmit_factor * size.log10()).ceil().max(1.0) as u32;
+        let mut updates: Vec<(u32, String)> =
+            self.pending_updates.iter().map(|(name, sends)| (*sends, name.clone())).collect();
+        updates.sort();
+        for (sends, name) in updates.into_iter().take(MAX_RECORDS_PER_MESSAGE) {
+            let update =
+                if name == self.name { Some(self.own_named_record()) } else { self.named_record(&name) };
+            message.records.extend(update);
+            if sends + 1 >= max_sends {
+                self.pending_updates.remove(&name);
             } else {
-                self.members.get(&name).map(|m| m.word.clone())
-            };
-            message.words.extend(word.map(|word| (name.clone(), word)));
-            if sent + 1 >= most {
-                self.news.remove(&name);
-            } else {
-                self.news.insert(name, sent + 1);
+                self.pending_updates.insert(name, sends + 1);
             }
         }
-        message.words.sort();
-        message.words.dedup();
-        self.out.push_back(Output::Send { to, message });
+        message.records.sort();
+        message.records.dedup();
+        self.outputs.push_back(Output::Send { to, message });
     }
 
-    /// A message has arrived from an address. What it says beside membership is news only where this is true.
+    /// Handles a message that arrived from an address. Returns whether its extensions may be used, which is so only for
+    /// messages of live members.
     pub fn receive(&mut self, now: Nanos, address: SocketAddr, message: &Message) -> bool {
-        let Message { from, what, words, .. } = message;
-        if self.displaced || (from.name == self.name && from.start == self.mine.start) {
+        let Message { sender, body, records, .. } = message;
+        let is_own = sender.name == self.name && sender.start_id == self.own_record.start_id;
+        if self.displaced || is_own {
             return false;
         }
-        if from.name == self.name {
-            // Another process that has our name: it is told what we hold of it, by the order of words.
-            for (_, word) in words.iter().filter(|(name, _)| *name == from.name) {
-                self.hear_of_us(word);
+        if sender.name == self.name {
+            // Another process uses this member's name. It is told the greater of the two records.
+            for (_, record) in records.iter().filter(|(name, _)| *name == sender.name) {
+                self.refute(record);
             }
-            if matches!(what, What::Join { .. }) && !self.displaced {
-                let welcome = self.message(What::Welcome, Some(self.own_word()));
-                self.out.push_back(Output::Send { to: To::Address(address), message: welcome });
+            if matches!(body, MessageBody::Join { .. }) && !self.displaced {
+                let message = self.new_message(MessageBody::JoinReply, Some(self.own_named_record()));
+                self.outputs.push_back(Output::Send { to: Destination::Address(address), message });
             }
             return false;
         }
-        if let What::Join { padding } = what {
-            self.welcome(now, address, message, padding.len());
+        if let MessageBody::Join { padding } = body {
+            self.answer_join(now, address, message, padding.len());
             return false;
         }
-        let known = self.members.get(&from.name).filter(|member| member.word.start == from.start);
+        let known = self.members.get(&sender.name).filter(|member| member.record.start_id == sender.start_id);
         let Some(known) = known else {
-            // Nobody we know: only its own word counts, where it stands against what we hold.
-            let own = words.iter().find(|(name, word)| *name == from.name && word.start == from.start);
-            if matches!(what, What::Welcome) {
-                self.take_all(now, words, &from.name);
-                return false;
-            }
-            if let Some((name, word)) = own.filter(|(name, _)| self.members.contains_key(name)) {
-                self.hear(now, name, word.clone(), None);
-            }
-            // It tells us in turn that we go by the name of an earlier process: that is contradicted, and ends it. Guards
-            // against two that restarted and correct each other without end.
-            if let Some((_, word)) = words.iter().find(|(name, _)| *name == self.name) {
-                if self.members.contains_key(&from.name) {
-                    self.hear_of_us(&word.clone());
-                }
-            } else {
-                self.correct(address, message);
-            }
+            self.receive_from_unknown(now, address, message);
             return false;
         };
-        let gone = !known.word.state.there();
-        if gone {
-            // It has slept, or was cut off. What it says of others is old; it is told what we hold of it.
-            let of_us_two = |name: &str| name == from.name || name == self.name;
-            let own: Vec<Named> = words.iter().filter(|(name, _)| of_us_two(name)).cloned().collect();
-            self.take_all(now, &own, &from.name);
-            let held = self.members.get(&from.name).map(|member| (from.name.clone(), member.word.clone()));
-            if let What::Ping { number } = what {
-                let digest = self.digest();
-                self.send(To::Member(from.name.clone()), What::Ack { number: *number, digest }, held);
+        if !known.record.state.is_live() {
+            // The sender was suspended or cut off. Its records of others are out of date; it is told its own record here.
+            let concerns_either = |name: &str| name == sender.name || name == self.name;
+            let accepted: Vec<NamedRecord> =
+                records.iter().filter(|(name, _)| concerns_either(name)).cloned().collect();
+            self.apply_records(now, &accepted, &sender.name);
+            let record = self.named_record(&sender.name);
+            if let MessageBody::Ping { sequence } = body {
+                let body = MessageBody::Ack { sequence: *sequence, digest: self.digest() };
+                self.send(Destination::Member(sender.name.clone()), body, record);
             }
             return false;
         }
-        let suspect = known.word.state == State::Suspect;
-        self.take_all(now, words, &from.name);
-        let member = To::Member(from.name.clone());
-        let held = self
-            .members
-            .get(&from.name)
-            .filter(|_| suspect)
-            .map(|known| (from.name.clone(), known.word.clone()));
-        match what {
-            What::Ping { number } => {
-                let digest = self.digest();
-                self.send(member, What::Ack { number: *number, digest }, held);
+        let was_suspect = known.record.state == MemberState::Suspect;
+        self.apply_records(now, records, &sender.name);
+        let suspect_record = self.named_record(&sender.name).filter(|_| was_suspect);
+        match body {
+            MessageBody::Ping { sequence } => {
+                let body = MessageBody::Ack { sequence: *sequence, digest: self.digest() };
+                self.send(Destination::Member(sender.name.clone()), body, suspect_record);
+            }
+            MessageBody::PingRequest { sequence, target } => {
+                self.relay_probe(now, &sender.name, *sequence, target);
             }
-            What::PingFor { number, name } => self.ping_for(now, &from.name, *number, name),
-            What::Ack { number, digest } => {
-                self.answered(*number);
-                self.send_differing(&from.name, digest, true);
+            MessageBody::Ack { sequence, digest } => {
+                self.handle_ack(*sequence);
+                self.send_differing_records(&sender.name, digest, true);
             }
-            What::Differ { digest } => self.send_differing(&from.name, digest, false),
-            What::Nack { number } => {
-                if let Some(probe) = self.probe.as_mut().filter(|probe| probe.number == *number) {
-                    probe.unheard.remove(&from.name);
+            MessageBody::DigestMismatch { digest } => {
+                self.send_differing_records(&sender.name, digest, false);
+            }
+            MessageBody::Nack { sequence } => {
+                if let Some(probe) = self.probe.as_mut().filter(|probe| probe.sequence == *sequence) {
+                    probe.silent_relays.remove(&sender.name);
                 }
             }
-            What::Join { .. } | What::Welcome | What::Gossip => {}
+            MessageBody::Join { .. } | MessageBody::JoinReply | MessageBody::Gossip => {}
         }
         true
     }
 
-    /// Tells one that goes by a name of another process what we hold of that name, where it said as much itself.
-    fn correct(&mut self, address: SocketAddr, message: &Message) {
-        let name = &message.from.name;
-        let Some(held) = self.members.get(name).filter(|held| held.word.start != message.from.start) else {
+    /// Handles a message, other than a join, of a process that is no member. Of its records only its own counts, and that
+    /// only against one already known of its name; a join reply counts whole.
+    fn receive_from_unknown(&mut self, now: Nanos, address: SocketAddr, message: &Message) {
+        let Message { sender, body, records, .. } = message;
+        if matches!(body, MessageBody::JoinReply) {
+            self.apply_records(now, records, &sender.name);
+            return;
+        }
+        let sent_own =
+            records.iter().find(|(name, record)| *name == sender.name && record.start_id == sender.start_id);
+        if let Some((name, record)) = sent_own.filter(|(name, _)| self.members.contains_key(name)) {
+            self.apply_record(now, name, record.clone(), None);
+        }
+        // A sender that holds this member for an earlier process of its name is refuted rather than corrected. Two members
+        // that both restarted would otherwise correct each other without end.
+        if let Some((_, record)) = records.iter().find(|(name, _)| *name == self.name) {
+            if self.members.contains_key(&sender.name) {
+                self.refute(&record.clone());
+            }
+        } else {
+            self.send_correction(address, message);
+        }
+    }
+
+    /// Tells a process whose name is known from another process what is known of that name, unless the answer would be
+    /// longer than its message.
+    fn send_correction(&mut self, address: SocketAddr, message: &Message) {
+        let name = &message.sender.name;
+        let Some(member) =
+            self.members.get(name).filter(|member| member.record.start_id != message.sender.start_id)
+        else {
             return;
         };
-        let words = vec![(name.clone(), held.word.clone())];
-        let answer = Message { words, ..self.message(What::Gossip, None) };
-        if crate::wire::write(0, &answer).len() <= crate::wire::write(0, message).len() {
-            self.out.push_back(Output::Send { to: To::Address(address), message: answer });
+        let records = vec![(name.clone(), member.record.clone())];
+        let answer = Message { records, ..self.new_message(MessageBody::Gossip, None) };
+        if crate::wire::encode(0, &answer).len() <= crate::wire::encode(0, message).len() {
+            self.outputs.push_back(Output::Send { to: Destination::Address(address), message: answer });
         }
     }
 
-    fn take_all(&mut self, now: Nanos, words: &[Named], from: &str) {
-        for (name, word) in words {
-            self.hear(now, name, word.clone(), Some(from));
+    fn apply_records(&mut self, now: Nanos, records: &[NamedRecord], from: &str) {
+        for (name, record) in records {
+            self.apply_record(now, name, record.clone(), Some(from));
         }
     }
 
-    /// One that is new, or alone: it is told of others, in no more bytes than it sent.
-    fn welcome(&mut self, now: Nanos, address: SocketAddr, message: &Message, padding: usize) {
-        let name = &message.from.name;
-        let before = self.members.get(name).map(|member| (name.clone(), member.word.clone()));
-        for (of, word) in message.words.iter().filter(|(of, _)| of == name) {
-            self.hear(now, of, word.clone(), None);
+    /// Sends members to a process that joins, in no more bytes than it sent.
+    fn answer_join(&mut self, now: Nanos, address: SocketAddr, message: &Message, padding_bytes: usize) {
+        let name = &message.sender.name;
+        let known_before = self.named_record(name);
+        for (of, record) in message.records.iter().filter(|(of, _)| of == name) {
+            self.apply_record(now, of, record.clone(), None);
         }
-        let held = self.members.get(name).map(|member| (name.clone(), member.word.clone()));
-        // Where our word on its name stands, it has to say a greater one.
-        let mut words: Vec<Named> = held.or(before).into_iter().chain([self.own_word()]).collect();
-        words.extend(self.some(WORDS, &BTreeSet::from([name.clone()])).into_iter().filter_map(|name| {
-            let word = self.members.get(&name)?.word.clone();
-            Some((name, word))
-        }));
-        // A word takes a hundred bytes at the most where names are short; the joiner's padding pays for them.
-        words.truncate(2 + padding / 150);
-        let welcome = Message { words, ..self.message(What::Welcome, None) };
-        self.out.push_back(Output::Send { to: To::Address(address), message: welcome });
+        // Where the record known of its name still wins, the process has to send a greater one.
+        let known = self.named_record(name).or(known_before);
+        let mut records: Vec<NamedRecord> = known.into_iter().chain([self.own_named_record()]).collect();
+        let others = self.random_live_members(MAX_RECORDS_PER_MESSAGE, &BTreeSet::from([name.clone()]));
+        records.extend(others.iter().filter_map(|other| self.named_record(other)));
+        records.truncate(2 + padding_bytes / PADDING_BYTES_PER_RECORD);
+        let message = Message { records, ..self.new_message(MessageBody::JoinReply, None) };
+        self.outputs.push_back(Output::Send { to: Destination::Address(address), message });
     }
 
-    fn ping_for(&mut self, now: Nanos, asker: &str, theirs: u64, name: &str) {
-        if self.relayed.len() >= MOST_RELAYED || !self.members.contains_key(name) {
+    fn relay_probe(&mut self, now: Nanos, requester: &str, requester_sequence: u64, target: &str) {
+        if self.relayed_probes.len() >= MAX_RELAYED_PROBES || !self.members.contains_key(target) {
             return;
         }
-        self.number += 1;
-        let own = self.number;
-        let (nack_at, ends) = (Some(now + self.config.timeout * 4 / 5), now + self.config.period * 2);
-        self.relayed.push(Relayed { own, theirs, asker: asker.into(), nack_at, ends });
-        self.send(To::Member(name.into()), What::Ping { number: own }, None);
+        self.last_sequence += 1;
+        let sequence = self.last_sequence;
+        let nack_at = Some(now + self.config.probe_timeout * 4 / 5);
+        let deadline = now + self.config.probe_interval * 2;
+        let requester = requester.into();
+        self.relayed_probes.push(RelayedProbe { sequence, requester_sequence, requester, nack_at, deadline });
+        self.send(Destination::Member(target.into()), MessageBody::Ping { sequence }, None);
     }
 
-    fn answered(&mut self, number: u64) {
-        if let Some(probe) = self.probe.as_mut().filter(|probe| probe.number == number) {
-            (probe.answered, probe.ask_at) = (true, None);
-        } else if let Some(at) = self.relayed.iter().position(|relayed| relayed.own == number) {
-            let Relayed { theirs, asker, .. } = self.relayed.swap_remove(at);
-            let digest = self.digest();
-            self.send(To::Member(asker), What::Ack { number: theirs, digest }, None);
+    fn handle_ack(&mut self, sequence: u64) {
+        if let Some(probe) = self.probe.as_mut().filter(|probe| probe.sequence == sequence) {
+            (probe.acked, probe.indirect_at) = (true, None);
+        } else if let Some(index) = self.relayed_probes.iter().position(|probe| probe.sequence == sequence) {
+            let RelayedProbe { requester_sequence, requester, .. } = self.relayed_probes.swap_remove(index);
+            let body = MessageBody::Ack { sequence: requester_sequence, digest: self.digest() };
+            self.send(Destination::Member(requester), body, None);
         }
     }
 
-    /// A saying on a member, from one that doubts it where that is told.
-    fn hear(&mut self, now: Nanos, name: &str, word: Word, from: Option<&str>) {
+    /// Merges a record of a member. `from` is the member that sent it, which counts as a confirmation of a suspicion.
+    fn apply_record(&mut self, now: Nanos, name: &str, record: MemberRecord, from: Option<&str>) {
         if name == self.name {
-            return self.hear_of_us(&word);
+            return self.refute(&record);
         }
         let Some(known) = self.members.get_mut(name) else {
-            // Of the dead only those are kept that were known: else one copy would hand them to the next for ever.
-            if word.state.there() && self.members.len() < self.config.most_members {
-                let start = word.start;
-                self.members.insert(name.into(), Member { word, since: now, doubters: BTreeSet::new() });
-                self.news.insert(name.into(), 0);
-                self.out.push_back(Output::Joined { name: name.into(), start });
+            // Unknown members that are dead are not added: members would hand them to each other for ever.
+            if record.state.is_live() && self.members.len() < self.config.max_members {
+                let start_id = record.start_id;
+                let member = Member { record, changed_at: now, suspected_by: BTreeSet::new() };
+                self.members.insert(name.into(), member);
+                self.pending_updates.insert(name.into(), 0);
+                self.outputs.push_back(Output::Joined { name: name.into(), start_id });
             }
             return;
         };
-        let doubter = from.filter(|_| word.state == State::Suspect).map(str::to_owned);
-        if known.word == word {
-            // Another one doubts it: that shortens the suspicion, and is passed on.
-            let most = self.config.confirmations as usize + 1;
-            if let Some(doubter) = doubter.filter(|_| known.doubters.len() < most)
-                && known.doubters.insert(doubter)
+        let suspected_by = from.filter(|_| record.state == MemberState::Suspect).map(str::to_owned);
+        if known.record == record {
+            // Another member that suspects it shortens the suspicion, and is worth passing on.
+            let max_suspecting = self.config.expected_confirmations as usize + 1;
+            if let Some(suspecting) = suspected_by.filter(|_| known.suspected_by.len() < max_suspecting)
+                && known.suspected_by.insert(suspecting)
             {
-                self.news.insert(name.into(), 0);
+                self.pending_updates.insert(name.into(), 0);
             }
             return;
         }
-        if !word.beats(&known.word) {
+        if !record.supersedes(&known.record) {
             return;
         }
-        let (was, start) = (known.word.state, known.word.start);
-        known.since = now;
-        known.doubters = doubter.into_iter().collect();
-        known.word = word;
-        self.news.insert(name.into(), 0);
-        let (state, new) = (known.word.state, known.word.start);
-        if state.there() && (!was.there() || new != start) {
-            self.out.push_back(Output::Joined { name: name.into(), start: new });
-        } else if !state.there() && was.there() {
+        let (old_state, old_start) = (known.record.state, known.record.start_id);
+        known.changed_at = now;
+        known.suspected_by = suspected_by.into_iter().collect();
+        known.record = record;
+        self.pending_updates.insert(name.into(), 0);
+        let (state, start_id) = (known.record.state, known.record.start_id);
+        if state.is_live() && (!old_state.is_live() || start_id != old_start) {
+            self.outputs.push_back(Output::Joined { name: name.into(), start_id });
+        } else if !state.is_live() && old_state.is_live() {
             let name = name.to_owned();
-            self.out.push_back(if state == State::Left {
+            self.outputs.push_back(if state == MemberState::Left {
                 Output::Left { name }
             } else {
-                Output::Lost { name }
+                Output::Failed { name }
             });
         }
     }
 
-    /// Something was said of us. We contradict, by a greater incarnation, whatever is not so.
-    fn hear_of_us(&mut self, word: &Word) {
-        if self.leaving || !word.beats(&self.mine) {
+    /// Refutes a record of this member's name that would win over its own, by a greater incarnation.
+    fn refute(&mut self, record: &MemberRecord) {
+        if self.leaving || !record.supersedes(&self.own_record) {
             return;
         }
-        if word.start != self.mine.start && word.state.there() {
-            let times = self.rivals.entry(word.start).or_default();
-            *times += 1;
-            // An earlier start of ours does not contradict. One that does is alive, and one of us has to go.
-            if *times >= RIVAL && word.start > self.mine.start {
+        if record.start_id != self.own_record.start_id && record.state.is_live() {
+            let claims = self.name_claims.entry(record.start_id).or_default();
+            *claims += 1;
+            // An earlier process of this member does not claim the name again. One that does is alive, and the one with the
+            // smaller start gives way.
+            if *claims >= CLAIMS_OF_LIVE_PROCESS && record.start_id > self.own_record.start_id {
                 self.displaced = true;
-                self.out.push_back(Output::Displaced { address: word.address });
+                self.outputs.push_back(Output::Displaced { address: record.address });
                 return;
             }
-        } else if word.start == self.mine.start {
-            self.worse(1);
-            if !word.state.there() {
-                self.out.push_back(Output::Returned);
+        } else if record.start_id == self.own_record.start_id {
+            self.raise_health_score(1);
+            if !record.state.is_live() {
+                self.outputs.push_back(Output::DeclaredDead);
             }
         }
-        self.mine.incarnation = word.incarnation + 1;
-        self.news.insert(self.name.clone(), 0);
+        self.own_record.incarnation = record.incarnation + 1;
+        self.pending_updates.insert(self.name.clone(), 0);
     }
 }
 
-/// The part of a digest that a name falls into.
-fn part(name: &str) -> usize {
-    xxh32(name.as_bytes(), 0) as usize % PARTS
+/// The digest bucket of a member's name.
+fn digest_bucket(name: &str) -> usize {
+    xxh32(name.as_bytes(), 0) as usize % DIGEST_BUCKETS
 }
 
-/// As long as any answer to it may be.
-fn padded(message: Message) -> Message {
-    let short = crate::wire::write(0, &message).len();
-    // The padding's own length takes a byte more.
-    let padding = vec![0; (MOST - 2).saturating_sub(short)];
-    Message { what: What::Join { padding }, ..message }
+/// Pads a join to the size of the longest answer.
+fn pad_join(message: Message) -> Message {
+    let unpadded = crate::wire::encode(0, &message).len();
+    // The length of the padding takes a byte more than that of an empty one.
+    let padding = vec![0; (MAX_MESSAGE_BYTES - 2).saturating_sub(unpadded)];
+    Message { body: MessageBody::Join { padding }, ..message }
 }
--- a/membership/tests/fleet.rs
+++ b/membership/tests/fleet.rs
@@ -5,8 +5,8 @@
 
 use std::collections::BTreeSet;
 
-use ochreshed_membership::swim::{Config, Output, Swim, To};
-use ochreshed_membership::word::State;
+use ochreshed_membership::record::MemberState;
+use ochreshed_membership::swim::{Destination, Output, Swim, SwimConfig};
 use ochreshed_membership::{S, wire};
 use rand::Rng;
 use world::{World, address};
@@ -45,16 +45,15 @@
     for seed in 1..4 {
         let mut world = World::new(24, seed);
         world.until(10 * S, |world| world.all_agree(24));
-        let old = world.members[&5].mine().start;
+        let old = world.members[&5].own_record().start_id;
         world.members.remove(&5);
         let took = world.until(20 * S, |world| world.all_agree(23));
         assert!(took < 12 * S, "{took}");
         world.start(5);
         let from = world.now;
         world.until(10 * S, |world| world.all_agree(24));
-        let new = world.members[&5].mine().start;
-        let told =
-            |what: &Output| matches!(what, Output::Joined { name, start } if name == "n5" && *start == new);
+        let new = world.members[&5].own_record().start_id;
+        let told = |what: &Output| matches!(what, Output::Joined { name, start_id } if name == "n5" && *start_id == new);
         let who: BTreeSet<usize> =
             world.since(from).filter(|(_, what)| told(what)).map(|(who, _)| who).collect();
         assert_eq!((who.len(), new == old), (23, false));
@@ -68,14 +67,16 @@
     world.until(10 * S, |world| world.all_agree(12));
     world.members.remove(&7);
     world.start(7);
-    let new = world.members[&7].mine().start;
+    let new = world.members[&7].own_record().start_id;
     let known = |world: &World| {
-        let of = |swim: &Swim| swim.members().get("n7").map(|member| (member.word.start, member.word.state));
+        let of = |swim: &Swim| {
+            swim.members().get("n7").map(|member| (member.record.start_id, member.record.state))
+        };
         world
             .members
             .iter()
             .filter(|(number, _)| **number != 7)
-            .all(|(_, swim)| of(swim) == Some((new, State::Alive)))
+            .all(|(_, swim)| of(swim) == Some((new, MemberState::Alive)))
     };
     world.until(10 * S, known);
     world.run(20 * S);
@@ -131,7 +132,7 @@
         "the dead came back from one that slept"
     );
     assert!(
-        world.since(from).any(|(who, what)| who == 3 && *what == Output::Returned),
+        world.since(from).any(|(who, what)| who == 3 && *what == Output::DeclaredDead),
         "it does not know that it slept"
     );
 }
@@ -144,7 +145,7 @@
         world.loss = 0.33;
         let from = world.now;
         world.run(60 * S);
-        let lost = world.since(from).filter(|(_, what)| matches!(what, Output::Lost { .. })).count();
+        let lost = world.since(from).filter(|(_, what)| matches!(what, Output::Failed { .. })).count();
         assert!(lost <= 24, "{lost} losses of members that live");
         world.loss = 0.0;
         world.until(10 * S, |world| world.all_agree(24));
@@ -160,16 +161,16 @@
     let seeds = vec![address(0)];
     world.sent.push(0);
     world.bytes.push(0);
-    let swim = Swim::new(Config::default(), "n5", address(8), "a", start, seeds, world.now);
+    let swim = Swim::new(SwimConfig::default(), "n5", address(8), "a", start, seeds, world.now);
     world.members.insert(8, swim);
     world.flush(8);
     let from = world.now;
     world.run(30 * S);
     let displaced = world.since(from).filter(|(_, what)| matches!(what, Output::Displaced { .. })).count();
     assert_eq!(displaced, 1);
-    let (a, b) = (world.members[&5].mine(), world.members[&8].mine());
-    let stays = a.start.max(b.start);
-    assert_eq!(world.members[&0].members()["n5"].word.start, stays);
+    let (a, b) = (world.members[&5].own_record(), world.members[&8].own_record());
+    let stays = a.start_id.max(b.start_id);
+    assert_eq!(world.members[&0].members()["n5"].record.start_id, stays);
 }
 
 /// Guards against fleets that are used to drown somebody: no answer to a stranger is larger than its question.
@@ -177,26 +178,31 @@
 fn no_answer_to_a_stranger_is_larger_than_its_question() {
     let mut world = World::new(30, 1);
     world.until(15 * S, |world| world.all_agree(30));
-    let mut stranger = Swim::new(Config::default(), "x", address(99), "a", 77, vec![address(0)], world.now);
+    let mut stranger =
+        Swim::new(SwimConfig::default(), "x", address(99), "a", 77, vec![address(0)], world.now);
     stranger.tick(world.now);
-    let Some(Output::Send { message, .. }) = stranger.output() else { panic!("it asks") };
-    let asked = wire::write(5, &message).len();
+    let Some(Output::Send { message, .. }) = stranger.poll_output() else { panic!("it asks") };
+    let asked = wire::encode(5, &message).len();
     let now = world.now;
     let swim = world.members.get_mut(&0).expect("there");
     swim.receive(now, address(99), &message);
-    while let Some(output) = swim.output() {
-        if let Output::Send { to: To::Address(_), message } = output {
-            assert!(wire::write(5, &message).len() <= asked);
+    while let Some(output) = swim.poll_output() {
+        if let Output::Send { to: Destination::Address(_), message } = output {
+            assert!(wire::encode(5, &message).len() <= asked);
         }
     }
     // What is no join gets none at all.
-    for what in [
-        wire::What::Ping { number: 1 },
-        wire::What::Gossip,
-        wire::What::PingFor { number: 1, name: "n1".into() },
+    for body in [
+        wire::MessageBody::Ping { sequence: 1 },
+        wire::MessageBody::Gossip,
+        wire::MessageBody::PingRequest { sequence: 1, target: "n1".into() },
     ] {
-        let from = wire::From { name: "y".into(), start: 1 };
-        swim.receive(now, address(98), &wire::Message { from, what, words: Vec::new(), more: Vec::new() });
-        assert_eq!(swim.output(), None);
+        let sender = wire::Sender { name: "y".into(), start_id: 1 };
+        swim.receive(
+            now,
+            address(98),
+            &wire::Message { sender, body, records: Vec::new(), extensions: Vec::new() },
+        );
+        assert_eq!(swim.poll_output(), None);
     }
 }
--- a/membership/tests/frozen_forms.rs
+++ b/membership/tests/frozen_forms.rs
@@ -3,8 +3,10 @@
 
 use std::path::{Path, PathBuf};
 
-use ochreshed_membership::wire::{FIRST_OTHER, From, Message, PARTS, What, Wrong, read, write};
-use ochreshed_membership::word::{Named, State, Word};
+use ochreshed_membership::record::{MemberRecord, MemberState, NamedRecord};
+use ochreshed_membership::wire::{
+    DIGEST_BUCKETS, DecodeError, FIRST_EXTENSION_KIND, Message, MessageBody, Sender, decode, encode,
+};
 
 fn file(name: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(name)
@@ -43,56 +45,59 @@
 
 const FLEET: u64 = 0x0102_0304_0506_0708;
 
-fn digest() -> [u32; PARTS] {
+fn digest() -> [u32; DIGEST_BUCKETS] {
     std::array::from_fn(|part| (part as u32 + 1).wrapping_mul(0x9e37_79b9))
 }
 
 /// A name for each kind of message. A new one does not compile until it has a sample.
-fn kind(what: &What) -> &'static str {
-    match what {
-        What::Ping { .. } => "ping",
-        What::Ack { .. } => "ack",
-        What::Nack { .. } => "nack",
-        What::PingFor { .. } => "ping for",
-        What::Join { .. } => "join",
-        What::Welcome => "welcome",
-        What::Differ { .. } => "differ",
-        What::Gossip => "gossip",
+fn kind(body: &MessageBody) -> &'static str {
+    match body {
+        MessageBody::Ping { .. } => "ping",
+        MessageBody::Ack { .. } => "ack",
+        MessageBody::Nack { .. } => "nack",
+        MessageBody::PingRequest { .. } => "ping for",
+        MessageBody::Join { .. } => "join",
+        MessageBody::JoinReply => "welcome",
+        MessageBody::DigestMismatch { .. } => "differ",
+        MessageBody::Gossip => "gossip",
     }
 }
 
 fn messages() -> Vec<(String, Message)> {
-    let from = || From { name: "n1".into(), start: 0xfedc_ba98_7654_3210 };
+    let sender = || Sender { name: "n1".into(), start_id: 0xfedc_ba98_7654_3210 };
     let all = [
-        What::Ping { number: 5 },
-        What::Ack { number: 300, digest: digest() },
-        What::Nack { number: 70_000 },
-        What::PingFor { number: u64::MAX, name: "n2".into() },
-        What::Join { padding: vec![0; 40] },
-        What::Welcome,
-        What::Differ { digest: digest() },
-        What::Gossip,
+        MessageBody::Ping { sequence: 5 },
+        MessageBody::Ack { sequence: 300, digest: digest() },
+        MessageBody::Nack { sequence: 70_000 },
+        MessageBody::PingRequest { sequence: u64::MAX, target: "n2".into() },
+        MessageBody::Join { padding: vec![0; 40] },
+        MessageBody::JoinReply,
+        MessageBody::DigestMismatch { digest: digest() },
+        MessageBody::Gossip,
     ];
-    let plain = all.map(|what| {
-        (kind(&what).to_owned(), Message { from: from(), what, words: Vec::new(), more: Vec::new() })
+    let plain = all.map(|body| {
+        (
+            kind(&body).to_owned(),
+            Message { sender: sender(), body, records: Vec::new(), extensions: Vec::new() },
+        )
     });
-    let word = |(nth, state): (usize, State)| -> Named {
+    let word = |(nth, state): (usize, MemberState)| -> NamedRecord {
         let address = if nth % 2 == 0 { "10.1.0.13:7620" } else { "[2001:db8::1]:65535" };
         let address = address.parse().expect("an address");
         let incarnation = 127 + nth as u64;
         (
             format!("m{nth}"),
-            Word { incarnation, state, start: 9 << (8 * nth), address, zone: "quito-a".into() },
+            MemberRecord { incarnation, state, start_id: 9 << (8 * nth), address, zone: "quito-a".into() },
         )
     };
-    let states = [State::Alive, State::Suspect, State::Dead, State::Left];
+    let states = [MemberState::Alive, MemberState::Suspect, MemberState::Dead, MemberState::Left];
     // A new one does not compile until it is above.
     states.iter().for_each(|state| match state {
-        State::Alive | State::Suspect | State::Dead | State::Left => {}
+        MemberState::Alive | MemberState::Suspect | MemberState::Dead | MemberState::Left => {}
     });
-    let words: Vec<Named> = states.into_iter().enumerate().map(word).collect();
-    let more = vec![(FIRST_OTHER, vec![1, 2, 3]), (FIRST_OTHER + 3, Vec::new())];
-    let full = Message { from: from(), what: What::Gossip, words, more };
+    let records: Vec<NamedRecord> = states.into_iter().enumerate().map(word).collect();
+    let extensions = vec![(FIRST_EXTENSION_KIND, vec![1, 2, 3]), (FIRST_EXTENSION_KIND + 3, Vec::new())];
+    let full = Message { sender: sender(), body: MessageBody::Gossip, records, extensions };
     plain.into_iter().chain([("words and other news".to_owned(), full)]).collect()
 }
 
@@ -100,24 +105,34 @@
 fn messages_are_written_and_read_as_before() {
     let messages = messages();
     let samples: Vec<_> =
-        messages.iter().map(|(name, message)| (name.clone(), write(FLEET, message))).collect();
+        messages.iter().map(|(name, message)| (name.clone(), encode(FLEET, message))).collect();
     let kept = frozen("messages.txt", &samples);
     for ((name, message), bytes) in messages.iter().zip(kept) {
-        let read = read(FLEET, &bytes).unwrap_or_else(|why| panic!("{name}: {why:?}"));
+        let read = decode(FLEET, &bytes).unwrap_or_else(|why| panic!("{name}: {why:?}"));
         assert_eq!(&read, message, "{name}");
-        assert_eq!(write(FLEET, &read), bytes, "{name}");
+        assert_eq!(encode(FLEET, &read), bytes, "{name}");
     }
 }
 
 /// Operators read these words on the fleet's page and in the log.
 #[test]
 fn states_and_reasons_for_rejection_keep_their_words() {
-    let states = [State::Alive, State::Suspect, State::Dead, State::Left];
+    let states = [MemberState::Alive, MemberState::Suspect, MemberState::Dead, MemberState::Left];
     assert_eq!(states.map(|state| format!("{state:?}")), ["Alive", "Suspect", "Dead", "Left"]);
-    let errors = [Wrong::NotOurs, Wrong::Checksum, Wrong::Fleet, Wrong::Format, Wrong::Part];
+    let errors = [
+        DecodeError::Malformed,
+        DecodeError::ChecksumMismatch,
+        DecodeError::OtherFleet,
+        DecodeError::UnknownFormat,
+        DecodeError::InvalidSection,
+    ];
     // A new one does not compile until it is above.
     errors.iter().for_each(|error| match error {
-        Wrong::NotOurs | Wrong::Checksum | Wrong::Fleet | Wrong::Format | Wrong::Part => {}
+        DecodeError::Malformed
+        | DecodeError::ChecksumMismatch
+        | DecodeError::OtherFleet
+        | DecodeError::UnknownFormat
+        | DecodeError::InvalidSection => {}
     });
-    assert_eq!(errors.map(|error| format!("{error:?}")), ["NotOurs", "Checksum", "Fleet", "Format", "Part"]);
+    assert_eq!(errors.map(|error| error.reason()), ["NotOurs", "Checksum", "Fleet", "Format", "Part"]);
 }
--- a/membership/tests/search.rs
+++ b/membership/tests/search.rs
@@ -12,9 +12,9 @@
 use std::hash::{Hash, Hasher};
 use std::net::SocketAddr;
 
-use ochreshed_membership::swim::{Config, Output, Swim, To};
+use ochreshed_membership::record::{MemberRecord, MemberState};
+use ochreshed_membership::swim::{Destination, Output, Swim, SwimConfig};
 use ochreshed_membership::wire::Message;
-use ochreshed_membership::word::{State, Word};
 use ochreshed_membership::{MS, Nanos, S};
 
 /// A fault that the search puts between the members.
@@ -48,7 +48,7 @@
     starts: Vec<u64>,
     messages: Vec<Under>,
     /// The greatest word that each has held of each.
-    held: Vec<BTreeMap<String, Word>>,
+    held: Vec<BTreeMap<String, MemberRecord>>,
     /// The greatest incarnation that each process has had.
     own: BTreeMap<u64, u64>,
     crashes: usize,
@@ -96,19 +96,19 @@
     fn start(&mut self, number: usize) {
         let seeds = (0..self.members.len()).filter(|other| *other != number).map(address).collect();
         let (name, start) = (name(number), self.starts[number]);
-        let swim = Swim::new(Config::default(), &name, address(number), "a", start, seeds, self.now);
+        let swim = Swim::new(SwimConfig::default(), &name, address(number), "a", start, seeds, self.now);
         self.members[number] = Some(swim);
         self.held[number].clear();
     }
 
     /// Takes up what a member wants sent.
     fn drain(&mut self, number: usize) {
-        while let Some(output) = self.members[number].as_mut().and_then(Swim::output) {
+        while let Some(output) = self.members[number].as_mut().and_then(Swim::poll_output) {
             match output {
                 Output::Send { to, message } => {
                     let to = match to {
-                        To::Address(address) => usize::from(address.port()) - 1,
-                        To::Member(name) => name[1..].parse().expect("a number"),
+                        Destination::Address(address) => usize::from(address.port()) - 1,
+                        Destination::Member(name) => name[1..].parse().expect("a number"),
                     };
                     self.messages.push(Under { to, from: address(number), message });
                 }
@@ -120,7 +120,7 @@
 
     fn tick(&mut self, number: usize) {
         if let Some(swim) = &mut self.members[number] {
-            self.now = self.now.max(swim.next().min(self.now + S));
+            self.now = self.now.max(swim.next_tick_at().min(self.now + S));
             swim.tick(self.now);
         }
         self.drain(number);
@@ -128,14 +128,14 @@
 
     fn deliver(&mut self, fault: Fault, at: usize) {
         let Under { to, from, mut message } = self.messages[at].clone();
-        for (named, word) in &mut message.words {
+        for (named, word) in &mut message.records {
             let own = usize::from(from.port()) - 1;
             if fault == Fault::Contradicted
-                && word.state == State::Suspect
+                && word.state == MemberState::Suspect
                 && *named != name(to)
                 && *named != name(own)
             {
-                (word.state, word.incarnation) = (State::Alive, word.incarnation + 1);
+                (word.state, word.incarnation) = (MemberState::Alive, word.incarnation + 1);
             }
             if fault == Fault::NoIncarnations {
                 word.incarnation = 1;
@@ -147,7 +147,7 @@
                 let start = self.starts[to];
                 let others = (0..self.starts.len()).filter(|other| *other != to).map(address).collect();
                 let mut anew =
-                    Swim::new(Config::default(), &name(to), address(to), "a", start, others, self.now);
+                    Swim::new(SwimConfig::default(), &name(to), address(to), "a", start, others, self.now);
                 std::mem::swap(swim, &mut anew);
             }
             swim.receive(self.now, from, &message);
@@ -179,7 +179,9 @@
                 }
             }
             let awake = (0..self.members.len()).filter(|number| through(*number, *number));
-            let next = awake.filter_map(|number| Some((self.members[number].as_ref()?.next(), number))).min();
+            let next = awake
+                .filter_map(|number| Some((self.members[number].as_ref()?.next_tick_at(), number)))
+                .min();
             let Some((at, number)) = next.filter(|(at, _)| *at <= until) else { break };
             self.now = self.now.max(at);
             if let Some(swim) = &mut self.members[number] {
@@ -196,29 +198,29 @@
     /// What is not so any more, if anything.
     fn check(&mut self) -> Option<String> {
         for member in self.members.iter().flatten() {
-            let said = self.own.entry(member.mine().start).or_default();
-            if member.mine().incarnation < *said {
+            let said = self.own.entry(member.own_record().start_id).or_default();
+            if member.own_record().incarnation < *said {
                 return Some(format!(
                     "{} has sunk to incarnation {}",
                     member.name(),
-                    member.mine().incarnation
+                    member.own_record().incarnation
                 ));
             }
-            *said = member.mine().incarnation;
+            *said = member.own_record().incarnation;
         }
         for (number, member) in self.members.iter().enumerate() {
             let Some(member) = member else { continue };
             for (of, held) in member.members() {
                 let before = self.held[number].get(of);
-                if before.is_some_and(|before| held.word < *before) {
-                    return Some(format!("n{number} held {before:?} of {of} and now {:?}", held.word));
+                if before.is_some_and(|before| held.record < *before) {
+                    return Some(format!("n{number} held {before:?} of {of} and now {:?}", held.record));
                 }
-                self.held[number].insert(of.clone(), held.word.clone());
-                let said = self.own.get(&held.word.start).copied().unwrap_or(0);
-                if held.word.incarnation > said {
+                self.held[number].insert(of.clone(), held.record.clone());
+                let said = self.own.get(&held.record.start_id).copied().unwrap_or(0);
+                if held.record.incarnation > said {
                     return Some(format!(
                         "n{number} holds incarnation {} of {of}, who said {said}",
-                        held.word.incarnation
+                        held.record.incarnation
                     ));
                 }
             }
@@ -233,7 +235,7 @@
     fn settles(&self, fault: Fault) -> Option<String> {
         let mut world = self.clone();
         world.messages.clear();
-        let there = |member: &Swim| member.mine().state.there();
+        let there = |member: &Swim| member.own_record().state.is_live();
         let live = world.members.iter().flatten().filter(|member| there(member)).count();
         world.run(fault, 30 * S, |_, _| true);
         let agree = world
@@ -241,16 +243,15 @@
             .iter()
             .flatten()
             .filter(|member| there(member))
-            .all(|member| member.there().count() + 1 == live);
+            .all(|member| member.live_members().count() + 1 == live);
         if world.storm {
             return Some("messages without end".into());
         }
         (!agree).then(|| {
-            let seen = world
-                .members
-                .iter()
-                .flatten()
-                .map(|member| format!("{}: {:?}", member.name(), member.there().collect::<Vec<_>>()));
+            let seen =
+                world.members.iter().flatten().map(|member| {
+                    format!("{}: {:?}", member.name(), member.live_members().collect::<Vec<_>>())
+                });
             format!("{live} live, and 30 s later: {}", seen.collect::<Vec<_>>().join("; "))
         })
     }
@@ -262,16 +263,16 @@
             match member {
                 None => 0.hash(&mut hash),
                 Some(member) => {
-                    (member.mine(), member.health()).hash(&mut hash);
+                    (member.own_record(), member.health_score()).hash(&mut hash);
                     for (name, known) in member.members() {
-                        (name, &known.word).hash(&mut hash);
+                        (name, &known.record).hash(&mut hash);
                     }
-                    (member.next().saturating_sub(self.now) / (100 * MS)).hash(&mut hash);
+                    (member.next_tick_at().saturating_sub(self.now) / (100 * MS)).hash(&mut hash);
                 }
             }
         }
         for under in &self.messages {
-            (under.to, under.from, &under.message.what, &under.message.words).hash(&mut hash);
+            (under.to, under.from, &under.message.body, &under.message.records).hash(&mut hash);
         }
         hash.finish()
     }
@@ -391,28 +392,30 @@
 #[test]
 fn two_that_hold_each_others_earlier_start_say_so_once() {
     let swim = |number: usize, start| {
-        Swim::new(Config::default(), &name(number), address(number), "a", start, Vec::new(), 0)
+        Swim::new(SwimConfig::default(), &name(number), address(number), "a", start, Vec::new(), 0)
     };
     // Both learn of the other one's earlier process, which then ends.
     let (mut one, mut other) = (swim(0, 11), swim(1, 21));
     for (here, there, number) in [(&mut one, swim(1, 20), 1), (&mut other, swim(0, 10), 0)] {
-        let from = ochreshed_membership::wire::From { name: name(number), start: there.mine().start };
-        let words = vec![(name(number), there.mine().clone())];
-        let join = ochreshed_membership::wire::What::Join { padding: vec![0; 1_000] };
-        here.receive(0, address(number), &Message { from, what: join, words, more: Vec::new() });
-        while here.output().is_some() {}
-        assert_eq!(here.there().count(), 1);
+        let sender =
+            ochreshed_membership::wire::Sender { name: name(number), start_id: there.own_record().start_id };
+        let records = vec![(name(number), there.own_record().clone())];
+        let join = ochreshed_membership::wire::MessageBody::Join { padding: vec![0; 1_000] };
+        here.receive(0, address(number), &Message { sender, body: join, records, extensions: Vec::new() });
+        while here.poll_output().is_some() {}
+        assert_eq!(here.live_members().count(), 1);
     }
-    let from = ochreshed_membership::wire::From { name: name(1), start: 21 };
-    let what = ochreshed_membership::wire::What::Gossip;
-    let mut under = vec![(0, Message { from, what, words: Vec::new(), more: vec![(99, vec![0; 300])] })];
+    let sender = ochreshed_membership::wire::Sender { name: name(1), start_id: 21 };
+    let body = ochreshed_membership::wire::MessageBody::Gossip;
+    let mut under =
+        vec![(0, Message { sender, body, records: Vec::new(), extensions: vec![(99, vec![0; 300])] })];
     let mut said = 0;
     while let Some((to, message)) = under.pop() {
         said += 1;
         assert!(said < 10, "messages without end");
         let (here, from) = if to == 0 { (&mut one, address(1)) } else { (&mut other, address(0)) };
         here.receive(0, from, &message);
-        while let Some(output) = here.output() {
+        while let Some(output) = here.poll_output() {
             if let Output::Send { message, .. } = output {
                 under.push((1 - to, message));
             }
--- a/membership/tests/world/mod.rs
+++ b/membership/tests/world/mod.rs
@@ -7,7 +7,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-use ochreshed_membership::swim::{Config, Output, Swim, To};
+use ochreshed_membership::swim::{Destination, Output, Swim, SwimConfig};
 use ochreshed_membership::{MS, Nanos, S, wire};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -70,7 +70,7 @@
         let start = self.chance.random();
         let seeds = vec![address(0), address(1)];
         let name = format!("n{number}");
-        let swim = Swim::new(Config::default(), &name, address(number), "a", start, seeds, self.now);
+        let swim = Swim::new(SwimConfig::default(), &name, address(number), "a", start, seeds, self.now);
         self.members.insert(number, swim);
         self.flush(number);
     }
@@ -80,22 +80,23 @@
             self.timers.remove(&(at, number));
         }
         if let Some(swim) = self.members.get(&number).filter(|_| !self.asleep.contains(&number)) {
-            self.wake.insert(number, swim.next());
-            self.timers.insert((swim.next(), number));
+            self.wake.insert(number, swim.next_tick_at());
+            self.timers.insert((swim.next_tick_at(), number));
         }
-        while let Some(output) = self.members.get_mut(&number).and_then(Swim::output) {
+        while let Some(output) = self.members.get_mut(&number).and_then(Swim::poll_output) {
             let Output::Send { to, message } = output else {
                 self.events.push((self.now, number, output));
                 continue;
             };
             let to = match to {
-                To::Address(address) => address,
-                To::Member(name) => {
-                    let known = self.members[&number].members().get(&name).map(|member| member.word.address);
+                Destination::Address(address) => address,
+                Destination::Member(name) => {
+                    let known =
+                        self.members[&number].members().get(&name).map(|member| member.record.address);
                     known.expect("only members are written to")
                 }
             };
-            let bytes = wire::write(5, &message);
+            let bytes = wire::encode(5, &message);
             self.sent[number] += 1;
             self.bytes[number] += bytes.len();
             for _ in 0..1 + usize::from(self.loss > 0.0 && self.chance.random_bool(0.1)) {
@@ -127,7 +128,7 @@
                     continue;
                 }
                 if let Some(swim) = self.members.get_mut(&to) {
-                    let message = wire::read(5, &bytes).expect("a message");
+                    let message = wire::decode(5, &bytes).expect("a message");
                     swim.receive(at, from, &message);
                     self.flush(to);
                 }
@@ -153,7 +154,7 @@
 
     /// Those that a member counts as there, itself included.
     pub fn there(&self, number: usize) -> usize {
-        self.members[&number].there().count() + 1
+        self.members[&number].live_members().count() + 1
     }
 
     pub fn all_agree(&self, on: usize) -> bool {
