--- a/balancer/src/fleet.rs
+++ b/balancer/src/fleet.rs
@@ -13,8 +13,8 @@
 use std::time::Duration;
 
 use ochreshed::{How, Nanos};
-use ochreshed_gossip::known::{Known, to_word};
-use ochreshed_gossip::peer::{Output, Peer, Settings};
+use ochreshed_gossip::node::{GossipNode, NodeSettings, Output};
+use ochreshed_gossip::server_list::{ServerList, to_server_status};
 use ochreshed_membership::swim::{Destination, SwimConfig};
 use ochreshed_membership::wire::MAX_MESSAGE_BYTES;
 use ochreshed_recovery::begin::{self, First, Given, Source};
@@ -96,8 +96,8 @@
     clock: Clock,
     /// None while another process of this instance has the port, and once one has taken over.
     sockets: Option<Sockets>,
-    peer: Peer,
-    known: Known<SocketAddr>,
+    peer: GossipNode,
+    known: ServerList<SocketAddr>,
     decisions: mpsc::Sender<Mail>,
     desk: mpsc::Sender<meeting::Mail>,
     counts: page::Counts,
@@ -166,31 +166,31 @@
         );
     }
     let wait = start::wait(age, !file.seeds.is_empty());
-    let settings = Settings {
+    let settings = NodeSettings {
         fleet: file.fleet.clone(),
         name: name.into(),
         address: file.listen,
         zone: zone.into(),
         // Another process under this name has another start: by its time and its number, over the facts' seed.
-        start: seed ^ (std::process::id() as u64).rotate_left(40) ^ unix_nanos(),
+        start_id: seed ^ (std::process::id() as u64).rotate_left(40) ^ unix_nanos(),
         seeds: file.seeds.clone(),
         membership: SwimConfig::default(),
     };
     let (news, mailbox) = mpsc::channel(MAILBOX);
-    let spread = settings.start % KEEP_AFTER;
-    let (mut peer, counts) = (Peer::new(settings, now), page::Counts::default());
+    let spread = settings.start_id % KEEP_AFTER;
+    let (mut peer, counts) = (GossipNode::new(settings, now), page::Counts::default());
     if let Some(snapshot) = &snapshot {
         // What the facts' list is newer in is settled by it.
         let newer =
             version.is_some_and(|version| version > snapshot.stamp.version) && first.source == Source::Facts;
-        peer.recall(snapshot.stamp, &snapshot.words, snapshot.floor);
+        peer.restore(snapshot.stamp, &snapshot.words, snapshot.floor);
         if newer {
             let said: Vec<(String, words::State)> = first
                 .entries
                 .iter()
-                .map(|(listed, _)| (listed.srv.to_string(), to_word(listed.state)))
+                .map(|(listed, _)| (listed.srv.to_string(), to_server_status(listed.state)))
                 .collect();
-            peer.listed(version.unwrap_or_default(), true, &said);
+            peer.apply_discovery(version.unwrap_or_default(), true, &said);
         }
     }
     let start = Start::new(now, !first.entries.is_empty());
@@ -204,7 +204,7 @@
         clock,
         sockets,
         peer,
-        known: Known::new(),
+        known: ServerList::new(),
         decisions,
         desk,
         counts,
@@ -309,7 +309,7 @@
 
     fn next(&self) -> Nanos {
         // Nothing is due later than that, and a clock can tell it.
-        self.peer.next().min(self.show_at).min(self.count_at).min(self.keep_at.unwrap_or(Nanos::MAX))
+        self.peer.next_tick_at().min(self.show_at).min(self.count_at).min(self.keep_at.unwrap_or(Nanos::MAX))
     }
 
     /// Something is known that the last snapshot does not hold.
@@ -328,7 +328,11 @@
             number: self.kept + 1,
             written: unix_nanos(),
             stamp: store.own(),
-            list: self.known.list().map(|(listed, address)| snapshot::Entry::of(listed, *address)).collect(),
+            list: self
+                .known
+                .discovered()
+                .map(|(listed, address)| snapshot::Entry::of(listed, *address))
+                .collect(),
             words: worse.map(|(srv, word)| (srv.clone(), *word)).collect(),
             floor: store.words().floor(),
         };
@@ -343,7 +347,7 @@
 
     /// How far the start has come.
     fn look(&mut self, now: Nanos) {
-        if self.peer.confirmed() {
+        if self.peer.has_synced() {
             self.start.told(now, Knows::Others);
             self.confirmed.send_if_modified(|told| !std::mem::replace(told, true));
         }
@@ -373,11 +377,13 @@
             if whole || !entries.is_empty() {
                 self.changed(now);
             }
-            let said: Vec<(String, words::State)> =
-                entries.iter().map(|(listed, _)| (listed.srv.to_string(), to_word(listed.state))).collect();
-            self.peer.listed(version, whole, &said);
+            let said: Vec<(String, words::State)> = entries
+                .iter()
+                .map(|(listed, _)| (listed.srv.to_string(), to_server_status(listed.state)))
+                .collect();
+            self.peer.apply_discovery(version, whole, &said);
         }
-        self.known.told(self.peer.store().words(), whole, &mut entries);
+        self.known.apply_discovery(self.peer.store().words(), whole, &mut entries);
         Mail::List { whole, old, version, entries }
     }
 
@@ -387,19 +393,19 @@
         match mail {
             meeting::Mail::Hello(reply) => drop(reply.send(self.peer.hello())),
             meeting::Mail::Greeted(body, reply) => {
-                let met = self.peer.greeted(&body).ok().map(|hello| {
-                    let pieces = self.peer.differing(&hello);
+                let met = self.peer.accept_hello(&body).ok().map(|hello| {
+                    let pieces = self.peer.encode_differences(&hello);
                     (hello, pieces)
                 });
                 // One that waits no more was cut off.
                 drop(reply.send(met));
             }
             meeting::Mail::Heard(from, body) => {
-                if let Err(why) = self.peer.met(now, &body) {
+                if let Err(why) = self.peer.receive_stream_body(now, &body) {
                     self.wrong(now, from, why);
                 }
             }
-            meeting::Mail::Over { ours, well } if ours || well => self.peer.parted(now, well),
+            meeting::Mail::Over { ours, well } if ours || well => self.peer.finish_stream_sync(now, well),
             meeting::Mail::Over { .. } => {}
         }
     }
@@ -425,18 +431,18 @@
             self.look(now);
             let counted = std::mem::take(&mut *self.evidence.lock().unwrap_or_else(PoisonError::into_inner));
             for ((srv, set), counts) in counted {
-                self.peer.count(now, &srv, &set, counts);
+                self.peer.record_outcomes(now, &srv, &set, counts);
             }
         }
-        if self.peer.next() <= now {
+        if self.peer.next_tick_at() <= now {
             self.peer.tick(now);
         }
-        while let Some(output) = self.peer.output() {
+        while let Some(output) = self.peer.poll_output() {
             self.follow(now, output).await;
         }
         if self.show_at <= now {
             self.show_at = now + SHOW_EVERY;
-            self.counts.overruled = self.known.overruled() as u64;
+            self.counts.overruled = self.known.override_count() as u64;
             let page = page::show(&self.peer, &self.file.fleet, self.counts, now);
             self.pages.send_replace((page, page::figures(&self.peer, self.counts, &self.start)));
         }
@@ -450,9 +456,11 @@
                     let _ = sockets.udp.try_send_to(&bytes, to);
                 }
             }
-            Output::Changed(srvs) => {
+            Output::StatusesChanged(srvs) => {
                 self.changed(now);
-                let news = self.known.changed(self.peer.store().words(), srvs.iter().map(String::as_str));
+                let news = self
+                    .known
+                    .apply_status_changes(self.peer.store().words(), srvs.iter().map(String::as_str));
                 if let Some((first, _)) = news.first() {
                     self.counts.told_early += news.len() as u64;
                     info!("fleet: told of {} srvs by others, {} is {:?}", news.len(), first.srv, first.state);
@@ -461,7 +469,7 @@
                     let _ = self.decisions.send(news).await;
                 }
             }
-            Output::Counted { srv, set, counts } if self.known.has(&srv) => {
+            Output::OutcomesReceived { server: srv, rule_set: set, counts } if self.known.contains(&srv) => {
                 let Counts { done, failed, lost } = counts;
                 for (how, times) in [(How::Done, done), (How::Error, failed), (How::Reset, lost)] {
                     if times > 0 {
@@ -470,21 +478,21 @@
                     }
                 }
             }
-            Output::Counted { .. } => {}
+            Output::OutcomesReceived { .. } => {}
             Output::Joined(name) => info!("fleet: {name} is there"),
-            Output::Lost(name) => info!("fleet: {name} is lost"),
+            Output::Failed(name) => info!("fleet: {name} is lost"),
             Output::Left(name) => info!("fleet: {name} has left"),
-            Output::Returned => info!("fleet: the others had taken this instance for dead"),
+            Output::DeclaredDead => info!("fleet: the others had taken this instance for dead"),
             Output::Displaced(address) => {
                 warn!(
                     "fleet: another live process at {address} has this name; nothing is said or heard any more"
                 );
             }
-            Output::Meet(name) => match self.reach(&Destination::Member(name)) {
+            Output::StreamSyncDue(name) => match self.reach(&Destination::Member(name)) {
                 Some(to) => meeting::begin(to, self.desk.clone()),
-                None => self.peer.parted(now, false),
+                None => self.peer.finish_stream_sync(now, false),
             },
-            Output::Wrong { from, why } => self.wrong(now, from, &why),
+            Output::Rejected { from, reason } => self.wrong(now, from, &reason),
         }
     }
 
--- a/balancer/src/fleet/meeting.rs
+++ b/balancer/src/fleet/meeting.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use ochreshed_gossip::meet::{self, HEAD, Hello, MOST_FRAMES};
+use ochreshed_gossip::stream_sync::{self, FRAME_HEADER_BYTES, Hello, MAX_FRAMES_PER_SIDE};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{Semaphore, mpsc, oneshot};
@@ -72,7 +72,7 @@
 
 /// Empty where it was cut short, by whichever side.
 async fn ask(stream: &mut TcpStream, at: SocketAddr, desk: &Desk) -> Option<()> {
-    stream.write_all(&hello(desk).await?.write()).await.ok()?;
+    stream.write_all(&hello(desk).await?.encode()).await.ok()?;
     let (_, pieces) = greeted(stream, desk).await?;
     hear(stream, at, desk).await?;
     tell(stream, pieces).await
@@ -80,7 +80,7 @@
 
 async fn answer(stream: &mut TcpStream, from: SocketAddr, desk: &Desk) -> Option<()> {
     let (_, pieces) = timeout(GREETING, greeted(stream, desk)).await.ok()??;
-    stream.write_all(&hello(desk).await?.write()).await.ok()?;
+    stream.write_all(&hello(desk).await?.encode()).await.ok()?;
     tell(stream, pieces).await?;
     hear(stream, from, desk).await
 }
@@ -100,14 +100,14 @@
 
 async fn tell(stream: &mut TcpStream, pieces: Vec<Vec<u8>>) -> Option<()> {
     for piece in pieces.iter().filter(|piece| !piece.is_empty()) {
-        stream.write_all(&meet::frame(piece)).await.ok()?;
+        stream.write_all(&stream_sync::encode_frame(piece)).await.ok()?;
         sleep(PACE).await;
     }
-    stream.write_all(&meet::frame(&[])).await.ok()
+    stream.write_all(&stream_sync::encode_frame(&[])).await.ok()
 }
 
 async fn hear(stream: &mut TcpStream, from: SocketAddr, desk: &Desk) -> Option<()> {
-    for _ in 0..=MOST_FRAMES {
+    for _ in 0..=MAX_FRAMES_PER_SIDE {
         let body = frame(stream).await?;
         if body.is_empty() {
             return Some(());
@@ -118,10 +118,10 @@
 }
 
 async fn frame(stream: &mut TcpStream) -> Option<Vec<u8>> {
-    let mut head = [0; HEAD];
+    let mut head = [0; FRAME_HEADER_BYTES];
     stream.read_exact(&mut head).await.ok()?;
-    let mut body = vec![0; meet::length(&head).ok()?];
+    let mut body = vec![0; stream_sync::body_length(&head).ok()?];
     stream.read_exact(&mut body).await.ok()?;
-    meet::check(&head, &body).ok()?;
+    stream_sync::verify_body(&head, &body).ok()?;
     Some(body)
 }
--- a/balancer/src/fleet/page.rs
+++ b/balancer/src/fleet/page.rs
@@ -5,7 +5,7 @@
 use std::fmt::Write as _;
 use std::net::SocketAddr;
 
-use ochreshed_gossip::peer::Peer;
+use ochreshed_gossip::node::GossipNode;
 use ochreshed_gossip::{Nanos, S};
 use ochreshed_recovery::start::Start;
 use ochreshed_replica::words;
@@ -23,7 +23,7 @@
 }
 
 /// Members, what is held and how much, what was wrong.
-pub fn show(peer: &Peer, fleet: &str, counts: Counts, now: Nanos) -> String {
+pub fn show(peer: &GossipNode, fleet: &str, counts: Counts, now: Nanos) -> String {
     let mut page = String::new();
     let (swim, words, traffic) = (peer.swim(), peer.store().words(), peer.traffic());
     let (name, mine) = (swim.name(), swim.own_record());
@@ -38,7 +38,11 @@
     ));
     line(format_args!(
         "sent {} messages, {} bytes; received {}, {} bytes; {} meetings",
-        traffic.sent, traffic.sent_bytes, traffic.received, traffic.received_bytes, traffic.meetings
+        traffic.sent_messages,
+        traffic.sent_bytes,
+        traffic.received_messages,
+        traffic.received_bytes,
+        traffic.stream_syncs
     ));
     line(format_args!(
         "words on {} srvs, floor {:?}; told before the own list: {}, worse than it now: {}",
@@ -47,8 +51,11 @@
         counts.told_early,
         counts.overruled
     ));
-    line(format_args!("rows written {}, outcomes of others told on {}", traffic.rows, traffic.counted));
-    for (why, count) in &traffic.wrong {
+    line(format_args!(
+        "rows written {}, outcomes of others told on {}",
+        traffic.outcome_rows_sent, traffic.outcomes_applied
+    ));
+    for (why, count) in &traffic.rejected {
         line(format_args!("could not be read: {count} {why}"));
     }
     line(format_args!("member {name} {:?} here, incarnation {}", mine.state, mine.incarnation));
@@ -68,7 +75,7 @@
 }
 
 /// The same in numbers: a name, a value, and whether it is a count or a gauge.
-pub fn figures(peer: &Peer, counts: Counts, start: &Start) -> Vec<(&'static str, u64, &'static str)> {
+pub fn figures(peer: &GossipNode, counts: Counts, start: &Start) -> Vec<(&'static str, u64, &'static str)> {
     let (swim, words, traffic) = (peer.swim(), peer.store().words(), peer.traffic());
     let worse = words.iter().filter(|(_, word)| word.state != words::State::Serves).count();
     vec![
@@ -78,12 +85,12 @@
         ("fleet.worse", worse as u64, "g"),
         ("fleet.overruled", counts.overruled, "g"),
         ("fleet.told_early", counts.told_early, "c"),
-        ("fleet.rows", traffic.rows, "c"),
-        ("fleet.counted", traffic.counted, "c"),
-        ("fleet.meetings", traffic.meetings, "c"),
+        ("fleet.rows", traffic.outcome_rows_sent, "c"),
+        ("fleet.counted", traffic.outcomes_applied, "c"),
+        ("fleet.meetings", traffic.stream_syncs, "c"),
         ("fleet.sent_bytes", traffic.sent_bytes, "c"),
         ("fleet.received_bytes", traffic.received_bytes, "c"),
-        ("fleet.unreadable", traffic.wrong.values().sum(), "c"),
+        ("fleet.unreadable", traffic.rejected.values().sum(), "c"),
         ("start.knows", start.knows() as u64, "g"),
         // 0 until it is reached.
         ("start.full_service_ms", start.full().unwrap_or(0) / 1_000_000, "g"),
--- a/emulator/src/fleet.rs
+++ b/emulator/src/fleet.rs
@@ -6,8 +6,8 @@
 use std::net::SocketAddr;
 
 use ochreshed::{Listed, Name};
-use ochreshed_gossip::known::{Known, to_word};
-use ochreshed_gossip::peer::{Output, Peer, Settings};
+use ochreshed_gossip::node::{GossipNode, NodeSettings, Output};
+use ochreshed_gossip::server_list::{ServerList, to_server_status};
 use ochreshed_membership::swim::{Destination, SwimConfig};
 use ochreshed_replica::rows::Counts;
 use serde::Deserialize;
@@ -50,8 +50,8 @@
 
 pub struct Net {
     fleet: Fleet,
-    peers: Vec<Peer>,
-    known: Vec<Known<()>>,
+    peers: Vec<GossipNode>,
+    known: Vec<ServerList<()>>,
     wake: Vec<Nanos>,
     /// Balancers up to this number are cut off from the others.
     cut: usize,
@@ -80,7 +80,7 @@
         let mut net = Net {
             fleet,
             peers: Vec::new(),
-            known: vec![Known::new(); instances],
+            known: vec![ServerList::new(); instances],
             wake: vec![Nanos::MAX; instances],
             cut: 0,
             zones,
@@ -95,17 +95,17 @@
         net
     }
 
-    fn peer(&mut self, number: usize, now: Nanos) -> Peer {
-        let settings = Settings {
+    fn peer(&mut self, number: usize, now: Nanos) -> GossipNode {
+        let settings = NodeSettings {
             fleet: "emulated".into(),
             name: format!("n{number}"),
             address: address(number),
             zone: format!("site-{}", number % self.zones.max(1)),
-            start: (self.chance.part() * 2f64.powi(60)) as u64,
+            start_id: (self.chance.part() * 2f64.powi(60)) as u64,
             seeds: (0..3).map(address).collect(),
             membership: SwimConfig::default(),
         };
-        Peer::new(settings, now)
+        GossipNode::new(settings, now)
     }
 
     pub fn instances(&self) -> usize {
@@ -120,14 +120,14 @@
     /// Its process ends, and the next one begins with nothing.
     pub fn crash(&mut self, now: Nanos, number: usize) -> Vec<Effect> {
         self.peers[number] = self.peer(number, now);
-        self.known[number] = Known::new();
+        self.known[number] = ServerList::new();
         self.follow(now, number)
     }
 
     /// The list as an instance has it from before: no news to anybody.
     pub fn began(&mut self, now: Nanos, number: usize, entries: &[Listed]) -> Vec<Effect> {
         let mut entries: Vec<(Listed, ())> = entries.iter().map(|listed| (listed.clone(), ())).collect();
-        self.known[number].told(self.peers[number].store().words(), true, &mut entries);
+        self.known[number].apply_discovery(self.peers[number].store().words(), true, &mut entries);
         self.follow(now, number)
     }
 
@@ -139,17 +139,17 @@
         version: u64,
         entry: Listed,
     ) -> (Listed, Vec<Effect>) {
-        let said = (entry.srv.to_string(), to_word(entry.state));
-        self.peers[number].listed(version, false, &[said]);
+        let said = (entry.srv.to_string(), to_server_status(entry.state));
+        self.peers[number].apply_discovery(version, false, &[said]);
         let mut entries = [(entry, ())];
-        self.known[number].told(self.peers[number].store().words(), false, &mut entries);
+        self.known[number].apply_discovery(self.peers[number].store().words(), false, &mut entries);
         let [(listed, ())] = entries;
         (listed, self.follow(now, number))
     }
 
     /// What came of a dispatch.
     pub fn count(&mut self, now: Nanos, number: usize, srv: &str, set: &str, counts: Counts) -> Vec<Effect> {
-        self.peers[number].count(now, srv, set, counts);
+        self.peers[number].record_outcomes(now, srv, set, counts);
         self.follow(now, number)
     }
 
@@ -181,16 +181,16 @@
         if through {
             let (ours, theirs) = (self.peers[one].hello(), self.peers[other].hello());
             let (from_one, from_other) =
-                (self.peers[one].differing(&theirs), self.peers[other].differing(&ours));
+                (self.peers[one].encode_differences(&theirs), self.peers[other].encode_differences(&ours));
             for (from, to, pieces) in [(other, one, from_other), (one, other, from_one)] {
                 for piece in pieces {
                     self.bytes[from] += piece.len() as u64;
                     // Bytes of our own are read.
-                    let _ = self.peers[to].met(now, &piece);
+                    let _ = self.peers[to].receive_stream_body(now, &piece);
                 }
             }
         }
-        self.peers[one].parted(now, through);
+        self.peers[one].finish_stream_sync(now, through);
         let mut effects = self.follow(now, one);
         effects.extend(self.follow(now, other));
         effects
@@ -199,22 +199,25 @@
     /// Takes on what a machine wants.
     fn follow(&mut self, now: Nanos, number: usize) -> Vec<Effect> {
         let mut effects = Vec::new();
-        while let Some(output) = self.peers[number].output() {
+        while let Some(output) = self.peers[number].poll_output() {
             match output {
                 Output::Send { to, bytes } => self.send(number, &to, bytes, &mut effects),
-                Output::Changed(srvs) => {
+                Output::StatusesChanged(srvs) => {
                     let words = self.peers[number].store().words();
-                    let news = self.known[number].changed(words, srvs.iter().map(String::as_str));
+                    let news =
+                        self.known[number].apply_status_changes(words, srvs.iter().map(String::as_str));
                     if !news.is_empty() {
                         let news = news.into_iter().map(|(listed, ())| listed).collect();
                         effects.push(Effect::News(number, news));
                     }
                 }
-                Output::Counted { srv, set, counts } if self.known[number].has(&srv) => {
+                Output::OutcomesReceived { server: srv, rule_set: set, counts }
+                    if self.known[number].contains(&srv) =>
+                {
                     let (srv, set) = (srv.as_str().into(), set.as_str().into());
                     effects.push(Effect::Counted { instance: number, srv, set, counts });
                 }
-                Output::Meet(name) => {
+                Output::StreamSyncDue(name) => {
                     if let Some(other) = self.reach(number, &Destination::Member(name)) {
                         effects.push(Effect::Later(now + MEETING, Due::Meeting(number, other)));
                     }
@@ -222,7 +225,7 @@
                 _ => {}
             }
         }
-        let next = self.peers[number].next().max(now + 1);
+        let next = self.peers[number].next_tick_at().max(now + 1);
         if next < self.wake[number] {
             self.wake[number] = next;
             effects.push(Effect::Later(next, Due::Wake(number)));
--- a/gossip/src/peer.rs
+++ b/gossip/src/node.rs
@@ -15,7 +15,7 @@
 use ochreshed_replica::store::{Digest, Store, read};
 use ochreshed_replica::words::{State, Word};
 
-use crate::meet::{self, Hello};
+use crate::stream_sync::{self, Hello};
 
 /// Kinds of parts behind a message: items of the replica, and its digest.
 const ITEMS: u16 = FIRST_EXTENSION_KIND;
@@ -60,14 +60,14 @@
 
 /// What this instance is to the others.
 #[derive(Clone, Debug)]
-pub struct Settings {
+pub struct NodeSettings {
     /// Instances of another fleet are not heard.
     pub fleet: String,
     pub name: String,
     pub address: SocketAddr,
     pub zone: String,
     /// Drawn anew at each start of a process.
-    pub start: u64,
+    pub start_id: u64,
     pub seeds: Vec<SocketAddr>,
     pub membership: SwimConfig,
 }
@@ -79,43 +79,43 @@
         bytes: Vec<u8>,
     },
     /// Of these srvs something else stands now.
-    Changed(Vec<String>),
+    StatusesChanged(Vec<String>),
     /// What an instance of this zone has counted at a srv, of a rule set: once each.
-    Counted {
-        srv: String,
-        set: String,
+    OutcomesReceived {
+        server: String,
+        rule_set: String,
         counts: Counts,
     },
     Joined(String),
-    Lost(String),
+    Failed(String),
     Left(String),
     /// The others had taken us for dead.
-    Returned,
+    DeclaredDead,
     /// Another live process has our name and keeps it: we say nothing any more.
     Displaced(SocketAddr),
     /// This member's copy differs from ours in much: a meeting over a stream is due.
-    Meet(String),
+    StreamSyncDue(String),
     /// What could not be read, and from where.
-    Wrong {
+    Rejected {
         from: SocketAddr,
-        why: String,
+        reason: String,
     },
 }
 
 /// What it has said and heard.
 #[derive(Clone, Debug, Default)]
-pub struct Traffic {
-    pub sent: u64,
+pub struct TrafficStats {
+    pub sent_messages: u64,
     pub sent_bytes: u64,
-    pub received: u64,
+    pub received_messages: u64,
     pub received_bytes: u64,
     /// By the way in which they were wrong; such ways are few.
-    pub wrong: BTreeMap<String, u64>,
+    pub rejected: BTreeMap<String, u64>,
     /// Rows written here, and outcomes of others' told on.
-    pub rows: u64,
-    pub counted: u64,
+    pub outcome_rows_sent: u64,
+    pub outcomes_applied: u64,
     /// Meetings over a stream that came to their end.
-    pub meetings: u64,
+    pub stream_syncs: u64,
 }
 
 /// A rule set's outcomes at a srv: what failed since it was told last, and what went well in this span and the one before.
@@ -144,7 +144,7 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct Peer {
+pub struct GossipNode {
     fleet: u64,
     swim: Swim,
     store: Store,
@@ -164,7 +164,7 @@
     heard: BTreeMap<String, (u64, u64)>,
     /// A member's copy has been the same as ours, or has met it, since the start.
     confirmed: bool,
-    traffic: Traffic,
+    traffic: TrafficStats,
     out: VecDeque<Output>,
 }
 
@@ -174,17 +174,17 @@
     fleet.as_bytes().iter().fold(0xcbf2_9ce4_8422_2325, hash)
 }
 
-impl Peer {
-    pub fn new(settings: Settings, now: Nanos) -> Peer {
-        let Settings { fleet, name, address, zone, start, seeds, membership } = settings;
-        Peer {
+impl GossipNode {
+    pub fn new(settings: NodeSettings, now: Nanos) -> GossipNode {
+        let NodeSettings { fleet, name, address, zone, start_id, seeds, membership } = settings;
+        GossipNode {
             fleet: number(&fleet),
-            swim: Swim::new(membership, &name, address, &zone, start, seeds, now),
-            store: Store::new(&name, start, MOST_SRVS),
+            swim: Swim::new(membership, &name, address, &zone, start_id, seeds, now),
+            store: Store::new(&name, start_id, MOST_SRVS),
             zone,
             spread_at: now,
             // Those that start together don't ask together.
-            digest_at: now + start % DIGEST_EVERY,
+            digest_at: now + start_id % DIGEST_EVERY,
             greet: VecDeque::new(),
             greet_at: now,
             meet_at: now,
@@ -193,7 +193,7 @@
             failed: false,
             heard: BTreeMap::new(),
             confirmed: false,
-            traffic: Traffic::default(),
+            traffic: TrafficStats::default(),
             out: VecDeque::new(),
         }
     }
@@ -206,31 +206,31 @@
         &self.store
     }
 
-    pub fn traffic(&self) -> &Traffic {
+    pub fn traffic(&self) -> &TrafficStats {
         &self.traffic
     }
 
-    pub fn output(&mut self) -> Option<Output> {
+    pub fn poll_output(&mut self) -> Option<Output> {
         self.out.pop_front()
     }
 
     /// What this instance knew before it started anew.
-    pub fn recall(&mut self, own: Stamp, words: &[(String, Word)], floor: Stamp) {
+    pub fn restore(&mut self, own: Stamp, words: &[(String, Word)], floor: Stamp) {
         self.store.recall(own, words, floor);
     }
 
     /// Whether others have told what they know since the start.
-    pub fn confirmed(&self) -> bool {
+    pub fn has_synced(&self) -> bool {
         self.confirmed
     }
 
     /// Discovery has told this instance a list, or changes of it.
-    pub fn listed(&mut self, version: u64, whole: bool, entries: &[(String, State)]) {
+    pub fn apply_discovery(&mut self, version: u64, whole: bool, entries: &[(String, State)]) {
         self.store.listed(version, whole, entries);
     }
 
     /// What this instance's own dispatches to a srv came to, of a rule set, since this was called last.
-    pub fn count(&mut self, now: Nanos, srv: &str, set: &str, counts: Counts) {
+    pub fn record_outcomes(&mut self, now: Nanos, srv: &str, set: &str, counts: Counts) {
         let key = (srv.to_owned(), set.to_owned());
         if self.gathered.len() >= MOST_COUNTED && !self.gathered.contains_key(&key) {
             return;
@@ -249,7 +249,7 @@
     }
 
     /// When `tick` is to be called at the latest.
-    pub fn next(&self) -> Nanos {
+    pub fn next_tick_at(&self) -> Nanos {
         let spread = if self.store.has_news() { self.spread_at } else { Nanos::MAX };
         let count = if self.failed { self.count_at } else { Nanos::MAX };
         let greet = if self.greet.is_empty() { Nanos::MAX } else { self.greet_at };
@@ -338,14 +338,14 @@
             }
         }
         if !srvs.is_empty() {
-            self.traffic.rows += 1;
+            self.traffic.outcome_rows_sent += 1;
             let row = Row { start: 0, number: 0, zone: self.zone.clone(), sets, srvs };
             let item = self.store.count(now, row);
             let there = self.swim.members().iter().filter(|(_, member)| member.record.state.is_live());
             let near = there.filter(|(_, member)| member.record.zone == self.zone);
             let mut near: Vec<String> = near.map(|(name, _)| name.clone()).collect();
             // Of a large zone so many, others each time.
-            let from = (self.traffic.rows as usize).wrapping_mul(MOST_TOLD) % near.len().max(1);
+            let from = (self.traffic.outcome_rows_sent as usize).wrapping_mul(MOST_TOLD) % near.len().max(1);
             near.rotate_left(from);
             for name in near.iter().take(MOST_TOLD) {
                 self.say(name, vec![(ITEMS, item.clone())]);
@@ -355,7 +355,7 @@
 
     /// A datagram has arrived.
     pub fn receive(&mut self, now: Nanos, from: SocketAddr, bytes: &[u8]) {
-        self.traffic.received += 1;
+        self.traffic.received_messages += 1;
         self.traffic.received_bytes += bytes.len() as u64;
         match wire::decode(self.fleet, bytes) {
             // Who is no member, or was dead for us, is heard for membership only.
@@ -367,8 +367,8 @@
     }
 
     fn wrong(&mut self, from: SocketAddr, why: String) {
-        *self.traffic.wrong.entry(why.clone()).or_default() += 1;
-        self.out.push_back(Output::Wrong { from, why });
+        *self.traffic.rejected.entry(why.clone()).or_default() += 1;
+        self.out.push_back(Output::Rejected { from, reason: why });
     }
 
     fn hear(&mut self, now: Nanos, from: SocketAddr, message: &Message) {
@@ -405,7 +405,7 @@
         };
         let changed = self.store.hear(now, items, lives);
         if !changed.is_empty() {
-            self.out.push_back(Output::Changed(changed));
+            self.out.push_back(Output::StatusesChanged(changed));
         }
         self.tell_counts(now);
         Ok(())
@@ -421,7 +421,7 @@
         if self.store.count_differing(theirs) > MANY {
             if self.meet_at <= now {
                 self.meet_at = now + MEET_EVERY;
-                self.out.push_back(Output::Meet(name.to_owned()));
+                self.out.push_back(Output::StreamSyncDue(name.to_owned()));
             }
             return false;
         }
@@ -443,8 +443,12 @@
             }
             for (srv, set, counts) in held.row.counts() {
                 let counts = counts.at_most(TIMES);
-                self.traffic.counted += u64::from(counts.all());
-                self.out.push_back(Output::Counted { srv: srv.into(), set: set.into(), counts });
+                self.traffic.outcomes_applied += u64::from(counts.all());
+                self.out.push_back(Output::OutcomesReceived {
+                    server: srv.into(),
+                    rule_set: set.into(),
+                    counts,
+                });
             }
         }
     }
@@ -473,7 +477,7 @@
 
     fn put(&mut self, to: Destination, message: &Message) {
         let bytes = wire::encode(self.fleet, message);
-        self.traffic.sent += 1;
+        self.traffic.sent_messages += 1;
         self.traffic.sent_bytes += bytes.len() as u64;
         self.out.push_back(Output::Send { to, bytes });
     }
@@ -494,13 +498,13 @@
                 }
                 swim::Output::Failed { name } => {
                     self.greet.retain(|other| *other != name);
-                    Output::Lost(name)
+                    Output::Failed(name)
                 }
                 swim::Output::Left { name } => {
                     self.greet.retain(|other| *other != name);
                     Output::Left(name)
                 }
-                swim::Output::DeclaredDead => Output::Returned,
+                swim::Output::DeclaredDead => Output::DeclaredDead,
                 swim::Output::Displaced { address } => Output::Displaced(address),
             };
             self.out.push_back(output);
@@ -525,31 +529,31 @@
     }
 
     /// The other one's greeting, from the body of its first frame: only a member that is there is met.
-    pub fn greeted(&self, body: &[u8]) -> Result<Hello, String> {
-        let hello = Hello::read(self.fleet, body).map_err(|wrong| format!("{wrong:?}"))?;
+    pub fn accept_hello(&self, body: &[u8]) -> Result<Hello, String> {
+        let hello = Hello::decode(self.fleet, body).map_err(|wrong| format!("{wrong:?}"))?;
         let member = self.swim.members().get(&hello.name).filter(|member| member.record.state.is_live());
-        match member.filter(|member| member.record.start_id == hello.start) {
+        match member.filter(|member| member.record.start_id == hello.start_id) {
             Some(_) => Ok(hello),
             None => Err("no member of this name and start".into()),
         }
     }
 
     /// What we hold where that digest differs, as bodies of frames.
-    pub fn differing(&self, theirs: &Hello) -> Vec<Vec<u8>> {
-        let mut pieces = self.store.differing(&theirs.digest, meet::PIECE);
-        pieces.truncate(meet::MOST_FRAMES);
+    pub fn encode_differences(&self, theirs: &Hello) -> Vec<Vec<u8>> {
+        let mut pieces = self.store.differing(&theirs.digest, stream_sync::MAX_FRAME_BODY_BYTES);
+        pieces.truncate(stream_sync::MAX_FRAMES_PER_SIDE);
         pieces
     }
 
     /// A body that the other one sent in a meeting.
-    pub fn met(&mut self, now: Nanos, body: &[u8]) -> Result<(), &'static str> {
+    pub fn receive_stream_body(&mut self, now: Nanos, body: &[u8]) -> Result<(), &'static str> {
         self.hear_items(now, body)
     }
 
     /// A meeting has come to its end, well or not.
-    pub fn parted(&mut self, now: Nanos, well: bool) {
+    pub fn finish_stream_sync(&mut self, now: Nanos, well: bool) {
         self.meet_at = now + MEET_EVERY;
-        self.traffic.meetings += u64::from(well);
+        self.traffic.stream_syncs += u64::from(well);
         self.confirmed |= well;
     }
 }
--- a/gossip/src/known.rs
+++ b/gossip/src/server_list.rs
@@ -9,33 +9,33 @@
 
 /// With each srv goes what the caller keeps beside it: where it is reached.
 #[derive(Clone, Debug, Default)]
-pub struct Known<A> {
+pub struct ServerList<A> {
     list: HashMap<Name, (Listed, A)>,
     /// Srvs of which the module was told something else than the list says.
     overruled: BTreeMap<Name, State>,
 }
 
-impl<A: Clone> Known<A> {
-    pub fn new() -> Known<A> {
-        Known { list: HashMap::new(), overruled: BTreeMap::new() }
+impl<A: Clone> ServerList<A> {
+    pub fn new() -> ServerList<A> {
+        ServerList { list: HashMap::new(), overruled: BTreeMap::new() }
     }
 
-    pub fn has(&self, srv: &str) -> bool {
+    pub fn contains(&self, srv: &str) -> bool {
         self.list.contains_key(srv)
     }
 
     /// The list as discovery last told it here.
-    pub fn list(&self) -> impl Iterator<Item = &(Listed, A)> {
+    pub fn discovered(&self) -> impl Iterator<Item = &(Listed, A)> {
         self.list.values()
     }
 
     /// Of how many srvs others have heard worse than the own list says.
-    pub fn overruled(&self) -> usize {
+    pub fn override_count(&self) -> usize {
         self.overruled.len()
     }
 
     /// Discovery's own news goes on to the module, but for what others have heard of later lists.
-    pub fn told(&mut self, words: &Words, whole: bool, entries: &mut [(Listed, A)]) {
+    pub fn apply_discovery(&mut self, words: &Words, whole: bool, entries: &mut [(Listed, A)]) {
         if whole {
             self.list = entries.iter().map(|entry| (entry.0.srv.clone(), entry.clone())).collect();
         }
@@ -55,7 +55,7 @@
     }
 
     /// Something else stands of these srvs now: what the module is to be told of it.
-    pub fn changed<'a>(
+    pub fn apply_status_changes<'a>(
         &mut self,
         words: &Words,
         srvs: impl IntoIterator<Item = &'a str>,
@@ -87,10 +87,10 @@
         words::State::Drains => State::Draining,
         words::State::Gone => State::Gone,
     };
-    (word.state > to_word(listed.state)).then_some(worse)
+    (word.state > to_server_status(listed.state)).then_some(worse)
 }
 
-pub fn to_word(state: State) -> words::State {
+pub fn to_server_status(state: State) -> words::State {
     match state {
         State::Up => words::State::Serves,
         State::Draining => words::State::Drains,
@@ -123,26 +123,26 @@
 
     #[test]
     fn what_others_heard_worse_stands_against_the_own_list_until_that_is_newer() {
-        let (mut store, mut known) = (told_of_a_drain(), Known::new());
+        let (mut store, mut known) = (told_of_a_drain(), ServerList::new());
         let mut list = [entry("s", State::Up), entry("t", State::Up)];
         store.listed(1, true, &[("s".into(), words::State::Serves), ("t".into(), words::State::Serves)]);
-        known.told(store.words(), true, &mut list);
+        known.apply_discovery(store.words(), true, &mut list);
         assert_eq!(states(&list), [("s", State::Draining), ("t", State::Up)]);
         // Told once: the same again is no news to the module.
-        assert!(known.changed(store.words(), ["s", "t", "elsewhere"]).is_empty());
+        assert!(known.apply_status_changes(store.words(), ["s", "t", "elsewhere"]).is_empty());
         let fresh = store.listed(3, false, &[("s".into(), words::State::Serves)]);
         assert_eq!(
-            states(&known.changed(store.words(), fresh.iter().map(String::as_str))),
+            states(&known.apply_status_changes(store.words(), fresh.iter().map(String::as_str))),
             [("s", State::Up)]
         );
-        assert_eq!(known.overruled(), 0);
+        assert_eq!(known.override_count(), 0);
     }
 
     /// Guards against a srv that only another instance can reach.
     #[test]
     fn of_a_srv_that_the_own_list_does_not_have_nothing_is_told() {
-        let (store, mut known) = (told_of_a_drain(), Known::new());
-        known.told(store.words(), true, &mut [entry("t", State::Up)]);
-        assert!(known.changed(store.words(), ["s"]).is_empty() && !known.has("s"));
+        let (store, mut known) = (told_of_a_drain(), ServerList::new());
+        known.apply_discovery(store.words(), true, &mut [entry("t", State::Up)]);
+        assert!(known.apply_status_changes(store.words(), ["s"]).is_empty() && !known.contains("s"));
     }
 }
--- a/gossip/src/meet.rs
+++ b/gossip/src/stream_sync.rs
@@ -8,11 +8,11 @@
 
 const FORMAT: u8 = 1;
 /// A frame's own head: the length of its body, and that body's CRC-32C.
-pub const HEAD: usize = 8;
+pub const FRAME_HEADER_BYTES: usize = 8;
 /// A piece of what differs; the largest body of a frame.
-pub const PIECE: usize = 16 * 1024;
+pub const MAX_FRAME_BODY_BYTES: usize = 16 * 1024;
 /// Frames that one side may send: 20,000 words with the longest ids fit well.
-pub const MOST_FRAMES: usize = 400;
+pub const MAX_FRAMES_PER_SIDE: usize = 400;
 
 /// How either side begins.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -20,41 +20,41 @@
     format: u8,
     pub fleet: u64,
     pub name: String,
-    pub start: u64,
+    pub start_id: u64,
     /// Sums over what it holds, in `FINE` parts.
     pub digest: Vec<u32>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Wrong {
+pub enum FrameError {
     /// Longer than any frame of ours.
-    Length,
-    Checksum,
+    BodyTooLong,
+    ChecksumMismatch,
     /// No greeting, one of a format that this build does not know, or of another fleet.
-    Hello,
+    InvalidHello,
 }
 
 impl Hello {
-    pub fn new(fleet: u64, name: &str, start: u64, digest: Vec<u32>) -> Hello {
-        Hello { format: FORMAT, fleet, name: name.into(), start, digest }
+    pub fn new(fleet: u64, name: &str, start_id: u64, digest: Vec<u32>) -> Hello {
+        Hello { format: FORMAT, fleet, name: name.into(), start_id, digest }
     }
 
-    pub fn write(&self) -> Vec<u8> {
+    pub fn encode(&self) -> Vec<u8> {
         // Plain values: writing them to memory does not fail.
-        frame(&postcard::to_stdvec(self).unwrap_or_default())
+        encode_frame(&postcard::to_stdvec(self).unwrap_or_default())
     }
 
     /// Reads the body of a frame as a greeting of this fleet.
-    pub fn read(fleet: u64, body: &[u8]) -> Result<Hello, Wrong> {
-        let hello: Hello = postcard::from_bytes(body).map_err(|_| Wrong::Hello)?;
+    pub fn decode(fleet: u64, body: &[u8]) -> Result<Hello, FrameError> {
+        let hello: Hello = postcard::from_bytes(body).map_err(|_| FrameError::InvalidHello)?;
         let right = hello.format == FORMAT && hello.fleet == fleet && hello.digest.len() == FINE;
-        if right { Ok(hello) } else { Err(Wrong::Hello) }
+        if right { Ok(hello) } else { Err(FrameError::InvalidHello) }
     }
 }
 
 /// A body with its head. An empty one is a side's last.
-pub fn frame(body: &[u8]) -> Vec<u8> {
-    let mut bytes = Vec::with_capacity(HEAD + body.len());
+pub fn encode_frame(body: &[u8]) -> Vec<u8> {
+    let mut bytes = Vec::with_capacity(FRAME_HEADER_BYTES + body.len());
     bytes.extend_from_slice(&(body.len() as u32).to_le_bytes());
     bytes.extend_from_slice(&crc32c::crc32c(body).to_le_bytes());
     bytes.extend_from_slice(body);
@@ -62,15 +62,15 @@
 }
 
 /// How long a body its head announces.
-pub fn length(head: &[u8; HEAD]) -> Result<usize, Wrong> {
+pub fn body_length(head: &[u8; FRAME_HEADER_BYTES]) -> Result<usize, FrameError> {
     let length = u32::from_le_bytes([head[0], head[1], head[2], head[3]]) as usize;
-    if length <= PIECE { Ok(length) } else { Err(Wrong::Length) }
+    if length <= MAX_FRAME_BODY_BYTES { Ok(length) } else { Err(FrameError::BodyTooLong) }
 }
 
 /// Whether a body is the one that its head announces.
-pub fn check(head: &[u8; HEAD], body: &[u8]) -> Result<(), Wrong> {
+pub fn verify_body(head: &[u8; FRAME_HEADER_BYTES], body: &[u8]) -> Result<(), FrameError> {
     let sum = u32::from_le_bytes([head[4], head[5], head[6], head[7]]);
-    if crc32c::crc32c(body) == sum { Ok(()) } else { Err(Wrong::Checksum) }
+    if crc32c::crc32c(body) == sum { Ok(()) } else { Err(FrameError::ChecksumMismatch) }
 }
 
 #[cfg(test)]
@@ -83,31 +83,34 @@
         Hello::new(9, "n1", 5, (0..FINE as u32).map(|part| part.wrapping_mul(0x9e37_79b9)).collect())
     }
 
-    fn body(bytes: &[u8]) -> Result<&[u8], Wrong> {
-        let (head, rest) = bytes.split_first_chunk::<HEAD>().ok_or(Wrong::Length)?;
-        let body = rest.get(..length(head)?).ok_or(Wrong::Length)?;
-        check(head, body).map(|()| body)
+    fn body(bytes: &[u8]) -> Result<&[u8], FrameError> {
+        let (head, rest) = bytes.split_first_chunk::<FRAME_HEADER_BYTES>().ok_or(FrameError::BodyTooLong)?;
+        let body = rest.get(..body_length(head)?).ok_or(FrameError::BodyTooLong)?;
+        verify_body(head, body).map(|()| body)
     }
 
     #[test]
     fn a_greeting_is_read_as_written_and_only_in_its_fleet() {
-        let bytes = hello().write();
-        assert!(bytes.len() <= HEAD + PIECE);
+        let bytes = hello().encode();
+        assert!(bytes.len() <= FRAME_HEADER_BYTES + MAX_FRAME_BODY_BYTES);
         let body = body(&bytes).expect("a body");
-        assert_eq!(Hello::read(9, body), Ok(hello()));
-        assert_eq!(Hello::read(8, body), Err(Wrong::Hello));
-        assert_eq!(Hello::read(9, &body[..body.len() - 1]), Err(Wrong::Hello));
-        let newer = Hello { format: 2, ..hello() }.write();
-        assert_eq!(Hello::read(9, &newer[HEAD..]), Err(Wrong::Hello));
-        let short = Hello { digest: vec![0; 3], ..hello() }.write();
-        assert_eq!(Hello::read(9, &short[HEAD..]), Err(Wrong::Hello));
+        assert_eq!(Hello::decode(9, body), Ok(hello()));
+        assert_eq!(Hello::decode(8, body), Err(FrameError::InvalidHello));
+        assert_eq!(Hello::decode(9, &body[..body.len() - 1]), Err(FrameError::InvalidHello));
+        let newer = Hello { format: 2, ..hello() }.encode();
+        assert_eq!(Hello::decode(9, &newer[FRAME_HEADER_BYTES..]), Err(FrameError::InvalidHello));
+        let short = Hello { digest: vec![0; 3], ..hello() }.encode();
+        assert_eq!(Hello::decode(9, &short[FRAME_HEADER_BYTES..]), Err(FrameError::InvalidHello));
     }
 
     #[test]
     fn a_frame_that_announces_more_than_any_of_ours_is_refused_before_it_is_read() {
-        let head = (PIECE as u32 + 1).to_le_bytes();
-        assert_eq!(length(&[head[0], head[1], head[2], head[3], 0, 0, 0, 0]), Err(Wrong::Length));
-        assert_eq!(body(&frame(&[])), Ok(&[][..]));
+        let head = (MAX_FRAME_BODY_BYTES as u32 + 1).to_le_bytes();
+        assert_eq!(
+            body_length(&[head[0], head[1], head[2], head[3], 0, 0, 0, 0]),
+            Err(FrameError::BodyTooLong)
+        );
+        assert_eq!(body(&encode_frame(&[])), Ok(&[][..]));
     }
 
     proptest! {
@@ -115,7 +118,7 @@
 
         #[test]
         fn damaged_frames_are_refused(of in prop::collection::vec(any::<u8>(), 1..300), at in any::<prop::sample::Index>(), flip in 1..=255u8) {
-            let mut bytes = frame(&of);
+            let mut bytes = encode_frame(&of);
             prop_assert_eq!(body(&bytes), Ok(&of[..]));
             let at = at.index(bytes.len());
             bytes[at] ^= flip;
@@ -124,7 +127,7 @@
 
         #[test]
         fn any_bytes_are_a_greeting_or_none(of in prop::collection::vec(any::<u8>(), 0..300)) {
-            prop_assert!(Hello::read(9, &of).is_err());
+            prop_assert!(Hello::decode(9, &of).is_err());
         }
     }
 }
--- a/gossip/tests/fleet.rs
+++ b/gossip/tests/fleet.rs
@@ -149,7 +149,7 @@
     world.run(30 * S);
     world.cut = Box::new(|_, _| false);
     let took = world.until(20 * S, 50 * MS, |world| world.agree());
-    let meetings: u64 = world.peers.values().map(|peer| peer.traffic().meetings).sum();
+    let meetings: u64 = world.peers.values().map(|peer| peer.traffic().stream_syncs).sum();
     assert!(took <= 3 * S && meetings > 0, "{} ms, {meetings} meetings", took / MS);
 }
 
@@ -183,22 +183,22 @@
 fn a_name_used_by_two_live_processes_is_kept_by_one() {
     let mut world = fleet(6, 6);
     // The second n2 is at another address: that of number 9.
-    let settings = ochreshed_gossip::peer::Settings {
+    let settings = ochreshed_gossip::node::NodeSettings {
         fleet: "test".into(),
         name: name(2),
         address: world::address(9),
         zone: "z0".into(),
-        start: 1,
+        start_id: 1,
         seeds: vec![world::address(0)],
         membership: ochreshed_membership::swim::SwimConfig::default(),
     };
     world.bytes.resize(10, 0);
-    world.peers.insert(9, ochreshed_gossip::peer::Peer::new(settings, world.now));
+    world.peers.insert(9, ochreshed_gossip::node::GossipNode::new(settings, world.now));
     world.flush(9);
     world.run(20 * S);
     // One of the two says nothing more, and the others go on as they were.
     let speaks = |world: &World, number: usize| {
-        world.peers[&number].next() < world.now + 60 * S
+        world.peers[&number].next_tick_at() < world.now + 60 * S
             && world.peers[&number].swim().next_tick_at() < u64::MAX
     };
     assert!(speaks(&world, 2) != speaks(&world, 9), "{} {}", speaks(&world, 2), speaks(&world, 9));
@@ -214,11 +214,11 @@
         let peer = world.peers.get_mut(&0).expect("n0");
         peer.receive(world.now, world::address(50), &garbage[..length]);
         let mut answers = 0;
-        while let Some(output) = peer.output() {
-            answers += usize::from(matches!(output, ochreshed_gossip::peer::Output::Send { .. }));
+        while let Some(output) = peer.poll_output() {
+            answers += usize::from(matches!(output, ochreshed_gossip::node::Output::Send { .. }));
         }
         assert_eq!(answers, 0, "an answer to {length} bytes of nobody");
     }
-    assert_eq!(world.peers[&0].traffic().wrong.values().sum::<u64>(), 6);
-    assert!(world.peers[&0].traffic().wrong.len() <= 5, "ways to be wrong are few");
+    assert_eq!(world.peers[&0].traffic().rejected.values().sum::<u64>(), 6);
+    assert!(world.peers[&0].traffic().rejected.len() <= 5, "ways to be wrong are few");
 }
--- a/gossip/tests/frozen_forms.rs
+++ b/gossip/tests/frozen_forms.rs
@@ -6,8 +6,8 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use ochreshed_gossip::meet::{HEAD, Hello, check, frame, length};
-use ochreshed_gossip::peer::{Output, Peer, Settings};
+use ochreshed_gossip::node::{GossipNode, NodeSettings, Output};
+use ochreshed_gossip::stream_sync::{FRAME_HEADER_BYTES, Hello, body_length, encode_frame, verify_body};
 use ochreshed_gossip::{MS, S};
 use ochreshed_membership::swim::{Destination, SwimConfig};
 use ochreshed_membership::wire;
@@ -57,24 +57,24 @@
 fn greetings_and_frames_are_written_and_read_as_before() {
     let hello = Hello::new(FLEET, "n1", 5, (0..FINE as u32).map(|part| part % 300).collect());
     let samples = [
-        ("hello".to_owned(), hello.write()),
-        ("frame".to_owned(), frame(b"what differs")),
-        ("last frame".to_owned(), frame(&[])),
+        ("hello".to_owned(), hello.encode()),
+        ("frame".to_owned(), encode_frame(b"what differs")),
+        ("last frame".to_owned(), encode_frame(&[])),
     ];
     let kept = frozen("stream.txt", &samples);
     let bodies: Vec<&[u8]> = kept
         .iter()
         .map(|bytes| {
-            let (head, body) = bytes.split_first_chunk::<HEAD>().expect("a head");
-            assert_eq!(length(head), Ok(body.len()));
-            assert_eq!(check(head, body), Ok(()));
-            assert_eq!(&frame(body), bytes);
+            let (head, body) = bytes.split_first_chunk::<FRAME_HEADER_BYTES>().expect("a head");
+            assert_eq!(body_length(head), Ok(body.len()));
+            assert_eq!(verify_body(head, body), Ok(()));
+            assert_eq!(&encode_frame(body), bytes);
             body
         })
         .collect();
-    let read = Hello::read(FLEET, bodies[0]).expect("a greeting");
+    let read = Hello::decode(FLEET, bodies[0]).expect("a greeting");
     assert_eq!(read, hello);
-    assert_eq!(read.write(), kept[0]);
+    assert_eq!(read.encode(), kept[0]);
     assert_eq!(bodies[1..], [&b"what differs"[..], b""]);
 }
 
@@ -82,17 +82,17 @@
     SocketAddr::from(([10, 1, 0, 1 + nth as u8], 7620))
 }
 
-fn peer(nth: usize) -> Peer {
-    let settings = Settings {
+fn peer(nth: usize) -> GossipNode {
+    let settings = NodeSettings {
         fleet: "shop".into(),
         name: format!("n{nth}"),
         address: address(nth),
         zone: "a".into(),
-        start: 7 + nth as u64,
+        start_id: 7 + nth as u64,
         seeds: vec![address(0)],
         membership: SwimConfig::default(),
     };
-    Peer::new(settings, 0)
+    GossipNode::new(settings, 0)
 }
 
 /// What a datagram is, and of which parts.
@@ -115,15 +115,15 @@
 /// The first datagram of each kind in a talk of three instances, which is the same in every run: chance comes from their
 /// starts. One joins, one counts failures, one hears of changes, one goes, and one is lost.
 fn talk() -> BTreeMap<String, Vec<u8>> {
-    let mut peers: Vec<Peer> = (0..3).map(peer).collect();
+    let mut peers: Vec<GossipNode> = (0..3).map(peer).collect();
     let mut first = BTreeMap::new();
     for step in 0..600u64 {
         let now = step * 20 * MS;
         let list = |state| vec![("i-1".to_owned(), State::Serves), ("i-2".to_owned(), state)];
         match step {
-            100 => peers[0].listed(1, true, &list(State::Serves)),
-            150 => peers[0].listed(2, true, &list(State::Drains)),
-            200 => peers[1].count(now, "i-1", "read", Counts { done: 3, failed: 2, lost: 1 }),
+            100 => peers[0].apply_discovery(1, true, &list(State::Serves)),
+            150 => peers[0].apply_discovery(2, true, &list(State::Drains)),
+            200 => peers[1].record_outcomes(now, "i-1", "read", Counts { done: 3, failed: 2, lost: 1 }),
             550 => peers[1].leave(now),
             _ => {}
         }
@@ -132,10 +132,10 @@
             if step < 550 || nth != 1 {
                 peer.tick(now);
             }
-            while let Some(output) = peer.output() {
+            while let Some(output) = peer.poll_output() {
                 match output {
                     Output::Send { to, bytes } => sent.push((nth, to, bytes)),
-                    Output::Wrong { why, .. } => panic!("{why}"),
+                    Output::Rejected { reason, .. } => panic!("{reason}"),
                     _ => {}
                 }
             }
@@ -170,8 +170,8 @@
             }
         }
         listener.receive(S, address(1), bytes);
-        while let Some(output) = listener.output() {
-            assert!(!matches!(output, Output::Wrong { .. }), "{output:?}");
+        while let Some(output) = listener.poll_output() {
+            assert!(!matches!(output, Output::Rejected { .. }), "{output:?}");
         }
     }
     kinds.sort();
@@ -215,6 +215,6 @@
     for bytes in [b"GET / HTTP/1.1".to_vec(), other_fleet, other_format, damaged, unnamed, short_digest] {
         receiver.receive(0, address, &bytes);
     }
-    let reasons: Vec<&str> = receiver.traffic().wrong.keys().map(String::as_str).collect();
+    let reasons: Vec<&str> = receiver.traffic().rejected.keys().map(String::as_str).collect();
     assert_eq!(reasons, ["Checksum", "Fleet", "Format", "NotOurs", "Part", "a digest can't be read"]);
 }
--- a/gossip/tests/world/mod.rs
+++ b/gossip/tests/world/mod.rs
@@ -8,7 +8,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-use ochreshed_gossip::peer::{Output, Peer, Settings};
+use ochreshed_gossip::node::{GossipNode, NodeSettings, Output};
 use ochreshed_gossip::{MS, Nanos, S};
 use ochreshed_membership::swim::{Destination, SwimConfig};
 use ochreshed_replica::rows::Counts;
@@ -18,7 +18,7 @@
 
 pub struct World {
     pub now: Nanos,
-    pub peers: BTreeMap<usize, Peer>,
+    pub peers: BTreeMap<usize, GossipNode>,
     pub asleep: BTreeSet<usize>,
     /// Whether what one sends to another is cut, by their numbers.
     pub cut: Box<dyn Fn(usize, usize) -> bool>,
@@ -83,16 +83,16 @@
 
     /// A process starts, or starts anew under its name.
     pub fn start(&mut self, number: usize) {
-        let settings = Settings {
+        let settings = NodeSettings {
             fleet: "test".into(),
             name: name(number),
             address: address(number),
             zone: format!("z{}", number % self.zones),
-            start: self.chance.random(),
+            start_id: self.chance.random(),
             seeds: self.seeds.clone(),
             membership: SwimConfig::default(),
         };
-        self.peers.insert(number, Peer::new(settings, self.now));
+        self.peers.insert(number, GossipNode::new(settings, self.now));
         self.counted.remove(&number);
         self.flush(number);
     }
@@ -109,34 +109,35 @@
         let entries: Vec<(String, State)> =
             entries.iter().map(|(srv, state)| ((*srv).to_owned(), *state)).collect();
         if let Some(peer) = self.peers.get_mut(&number) {
-            peer.listed(version, whole, &entries);
+            peer.apply_discovery(version, whole, &entries);
         }
         self.flush(number);
     }
 
     pub fn count(&mut self, number: usize, srv: &str, counts: Counts) {
         if let Some(peer) = self.peers.get_mut(&number) {
-            peer.count(self.now, srv, "read", counts);
+            peer.record_outcomes(self.now, srv, "read", counts);
         }
         self.flush(number);
     }
 
     pub fn flush(&mut self, number: usize) {
-        while let Some(output) = self.peers.get_mut(&number).and_then(Peer::output) {
+        while let Some(output) = self.peers.get_mut(&number).and_then(GossipNode::poll_output) {
             match output {
                 Output::Send { to, bytes } => self.send(number, &to, bytes),
-                Output::Counted { srv, counts, .. } => {
+                Output::OutcomesReceived { server: srv, counts, .. } => {
                     self.counted.entry(number).or_default().entry(srv).or_default().add(counts);
                 }
-                Output::Meet(other) => {
+                Output::StreamSyncDue(other) => {
                     let to = self.reach(number, &Destination::Member(other));
                     self.put(5 * MS, Due::Meeting(number, number_of(to)));
                 }
-                Output::Wrong { why, .. } => panic!("could not be read: {why}"),
+                Output::Rejected { reason, .. } => panic!("could not be read: {reason}"),
                 _ => {}
             }
         }
-        let next = self.peers.get(&number).filter(|_| !self.asleep.contains(&number)).map(Peer::next);
+        let next =
+            self.peers.get(&number).filter(|_| !self.asleep.contains(&number)).map(GossipNode::next_tick_at);
         if let Some(at) = self.wake.remove(&number) {
             self.timers.remove(&(at, number));
         }
@@ -181,19 +182,19 @@
         };
         if through && !self.asleep.contains(&other) {
             let (ours, theirs) = (one.hello(), two.hello());
-            let read = |hello: &ochreshed_gossip::meet::Hello| hello.write()[8..].to_vec();
-            if two.greeted(&read(&ours)).is_ok() && one.greeted(&read(&theirs)).is_ok() {
-                let (from_two, from_one) = (two.differing(&ours), one.differing(&theirs));
+            let read = |hello: &ochreshed_gossip::stream_sync::Hello| hello.encode()[8..].to_vec();
+            if two.accept_hello(&read(&ours)).is_ok() && one.accept_hello(&read(&theirs)).is_ok() {
+                let (from_two, from_one) = (two.encode_differences(&ours), one.encode_differences(&theirs));
                 self.bytes[other] += from_two.iter().map(|piece| piece.len() as u64).sum::<u64>();
                 self.bytes[number] += from_one.iter().map(|piece| piece.len() as u64).sum::<u64>();
                 for (peer, pieces) in [(&mut one, from_two), (&mut two, from_one)] {
                     for piece in pieces {
-                        peer.met(self.now, &piece).expect("items");
+                        peer.receive_stream_body(self.now, &piece).expect("items");
                     }
                 }
             }
         }
-        one.parted(self.now, through);
+        one.finish_stream_sync(self.now, through);
         self.peers.insert(number, one);
         self.peers.insert(other, two);
         self.flush(number);
@@ -246,7 +247,7 @@
     }
 
     /// The share of those that are awake of whom this is true.
-    pub fn share(&self, is: impl Fn(usize, &Peer) -> bool) -> f64 {
+    pub fn share(&self, is: impl Fn(usize, &GossipNode) -> bool) -> f64 {
         let awake = self.peers.iter().filter(|(number, _)| !self.asleep.contains(number));
         let all = awake.clone().count();
         awake.filter(|(number, peer)| is(**number, peer)).count() as f64 / all.max(1) as f64
