--- a/emulator/src/fleet.rs
+++ b/emulator/src/fleet.rs
@@ -9,7 +9,7 @@
 use ochreshed_gossip::node::{GossipNode, NodeSettings, Output};
 use ochreshed_gossip::server_list::{ServerList, to_server_status};
 use ochreshed_membership::swim::{Destination, SwimConfig};
-use ochreshed_replica::rows::Counts;
+use ochreshed_replica::outcomes::OutcomeCounts;
 use serde::Deserialize;
 
 use crate::chance::{Span, Stream};
@@ -38,7 +38,7 @@
         instance: usize,
         srv: Name,
         set: Name,
-        counts: Counts,
+        counts: OutcomeCounts,
     },
 }
 
@@ -127,7 +127,7 @@
     /// The list as an instance has it from before: no news to anybody.
     pub fn began(&mut self, now: Nanos, number: usize, entries: &[Listed]) -> Vec<Effect> {
         let mut entries: Vec<(Listed, ())> = entries.iter().map(|listed| (listed.clone(), ())).collect();
-        self.known[number].apply_discovery(self.peers[number].store().words(), true, &mut entries);
+        self.known[number].apply_discovery(self.peers[number].store().statuses(), true, &mut entries);
         self.follow(now, number)
     }
 
@@ -142,13 +142,20 @@
         let said = (entry.srv.to_string(), to_server_status(entry.state));
         self.peers[number].apply_discovery(version, false, &[said]);
         let mut entries = [(entry, ())];
-        self.known[number].apply_discovery(self.peers[number].store().words(), false, &mut entries);
+        self.known[number].apply_discovery(self.peers[number].store().statuses(), false, &mut entries);
         let [(listed, ())] = entries;
         (listed, self.follow(now, number))
     }
 
     /// What came of a dispatch.
-    pub fn count(&mut self, now: Nanos, number: usize, srv: &str, set: &str, counts: Counts) -> Vec<Effect> {
+    pub fn count(
+        &mut self,
+        now: Nanos,
+        number: usize,
+        srv: &str,
+        set: &str,
+        counts: OutcomeCounts,
+    ) -> Vec<Effect> {
         self.peers[number].record_outcomes(now, srv, set, counts);
         self.follow(now, number)
     }
@@ -203,7 +210,7 @@
             match output {
                 Output::Send { to, bytes } => self.send(number, &to, bytes, &mut effects),
                 Output::StatusesChanged(srvs) => {
-                    let words = self.peers[number].store().words();
+                    let words = self.peers[number].store().statuses();
                     let news =
                         self.known[number].apply_status_changes(words, srvs.iter().map(String::as_str));
                     if !news.is_empty() {
