--- a/gossip/src/lib.rs
+++ b/gossip/src/lib.rs
@@ -1,8 +1,8 @@
-//! What one balancer says to the others of its fleet, and what it makes of what they say. [`node`] puts membership and
-//! replica into one machine that is told what arrived and what time it is, and answers with datagrams to send; [`stream_sync`] is
-//! the exchange of two copies that differ in much, over a stream; [`server_list`] holds the list as discovery told it here
-//! against what others have heard since. Nothing here does I/O, reads a clock or draws from the system's chance, so the
-//! program, the emulator and the tests run the same.
+//! The gossip protocol between the balancers of a fleet. [`node`] joins membership and replica into one state machine, which
+//! takes arrived datagrams and the current time and returns datagrams to send; [`stream_sync`] is the format in which two
+//! replicas that differ in many records synchronize over a stream; [`server_list`] merges the server list that this balancer
+//! has from discovery with what other balancers have heard since. Nothing here does I/O, reads a clock or uses the system's
+//! random numbers, so the program, the emulator and the tests run the same code.
 
 pub mod node;
 pub mod server_list;
--- a/gossip/src/server_list.rs
+++ b/gossip/src/server_list.rs
@@ -1,93 +1,95 @@
-//! The list as discovery last told it here, and of which srvs others have heard worse since. It owns what the module is
-//! told of either, and must never tell better than the own list says, nor of a srv that the own list does not have: where
-//! it is reached from here only discovery knows.
+//! The server list that this balancer has from discovery, merged with worse statuses that other balancers have heard since.
+//!
+//! A server is never passed on with a better status than the list gives it, and never if the list lacks it: only discovery
+//! knows where it is reached from here.
 
 use std::collections::{BTreeMap, HashMap};
 
 use ochreshed::{Listed, Name, State};
 use ochreshed_replica::status::{ServerStatus, StatusTable};
 
-/// With each srv goes what the caller keeps beside it: where it is reached.
+/// The list, with the caller's address `A` of each server.
 #[derive(Clone, Debug, Default)]
 pub struct ServerList<A> {
-    list: HashMap<Name, (Listed, A)>,
-    /// Srvs of which the module was told something else than the list says.
-    overruled: BTreeMap<Name, State>,
+    discovered: HashMap<Name, (Listed, A)>,
+    /// Servers that were passed on with another state than discovery's.
+    overrides: BTreeMap<Name, State>,
 }
 
 impl<A: Clone> ServerList<A> {
     pub fn new() -> ServerList<A> {
-        ServerList { list: HashMap::new(), overruled: BTreeMap::new() }
+        ServerList { discovered: HashMap::new(), overrides: BTreeMap::new() }
     }
 
-    pub fn contains(&self, srv: &str) -> bool {
-        self.list.contains_key(srv)
+    pub fn contains(&self, server: &str) -> bool {
+        self.discovered.contains_key(server)
     }
 
-    /// The list as discovery last told it here.
+    /// The list as discovery last gave it.
     pub fn discovered(&self) -> impl Iterator<Item = &(Listed, A)> {
-        self.list.values()
+        self.discovered.values()
     }
 
-    /// Of how many srvs others have heard worse than the own list says.
+    /// The number of servers of which others have heard a worse status than the list gives.
     pub fn override_count(&self) -> usize {
-        self.overruled.len()
+        self.overrides.len()
     }
 
-    /// Discovery's own news goes on to the module, but for what others have heard of later lists.
-    pub fn apply_discovery(&mut self, words: &StatusTable, whole: bool, entries: &mut [(Listed, A)]) {
+    /// Takes in a list from discovery, or changes of it, and sets in `entries` the states that others have heard of later
+    /// lists.
+    pub fn apply_discovery(&mut self, statuses: &StatusTable, whole: bool, entries: &mut [(Listed, A)]) {
         if whole {
-            self.list = entries.iter().map(|entry| (entry.0.srv.clone(), entry.clone())).collect();
+            self.discovered = entries.iter().map(|entry| (entry.0.srv.clone(), entry.clone())).collect();
         }
         for entry in entries.iter() {
             match entry.0.state {
-                State::Gone => drop(self.list.remove(&entry.0.srv)),
-                _ => drop(self.list.insert(entry.0.srv.clone(), entry.clone())),
+                State::Gone => drop(self.discovered.remove(&entry.0.srv)),
+                _ => drop(self.discovered.insert(entry.0.srv.clone(), entry.clone())),
             }
         }
-        self.overruled.retain(|srv, _| !whole && !entries.iter().any(|(listed, _)| listed.srv == *srv));
+        self.overrides.retain(|server, _| !whole && !entries.iter().any(|(listed, _)| listed.srv == *server));
         for (listed, _) in entries {
-            if let Some(worse) = worse(words, listed) {
+            if let Some(worse) = worse_state(statuses, listed) {
                 listed.state = worse;
-                self.overruled.insert(listed.srv.clone(), worse);
+                self.overrides.insert(listed.srv.clone(), worse);
             }
         }
     }
 
-    /// Something else stands of these srvs now: what the module is to be told of it.
+    /// Takes in that the statuses of these servers have changed in the replica. Returns the entries to pass on.
     pub fn apply_status_changes<'a>(
         &mut self,
-        words: &StatusTable,
-        srvs: impl IntoIterator<Item = &'a str>,
+        statuses: &StatusTable,
+        servers: impl IntoIterator<Item = &'a str>,
     ) -> Vec<(Listed, A)> {
-        let mut news = Vec::new();
-        for srv in srvs {
-            let Some((listed, beside)) = self.list.get(srv) else { continue };
-            let now = worse(words, listed);
-            if now == self.overruled.get(&listed.srv).copied() {
+        let mut changes = Vec::new();
+        for server in servers {
+            let Some((listed, address)) = self.discovered.get(server) else { continue };
+            let worse = worse_state(statuses, listed);
+            if worse == self.overrides.get(&listed.srv).copied() {
                 continue;
             }
-            match now {
-                Some(worse) => drop(self.overruled.insert(listed.srv.clone(), worse)),
-                None => drop(self.overruled.remove(&listed.srv)),
+            match worse {
+                Some(worse) => drop(self.overrides.insert(listed.srv.clone(), worse)),
+                None => drop(self.overrides.remove(&listed.srv)),
             }
             let mut listed = listed.clone();
-            listed.state = now.unwrap_or(listed.state);
-            news.push((listed, beside.clone()));
+            listed.state = worse.unwrap_or(listed.state);
+            changes.push((listed, address.clone()));
         }
-        news
+        changes
     }
 }
 
-/// What others have heard of a srv since, if that is worse than this.
-fn worse(words: &StatusTable, listed: &Listed) -> Option<State> {
-    let word = words.get(&listed.srv)?;
-    let worse = match word.status {
+/// The state that others have heard of a server, if it is worse than the listed one.
+fn worse_state(statuses: &StatusTable, listed: &Listed) -> Option<State> {
+    let known = statuses.get(&listed.srv)?;
+    let state = match known.status {
         ServerStatus::Serving => return None,
         ServerStatus::Draining => State::Draining,
         ServerStatus::Gone => State::Gone,
     };
-    (word.status > to_server_status(listed.state)).then_some(worse)
+    (known.status > to_server_status(listed.state)).then_some(state)
 }
 
 pub fn to_server_status(state: State) -> ServerStatus {
@@ -104,8 +106,9 @@
 
     use super::*;
 
-    fn entry(srv: &str, state: State) -> (Listed, u16) {
-        let listed = Listed { srv: srv.into(), state, came_up: None, weight: 1.0, site: "a".into(), cell: 0 };
+    fn entry(server: &str, state: State) -> (Listed, u16) {
+        let listed =
+            Listed { srv: server.into(), state, came_up: None, weight: 1.0, site: "a".into(), cell: 0 };
         (listed, 7)
     }
 
@@ -113,40 +116,41 @@
         entries.iter().map(|(listed, _)| (&*listed.srv, listed.state)).collect()
     }
 
-    /// A copy that was told by another of a drain, by list 2.
-    fn told_of_a_drain() -> Store {
-        let (mut one, mut other) = (Store::new("n1", 1, 10), Store::new("n2", 1, 10));
-        one.apply_discovery(2, false, &[("s".into(), ServerStatus::Draining)]);
-        other.merge_updates(0, decode_updates(&one.next_delta(1_000, 3)).expect("items"), |_| Some(1));
-        other
+    /// A replica that has heard from another one that server `s` drains by version 2 of the list.
+    fn store_with_drain() -> Store {
+        let (mut informed, mut store) = (Store::new("n1", 1, 10), Store::new("n2", 1, 10));
+        informed.apply_discovery(2, false, &[("s".into(), ServerStatus::Draining)]);
+        let updates = decode_updates(&informed.next_delta(1_000, 3)).expect("updates");
+        store.merge_updates(0, updates, |_| Some(1));
+        store
     }
 
     #[test]
-    fn what_others_heard_worse_stands_against_the_own_list_until_that_is_newer() {
-        let (mut store, mut known) = (told_of_a_drain(), ServerList::new());
-        let mut list = [entry("s", State::Up), entry("t", State::Up)];
+    fn a_worse_status_from_others_overrides_the_list_until_a_newer_list() {
+        let (mut store, mut list) = (store_with_drain(), ServerList::new());
+        let mut entries = [entry("s", State::Up), entry("t", State::Up)];
         store.apply_discovery(
             1,
             true,
             &[("s".into(), ServerStatus::Serving), ("t".into(), ServerStatus::Serving)],
         );
-        known.apply_discovery(store.statuses(), true, &mut list);
-        assert_eq!(states(&list), [("s", State::Draining), ("t", State::Up)]);
-        // Told once: the same again is no news to the module.
-        assert!(known.apply_status_changes(store.statuses(), ["s", "t", "elsewhere"]).is_empty());
-        let fresh = store.apply_discovery(3, false, &[("s".into(), ServerStatus::Serving)]);
+        list.apply_discovery(store.statuses(), true, &mut entries);
+        assert_eq!(states(&entries), [("s", State::Draining), ("t", State::Up)]);
+        // A state that was already passed on is not passed on again.
+        assert!(list.apply_status_changes(store.statuses(), ["s", "t", "elsewhere"]).is_empty());
+        let changed = store.apply_discovery(3, false, &[("s".into(), ServerStatus::Serving)]);
         assert_eq!(
-            states(&known.apply_status_changes(store.statuses(), fresh.iter().map(String::as_str))),
+            states(&list.apply_status_changes(store.statuses(), changed.iter().map(String::as_str))),
             [("s", State::Up)]
         );
-        assert_eq!(known.override_count(), 0);
+        assert_eq!(list.override_count(), 0);
     }
 
-    /// Guards against a srv that only another instance can reach.
+    /// Guards against a server that only another balancer can reach.
     #[test]
-    fn of_a_srv_that_the_own_list_does_not_have_nothing_is_told() {
-        let (store, mut known) = (told_of_a_drain(), ServerList::new());
-        known.apply_discovery(store.statuses(), true, &mut [entry("t", State::Up)]);
-        assert!(known.apply_status_changes(store.statuses(), ["s"]).is_empty() && !known.contains("s"));
+    fn a_server_that_the_list_lacks_is_not_passed_on() {
+        let (store, mut list) = (store_with_drain(), ServerList::new());
+        list.apply_discovery(store.statuses(), true, &mut [entry("t", State::Up)]);
+        assert!(list.apply_status_changes(store.statuses(), ["s"]).is_empty() && !list.contains("s"));
     }
 }
--- a/gossip/src/stream_sync.rs
+++ b/gossip/src/stream_sync.rs
@@ -1,36 +1,35 @@
-//! How two copies that differ in much meet, over a stream: who asks says who it is and sends its digest in many parts; the
-//! other one answers with its own and with what it holds of the parts that differ; then the asker tells what it holds of
-//! them. It owns the form of what goes over the stream and its bounds, and must never take more than those, whatever the
-//! bytes say.
+//! The format in which two replicas that differ in many records synchronize over a stream. The initiator names itself and
+//! sends its fine digest; the other side answers with its own digest and with its records of the buckets that differ; then
+//! the initiator sends its records of them. Frames are bounded, whatever their bytes contain.
 
 use ochreshed_replica::store::FINE_DIGEST_BUCKETS;
 use serde::{Deserialize, Serialize};
 
 const FORMAT: u8 = 1;
-/// A frame's own head: the length of its body, and that body's CRC-32C.
+/// The length of the body, and its CRC-32C.
 pub const FRAME_HEADER_BYTES: usize = 8;
-/// A piece of what differs; the largest body of a frame.
 pub const MAX_FRAME_BODY_BYTES: usize = 16 * 1024;
-/// Frames that one side may send: 20,000 words with the longest ids fit well.
+/// Frames that one side may send, which is ample for 20,000 records with the longest ids.
 pub const MAX_FRAMES_PER_SIDE: usize = 400;
 
-/// How either side begins.
+/// The first frame of either side.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Hello {
     format: u8,
     pub fleet: u64,
     pub name: String,
     pub start_id: u64,
-    /// Sums over what it holds, in `FINE_DIGEST_BUCKETS` parts.
+    /// The digest of the sender's replica, in `FINE_DIGEST_BUCKETS` buckets.
     pub digest: Vec<u32>,
 }
 
+/// Why a frame is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FrameError {
-    /// Longer than any frame of ours.
+    /// The header announces more than `MAX_FRAME_BODY_BYTES`.
     BodyTooLong,
     ChecksumMismatch,
-    /// No greeting, one of a format that this build does not know, or of another fleet.
+    /// Not a hello, or one of an unknown format or of another fleet.
     InvalidHello,
 }
 
@@ -39,21 +38,22 @@
         Hello { format: FORMAT, fleet, name: name.into(), start_id, digest }
     }
 
+    /// Encodes it as a frame.
     pub fn encode(&self) -> Vec<u8> {
-        // Plain values: writing them to memory does not fail.
+        // Encoding plain values to memory cannot fail.
         encode_frame(&postcard::to_stdvec(self).unwrap_or_default())
     }
 
-    /// Reads the body of a frame as a greeting of this fleet.
+    /// Decodes the body of a frame as a hello of this fleet.
     pub fn decode(fleet: u64, body: &[u8]) -> Result<Hello, FrameError> {
         let hello: Hello = postcard::from_bytes(body).map_err(|_| FrameError::InvalidHello)?;
-        let right =
+        let is_valid =
             hello.format == FORMAT && hello.fleet == fleet && hello.digest.len() == FINE_DIGEST_BUCKETS;
-        if right { Ok(hello) } else { Err(FrameError::InvalidHello) }
+        if is_valid { Ok(hello) } else { Err(FrameError::InvalidHello) }
     }
 }
 
-/// A body with its head. An empty one is a side's last.
+/// Puts a header before a body. A frame with an empty body is the last of its side.
 pub fn encode_frame(body: &[u8]) -> Vec<u8> {
     let mut bytes = Vec::with_capacity(FRAME_HEADER_BYTES + body.len());
     bytes.extend_from_slice(&(body.len() as u32).to_le_bytes());
@@ -62,16 +62,16 @@
     bytes
 }
 
-/// How long a body its head announces.
-pub fn body_length(head: &[u8; FRAME_HEADER_BYTES]) -> Result<usize, FrameError> {
-    let length = u32::from_le_bytes([head[0], head[1], head[2], head[3]]) as usize;
+/// The length of the body that a header announces.
+pub fn body_length(header: &[u8; FRAME_HEADER_BYTES]) -> Result<usize, FrameError> {
+    let length = u32::from_le_bytes([header[0], header[1], header[2], header[3]]) as usize;
     if length <= MAX_FRAME_BODY_BYTES { Ok(length) } else { Err(FrameError::BodyTooLong) }
 }
 
-/// Whether a body is the one that its head announces.
-pub fn verify_body(head: &[u8; FRAME_HEADER_BYTES], body: &[u8]) -> Result<(), FrameError> {
-    let sum = u32::from_le_bytes([head[4], head[5], head[6], head[7]]);
-    if crc32c::crc32c(body) == sum { Ok(()) } else { Err(FrameError::ChecksumMismatch) }
+/// Checks a body against the checksum in its header.
+pub fn verify_body(header: &[u8; FRAME_HEADER_BYTES], body: &[u8]) -> Result<(), FrameError> {
+    let checksum = u32::from_le_bytes([header[4], header[5], header[6], header[7]]);
+    if crc32c::crc32c(body) == checksum { Ok(()) } else { Err(FrameError::ChecksumMismatch) }
 }
 
 #[cfg(test)]
@@ -81,59 +81,60 @@
     use super::*;
 
     fn hello() -> Hello {
-        Hello::new(
-            9,
-            "n1",
-            5,
-            (0..FINE_DIGEST_BUCKETS as u32).map(|part| part.wrapping_mul(0x9e37_79b9)).collect(),
-        )
+        let digest = (0..FINE_DIGEST_BUCKETS as u32).map(|bucket| bucket.wrapping_mul(0x9e37_79b9)).collect();
+        Hello::new(9, "n1", 5, digest)
     }
 
-    fn body(bytes: &[u8]) -> Result<&[u8], FrameError> {
-        let (head, rest) = bytes.split_first_chunk::<FRAME_HEADER_BYTES>().ok_or(FrameError::BodyTooLong)?;
-        let body = rest.get(..body_length(head)?).ok_or(FrameError::BodyTooLong)?;
-        verify_body(head, body).map(|()| body)
+    fn decode_frame(bytes: &[u8]) -> Result<&[u8], FrameError> {
+        let (header, rest) =
+            bytes.split_first_chunk::<FRAME_HEADER_BYTES>().ok_or(FrameError::BodyTooLong)?;
+        let body = rest.get(..body_length(header)?).ok_or(FrameError::BodyTooLong)?;
+        verify_body(header, body).map(|()| body)
     }
 
     #[test]
-    fn a_greeting_is_read_as_written_and_only_in_its_fleet() {
+    fn a_hello_is_decoded_as_encoded_and_only_in_its_fleet() {
         let bytes = hello().encode();
         assert!(bytes.len() <= FRAME_HEADER_BYTES + MAX_FRAME_BODY_BYTES);
-        let body = body(&bytes).expect("a body");
+        let body = decode_frame(&bytes).expect("a frame");
         assert_eq!(Hello::decode(9, body), Ok(hello()));
         assert_eq!(Hello::decode(8, body), Err(FrameError::InvalidHello));
         assert_eq!(Hello::decode(9, &body[..body.len() - 1]), Err(FrameError::InvalidHello));
-        let newer = Hello { format: 2, ..hello() }.encode();
-        assert_eq!(Hello::decode(9, &newer[FRAME_HEADER_BYTES..]), Err(FrameError::InvalidHello));
-        let short = Hello { digest: vec![0; 3], ..hello() }.encode();
-        assert_eq!(Hello::decode(9, &short[FRAME_HEADER_BYTES..]), Err(FrameError::InvalidHello));
+        let newer_format = Hello { format: 2, ..hello() }.encode();
+        assert_eq!(Hello::decode(9, &newer_format[FRAME_HEADER_BYTES..]), Err(FrameError::InvalidHello));
+        let short_digest = Hello { digest: vec![0; 3], ..hello() }.encode();
+        assert_eq!(Hello::decode(9, &short_digest[FRAME_HEADER_BYTES..]), Err(FrameError::InvalidHello));
     }
 
     #[test]
-    fn a_frame_that_announces_more_than_any_of_ours_is_refused_before_it_is_read() {
-        let head = (MAX_FRAME_BODY_BYTES as u32 + 1).to_le_bytes();
+    fn a_frame_that_announces_too_long_a_body_is_rejected_before_the_body_is_read() {
+        let length = (MAX_FRAME_BODY_BYTES as u32 + 1).to_le_bytes();
         assert_eq!(
-            body_length(&[head[0], head[1], head[2], head[3], 0, 0, 0, 0]),
+            body_length(&[length[0], length[1], length[2], length[3], 0, 0, 0, 0]),
             Err(FrameError::BodyTooLong)
         );
-        assert_eq!(body(&encode_frame(&[])), Ok(&[][..]));
+        assert_eq!(decode_frame(&encode_frame(&[])), Ok(&[][..]));
     }
 
     proptest! {
         #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
         #[test]
-        fn damaged_frames_are_refused(of in prop::collection::vec(any::<u8>(), 1..300), at in any::<prop::sample::Index>(), flip in 1..=255u8) {
-            let mut bytes = encode_frame(&of);
-            prop_assert_eq!(body(&bytes), Ok(&of[..]));
+        fn damaged_frames_are_rejected(
+            body in prop::collection::vec(any::<u8>(), 1..300),
+            at in any::<prop::sample::Index>(),
+            flip in 1..=255u8,
+        ) {
+            let mut bytes = encode_frame(&body);
+            prop_assert_eq!(decode_frame(&bytes), Ok(&body[..]));
             let at = at.index(bytes.len());
             bytes[at] ^= flip;
-            prop_assert!(body(&bytes).is_err());
+            prop_assert!(decode_frame(&bytes).is_err());
         }
 
         #[test]
-        fn any_bytes_are_a_greeting_or_none(of in prop::collection::vec(any::<u8>(), 0..300)) {
-            prop_assert!(Hello::decode(9, &of).is_err());
+        fn arbitrary_bytes_are_rejected_as_a_hello(body in prop::collection::vec(any::<u8>(), 0..300)) {
+            prop_assert!(Hello::decode(9, &body).is_err());
         }
     }
 }
