--- a/balancer/src/fleet.rs
+++ b/balancer/src/fleet.rs
@@ -12,7 +12,7 @@
 use std::sync::{Arc, PoisonError};
 use std::time::Duration;
 
-use ochreshed::{How, Nanos};
+use ochreshed::{DispatchOutcome, Nanos};
 use ochreshed_gossip::node::{GossipNode, NodeSettings, Output};
 use ochreshed_gossip::server_list::{ServerList, to_server_status};
 use ochreshed_membership::swim::{Destination, SwimConfig};
@@ -188,7 +188,7 @@
             let said: Vec<(String, ServerStatus)> = first
                 .entries
                 .iter()
-                .map(|(listed, _)| (listed.srv.to_string(), to_server_status(listed.state)))
+                .map(|(listed, _)| (listed.name.to_string(), to_server_status(listed.state)))
                 .collect();
             peer.apply_discovery(version.unwrap_or_default(), true, &said);
         }
@@ -379,7 +379,7 @@
             }
             let said: Vec<(String, ServerStatus)> = entries
                 .iter()
-                .map(|(listed, _)| (listed.srv.to_string(), to_server_status(listed.state)))
+                .map(|(listed, _)| (listed.name.to_string(), to_server_status(listed.state)))
                 .collect();
             self.peer.apply_discovery(version, whole, &said);
         }
@@ -463,7 +463,12 @@
                     .apply_status_changes(self.peer.store().statuses(), srvs.iter().map(String::as_str));
                 if let Some((first, _)) = news.first() {
                     self.counts.told_early += news.len() as u64;
-                    info!("fleet: told of {} srvs by others, {} is {:?}", news.len(), first.srv, first.state);
+                    info!(
+                        "fleet: told of {} srvs by others, {} is {:?}",
+                        news.len(),
+                        first.name,
+                        first.state
+                    );
                     let news = Mail::List { whole: false, old: true, version: 0, entries: news };
                     // With the module's actor gone the program ends.
                     let _ = self.decisions.send(news).await;
@@ -471,7 +476,11 @@
             }
             Output::OutcomesReceived { server: srv, rule_set: set, counts } if self.known.contains(&srv) => {
                 let OutcomeCounts { succeeded, failed, lost } = counts;
-                for (how, times) in [(How::Done, succeeded), (How::Error, failed), (How::Reset, lost)] {
+                for (how, times) in [
+                    (DispatchOutcome::Done, succeeded),
+                    (DispatchOutcome::Error, failed),
+                    (DispatchOutcome::Reset, lost),
+                ] {
                     if times > 0 {
                         let (srv, rule_set) = (srv.as_str().into(), set.as_str().into());
                         let _ = self.decisions.send(Mail::Others { srv, rule_set, how, times }).await;
--- a/gossip/src/server_list.rs
+++ b/gossip/src/server_list.rs
@@ -5,15 +5,15 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-use ochreshed::{Listed, Name, State};
+use ochreshed::{EndpointState, ListedEndpoint, Name};
 use ochreshed_replica::status::{ServerStatus, StatusTable};
 
 /// The list, with the caller's address `A` of each server.
 #[derive(Clone, Debug, Default)]
 pub struct ServerList<A> {
-    discovered: HashMap<Name, (Listed, A)>,
+    discovered: HashMap<Name, (ListedEndpoint, A)>,
     /// Servers that were passed on with another state than discovery's.
-    overrides: BTreeMap<Name, State>,
+    overrides: BTreeMap<Name, EndpointState>,
 }
 
 impl<A: Clone> ServerList<A> {
@@ -26,7 +26,7 @@
     }
 
     /// The list as discovery last gave it.
-    pub fn discovered(&self) -> impl Iterator<Item = &(Listed, A)> {
+    pub fn discovered(&self) -> impl Iterator<Item = &(ListedEndpoint, A)> {
         self.discovered.values()
     }
 
@@ -37,21 +37,27 @@
 
     /// Takes in a list from discovery, or changes of it, and sets in `entries` the states that others have heard of later
     /// lists.
-    pub fn apply_discovery(&mut self, statuses: &StatusTable, whole: bool, entries: &mut [(Listed, A)]) {
+    pub fn apply_discovery(
+        &mut self,
+        statuses: &StatusTable,
+        whole: bool,
+        entries: &mut [(ListedEndpoint, A)],
+    ) {
         if whole {
-            self.discovered = entries.iter().map(|entry| (entry.0.srv.clone(), entry.clone())).collect();
+            self.discovered = entries.iter().map(|entry| (entry.0.name.clone(), entry.clone())).collect();
         }
         for entry in entries.iter() {
             match entry.0.state {
-                State::Gone => drop(self.discovered.remove(&entry.0.srv)),
-                _ => drop(self.discovered.insert(entry.0.srv.clone(), entry.clone())),
+                EndpointState::Gone => drop(self.discovered.remove(&entry.0.name)),
+                _ => drop(self.discovered.insert(entry.0.name.clone(), entry.clone())),
             }
         }
-        self.overrides.retain(|server, _| !whole && !entries.iter().any(|(listed, _)| listed.srv == *server));
+        self.overrides
+            .retain(|server, _| !whole && !entries.iter().any(|(listed, _)| listed.name == *server));
         for (listed, _) in entries {
             if let Some(worse) = worse_state(statuses, listed) {
                 listed.state = worse;
-                self.overrides.insert(listed.srv.clone(), worse);
+                self.overrides.insert(listed.name.clone(), worse);
             }
         }
     }
@@ -61,17 +67,17 @@
         &mut self,
         statuses: &StatusTable,
         servers: impl IntoIterator<Item = &'a str>,
-    ) -> Vec<(Listed, A)> {
+    ) -> Vec<(ListedEndpoint, A)> {
         let mut changes = Vec::new();
         for server in servers {
             let Some((listed, address)) = self.discovered.get(server) else { continue };
             let worse = worse_state(statuses, listed);
-            if worse == self.overrides.get(&listed.srv).copied() {
+            if worse == self.overrides.get(&listed.name).copied() {
                 continue;
             }
             match worse {
-                Some(worse) => drop(self.overrides.insert(listed.srv.clone(), worse)),
-                None => drop(self.overrides.remove(&listed.srv)),
+                Some(worse) => drop(self.overrides.insert(listed.name.clone(), worse)),
+                None => drop(self.overrides.remove(&listed.name)),
             }
             let mut listed = listed.clone();
             listed.state = worse.unwrap_or(listed.state);
@@ -82,21 +88,21 @@
 }
 
 /// The state that others have heard of a server, if it is worse than the listed one.
-fn worse_state(statuses: &StatusTable, listed: &Listed) -> Option<State> {
-    let known = statuses.get(&listed.srv)?;
+fn worse_state(statuses: &StatusTable, listed: &ListedEndpoint) -> Option<EndpointState> {
+    let known = statuses.get(&listed.name)?;
     let state = match known.status {
         ServerStatus::Serving => return None,
-        ServerStatus::Draining => State::Draining,
-        ServerStatus::Gone => State::Gone,
+        ServerStatus::Draining => EndpointState::Draining,
+        ServerStatus::Gone => EndpointState::Gone,
     };
     (known.status > to_server_status(listed.state)).then_some(state)
 }
 
-pub fn to_server_status(state: State) -> ServerStatus {
+pub fn to_server_status(state: EndpointState) -> ServerStatus {
     match state {
-        State::Up => ServerStatus::Serving,
-        State::Draining => ServerStatus::Draining,
-        State::Gone => ServerStatus::Gone,
+        EndpointState::Up => ServerStatus::Serving,
+        EndpointState::Draining => ServerStatus::Draining,
+        EndpointState::Gone => ServerStatus::Gone,
     }
 }
 
@@ -106,14 +112,20 @@
 
     use super::*;
 
-    fn entry(server: &str, state: State) -> (Listed, u16) {
-        let listed =
-            Listed { srv: server.into(), state, came_up: None, weight: 1.0, site: "a".into(), cell: 0 };
+    fn entry(server: &str, state: EndpointState) -> (ListedEndpoint, u16) {
+        let listed = ListedEndpoint {
+            name: server.into(),
+            state,
+            started_at: None,
+            weight: 1.0,
+            site: "a".into(),
+            cell: 0,
+        };
         (listed, 7)
     }
 
-    fn states(entries: &[(Listed, u16)]) -> Vec<(&str, State)> {
-        entries.iter().map(|(listed, _)| (&*listed.srv, listed.state)).collect()
+    fn states(entries: &[(ListedEndpoint, u16)]) -> Vec<(&str, EndpointState)> {
+        entries.iter().map(|(listed, _)| (&*listed.name, listed.state)).collect()
     }
 
     /// A replica that has heard from another one that server `s` drains by version 2 of the list.
@@ -128,20 +140,20 @@
     #[test]
     fn a_worse_status_from_others_overrides_the_list_until_a_newer_list() {
         let (mut store, mut list) = (store_with_drain(), ServerList::new());
-        let mut entries = [entry("s", State::Up), entry("t", State::Up)];
+        let mut entries = [entry("s", EndpointState::Up), entry("t", EndpointState::Up)];
         store.apply_discovery(
             1,
             true,
             &[("s".into(), ServerStatus::Serving), ("t".into(), ServerStatus::Serving)],
         );
         list.apply_discovery(store.statuses(), true, &mut entries);
-        assert_eq!(states(&entries), [("s", State::Draining), ("t", State::Up)]);
+        assert_eq!(states(&entries), [("s", EndpointState::Draining), ("t", EndpointState::Up)]);
         // A state that was already passed on is not passed on again.
         assert!(list.apply_status_changes(store.statuses(), ["s", "t", "elsewhere"]).is_empty());
         let changed = store.apply_discovery(3, false, &[("s".into(), ServerStatus::Serving)]);
         assert_eq!(
             states(&list.apply_status_changes(store.statuses(), changed.iter().map(String::as_str))),
-            [("s", State::Up)]
+            [("s", EndpointState::Up)]
         );
         assert_eq!(list.override_count(), 0);
     }
@@ -150,7 +162,7 @@
     #[test]
     fn a_server_that_the_list_lacks_is_not_passed_on() {
         let (store, mut list) = (store_with_drain(), ServerList::new());
-        list.apply_discovery(store.statuses(), true, &mut [entry("t", State::Up)]);
+        list.apply_discovery(store.statuses(), true, &mut [entry("t", EndpointState::Up)]);
         assert!(list.apply_status_changes(store.statuses(), ["s"]).is_empty() && !list.contains("s"));
     }
 }
