--- a/balancer/src/fleet.rs
+++ b/balancer/src/fleet.rs
@@ -13,8 +13,8 @@
 use std::time::Duration;
 
 use ochreshed::{DispatchOutcome, Nanos};
+use ochreshed_gossip::endpoint_list::{EndpointList, to_server_status};
 use ochreshed_gossip::node::{GossipNode, NodeSettings, Output};
-use ochreshed_gossip::server_list::{ServerList, to_server_status};
 use ochreshed_membership::swim::{Destination, SwimConfig};
 use ochreshed_membership::wire::MAX_MESSAGE_BYTES;
 use ochreshed_recovery::begin::{self, First, Given, Source};
@@ -97,7 +97,7 @@
     /// None while another process of this instance has the port, and once one has taken over.
     sockets: Option<Sockets>,
     peer: GossipNode,
-    known: ServerList<SocketAddr>,
+    known: EndpointList<SocketAddr>,
     decisions: mpsc::Sender<Mail>,
     desk: mpsc::Sender<meeting::Mail>,
     counts: page::Counts,
@@ -204,7 +204,7 @@
         clock,
         sockets,
         peer,
-        known: ServerList::new(),
+        known: EndpointList::new(),
         decisions,
         desk,
         counts,
--- a/emulator/src/fleet.rs
+++ b/emulator/src/fleet.rs
@@ -6,8 +6,8 @@
 use std::net::SocketAddr;
 
 use ochreshed::{ListedEndpoint, Name};
+use ochreshed_gossip::endpoint_list::{EndpointList, to_server_status};
 use ochreshed_gossip::node::{GossipNode, NodeSettings, Output};
-use ochreshed_gossip::server_list::{ServerList, to_server_status};
 use ochreshed_membership::swim::{Destination, SwimConfig};
 use ochreshed_replica::outcomes::OutcomeCounts;
 use serde::Deserialize;
@@ -51,7 +51,7 @@
 pub struct Net {
     fleet: Fleet,
     peers: Vec<GossipNode>,
-    known: Vec<ServerList<()>>,
+    known: Vec<EndpointList<()>>,
     wake: Vec<Nanos>,
     /// Balancers up to this number are cut off from the others.
     cut: usize,
@@ -80,7 +80,7 @@
         let mut net = Net {
             fleet,
             peers: Vec::new(),
-            known: vec![ServerList::new(); instances],
+            known: vec![EndpointList::new(); instances],
             wake: vec![Nanos::MAX; instances],
             cut: 0,
             zones,
@@ -120,7 +120,7 @@
     /// Its process ends, and the next one begins with nothing.
     pub fn crash(&mut self, now: Nanos, number: usize) -> Vec<Effect> {
         self.peers[number] = self.peer(number, now);
-        self.known[number] = ServerList::new();
+        self.known[number] = EndpointList::new();
         self.follow(now, number)
     }
 
--- a/gossip/src/server_list.rs
+++ b/gossip/src/endpoint_list.rs
@@ -1,6 +1,7 @@
-//! The server list that this balancer has from discovery, merged with worse statuses that other balancers have heard since.
+//! The endpoint list that this balancer has from discovery, merged with worse statuses that other balancers have heard
+//! since.
 //!
-//! A server is never passed on with a better status than the list gives it, and never if the list lacks it: only discovery
+//! An endpoint is never passed on in a better state than the list gives it, and never if the list lacks it: only discovery
 //! knows where it is reached from here.
 
 use std::collections::{BTreeMap, HashMap};
@@ -8,21 +9,21 @@
 use ochreshed::{EndpointState, ListedEndpoint, Name};
 use ochreshed_replica::status::{ServerStatus, StatusTable};
 
-/// The list, with the caller's address `A` of each server.
+/// The list, with the caller's address `A` of each endpoint.
 #[derive(Clone, Debug, Default)]
-pub struct ServerList<A> {
+pub struct EndpointList<A> {
     discovered: HashMap<Name, (ListedEndpoint, A)>,
-    /// Servers that were passed on with another state than discovery's.
+    /// Endpoints that were passed on in another state than discovery's.
     overrides: BTreeMap<Name, EndpointState>,
 }
 
-impl<A: Clone> ServerList<A> {
-    pub fn new() -> ServerList<A> {
-        ServerList { discovered: HashMap::new(), overrides: BTreeMap::new() }
+impl<A: Clone> EndpointList<A> {
+    pub fn new() -> EndpointList<A> {
+        EndpointList { discovered: HashMap::new(), overrides: BTreeMap::new() }
     }
 
-    pub fn contains(&self, server: &str) -> bool {
-        self.discovered.contains_key(server)
+    pub fn contains(&self, name: &str) -> bool {
+        self.discovered.contains_key(name)
     }
 
     /// The list as discovery last gave it.
@@ -30,7 +31,7 @@
         self.discovered.values()
     }
 
-    /// The number of servers of which others have heard a worse status than the list gives.
+    /// The number of endpoints of which others have heard a worse status than the list gives.
     pub fn override_count(&self) -> usize {
         self.overrides.len()
     }
@@ -52,8 +53,7 @@
                 _ => drop(self.discovered.insert(entry.0.name.clone(), entry.clone())),
             }
         }
-        self.overrides
-            .retain(|server, _| !whole && !entries.iter().any(|(listed, _)| listed.name == *server));
+        self.overrides.retain(|name, _| !whole && !entries.iter().any(|(listed, _)| listed.name == *name));
         for (listed, _) in entries {
             if let Some(worse) = worse_state(statuses, listed) {
                 listed.state = worse;
@@ -62,15 +62,15 @@
         }
     }
 
-    /// Takes in that the statuses of these servers have changed in the replica. Returns the entries to pass on.
+    /// Takes in that the replica's statuses of these endpoints have changed. Returns the entries to pass on.
     pub fn apply_status_changes<'a>(
         &mut self,
         statuses: &StatusTable,
-        servers: impl IntoIterator<Item = &'a str>,
+        names: impl IntoIterator<Item = &'a str>,
     ) -> Vec<(ListedEndpoint, A)> {
         let mut changes = Vec::new();
-        for server in servers {
-            let Some((listed, address)) = self.discovered.get(server) else { continue };
+        for name in names {
+            let Some((listed, address)) = self.discovered.get(name) else { continue };
             let worse = worse_state(statuses, listed);
             if worse == self.overrides.get(&listed.name).copied() {
                 continue;
@@ -87,7 +87,7 @@
     }
 }
 
-/// The state that others have heard of a server, if it is worse than the listed one.
+/// The state that others have heard of an endpoint, if it is worse than the listed one.
 fn worse_state(statuses: &StatusTable, listed: &ListedEndpoint) -> Option<EndpointState> {
     let known = statuses.get(&listed.name)?;
     let state = match known.status {
@@ -98,6 +98,7 @@
     (known.status > to_server_status(listed.state)).then_some(state)
 }
 
+/// The replica's status for a listed state.
 pub fn to_server_status(state: EndpointState) -> ServerStatus {
     match state {
         EndpointState::Up => ServerStatus::Serving,
@@ -112,9 +113,9 @@
 
     use super::*;
 
-    fn entry(server: &str, state: EndpointState) -> (ListedEndpoint, u16) {
+    fn entry(name: &str, state: EndpointState) -> (ListedEndpoint, u16) {
         let listed = ListedEndpoint {
-            name: server.into(),
+            name: name.into(),
             state,
             started_at: None,
             weight: 1.0,
@@ -128,7 +129,7 @@
         entries.iter().map(|(listed, _)| (&*listed.name, listed.state)).collect()
     }
 
-    /// A replica that has heard from another one that server `s` drains by version 2 of the list.
+    /// A replica that has heard from another one that endpoint `s` drains by version 2 of the list.
     fn store_with_drain() -> Store {
         let (mut informed, mut store) = (Store::new("n1", 1, 10), Store::new("n2", 1, 10));
         informed.apply_discovery(2, false, &[("s".into(), ServerStatus::Draining)]);
@@ -139,7 +140,7 @@
 
     #[test]
     fn a_worse_status_from_others_overrides_the_list_until_a_newer_list() {
-        let (mut store, mut list) = (store_with_drain(), ServerList::new());
+        let (mut store, mut list) = (store_with_drain(), EndpointList::new());
         let mut entries = [entry("s", EndpointState::Up), entry("t", EndpointState::Up)];
         store.apply_discovery(
             1,
@@ -158,10 +159,10 @@
         assert_eq!(list.override_count(), 0);
     }
 
-    /// Guards against a server that only another balancer can reach.
+    /// Guards against an endpoint that only another balancer can reach.
     #[test]
-    fn a_server_that_the_list_lacks_is_not_passed_on() {
-        let (store, mut list) = (store_with_drain(), ServerList::new());
+    fn an_endpoint_that_the_list_lacks_is_not_passed_on() {
+        let (store, mut list) = (store_with_drain(), EndpointList::new());
         list.apply_discovery(store.statuses(), true, &mut [entry("t", EndpointState::Up)]);
         assert!(list.apply_status_changes(store.statuses(), ["s"]).is_empty() && !list.contains("s"));
     }
