--- a/gossip/src/node.rs
+++ b/gossip/src/node.rs
@@ -1,6 +1,8 @@
-//! One instance among the others: membership and replica as one machine. It owns when news goes out, to whom and how often,
-//! when two copies meet over a stream instead of by datagrams, and what it counts of all that; it must never decide
-//! anything, send more than its bounds, or take what another fleet says.
+//! One balancer's side of the gossip protocol: membership and replica as one state machine.
+//!
+//! It decides when updates are sent, to whom and how often, when two replicas synchronize over a stream rather than by
+//! datagrams, and counts all that. It acts on nothing that it hears: the caller does. What it sends and keeps is bounded, and
+//! messages of other fleets are rejected.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -17,51 +19,59 @@
 
 use crate::stream_sync::{self, Hello};
 
-/// Kinds of parts behind a message: items of the replica, and its digest.
-const ITEMS: u16 = FIRST_EXTENSION_KIND;
+/// Kinds of sections in a message: updates of the replica, and its digest.
+const UPDATES: u16 = FIRST_EXTENSION_KIND;
 const DIGEST: u16 = FIRST_EXTENSION_KIND + 1;
-/// A digest that wants one back also where it is the same; and one that answers another.
-const GREETING: u16 = FIRST_EXTENSION_KIND + 2;
-const ANSWER: u16 = FIRST_EXTENSION_KIND + 3;
-/// A part's own head.
-const PART: usize = 4;
-/// Room for items in a message of their own.
-const ROOM: usize = MAX_MESSAGE_BYTES - 200;
-/// News goes out so often while there is any, to so many; a digest so often, to one.
-const SPREAD_EVERY: Nanos = 100 * MS;
-const FANOUT: usize = 3;
-/// Each piece of news is passed on by each so many times the logarithm of the fleet's size: with a third of the messages
-/// lost one in a hundred misses it, and has it by digests.
-const SPREAD: f64 = 6.0;
-const DIGEST_EVERY: Nanos = S;
-/// One that is there again is asked what it holds, so often at the most: a cut's end brings back half of a fleet at once.
-const GREET_EVERY: Nanos = 100 * MS;
-const MOST_GREETED: usize = 8;
-/// Pieces sent at once to one whose digest differs.
-const PIECES: usize = 16;
-/// Where more words than these may differ, the copies meet over a stream: it tells by a finer digest which do.
-const MANY: usize = 200;
-/// One such meeting at a time, and so long between two.
-const MEET_EVERY: Nanos = 200 * MS;
-/// Words on so many srvs are held at the most: twice the longest list there is.
-const MOST_SRVS: usize = 20_000;
-/// OutcomeCounts are told so often, where something failed, with what went well there in two of these spans; older than that last
-/// one they are told to no module.
-const COUNT_EVERY: Nanos = 100 * MS;
-const DONE_SPAN: Nanos = 3 * S / 2;
-const OLD: Nanos = S;
-/// So many srvs in a row, so that two rows fit a message; and so many counted at once.
-const TOLD_SRVS: usize = 12;
-const MOST_COUNTED: usize = 1_000;
-/// A row goes to so many of the own zone.
-const MOST_TOLD: usize = 40;
-/// A srv is judged by its last few outcomes: so many of one row count.
-const TIMES: u16 = 4;
-
-/// What this instance is to the others.
+/// A digest that is answered with one even if both are the same.
+const DIGEST_REQUEST: u16 = FIRST_EXTENSION_KIND + 2;
+/// A digest that answers one.
+const DIGEST_REPLY: u16 = FIRST_EXTENSION_KIND + 3;
+/// Kind and length.
+const SECTION_HEADER_BYTES: usize = 4;
+/// Updates in a message of their own.
+const MAX_UPDATE_BYTES: usize = MAX_MESSAGE_BYTES - 200;
+/// Pending updates are sent to `GOSSIP_FANOUT` members at this interval.
+const GOSSIP_INTERVAL: Nanos = 100 * MS;
+const GOSSIP_FANOUT: usize = 3;
+/// An update is sent this many times the logarithm of the fleet's size. With a third of the messages lost, one member in a
+/// hundred misses it, and gets it by digests.
+const RETRANSMIT_FACTOR: f64 = 6.0;
+/// A digest is sent to one member at this interval.
+const DIGEST_INTERVAL: Nanos = S;
+/// Members that join or come back are asked for their digests one at a time: the end of a network partition brings back half
+/// of a fleet at once.
+const DIGEST_REQUEST_INTERVAL: Nanos = 100 * MS;
+const MAX_DIGEST_REQUESTS: usize = 8;
+/// Messages sent at once to a member whose digest differs.
+const MAX_DIFFERENCE_MESSAGES: usize = 16;
+/// Replicas that may differ in more records synchronize over a stream, where a finer digest tells which do.
+const MAX_DATAGRAM_DIFFERENCES: usize = 200;
+/// One stream synchronization runs at a time, and none starts within this time of another.
+const STREAM_SYNC_INTERVAL: Nanos = 200 * MS;
+/// Servers whose statuses are kept: twice as many as the longest endpoint list has.
+const MAX_SERVERS: usize = 20_000;
+/// Outcomes are sent at this interval while requests fail.
+const OUTCOME_INTERVAL: Nanos = 100 * MS;
+/// Failures are sent with the successes of this span and the one before.
+const SUCCESS_SPAN: Nanos = 3 * S / 2;
+/// Older outcomes are not passed to the caller.
+const MAX_OUTCOME_AGE: Nanos = S;
+/// Two rows of so many entries fit one message.
+const MAX_SENT_ENTRIES: usize = 12;
+/// Space in a row beside its texts and entries, and in an entry beside the server's id.
+const ROW_OVERHEAD_BYTES: usize = 40;
+const ENTRY_OVERHEAD_BYTES: usize = 12;
+/// Pairs of a server and a rule set with outcomes to send.
+const MAX_COUNTED_PAIRS: usize = 1_000;
+/// Members of the own zone that one row is sent to.
+const MAX_ROW_RECEIVERS: usize = 40;
+/// A server is judged by its last few outcomes, so that no more of one row may count.
+const MAX_OUTCOMES_PER_ENTRY: u16 = 4;
+
+/// What identifies this balancer in the fleet, and how it finds the others.
 #[derive(Clone, Debug)]
 pub struct NodeSettings {
-    /// Instances of another fleet are not heard.
+    /// Messages of other fleets are rejected.
     pub fleet: String,
     pub name: String,
     pub address: SocketAddr,
@@ -72,129 +82,142 @@
     pub membership: SwimConfig,
 }
 
+/// What the caller has to do or to know.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Output {
     Send {
         to: Destination,
         bytes: Vec<u8>,
     },
-    /// Of these srvs something else stands now.
+    /// The statuses of these servers have changed.
     StatusesChanged(Vec<String>),
-    /// What an instance of this zone has counted at a srv, of a rule set: once each.
+    /// Outcomes at a server, of a rule set, that another balancer of this zone has counted. Each is passed on once.
     OutcomesReceived {
         server: String,
         rule_set: String,
         counts: OutcomeCounts,
     },
+    /// This member is live for the first time, again, or as another process.
     Joined(String),
+    /// This member has been declared dead.
     Failed(String),
+    /// This member has announced its departure.
     Left(String),
-    /// The others had taken us for dead.
+    /// The others held this balancer for dead.
     DeclaredDead,
-    /// Another live process has our name and keeps it: we say nothing any more.
+    /// Another live process, at this address, keeps this balancer's name. This one sends and hears nothing more.
     Displaced(SocketAddr),
-    /// This member's copy differs from ours in much: a meeting over a stream is due.
+    /// This member's replica differs in many records: a synchronization over a stream should start.
     StreamSyncDue(String),
-    /// What could not be read, and from where.
+    /// A message that could not be read.
     Rejected {
         from: SocketAddr,
         reason: String,
     },
 }
 
-/// What it has said and heard.
+/// What a node has sent and received.
 #[derive(Clone, Debug, Default)]
 pub struct TrafficStats {
     pub sent_messages: u64,
     pub sent_bytes: u64,
     pub received_messages: u64,
     pub received_bytes: u64,
-    /// By the way in which they were wrong; such ways are few.
+    /// Rejected messages by reason, of which there are few.
     pub rejected: BTreeMap<String, u64>,
-    /// Rows written here, and outcomes of others' told on.
     pub outcome_rows_sent: u64,
+    /// Outcomes of other balancers passed to the caller.
     pub outcomes_applied: u64,
-    /// Meetings over a stream that came to their end.
+    /// Stream synchronizations that succeeded.
     pub stream_syncs: u64,
 }
 
-/// A rule set's outcomes at a srv: what failed since it was told last, and what went well in this span and the one before.
-/// Guards against others that hear of each failure and of little else: where all is overloaded any srv would look bad.
+/// The outcomes of a rule set at a server: failures since they were sent last, and successes of this span and the one
+/// before. Without the latter the others would hear of every failure and of few successes, and under overload every server
+/// would look bad.
 #[derive(Clone, Copy, Debug)]
-struct Gathered {
+struct OutcomeWindow {
     counts: OutcomeCounts,
-    before: u16,
-    since: Nanos,
+    previous_successes: u16,
+    span_started_at: Nanos,
 }
 
-impl Gathered {
-    /// Whether anything is left of it.
-    fn turn(&mut self, now: Nanos) -> bool {
-        let spans = now.saturating_sub(self.since) / DONE_SPAN;
+impl OutcomeWindow {
+    fn new(now: Nanos) -> OutcomeWindow {
+        OutcomeWindow { counts: OutcomeCounts::default(), previous_successes: 0, span_started_at: now }
+    }
+
+    /// Drops the successes of spans that have passed.
+    fn advance(&mut self, now: Nanos) {
+        let spans = now.saturating_sub(self.span_started_at) / SUCCESS_SPAN;
         if spans > 0 {
-            self.before = if spans == 1 { self.counts.succeeded } else { 0 };
-            (self.counts.succeeded, self.since) = (0, self.since + spans * DONE_SPAN);
+            self.previous_successes = if spans == 1 { self.counts.succeeded } else { 0 };
+            self.counts.succeeded = 0;
+            self.span_started_at += spans * SUCCESS_SPAN;
         }
-        self.before > 0 || self.counts.total() > 0
     }
 
-    fn done(&self) -> u16 {
-        self.before.saturating_add(self.counts.succeeded)
+    fn is_empty(&self) -> bool {
+        self.previous_successes == 0 && self.counts.total() == 0
+    }
+
+    fn successes(&self) -> u16 {
+        self.previous_successes.saturating_add(self.counts.succeeded)
     }
 }
 
+/// A balancer in the gossip protocol.
 #[derive(Clone, Debug)]
 pub struct GossipNode {
-    fleet: u64,
+    fleet_id: u64,
     swim: Swim,
     store: Store,
     zone: String,
-    spread_at: Nanos,
-    digest_at: Nanos,
-    /// Members that were not there a moment ago.
-    greet: VecDeque<String>,
-    greet_at: Nanos,
-    /// Until when no other meeting begins.
-    meet_at: Nanos,
-    count_at: Nanos,
-    gathered: BTreeMap<(String, String), Gathered>,
-    /// Something failed since the last row.
-    failed: bool,
-    /// The number of each writer's last row that was told on.
-    heard: BTreeMap<String, (u64, u64)>,
-    /// A member's copy has been the same as ours, or has met it, since the start.
-    confirmed: bool,
+    next_gossip_at: Nanos,
+    next_digest_at: Nanos,
+    /// Members to ask for their digests, because they have just joined or come back.
+    digest_requests: VecDeque<String>,
+    next_digest_request_at: Nanos,
+    next_stream_sync_at: Nanos,
+    next_outcomes_at: Nanos,
+    /// By server and rule set.
+    outcomes: BTreeMap<(String, String), OutcomeWindow>,
+    /// Whether something failed since the last row was sent.
+    has_new_failures: bool,
+    /// The start and sequence of each writer's row that was last passed to the caller.
+    last_applied_rows: BTreeMap<String, (u64, u64)>,
+    has_synced: bool,
     traffic: TrafficStats,
-    out: VecDeque<Output>,
+    outputs: VecDeque<Output>,
 }
 
-/// The fleet's name as messages carry it: FNV-1a.
-fn number(fleet: &str) -> u64 {
+/// A fleet's name as messages carry it: its FNV-1a hash.
+fn fleet_id(name: &str) -> u64 {
     let hash = |hash: u64, byte: &u8| (hash ^ u64::from(*byte)).wrapping_mul(0x0100_0000_01b3);
-    fleet.as_bytes().iter().fold(0xcbf2_9ce4_8422_2325, hash)
+    name.as_bytes().iter().fold(0xcbf2_9ce4_8422_2325, hash)
 }
 
 impl GossipNode {
     pub fn new(settings: NodeSettings, now: Nanos) -> GossipNode {
         let NodeSettings { fleet, name, address, zone, start_id, seeds, membership } = settings;
         GossipNode {
-            fleet: number(&fleet),
+            fleet_id: fleet_id(&fleet),
             swim: Swim::new(membership, &name, address, &zone, start_id, seeds, now),
-            store: Store::new(&name, start_id, MOST_SRVS),
+            store: Store::new(&name, start_id, MAX_SERVERS),
             zone,
-            spread_at: now,
-            // Those that start together don't ask together.
-            digest_at: now + start_id % DIGEST_EVERY,
-            greet: VecDeque::new(),
-            greet_at: now,
-            meet_at: now,
-            count_at: now,
-            gathered: BTreeMap::new(),
-            failed: false,
-            heard: BTreeMap::new(),
-            confirmed: false,
+            next_gossip_at: now,
+            // Spreads the digests of balancers that start together.
+            next_digest_at: now + start_id % DIGEST_INTERVAL,
+            digest_requests: VecDeque::new(),
+            next_digest_request_at: now,
+            next_stream_sync_at: now,
+            next_outcomes_at: now,
+            outcomes: BTreeMap::new(),
+            has_new_failures: false,
+            last_applied_rows: BTreeMap::new(),
+            has_synced: false,
             traffic: TrafficStats::default(),
-            out: VecDeque::new(),
+            outputs: VecDeque::new(),
         }
     }
 
@@ -210,335 +233,356 @@
         &self.traffic
     }
 
+    /// Takes the next output, if there is one.
     pub fn poll_output(&mut self) -> Option<Output> {
-        self.out.pop_front()
+        self.outputs.pop_front()
     }
 
-    /// What this instance knew before it started anew.
-    pub fn restore(&mut self, own: Stamp, words: &[(String, StampedStatus)], floor: Stamp) {
-        self.store.restore(own, words, floor);
+    /// Restores what this balancer knew before it restarted.
+    pub fn restore(&mut self, own: Stamp, statuses: &[(String, StampedStatus)], floor: Stamp) {
+        self.store.restore(own, statuses, floor);
     }
 
-    /// Whether others have told what they know since the start.
+    /// Whether, since the start, a member's replica was the same as this one or has synchronized with it over a stream.
     pub fn has_synced(&self) -> bool {
-        self.confirmed
+        self.has_synced
     }
 
-    /// Discovery has told this instance a list, or changes of it.
+    /// Takes in a list from discovery, or changes of it.
     pub fn apply_discovery(&mut self, version: u64, whole: bool, entries: &[(String, ServerStatus)]) {
         self.store.apply_discovery(version, whole, entries);
     }
 
-    /// What this instance's own dispatches to a srv came to, of a rule set, since this was called last.
-    pub fn record_outcomes(&mut self, now: Nanos, srv: &str, set: &str, counts: OutcomeCounts) {
-        let key = (srv.to_owned(), set.to_owned());
-        if self.gathered.len() >= MOST_COUNTED && !self.gathered.contains_key(&key) {
+    /// Adds the outcomes of this balancer's own dispatches to a server, of a rule set, since the last call.
+    pub fn record_outcomes(&mut self, now: Nanos, server: &str, rule_set: &str, counts: OutcomeCounts) {
+        let key = (server.to_owned(), rule_set.to_owned());
+        if self.outcomes.len() >= MAX_COUNTED_PAIRS && !self.outcomes.contains_key(&key) {
             return;
         }
-        let none = Gathered { counts: OutcomeCounts::default(), before: 0, since: now };
-        let gathered = self.gathered.entry(key).or_insert(none);
-        gathered.turn(now);
-        gathered.counts.add(counts);
-        self.failed |= counts.unsuccessful() > 0;
+        let window = self.outcomes.entry(key).or_insert(OutcomeWindow::new(now));
+        window.advance(now);
+        window.counts.add(counts);
+        self.has_new_failures |= counts.unsuccessful() > 0;
     }
 
-    /// Goes for good, and says so.
+    /// Leaves the fleet for good and tells the others.
     pub fn leave(&mut self, now: Nanos) {
         self.swim.leave(now);
-        self.drain();
+        self.process_swim_outputs();
     }
 
-    /// When `tick` is to be called at the latest.
+    /// The latest time at which `tick` must be called.
     pub fn next_tick_at(&self) -> Nanos {
-        let spread = if self.store.has_pending_updates() { self.spread_at } else { Nanos::MAX };
-        let count = if self.failed { self.count_at } else { Nanos::MAX };
-        let greet = if self.greet.is_empty() { Nanos::MAX } else { self.greet_at };
-        self.swim.next_tick_at().min(spread).min(count).min(greet).min(self.digest_at)
+        let gossip = if self.store.has_pending_updates() { self.next_gossip_at } else { Nanos::MAX };
+        let outcomes = if self.has_new_failures { self.next_outcomes_at } else { Nanos::MAX };
+        let request = if self.digest_requests.is_empty() { Nanos::MAX } else { self.next_digest_request_at };
+        self.swim.next_tick_at().min(gossip).min(outcomes).min(request).min(self.next_digest_at)
     }
 
-    /// Does what is due.
+    /// Does what is due at this time.
     pub fn tick(&mut self, now: Nanos) {
         if self.swim.next_tick_at() <= now {
             self.swim.tick(now);
         }
-        if self.failed && self.count_at <= now {
-            self.write_row(now);
+        if self.has_new_failures && self.next_outcomes_at <= now {
+            self.send_outcomes(now);
         }
-        if self.store.has_pending_updates() && self.spread_at <= now {
-            self.spread_at = now + SPREAD_EVERY;
-            for _ in 0..FANOUT {
+        if self.store.has_pending_updates() && self.next_gossip_at <= now {
+            self.next_gossip_at = now + GOSSIP_INTERVAL;
+            for _ in 0..GOSSIP_FANOUT {
                 let Some(name) = self.swim.random_live_member() else { break };
-                let items = self.delta(ROOM);
-                if !items.is_empty() {
-                    self.say(&name, vec![(ITEMS, items)]);
+                let updates = self.next_delta(MAX_UPDATE_BYTES);
+                if !updates.is_empty() {
+                    self.send_section(&name, UPDATES, updates);
                 }
             }
         }
-        if self.digest_at <= now {
-            self.digest_at = now + DIGEST_EVERY;
+        if self.next_digest_at <= now {
+            self.next_digest_at = now + DIGEST_INTERVAL;
             if let Some(name) = self.swim.random_live_member() {
-                self.say_digest(&name, DIGEST);
+                self.send_digest(&name, DIGEST);
             }
-            // What is too old is dropped, whether or not anything is counted here.
-            self.forget(now);
+            // Old outcomes are dropped also while no request fails here.
+            self.evict_outcomes(now);
         }
-        if self.greet_at <= now
-            && let Some(name) = self.greet.pop_front()
+        if self.next_digest_request_at <= now
+            && let Some(name) = self.digest_requests.pop_front()
         {
-            self.greet_at = now + GREET_EVERY;
-            self.say_digest(&name, GREETING);
+            self.next_digest_request_at = now + DIGEST_REQUEST_INTERVAL;
+            self.send_digest(&name, DIGEST_REQUEST);
         }
-        self.drain();
+        self.process_swim_outputs();
     }
 
-    fn forget(&mut self, now: Nanos) {
-        self.gathered.retain(|_, gathered| gathered.turn(now));
+    fn evict_outcomes(&mut self, now: Nanos) {
+        self.outcomes.retain(|_, window| {
+            window.advance(now);
+            !window.is_empty()
+        });
         let swim = &self.swim;
-        let there = |name: &str| swim.members().get(name).is_some_and(|member| member.record.state.is_live());
-        self.store.evict_outcomes(now, OLD, there);
-        self.heard.retain(|writer, _| there(writer));
-    }
-
-    /// Writes what was counted here at srvs where something failed, and what went well there meanwhile.
-    fn write_row(&mut self, now: Nanos) {
-        self.count_at = now + COUNT_EVERY;
-        self.failed = false;
-        self.forget(now);
-        // What is lost says something of the srv, whatever the rule set; an error of its rule set.
-        let mut well: BTreeMap<String, u16> = BTreeMap::new();
-        for ((srv, _), gathered) in &self.gathered {
-            let done = well.entry(srv.clone()).or_default();
-            *done = done.saturating_add(gathered.done());
+        let is_live =
+            |name: &str| swim.members().get(name).is_some_and(|member| member.record.state.is_live());
+        self.store.evict_outcomes(now, MAX_OUTCOME_AGE, is_live);
+        self.last_applied_rows.retain(|writer, _| is_live(writer));
+    }
+
+    /// Sends the outcomes counted here, at servers where something failed, to members of the own zone.
+    fn send_outcomes(&mut self, now: Nanos) {
+        self.next_outcomes_at = now + OUTCOME_INTERVAL;
+        self.has_new_failures = false;
+        self.evict_outcomes(now);
+        let entries = self.take_failing_entries();
+        let (rule_sets, entries) = self.fit_row(entries);
+        if entries.is_empty() {
+            return;
+        }
+        self.traffic.outcome_rows_sent += 1;
+        let row = OutcomeRow { start_id: 0, sequence: 0, zone: self.zone.clone(), rule_sets, entries };
+        let update = self.store.record_own_outcomes(now, row);
+        let live = self.swim.members().iter().filter(|(_, member)| member.record.state.is_live());
+        let in_zone = live.filter(|(_, member)| member.record.zone == self.zone);
+        let mut receivers: Vec<String> = in_zone.map(|(name, _)| name.clone()).collect();
+        // In a large zone each row goes to the next receivers.
+        let first = (self.traffic.outcome_rows_sent as usize).wrapping_mul(MAX_ROW_RECEIVERS)
+            % receivers.len().max(1);
+        receivers.rotate_left(first);
+        for name in receivers.iter().take(MAX_ROW_RECEIVERS) {
+            self.send_section(name, UPDATES, update.clone());
         }
-        let mut told: Vec<(String, String, OutcomeCounts)> = Vec::new();
-        for ((srv, set), gathered) in &mut self.gathered {
-            let OutcomeCounts { failed, lost, .. } = gathered.counts;
-            if gathered.counts.unsuccessful() > 0 {
-                let of_srv = well.get(srv).copied().unwrap_or(0);
-                let done = if lost > 0 { of_srv } else { gathered.done() };
-                told.push((srv.clone(), set.clone(), OutcomeCounts { succeeded: done, failed, lost }));
-                (gathered.counts.failed, gathered.counts.lost) = (0, 0);
+    }
+
+    /// Takes the failures counted at each server and rule set, with the successes there, most failures first.
+    fn take_failing_entries(&mut self) -> Vec<(String, String, OutcomeCounts)> {
+        let mut server_successes: BTreeMap<String, u16> = BTreeMap::new();
+        for ((server, _), window) in &self.outcomes {
+            let successes = server_successes.entry(server.clone()).or_default();
+            *successes = successes.saturating_add(window.successes());
+        }
+        let mut entries: Vec<(String, String, OutcomeCounts)> = Vec::new();
+        for ((server, rule_set), window) in &mut self.outcomes {
+            let OutcomeCounts { failed, lost, .. } = window.counts;
+            if window.counts.unsuccessful() > 0 {
+                // A lost request says something of the server, whatever its rule set; an error only of its rule set.
+                let of_server = server_successes.get(server).copied().unwrap_or(0);
+                let succeeded = if lost > 0 { of_server } else { window.successes() };
+                entries.push((server.clone(), rule_set.clone(), OutcomeCounts { succeeded, failed, lost }));
+                (window.counts.failed, window.counts.lost) = (0, 0);
             }
         }
-        // Where most failed comes first, if not all fit.
-        told.sort_by_key(|(srv, set, counts)| {
-            (std::cmp::Reverse(counts.unsuccessful()), srv.clone(), set.clone())
+        entries.sort_by_key(|(server, rule_set, counts)| {
+            (std::cmp::Reverse(counts.unsuccessful()), server.clone(), rule_set.clone())
         });
-        told.truncate(TOLD_SRVS);
-        let (mut sets, mut srvs) = (Vec::<String>::new(), Vec::new());
-        let mut room = ROOM.saturating_sub(self.zone.len() + self.swim.name().len() + 40);
-        for (srv, set, counts) in told {
-            let at = sets.iter().position(|known| *known == set).unwrap_or_else(|| {
-                room = room.saturating_sub(set.len() + 1);
-                sets.push(set);
-                sets.len() - 1
+        entries
+    }
+
+    /// The rule sets and entries of a row that fits a message. Entries beyond that are dropped: failures that go on come with
+    /// the next row.
+    fn fit_row(
+        &self,
+        mut entries: Vec<(String, String, OutcomeCounts)>,
+    ) -> (Vec<String>, Vec<(String, u8, OutcomeCounts)>) {
+        entries.truncate(MAX_SENT_ENTRIES);
+        let (mut rule_sets, mut row_entries) = (Vec::<String>::new(), Vec::new());
+        let mut free_bytes =
+            MAX_UPDATE_BYTES.saturating_sub(self.zone.len() + self.swim.name().len() + ROW_OVERHEAD_BYTES);
+        for (server, rule_set, counts) in entries {
+            let index = rule_sets.iter().position(|known| *known == rule_set).unwrap_or_else(|| {
+                free_bytes = free_bytes.saturating_sub(rule_set.len() + 1);
+                rule_sets.push(rule_set);
+                rule_sets.len() - 1
             });
-            // What one datagram has no room for is told by the next row, if it goes on.
-            room = room.saturating_sub(srv.len() + 12);
-            if at < MAX_RULE_SETS_PER_ROW && room > 0 {
-                srvs.push((srv, at as u8, counts));
-            }
-        }
-        if !srvs.is_empty() {
-            self.traffic.outcome_rows_sent += 1;
-            let row = OutcomeRow {
-                start_id: 0,
-                sequence: 0,
-                zone: self.zone.clone(),
-                rule_sets: sets,
-                entries: srvs,
-            };
-            let item = self.store.record_own_outcomes(now, row);
-            let there = self.swim.members().iter().filter(|(_, member)| member.record.state.is_live());
-            let near = there.filter(|(_, member)| member.record.zone == self.zone);
-            let mut near: Vec<String> = near.map(|(name, _)| name.clone()).collect();
-            // Of a large zone so many, others each time.
-            let from = (self.traffic.outcome_rows_sent as usize).wrapping_mul(MOST_TOLD) % near.len().max(1);
-            near.rotate_left(from);
-            for name in near.iter().take(MOST_TOLD) {
-                self.say(name, vec![(ITEMS, item.clone())]);
+            free_bytes = free_bytes.saturating_sub(server.len() + ENTRY_OVERHEAD_BYTES);
+            if index < MAX_RULE_SETS_PER_ROW && free_bytes > 0 {
+                row_entries.push((server, index as u8, counts));
             }
         }
+        (rule_sets, row_entries)
     }
 
-    /// A datagram has arrived.
+    /// Handles a datagram that arrived from an address.
     pub fn receive(&mut self, now: Nanos, from: SocketAddr, bytes: &[u8]) {
         self.traffic.received_messages += 1;
         self.traffic.received_bytes += bytes.len() as u64;
-        match wire::decode(self.fleet, bytes) {
-            // Who is no member, or was dead for us, is heard for membership only.
-            Ok(message) if self.swim.receive(now, from, &message) => self.hear(now, from, &message),
+        match wire::decode(self.fleet_id, bytes) {
+            // Of a sender that is not a live member only the membership records are used.
+            Ok(message) if self.swim.receive(now, from, &message) => {
+                self.receive_extensions(now, from, &message);
+            }
             Ok(_) => {}
-            Err(wrong) => self.wrong(from, wrong.reason().into()),
+            Err(error) => self.reject(from, error.reason().into()),
         }
-        self.drain();
+        self.process_swim_outputs();
     }
 
-    fn wrong(&mut self, from: SocketAddr, why: String) {
-        *self.traffic.rejected.entry(why.clone()).or_default() += 1;
-        self.out.push_back(Output::Rejected { from, reason: why });
+    fn reject(&mut self, from: SocketAddr, reason: String) {
+        *self.traffic.rejected.entry(reason.clone()).or_default() += 1;
+        self.outputs.push_back(Output::Rejected { from, reason });
     }
 
-    fn hear(&mut self, now: Nanos, from: SocketAddr, message: &Message) {
-        for (kind, body) in &message.extensions {
+    fn receive_extensions(&mut self, now: Nanos, from: SocketAddr, message: &Message) {
+        for (kind, content) in &message.extensions {
             match *kind {
-                ITEMS => {
-                    if let Err(why) = self.hear_items(now, body) {
-                        self.wrong(from, why.into());
+                UPDATES => {
+                    if let Err(reason) = self.merge_updates(now, content) {
+                        self.reject(from, reason.into());
                     }
                 }
-                DIGEST | GREETING | ANSWER => match digest(body) {
+                DIGEST | DIGEST_REQUEST | DIGEST_REPLY => match decode_digest(content) {
                     Some(theirs) => {
-                        let same = self.hear_digest(now, &message.sender.name, &theirs);
-                        // What they hold and we don't they tell by our digest. Guards against one that all news has
-                        // passed by, and that is asked more often than it asks.
-                        if *kind == GREETING || *kind == DIGEST && !same {
-                            self.say_digest(&message.sender.name, ANSWER);
+                        let is_same = self.send_differences(now, &message.sender.name, &theirs);
+                        // The own digest makes the sender send what only it holds. Otherwise a member that missed an update,
+                        // and that others ask more often than it asks them, would stay behind.
+                        if *kind == DIGEST_REQUEST || *kind == DIGEST && !is_same {
+                            self.send_digest(&message.sender.name, DIGEST_REPLY);
                         }
                     }
-                    None => self.wrong(from, "a digest can't be read".into()),
+                    None => self.reject(from, "a digest can't be read".into()),
                 },
-                // A newer build's.
+                // A kind that a newer build has.
                 _ => {}
             }
         }
     }
 
-    fn hear_items(&mut self, now: Nanos, body: &[u8]) -> Result<(), &'static str> {
-        let items = decode_updates(body)?;
+    fn merge_updates(&mut self, now: Nanos, content: &[u8]) -> Result<(), &'static str> {
+        let updates = decode_updates(content)?;
         let swim = &self.swim;
-        let lives = |writer: &str| {
+        let live_start_id = |writer: &str| {
             let member = swim.members().get(writer).filter(|member| member.record.state.is_live());
             member.map(|member| member.record.start_id)
         };
-        let changed = self.store.merge_updates(now, items, lives);
+        let changed = self.store.merge_updates(now, updates, live_start_id);
         if !changed.is_empty() {
-            self.out.push_back(Output::StatusesChanged(changed));
+            self.outputs.push_back(Output::StatusesChanged(changed));
         }
-        self.tell_counts(now);
+        self.apply_outcomes(now);
         Ok(())
     }
 
-    /// Whether a member's copy is the same as ours. If not, it is told what we hold where they differ; by a meeting, if that
-    /// is much.
-    fn hear_digest(&mut self, now: Nanos, name: &str, theirs: &Digest) -> bool {
+    /// Sends a member the records of the buckets in which its digest differs, or asks for a stream synchronization if there
+    /// are many. Returns whether the digest is the same.
+    fn send_differences(&mut self, now: Nanos, name: &str, theirs: &Digest) -> bool {
         if *theirs == self.store.digest() {
-            self.confirmed = true;
+            self.has_synced = true;
             return true;
         }
-        if self.store.count_differences(theirs) > MANY {
-            if self.meet_at <= now {
-                self.meet_at = now + MEET_EVERY;
-                self.out.push_back(Output::StreamSyncDue(name.to_owned()));
+        if self.store.count_differences(theirs) > MAX_DATAGRAM_DIFFERENCES {
+            if self.next_stream_sync_at <= now {
+                self.next_stream_sync_at = now + STREAM_SYNC_INTERVAL;
+                self.outputs.push_back(Output::StreamSyncDue(name.to_owned()));
             }
             return false;
         }
-        for piece in self.store.encode_differences(theirs, ROOM).into_iter().take(PIECES) {
-            self.say(name, vec![(ITEMS, piece)]);
+        let differences = self.store.encode_differences(theirs, MAX_UPDATE_BYTES);
+        for updates in differences.into_iter().take(MAX_DIFFERENCE_MESSAGES) {
+            self.send_section(name, UPDATES, updates);
         }
         false
     }
 
-    /// Tells on what others in this zone have counted: once each row, and never what is too old. Other zones' are another
-    /// matter: what is cut off from them may be well from here.
-    fn tell_counts(&mut self, now: Nanos) {
-        let own = self.swim.name();
-        for (writer, held) in self.store.outcomes().iter().filter(|(writer, _)| *writer != own) {
-            let number = (held.row.start_id, held.row.sequence);
-            let fresh = now.saturating_sub(held.written_at) <= OLD && held.row.zone == self.zone;
-            if !fresh || self.heard.insert(writer.clone(), number) == Some(number) {
+    /// Passes on the outcomes that others in this zone have counted, each row once and none that is too old. Those of other
+    /// zones are left out: a server that is cut off from them may be reachable from here.
+    fn apply_outcomes(&mut self, now: Nanos) {
+        let own_name = self.swim.name();
+        for (writer, stored) in self.store.outcomes().iter().filter(|(writer, _)| *writer != own_name) {
+            let row_id = (stored.row.start_id, stored.row.sequence);
+            let is_usable =
+                now.saturating_sub(stored.written_at) <= MAX_OUTCOME_AGE && stored.row.zone == self.zone;
+            if !is_usable || self.last_applied_rows.insert(writer.clone(), row_id) == Some(row_id) {
                 continue;
             }
-            for (srv, set, counts) in held.row.counts() {
-                let counts = counts.scaled_down(TIMES);
+            for (server, rule_set, counts) in stored.row.counts() {
+                let counts = counts.scaled_down(MAX_OUTCOMES_PER_ENTRY);
                 self.traffic.outcomes_applied += u64::from(counts.total());
-                self.out.push_back(Output::OutcomesReceived {
-                    server: srv.into(),
-                    rule_set: set.into(),
-                    counts,
-                });
+                let (server, rule_set) = (server.into(), rule_set.into());
+                self.outputs.push_back(Output::OutcomesReceived { server, rule_set, counts });
             }
         }
     }
 
-    /// How often news is passed on: by the logarithm of the fleet's size.
-    fn times(&self) -> u32 {
+    /// How often an update is sent.
+    fn max_sends(&self) -> u32 {
         let size = (self.swim.members().len() + 2) as f64;
-        (SPREAD * size.log10()).ceil().max(1.0) as u32
+        (RETRANSMIT_FACTOR * size.log10()).ceil().max(1.0) as u32
     }
 
-    fn delta(&mut self, room: usize) -> Vec<u8> {
-        let times = self.times();
-        self.store.next_delta(room, times)
+    fn next_delta(&mut self, max_bytes: usize) -> Vec<u8> {
+        let max_sends = self.max_sends();
+        self.store.next_delta(max_bytes, max_sends)
     }
 
-    fn say_digest(&mut self, name: &str, kind: u16) {
-        let body = self.store.digest().iter().flat_map(|sum| sum.to_le_bytes()).collect();
-        self.say(name, vec![(kind, body)]);
+    fn send_digest(&mut self, name: &str, kind: u16) {
+        let content = self.store.digest().iter().flat_map(|sum| sum.to_le_bytes()).collect();
+        self.send_section(name, kind, content);
     }
 
-    fn say(&mut self, name: &str, more: Vec<(u16, Vec<u8>)>) {
+    /// Sends a member a message with one section.
+    fn send_section(&mut self, name: &str, kind: u16, content: Vec<u8>) {
         let sender = Sender { name: self.swim.name().to_owned(), start_id: self.swim.own_record().start_id };
-        let message = Message { sender, body: MessageBody::Gossip, records: Vec::new(), extensions: more };
-        self.put(Destination::Member(name.to_owned()), &message);
+        let extensions = vec![(kind, content)];
+        let message = Message { sender, body: MessageBody::Gossip, records: Vec::new(), extensions };
+        self.send_message(Destination::Member(name.to_owned()), &message);
     }
 
-    fn put(&mut self, to: Destination, message: &Message) {
-        let bytes = wire::encode(self.fleet, message);
+    fn send_message(&mut self, to: Destination, message: &Message) {
+        let bytes = wire::encode(self.fleet_id, message);
         self.traffic.sent_messages += 1;
         self.traffic.sent_bytes += bytes.len() as u64;
-        self.out.push_back(Output::Send { to, bytes });
+        self.outputs.push_back(Output::Send { to, bytes });
     }
 
-    /// Takes on what the membership wants said and has seen.
-    fn drain(&mut self) {
+    /// Carries out the outputs of the membership protocol.
+    fn process_swim_outputs(&mut self) {
         while let Some(output) = self.swim.poll_output() {
             let output = match output {
                 swim::Output::Send { to, message } => {
-                    self.send(to, message);
+                    self.send_with_updates(to, message);
                     continue;
                 }
                 swim::Output::Joined { name, .. } => {
-                    if self.greet.len() < MOST_GREETED && !self.greet.contains(&name) {
-                        self.greet.push_back(name.clone());
+                    if self.digest_requests.len() < MAX_DIGEST_REQUESTS
+                        && !self.digest_requests.contains(&name)
+                    {
+                        self.digest_requests.push_back(name.clone());
                     }
                     Output::Joined(name)
                 }
                 swim::Output::Failed { name } => {
-                    self.greet.retain(|other| *other != name);
+                    self.digest_requests.retain(|other| *other != name);
                     Output::Failed(name)
                 }
                 swim::Output::Left { name } => {
-                    self.greet.retain(|other| *other != name);
+                    self.digest_requests.retain(|other| *other != name);
                     Output::Left(name)
                 }
                 swim::Output::DeclaredDead => Output::DeclaredDead,
                 swim::Output::Displaced { address } => Output::Displaced(address),
             };
-            self.out.push_back(output);
+            self.outputs.push_back(output);
         }
     }
 
-    /// What the membership sends takes news of the replica along.
-    fn send(&mut self, to: Destination, mut message: Message) {
+    /// Sends a message of the membership protocol, with pending updates of the replica if it goes to a member.
+    fn send_with_updates(&mut self, to: Destination, mut message: Message) {
         if matches!(to, Destination::Member(_)) && self.store.has_pending_updates() {
-            let room = MAX_MESSAGE_BYTES.saturating_sub(wire::encode(self.fleet, &message).len() + PART);
-            let items = self.delta(room);
-            if !items.is_empty() {
-                message.extensions.push((ITEMS, items));
+            let used_bytes = wire::encode(self.fleet_id, &message).len() + SECTION_HEADER_BYTES;
+            let updates = self.next_delta(MAX_MESSAGE_BYTES.saturating_sub(used_bytes));
+            if !updates.is_empty() {
+                message.extensions.push((UPDATES, updates));
             }
         }
-        self.put(to, &message);
+        self.send_message(to, &message);
     }
 
-    /// How a meeting begins, at either side.
+    /// The first frame of a stream synchronization, on either side.
     pub fn hello(&self) -> Hello {
-        Hello::new(self.fleet, self.swim.name(), self.swim.own_record().start_id, self.store.fine_digest())
+        let start_id = self.swim.own_record().start_id;
+        Hello::new(self.fleet_id, self.swim.name(), start_id, self.store.fine_digest())
     }
 
-    /// The other one's greeting, from the body of its first frame: only a member that is there is met.
+    /// Decodes the other side's hello from the body of its first frame. Only live members are accepted.
     pub fn accept_hello(&self, body: &[u8]) -> Result<Hello, String> {
-        let hello = Hello::decode(self.fleet, body).map_err(|wrong| format!("{wrong:?}"))?;
+        let hello = Hello::decode(self.fleet_id, body).map_err(|error| format!("{error:?}"))?;
         let member = self.swim.members().get(&hello.name).filter(|member| member.record.state.is_live());
         match member.filter(|member| member.record.start_id == hello.start_id) {
             Some(_) => Ok(hello),
@@ -546,30 +590,30 @@
         }
     }
 
-    /// What we hold where that digest differs, as bodies of frames.
+    /// The records of the buckets in which the other side's digest differs, as bodies of frames.
     pub fn encode_differences(&self, theirs: &Hello) -> Vec<Vec<u8>> {
-        let mut pieces = self.store.encode_differences(&theirs.digest, stream_sync::MAX_FRAME_BODY_BYTES);
-        pieces.truncate(stream_sync::MAX_FRAMES_PER_SIDE);
-        pieces
+        let mut bodies = self.store.encode_differences(&theirs.digest, stream_sync::MAX_FRAME_BODY_BYTES);
+        bodies.truncate(stream_sync::MAX_FRAMES_PER_SIDE);
+        bodies
     }
 
-    /// A body that the other one sent in a meeting.
+    /// Handles the body of a frame that the other side sent after its hello.
     pub fn receive_stream_body(&mut self, now: Nanos, body: &[u8]) -> Result<(), &'static str> {
-        self.hear_items(now, body)
+        self.merge_updates(now, body)
     }
 
-    /// A meeting has come to its end, well or not.
-    pub fn finish_stream_sync(&mut self, now: Nanos, well: bool) {
-        self.meet_at = now + MEET_EVERY;
-        self.traffic.stream_syncs += u64::from(well);
-        self.confirmed |= well;
+    /// Takes in that a stream synchronization has ended.
+    pub fn finish_stream_sync(&mut self, now: Nanos, succeeded: bool) {
+        self.next_stream_sync_at = now + STREAM_SYNC_INTERVAL;
+        self.traffic.stream_syncs += u64::from(succeeded);
+        self.has_synced |= succeeded;
     }
 }
 
-fn digest(body: &[u8]) -> Option<Digest> {
+fn decode_digest(content: &[u8]) -> Option<Digest> {
     let mut digest = Digest::default();
-    let sums = body.chunks_exact(4).map(|sum| u32::from_le_bytes([sum[0], sum[1], sum[2], sum[3]]));
-    let right = body.len() == 4 * digest.len();
+    let sums = content.chunks_exact(4).map(|sum| u32::from_le_bytes([sum[0], sum[1], sum[2], sum[3]]));
+    let is_valid = content.len() == 4 * digest.len();
     digest.iter_mut().zip(sums).for_each(|(to, sum)| *to = sum);
-    right.then_some(digest)
+    is_valid.then_some(digest)
 }
