--- a/balancer/src/fleet.rs
+++ b/balancer/src/fleet.rs
@@ -13,10 +13,10 @@
 use std::time::Duration;
 
 use ochreshed::{DispatchOutcome, Nanos};
-use ochreshed_gossip::known::{Known, to_word};
-use ochreshed_gossip::peer::{Output, Peer, Settings};
-use ochreshed_membership::swim::{Config, To};
-use ochreshed_membership::wire::MOST;
+use ochreshed_gossip::endpoint_list::{EndpointList, to_server_status};
+use ochreshed_gossip::node::{GossipNode, NodeSettings, Output};
+use ochreshed_membership::swim::{Destination, SwimConfig};
+use ochreshed_membership::wire::MAX_MESSAGE_BYTES;
 use ochreshed_recovery::initial_list::{FactsList, InitialList, ListSource, select_initial_list};
 use ochreshed_recovery::snapshot::{Snapshot, SnapshotEntry};
 use ochreshed_recovery::start_progress::{ListFreshness, StartProgress, max_wait_for_peers};
@@ -96,8 +96,8 @@
     clock: Clock,
     /// None while another process of this instance has the port, and once one has taken over.
     sockets: Option<Sockets>,
-    peer: Peer,
-    known: Known<SocketAddr>,
+    peer: GossipNode,
+    known: EndpointList<SocketAddr>,
     decisions: mpsc::Sender<Mail>,
     desk: mpsc::Sender<meeting::Mail>,
     counts: page::Counts,
@@ -166,31 +166,31 @@
         );
     }
     let wait = max_wait_for_peers(age, !file.seeds.is_empty());
-    let settings = Settings {
+    let settings = NodeSettings {
         fleet: file.fleet.clone(),
         name: name.into(),
         address: file.listen,
         zone: zone.into(),
         // Another process under this name has another start: by its time and its number, over the facts' seed.
-        start: seed ^ (std::process::id() as u64).rotate_left(40) ^ unix_nanos(),
+        start_id: seed ^ (std::process::id() as u64).rotate_left(40) ^ unix_nanos(),
         seeds: file.seeds.clone(),
-        membership: Config::default(),
+        membership: SwimConfig::default(),
     };
     let (news, mailbox) = mpsc::channel(MAILBOX);
-    let spread = settings.start % KEEP_AFTER;
-    let (mut peer, counts) = (Peer::new(settings, now), page::Counts::default());
+    let spread = settings.start_id % KEEP_AFTER;
+    let (mut peer, counts) = (GossipNode::new(settings, now), page::Counts::default());
     if let Some(snapshot) = &snapshot {
         // What the facts' list is newer in is settled by it.
         let newer = version.is_some_and(|version| version > snapshot.stamp.version)
             && first.source == ListSource::Facts;
-        peer.recall(snapshot.stamp, &snapshot.statuses, snapshot.floor);
+        peer.restore(snapshot.stamp, &snapshot.statuses, snapshot.floor);
         if newer {
             let said: Vec<(String, ServerStatus)> = first
                 .entries
                 .iter()
-                .map(|(listed, _)| (listed.name.to_string(), to_word(listed.state)))
+                .map(|(listed, _)| (listed.name.to_string(), to_server_status(listed.state)))
                 .collect();
-            peer.listed(version.unwrap_or_default(), true, &said);
+            peer.apply_discovery(version.unwrap_or_default(), true, &said);
         }
     }
     let start = StartProgress::new(now, !first.entries.is_empty());
@@ -204,7 +204,7 @@
         clock,
         sockets,
         peer,
-        known: Known::new(),
+        known: EndpointList::new(),
         decisions,
         desk,
         counts,
@@ -263,7 +263,7 @@
         mut meetings: mpsc::Receiver<meeting::Mail>,
         life: Life,
     ) {
-        let (mut bytes, mut serves, mut left) = (vec![0; MOST + 1], false, false);
+        let (mut bytes, mut serves, mut left) = (vec![0; MAX_MESSAGE_BYTES + 1], false, false);
         let mut bind_at = Instant::now();
         loop {
             let next = self.next();
@@ -309,7 +309,7 @@
 
     fn next(&self) -> Nanos {
         // Nothing is due later than that, and a clock can tell it.
-        self.peer.next().min(self.show_at).min(self.count_at).min(self.keep_at.unwrap_or(Nanos::MAX))
+        self.peer.next_tick_at().min(self.show_at).min(self.count_at).min(self.keep_at.unwrap_or(Nanos::MAX))
     }
 
     /// Something is known that the last snapshot does not hold.
@@ -330,7 +330,7 @@
             stamp: store.discovery_stamp(),
             entries: self
                 .known
-                .list()
+                .discovered()
                 .map(|(listed, address)| SnapshotEntry::from_listed(listed, *address))
                 .collect(),
             statuses: worse.map(|(srv, word)| (srv.clone(), *word)).collect(),
@@ -347,7 +347,7 @@
 
     /// How far the start has come.
     fn look(&mut self, now: Nanos) {
-        if self.peer.confirmed() {
+        if self.peer.has_synced() {
             self.start.record_confirmation(now, ListFreshness::ConfirmedByPeers);
             self.confirmed.send_if_modified(|told| !std::mem::replace(told, true));
         }
@@ -377,11 +377,13 @@
             if whole || !entries.is_empty() {
                 self.changed(now);
             }
-            let said: Vec<(String, ServerStatus)> =
-                entries.iter().map(|(listed, _)| (listed.name.to_string(), to_word(listed.state))).collect();
-            self.peer.listed(version, whole, &said);
+            let said: Vec<(String, ServerStatus)> = entries
+                .iter()
+                .map(|(listed, _)| (listed.name.to_string(), to_server_status(listed.state)))
+                .collect();
+            self.peer.apply_discovery(version, whole, &said);
         }
-        self.known.told(self.peer.store().statuses(), whole, &mut entries);
+        self.known.apply_discovery(self.peer.store().statuses(), whole, &mut entries);
         Mail::List { whole, old, version, entries }
     }
 
@@ -391,19 +393,19 @@
         match mail {
             meeting::Mail::Hello(reply) => drop(reply.send(self.peer.hello())),
             meeting::Mail::Greeted(body, reply) => {
-                let met = self.peer.greeted(&body).ok().map(|hello| {
-                    let pieces = self.peer.differing(&hello);
+                let met = self.peer.accept_hello(&body).ok().map(|hello| {
+                    let pieces = self.peer.encode_differences(&hello);
                     (hello, pieces)
                 });
                 // One that waits no more was cut off.
                 drop(reply.send(met));
             }
             meeting::Mail::Heard(from, body) => {
-                if let Err(why) = self.peer.met(now, &body) {
+                if let Err(why) = self.peer.receive_stream_body(now, &body) {
                     self.wrong(now, from, why);
                 }
             }
-            meeting::Mail::Over { ours, well } if ours || well => self.peer.parted(now, well),
+            meeting::Mail::Over { ours, well } if ours || well => self.peer.finish_stream_sync(now, well),
             meeting::Mail::Over { .. } => {}
         }
     }
@@ -429,18 +431,18 @@
             self.look(now);
             let counted = std::mem::take(&mut *self.evidence.lock().unwrap_or_else(PoisonError::into_inner));
             for ((srv, set), counts) in counted {
-                self.peer.count(now, &srv, &set, counts);
+                self.peer.record_outcomes(now, &srv, &set, counts);
             }
         }
-        if self.peer.next() <= now {
+        if self.peer.next_tick_at() <= now {
             self.peer.tick(now);
         }
-        while let Some(output) = self.peer.output() {
+        while let Some(output) = self.peer.poll_output() {
             self.follow(now, output).await;
         }
         if self.show_at <= now {
             self.show_at = now + SHOW_EVERY;
-            self.counts.overruled = self.known.overruled() as u64;
+            self.counts.overruled = self.known.override_count() as u64;
             let page = page::show(&self.peer, &self.file.fleet, self.counts, now);
             self.pages.send_replace((page, page::figures(&self.peer, self.counts, &self.start)));
         }
@@ -454,9 +456,11 @@
                     let _ = sockets.udp.try_send_to(&bytes, to);
                 }
             }
-            Output::Changed(srvs) => {
+            Output::StatusesChanged(srvs) => {
                 self.changed(now);
-                let news = self.known.changed(self.peer.store().statuses(), srvs.iter().map(String::as_str));
+                let news = self
+                    .known
+                    .apply_status_changes(self.peer.store().statuses(), srvs.iter().map(String::as_str));
                 if let Some((first, _)) = news.first() {
                     self.counts.told_early += news.len() as u64;
                     info!(
@@ -470,7 +474,7 @@
                     let _ = self.decisions.send(news).await;
                 }
             }
-            Output::Counted { srv, set, counts } if self.known.has(&srv) => {
+            Output::OutcomesReceived { server: srv, rule_set: set, counts } if self.known.contains(&srv) => {
                 let OutcomeCounts { succeeded, failed, lost } = counts;
                 for (how, times) in [
                     (DispatchOutcome::Done, succeeded),
@@ -483,29 +487,29 @@
                     }
                 }
             }
-            Output::Counted { .. } => {}
+            Output::OutcomesReceived { .. } => {}
             Output::Joined(name) => info!("fleet: {name} is there"),
-            Output::Lost(name) => info!("fleet: {name} is lost"),
+            Output::Failed(name) => info!("fleet: {name} is lost"),
             Output::Left(name) => info!("fleet: {name} has left"),
-            Output::Returned => info!("fleet: the others had taken this instance for dead"),
+            Output::DeclaredDead => info!("fleet: the others had taken this instance for dead"),
             Output::Displaced(address) => {
                 warn!(
                     "fleet: another live process at {address} has this name; nothing is said or heard any more"
                 );
             }
-            Output::Meet(name) => match self.reach(&To::Member(name)) {
+            Output::StreamSyncDue(name) => match self.reach(&Destination::Member(name)) {
                 Some(to) => meeting::begin(to, self.desk.clone()),
-                None => self.peer.parted(now, false),
+                None => self.peer.finish_stream_sync(now, false),
             },
-            Output::Wrong { from, why } => self.wrong(now, from, &why),
+            Output::Rejected { from, reason } => self.wrong(now, from, &reason),
         }
     }
 
-    fn reach(&self, to: &To) -> Option<SocketAddr> {
+    fn reach(&self, to: &Destination) -> Option<SocketAddr> {
         match to {
-            To::Address(address) => Some(*address),
-            To::Member(name) => {
-                let listens = self.peer.swim().members().get(name).map(|member| member.word.address);
+            Destination::Address(address) => Some(*address),
+            Destination::Member(name) => {
+                let listens = self.peer.swim().members().get(name).map(|member| member.record.address);
                 self.file.reach.get(name).copied().or(listens)
             }
         }
