--- a/replica/tests/frozen_forms.rs
+++ b/replica/tests/frozen_forms.rs
@@ -48,15 +48,15 @@
 fn sample_name(update: &Update) -> String {
     match update {
         Update::Status { stamped: StampedStatus { status: ServerStatus::Serving, .. }, .. } => {
-            "word that it serves".into()
+            "serving status".into()
         }
         Update::Status { stamped: StampedStatus { status: ServerStatus::Draining, .. }, .. } => {
-            "word that it drains".into()
+            "draining status".into()
         }
         Update::Status { stamped: StampedStatus { status: ServerStatus::Gone, .. }, .. } => {
-            "word that it is gone".into()
+            "gone status".into()
         }
-        Update::Outcomes { .. } => "row".into(),
+        Update::Outcomes { .. } => "outcomes".into(),
         Update::Floor(_) => "floor".into(),
     }
 }
@@ -89,7 +89,7 @@
     let updates = sample_updates();
     let encode = |update: &Update| postcard::to_stdvec(update).expect("bytes");
     let samples: Vec<_> = updates.iter().map(|update| (sample_name(update), encode(update))).collect();
-    let expected = check_fixture("items.txt", &samples);
+    let expected = check_fixture("updates.txt", &samples);
     for (update, expected) in updates.iter().zip(expected) {
         let decoded: Update = postcard::from_bytes(&expected).expect("an update");
         assert_eq!(&decoded, update);
@@ -133,10 +133,12 @@
     };
     let mut samples = vec![("digest".to_owned(), digest), ("fine digest".to_owned(), fine)];
     let differences = one.encode_differences(&[0; DIGEST_BUCKETS], 1_000);
-    samples.extend(differences.into_iter().enumerate().map(|(nth, chunk)| (format!("piece {nth}"), chunk)));
+    samples.extend(
+        differences.into_iter().enumerate().map(|(nth, chunk)| (format!("difference chunk {nth}"), chunk)),
+    );
     samples.push(("delta".into(), one.next_delta(1_000, 3)));
-    samples.push(("row".into(), one.record_own_outcomes(1, row)));
-    let expected = check_fixture("sent.txt", &samples);
+    samples.push(("outcome row".into(), one.record_own_outcomes(1, row)));
+    let expected = check_fixture("messages.txt", &samples);
     // A replica that merges the bytes of the fixture equals the one that sent them.
     let mut other = Store::new("n2", 8, 100);
     for bytes in &expected[2..] {
