--- a/recovery/src/start_progress.rs
+++ b/recovery/src/start_progress.rs
@@ -153,7 +153,7 @@
         (self.window_start, self.window_ended, self.window_lost) = (now, 0, 0);
     }
 
-    /// Returns the summary of the start once, after full service has lasted for [`STABLE_PERIOD`].
+    /// Returns the summary of the start once, after full service has lasted for `STABLE_PERIOD`.
     pub fn check_full_service(&mut self, now: Nanos) -> Option<StartSummary> {
         self.advance_window(now);
         let ready_at = self.ready_at?;
--- a/replica/src/store.rs
+++ b/replica/src/store.rs
@@ -83,7 +83,8 @@
     }
 
     /// Applies a list, or changes of it, that discovery has sent to this instance. A full list also marks the known
-    /// servers that it does not contain as gone. Returns the servers whose status has changed.
+    /// servers that it does not contain as gone. Returns the servers whose status has changed, without new ones that
+    /// serve.
     pub fn apply_discovery(
         &mut self,
         version: u64,
@@ -159,8 +160,8 @@
         bytes
     }
 
-    /// Merges updates from another replica and returns the servers whose status has changed. `live_start_id` returns
-    /// the start id of a live member.
+    /// Merges updates from another replica and returns the servers whose status has changed, without new ones that
+    /// serve. `live_start_id` returns the start id of a live member.
     pub fn merge_updates(
         &mut self,
         now: Nanos,
