--- /dev/null
+++ b/src/policy/endpoint_selection.rs
@@ -0,0 +1,409 @@
+//! Endpoint selection: which endpoint a request goes to, by weighted round robin that skips endpoints that can't take it. Here
+//! are also the instance's subset of the list and what an endpoint must satisfy to be selected. No request walks the list:
+//! among few endpoints each is assessed; among more, each when its turn comes, which it loses if it can't take the request.
+
+use super::*;
+use crate::endpoint_set::{Endpoint, MeanLoads, SkippedTurn};
+
+/// Up to this many candidates, each of them is assessed for every request.
+const MAX_SCANNED_CANDIDATES: usize = 32;
+/// A selection assesses no more endpoints than this, which bounds its cost when nearly all are unavailable.
+const MAX_ASSESSED_ENDPOINTS: usize = 256;
+/// A quiet instance uses a subset of the list in which it sends to each endpoint once in this time.
+const SUBSET_SEND_INTERVAL_S: f64 = 0.25;
+/// The subset has at least this many endpoints.
+const MIN_SUBSET_ENDPOINTS: f64 = 2.0;
+/// Each endpoint is in the subsets of at least this many instances.
+const MIN_INSTANCES_PER_ENDPOINT: f64 = 6.0;
+/// The share of its connections that an instance uses for its subset; the others are for retries and bursts.
+const SUBSET_CONNECTION_SHARE: f64 = 0.5;
+/// The room above a concurrency limit for random bursts, in standard deviations of the requests in flight.
+const BURST_DEVIATIONS: f64 = 1.5;
+/// That room is at most this share of the limit: hundreds of instances with limits of one or two would otherwise exceed them by
+/// half.
+const MAX_BURST_SHARE: f64 = 0.3;
+/// There is no room for bursts when latencies reach this many times the unloaded latency.
+const NO_BURST_LATENCY_FACTOR: f64 = 1.6;
+/// The factors on the concurrency limit that a rule set may have by its utility.
+const MIN_UTILITY_FACTOR: f64 = 0.6;
+const MAX_UTILITY_FACTOR: f64 = 2.0;
+/// What an endpoint in slow start gets at least per second from all instances with it in their subsets.
+const SLOW_START_MIN_PER_S: f64 = 1.0;
+
+/// What endpoints are assessed against in one selection.
+struct SelectionContext {
+    now: Nanos,
+    latency_limit_s: f64,
+    /// The latency limit from which concurrency limits follow: widened in recovery and scaled by utility.
+    limit_latency_s: f64,
+    /// The floor of an endpoint's concurrency limit.
+    limit_floor: f64,
+    burst_factor: f64,
+    means: MeanLoads,
+}
+
+/// How many requests may be in flight above a limit by chance. Limits that many instances share add up, and bursts even out
+/// between them: the allowance is the deviation of this instance, less its part of the deviation of all together. Guards
+/// against denials at instances with limits of a few requests, for bursts that the endpoints would not notice.
+pub(super) fn burst_allowance(limit: f64, instances: f64) -> f64 {
+    (BURST_DEVIATIONS * limit.sqrt()).min(MAX_BURST_SHARE * limit) * (1.0 - 1.0 / instances.max(1.0).sqrt())
+}
+
+/// How well an endpoint can take a request; a lower value is better.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+enum Suitability {
+    Healthy,
+    /// Ejected, unresponsive or crowded: used only if no endpoint is healthy.
+    Degraded,
+    /// Healthy, but it has reset this request before.
+    TriedBefore,
+    Unavailable,
+    /// Not for this request.
+    Excluded,
+}
+
+impl Balancer {
+    /// Selects an endpoint by smooth weighted round robin over those that can take this request now.
+    pub(super) fn select_endpoint(&mut self, now: Nanos, request: &RequestContext) -> Option<u32> {
+        let retry = Some(request).filter(|request| !request.dispatches.is_empty());
+        let health_index = self.config.health_index(&request.rule_set);
+        let context = self.selection_context(now, retry.is_some(), health_index)?;
+        let preferred = request.preferred_endpoint.as_ref().and_then(|name| self.endpoints.find(name));
+        let preferred = preferred.filter(|id| !self.endpoints.get(*id).ejected);
+        if preferred.is_some_and(|id| self.assess(&context, id, health_index, retry) <= Suitability::Degraded)
+        {
+            return preferred;
+        }
+        if let Some(candidates) = self.update_candidates(now, retry) {
+            return self.select_among(&context, health_index, retry, &candidates);
+        }
+        // Retries go to all endpoints: to the subset and to the others, in proportion to their weights.
+        let outside = retry.is_some() && !self.endpoints.outside.is_empty();
+        self.outside_credit += if outside { 1.0 - self.subset_share } else { 0.0 };
+        let outside_first = outside && self.outside_credit >= 1.0;
+        self.outside_credit -= if outside_first { 1.0 } else { 0.0 };
+        let mut skipped = Vec::new();
+        let (mut healthy, mut degraded) =
+            self.next_scheduled(&context, health_index, retry, outside_first, &mut skipped);
+        if healthy.is_none() && outside {
+            let (other, last) =
+                self.next_scheduled(&context, health_index, retry, !outside_first, &mut skipped);
+            (healthy, degraded) = (other, degraded.or(last));
+        }
+        // If a degraded endpoint is used, the other degraded ones keep their turns.
+        skipped.retain(|turn| healthy.is_some() || !turn.degraded);
+        let selected = healthy.or(degraded);
+        if let Some(id) = selected {
+            self.endpoints.take_turn(now, id, &skipped);
+        }
+        selected
+    }
+
+    /// Whether any endpoint can take a first send now.
+    pub(super) fn can_send(&mut self, now: Nanos, health_index: usize) -> bool {
+        let Some(context) = self.selection_context(now, false, health_index) else { return false };
+        let Some(candidates) = self.update_candidates(now, None) else {
+            let (healthy, degraded) =
+                self.next_scheduled(&context, health_index, None, false, &mut Vec::new());
+            return healthy.or(degraded).is_some();
+        };
+        candidates.iter().any(|id| {
+            matches!(
+                self.assess(&context, *id, health_index, None),
+                Suitability::Healthy | Suitability::Degraded
+            )
+        })
+    }
+
+    /// The candidates, with their slow-start budgets updated; see [`Balancer::candidates`].
+    fn update_candidates(&mut self, now: Nanos, retry: Option<&RequestContext>) -> Option<Vec<u32>> {
+        let candidates = self.candidates(retry)?;
+        if self.endpoints.any_in_slow_start {
+            candidates.iter().for_each(|id| self.update_slow_start_budget(now, *id));
+        }
+        Some(candidates)
+    }
+
+    /// The candidates for a request, if they are few or the request is bound to a deduplication group, which may be empty.
+    fn candidates(&self, retry: Option<&RequestContext>) -> Option<Vec<u32>> {
+        let EndpointSet { subset, outside, .. } = &self.endpoints;
+        if let Some((request, members)) =
+            retry.and_then(|request| Some((request, self.bound_group(request)?)))
+        {
+            let from = request.id as usize % members.len().max(1);
+            let count = members.len().min(MAX_ASSESSED_ENDPOINTS);
+            return Some(members.iter().cycle().skip(from).take(count).copied().collect());
+        }
+        let count = if retry.is_some() { outside.len() } else { 0 } + subset.len();
+        (count <= MAX_SCANNED_CANDIDATES)
+            .then(|| subset.iter().chain(outside.iter().filter(|_| retry.is_some())).collect())
+    }
+
+    /// Selects among these candidates: the current weight of each suitable one grows by its weight; the one with the greatest
+    /// is selected and gives up what all gained. If all are ejected or crowded, a degraded one is better than none; the
+    /// concurrency limit still holds. A healthy one that has reset the request comes last, and only if the request is bound to
+    /// a group: in a group of one endpoint, a response that was lost once could not be had otherwise.
+    fn select_among(
+        &mut self,
+        context: &SelectionContext,
+        health_index: usize,
+        retry: Option<&RequestContext>,
+        candidates: &[u32],
+    ) -> Option<u32> {
+        let assessed: Vec<(Suitability, u32)> =
+            candidates.iter().map(|id| (self.assess(context, *id, health_index, retry), *id)).collect();
+        let is_bound = retry.is_some_and(|request| self.bound_group(request).is_some());
+        let best = assessed.iter().map(|(suitability, _)| *suitability).min()?;
+        if best > Suitability::TriedBefore || (best == Suitability::TriedBefore && !is_bound) {
+            return None;
+        }
+        let (mut total, mut selected) = (0.0, None);
+        for (_, id) in assessed.iter().filter(|(suitability, _)| *suitability == best) {
+            let endpoint = self.endpoints.get_mut(*id);
+            let weight = if retry.is_some() { endpoint.weight } else { endpoint.subset_weight };
+            let weight =
+                weight * endpoint.ramp(context.now, self.config.slow_start, self.config.slow_start_share);
+            endpoint.current_weight += weight;
+            total += weight;
+            if selected.is_none_or(|(_, max)| endpoint.current_weight > max) {
+                selected = Some((*id, endpoint.current_weight));
+            }
+        }
+        let (id, _) = selected?;
+        self.endpoints.get_mut(id).current_weight -= total;
+        Some(id)
+    }
+
+    /// The next healthy endpoint of a scheduler, and the next degraded one before it. Those passed over are added to `skipped`.
+    fn next_scheduled(
+        &self,
+        context: &SelectionContext,
+        health_index: usize,
+        retry: Option<&RequestContext>,
+        outside: bool,
+        skipped: &mut Vec<SkippedTurn>,
+    ) -> (Option<u32>, Option<u32>) {
+        let scheduler = if outside { &self.endpoints.outside } else { &self.endpoints.subset };
+        let mut first_degraded = None;
+        for endpoint_id in scheduler.iter().take(MAX_ASSESSED_ENDPOINTS) {
+            match self.assess(context, endpoint_id, health_index, retry) {
+                Suitability::Healthy => return (Some(endpoint_id), first_degraded),
+                Suitability::Degraded => {
+                    first_degraded = first_degraded.or(Some(endpoint_id));
+                    skipped.push(SkippedTurn { endpoint_id, degraded: true });
+                }
+                Suitability::Unavailable => skipped.push(SkippedTurn { endpoint_id, degraded: false }),
+                Suitability::TriedBefore | Suitability::Excluded => {}
+            }
+        }
+        (None, first_degraded)
+    }
+
+    /// The members of the deduplication group that a request is bound to because it may have run there.
+    fn bound_group(&self, request: &RequestContext) -> Option<&[u32]> {
+        let run = request.first_possible_run()?;
+        let set = self.config.rule_set(&request.rule_set).filter(|set| set.effect == Effect::Deduplicated)?;
+        let members = match set.dedup_group {
+            DedupGroup::All => return None,
+            DedupGroup::Site => {
+                self.endpoints.sites.iter().find(|site| site.name == run.site).map(|site| &site.members)
+            }
+            DedupGroup::Cell => self.endpoints.members_by_cell.get(&run.cell),
+        };
+        Some(members.map_or(&[], Vec::as_slice))
+    }
+
+    /// Assesses how well an endpoint can take a request; `retry` is the request unless this is its first send.
+    fn assess(
+        &self,
+        context: &SelectionContext,
+        endpoint_id: u32,
+        health_index: usize,
+        retry: Option<&RequestContext>,
+    ) -> Suitability {
+        let (endpoint, now) = (self.endpoints.get(endpoint_id), context.now);
+        let dispatches = retry.map_or(&[][..], |request| &request.dispatches);
+        let mut tried = dispatches.iter().filter(|dispatch| dispatch.endpoint == endpoint.name).peekable();
+        let tried_before = tried.peek().is_some();
+        let site = &*self.endpoints.sites[endpoint.site_index as usize].name;
+        let rejected_by_site = retry.is_some_and(|request| {
+            request.count_rejections(Some(site)) >= self.config.max_rejections_per_site
+        });
+        if rejected_by_site || tried.any(|dispatch| dispatch.outcome != Some(DispatchOutcome::Reset)) {
+            return Suitability::Excluded;
+        }
+        let is_warm = !endpoint.in_slow_start(now, self.config.slow_start);
+        let has_budget =
+            is_warm || self.config.limits_at_proxies || self.slow_start_budget(now, endpoint) >= 1.0;
+        let is_open = endpoint.state == EndpointState::Up
+            && (health_index == 0 || endpoint.health[health_index].ejected_until <= now)
+            && has_budget;
+        let has_room = || {
+            let limit = endpoint.concurrency_limit(
+                self.endpoints.completions_per_s(now, endpoint),
+                context.limit_latency_s,
+                context.limit_floor,
+            );
+            let allowance = if is_warm {
+                context.burst_factor * burst_allowance(limit, self.instances_per_endpoint())
+            } else {
+                0.0
+            };
+            let limit = limit + allowance;
+            retry.is_some()
+                || self.config.limits_at_proxies
+                || (endpoint.count_against_limit(now, context.latency_limit_s) as f64) < limit.max(1.0)
+        };
+        if !is_open || !has_room() {
+            return Suitability::Unavailable;
+        }
+        let is_healthy = !endpoint.ejected
+            && !endpoint.is_unresponsive(now, context.latency_limit_s)
+            && !endpoint.is_crowded(now, context.latency_limit_s, &context.means);
+        match (is_healthy, tried_before) {
+            (true, false) => Suitability::Healthy,
+            (false, false) => Suitability::Degraded,
+            (true, true) => Suitability::TriedBefore,
+            (false, true) => Suitability::Excluded,
+        }
+    }
+
+    pub(super) fn slow_start_budget(&self, now: Nanos, endpoint: &Endpoint) -> f64 {
+        let (slow_start, share) = (self.config.slow_start, self.config.slow_start_share);
+        endpoint.current_slow_start_budget(now, &self.warm_traffic, slow_start, share)
+    }
+
+    fn update_slow_start_budget(&mut self, now: Nanos, endpoint_id: u32) {
+        let budget = self.slow_start_budget(now, self.endpoints.get(endpoint_id));
+        self.set_slow_start_budget(now, endpoint_id, budget);
+    }
+
+    pub(super) fn set_slow_start_budget(&mut self, now: Nanos, endpoint_id: u32, budget: f64) {
+        let accepted = self.warm_traffic.accepted;
+        let endpoint = self.endpoints.get_mut(endpoint_id);
+        (endpoint.slow_start_budget, endpoint.budget_updated_at, endpoint.budget_accepted) =
+            (budget, now, accepted);
+    }
+
+    /// What endpoints are assessed against now; none for a first send while the concurrency limit is reached.
+    fn selection_context(
+        &mut self,
+        now: Nanos,
+        is_retry: bool,
+        health_index: usize,
+    ) -> Option<SelectionContext> {
+        self.endpoints.advance(now);
+        self.check_late_dispatches(now);
+        self.update_warm_traffic(now);
+        let latency_limit_s = self.latency_limit_s(now);
+        let burst_factor = self.burst_factor(now);
+        let utility_factor = self.utility_factor(now, health_index, burst_factor);
+        let limit_latency_s = latency_limit_s * self.recovery_factor(now) * utility_factor;
+        let limit_floor = self.endpoint_limit_floor(now) * utility_factor;
+        if !is_retry && !self.config.limits_at_proxies {
+            let limit = self.endpoints.concurrency_limit(now, limit_latency_s, limit_floor);
+            // In overload fractions are dropped: rounded up, each of hundreds of instances would exceed its limit by one.
+            let allowance = burst_factor * burst_allowance(limit, self.config.instances);
+            let limit = if self.is_overloaded(now) { limit.floor() } else { limit + allowance };
+            let limit = limit.max(self.min_concurrency_limit(now) * utility_factor);
+            if self.endpoints.responsive_in_flight as f64 >= limit {
+                return None;
+            }
+        }
+        let means = self.endpoints.mean_loads(now);
+        Some(SelectionContext { now, latency_limit_s, limit_latency_s, limit_floor, burst_factor, means })
+    }
+
+    /// The factor on the concurrency limit for a rule set: above 1 if its utility is above the mean of the arrivals, below 1 if
+    /// it is below and latencies are high. Guards against a queue too short to tell ranks apart: of the two or three requests
+    /// at a quiet instance, the next one is as likely that of least utility.
+    pub(super) fn utility_factor(&self, now: Nanos, health_index: usize, burst_factor: f64) -> f64 {
+        match health_index.checked_sub(1).and_then(|at| self.config.rule_sets.get(at)) {
+            Some(set) if self.config.tier == 0 && self.config.utility_by_work => (set.utility
+                / self.statistics.utilities.mean(now).max(1e-9))
+            .sqrt()
+            .clamp(MIN_UTILITY_FACTOR.max(burst_factor), MAX_UTILITY_FACTOR),
+            _ => 1.0,
+        }
+    }
+
+    /// The share of the burst allowance that is left: none in overload or when latencies are high.
+    pub(super) fn burst_factor(&self, now: Nanos) -> f64 {
+        if self.config.tier > 0 || self.is_overloaded(now) {
+            return 0.0;
+        }
+        let statistics = &self.statistics;
+        let unloaded =
+            statistics.latency.min_bucket_mean(now).min(statistics.latency_long.min_bucket_mean(now));
+        ((NO_BURST_LATENCY_FACTOR - statistics.latency_short.mean(now) / unloaded)
+            / (NO_BURST_LATENCY_FACTOR - PROMPT_LATENCY_FACTOR))
+            .clamp(0.0, 1.0)
+    }
+
+    /// Updates what warm endpoints accept from us per unit of weight, while any endpoint is in slow start.
+    pub(super) fn update_warm_traffic(&mut self, now: Nanos) {
+        let since = std::mem::replace(&mut self.warm_traffic_updated_at, now);
+        self.endpoints.refresh_ramps(now);
+        if self.endpoints.any_in_slow_start {
+            let accepted_per_s = self.statistics.accepted_per_s(now, self.started_at);
+            let per_weight = accepted_per_s / self.endpoints.ramped_weight().max(1e-9);
+            self.warm_traffic.accepted_per_s = per_weight;
+            self.warm_traffic.accepted += per_weight * to_seconds(now - since.min(now));
+            self.warm_traffic.min_per_s = SLOW_START_MIN_PER_S / self.instances_per_endpoint();
+        }
+    }
+
+    pub(super) fn send(
+        &mut self,
+        now: Nanos,
+        request: &mut RequestContext,
+        endpoint_id: u32,
+    ) -> RoutingDecision {
+        let give_up_at = self.give_up_at(request);
+        if self.endpoints.get(endpoint_id).in_slow_start(now, self.config.slow_start) {
+            self.update_slow_start_budget(now, endpoint_id);
+            self.endpoints.get_mut(endpoint_id).slow_start_budget -= 1.0;
+        }
+        // A pending body may take seconds, and the endpoint does not start on the request before it is complete.
+        if !request.body_pending {
+            let grace = self.grace(now, request);
+            self.endpoints.record_send(now, endpoint_id, request.id, request.dispatches.len(), grace);
+        }
+        let endpoint = self.endpoints.get(endpoint_id);
+        request.dispatches.push(Dispatch {
+            endpoint: endpoint.name.clone(),
+            site: self.endpoints.sites[endpoint.site_index as usize].name.clone(),
+            cell: endpoint.cell,
+            sent_at: now,
+            outcome: None,
+        });
+        self.in_flight += 1;
+        RoutingDecision::Send { endpoint: endpoint.name.clone(), give_up_at }
+    }
+
+    /// How many instances have each endpoint in their subsets.
+    pub(super) fn instances_per_endpoint(&self) -> f64 {
+        self.subset_share * self.config.instances
+    }
+
+    /// Updates the subset: a range of the list, by weight, that begins at this instance's place among the instances, so that
+    /// the subsets of all together cover the endpoints evenly without coordination. It is the whole list if this instance sends
+    /// enough to learn the state of each endpoint in time, and can keep connections to all. Otherwise it would select blindly:
+    /// with hundreds of instances, each one meets a given endpoint too rarely to know that it is crowded, slow or failing. And
+    /// with more endpoints than connections it would open a connection for each request.
+    pub(super) fn update_subset(&mut self, now: Nanos, list_changed: bool) {
+        let up = (self.endpoints.up as f64).max(1.0);
+        let observable = (self.statistics.first_sends.rate_per_s(now, self.started_at)
+            * SUBSET_SEND_INTERVAL_S)
+            .max(MIN_SUBSET_ENDPOINTS);
+        let connected = (self.config.max_connections * SUBSET_CONNECTION_SHARE).max(MIN_SUBSET_ENDPOINTS);
+        let wanted = observable.min(connected) / up;
+        let instances = self.config.instances;
+        let share = (wanted.max(MIN_INSTANCES_PER_ENDPOINT / instances) * instances).ceil() / instances;
+        let share = if share > 0.5 || self.config.limits_at_proxies { 1.0 } else { share };
+        if list_changed || share != self.subset_share {
+            self.subset_share = share;
+            self.endpoints.set_subset(now, self.config.instance_index / instances % 1.0, share);
+        }
+    }
+}
