--- a/emulator/src/world.rs
+++ b/emulator/src/world.rs
@@ -9,7 +9,7 @@
 
 use ochreshed::{DispatchOutcome, EndpointState, ListedEndpoint, Name, RequestContext};
 use ochreshed_hands::Act;
-use ochreshed_replica::rows::Counts;
+use ochreshed_replica::outcomes::OutcomeCounts;
 
 use crate::audit::{Answer, Audit, Breach, Key};
 use crate::chance::Stream;
@@ -282,7 +282,7 @@
                 }
                 Effect::Counted { instance, srv, set, counts } => {
                     let outcomes = [
-                        (DispatchOutcome::Done, counts.done),
+                        (DispatchOutcome::Done, counts.succeeded),
                         (DispatchOutcome::Error, counts.failed),
                         (DispatchOutcome::Reset, counts.lost),
                     ];
@@ -634,12 +634,12 @@
     /// What the others are told of a dispatch, as the program gathers it.
     fn count(&mut self, now: Nanos, instance: usize, srv: usize, set: usize, how: DispatchOutcome) {
         let counts = match how {
-            DispatchOutcome::Done => Counts { done: 1, ..Counts::default() },
-            DispatchOutcome::Error => Counts { failed: 1, ..Counts::default() },
+            DispatchOutcome::Done => OutcomeCounts { succeeded: 1, ..OutcomeCounts::default() },
+            DispatchOutcome::Error => OutcomeCounts { failed: 1, ..OutcomeCounts::default() },
             DispatchOutcome::NoConnection
             | DispatchOutcome::Reset
             | DispatchOutcome::TimedOut
-            | DispatchOutcome::Cancelled => Counts { lost: 1, ..Counts::default() },
+            | DispatchOutcome::Cancelled => OutcomeCounts { lost: 1, ..OutcomeCounts::default() },
             DispatchOutcome::Full | DispatchOutcome::NotSent | DispatchOutcome::Rejected => return,
         };
         let set = self.set(set).name.as_str();
