--- a/src/policy.rs
+++ b/src/policy.rs
@@ -614,9 +614,9 @@
         if is_queueing != self.is_queueing {
             self.is_queueing = is_queueing;
             let completions_per_s = self.statistics.latency_short.rate_per_s(now, self.started_at);
-            let mode = if is_queueing { "holding" } else { "open" };
+            let state = if is_queueing { "requests queue" } else { "queue is empty" };
             return NextAction::Log(format!(
-                "{mode}: {} in flight, {completions_per_s:.0} done a second",
+                "{state}: {} in flight, {completions_per_s:.0} completed per second",
                 self.in_flight
             ));
         }
--- a/src/policy/outlier_ejection.rs
+++ b/src/policy/outlier_ejection.rs
@@ -112,7 +112,7 @@
         {
             let ejected_until = now + EJECTION_TIME + self.rng.next_duration(EJECTION_JITTER);
             let rule_set = if health_index > 0 {
-                format!(" of {}", self.config.rule_sets[health_index - 1].name)
+                format!(" from rule set {}", self.config.rule_sets[health_index - 1].name)
             } else {
                 String::new()
             };
@@ -125,7 +125,8 @@
             }
             let name = &self.endpoints.get(endpoint_id).name;
             self.log_lines.push_back(format!(
-                "aside {name}: {failures} of its last {outcome_count}{rule_set} failed, {failure_ratio:.2} everywhere"
+                "ejected endpoint {name}{rule_set}: {failures} of its last {outcome_count} outcomes failed, \
+                 failure ratio {failure_ratio:.2} over all endpoints"
             ));
         }
     }
@@ -245,7 +246,7 @@
             }
             let silent_s = to_seconds(now - last_response_at.max(self.started_at));
             self.log_lines.push_back(format!(
-                "aside site {name}: silent for {silent_s:.1} s, {late_count} owed, {losses} lost"
+                "ejected site {name}: no response for {silent_s:.1} s, {late_count} dispatches overdue, {losses} lost"
             ));
         }
     }
