--- a/gossip/src/endpoint_list.rs
+++ b/gossip/src/endpoint_list.rs
@@ -41,10 +41,10 @@
     pub fn apply_discovery(
         &mut self,
         statuses: &StatusTable,
-        whole: bool,
+        is_full_list: bool,
         entries: &mut [(ListedEndpoint, A)],
     ) {
-        if whole {
+        if is_full_list {
             self.discovered = entries.iter().map(|entry| (entry.0.name.clone(), entry.clone())).collect();
         }
         for entry in entries.iter() {
@@ -53,7 +53,8 @@
                 _ => drop(self.discovered.insert(entry.0.name.clone(), entry.clone())),
             }
         }
-        self.overrides.retain(|name, _| !whole && !entries.iter().any(|(listed, _)| listed.name == *name));
+        self.overrides
+            .retain(|name, _| !is_full_list && !entries.iter().any(|(listed, _)| listed.name == *name));
         for (listed, _) in entries {
             if let Some(worse) = worse_state(statuses, listed) {
                 listed.state = worse;
--- a/gossip/src/node.rs
+++ b/gossip/src/node.rs
@@ -249,8 +249,8 @@
     }
 
     /// Takes in a list from discovery, or changes of it.
-    pub fn apply_discovery(&mut self, version: u64, whole: bool, entries: &[(String, ServerStatus)]) {
-        self.store.apply_discovery(version, whole, entries);
+    pub fn apply_discovery(&mut self, version: u64, is_full_list: bool, entries: &[(String, ServerStatus)]) {
+        self.store.apply_discovery(version, is_full_list, entries);
     }
 
     /// Adds the outcomes of this balancer's own dispatches to a server, of a rule set, since the last call.
--- a/gossip/tests/simulated_fleet/mod.rs
+++ b/gossip/tests/simulated_fleet/mod.rs
@@ -114,13 +114,13 @@
         &mut self,
         node: usize,
         version: u64,
-        whole: bool,
+        is_full_list: bool,
         entries: &[(&str, ServerStatus)],
     ) {
         let entries: Vec<(String, ServerStatus)> =
             entries.iter().map(|(server, status)| ((*server).to_owned(), *status)).collect();
         if let Some(gossip) = self.nodes.get_mut(&node) {
-            gossip.apply_discovery(version, whole, &entries);
+            gossip.apply_discovery(version, is_full_list, &entries);
         }
         self.process_outputs(node);
     }
--- a/membership/tests/frozen_forms.rs
+++ b/membership/tests/frozen_forms.rs
@@ -1,5 +1,5 @@
-//! Messages of membership as builds that are in service write them, byte for byte: a fleet of old and new builds
-//! must go on understanding each other.
+//! The bytes of messages, against a fixture written by an earlier build: old and new builds must understand each other in one
+//! fleet.
 
 use std::path::{Path, PathBuf};
 
@@ -8,49 +8,50 @@
     DIGEST_BUCKETS, DecodeError, FIRST_EXTENSION_KIND, Message, MessageBody, Sender, decode, encode,
 };
 
-fn file(name: &str) -> PathBuf {
+fn fixture_path(name: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(name)
 }
 
-/// With WRITE_FIXTURES=1 a fixture is written, and the test fails all the same: it never passes on what it has just
-/// written.
-fn written(name: &str, bytes: &[u8]) {
-    if std::env::var_os("WRITE_FIXTURES").is_some_and(|told| told == "1") {
-        std::fs::write(file(name), bytes).expect("a fixture");
-        panic!("fixtures written");
+/// Writes a fixture anew if WRITE_FIXTURES=1, and then fails: the test never passes on bytes that it has just written.
+fn write_fixture_if_asked(name: &str, content: &[u8]) {
+    if std::env::var_os("WRITE_FIXTURES").is_some_and(|value| value == "1") {
+        std::fs::write(fixture_path(name), content).expect("a writable fixture");
+        panic!("fixture {name} written");
     }
 }
-fn hex(bytes: &[u8]) -> String {
+
+fn to_hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-fn unhex(text: &str) -> Vec<u8> {
+fn from_hex(text: &str) -> Vec<u8> {
     let digits = text.as_bytes().chunks(2);
     digits
         .map(|two| u8::from_str_radix(str::from_utf8(two).expect("digits"), 16).expect("hexadecimal"))
         .collect()
 }
 
-/// Samples by their names, as bytes: they must be those of the fixture, which are given.
-fn frozen(name: &str, samples: &[(String, Vec<u8>)]) -> Vec<Vec<u8>> {
-    let now: String = samples.iter().map(|(sample, bytes)| format!("{sample}: {}\n", hex(bytes))).collect();
-    written(name, now.as_bytes());
-    let kept = std::fs::read_to_string(file(name)).expect("a fixture");
-    for (kept, now) in kept.lines().zip(now.lines()) {
-        assert_eq!(kept, now, "{name}");
+/// Checks that the samples, by label, have the bytes of the fixture. Returns the fixture's bytes.
+fn check_fixture(name: &str, samples: &[(String, Vec<u8>)]) -> Vec<Vec<u8>> {
+    let actual: String =
+        samples.iter().map(|(label, bytes)| format!("{label}: {}\n", to_hex(bytes))).collect();
+    write_fixture_if_asked(name, actual.as_bytes());
+    let fixture = std::fs::read_to_string(fixture_path(name)).expect("a fixture");
+    for (fixture, actual) in fixture.lines().zip(actual.lines()) {
+        assert_eq!(fixture, actual, "{name}");
     }
-    assert_eq!(kept, now, "{name}");
-    kept.lines().map(|line| unhex(line.split_once(": ").expect("a name and bytes").1)).collect()
+    assert_eq!(fixture, actual, "{name}");
+    fixture.lines().map(|line| from_hex(line.split_once(": ").expect("a label and bytes").1)).collect()
 }
 
 const FLEET: u64 = 0x0102_0304_0506_0708;
 
 fn digest() -> [u32; DIGEST_BUCKETS] {
-    std::array::from_fn(|part| (part as u32 + 1).wrapping_mul(0x9e37_79b9))
+    std::array::from_fn(|bucket| (bucket as u32 + 1).wrapping_mul(0x9e37_79b9))
 }
 
-/// A name for each kind of message. A new one does not compile until it has a sample.
-fn kind(body: &MessageBody) -> &'static str {
+/// The label in the fixture of each kind of message. A new kind does not compile until it has one.
+fn fixture_label(body: &MessageBody) -> &'static str {
     match body {
         MessageBody::Ping { .. } => "ping",
         MessageBody::Ack { .. } => "ack",
@@ -75,48 +76,48 @@
         MessageBody::DigestMismatch { digest: digest() },
         MessageBody::Gossip,
     ];
-    let plain = all.map(|body| {
+    let without_records = all.map(|body| {
         (
-            kind(&body).to_owned(),
+            fixture_label(&body).to_owned(),
             Message { sender: sender(), body, records: Vec::new(), extensions: Vec::new() },
         )
     });
-    let word = |(nth, state): (usize, MemberState)| -> NamedRecord {
-        let address = if nth % 2 == 0 { "10.1.0.13:7620" } else { "[2001:db8::1]:65535" };
+    let record = |(index, state): (usize, MemberState)| -> NamedRecord {
+        let address = if index % 2 == 0 { "10.1.0.13:7620" } else { "[2001:db8::1]:65535" };
         let address = address.parse().expect("an address");
-        let incarnation = 127 + nth as u64;
+        let incarnation = 127 + index as u64;
         (
-            format!("m{nth}"),
-            MemberRecord { incarnation, state, start_id: 9 << (8 * nth), address, zone: "quito-a".into() },
+            format!("m{index}"),
+            MemberRecord { incarnation, state, start_id: 9 << (8 * index), address, zone: "quito-a".into() },
         )
     };
     let states = [MemberState::Alive, MemberState::Suspect, MemberState::Dead, MemberState::Left];
-    // A new one does not compile until it is above.
+    // A new state does not compile until it is listed above.
     states.iter().for_each(|state| match state {
         MemberState::Alive | MemberState::Suspect | MemberState::Dead | MemberState::Left => {}
     });
-    let records: Vec<NamedRecord> = states.into_iter().enumerate().map(word).collect();
+    let records: Vec<NamedRecord> = states.into_iter().enumerate().map(record).collect();
     let extensions = vec![(FIRST_EXTENSION_KIND, vec![1, 2, 3]), (FIRST_EXTENSION_KIND + 3, Vec::new())];
     let full = Message { sender: sender(), body: MessageBody::Gossip, records, extensions };
-    plain.into_iter().chain([("words and other news".to_owned(), full)]).collect()
+    without_records.into_iter().chain([("words and other news".to_owned(), full)]).collect()
 }
 
 #[test]
-fn messages_are_written_and_read_as_before() {
+fn messages_are_encoded_and_decoded_as_before() {
     let messages = messages();
     let samples: Vec<_> =
-        messages.iter().map(|(name, message)| (name.clone(), encode(FLEET, message))).collect();
-    let kept = frozen("messages.txt", &samples);
-    for ((name, message), bytes) in messages.iter().zip(kept) {
-        let read = decode(FLEET, &bytes).unwrap_or_else(|why| panic!("{name}: {why:?}"));
-        assert_eq!(&read, message, "{name}");
-        assert_eq!(encode(FLEET, &read), bytes, "{name}");
+        messages.iter().map(|(label, message)| (label.clone(), encode(FLEET, message))).collect();
+    let fixture = check_fixture("messages.txt", &samples);
+    for ((label, message), bytes) in messages.iter().zip(fixture) {
+        let decoded = decode(FLEET, &bytes).unwrap_or_else(|error| panic!("{label}: {error:?}"));
+        assert_eq!(&decoded, message, "{label}");
+        assert_eq!(encode(FLEET, &decoded), bytes, "{label}");
     }
 }
 
-/// Operators read these words on the fleet's page and in the log.
+/// Operators read these words on the fleet's page and in logs.
 #[test]
-fn states_and_reasons_for_rejection_keep_their_words() {
+fn states_and_rejection_reasons_keep_their_words() {
     let states = [MemberState::Alive, MemberState::Suspect, MemberState::Dead, MemberState::Left];
     assert_eq!(states.map(|state| format!("{state:?}")), ["Alive", "Suspect", "Dead", "Left"]);
     let errors = [
@@ -126,7 +127,7 @@
         DecodeError::UnknownFormat,
         DecodeError::InvalidSection,
     ];
-    // A new one does not compile until it is above.
+    // A new reason does not compile until it is listed above.
     errors.iter().for_each(|error| match error {
         DecodeError::Malformed
         | DecodeError::ChecksumMismatch
