--- a/balancer/src/mesh/control/settings_reload.rs
+++ b/balancer/src/mesh/control/settings_reload.rs
@@ -12,7 +12,7 @@
 use tokio::time::sleep;
 
 use super::replica_server::{ReplicaEvent, ReplicaServer};
-use crate::mesh::proxy::node::seeds;
+use crate::mesh::proxy::node::seed_addresses;
 use crate::mesh::settings::Settings;
 
 /// How often the file is read without a signal.
@@ -41,7 +41,7 @@
     let seeds_changed = settings.seeds != server.settings.load().seeds;
     if seeds_changed {
         log::info!("settings reloaded: seeds={}", settings.seeds.len());
-        server.send_event(ReplicaEvent::SeedsChanged(seeds(&settings))).await;
+        server.send_event(ReplicaEvent::SeedsChanged(seed_addresses(&settings))).await;
     }
     server.settings.store(Arc::new(settings));
 }
--- a/balancer/src/mesh/control/startup.rs
+++ b/balancer/src/mesh/control/startup.rs
@@ -29,7 +29,7 @@
 use super::{admin_api, canary_monitor, peer_watch, settings_reload, suspect_monitor};
 use crate::clock::Clock;
 use crate::mesh::proxy::listener::{self, ListenerLimits, ListenerState};
-use crate::mesh::proxy::node::seeds;
+use crate::mesh::proxy::node::seed_addresses;
 use crate::mesh::settings::{Settings, SettingsError};
 use crate::mesh::{rpc, start};
 
@@ -152,7 +152,7 @@
         seed: rand::random(),
         address,
         first_start: settings.bootstrap,
-        seeds: &seeds(settings),
+        seeds: &seed_addresses(settings),
         saved: persisted,
         config,
     };
--- a/balancer/src/mesh/hollow.rs
+++ b/balancer/src/mesh/hollow.rs
@@ -90,7 +90,7 @@
     let clock = Clock::new();
     let nodes = (0..options.count).map(|nth| {
         let node = Node::new(settings.clone(), address(options.first + nth), clock);
-        node.inbound.serving.store(true, Relaxed);
+        node.inbound.accepts_clients.store(true, Relaxed);
         node
     });
     let fleet = Arc::new(Fleet {
@@ -227,7 +227,7 @@
     /// A line of figures: attendants, the length of the shortest endpoint table, leases asked for, those not granted, and the
     /// mean time of acquiring one in us.
     fn figures(&self) -> String {
-        let records = self.nodes.iter().map(|node| node.records()).min().unwrap_or(0);
+        let records = self.nodes.iter().map(|node| node.record_count()).min().unwrap_or(0);
         let (claimed, missed) = (self.claimed.load(Relaxed), self.missed.load(Relaxed));
         let mean_us = self.claim_time.load(Relaxed) / 1_000 / claimed.max(1);
         format!("figures {} {records} {claimed} {missed} {mean_us}", self.nodes.len())
--- a/balancer/src/mesh/proxy/connection_pool.rs
+++ b/balancer/src/mesh/proxy/connection_pool.rs
@@ -434,7 +434,7 @@
 
 impl ResponseBody {
     /// A body that is in memory.
-    pub fn of(bytes: impl Into<Bytes>) -> ResponseBody {
+    pub fn from_bytes(bytes: impl Into<Bytes>) -> ResponseBody {
         ResponseBody::Buffered(Full::new(bytes.into()))
     }
 
@@ -465,7 +465,7 @@
     }
 
     /// Keeps `thing` until the body has been taken or given up. A buffered body doesn't keep it: it is dropped at once.
-    pub fn holding(self, thing: impl Send + Sync + 'static) -> ResponseBody {
+    pub fn with_guard(self, thing: impl Send + Sync + 'static) -> ResponseBody {
         match self {
             ResponseBody::Streaming { pieces, hold, paced } => {
                 let hold: ResponseGuard = match hold {
--- a/balancer/src/mesh/proxy/inbound.rs
+++ b/balancer/src/mesh/proxy/inbound.rs
@@ -223,7 +223,7 @@
     /// Ids of the requests that are at the upstream or wait for it, and whether each is a retry.
     running: Mutex<HashMap<Vec<u8>, bool>>,
     /// This node accepts clients; false while it shuts down.
-    pub serving: AtomicBool,
+    pub accepts_clients: AtomicBool,
     /// Notified whenever the endpoint record has changed.
     pub changed: tokio::sync::Notify,
     /// Sessions that the outbound proxy of this node owns. They are here since other nodes ask for them through the inbound
@@ -360,7 +360,7 @@
             read_ahead: Arc::new(Semaphore::new(settings.read_ahead_bytes)),
             calls_services: AtomicBool::new(false),
             running: Mutex::default(),
-            serving: AtomicBool::new(false),
+            accepts_clients: AtomicBool::new(false),
             changed: tokio::sync::Notify::new(),
             sessions: SessionTable::default(),
             fence: FencingTable::default(),
@@ -382,7 +382,7 @@
             concurrency_limit: 0,
             warming_up_ms: 0,
             calls_services: self.calls_services.load(Relaxed),
-            accepts_clients: self.serving.load(Relaxed),
+            accepts_clients: self.accepts_clients.load(Relaxed),
             health: held(&self.health).health(),
         };
         if let Some(upstream) = &state.upstream {
@@ -906,7 +906,7 @@
         let body = if is_remote { self.paced_response(body) } else { body };
         // From here on the response counts in the pacer.
         drop(pending);
-        UpstreamOutcome::Responded(head, body.holding(guard))
+        UpstreamOutcome::Responded(head, body.with_guard(guard))
     }
 
     /// Reports a run to the outlier detector.
@@ -993,7 +993,7 @@
         let left = header_str(headers, &LEFT).parse::<u64>().unwrap_or(0).min(MAX_TIME_LEFT_MS);
         let fence = header_str(headers, &SESSION_FENCE);
         if let Some(keys) = self.sessions.handle_handover(fence) {
-            return self.with_outcome(Response::new(ResponseBody::of(keys)), "ran");
+            return self.with_outcome(Response::new(ResponseBody::from_bytes(keys)), "ran");
         }
         let fencing_token = FencingToken::from_header(fence);
         let RequestTerms { target_ms, rejections, has_affinity, is_retry, is_nested, is_large, member_share } =
--- a/balancer/src/mesh/proxy/listener.rs
+++ b/balancer/src/mesh/proxy/listener.rs
@@ -149,7 +149,7 @@
             let answer =
                 answer(ReceivedRequest { request: req, meter: meter.clone(), received_at: at }).await;
             // A long response counts as in flight until its last byte.
-            let mut answer = answer.map(|flow| flow.holding(work));
+            let mut answer = answer.map(|flow| flow.with_guard(work));
             meter.take_first();
             meter.next_message();
             if *leaving.borrow() >= ListenerState::Draining {
@@ -251,14 +251,14 @@
 
 /// A response of one line of text. An invalid status becomes 500.
 pub fn plain_response(status: u16, line: &str) -> Response<ResponseBody> {
-    let mut answer = Response::new(ResponseBody::of(format!("{line}\n")));
+    let mut answer = Response::new(ResponseBody::from_bytes(format!("{line}\n")));
     *answer.status_mut() = StatusCode::from_u16(status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     answer
 }
 
 /// A response of JSON. An invalid status becomes 500.
 pub fn json_response(status: u16, text: String) -> Response<ResponseBody> {
-    let mut answer = Response::new(ResponseBody::of(text));
+    let mut answer = Response::new(ResponseBody::from_bytes(text));
     *answer.status_mut() = StatusCode::from_u16(status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     answer.headers_mut().insert("content-type", HeaderValue::from_static("application/json"));
     answer
--- a/balancer/src/mesh/proxy/node.rs
+++ b/balancer/src/mesh/proxy/node.rs
@@ -469,7 +469,7 @@
 
     /// Sets the known replicas; those of the settings are always among them.
     pub fn set_replicas(&self, known: Vec<SocketAddr>) {
-        let seeds = seeds(&self.settings.load());
+        let seeds = seed_addresses(&self.settings.load());
         let all: HashSet<SocketAddr> = known.into_iter().chain(seeds).collect();
         self.replicas.set_replicas(all);
     }
@@ -624,7 +624,7 @@
     }
 
     /// How many endpoint records are known.
-    pub fn records(&self) -> usize {
+    pub fn record_count(&self) -> usize {
         held(&self.records).len()
     }
 
@@ -639,7 +639,7 @@
         metrics::MetricsPage::for_role("attendant")
             .gauge("ready", "1 while it is ready", f64::from(u8::from(self.ready())))
             .gauge("configuration_version", "Version of the configuration in force", version as f64)
-            .gauge("endpoint_records", "Records of upstreams that are known", self.records() as f64)
+            .gauge("endpoint_records", "Records of upstreams that are known", self.record_count() as f64)
             .gauge("unreachable", "Machines that nobody heard of late", self.suspected.load().len() as f64)
             .gauge(
                 "control_heard_seconds",
@@ -697,7 +697,7 @@
 
 /// Addresses of the replicas in the settings for calls between our own processes. The port for these is the same on all
 /// machines.
-pub fn seeds(settings: &Settings) -> Vec<SocketAddr> {
+pub fn seed_addresses(settings: &Settings) -> Vec<SocketAddr> {
     settings.seeds.iter().map(|seed| SocketAddr::new(seed.ip(), settings.internal_ports.first)).collect()
 }
 
@@ -763,7 +763,7 @@
                         let inside = RequestGuard::new(&node);
                         outbound::handle_request(node.clone(), received)
                             .await
-                            .map(|flow| flow.holding(inside))
+                            .map(|flow| flow.with_guard(inside))
                     }
                 }
             },
@@ -789,7 +789,7 @@
             },
         ));
     }
-    door.serving.store(true, Relaxed);
+    door.accepts_clients.store(true, Relaxed);
     let many = (node.settings.load().fault_tolerance.machines + 1).max(2);
     for which in 0..many {
         tokio::spawn(control_plane_watch::run(node.clone(), which, many));
@@ -825,7 +825,7 @@
     let linger = if door.upstream_signed_off() { last_call } else { MIN_DRAIN_TIME.min(last_call) };
     let busy = || node.requests_in_flight.load(Relaxed) + door.requests_in_flight() > 0;
     while began.elapsed() < last_call && (began.elapsed() < linger || busy()) {
-        if began.elapsed() + RECORD_PROPAGATION >= linger && door.serving.swap(false, Relaxed) {
+        if began.elapsed() + RECORD_PROPAGATION >= linger && door.accepts_clients.swap(false, Relaxed) {
             door.record_changed();
         }
         sleep(DRAIN_CHECK_INTERVAL).await;
--- a/balancer/src/mesh/proxy/outbound.rs
+++ b/balancer/src/mesh/proxy/outbound.rs
@@ -229,7 +229,7 @@
             } else {
                 complete(Some(LeaseOutcome::Indeterminate));
             }
-            RequestOutcome::Response(head, ResponseBody::of(bytes)).into_answer()
+            RequestOutcome::Response(head, ResponseBody::from_bytes(bytes)).into_answer()
         }
         RequestOutcome::NotRun(retry_after) => {
             complete(None);
@@ -255,7 +255,7 @@
 
 /// A stored response as an answer to another request with the same key.
 fn replay_stored(answer: &StoredResponse) -> Response<ResponseBody> {
-    let mut response = Response::new(ResponseBody::of(answer.body.clone()));
+    let mut response = Response::new(ResponseBody::from_bytes(answer.body.clone()));
     *response.status_mut() = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::BAD_GATEWAY);
     for (name, value) in &answer.headers {
         if let (Ok(name), Ok(value)) = (HeaderName::try_from(name), HeaderValue::try_from(value)) {
--- a/balancer/src/mesh/proxy/tests/outbound_tests.rs
+++ b/balancer/src/mesh/proxy/tests/outbound_tests.rs
@@ -234,7 +234,7 @@
                         let inside = RequestGuard::new(&node);
                         outbound::handle_request(node.clone(), received)
                             .await
-                            .map(|flow| flow.holding(inside))
+                            .map(|flow| flow.with_guard(inside))
                     }
                 },
             )
--- a/balancer/src/mesh/shared/metrics.rs
+++ b/balancer/src/mesh/shared/metrics.rs
@@ -49,7 +49,7 @@
         if encode(&mut text, &self.0).is_err() {
             return plain_response(500, "the figures can't be written");
         }
-        let mut response = Response::new(ResponseBody::of(text));
+        let mut response = Response::new(ResponseBody::from_bytes(text));
         response.headers_mut().insert("content-type", HeaderValue::from_static(CONTENT_TYPE));
         response
     }
