--- a/balancer/src/mesh/proxy/inbound.rs
+++ b/balancer/src/mesh/proxy/inbound.rs
@@ -45,7 +45,8 @@
 use crate::mesh::proxy::connection_pool::{ConnectionPool, ExchangeError, LargeResponseLane, ResponseBody};
 use crate::mesh::proxy::fencing::{FencingTable, FencingToken};
 use crate::mesh::proxy::headers::{
-    ADDRESSEE, CALLER, DELIVERED_BY, ID, LEFT, NOT_RUN, SESSION_FENCE, STAMP, TERMS, WAY,
+    ATTEMPT_OUTCOME, CALLER_SERVICE, EXECUTION_STAMP, FENCING_TOKEN, NOT_RUN, REQUEST_ID, REQUEST_TERMS,
+    RESPONDING_UPSTREAM, TARGET_UPSTREAM, TIME_LEFT_MS,
 };
 use crate::mesh::proxy::inbound_request::{InboundRequest, MAX_TIME_LEFT_MS, RequestTerms};
 use crate::mesh::proxy::listener::{self, ReceivedRequest, RequestError, header_str, plain_response};
@@ -92,7 +93,7 @@
 }
 
 impl UpstreamOutcome {
-    /// The outcome as it goes on the wire, in the header [`WAY`].
+    /// The outcome as it goes on the wire, in the header [`ATTEMPT_OUTCOME`].
     pub fn as_word(&self) -> &'static str {
         match self {
             UpstreamOutcome::Responded(..) => "ran",
@@ -430,7 +431,8 @@
         };
         // A health page may be wrong about its upstream, and a draining incarnation never serves again. A page that names
         // another incarnation or fails therefore decides nothing: the next heartbeat does.
-        if header_str(&head.headers, &DELIVERED_BY) != record.upstream_id || !head.status.is_success() {
+        if header_str(&head.headers, &RESPONDING_UPSTREAM) != record.upstream_id || !head.status.is_success()
+        {
             return;
         }
         let now = self.clock.now();
@@ -827,7 +829,7 @@
         };
         let pending = paced.then(|| PendingLargeResponse::new(self));
         self.in_flight.fetch_add(1, Relaxed);
-        let id = message.head.headers().get(&ID).cloned();
+        let id = message.head.headers().get(&REQUEST_ID).cloned();
         let request_id = id.as_ref().map(|id| id.as_bytes().to_vec()).unwrap_or_default();
         held(&self.running).insert(request_id.clone(), is_retry);
         let guard = RequestGuard { proxy: self.clone(), request_id };
@@ -851,13 +853,13 @@
             return UpstreamOutcome::NotSent;
         }
         let mut fields = HeaderMap::new();
-        fields.insert(LEFT, HeaderValue::from(left));
+        fields.insert(TIME_LEFT_MS, HeaderValue::from(left));
         if let Ok(upstream_id) = HeaderValue::try_from(upstream_id) {
-            fields.insert(ADDRESSEE, upstream_id);
+            fields.insert(TARGET_UPSTREAM, upstream_id);
         }
-        fields.insert(CALLER, caller.clone());
+        fields.insert(CALLER_SERVICE, caller.clone());
         // A response that names another request belongs to that one.
-        let ours = |head: &Parts| head.headers.get(&ID) == id.as_ref();
+        let ours = |head: &Parts| head.headers.get(&REQUEST_ID) == id.as_ref();
         permit.started_at = self.clock.now();
         let class = RequestClass { member: permit.member.clone(), is_nested, is_large };
         let run = self.begin_run(permit.started_at, class);
@@ -877,7 +879,7 @@
                 return outcome;
             }
         };
-        head.headers.remove(&WAY);
+        head.headers.remove(&ATTEMPT_OUTCOME);
         if head.status == StatusCode::MISDIRECTED_REQUEST {
             return UpstreamOutcome::Gone;
         }
@@ -887,7 +889,7 @@
         }
         // A successful response without the upstream's stamp, or one that is encoded, was made or changed by something in
         // between. Whether the request has run can't be told from it.
-        let stamped = head.headers.contains_key(&STAMP);
+        let stamped = head.headers.contains_key(&EXECUTION_STAMP);
         let coded = head.headers.contains_key(CONTENT_ENCODING);
         if coded || (head.status.is_success() && !stamped) {
             run.ended(RunOutcome::Failed);
@@ -976,7 +978,7 @@
     /// Adds the header that tells the outbound proxy how the request ended here, and the load.
     fn with_outcome(&self, mut answer: Response<ResponseBody>, word: &str) -> Response<ResponseBody> {
         if let Ok(value) = HeaderValue::try_from(format!("{word} {}", self.load())) {
-            answer.headers_mut().insert(WAY, value);
+            answer.headers_mut().insert(ATTEMPT_OUTCOME, value);
         }
         answer
     }
@@ -989,16 +991,16 @@
     ) -> Response<ResponseBody> {
         let received_at = received.received_at;
         let headers = received.request.headers();
-        let upstream_id = header_str(headers, &ADDRESSEE).to_owned();
-        let left = header_str(headers, &LEFT).parse::<u64>().unwrap_or(0).min(MAX_TIME_LEFT_MS);
-        let fence = header_str(headers, &SESSION_FENCE);
+        let upstream_id = header_str(headers, &TARGET_UPSTREAM).to_owned();
+        let left = header_str(headers, &TIME_LEFT_MS).parse::<u64>().unwrap_or(0).min(MAX_TIME_LEFT_MS);
+        let fence = header_str(headers, &FENCING_TOKEN);
         if let Some(keys) = self.sessions.handle_handover(fence) {
             return self.with_outcome(Response::new(ResponseBody::from_bytes(keys)), "ran");
         }
         let fencing_token = FencingToken::from_header(fence);
         let RequestTerms { target_ms, rejections, has_affinity, is_retry, is_nested, is_large, member_share } =
             RequestTerms::from_headers(headers, left);
-        let caller = headers.get(&CALLER).cloned().unwrap_or(HeaderValue::from_static(""));
+        let caller = headers.get(&CALLER_SERVICE).cloned().unwrap_or(HeaderValue::from_static(""));
         let read =
             listener::read_message(received, &bodies, self.clock, u64::MAX, Duration::from_secs(10)).await;
         let (mut message, _room) = match read {
@@ -1007,8 +1009,8 @@
                 return self.with_outcome(plain_response(status, service), "unsent");
             }
         };
-        message.head.headers_mut().remove(&TERMS);
-        message.head.headers_mut().remove(&SESSION_FENCE);
+        message.head.headers_mut().remove(&REQUEST_TERMS);
+        message.head.headers_mut().remove(&FENCING_TOKEN);
         let (message, upstream_id, caller, is_remote) = (&Arc::new(message), &*upstream_id, &caller, true);
         let (target, deadline) = (received_at + target_ms * MS, received_at + left * MS);
         let request = InboundRequest {
--- a/balancer/src/mesh/proxy/inbound_request.rs
+++ b/balancer/src/mesh/proxy/inbound_request.rs
@@ -1,7 +1,7 @@
 //! A request as an inbound proxy receives it, from the outbound proxy of its own node or of another one, and those of its
 //! terms that go on the wire between the two.
 //!
-//! Main types: [`InboundRequest`], [`RequestTerms`] with the wire format of the header [`TERMS`].
+//! Main types: [`InboundRequest`], [`RequestTerms`] with the wire format of the header [`REQUEST_TERMS`].
 //!
 //! Invariants: terms that are missing or can't be read never make a request fail; they count as those of a plain request.
 
@@ -13,7 +13,7 @@
 
 use crate::body::Message;
 use crate::mesh::proxy::fencing::FencingToken;
-use crate::mesh::proxy::headers::TERMS;
+use crate::mesh::proxy::headers::REQUEST_TERMS;
 
 const MS: Nanos = 1_000_000;
 /// Greatest time in ms that a client may say that it waits; a greater one counts as this.
@@ -65,7 +65,7 @@
 }
 
 impl InboundRequest<'_> {
-    /// Its terms as the value of the header [`TERMS`], separated by spaces: the ms until its response is late, how many
+    /// Its terms as the value of the header [`REQUEST_TERMS`], separated by spaces: the ms until its response is late, how many
     /// inbound proxies have rejected it, and flags as letters (`a`: retry or nested call of one; `c`: nested call; `l`: large
     /// response; `t`: bound to this upstream). On a member's route the member's share and name follow; the name may hold
     /// spaces and goes on to the end. The time left until the deadline goes in a header of its own.
@@ -89,7 +89,7 @@
     /// when its time left, `left_ms`, is over.
     pub fn from_headers(headers: &HeaderMap, left_ms: u64) -> RequestTerms {
         // A member's name may be in any script, so that the value is UTF-8 and not only ASCII.
-        let value = headers.get(&TERMS).and_then(|value| std::str::from_utf8(value.as_bytes()).ok());
+        let value = headers.get(&REQUEST_TERMS).and_then(|value| std::str::from_utf8(value.as_bytes()).ok());
         let mut parts = value.unwrap_or_default().trim().splitn(5, ' ');
         let target_ms =
             parts.next().and_then(|text| text.parse().ok()).unwrap_or(left_ms).min(MAX_TIME_LEFT_MS);
--- a/balancer/src/mesh/proxy/outbound.rs
+++ b/balancer/src/mesh/proxy/outbound.rs
@@ -33,7 +33,10 @@
 use crate::link::held;
 use crate::mesh::proxy::connection_pool::{ExchangeError, ResponseBody};
 use crate::mesh::proxy::fencing::FencingToken;
-use crate::mesh::proxy::headers::{ADDRESSEE, CALLER, ID, KEY, LEFT, SESSION_FENCE, TERMS, WAY};
+use crate::mesh::proxy::headers::{
+    ATTEMPT_OUTCOME, CALLER_SERVICE, FENCING_TOKEN, IDEMPOTENCY_KEY, REQUEST_ID, REQUEST_TERMS,
+    TARGET_UPSTREAM, TIME_LEFT_MS,
+};
 use crate::mesh::proxy::inbound::UpstreamOutcome;
 use crate::mesh::proxy::inbound_request::{InboundRequest, MAX_TIME_LEFT_MS};
 use crate::mesh::proxy::lease_client;
@@ -78,7 +81,7 @@
 /// Each answer carries the request's id.
 pub async fn handle_request(node: Arc<Node>, received: ReceivedRequest) -> Response<ResponseBody> {
     let headers = received.request.headers();
-    let Some(id) = headers.get(&ID).cloned() else {
+    let Some(id) = headers.get(&REQUEST_ID).cloned() else {
         return plain_response(400, "no Ochreshed-Consignment-Id");
     };
     let Some(configuration) = node.configuration.load_full() else { return rejection_response(300 * MS) };
@@ -93,8 +96,10 @@
         .and_then(|name| headers.get(&**name))
         .and_then(|value| value.to_str().ok());
     let person = person.filter(|person| !person.is_empty()).map(str::to_owned);
-    let left = header_str(headers, &LEFT).parse::<u64>().unwrap_or(route.deadline_ms).min(MAX_TIME_LEFT_MS);
-    let key = Some(header_str(headers, &KEY)).filter(|key| !key.is_empty()).map(lease_client::hash_key);
+    let left =
+        header_str(headers, &TIME_LEFT_MS).parse::<u64>().unwrap_or(route.deadline_ms).min(MAX_TIME_LEFT_MS);
+    let key =
+        Some(header_str(headers, &IDEMPOTENCY_KEY)).filter(|key| !key.is_empty()).map(lease_client::hash_key);
     let received_at = received.received_at;
     let nested_call = node.nested_call(&id);
     let limits = configuration.limits();
@@ -104,7 +109,7 @@
         Ok(read) => read,
         Err(RequestError(status, reason)) => return plain_response(status, reason),
     };
-    for name in [&ADDRESSEE, &CALLER, &TERMS, &SESSION_FENCE, &WAY] {
+    for name in [&TARGET_UPSTREAM, &CALLER_SERVICE, &REQUEST_TERMS, &FENCING_TOKEN, &ATTEMPT_OUTCOME] {
         message.head.headers_mut().remove(name);
     }
     let ends_by = node.shutdown_deadline();
@@ -148,8 +153,8 @@
         }
         None => in_flight.run().await.into_answer(),
     };
-    if !answer.headers().contains_key(&ID) {
-        answer.headers_mut().insert(ID, id);
+    if !answer.headers().contains_key(&REQUEST_ID) {
+        answer.headers_mut().insert(REQUEST_ID, id);
     }
     answer
 }
@@ -168,7 +173,7 @@
     fn into_answer(self) -> Response<ResponseBody> {
         match self {
             RequestOutcome::Response(mut head, body) => {
-                head.headers.remove(&WAY);
+                head.headers.remove(&ATTEMPT_OUTCOME);
                 Response::from_parts(head, body)
             }
             RequestOutcome::NotRun(retry_after) => rejection_response(retry_after),
@@ -248,7 +253,7 @@
     let text = |(name, value): (&HeaderName, &HeaderValue)| {
         Some((name.as_str().to_owned(), value.to_str().ok()?.to_owned()))
     };
-    let ours = [&ID, &WAY];
+    let ours = [&REQUEST_ID, &ATTEMPT_OUTCOME];
     let headers = head.headers.iter().filter(|(name, _)| !ours.contains(name)).filter_map(text).collect();
     StoredResponse { status: head.status.as_u16(), headers, body: body.to_vec() }
 }
@@ -557,29 +562,29 @@
             return (UpstreamOutcome::NotSent, None);
         }
         let mut fields = HeaderMap::new();
-        fields.insert(LEFT, HeaderValue::from(left));
+        fields.insert(TIME_LEFT_MS, HeaderValue::from(left));
         if let Ok(id) = HeaderValue::try_from(&*endpoint.upstream_id) {
-            fields.insert(ADDRESSEE, id);
+            fields.insert(TARGET_UPSTREAM, id);
         }
         if let Ok(value) = HeaderValue::try_from(request.terms_header(now)) {
-            fields.insert(TERMS, value);
+            fields.insert(REQUEST_TERMS, value);
         }
         if let Some(Ok(value)) =
             fencing_token.map(|fencing_token| HeaderValue::try_from(fencing_token.to_header()))
         {
-            fields.insert(SESSION_FENCE, value);
+            fields.insert(FENCING_TOKEN, value);
         }
-        fields.insert(CALLER, caller);
+        fields.insert(CALLER_SERVICE, caller);
         node.inbound.note_outgoing_bytes(message.length.unwrap_or(0));
         // Only an inbound proxy sets this header: a response without it comes from somewhere else.
-        let ours = |head: &Parts| head.headers.contains_key(&WAY);
+        let ours = |head: &Parts| head.headers.contains_key(&ATTEMPT_OUTCOME);
         let outcome = match node
             .connection_pool(endpoint.inbound_proxy)
             .exchange(&self.message, &fields, until, None, ours)
             .await
         {
             Ok((head, body)) => {
-                let value = header_str(&head.headers, &WAY).to_owned();
+                let value = header_str(&head.headers, &ATTEMPT_OUTCOME).to_owned();
                 let (outcome_word, load) = value.split_once(' ').unwrap_or((&value, ""));
                 return (UpstreamOutcome::from_word(outcome_word, head, body), load.parse().ok());
             }
--- a/balancer/src/mesh/proxy/session_affinity.rs
+++ b/balancer/src/mesh/proxy/session_affinity.rs
@@ -30,7 +30,7 @@
 use crate::body::Message;
 use crate::link::held;
 use crate::mesh::proxy::fencing::FencingToken;
-use crate::mesh::proxy::headers::{SESSION_FENCE, WAY};
+use crate::mesh::proxy::headers::{ATTEMPT_OUTCOME, FENCING_TOKEN};
 use crate::mesh::proxy::listener::header_str;
 use crate::mesh::proxy::node::Node;
 use crate::mesh::proxy::request_scheduler::{Endpoint, RequestScheduler};
@@ -416,14 +416,14 @@
     let message = Arc::new(Message { head, first: bytes::Bytes::new(), length: Some(0), long: None });
     let mut fields = HeaderMap::new();
     fields.insert(
-        SESSION_FENCE,
+        FENCING_TOKEN,
         HeaderValue::try_from(format!("{HANDOVER_PREFIX}{}", fencing_token.to_header())).ok()?,
     );
     let until = node.clock.now() + HANDOVER_TIMEOUT;
-    let ours = |head: &hyper::http::response::Parts| head.headers.contains_key(&WAY);
+    let ours = |head: &hyper::http::response::Parts| head.headers.contains_key(&ATTEMPT_OUTCOME);
     let answer = node.connection_pool(gate).exchange(&message, &fields, until, None, ours).await;
     let (head, body) = answer.ok()?;
-    if header_str(&head.headers, &WAY).split(' ').next() != Some("ran") {
+    if header_str(&head.headers, &ATTEMPT_OUTCOME).split(' ').next() != Some("ran") {
         return None; // An older version, which owns no sessions.
     }
     let body = http_body_util::BodyExt::collect(body).await.ok()?.to_bytes();
--- a/balancer/src/mesh/proxy/tests/connection_pool_tests.rs
+++ b/balancer/src/mesh/proxy/tests/connection_pool_tests.rs
@@ -15,7 +15,7 @@
 use crate::body::Message;
 use crate::clock::Clock;
 use crate::mesh::proxy::connection_pool::{ConnectionPool, ExchangeError};
-use crate::mesh::proxy::headers::ID;
+use crate::mesh::proxy::headers::REQUEST_ID;
 
 const MS: u64 = 1_000_000;
 
@@ -43,7 +43,7 @@
     *head.method_mut() = Method::POST;
     *head.uri_mut() = "/x".parse().expect("a path");
     head.headers_mut().insert("host", HeaderValue::from_static("a"));
-    head.headers_mut().insert(&ID, HeaderValue::try_from(id).expect("an id"));
+    head.headers_mut().insert(&REQUEST_ID, HeaderValue::try_from(id).expect("an id"));
     head.headers_mut().insert("content-length", HeaderValue::from(body));
     Arc::new(Message { head, first: vec![7; body].into(), length: Some(body as u64), long: None })
 }
@@ -131,7 +131,7 @@
         let line = line.clone();
         async move {
             let until = clock.now() + 300 * MS;
-            let ours = |head: &Parts| !checks || head.headers.get(&ID).is_some_and(|told| told == id);
+            let ours = |head: &Parts| !checks || head.headers.get(&REQUEST_ID).is_some_and(|told| told == id);
             let (_, flow) = line.exchange(&message(id, body), &HeaderMap::new(), until, None, ours).await?;
             let bytes = flow.collect().await.map_err(|_| ExchangeError::Reset)?.to_bytes();
             Ok(String::from_utf8(bytes.to_vec()).expect("text"))
--- a/balancer/src/mesh/proxy/tests/inbound_tests.rs
+++ b/balancer/src/mesh/proxy/tests/inbound_tests.rs
@@ -56,7 +56,7 @@
     part: Option<MemberShare>,
 ) -> tokio::task::JoinHandle<&'static str> {
     let mut head = hyper::Request::new(());
-    head.headers_mut().insert(ID, HeaderValue::try_from(id).expect("an id"));
+    head.headers_mut().insert(REQUEST_ID, HeaderValue::try_from(id).expect("an id"));
     let message = Arc::new(Message { head, first: bytes::Bytes::new(), length: Some(0), long: None });
     let door = door.clone();
     tokio::spawn(async move {
@@ -210,7 +210,7 @@
     let read = |word: &str| {
         let mut headers = HeaderMap::new();
         headers.insert(
-            TERMS,
+            REQUEST_TERMS,
             HeaderValue::from_str(word).or(HeaderValue::from_bytes(word.as_bytes())).expect("a field"),
         );
         let RequestTerms { target_ms, rejections, has_affinity, is_retry, is_nested, is_large, member_share } =
