--- a/balancer/src/mesh/proxy/connection_pool.rs
+++ b/balancer/src/mesh/proxy/connection_pool.rs
@@ -1,14 +1,14 @@
-//! One hop of a request: from an outbound to an inbound proxy, or from an inbound proxy to its upstream.
+//! Connection pools for one hop of a request: from an outbound to an inbound proxy, or from an inbound proxy to its upstream.
 //!
-//! [`ConnectionPool::exchange`] writes a request on a connection, idle or new, and waits for the response, one exchange at a
-//! time on each. A long response is passed on while it arrives ([`ResponseBody`]); large responses to other nodes share a pace
-//! ([`LargeResponseLane`], [`PacedBody`]). An error says whether the other side may have begun to run the request
+//! [`ConnectionPool::exchange`] writes a request on an idle or new connection and waits for the response, with one exchange at
+//! a time per connection. A long response is streamed while it arrives ([`ResponseBody`]); large responses to other nodes
+//! share the rate of the node's link ([`LargeResponseLane`], [`PacedBody`]). An error says whether the request may have run
 //! ([`ExchangeError`]).
 //!
 //! Invariants:
 //! - A request is written a second time only if no byte of it was written on the first connection.
 //! - A request counts as not sent only if its last byte can't have been written.
-//! - A connection carries another request only after the whole response to the last one was read.
+//! - A connection is reused only after the previous response was read completely.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -35,44 +35,44 @@
 
 const MS: Nanos = 1_000_000;
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// How long an idle connection is kept if the other side sends no keep-alive time.
+/// How long an idle connection is kept if the peer sends no keep-alive timeout.
 const MAX_IDLE_TIME: Nanos = 4_000 * MS;
-/// This long before the other side's keep-alive time ends, an idle connection isn't used any more.
+/// An idle connection is no longer used this long before the peer's keep-alive timeout.
 const KEEP_ALIVE_MARGIN: Nanos = 1_500 * MS;
 const MAX_IDLE_CONNECTIONS: usize = 32;
-/// How long a connection to the upstream on the same node is kept idle. A new one costs little there: less than a request lost
-/// on a connection that the upstream has forgotten.
+/// Longest idle time of a connection to the upstream on the same node. A new connection costs little there: less than a
+/// request that is lost because the upstream has silently dropped the old one.
 const UPSTREAM_MAX_IDLE_TIME: Nanos = 1_000 * MS;
-/// A long response is given up if nothing of it arrives for this long.
+/// A long response is aborted if nothing of it arrives for this long.
 const UPSTREAM_READ_TIMEOUT: Duration = Duration::from_secs(5);
-/// A long response is given up if its reader takes nothing for this long.
+/// A long response is aborted if its reader accepts nothing for this long.
 const CLIENT_WRITE_TIMEOUT: Duration = Duration::from_secs(10);
-/// How many pieces of one response may be read ahead.
-const READ_AHEAD_CHUNKS: usize = 64;
-/// Size of the pieces into which a buffered response is cut to be paced.
+/// Most chunks of one response that are read ahead.
+const MAX_READ_AHEAD_CHUNKS: usize = 64;
+/// Size of the chunks into which a buffered response is split for pacing.
 const CHUNK_BYTES: usize = 16 * 1024;
-/// How many large responses go out to other nodes at a time. More than one, so that a reader that stops doesn't hold up all
-/// others.
+/// Number of large responses that are sent to other nodes concurrently. More than one, so that a stalled reader doesn't block
+/// all others.
 const MAX_CONCURRENT_LARGE_RESPONSES: usize = 2;
 
-/// How an exchange failed.
+/// Why an exchange failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExchangeError {
-    /// No connection came up, or it ended before all of the request was written: it has not run.
+    /// No connection was established, or it ended before the request was written completely: the request has not run.
     ConnectFailed,
-    /// The time was over, or no connection was allowed, before all of the request was written: it has not run.
+    /// The deadline passed, or no connection was available, before the request was written completely: it has not run.
     NotSent,
-    /// All of it was written, and no complete or no valid response came: it may have run.
+    /// The request was written completely, and no complete and valid response came: it may have run.
     Reset,
-    /// All of it was written, and the time was over: it may have run.
+    /// The request was written completely, and the deadline passed: it may have run.
     TimedOut,
 }
 
-/// A connection that waits for its next request.
+/// An open connection without a request.
 struct IdleConnection {
     link: Link,
     idle_since: Nanos,
-    /// When the other side may close it.
+    /// When the peer may close it.
     usable_until: Nanos,
 }
 
@@ -81,94 +81,92 @@
     address: SocketAddr,
     clock: Clock,
     idle: Mutex<Vec<IdleConnection>>,
-    /// How long a connection may have been idle that is used again; lowered when requests were lost on idle ones.
+    /// Longest idle time after which a connection is reused; lowered when requests are lost on idle connections.
     idle_limit: Mutex<idle_limit::IdleLimit>,
     permits: Arc<Semaphore>,
-    /// Bytes of long responses that may be read before their readers take them, for all pools that share it; none if nothing
-    /// is read ahead.
+    /// Budget in bytes for reading long responses ahead, for all pools that share it; none without read-ahead.
     read_ahead: Option<Arc<Semaphore>>,
 }
 
 impl ConnectionPool {
-    /// A pool without connections. `permits` bounds the connections of all pools that share it.
+    /// Creates an empty pool. `permits` bounds the connections of all pools that share it.
     pub fn new(address: SocketAddr, clock: Clock, permits: Arc<Semaphore>) -> ConnectionPool {
         let idle_limit = Mutex::new(idle_limit::IdleLimit::new(Nanos::MAX));
         ConnectionPool { address, clock, idle: Mutex::default(), idle_limit, permits, read_ahead: None }
     }
 
-    /// Reads long responses as fast as they arrive, as long as `read_ahead` has room in bytes, so that a slow reader doesn't
-    /// keep the upstream occupied.
-    pub fn reading_ahead(self, read_ahead: Arc<Semaphore>) -> ConnectionPool {
+    /// Reads long responses as fast as they arrive, within the byte budget `read_ahead`, so that a slow reader doesn't keep the
+    /// upstream occupied.
+    pub fn with_read_ahead(self, read_ahead: Arc<Semaphore>) -> ConnectionPool {
         ConnectionPool { read_ahead: Some(read_ahead), ..self }
     }
 
-    /// Bounds the idle time as for an address on the same node.
-    pub fn near(self) -> ConnectionPool {
+    /// Limits the idle time to [`UPSTREAM_MAX_IDLE_TIME`], for an upstream on the same node.
+    pub fn for_local_upstream(self) -> ConnectionPool {
         ConnectionPool { idle_limit: Mutex::new(idle_limit::IdleLimit::new(UPSTREAM_MAX_IDLE_TIME)), ..self }
     }
 
-    /// The address that the connections lead to.
-    pub fn to(&self) -> SocketAddr {
+    pub fn address(&self) -> SocketAddr {
         self.address
     }
 
     /// Closes connections that have been idle for too long. Returns whether no idle one is left.
-    pub fn sweep(&self, now: Nanos) -> bool {
+    pub fn close_expired(&self, now: Nanos) -> bool {
         let mut idle = held(&self.idle);
         let limit = held(&self.idle_limit).limit(now);
-        idle.retain(|idle| idle.usable_until > now && now - idle.idle_since <= limit);
+        idle.retain(|connection| connection.usable_until > now && now - connection.idle_since <= limit);
         idle.is_empty()
     }
 
     /// Closes all idle connections.
-    pub fn shut(&self) {
+    pub fn close_idle(&self) {
         held(&self.idle).clear();
     }
 
-    /// Makes the idle connections older.
+    /// Increases the idle time of all idle connections.
     #[cfg(test)]
-    pub fn age(&self, by: Nanos) {
-        held(&self.idle).iter_mut().for_each(|idle| idle.idle_since -= by);
+    pub fn advance_idle_time(&self, by: Nanos) {
+        held(&self.idle).iter_mut().for_each(|connection| connection.idle_since -= by);
     }
 
-    /// An idle connection that may carry another request, and for how long it has been idle.
-    fn reusable(&self) -> Option<(Link, Nanos)> {
+    /// Takes an idle connection that may carry another request. Also returns how long it has been idle.
+    fn take_idle(&self) -> Option<(Link, Nanos)> {
         let now = self.clock.now();
         loop {
             let IdleConnection { mut link, idle_since, usable_until } = held(&self.idle).pop()?;
-            let idle = now.saturating_sub(idle_since);
-            if now < usable_until && idle <= held(&self.idle_limit).limit(now) && link.sound() {
-                return Some((link, idle));
+            let idle_time = now.saturating_sub(idle_since);
+            if now < usable_until && idle_time <= held(&self.idle_limit).limit(now) && link.sound() {
+                return Some((link, idle_time));
             }
         }
     }
 
-    /// Keeps a connection for the next request, unless there are enough.
-    fn keep(&self, link: Link, usable_until: Nanos) {
+    /// Keeps a connection for the next request, up to [`MAX_IDLE_CONNECTIONS`].
+    fn return_idle(&self, link: Link, usable_until: Nanos) {
         let (mut idle, idle_since) = (held(&self.idle), self.clock.now());
         if idle.len() < MAX_IDLE_CONNECTIONS && usable_until > idle_since {
             idle.push(IdleConnection { link, idle_since, usable_until });
         }
     }
 
-    /// Notes a request that was reset without a byte of a response, on a connection that had been idle for this long, or on a
-    /// new one. Whether it ran can't be known; shorter idle times keep others from the same fate.
-    fn lost(&self, idle: Option<Nanos>) {
-        if held(&self.idle_limit).lost(self.clock.now(), idle) {
+    /// Records a request that was reset before any byte of a response, on a connection that had been idle for this long, or on
+    /// a new one. It is unknown whether the request ran; a shorter idle limit prevents further losses.
+    fn record_lost_request(&self, idle_time: Option<Nanos>) {
+        if held(&self.idle_limit).lost(self.clock.now(), idle_time) {
             log::info!(
-                "idle connection was forgotten by its peer: address={} idle_ms={}",
+                "idle connection was dropped by its peer, idle limit lowered: address={} idle_ms={}",
                 self.address,
-                idle.unwrap_or(0) / MS
+                idle_time.unwrap_or(0) / MS
             );
         }
     }
 
-    /// Opens a connection. If the limit is reached, the idle connections of this pool make room.
+    /// Opens a connection. If the limit is reached, this pool's idle connections are closed first.
     async fn open(&self) -> Result<Link, ExchangeError> {
         let permit = match self.permits.clone().try_acquire_owned() {
             Ok(permit) => permit,
             Err(_) => {
-                self.shut();
+                self.close_idle();
                 self.permits.clone().try_acquire_owned().map_err(|_| ExchangeError::NotSent)?
             }
         };
@@ -178,19 +176,19 @@
         }
     }
 
-    /// Sends a request once, with `fields` added to its headers, and waits for its response until `until`. `check` says
-    /// whether a response head belongs to this request; if not, that counts as [`ExchangeError::Reset`] and the connection is
-    /// closed. `hold` is dropped when the other side has sent the whole response.
+    /// Sends a request once, with `added_headers`, and waits for the response until `deadline`. `is_match` says whether a
+    /// response belongs to this request; if not, that counts as [`ExchangeError::Reset`] and the connection is closed. `guard`
+    /// is dropped when the peer has sent the whole response.
     pub async fn exchange(
         self: &Arc<Self>,
         message: &Arc<Message>,
-        fields: &HeaderMap,
-        until: Nanos,
-        hold: Option<ResponseGuard>,
-        check: impl Fn(&Parts) -> bool,
+        added_headers: &HeaderMap,
+        deadline: Nanos,
+        guard: Option<ResponseGuard>,
+        is_match: impl Fn(&Parts) -> bool,
     ) -> Result<(Parts, ResponseBody), ExchangeError> {
-        let deadline = self.clock.instant(until);
-        let (mut link, mut reused) = self.reusable().unzip();
+        let deadline = self.clock.instant(deadline);
+        let (mut link, mut idle_time) = self.take_idle().unzip();
         loop {
             let connection = match &mut link {
                 Some(connection) => connection,
@@ -201,21 +199,21 @@
             };
             let load = message.load().ok_or(ExchangeError::NotSent)?;
             let mut request = message.head.clone().map(|()| load);
-            for (name, value) in fields {
+            for (name, value) in added_headers {
                 request.headers_mut().insert(name, value.clone());
             }
             let sent_at = self.clock.now();
-            let answer = timeout_at(deadline, exchange(connection, request, message)).await;
-            match answer {
-                Ok(Ok((head, _))) if !check(&head) => return Err(ExchangeError::Reset),
-                Ok(Ok((head, body))) => return Ok(self.response_body(link, head, body, hold)),
-                // An idle connection that turns out closed before a byte of this request was written: a new one is opened.
-                Ok(Err(())) if reused.is_some() && !connection.began() && message.load_again() => {
-                    (link, reused) = (None, None)
+            let response = timeout_at(deadline, exchange_on(connection, request, message)).await;
+            match response {
+                Ok(Ok((head, _))) if !is_match(&head) => return Err(ExchangeError::Reset),
+                Ok(Ok((head, body))) => return Ok(self.response_body(link, head, body, guard)),
+                // The idle connection was closed before a byte of this request was written, so a new one is opened.
+                Ok(Err(())) if idle_time.is_some() && !connection.began() && message.load_again() => {
+                    (link, idle_time) = (None, None)
                 }
                 Ok(Err(())) => {
                     if connection.last_read() < sent_at {
-                        self.lost(reused);
+                        self.record_lost_request(idle_time);
                     }
                     return Err(if connection.sent_whole() {
                         ExchangeError::Reset
@@ -229,109 +227,114 @@
         }
     }
 
-    /// Returns the response to the caller, and keeps the connection once all of it has been read.
+    /// Prepares the response for the caller, and keeps the connection once the response has been read completely.
     fn response_body(
         self: &Arc<Self>,
         link: Option<Link>,
         mut head: Parts,
         body: Body,
-        hold: Option<ResponseGuard>,
+        guard: Option<ResponseGuard>,
     ) -> (Parts, ResponseBody) {
-        let until = self.idle_until(&head);
+        let usable_until = self.idle_until(&head);
         drop_hop_fields(&mut head.headers);
         match (body, link) {
             (Body::Whole(bytes), link) => {
                 head.headers.remove(CONTENT_LENGTH);
-                if let (Some(mut link), Some(until)) = (link, until)
+                if let (Some(mut link), Some(usable_until)) = (link, usable_until)
                     && link.sent_whole()
                     && link.end(head.version)
                 {
-                    self.keep(link, until);
+                    self.return_idle(link, usable_until);
                 }
                 (head, ResponseBody::Buffered(Full::new(bytes)))
             }
             (Body::Long(first, length, rest), link) => {
                 head.headers.remove(CONTENT_LENGTH);
-                let max_pieces = if self.read_ahead.is_some() { READ_AHEAD_CHUNKS } else { 1 };
-                let (sender, pieces) = Pieces::with_room(first.clone(), length, max_pieces);
+                let max_chunks = if self.read_ahead.is_some() { MAX_READ_AHEAD_CHUNKS } else { 1 };
+                let (sender, chunks) = Pieces::with_room(first.clone(), length, max_chunks);
                 if let Some(link) = link {
-                    let left = length.map(|length| length.saturating_sub(first.len() as u64));
+                    let remaining = length.map(|length| length.saturating_sub(first.len() as u64));
                     let (pool, version) = (self.clone(), head.version);
                     tokio::spawn(async move {
-                        let _hold = hold;
-                        pool.pass_on(link, version, (left, rest), sender, until).await
+                        let _guard = guard;
+                        pool.stream_body(link, version, (remaining, rest), sender, usable_until).await
                     });
                 }
-                (head, ResponseBody::Streaming { pieces, hold: None, paced: None })
+                (head, ResponseBody::Streaming { chunks, guard: None, pacing: None })
             }
         }
     }
 
-    /// Passes a long response on to its reader, piece by piece. `None` if it was given up; the connection is then closed.
-    async fn pass_on(
+    /// Streams the rest of a long response to its reader. `None` if it was aborted; the connection is then closed.
+    async fn stream_body(
         self: Arc<Self>,
         mut link: Link,
         version: hyper::Version,
         (length, mut rest): (Option<u64>, Incoming),
         sender: Pass,
-        until: Option<Nanos>,
+        usable_until: Option<Nanos>,
     ) -> Option<()> {
-        let mut left = length.unwrap_or(u64::MAX);
+        let mut remaining = length.unwrap_or(u64::MAX);
         loop {
-            let piece = tokio::select! {
-                piece = timeout(UPSTREAM_READ_TIMEOUT, link.piece(&mut rest)) => piece.ok()?.ok()?,
-                // A reader that knows the length stops listening once it has all of it, and that is no reason to give up.
-                () = sender.closed(), if left > 0 => return None,
+            let chunk = tokio::select! {
+                chunk = timeout(UPSTREAM_READ_TIMEOUT, link.piece(&mut rest)) => chunk.ok()?.ok()?,
+                // A reader that knows the length stops listening after the last byte, which doesn't abort the response.
+                () = sender.closed(), if remaining > 0 => return None,
             };
-            let Some(piece) = piece else {
+            let Some(chunk) = chunk else {
                 let _ = sender.send_timeout(None, CLIENT_WRITE_TIMEOUT).await;
-                if let Some(until) = until.filter(|_| link.sent_whole() && link.end(version)) {
-                    self.keep(link, until);
+                if let Some(usable_until) = usable_until.filter(|_| link.sent_whole() && link.end(version)) {
+                    self.return_idle(link, usable_until);
                 }
                 return Some(());
             };
-            left = left.saturating_sub(piece.len() as u64);
-            let piece = match &self.read_ahead {
-                Some(read_ahead) => counted(read_ahead, piece).await?,
-                None => piece,
+            remaining = remaining.saturating_sub(chunk.len() as u64);
+            let chunk = match &self.read_ahead {
+                Some(read_ahead) => count_as_read_ahead(read_ahead, chunk).await?,
+                None => chunk,
             };
-            sender.send_timeout(Some(piece), CLIENT_WRITE_TIMEOUT).await.ok()?;
+            sender.send_timeout(Some(chunk), CLIENT_WRITE_TIMEOUT).await.ok()?;
         }
     }
 
-    /// Until when the connection may carry another request, by the response's headers; `None` if it is to be closed.
+    /// When the connection expires, from the response's headers; `None` if it must be closed.
     fn idle_until(&self, head: &Parts) -> Option<Nanos> {
         let header = |name: &str| head.headers.get(name).and_then(|value| value.to_str().ok());
         if header(CONNECTION.as_str()).is_some_and(|value| value.to_ascii_lowercase().contains("close")) {
             return None;
         }
-        let fields = header("keep-alive").into_iter().flat_map(|value| value.split(','));
-        let timeout_s =
-            fields.filter_map(|part| part.trim().strip_prefix("timeout=")?.trim().parse::<u64>().ok()).next();
-        let idle = timeout_s.map_or(MAX_IDLE_TIME, |seconds| {
+        let parameters = header("keep-alive").into_iter().flat_map(|value| value.split(','));
+        let timeout_s = parameters
+            .filter_map(|part| part.trim().strip_prefix("timeout=")?.trim().parse::<u64>().ok())
+            .next();
+        let max_idle_time = timeout_s.map_or(MAX_IDLE_TIME, |seconds| {
             (seconds.min(3_600) * 1_000 * MS).saturating_sub(KEEP_ALIVE_MARGIN)
         });
-        Some(self.clock.now() + idle)
+        Some(self.clock.now() + max_idle_time)
     }
 }
 
-/// A piece that was read ahead, with the permit for its bytes.
-struct CountedBytes(Bytes, #[allow(dead_code)] Permit);
+/// A chunk that was read ahead, with the permit for its bytes.
+struct ReadAheadChunk {
+    bytes: Bytes,
+    _permit: Permit,
+}
 
-impl AsRef<[u8]> for CountedBytes {
+impl AsRef<[u8]> for ReadAheadChunk {
     fn as_ref(&self) -> &[u8] {
-        &self.0
+        &self.bytes
     }
 }
 
-/// A piece that counts as read ahead until it is dropped; `None` if there is no room for it in time.
-async fn counted(read_ahead: &Arc<Semaphore>, piece: Bytes) -> Option<Bytes> {
-    let permit = read_ahead.clone().acquire_many_owned(u32::try_from(piece.len()).ok()?);
+/// Counts a chunk against the read-ahead budget until it is dropped; `None` if the budget has no room for it in time.
+async fn count_as_read_ahead(read_ahead: &Arc<Semaphore>, chunk: Bytes) -> Option<Bytes> {
+    let permit = read_ahead.clone().acquire_many_owned(u32::try_from(chunk.len()).ok()?);
     let permit = timeout(CLIENT_WRITE_TIMEOUT, permit).await.ok()?.ok()?;
-    Some(Bytes::from_owner(CountedBytes(piece, permit)))
+    Some(Bytes::from_owner(ReadAheadChunk { bytes: chunk, _permit: permit }))
 }
 
-async fn exchange(
+/// Sends a request on a connection and reads the response, or the first part of a long one.
+async fn exchange_on(
     link: &mut Link,
     request: Request<crate::body::Load>,
     message: &Arc<Message>,
@@ -341,140 +344,140 @@
     Ok((head, body))
 }
 
-/// The body of a response on its way to the client or proxy that asked.
+/// The body of a response to a client or proxy.
 pub enum ResponseBody {
-    /// All of it is in memory.
+    /// The body is in memory.
     Buffered(Full<Bytes>),
-    /// It is passed on while it arrives; `hold` is dropped with it, and `paced` delays it.
-    Streaming { pieces: Pieces, hold: Option<ResponseGuard>, paced: Option<Box<PacedBody>> },
+    /// The body is streamed while it arrives. `guard` is dropped with it, and `pacing` limits its rate.
+    Streaming { chunks: Pieces, guard: Option<ResponseGuard>, pacing: Option<Box<PacedBody>> },
 }
 
-/// What all large responses of a node to other nodes share: the pace of its link, and the turns in which they go.
+/// State that all large responses of a node to other nodes share: the pacer of the link and the transmit permits.
 pub struct LargeResponseLane {
-    pace: Mutex<LargeResponsePacer>,
-    /// A few go at a time, in the order in which they came; if all went at once, all would be late.
-    turns: Arc<Semaphore>,
+    pacer: Mutex<LargeResponsePacer>,
+    /// Permits for concurrent transmission, granted in order of arrival. If all responses were sent concurrently, all would be
+    /// late.
+    transmit_permits: Arc<Semaphore>,
     clock: Clock,
 }
 
 impl LargeResponseLane {
     /// `link_mbps`: capacity of the node's network link, in Mbit/s.
     pub fn new(link_mbps: f64, clock: Clock) -> Arc<LargeResponseLane> {
-        let turns = Arc::new(Semaphore::new(MAX_CONCURRENT_LARGE_RESPONSES));
-        Arc::new(LargeResponseLane { pace: Mutex::new(LargeResponsePacer::new(link_mbps)), turns, clock })
+        let transmit_permits = Arc::new(Semaphore::new(MAX_CONCURRENT_LARGE_RESPONSES));
+        let pacer = Mutex::new(LargeResponsePacer::new(link_mbps));
+        Arc::new(LargeResponseLane { pacer, transmit_permits, clock })
     }
 
     /// The pacer, locked.
-    pub fn pace(&self) -> MutexGuard<'_, LargeResponsePacer> {
-        held(&self.pace)
+    pub fn pacer(&self) -> MutexGuard<'_, LargeResponsePacer> {
+        held(&self.pacer)
     }
 }
 
-/// A large response that waits for its turn and goes at the pace of the link.
+/// Pacing state of a large response: it waits for a transmit permit and is sent at the rate of the link.
 pub struct PacedBody {
-    large_responses: Arc<LargeResponseLane>,
-    /// Bytes that were announced to the pacer and have not gone yet.
-    left: u64,
-    turn: TransmitPermit,
-    /// A piece that waits for its time.
-    waiting: Option<(Bytes, Pin<Box<Sleep>>)>,
+    lane: Arc<LargeResponseLane>,
+    /// Bytes that were announced to the pacer and have not been sent yet.
+    announced_bytes: u64,
+    transmit_permit: TransmitPermit,
+    /// A chunk that the pacer delays.
+    delayed: Option<(Bytes, Pin<Box<Sleep>>)>,
 }
 
-/// The right to be one of the large responses that go out.
+/// Permission to be one of the large responses that are sent concurrently.
 enum TransmitPermit {
     Pending(Pin<Box<dyn Future<Output = Option<Permit>> + Send + Sync>>),
     Granted(#[allow(dead_code)] Option<Permit>),
 }
 
 impl PacedBody {
-    fn new(large_responses: &Arc<LargeResponseLane>, length: Option<u64>) -> Box<PacedBody> {
-        let (left, turns) = (length.unwrap_or(0), large_responses.turns.clone());
-        large_responses.pace().begin(left);
-        let turn = TransmitPermit::Pending(Box::pin(async move { turns.acquire_owned().await.ok() }));
-        Box::new(PacedBody { large_responses: large_responses.clone(), left, turn, waiting: None })
+    fn new(lane: &Arc<LargeResponseLane>, length: Option<u64>) -> Box<PacedBody> {
+        let (announced_bytes, permits) = (length.unwrap_or(0), lane.transmit_permits.clone());
+        lane.pacer().begin(announced_bytes);
+        let transmit_permit =
+            TransmitPermit::Pending(Box::pin(async move { permits.acquire_owned().await.ok() }));
+        Box::new(PacedBody { lane: lane.clone(), announced_bytes, transmit_permit, delayed: None })
     }
 
-    /// The next piece, once it may go.
-    fn poll(&mut self, pieces: &mut Pieces, cx: &mut Context) -> Poll<Option<Result<Bytes, &'static str>>> {
-        if let TransmitPermit::Pending(turn) = &mut self.turn {
-            self.turn = TransmitPermit::Granted(ready!(turn.as_mut().poll(cx)));
+    /// The next chunk, once it may be sent.
+    fn poll(&mut self, chunks: &mut Pieces, cx: &mut Context) -> Poll<Option<Result<Bytes, &'static str>>> {
+        if let TransmitPermit::Pending(permit) = &mut self.transmit_permit {
+            self.transmit_permit = TransmitPermit::Granted(ready!(permit.as_mut().poll(cx)));
         }
-        if self.waiting.is_none() {
-            let piece = match ready!(pieces.poll(cx)) {
-                Some(Ok(piece)) => piece,
+        if self.delayed.is_none() {
+            let chunk = match ready!(chunks.poll(cx)) {
+                Some(Ok(chunk)) => chunk,
                 end => return Poll::Ready(end),
             };
-            let (now, long) = (self.large_responses.clock.now(), piece.len() as u64);
-            let at = {
-                let mut pace = self.large_responses.pace();
-                pace.done(long.min(self.left));
-                self.left = self.left.saturating_sub(long);
-                pace.reserve(now, piece.len())
+            let (now, chunk_bytes) = (self.lane.clock.now(), chunk.len() as u64);
+            let send_at = {
+                let mut pacer = self.lane.pacer();
+                pacer.done(chunk_bytes.min(self.announced_bytes));
+                self.announced_bytes = self.announced_bytes.saturating_sub(chunk_bytes);
+                pacer.reserve(now, chunk.len())
             };
-            if at <= now + MS {
-                return Poll::Ready(Some(Ok(piece)));
+            if send_at <= now + MS {
+                return Poll::Ready(Some(Ok(chunk)));
             }
-            self.waiting = Some((piece, Box::pin(sleep_until(self.large_responses.clock.instant(at)))));
+            self.delayed = Some((chunk, Box::pin(sleep_until(self.lane.clock.instant(send_at)))));
         }
-        if let Some((_, sleep)) = &mut self.waiting {
+        if let Some((_, sleep)) = &mut self.delayed {
             ready!(sleep.as_mut().poll(cx));
         }
-        Poll::Ready(self.waiting.take().map(|(piece, _)| Ok(piece)))
+        Poll::Ready(self.delayed.take().map(|(chunk, _)| Ok(chunk)))
     }
 }
 
 impl Drop for PacedBody {
     fn drop(&mut self) {
-        self.large_responses.pace().done(self.left);
+        self.lane.pacer().done(self.announced_bytes);
     }
 }
 
-/// Something that is dropped once a response has been taken.
+/// A value that is dropped once a response has been read or abandoned.
 pub type ResponseGuard = Box<dyn Send + Sync>;
 
 impl ResponseBody {
-    /// A body that is in memory.
+    /// A buffered body.
     pub fn from_bytes(bytes: impl Into<Bytes>) -> ResponseBody {
         ResponseBody::Buffered(Full::new(bytes.into()))
     }
 
-    /// Lets a large response go at the pace of all large ones; one up to [`CHUNK_BYTES`] goes at once.
-    pub fn paced(self, large_responses: &Arc<LargeResponseLane>) -> ResponseBody {
+    /// Limits the body to the shared rate of large responses; a buffered one up to [`CHUNK_BYTES`] is sent at once.
+    pub fn with_pacing(self, lane: &Arc<LargeResponseLane>) -> ResponseBody {
         match self {
-            ResponseBody::Streaming { pieces, hold, .. } => {
-                let paced = Some(PacedBody::new(large_responses, pieces.length));
-                ResponseBody::Streaming { pieces, hold, paced }
+            ResponseBody::Streaming { chunks, guard, .. } => {
+                let pacing = Some(PacedBody::new(lane, chunks.length));
+                ResponseBody::Streaming { chunks, guard, pacing }
             }
             ResponseBody::Buffered(body) if body.size_hint().lower() > CHUNK_BYTES as u64 => {
-                let mut left = body.into_inner().unwrap_or_default();
-                let length = Some(left.len() as u64);
-                let (sender, pieces) = Pieces::with_room(Bytes::new(), length, left.len() / CHUNK_BYTES + 2);
-                while !left.is_empty() {
-                    let piece = left.split_to(CHUNK_BYTES.min(left.len()));
-                    let _ = sender.try_send(Some(piece));
+                let mut rest = body.into_inner().unwrap_or_default();
+                let length = Some(rest.len() as u64);
+                let (sender, chunks) = Pieces::with_room(Bytes::new(), length, rest.len() / CHUNK_BYTES + 2);
+                while !rest.is_empty() {
+                    let chunk = rest.split_to(CHUNK_BYTES.min(rest.len()));
+                    let _ = sender.try_send(Some(chunk));
                 }
                 let _ = sender.try_send(None);
-                ResponseBody::Streaming {
-                    pieces,
-                    hold: None,
-                    paced: Some(PacedBody::new(large_responses, length)),
-                }
+                let pacing = Some(PacedBody::new(lane, length));
+                ResponseBody::Streaming { chunks, guard: None, pacing }
             }
-            whole => whole,
+            buffered => buffered,
         }
     }
 
-    /// Keeps `thing` until the body has been taken or given up. A buffered body doesn't keep it: it is dropped at once.
-    pub fn with_guard(self, thing: impl Send + Sync + 'static) -> ResponseBody {
+    /// Keeps `guard` until the body has been read or abandoned. With a buffered body, `guard` is dropped at once.
+    pub fn with_guard(self, guard: impl Send + Sync + 'static) -> ResponseBody {
         match self {
-            ResponseBody::Streaming { pieces, hold, paced } => {
-                let hold: ResponseGuard = match hold {
-                    Some(before) => Box::new((before, thing)),
-                    None => Box::new(thing),
+            ResponseBody::Streaming { chunks, guard: previous, pacing } => {
+                let guard: ResponseGuard = match previous {
+                    Some(previous) => Box::new((previous, guard)),
+                    None => Box::new(guard),
                 };
-                ResponseBody::Streaming { pieces, hold: Some(hold), paced }
+                ResponseBody::Streaming { chunks, guard: Some(guard), pacing }
             }
-            whole => whole,
+            buffered => buffered,
         }
     }
 }
@@ -489,12 +492,12 @@
     ) -> Poll<Option<Result<Frame<Bytes>, &'static str>>> {
         match self.get_mut() {
             ResponseBody::Buffered(body) => Pin::new(body).poll_frame(cx).map_err(|never| match never {}),
-            ResponseBody::Streaming { pieces, paced, .. } => {
-                let piece = match paced {
-                    Some(paced) => ready!(paced.poll(pieces, cx)),
-                    None => ready!(pieces.poll(cx)),
+            ResponseBody::Streaming { chunks, pacing, .. } => {
+                let chunk = match pacing {
+                    Some(pacing) => ready!(pacing.poll(chunks, cx)),
+                    None => ready!(chunks.poll(cx)),
                 };
-                Poll::Ready(piece.map(|piece| piece.map(Frame::data)))
+                Poll::Ready(chunk.map(|chunk| chunk.map(Frame::data)))
             }
         }
     }
@@ -506,12 +509,12 @@
     fn size_hint(&self) -> SizeHint {
         match self {
             ResponseBody::Buffered(body) => body.size_hint(),
-            ResponseBody::Streaming { pieces, .. } => {
-                pieces.length.map_or_else(SizeHint::default, SizeHint::with_exact)
+            ResponseBody::Streaming { chunks, .. } => {
+                chunks.length.map_or_else(SizeHint::default, SizeHint::with_exact)
             }
         }
     }
 }
 
-/// A share of a bounded resource, given back when it is dropped.
+/// A reservation of a bounded resource, released when it is dropped.
 pub type Permit = OwnedSemaphorePermit;
--- a/balancer/src/mesh/proxy/inbound.rs
+++ b/balancer/src/mesh/proxy/inbound.rs
@@ -149,7 +149,7 @@
 
 impl std::fmt::Debug for ConnectionPool {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
-        write!(f, "{}", self.to())
+        write!(f, "{}", self.address())
     }
 }
 
@@ -595,7 +595,7 @@
                     state.upstream = Some(previous.clone());
                     return Ok(());
                 }
-                let connections = if previous.connections.to() == address {
+                let connections = if previous.connections.address() == address {
                     previous.connections.clone()
                 } else {
                     self.pool_to(address)
@@ -663,8 +663,8 @@
     fn pool_to(&self, address: SocketAddr) -> Arc<ConnectionPool> {
         Arc::new(
             ConnectionPool::new(address, self.clock, self.connection_limit.permits())
-                .near()
-                .reading_ahead(self.read_ahead.clone()),
+                .for_local_upstream()
+                .with_read_ahead(self.read_ahead.clone()),
         )
     }
 
@@ -678,7 +678,7 @@
             return;
         }
         upstream.state = UpstreamState::Absent;
-        upstream.connections.shut();
+        upstream.connections.close_idle();
         log::info!("upstream signed off: upstream={of}");
         drop(state);
         self.record_changed();
@@ -707,7 +707,7 @@
             let mut state = held(&self.state);
             let Some(upstream) = &mut state.upstream else { return };
             let now = self.clock.now();
-            upstream.connections.sweep(now);
+            upstream.connections.close_expired(now);
             let warm = upstream.warming_up_ms > 0 && now > upstream.heard_at + upstream.warming_up_ms * MS;
             upstream.warming_up_ms = if warm { 0 } else { upstream.warming_up_ms };
             warm
@@ -936,7 +936,7 @@
 
     /// A response to another node, at the pace that the node's link allows to large ones.
     fn paced_response(&self, body: ResponseBody) -> ResponseBody {
-        let body = body.paced(&self.large_responses);
+        let body = body.with_pacing(&self.large_responses);
         if let ResponseBody::Buffered(body) = &body {
             self.note_outgoing_bytes(body.size_hint().lower());
         }
@@ -948,13 +948,13 @@
     fn large_response_delay(&self, now: Nanos) -> (Nanos, Nanos) {
         let mean = *held(&self.mean_large_bytes);
         let pending_bytes = self.pending_large.load(Relaxed) as f64 * mean;
-        let pace = self.large_responses.pace();
-        (pace.wait(now) + pace.transfer_time(pending_bytes), pace.transfer_time(mean))
+        let pacer = self.large_responses.pacer();
+        (pacer.wait(now) + pacer.transfer_time(pending_bytes), pacer.transfer_time(mean))
     }
 
     /// Tells the pacer of bytes that go to other nodes unpaced.
     pub fn note_outgoing_bytes(&self, bytes: u64) {
-        self.large_responses.pace().note(self.clock.now(), bytes as usize + HEADER_ESTIMATE_BYTES);
+        self.large_responses.pacer().note(self.clock.now(), bytes as usize + HEADER_ESTIMATE_BYTES);
     }
 
     /// The later term that is known, if the session has moved to another owner.
--- a/balancer/src/mesh/proxy/node.rs
+++ b/balancer/src/mesh/proxy/node.rs
@@ -884,7 +884,8 @@
         if let Some(configuration) = node.configuration.load_full() {
             held(&node.schedulers).remove_idle(now, &configuration.shares);
         }
-        held(&node.connection_pools).retain(|_, pool| !pool.sweep(now) || Arc::strong_count(pool) > 1);
+        held(&node.connection_pools)
+            .retain(|_, pool| !pool.close_expired(now) || Arc::strong_count(pool) > 1);
         if asked || settings_read_at.elapsed() >= SETTINGS_RELOAD_INTERVAL {
             settings_read_at = Instant::now();
             match Settings::read(&path) {
--- a/balancer/src/mesh/proxy/tests/inbound_tests.rs
+++ b/balancer/src/mesh/proxy/tests/inbound_tests.rs
@@ -393,7 +393,8 @@
         next.expect("a new connection").expect("a connection").0
     };
     let ran = |sent: tokio::task::JoinHandle<&'static str>| async { sent.await.expect("no panic") };
-    let age = |by| held(&door.state).upstream.as_ref().expect("an upstream").connections.age(by);
+    let age =
+        |by| held(&door.state).upstream.as_ref().expect("an upstream").connections.advance_idle_time(by);
     // While it is used it is kept.
     let first = sent("a");
     let mut kept = accepted().await;
--- a/balancer/src/mesh/proxy/tests/listener_tests.rs
+++ b/balancer/src/mesh/proxy/tests/listener_tests.rs
@@ -16,7 +16,7 @@
     let once = Arc::new(std::sync::Mutex::new(Some(pieces)));
     let answer = move |_: ReceivedRequest| {
         let pieces = once.lock().expect("a lock").take().expect("one req");
-        async move { Response::new(ResponseBody::Streaming { pieces, hold: None, paced: None }) }
+        async move { Response::new(ResponseBody::Streaming { chunks: pieces, guard: None, pacing: None }) }
     };
     let bounds = ListenerLimits { max_connections: 4, header_timeout: Duration::from_secs(60) };
     let door = tokio::spawn(serve(listener, Clock::new(), bounds, watch_ajar, Arc::default(), answer));
