--- a/balancer/src/mesh/proxy/control_plane_watch.rs
+++ b/balancer/src/mesh/proxy/control_plane_watch.rs
@@ -50,7 +50,7 @@
             ..watcher.request(replica, record, node.configuration_revision(), node.applied_editions())
         };
         let caller = node.rpc.to(replica);
-        let changed = node.inbound.changed.notified();
+        let changed = node.inbound.record_changes.notified();
         let reply = tokio::select! {
             reply = caller.call(InternalRequest::Watch(ask), Duration::from_nanos(watch_client::MAX_WAIT + watch_client::RESPONSE_GRACE)) => reply,
             () = changed => continue,
--- a/balancer/src/mesh/proxy/inbound.rs
+++ b/balancer/src/mesh/proxy/inbound.rs
@@ -1,21 +1,21 @@
-//! The inbound proxy: the only way in to the upstream on its node, and what that node knows of its upstream first-hand.
+//! The inbound proxy: the single entry point to the upstream on its node, and the source of that upstream's endpoint record.
 //!
-//! The way of a request: [`InboundProxy::handle_request`] receives it from the outbound proxy of another node, and
-//! [`InboundProxy::forward`] from the one of this node. `forward` checks that it is meant for this incarnation of the upstream,
-//! that the upstream isn't draining and that the session's term hasn't passed; it waits for a permit of the admission queue,
-//! exchanges the request with the upstream and verifies that the response belongs to it. The outcome goes to the outlier
-//! detector and back to the outbound proxy.
+//! Request path: [`InboundProxy::handle_request`] receives requests from outbound proxies on other nodes, and
+//! [`InboundProxy::forward`] those of this node's outbound proxy. `forward` checks that the request is addressed to the
+//! current upstream incarnation, that the upstream accepts requests, and that the session's fencing token is current. It then
+//! waits for a permit from the admission queue, exchanges the request with the upstream and verifies that the response
+//! belongs to it. The outcome goes to the outlier detector and back to the outbound proxy.
 //!
-//! The upstream reports itself by heartbeats ([`InboundProxy::handle_control_call`]); what is known of it goes to other nodes
-//! as this node's endpoint record ([`InboundProxy::endpoint_record`]).
+//! The upstream registers by heartbeats ([`InboundProxy::handle_control_call`]). Other nodes learn of it through this node's
+//! endpoint record ([`InboundProxy::endpoint_record`]).
 //!
 //! Main types: [`InboundProxy`], [`UpstreamOutcome`], `Upstream`, `AdmissionPermit`.
 //!
 //! Invariants:
 //! - A request is sent to the upstream at most once.
-//! - It is never sent to another incarnation than was meant, nor after the time that a draining upstream has.
-//! - An incarnation that has begun to drain or has ended never takes requests again.
-//! - What is reported as rejected, gone, fenced or not sent has not run.
+//! - A request is sent only to the incarnation that it is addressed to, and not after that incarnation's drain period.
+//! - An incarnation that is draining or has ended never serves again.
+//! - A request that is reported as rejected, gone, fenced or not sent has not run.
 
 use std::collections::{HashMap, VecDeque};
 use std::net::SocketAddr;
@@ -52,49 +52,48 @@
 use crate::mesh::proxy::listener::{self, ReceivedRequest, RequestError, header_str, plain_response};
 use crate::mesh::proxy::session_affinity::SessionTable;
 
-/// Outcome of a request whose session has a later owner; the term since which that owns it follows.
+/// Prefix of the outcome of a fenced request, followed by the term of the session's current owner.
 const FENCED_PREFIX: &str = "fenced-";
 
 const MS: Nanos = 1_000_000;
-/// After its upstream has begun to drain, the inbound proxy still takes requests that are on their way, for the drain
-/// timeout divided by this.
-const DRAIN_DIVISOR: u32 = 2;
-/// How long the probe after a start may take.
+/// A draining upstream still gets requests that are already in transit, for the drain timeout divided by this.
+const DRAIN_ACCEPT_DIVISOR: u32 = 2;
+/// Timeout of the health check after a start.
 const PROBE_TIMEOUT: Nanos = 1_000 * MS;
-/// How many ids of ended incarnations are remembered.
+/// Number of ended incarnations whose ids are remembered.
 const MAX_PAST_INCARNATIONS: usize = 32;
-/// Longest body of an upstream's heartbeat.
+/// Longest accepted body of a heartbeat.
 const MAX_HEARTBEAT_BYTES: u64 = 4 * 1024;
-/// Estimate of what a message takes on the wire beside its body.
-const HEADER_ESTIMATE_BYTES: usize = 400;
-/// The weight of the last large response in the mean size of one.
-const LARGE_RESPONSE_MEAN_WEIGHT: f64 = 0.1;
+/// Estimated size of a message on the wire without its body.
+const ESTIMATED_HEADER_BYTES: usize = 400;
+/// Weight of the newest sample in the moving average of the size of large responses.
+const LARGE_RESPONSE_SIZE_WEIGHT: f64 = 0.1;
 
-/// How a request ended at an inbound proxy and its upstream.
+/// Outcome of a request at an inbound proxy and its upstream.
 pub enum UpstreamOutcome {
-    /// The upstream ran it, or rejected it for good by a response of its own.
+    /// The upstream ran the request, or rejected it permanently with a response of its own.
     Responded(Parts, ResponseBody),
-    /// The upstream refused it, with its own statement that it has not run.
+    /// The upstream refused the request and stated that it has not run.
     UpstreamFull,
-    /// Not admitted: it has never reached the upstream.
+    /// The request was not admitted and never reached the upstream.
     Rejected,
-    /// The incarnation that was meant takes no requests any more; it has not run.
+    /// The incarnation that the request is addressed to accepts no more requests; the request has not run.
     Gone,
-    /// Another outbound proxy owns its session since this term; it has not run.
+    /// Another outbound proxy has owned the session since this term; the request has not run.
     Fenced(u64),
-    /// No connection to the upstream, or not all of the request was written; it has not run.
+    /// No connection to the upstream, or the request was not written completely; it has not run.
     ConnectFailed,
-    /// Its time was over, or there was no room for a connection, before all of it was written; it has not run.
+    /// The deadline passed, or no connection was available, before the request was written completely; it has not run.
     NotSent,
-    /// It was sent and no valid response came: it may have run.
+    /// The request was sent and no valid response came: it may have run.
     Reset,
-    /// It was sent and its time was over: it may have run.
+    /// The request was sent and its deadline passed: it may have run.
     TimedOut,
 }
 
 impl UpstreamOutcome {
-    /// The outcome as it goes on the wire, in the header [`ATTEMPT_OUTCOME`].
-    pub fn as_word(&self) -> &'static str {
+    /// Name of the outcome in the header [`ATTEMPT_OUTCOME`].
+    pub fn wire_name(&self) -> &'static str {
         match self {
             UpstreamOutcome::Responded(..) => "ran",
             UpstreamOutcome::UpstreamFull => "full",
@@ -108,16 +107,16 @@
         }
     }
 
-    /// The outcome that an inbound proxy on another node reported with this response. A word that isn't known, for instance
-    /// one of a newer version, counts as [`UpstreamOutcome::Reset`], since the request may have run.
-    pub fn from_word(word: &str, head: Parts, body: ResponseBody) -> UpstreamOutcome {
-        match word {
+    /// The outcome that an inbound proxy on another node reported with this response. An unknown name, such as one from a
+    /// newer version, counts as [`UpstreamOutcome::Reset`], since the request may have run.
+    pub fn from_wire_name(name: &str, head: Parts, body: ResponseBody) -> UpstreamOutcome {
+        match name {
             "ran" => UpstreamOutcome::Responded(head, body),
             "full" => UpstreamOutcome::UpstreamFull,
             "turned" => UpstreamOutcome::Rejected,
             "gone" => UpstreamOutcome::Gone,
-            word if word.starts_with(FENCED_PREFIX) => {
-                UpstreamOutcome::Fenced(word[FENCED_PREFIX.len()..].parse().unwrap_or(0))
+            name if name.starts_with(FENCED_PREFIX) => {
+                UpstreamOutcome::Fenced(name[FENCED_PREFIX.len()..].parse().unwrap_or(0))
             }
             "unreachable" => UpstreamOutcome::ConnectFailed,
             "unsent" => UpstreamOutcome::NotSent,
@@ -127,7 +126,7 @@
     }
 }
 
-/// The upstream as it reported itself in its last heartbeat, or as the record from before a restart has it.
+/// The upstream as of its last heartbeat, or as restored from the endpoint record after a restart.
 #[derive(Clone, Debug)]
 struct Upstream {
     /// Identifies this incarnation of the upstream.
@@ -137,12 +136,12 @@
     software_version: String,
     concurrency_limit: u32,
     state: UpstreamState,
-    /// Number of the last heartbeat of this incarnation; an earlier one that comes late is ignored.
+    /// Sequence number of the last heartbeat of this incarnation; earlier ones that arrive late are ignored.
     heartbeat_sequence: u64,
-    /// How long it was still warming up when it was last heard, in ms.
+    /// Remaining warm-up time at `last_seen_at`, in ms.
     warming_up_ms: u64,
-    heard_at: Nanos,
-    /// Once set it stays for this incarnation.
+    last_seen_at: Nanos,
+    /// Never cleared for the same incarnation.
     draining_since: Option<Nanos>,
     connections: Arc<ConnectionPool>,
 }
@@ -155,16 +154,16 @@
 
 struct ProxyState {
     upstream: Option<Upstream>,
-    /// Ids of ended incarnations, the oldest first.
+    /// Ids of ended incarnations, oldest first.
     past_incarnations: VecDeque<String>,
-    /// Number of the last change of this node's endpoint record.
+    /// Sequence number of this node's endpoint record, within `incarnation`.
     record_sequence: u64,
-    /// Incarnation of this process, in which the sequence counts.
+    /// Incarnation of this process.
     incarnation: u64,
 }
 
 impl ProxyState {
-    /// Heartbeats of this incarnation are ignored from now on.
+    /// Marks an upstream incarnation as ended: its heartbeats are ignored from now on.
     fn end_incarnation(&mut self, id: &str) {
         if self.past_incarnations.iter().any(|ended| ended == id) {
             return;
@@ -176,19 +175,19 @@
     }
 }
 
-/// What an inbound proxy needs to start.
+/// Settings of an inbound proxy.
 pub struct InboundSettings {
-    /// Where it listens; identifies the node in endpoint records.
+    /// Listen address; identifies the node in endpoint records.
     pub address: SocketAddr,
     /// Failure domain of the node.
     pub zone: String,
-    /// Where its upstream listens, if the settings say so. Without it the upstream isn't probed after a start.
+    /// Address of the upstream, if configured. Without it the upstream isn't probed after a start.
     pub upstream_address: Option<SocketAddr>,
-    /// How long an upstream takes to drain at most.
+    /// Longest time that an upstream takes to drain.
     pub drain_timeout: Duration,
-    /// How many connections to the upstream this process can hold.
+    /// Most connections to the upstream.
     pub max_connections: usize,
-    /// How many bytes of responses may be read from the upstream before their clients take them.
+    /// Most bytes of responses that are read from the upstream ahead of their clients.
     pub read_ahead_bytes: usize,
     /// Capacity of the node's network link, in Mbit/s.
     pub link_mbps: f64,
@@ -203,64 +202,64 @@
     drain_timeout: Duration,
     state: Mutex<ProxyState>,
     connection_limit: ConnectionLimit,
-    /// Requests that wait for a permit or have one, until their response has been taken.
+    /// Requests that are queued or admitted, until their response has been read.
     in_flight: AtomicUsize,
-    /// Requests at the upstream, and those that wait to be admitted.
+    /// Requests at the upstream, and those queued for admission.
     admission: Mutex<AdmissionQueue<QueuedRequest>>,
-    /// Health of the upstream, judged by the outcomes of its requests.
+    /// Health of the upstream, derived from the outcomes of its requests.
     health: Mutex<OutlierDetector>,
-    /// Members' shares of the concurrency limit, by the configuration in force on this node.
+    /// Members' shares of the concurrency limit, from the configuration in force on this node.
     shares: ArcSwap<RetryShares>,
     /// Paces large responses to other nodes.
     large_responses: Arc<LargeResponseLane>,
-    /// Mean size of a large response, in bytes; 0 before the first.
+    /// Moving average of the size of large responses, in bytes; 0 before the first.
     mean_large_bytes: Mutex<f64>,
-    /// Requests for large responses to other nodes that were admitted or wait, and whose response has not come yet.
+    /// Requests for large responses to other nodes that are queued or running and have no response yet.
     pending_large: AtomicUsize,
-    /// Bytes of responses that may be read before their clients take them.
+    /// Budget in bytes for responses that are read ahead of their clients.
     read_ahead: Arc<Semaphore>,
     /// The upstream has called other services since this process started.
     calls_services: AtomicBool,
-    /// Ids of the requests that are at the upstream or wait for it, and whether each is a retry.
-    running: Mutex<HashMap<Vec<u8>, bool>>,
+    /// Ids of the requests that are queued or running, and whether each is a retry.
+    active_requests: Mutex<HashMap<Vec<u8>, bool>>,
     /// This node accepts clients; false while it shuts down.
     pub accepts_clients: AtomicBool,
     /// Notified whenever the endpoint record has changed.
-    pub changed: tokio::sync::Notify,
-    /// Sessions that the outbound proxy of this node owns. They are here since other nodes ask for them through the inbound
-    /// proxy.
+    pub record_changes: tokio::sync::Notify,
+    /// Sessions that the outbound proxy of this node owns. They are kept here because other nodes request their handover
+    /// through the inbound proxy.
     pub sessions: SessionTable,
     /// The latest owners of sessions that this inbound proxy has seen.
-    pub fence: FencingTable,
+    pub fencing_table: FencingTable,
 }
 
-/// The right to run one request at the upstream. Dropping it, when the response has come or nobody waits for it any more,
-/// admits the next one.
+/// The right to run one request at the upstream. It is dropped when the response has arrived or the request is abandoned,
+/// and dropping it admits the next request.
 struct AdmissionPermit {
     proxy: Arc<InboundProxy>,
-    /// When the request was sent to the upstream; 0 until then. A permit that was never used doesn't count in the mean run
-    /// time.
+    /// When the request was sent to the upstream; 0 until then. A permit that was never used doesn't count towards the mean
+    /// run time.
     started_at: Nanos,
-    /// The member whose share it is of; none on a route of the platform.
+    /// The member whose share the permit counts against; none on a route of the platform.
     member: Option<Name>,
 }
 
 /// A request that waits for a permit.
 struct QueuedRequest {
     waiter: oneshot::Sender<AdmissionPermit>,
-    /// The member whose share its permit will be of.
+    /// The member whose share the permit will count against.
     member: Option<Name>,
 }
 
-/// A permit on its way to the request that waited for it.
+/// A permit that has been granted and not yet delivered to its request.
 struct GrantedPermit {
     waiter: oneshot::Sender<AdmissionPermit>,
     permit: AdmissionPermit,
 }
 
 impl GrantedPermit {
-    /// Must be called without the lock on the admission queue: if the request has gone, its permit is dropped here, and that
-    /// takes the lock.
+    /// Must be called without the lock on the admission queue: if the request was cancelled, its permit is dropped here,
+    /// which takes the lock.
     fn deliver(self) {
         drop(self.waiter.send(self.permit));
     }
@@ -281,7 +280,7 @@
     }
 }
 
-/// Counts a large response that will go to another node once the upstream has made it.
+/// Counts a request for a large response to another node until the response arrives.
 struct PendingLargeResponse {
     proxy: Arc<InboundProxy>,
 }
@@ -299,15 +298,15 @@
     }
 }
 
-/// A request that runs at the upstream. Dropped before it has ended, it counts as abandoned by its client.
+/// A request that runs at the upstream. If dropped before [`UpstreamRun::finish`], it counts as abandoned by its client.
 struct UpstreamRun {
     proxy: Arc<InboundProxy>,
-    /// Number of the run at the outlier detector.
+    /// Identifies the run at the outlier detector.
     run_id: u64,
 }
 
 impl UpstreamRun {
-    fn ended(self, outcome: RunOutcome) {
+    fn finish(self, outcome: RunOutcome) {
         let now = self.proxy.clock.now();
         held(&self.proxy.health).end(now, self.run_id, outcome);
         self.proxy.update_health(now);
@@ -320,7 +319,7 @@
     }
 }
 
-/// Counts a request as in flight, and its id as running, until it is dropped.
+/// Counts a request as in flight, and its id as active, until it is dropped.
 struct RequestGuard {
     proxy: Arc<InboundProxy>,
     request_id: Vec<u8>,
@@ -328,13 +327,13 @@
 
 impl Drop for RequestGuard {
     fn drop(&mut self) {
-        held(&self.proxy.running).remove(&self.request_id);
+        held(&self.proxy.active_requests).remove(&self.request_id);
         self.proxy.in_flight.fetch_sub(1, Relaxed);
     }
 }
 
 impl InboundProxy {
-    /// An inbound proxy that knows no upstream yet. `incarnation` is that of this process; see also
+    /// Creates an inbound proxy without an upstream. `incarnation` is that of this process; see also
     /// [`InboundProxy::ensure_incarnation_above`].
     pub fn new(settings: InboundSettings, clock: Clock, incarnation: u64) -> Arc<InboundProxy> {
         let state = ProxyState {
@@ -360,15 +359,15 @@
             pending_large: AtomicUsize::new(0),
             read_ahead: Arc::new(Semaphore::new(settings.read_ahead_bytes)),
             calls_services: AtomicBool::new(false),
-            running: Mutex::default(),
+            active_requests: Mutex::default(),
             accepts_clients: AtomicBool::new(false),
-            changed: tokio::sync::Notify::new(),
+            record_changes: tokio::sync::Notify::new(),
             sessions: SessionTable::default(),
-            fence: FencingTable::default(),
+            fencing_table: FencingTable::default(),
         })
     }
 
-    /// The endpoint record of this node, as other nodes get it by watches.
+    /// The endpoint record of this node, as other nodes receive it through the control plane.
     pub fn endpoint_record(&self) -> EndpointRecord {
         let state = held(&self.state);
         let mut record = EndpointRecord {
@@ -392,31 +391,31 @@
             record.software_version = upstream.software_version.clone();
             record.state = upstream.state;
             record.concurrency_limit = upstream.concurrency_limit;
-            let since = (self.clock.now() - upstream.heard_at) / MS;
-            record.warming_up_ms = upstream.warming_up_ms.saturating_sub(since);
+            let elapsed_ms = (self.clock.now() - upstream.last_seen_at) / MS;
+            record.warming_up_ms = upstream.warming_up_ms.saturating_sub(elapsed_ms);
         }
         record
     }
 
-    /// Whether the upstream has signed off, so that this incarnation of it takes nothing more.
+    /// Whether the current upstream incarnation has signed off and accepts no more requests.
     pub fn upstream_signed_off(&self) -> bool {
         held(&self.state).upstream.as_ref().is_some_and(|upstream| upstream.state == UpstreamState::Absent)
     }
 
-    /// Whether the upstream has been heard since this process started, by a heartbeat or by the probe.
+    /// Whether a heartbeat or the probe has found the upstream since this process started.
     pub fn knows_upstream(&self) -> bool {
         held(&self.state).upstream.is_some()
     }
 
-    /// After a start: other nodes may still have this node's record with an upstream. One health check tells whether that
-    /// incarnation still runs, so that the inbound proxy can serve before the upstream's next heartbeat.
-    pub async fn probe_upstream(self: Arc<Self>, record: EndpointRecord, health: String) {
+    /// Restores the upstream after a restart from this node's earlier `record`, if one health check confirms that the same
+    /// incarnation still runs. The inbound proxy can then serve before the upstream's next heartbeat.
+    pub async fn probe_upstream(self: Arc<Self>, record: EndpointRecord, health_path: String) {
         let Some(address) = self.upstream_address.filter(|_| record.state != UpstreamState::Absent) else {
             return;
         };
-        let connections = self.pool_to(address);
+        let connections = self.connection_pool(address);
         let mut head = hyper::Request::new(());
-        match health.parse() {
+        match health_path.parse() {
             Ok(uri) => *head.uri_mut() = uri,
             Err(_) => return,
         }
@@ -429,8 +428,8 @@
         else {
             return;
         };
-        // A health page may be wrong about its upstream, and a draining incarnation never serves again. A page that names
-        // another incarnation or fails therefore decides nothing: the next heartbeat does.
+        // Health responses can be wrong, and marking an incarnation as draining or ended is irreversible. A failure or
+        // another incarnation's id is therefore ignored, and the next heartbeat decides.
         if header_str(&head.headers, &RESPONDING_UPSTREAM) != record.upstream_id || !head.status.is_success()
         {
             return;
@@ -442,10 +441,10 @@
         }
         let is_draining = record.state == UpstreamState::Draining;
         log::info!(
-            "upstream found again: upstream={} service={} state={stand}",
+            "upstream found again: upstream={} service={} state={}",
             record.upstream_id,
             record.service,
-            stand = record.state
+            record.state
         );
         state.upstream = Some(Upstream {
             id: record.upstream_id,
@@ -456,17 +455,17 @@
             state: record.state,
             heartbeat_sequence: 0,
             warming_up_ms: 0,
-            heard_at: now,
+            last_seen_at: now,
             draining_since: is_draining.then_some(now),
             connections,
         });
         held(&self.admission).set_limit(record.concurrency_limit);
         drop(state);
-        self.record_changed();
+        self.publish_record();
     }
 
-    /// Takes over what other nodes know from an earlier run of this process: an incarnation of the upstream that was draining
-    /// or had ended then is so now, whatever a late heartbeat has said since. Its drain was acknowledged, and that binds.
+    /// Restores the state that other nodes know from an earlier run of this process: an upstream incarnation that was
+    /// draining or had ended then still is, even if a late heartbeat has said otherwise, since its drain was acknowledged.
     pub fn restore_upstream_state(&self, id: &str, known: UpstreamState) {
         let mut state = held(&self.state);
         if known == UpstreamState::Serving || id.is_empty() {
@@ -475,62 +474,63 @@
         if known == UpstreamState::Absent {
             state.end_incarnation(id);
         }
-        // It is unknown when the drain began, so that its time counts as over.
-        let drain_over = self.clock.now().saturating_sub(self.drain_timeout.as_nanos() as Nanos);
+        // The start of the drain is unknown, so its time counts as over.
+        let drain_started_at = self.clock.now().saturating_sub(self.drain_timeout.as_nanos() as Nanos);
         let Some(upstream) = &mut state.upstream else { return };
         if upstream.id != id || upstream.state != UpstreamState::Serving {
             return;
         }
-        (upstream.state, upstream.draining_since) = (known, Some(drain_over));
+        (upstream.state, upstream.draining_since) = (known, Some(drain_started_at));
         log::info!("upstream state restored from before this start: upstream={id} state={known}");
         drop(state);
-        self.record_changed();
+        self.publish_record();
     }
 
-    /// Gives the endpoint record its next number and has the open watches report it.
-    pub fn record_changed(&self) {
+    /// Increments the sequence number of the endpoint record and wakes the watches, which report it.
+    pub fn publish_record(&self) {
         held(&self.state).record_sequence += 1;
-        self.changed.notify_waiters();
+        self.record_changes.notify_waiters();
     }
 
-    /// The record is known elsewhere under this incarnation. Records from here on get a later one, or they would be ignored.
+    /// Ensures that this node's incarnation is later than one under which other nodes know its record: they ignore records
+    /// of earlier incarnations.
     pub fn ensure_incarnation_above(&self, incarnation: u64) {
         let mut state = held(&self.state);
         if incarnation > state.incarnation {
             state.incarnation = incarnation + 1;
             state.record_sequence += 1;
             drop(state);
-            self.changed.notify_waiters();
+            self.record_changes.notify_waiters();
         }
     }
 
-    /// Whether a request that came to the outbound proxy of this node is a nested call of a request that runs at the upstream:
-    /// its id then continues that one's id. `Some` says whether the run is a retry, so that its calls count as retries too;
-    /// `None` that there is no such run. The first nested call marks the upstream as one that calls other services.
-    pub fn running_request(&self, id: &[u8]) -> Option<bool> {
+    /// Looks up the run at the upstream of which a request to this node's outbound proxy is a nested call: the id of a nested
+    /// call extends that of its run. Returns whether the run is a retry, since its calls then count as retries too; `None`
+    /// if the request is not a nested call. The first nested call marks the upstream as one that calls other services.
+    pub fn nested_call_is_retry(&self, id: &[u8]) -> Option<bool> {
         let mut separators = id.iter().enumerate().filter(|(_, byte)| !byte.is_ascii_alphanumeric()).take(8);
         let is_retry = {
-            let running = held(&self.running);
-            separators.find_map(|(at, _)| running.get(&id[..at]).copied())
+            let active_requests = held(&self.active_requests);
+            separators.find_map(|(at, _)| active_requests.get(&id[..at]).copied())
         };
         if is_retry.is_some() && !self.calls_services.swap(true, Relaxed) {
             log::info!("the upstream calls other services");
-            self.record_changed();
+            self.publish_record();
         }
         is_retry
     }
 
-    /// The service of which the upstream is an instance, once it has been heard.
+    /// The service of the upstream, once a heartbeat or the probe has found it.
     pub fn service(&self) -> Option<String> {
         held(&self.state).upstream.as_ref().map(|upstream| upstream.service.clone())
     }
 
-    /// Answers a call at the control address: the upstream's heartbeats and its sign-off, and operators' figures on sessions.
+    /// Handles a call at the control address: heartbeats and sign-off of the upstream, and the session counts for operators.
     pub async fn handle_control_call(self: Arc<Self>, received: ReceivedRequest) -> Response<ResponseBody> {
         let uri = received.request.uri().clone();
         let (call_name, subject) = call_and_subject(&uri);
         match (call_name.as_str(), subject) {
-            ("offices.beat", Some(of)) => {
+            ("offices.beat", Some(upstream_id)) => {
                 let bodies = Arc::new(Semaphore::new(1 << 16));
                 let read = listener::read_message(
                     received,
@@ -541,7 +541,7 @@
                 )
                 .await;
                 let heartbeat = match read {
-                    Ok((message, _room)) => self.handle_heartbeat(&of, &message.first),
+                    Ok((message, _permit)) => self.handle_heartbeat(&upstream_id, &message.first),
                     Err(RequestError(status, reason)) => return plain_response(status, reason),
                 };
                 match heartbeat {
@@ -549,28 +549,27 @@
                     Err(why) => plain_response(400, why),
                 }
             }
-            ("offices.sign_off", Some(of)) => {
-                self.sign_off(&of);
+            ("offices.sign_off", Some(upstream_id)) => {
+                self.sign_off(&upstream_id);
                 listener::json_response(200, "{}".into())
             }
             ("sessions.count", _) => {
-                listener::json_response(200, self.sessions.status_json(self.fence.rejections()))
+                listener::json_response(200, self.sessions.status_json(self.fencing_table.rejections()))
             }
             _ => plain_response(404, "no such call here"),
         }
     }
 
-    /// Takes a heartbeat of the incarnation `of`: JSON with its address, its service and how many requests it takes at once.
-    /// A heartbeat of an ended incarnation, or one older than the last, is accepted and ignored. An error says what can't be
-    /// read.
-    pub fn handle_heartbeat(self: &Arc<Self>, of: &str, body: &[u8]) -> Result<(), &'static str> {
+    /// Handles a heartbeat of an upstream incarnation: JSON with its address, service and concurrency limit. Heartbeats of
+    /// ended incarnations and those older than the last one are accepted and ignored. The error says what is malformed.
+    pub fn handle_heartbeat(self: &Arc<Self>, upstream_id: &str, body: &[u8]) -> Result<(), &'static str> {
         let text = std::str::from_utf8(body).map_err(|_| "not UTF-8")?;
         let heartbeat = jzon::parse(text).map_err(|_| "no JSON")?;
         let (notice, status) = (&heartbeat["notice"], &heartbeat["status"]);
-        let text_of = |from: &Json, name: &str| from[name].as_str().unwrap_or_default().to_owned();
+        let string_field = |object: &Json, name: &str| object[name].as_str().unwrap_or_default().to_owned();
         let address: SocketAddr =
             heartbeat["address"].as_str().and_then(|text| text.parse().ok()).ok_or("no address")?;
-        let service = text_of(notice, "line");
+        let service = string_field(notice, "line");
         if service.is_empty() {
             return Err("no line");
         }
@@ -582,15 +581,15 @@
         };
         let warming_up_ms = status["cold_left_ms"].as_f64().unwrap_or(0.0).clamp(0.0, 600_000.0) as u64;
         let concurrency_limit = notice["pigeonholes"].as_u32().unwrap_or(1).clamp(1, 100_000);
-        let (zone, software_version) = (text_of(notice, "zone"), text_of(notice, "edition"));
+        let (zone, software_version) = (string_field(notice, "zone"), string_field(notice, "edition"));
         let now = self.clock.now();
         let mut state = held(&self.state);
-        if state.past_incarnations.iter().any(|ended| ended == of) {
+        if state.past_incarnations.iter().any(|ended| ended == upstream_id) {
             return Ok(());
         }
         let previous = state.upstream.take();
         let (connections, draining_since) = match &previous {
-            Some(previous) if previous.id == of => {
+            Some(previous) if previous.id == upstream_id => {
                 if heartbeat_sequence < previous.heartbeat_sequence {
                     state.upstream = Some(previous.clone());
                     return Ok(());
@@ -598,30 +597,29 @@
                 let connections = if previous.connections.address() == address {
                     previous.connections.clone()
                 } else {
-                    self.pool_to(address)
+                    self.connection_pool(address)
                 };
                 (connections, previous.draining_since)
             }
             Some(previous) => {
                 let ended = previous.id.clone();
                 state.end_incarnation(&ended);
-                (self.pool_to(address), None)
+                (self.connection_pool(address), None)
             }
-            None => (self.pool_to(address), None),
+            None => (self.connection_pool(address), None),
         };
-        // An incarnation that has begun to drain never serves again, whatever its heartbeats say.
+        // An incarnation that has started to drain never serves again, whatever its heartbeats say.
         let upstream_state = if draining_since.is_some() { UpstreamState::Draining } else { reported_state };
         let draining_since = draining_since.or((upstream_state == UpstreamState::Draining).then_some(now));
-        let same = previous.as_ref().is_some_and(|previous| {
-            previous.id == of
+        let unchanged = previous.as_ref().is_some_and(|previous| {
+            previous.id == upstream_id
                 && previous.state == upstream_state
                 && previous.concurrency_limit == concurrency_limit
                 && previous.service == service
                 && previous.software_version == software_version
         });
-        let id = of.to_owned();
         let upstream = Upstream {
-            id,
+            id: upstream_id.to_owned(),
             service,
             zone,
             software_version,
@@ -629,11 +627,11 @@
             state: upstream_state,
             heartbeat_sequence,
             warming_up_ms,
-            heard_at: now,
+            last_seen_at: now,
             draining_since,
             connections,
         };
-        if !same {
+        if !unchanged {
             log::info!(
                 "upstream state: upstream={} service={} state={} concurrency_limit={} zone={}",
                 upstream.id,
@@ -645,22 +643,22 @@
         }
         state.upstream = Some(upstream);
         drop(state);
-        if previous.is_none_or(|previous| previous.id != of) {
+        if previous.is_none_or(|previous| previous.id != upstream_id) {
             held(&self.health).reset();
         }
-        if !same {
+        if !unchanged {
             let mut admission = held(&self.admission);
             admission.set_limit(concurrency_limit);
             let granted = self.admit_waiting(&mut admission, now);
             drop(admission);
             granted.into_iter().for_each(GrantedPermit::deliver);
-            self.record_changed();
+            self.publish_record();
         }
         Ok(())
     }
 
-    /// Connections to the upstream at this address. They count against the connection limit.
-    fn pool_to(&self, address: SocketAddr) -> Arc<ConnectionPool> {
+    /// A pool of connections to the upstream at this address. They count against the connection limit.
+    fn connection_pool(&self, address: SocketAddr) -> Arc<ConnectionPool> {
         Arc::new(
             ConnectionPool::new(address, self.clock, self.connection_limit.permits())
                 .for_local_upstream()
@@ -668,23 +666,22 @@
         )
     }
 
-    /// This incarnation takes nothing any more. It is remembered also if it wasn't known: a heartbeat of it may still be on
-    /// its way.
-    fn sign_off(&self, of: &str) {
+    /// Ends an upstream incarnation. It is remembered even if it was unknown, since a late heartbeat of it may still arrive.
+    fn sign_off(&self, upstream_id: &str) {
         let mut state = held(&self.state);
-        state.end_incarnation(of);
+        state.end_incarnation(upstream_id);
         let Some(upstream) = &mut state.upstream else { return };
-        if upstream.id != of || upstream.state == UpstreamState::Absent {
+        if upstream.id != upstream_id || upstream.state == UpstreamState::Absent {
             return;
         }
         upstream.state = UpstreamState::Absent;
         upstream.connections.close_idle();
-        log::info!("upstream signed off: upstream={of}");
+        log::info!("upstream signed off: upstream={upstream_id}");
         drop(state);
-        self.record_changed();
+        self.publish_record();
     }
 
-    /// Drains the upstream for an operator, as if it had reported that it drains. Does nothing for another incarnation.
+    /// Drains the upstream on an operator's request, as if its heartbeat had reported that. Ignored for another incarnation.
     pub fn drain(&self, id: &str) {
         let mut state = held(&self.state);
         if let Some(upstream) = &mut state.upstream
@@ -695,35 +692,36 @@
             upstream.draining_since = Some(self.clock.now());
             log::info!("upstream drained by an operator: upstream={id}");
             drop(state);
-            self.record_changed();
+            self.publish_record();
         }
     }
 
-    /// Closes connections that have been idle for long, and reports it when the upstream has warmed up. To be called about
-    /// once a second.
-    pub fn close_idle_connections(&self) {
+    /// Periodic work, to be called about once a second: closes connections that were idle for too long, updates the health,
+    /// and publishes the record when the upstream has warmed up.
+    pub fn run_housekeeping(&self) {
         self.update_health(self.clock.now());
-        let warm = {
+        let warmed_up = {
             let mut state = held(&self.state);
             let Some(upstream) = &mut state.upstream else { return };
             let now = self.clock.now();
             upstream.connections.close_expired(now);
-            let warm = upstream.warming_up_ms > 0 && now > upstream.heard_at + upstream.warming_up_ms * MS;
-            upstream.warming_up_ms = if warm { 0 } else { upstream.warming_up_ms };
-            warm
+            let warmed_up =
+                upstream.warming_up_ms > 0 && now > upstream.last_seen_at + upstream.warming_up_ms * MS;
+            upstream.warming_up_ms = if warmed_up { 0 } else { upstream.warming_up_ms };
+            warmed_up
         };
-        if warm {
-            self.record_changed();
+        if warmed_up {
+            self.publish_record();
         }
     }
 
-    /// Sets how many connections the upstream takes from all its callers. Each carries one request at a time, so that this
-    /// also bounds the concurrency limit that the upstream reports.
-    pub fn set_connection_limit(&self, cap: usize) {
-        self.connection_limit.set_limit(cap);
+    /// Sets the upstream's limit on connections from all its callers. Each carries one request at a time, so the limit also
+    /// bounds the concurrency limit that the upstream reports.
+    pub fn set_connection_limit(&self, limit: usize) {
+        self.connection_limit.set_limit(limit);
         let reported = held(&self.state).upstream.as_ref().map_or(0, |upstream| upstream.concurrency_limit);
-        if reported as usize > cap {
-            held(&self.admission).set_limit(cap.max(1) as u32);
+        if reported as usize > limit {
+            held(&self.admission).set_limit(limit.max(1) as u32);
         }
     }
 
@@ -732,26 +730,26 @@
         self.shares.store(shares.clone());
     }
 
-    /// A member's share here: by the configuration in force on this node, or else what the outbound proxy sent. An outbound
-    /// proxy that is cut off may not know yet that the platform has reduced the share.
-    fn effective_share(&self, sent: MemberShare) -> MemberShare {
-        let share = self.shares.load().get(&sent.member).map(|share| share.concurrency);
-        MemberShare { share: share.unwrap_or(sent.share), ..sent }
+    /// A member's share as configured on this node, or else as the outbound proxy sent it. A partitioned outbound proxy may
+    /// not know yet that the platform has reduced the share.
+    fn effective_share(&self, received: MemberShare) -> MemberShare {
+        let share = self.shares.load().get(&received.member).map(|share| share.concurrency);
+        MemberShare { share: share.unwrap_or(received.share), ..received }
     }
 
-    /// How many requests wait or run, or have a response that is still being taken.
+    /// Number of requests that are queued or running, or whose response is still being read.
     pub fn requests_in_flight(&self) -> usize {
         self.in_flight.load(Relaxed)
     }
 
-    /// How many requests run at the upstream or wait to be admitted. Outbound proxies get it with each response.
+    /// Number of requests that run at the upstream or are queued. Outbound proxies get it with each response.
     pub fn load(&self) -> usize {
         let admission = held(&self.admission);
         admission.in_flight() as usize + admission.queued()
     }
 
-    /// Admits the queued requests for which there is room. The permits are to be delivered once the lock on the queue is
-    /// released.
+    /// Admits queued requests up to the concurrency limit. The caller delivers the permits after it releases the lock on the
+    /// queue.
     fn admit_waiting(
         self: &Arc<Self>,
         admission: &mut AdmissionQueue<QueuedRequest>,
@@ -766,9 +764,9 @@
         granted
     }
 
-    /// Forwards a request to the upstream, if it is the incarnation that was meant, and waits for the response.
+    /// Forwards a request to the upstream incarnation that it is addressed to, and waits for the response.
     ///
-    /// The request may wait in the admission queue, so that all checks are made again before it is sent.
+    /// The request may wait in the admission queue, so all checks are repeated before it is sent.
     pub async fn forward(self: &Arc<Self>, request: InboundRequest<'_>) -> UpstreamOutcome {
         let InboundRequest {
             message,
@@ -786,19 +784,19 @@
         } = request;
         let Some(connections) = self.accepting_pool(upstream_id) else { return UpstreamOutcome::Gone };
         let now = self.clock.now();
-        if let Err(known) = self.check_fencing(now, fencing_token) {
-            return UpstreamOutcome::Fenced(known);
+        if let Err(current_term) = self.check_fencing(now, fencing_token) {
+            return UpstreamOutcome::Fenced(current_term);
         }
-        // A large response is late when its last byte is. Its target is therefore earlier by its own transfer time, and by the
-        // time that the link needs for the responses ahead of it, as far as that exceeds the run time that passes meanwhile.
-        let paced = is_large && is_remote;
-        let (link_wait, transfer_time) = if paced { self.large_response_delay(now) } else { (0, 0) };
+        // A large response meets its target only if its last byte does. The target for the run is therefore earlier by the
+        // transfer time, and by the part of the wait for the link that exceeds the run time, which passes concurrently.
+        let is_paced = is_large && is_remote;
+        let (link_wait, transfer_time) = if is_paced { self.large_response_delay(now) } else { (0, 0) };
         let run_time = held(&self.admission).mean_run_time();
         let target = target.saturating_sub(transfer_time + link_wait.saturating_sub(run_time));
         if link_wait > 0 && now + run_time > target {
             return UpstreamOutcome::Rejected;
         }
-        let member_share = member_share.map(|sent| self.effective_share(sent));
+        let member_share = member_share.map(|received| self.effective_share(received));
         let member = member_share.as_ref().map(|member_share| member_share.member.clone());
         let admitted = {
             let mut permit = None;
@@ -827,11 +825,11 @@
                 _ => return UpstreamOutcome::Rejected,
             }
         };
-        let pending = paced.then(|| PendingLargeResponse::new(self));
+        let pending = is_paced.then(|| PendingLargeResponse::new(self));
         self.in_flight.fetch_add(1, Relaxed);
         let id = message.head.headers().get(&REQUEST_ID).cloned();
         let request_id = id.as_ref().map(|id| id.as_bytes().to_vec()).unwrap_or_default();
-        held(&self.running).insert(request_id.clone(), is_retry);
+        held(&self.active_requests).insert(request_id.clone(), is_retry);
         let guard = RequestGuard { proxy: self.clone(), request_id };
         let mut permit = match admitted {
             Ok(permit) => permit,
@@ -845,27 +843,29 @@
             return UpstreamOutcome::Gone;
         }
         // The session may have moved to another owner while the request waited.
-        if let Err(known) = self.check_fencing(self.clock.now(), fencing_token) {
-            return UpstreamOutcome::Fenced(known);
+        if let Err(current_term) = self.check_fencing(self.clock.now(), fencing_token) {
+            return UpstreamOutcome::Fenced(current_term);
         }
-        let left = deadline.saturating_sub(self.clock.now()) / MS;
-        if left == 0 {
+        let left_ms = deadline.saturating_sub(self.clock.now()) / MS;
+        if left_ms == 0 {
             return UpstreamOutcome::NotSent;
         }
-        let mut fields = HeaderMap::new();
-        fields.insert(TIME_LEFT_MS, HeaderValue::from(left));
+        let mut added_headers = HeaderMap::new();
+        added_headers.insert(TIME_LEFT_MS, HeaderValue::from(left_ms));
         if let Ok(upstream_id) = HeaderValue::try_from(upstream_id) {
-            fields.insert(TARGET_UPSTREAM, upstream_id);
+            added_headers.insert(TARGET_UPSTREAM, upstream_id);
         }
-        fields.insert(CALLER_SERVICE, caller.clone());
-        // A response that names another request belongs to that one.
-        let ours = |head: &Parts| head.headers.get(&REQUEST_ID) == id.as_ref();
+        added_headers.insert(CALLER_SERVICE, caller.clone());
+        // A response with another request's id belongs to that request.
+        let matches_request = |head: &Parts| head.headers.get(&REQUEST_ID) == id.as_ref();
         permit.started_at = self.clock.now();
         let class = RequestClass { member: permit.member.clone(), is_nested, is_large };
         let run = self.begin_run(permit.started_at, class);
-        let answer = connections.exchange(message, &fields, deadline, Some(Box::new(permit)), ours).await;
-        let (mut head, body) = match answer {
-            Ok(answer) => answer,
+        let response = connections
+            .exchange(message, &added_headers, deadline, Some(Box::new(permit)), matches_request)
+            .await;
+        let (mut head, body) = match response {
+            Ok(response) => response,
             Err(error) => {
                 let (run_outcome, outcome) = match error {
                     ExchangeError::ConnectFailed => {
@@ -875,7 +875,7 @@
                     ExchangeError::Reset => (RunOutcome::Failed, UpstreamOutcome::Reset),
                     ExchangeError::TimedOut => (RunOutcome::Abandoned, UpstreamOutcome::TimedOut),
                 };
-                run.ended(run_outcome);
+                run.finish(run_outcome);
                 return outcome;
             }
         };
@@ -884,67 +884,67 @@
             return UpstreamOutcome::Gone;
         }
         if head.headers.contains_key(&NOT_RUN) {
-            run.ended(RunOutcome::Failed);
+            run.finish(RunOutcome::Failed);
             return UpstreamOutcome::UpstreamFull;
         }
-        // A successful response without the upstream's stamp, or one that is encoded, was made or changed by something in
-        // between. Whether the request has run can't be told from it.
-        let stamped = head.headers.contains_key(&EXECUTION_STAMP);
-        let coded = head.headers.contains_key(CONTENT_ENCODING);
-        if coded || (head.status.is_success() && !stamped) {
-            run.ended(RunOutcome::Failed);
+        // An encoded response, or a successful one without the upstream's stamp, was created or modified by an intermediary,
+        // so it doesn't show whether the request has run.
+        let is_stamped = head.headers.contains_key(&EXECUTION_STAMP);
+        let is_encoded = head.headers.contains_key(CONTENT_ENCODING);
+        if is_encoded || (head.status.is_success() && !is_stamped) {
+            run.finish(RunOutcome::Failed);
             return UpstreamOutcome::Reset;
         }
-        run.ended(match head.status {
-            // A run that ends at its deadline lacked time; that says nothing about the upstream's health.
+        run.finish(match head.status {
+            // A run that ends at its deadline says nothing about the upstream's health.
             StatusCode::GATEWAY_TIMEOUT => RunOutcome::Abandoned,
             status if status.is_server_error() => RunOutcome::Failed,
             _ => RunOutcome::Succeeded,
         });
         if is_large && let Some(size) = body.size_hint().exact() {
             let mut mean = held(&self.mean_large_bytes);
-            *mean += (size as f64 - *mean) * if *mean > 0.0 { LARGE_RESPONSE_MEAN_WEIGHT } else { 1.0 };
+            *mean += (size as f64 - *mean) * if *mean > 0.0 { LARGE_RESPONSE_SIZE_WEIGHT } else { 1.0 };
         }
         let body = if is_remote { self.paced_response(body) } else { body };
-        // From here on the response counts in the pacer.
+        // From here on the pacer accounts for the response.
         drop(pending);
         UpstreamOutcome::Responded(head, body.with_guard(guard))
     }
 
-    /// Reports a run to the outlier detector.
+    /// Registers a run with the outlier detector.
     fn begin_run(self: &Arc<Self>, now: Nanos, class: RequestClass) -> UpstreamRun {
         let run_id = held(&self.health).begin(now, class);
         self.update_health(now);
         UpstreamRun { proxy: self.clone(), run_id }
     }
 
-    /// Logs and reports the upstream's health if it has changed.
+    /// Logs and publishes the upstream's health if it has changed.
     fn update_health(&self, now: Nanos) {
         let mut health = held(&self.health);
         let (previous, current) = (health.health(), health.update(now));
         drop(health);
         if previous != current {
-            let name = self.service().unwrap_or_default();
+            let service = self.service().unwrap_or_default();
             log::info!(
-                "upstream health: service={name} failure_level={} latency_level={}",
+                "upstream health: service={service} failure_level={} latency_level={}",
                 current.failure_level,
                 current.latency_level
             );
-            self.record_changed();
+            self.publish_record();
         }
     }
 
-    /// A response to another node, at the pace that the node's link allows to large ones.
+    /// Limits a response to another node to the rate that the node's link allows for large responses.
     fn paced_response(&self, body: ResponseBody) -> ResponseBody {
         let body = body.with_pacing(&self.large_responses);
         if let ResponseBody::Buffered(body) = &body {
-            self.note_outgoing_bytes(body.size_hint().lower());
+            self.record_outgoing_bytes(body.size_hint().lower());
         }
         body
     }
 
-    /// For a large response to another node that would be requested now: how long the link is busy with those ahead of it,
-    /// and its own transfer time, both estimated from the mean size.
+    /// Estimates, from the mean size, for a large response to another node that is requested now: how long the link is busy
+    /// with earlier ones, and its own transfer time.
     fn large_response_delay(&self, now: Nanos) -> (Nanos, Nanos) {
         let mean = *held(&self.mean_large_bytes);
         let pending_bytes = self.pending_large.load(Relaxed) as f64 * mean;
@@ -952,22 +952,22 @@
         (pacer.wait(now) + pacer.transfer_time(pending_bytes), pacer.transfer_time(mean))
     }
 
-    /// Tells the pacer of bytes that go to other nodes unpaced.
-    pub fn note_outgoing_bytes(&self, bytes: u64) {
-        self.large_responses.pacer().note(self.clock.now(), bytes as usize + HEADER_ESTIMATE_BYTES);
+    /// Reports bytes that go to other nodes unpaced to the pacer.
+    pub fn record_outgoing_bytes(&self, bytes: u64) {
+        self.large_responses.pacer().note(self.clock.now(), bytes as usize + ESTIMATED_HEADER_BYTES);
     }
 
-    /// The later term that is known, if the session has moved to another owner.
+    /// The error is the current owner's term, if the session has moved to a later owner.
     fn check_fencing(&self, now: Nanos, fencing_token: Option<FencingToken>) -> Result<(), u64> {
-        fencing_token.map_or(Ok(()), |fencing_token| self.fence.check(now, fencing_token))
+        fencing_token.map_or(Ok(()), |fencing_token| self.fencing_table.check(now, fencing_token))
     }
 
-    /// The connections to the upstream, if it is this incarnation and takes requests now.
+    /// The connections to the upstream, if it is this incarnation and accepts requests now.
     fn accepting_pool(&self, upstream_id: &str) -> Option<Arc<ConnectionPool>> {
         let state = held(&self.state);
         let upstream = state.upstream.as_ref()?;
         let drain_over = |since: Nanos| {
-            self.clock.now() > since + (self.drain_timeout / DRAIN_DIVISOR).as_nanos() as Nanos
+            self.clock.now() > since + (self.drain_timeout / DRAIN_ACCEPT_DIVISOR).as_nanos() as Nanos
         };
         let accepts = upstream.id == upstream_id
             && upstream.state != UpstreamState::Absent
@@ -975,15 +975,15 @@
         accepts.then(|| upstream.connections.clone())
     }
 
-    /// Adds the header that tells the outbound proxy how the request ended here, and the load.
-    fn with_outcome(&self, mut answer: Response<ResponseBody>, word: &str) -> Response<ResponseBody> {
-        if let Ok(value) = HeaderValue::try_from(format!("{word} {}", self.load())) {
-            answer.headers_mut().insert(ATTEMPT_OUTCOME, value);
+    /// Adds the header that tells the outbound proxy the outcome and the load.
+    fn with_outcome(&self, mut response: Response<ResponseBody>, outcome: &str) -> Response<ResponseBody> {
+        if let Ok(value) = HeaderValue::try_from(format!("{outcome} {}", self.load())) {
+            response.headers_mut().insert(ATTEMPT_OUTCOME, value);
         }
-        answer
+        response
     }
 
-    /// Answers a request of an outbound proxy on another node, or its question for a session that it has taken over.
+    /// Handles a request, or the handover of a session, from an outbound proxy on another node.
     pub async fn handle_request(
         self: Arc<Self>,
         received: ReceivedRequest,
@@ -992,27 +992,27 @@
         let received_at = received.received_at;
         let headers = received.request.headers();
         let upstream_id = header_str(headers, &TARGET_UPSTREAM).to_owned();
-        let left = header_str(headers, &TIME_LEFT_MS).parse::<u64>().unwrap_or(0).min(MAX_TIME_LEFT_MS);
-        let fence = header_str(headers, &FENCING_TOKEN);
-        if let Some(keys) = self.sessions.handle_handover(fence) {
+        let left_ms = header_str(headers, &TIME_LEFT_MS).parse::<u64>().unwrap_or(0).min(MAX_TIME_LEFT_MS);
+        let fencing_header = header_str(headers, &FENCING_TOKEN);
+        if let Some(keys) = self.sessions.handle_handover(fencing_header) {
             return self.with_outcome(Response::new(ResponseBody::from_bytes(keys)), "ran");
         }
-        let fencing_token = FencingToken::from_header(fence);
+        let fencing_token = FencingToken::from_header(fencing_header);
         let RequestTerms { target_ms, rejections, has_affinity, is_retry, is_nested, is_large, member_share } =
-            RequestTerms::from_headers(headers, left);
+            RequestTerms::from_headers(headers, left_ms);
         let caller = headers.get(&CALLER_SERVICE).cloned().unwrap_or(HeaderValue::from_static(""));
         let read =
             listener::read_message(received, &bodies, self.clock, u64::MAX, Duration::from_secs(10)).await;
-        let (mut message, _room) = match read {
+        let (mut message, _permit) = match read {
             Ok(read) => read,
-            Err(RequestError(status, service)) => {
-                return self.with_outcome(plain_response(status, service), "unsent");
+            Err(RequestError(status, reason)) => {
+                return self.with_outcome(plain_response(status, reason), "unsent");
             }
         };
         message.head.headers_mut().remove(&REQUEST_TERMS);
         message.head.headers_mut().remove(&FENCING_TOKEN);
         let (message, upstream_id, caller, is_remote) = (&Arc::new(message), &*upstream_id, &caller, true);
-        let (target, deadline) = (received_at + target_ms * MS, received_at + left * MS);
+        let (target, deadline) = (received_at + target_ms * MS, received_at + left_ms * MS);
         let request = InboundRequest {
             message,
             upstream_id,
@@ -1029,21 +1029,20 @@
             member_share,
         };
         let outcome = self.forward(request).await;
-        let word = outcome.as_word();
+        let outcome_name = outcome.wire_name();
         match outcome {
             UpstreamOutcome::Responded(head, body) => {
-                self.with_outcome(Response::from_parts(head, body), word)
-            }
-            UpstreamOutcome::Fenced(known) => {
-                self.with_outcome(plain_response(503, word), &format!("{FENCED_PREFIX}{known}"))
+                self.with_outcome(Response::from_parts(head, body), outcome_name)
             }
-            _ => self.with_outcome(plain_response(503, word), word),
+            UpstreamOutcome::Fenced(current_term) => self
+                .with_outcome(plain_response(503, outcome_name), &format!("{FENCED_PREFIX}{current_term}")),
+            _ => self.with_outcome(plain_response(503, outcome_name), outcome_name),
         }
     }
 }
 
-/// Name of a control call and the id that it is about, from its query; an empty name for any other path. Ids are cut off
-/// after 256 characters.
+/// Parses the name of a control call and the id of its subject from the query; the name is empty for any other path. Ids are
+/// truncated to 256 characters.
 pub fn call_and_subject(uri: &hyper::Uri) -> (String, Option<String>) {
     if uri.path() != "/api/rpc" {
         return (String::new(), None);
--- a/balancer/src/mesh/proxy/node.rs
+++ b/balancer/src/mesh/proxy/node.rs
@@ -357,7 +357,7 @@
     /// upstream here, with whether that is a retry.
     pub fn nested_call(&self, id: &HeaderValue) -> Option<bool> {
         self.requests_received.fetch_add(1, Relaxed);
-        self.inbound.running_request(id.as_bytes())
+        self.inbound.nested_call_is_retry(id.as_bytes())
     }
 
     /// Draws the service to which a request of this route goes, by the services' weights.
@@ -826,7 +826,7 @@
     let busy = || node.requests_in_flight.load(Relaxed) + door.requests_in_flight() > 0;
     while began.elapsed() < last_call && (began.elapsed() < linger || busy()) {
         if began.elapsed() + RECORD_PROPAGATION >= linger && door.accepts_clients.swap(false, Relaxed) {
-            door.record_changed();
+            door.publish_record();
         }
         sleep(DRAIN_CHECK_INTERVAL).await;
     }
@@ -879,7 +879,7 @@
             () = sleep(Duration::from_millis(1_000)) => false,
         };
         let now = node.clock.now();
-        node.inbound.close_idle_connections();
+        node.inbound.run_housekeeping();
         node.update_connection_limit();
         if let Some(configuration) = node.configuration.load_full() {
             held(&node.schedulers).remove_idle(now, &configuration.shares);
--- a/balancer/src/mesh/proxy/outbound.rs
+++ b/balancer/src/mesh/proxy/outbound.rs
@@ -575,7 +575,7 @@
             fields.insert(FENCING_TOKEN, value);
         }
         fields.insert(CALLER_SERVICE, caller);
-        node.inbound.note_outgoing_bytes(message.length.unwrap_or(0));
+        node.inbound.record_outgoing_bytes(message.length.unwrap_or(0));
         // Only an inbound proxy sets this header: a response without it comes from somewhere else.
         let ours = |head: &Parts| head.headers.contains_key(&ATTEMPT_OUTCOME);
         let outcome = match node
@@ -586,7 +586,7 @@
             Ok((head, body)) => {
                 let value = header_str(&head.headers, &ATTEMPT_OUTCOME).to_owned();
                 let (outcome_word, load) = value.split_once(' ').unwrap_or((&value, ""));
-                return (UpstreamOutcome::from_word(outcome_word, head, body), load.parse().ok());
+                return (UpstreamOutcome::from_wire_name(outcome_word, head, body), load.parse().ok());
             }
             Err(ExchangeError::ConnectFailed) => UpstreamOutcome::ConnectFailed,
             Err(ExchangeError::NotSent) => UpstreamOutcome::NotSent,
--- a/balancer/src/mesh/proxy/tests/inbound_tests.rs
+++ b/balancer/src/mesh/proxy/tests/inbound_tests.rs
@@ -77,7 +77,7 @@
             deadline: until,
             member_share: part,
         };
-        door.forward(request).await.as_word()
+        door.forward(request).await.wire_name()
     })
 }
 
@@ -311,16 +311,19 @@
     let at_upstream = next(&upstream).await;
     assert_eq!(
         (
-            door.running_request(b"f00"),
-            door.running_request(b"f001.2"),
+            door.nested_call_is_retry(b"f00"),
+            door.nested_call_is_retry(b"f001.2"),
             door.endpoint_record().calls_services
         ),
         (None, None, false)
     );
-    assert_eq!((door.running_request(b"f00.2"), door.endpoint_record().calls_services), (Some(false), true));
+    assert_eq!(
+        (door.nested_call_is_retry(b"f00.2"), door.endpoint_record().calls_services),
+        (Some(false), true)
+    );
     answer(at_upstream).await;
     assert_eq!(run.await.expect("no panic"), "ran");
-    assert_eq!(door.running_request(b"f00.3"), None);
+    assert_eq!(door.nested_call_is_retry(b"f00.3"), None);
 }
 
 /// Guards against an upstream that is shut out for its life, or let in under another's name, by one word of its health
