--- a/balancer/src/mesh/proxy/node.rs
+++ b/balancer/src/mesh/proxy/node.rs
@@ -412,8 +412,13 @@
         let service_settings =
             (plan.service.clone(), ServiceSettings::new(plan, outbound_proxies, calls, &settings.bounds));
         let window = settings.bounds.retry_window.as_nanos() as Nanos;
-        let scheduler =
-            RequestScheduler::of(previous, service_settings, self.clock, || self.new_token(), window);
+        let scheduler = RequestScheduler::reuse_or_create(
+            previous,
+            service_settings,
+            self.clock,
+            || self.new_token(),
+            window,
+        );
         scheduler.update_endpoints(of(), &self.suspected.load(), &settings.zone);
         scheduler
     }
--- a/balancer/src/mesh/proxy/outbound.rs
+++ b/balancer/src/mesh/proxy/outbound.rs
@@ -373,7 +373,11 @@
                 action = scheduled.actions.recv() => action,
             };
             match action {
-                Some(SchedulerAction::Send { number, srv, give_up }) => {
+                Some(SchedulerAction::Send {
+                    attempt_number: number,
+                    upstream_id: srv,
+                    give_up_at: give_up,
+                }) => {
                     if sent >= self.route.max_attempts {
                         break;
                     }
@@ -452,7 +456,7 @@
                     scheduled.attempt_ended(number, how, took, false, load);
                 }
                 Some(SchedulerAction::Cancel) => {}
-                Some(SchedulerAction::Reject { come_back: retry_after }) => {
+                Some(SchedulerAction::Reject { retry_after }) => {
                     self.count(scheduled.finish());
                     if last.is_none() && !may_have_run {
                         return RequestOutcome::NotRun(retry_after);
--- a/balancer/src/mesh/proxy/request_scheduler.rs
+++ b/balancer/src/mesh/proxy/request_scheduler.rs
@@ -1,17 +1,17 @@
-//! The decision module at work for one service: decides where each attempt goes, and whether it is retried or rejected.
+//! Runs the decision module for one service: it chooses the endpoint of each attempt and decides on retries and rejections.
 //!
-//! The way of a request: [`RequestScheduler::schedule`] hands it to the module; what is to be done for it arrives as
-//! [`SchedulerAction`]s at its [`ScheduledRequest`]. The outbound proxy carries them out and reports each attempt with
+//! Request path: [`RequestScheduler::schedule`] hands a request to the module, whose decisions arrive as
+//! [`SchedulerAction`]s at the [`ScheduledRequest`]. The outbound proxy executes them and reports each attempt with
 //! [`ScheduledRequest::attempt_started`] and [`ScheduledRequest::attempt_ended`], which may lead to further actions.
 //!
-//! Main types: [`RequestScheduler`] (one for each [`SchedulerKey`]), [`SchedulerPlan`] and [`ServiceSettings`] (what the module
-//! is configured with), [`Endpoint`].
+//! Main types: [`RequestScheduler`] (one for each [`SchedulerKey`]), [`SchedulerPlan`] and [`ServiceSettings`] (configuration
+//! of the module), [`Endpoint`].
 //!
 //! Invariants:
-//! - Nothing here decides about a request: the module does, by the facts and endpoints that it is given.
+//! - Only the module makes decisions, from the facts and endpoints that it is given.
 //! - No I/O.
-//! - A scheduler with the same settings is kept across changes of configuration, since a new one has to learn the upstreams
-//!   anew.
+//! - A scheduler with the same settings is kept across changes of configuration, since a new one must learn the state of the
+//!   upstreams again.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::net::SocketAddr;
@@ -34,41 +34,42 @@
 use crate::mesh::settings::OperatingBounds;
 
 const MS: Nanos = 1_000_000;
-/// An upstream that has just started counts as warming up for this long at most, and begins with this share of its load.
-const SLOW_START: Nanos = 4_000 * MS;
+/// Longest slow start of an upstream that has just started.
+const SLOW_START_DURATION: Nanos = 4_000 * MS;
+/// Share of its load that an upstream gets at the beginning of its slow start.
 const SLOW_START_INITIAL_SHARE: f64 = 0.4;
-/// How many inbound proxies may reject a request before the client is rejected, and how many of one zone before the request
-/// goes to another zone.
+/// Number of inbound proxies that may reject a request before the client is rejected.
 const MAX_REJECTIONS: f64 = 4.0;
+/// Number of inbound proxies in one zone that may reject a request before it goes to another zone.
 const MAX_REJECTIONS_PER_ZONE: f64 = 2.0;
-/// Upstreams of other zones count with this share of their weight while one of the own zone accepts requests.
-const OTHER_ZONE_WEIGHT: f64 = 0.001;
+/// Weight factor of upstreams in other zones while one in the node's own zone accepts requests.
+const OTHER_ZONE_WEIGHT_FACTOR: f64 = 0.001;
 
-/// What the decision module wants done for one request.
+/// A decision of the module about one request.
 #[derive(Debug)]
 pub enum SchedulerAction {
-    /// Make an attempt at this upstream. `number` identifies it in [`ScheduledRequest::attempt_ended`]; it is to be ended at
-    /// `give_up`.
-    Send { number: usize, srv: Name, give_up: Nanos },
-    /// Cancel the attempt that is out, if that is allowed for the route.
+    /// Make an attempt at this upstream, until `give_up_at` at the latest. `attempt_number` identifies the attempt in
+    /// [`ScheduledRequest::attempt_ended`].
+    Send { attempt_number: usize, upstream_id: Name, give_up_at: Nanos },
+    /// Cancel the attempt in flight, if the route allows that.
     Cancel,
-    /// Give the request up. The client may retry after `come_back`; 0 leaves that to the outbound proxy.
-    Reject { come_back: Nanos },
-    /// Give the request up; it may have run.
+    /// Give up the request. The client may retry after `retry_after`; with 0 the outbound proxy chooses the time.
+    Reject { retry_after: Nanos },
+    /// Give up the request, which may have run.
     Fail,
 }
 
-/// Identifies a scheduler. Requests with large responses and those of each member have schedulers of their own, so that they
-/// don't change what is learnt for others.
+/// Identifies a scheduler. Large responses and each member have schedulers of their own, so that they don't affect what is
+/// learned for others.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct SchedulerKey {
     pub service: Name,
     pub is_large: bool,
-    /// The member whose routes it is for; none for the platform's.
+    /// The member that owns the routes; none for the platform's.
     pub member: Option<Name>,
 }
 
-/// The scheduler for requests of a route that go to this service.
+/// Key of the scheduler for a route's requests to this service.
 pub fn scheduler_key(service: &Name, route: &Route) -> SchedulerKey {
     let member = route.share.as_ref().map(|share| share.member.clone());
     SchedulerKey {
@@ -78,8 +79,7 @@
     }
 }
 
-/// A kind of requests that the decision module treats alike. The order of the fields is the order in which the module gets
-/// them.
+/// A class of requests that the decision module treats alike. The module gets the classes in the order of these fields.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Debug)]
 struct RouteClass {
     /// See [`route_class`].
@@ -87,18 +87,18 @@
     /// Whether its requests may run more than once.
     repeatable: bool,
     latency_target_ms: u64,
-    /// 0 is the most important; each further one halves the value of a response.
+    /// 0 is the highest priority; each further step halves the utility of a response.
     priority: u32,
 }
 
-/// What a configuration says of the requests of one scheduler.
+/// The part of a configuration that concerns one scheduler.
 #[derive(Clone, PartialEq, Debug)]
 pub struct SchedulerPlan {
     pub service: Name,
-    /// For requests with large responses. These stay in the zone while an upstream there accepts requests: their bytes cost
-    /// more than a rejection.
-    pub large: bool,
-    /// The member whose routes these are; none for the platform's.
+    /// The plan is for large responses. These stay in the zone while an upstream there accepts requests, since transferring
+    /// them across zones costs more than a rejection.
+    pub is_large: bool,
+    /// The member that owns the routes; none for the platform's.
     pub member: Option<Name>,
     /// The classes of its routes, sorted and without duplicates.
     route_classes: Vec<RouteClass>,
@@ -107,12 +107,12 @@
 }
 
 impl SchedulerPlan {
-    /// The scheduler that this plan is for.
+    /// Key of the scheduler that this plan is for.
     pub fn key(&self) -> SchedulerKey {
-        SchedulerKey { service: self.service.clone(), is_large: self.large, member: self.member.clone() }
+        SchedulerKey { service: self.service.clone(), is_large: self.is_large, member: self.member.clone() }
     }
 
-    /// The plans for all services to which any route goes, in the order of their keys.
+    /// The plans for all services that have a route, in the order of their keys.
     pub fn for_configuration(configuration: &Configuration) -> Vec<SchedulerPlan> {
         let mut plans: BTreeMap<SchedulerKey, SchedulerPlan> = BTreeMap::new();
         for route in configuration.routes() {
@@ -120,7 +120,7 @@
                 let key = scheduler_key(service, route);
                 let plan = plans.entry(key).or_insert_with_key(|key| SchedulerPlan {
                     service: key.service.clone(),
-                    large: key.is_large,
+                    is_large: key.is_large,
                     member: key.member.clone(),
                     route_classes: Vec::new(),
                     max_attempts: 1,
@@ -143,21 +143,21 @@
     }
 }
 
-/// What the decision module of a scheduler is configured with. A change of any of it begins a new module.
+/// Configuration of a scheduler's decision module. Any change creates a new module.
 #[derive(Clone, PartialEq, Debug)]
 pub struct ServiceSettings {
     plan: SchedulerPlan,
-    /// How many outbound proxies there are, rounded to a power of two.
+    /// Number of outbound proxies, rounded to a power of two.
     pub outbound_proxies: u64,
     /// Whether the service's upstreams call other services.
-    pub calls: bool,
-    /// Retries that all outbound proxies together may make, as a share of first attempts.
+    pub calls_services: bool,
+    /// Retries of all outbound proxies together, as a share of first attempts.
     pub retry_ratio: f64,
-    /// Retries that all outbound proxies together may make beside that in the budget's window.
+    /// Retries of all outbound proxies together that are allowed in addition in one budget window.
     pub retry_slack: f64,
 }
 
-/// The name of a route's class: whether its requests are repeatable, its latency target in ms and its priority.
+/// Name of a route's class: whether its requests are repeatable, its latency target in ms and its priority.
 pub fn route_class(route: &Route) -> String {
     format!(
         "{}-{}-{}",
@@ -168,34 +168,34 @@
 }
 
 impl ServiceSettings {
-    /// Settings for a plan. `outbound_proxies` is how many there are now; `calls_services` whether an upstream of the service
-    /// has called others.
+    /// Settings for a plan. `outbound_proxies` is their current number; `calls_services` says whether an upstream of the
+    /// service has called other services.
     pub fn new(
         plan: &SchedulerPlan,
         outbound_proxies: usize,
         calls_services: bool,
-        budget: &OperatingBounds,
+        bounds: &OperatingBounds,
     ) -> ServiceSettings {
-        // Only the magnitude of the number matters, and each change makes the module learn anew: it is rounded to a power of
-        // two.
+        // Each change makes the module start learning again and only the magnitude of the number matters, so it is rounded to
+        // a power of two.
         let outbound_proxies = 2u64.pow((outbound_proxies.max(1) as f64).log2().round() as u32);
-        // Half of the retry budget is kept for what no outbound proxy can know: nested calls of runs elsewhere, proxies that
-        // have just started, and windows that begin at different times.
+        // Half of the retry budget is reserved for what an outbound proxy can't see: nested calls of runs on other nodes,
+        // proxies that have just started, and windows that begin at different times.
         ServiceSettings {
             plan: plan.clone(),
             outbound_proxies,
-            calls: calls_services,
-            retry_ratio: budget.retry_ratio / 2.0,
-            retry_slack: budget.retry_slack / 6.0,
+            calls_services,
+            retry_ratio: bounds.retry_ratio / 2.0,
+            retry_slack: bounds.retry_slack / 6.0,
         }
     }
 
-    /// The limits that the module reads from its facts, for the counts that this process reports.
+    /// The same limits as in the module's facts, for the counts that this process reports.
     fn retry_limits(&self) -> RetryLimits {
         let floor = (self.retry_slack / self.outbound_proxies.max(1) as f64).min(1.0);
         RetryLimits {
             max_attempts: self.plan.max_attempts,
-            last_tier: !self.calls,
+            last_tier: !self.calls_services,
             ratio: self.retry_ratio.clamp(0.0, 0.1),
             floor,
         }
@@ -205,7 +205,7 @@
         self.plan.route_classes.iter().any(|class| class.name == class_name && class.repeatable)
     }
 
-    /// The settings as the decision module reads them.
+    /// The settings in the form that the decision module reads.
     fn facts(&self) -> Facts {
         let number = |value: f64| Value::Number(value);
         let class_facts = |class: &RouteClass| {
@@ -223,7 +223,7 @@
         };
         Facts::from([
             ("instances".into(), number(self.outbound_proxies as f64)),
-            // The concurrency limit of an upstream is kept by the inbound proxy beside it, not by the module.
+            // The inbound proxy beside an upstream enforces its concurrency limit, not the module.
             ("level".into(), Value::Text("doors".into())),
             ("report_in_flight".into(), number(0.0)),
             ("again_part".into(), number(self.retry_ratio)),
@@ -231,19 +231,19 @@
             ("most_turned".into(), number(MAX_REJECTIONS)),
             ("most_turned_by_site".into(), number(MAX_REJECTIONS_PER_ZONE)),
             ("tier".into(), number(0.0)),
-            ("tiers".into(), number(if self.calls { 2.0 } else { 1.0 })),
+            ("tiers".into(), number(if self.calls_services { 2.0 } else { 1.0 })),
             ("max_dispatches".into(), number(f64::from(self.plan.max_attempts))),
             ("may_recall".into(), Value::Flag(true)),
             ("come_back_passed".into(), Value::Flag(true)),
             ("max_come_back".into(), Value::Span(1_000 * MS)),
-            ("cold".into(), Value::Span(SLOW_START)),
+            ("cold".into(), Value::Span(SLOW_START_DURATION)),
             ("cold_share".into(), number(SLOW_START_INITIAL_SHARE)),
             ("rule_sets".into(), Value::List(self.plan.route_classes.iter().map(class_facts).collect())),
         ])
     }
 }
 
-/// Where an upstream is reached.
+/// Address and identity of an upstream.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Endpoint {
     /// The inbound proxy beside the upstream.
@@ -255,48 +255,48 @@
 }
 
 struct SchedulerState {
-    /// The decision module with the requests that it holds.
-    policy: Hands,
-    /// Where the actions for each request go, by its id.
+    /// The decision module with its pending requests.
+    decision_module: Hands,
+    /// Channels for the actions of each request, by request id.
     action_senders: HashMap<u64, mpsc::UnboundedSender<SchedulerAction>>,
-    last_id: u64,
-    /// When the module next wants to be asked.
+    last_request_id: u64,
+    /// When the module next asks to be run.
     wake_at: Nanos,
-    /// The endpoints as the module was last told them.
+    /// The endpoints as last given to the module.
     listed: HashMap<Name, Listed>,
     endpoints: HashMap<Name, Endpoint>,
     retry_account: RetryAccount,
-    /// The retry budget of the service where it is divided among members and the platform; else the scheduler has its own.
+    /// The service's retry budget if it is divided among members and the platform; else the scheduler has its own.
     retry_pool: Option<Arc<Mutex<RetryPool>>>,
 }
 
-/// Schedules the requests of one service, or of one member to it.
+/// Schedules the requests to one service, either the platform's or those of one member.
 pub struct RequestScheduler {
     pub service: Name,
     pub settings: ServiceSettings,
     clock: Clock,
-    inner: Mutex<SchedulerState>,
-    /// Wakes the timer, when the module wants to be asked sooner than before.
-    woken: Notify,
+    state: Mutex<SchedulerState>,
+    /// Notified when the module asks to be run earlier than before.
+    timer_changed: Notify,
 }
 
-/// A request that the decision module holds. Dropping it before [`ScheduledRequest::finish`] tells the module that the client
-/// has gone.
+/// A request that is pending at the decision module. If dropped before it has finished, the module learns that the client
+/// has left.
 pub struct ScheduledRequest {
     scheduler: Arc<RequestScheduler>,
     /// Identifies the request at its scheduler.
     pub id: u64,
-    /// What is to be done for it, in this order.
+    /// Actions to execute, in this order.
     pub actions: mpsc::UnboundedReceiver<SchedulerAction>,
-    /// It has its final answer, or the module has given it up.
+    /// The request has its final response, or the module has given it up.
     finished: bool,
     attempts: RequestAttempts,
 }
 
 impl RequestScheduler {
-    /// The previous scheduler if its settings are the same; else one with a new module, which takes over the previous one's
+    /// Returns the previous scheduler if its settings are the same; else creates one with a new module and the previous one's
     /// retry account. `window` is the time over which attempts are counted.
-    pub fn of(
+    pub fn reuse_or_create(
         previous: Option<Arc<RequestScheduler>>,
         (service, settings): (Name, ServiceSettings),
         clock: Clock,
@@ -306,7 +306,7 @@
         let limits = settings.retry_limits();
         let retry_account = match previous {
             Some(scheduler) if scheduler.settings == settings => return scheduler,
-            Some(scheduler) => held(&scheduler.inner).retry_account.restart(window, limits),
+            Some(scheduler) => held(&scheduler.state).retry_account.restart(window, limits),
             None => RetryAccount::new(window, limits),
         };
         RequestScheduler::new(service, settings, clock, seed(), retry_account)
@@ -320,11 +320,11 @@
         retry_account: RetryAccount,
     ) -> Arc<RequestScheduler> {
         let now = clock.now();
-        let policy = Hands::new(Balancer::new(now, seed, settings.facts()));
-        let inner = SchedulerState {
-            policy,
+        let decision_module = Hands::new(Balancer::new(now, seed, settings.facts()));
+        let state = SchedulerState {
+            decision_module,
             action_senders: HashMap::new(),
-            last_id: 0,
+            last_request_id: 0,
             wake_at: Nanos::MAX,
             listed: HashMap::new(),
             endpoints: HashMap::new(),
@@ -335,149 +335,154 @@
             service,
             settings,
             clock,
-            inner: Mutex::new(inner),
-            woken: Notify::new(),
+            state: Mutex::new(state),
+            timer_changed: Notify::new(),
         });
         tokio::spawn(RequestScheduler::run_timer(Arc::downgrade(&scheduler)));
         scheduler
     }
 
-    /// Asks the module whenever it wants to be asked, for as long as anybody else keeps the scheduler.
+    /// Runs the module whenever it asks to be run, until the scheduler has been dropped.
     async fn run_timer(scheduler: Weak<RequestScheduler>) {
         loop {
-            let (clock, wake) = {
+            let (clock, wake_at) = {
                 let Some(scheduler) = scheduler.upgrade() else { return };
-                let wake = scheduler.dispatch_actions(&mut held(&scheduler.inner));
-                (scheduler.clock, wake)
+                let wake_at = scheduler.dispatch_actions(&mut held(&scheduler.state));
+                (scheduler.clock, wake_at)
             };
-            let at = clock.instant(wake.min(clock.now() + 2_000 * MS));
-            let Some(held) = scheduler.upgrade() else { return };
+            let timer = clock.instant(wake_at.min(clock.now() + 2_000 * MS));
+            let Some(scheduler) = scheduler.upgrade() else { return };
             tokio::select! {
-                () = sleep_until(at) => {}
-                () = held.woken.notified() => {}
+                () = sleep_until(timer) => {}
+                () = scheduler.timer_changed.notified() => {}
             }
         }
     }
 
-    /// From now on its retries are bounded by its share of this pool; with `None`, by its own settings again.
+    /// Limits retries to the scheduler's share of this pool from now on; with `None`, by its own settings again.
     pub fn set_pool(&self, pool: Option<&Arc<Mutex<RetryPool>>>) {
-        let mut inner = held(&self.inner);
+        let mut state = held(&self.state);
         match pool {
-            Some(pool) => held(pool).adopt(self.settings.plan.member.as_ref(), &inner.retry_account),
-            None if inner.retry_pool.is_none() => return,
+            Some(pool) => held(pool).adopt(self.settings.plan.member.as_ref(), &state.retry_account),
+            None if state.retry_pool.is_none() => return,
             None => {
                 let RetryLimits { ratio, floor, .. } = self.settings.retry_limits();
-                inner.policy.allow(ratio, floor);
-                inner.retry_account.set_allowance(ratio, floor);
+                state.decision_module.allow(ratio, floor);
+                state.retry_account.set_allowance(ratio, floor);
             }
         }
-        inner.retry_pool = pool.cloned();
+        state.retry_pool = pool.cloned();
     }
 
-    /// Tells the module how many retries it may make now, if the retry budget is divided.
-    fn update_retry_allowance(&self, inner: &mut SchedulerState, now: Nanos) {
-        let Some(pool) = &inner.retry_pool else { return };
+    /// Updates the module's retry allowance, if the retry budget is divided.
+    fn update_retry_allowance(&self, state: &mut SchedulerState, now: Nanos) {
+        let Some(pool) = &state.retry_pool else { return };
         let RetryLimits { ratio, floor, .. } = self.settings.retry_limits();
-        let left = held(pool).remaining(now, self.settings.plan.member.as_ref(), ratio, floor);
-        // The module bounds the retries that it has made itself since it began anew, so that these are added to what is left.
-        let floor = left + f64::from(inner.retry_account.policy_counts(now).retried);
-        inner.policy.allow(0.0, floor);
-        inner.retry_account.set_allowance(0.0, floor);
+        let remaining = held(pool).remaining(now, self.settings.plan.member.as_ref(), ratio, floor);
+        // The module's limit covers all retries that it has made since it was created, so these are added to what remains.
+        let floor = remaining + f64::from(state.retry_account.policy_counts(now).retried);
+        state.decision_module.allow(0.0, floor);
+        state.retry_account.set_allowance(0.0, floor);
     }
 
     /// Counts attempts in the divided retry budget, if there is one.
-    fn count_in_pool(&self, inner: &SchedulerState, now: Nanos, counts: AttemptCounts) {
-        if let Some(pool) = &inner.retry_pool {
+    fn count_in_pool(&self, state: &SchedulerState, now: Nanos, counts: AttemptCounts) {
+        if let Some(pool) = &state.retry_pool {
             held(pool).add(now, self.settings.plan.member.as_ref(), counts);
         }
     }
 
-    /// Lets the module decide, and hands its actions to the requests, until it wants nothing more done. Returns when it next
-    /// wants to be asked.
-    fn dispatch_actions(&self, inner: &mut SchedulerState) -> Nanos {
+    /// Runs the module and hands its actions to the requests until there are no more. Returns when the module next asks to be
+    /// run.
+    fn dispatch_actions(&self, state: &mut SchedulerState) -> Nanos {
         loop {
             let now = self.clock.now();
-            self.update_retry_allowance(inner, now);
-            let wake = inner.policy.settle(now);
-            let acts = inner.policy.acts();
+            self.update_retry_allowance(state, now);
+            let wake_at = state.decision_module.settle(now);
+            let acts = state.decision_module.acts();
             if acts.is_empty() {
-                inner.wake_at = wake;
-                return wake;
+                state.wake_at = wake_at;
+                return wake_at;
             }
             for act in acts {
                 let (id, action) = match act {
-                    Act::Send { id, number, srv, give_up } => {
-                        (id, SchedulerAction::Send { number, srv, give_up })
-                    }
+                    Act::Send { id, number, srv, give_up } => (
+                        id,
+                        SchedulerAction::Send {
+                            attempt_number: number,
+                            upstream_id: srv,
+                            give_up_at: give_up,
+                        },
+                    ),
                     Act::Recall { id, .. } => (id, SchedulerAction::Cancel),
-                    Act::Deny { id, come_back } => (id, SchedulerAction::Reject { come_back }),
+                    Act::Deny { id, come_back } => (id, SchedulerAction::Reject { retry_after: come_back }),
                     Act::Abort { id } => (id, SchedulerAction::Fail),
                     Act::Log(line) => {
                         log::info!("{}: {line}", self.service);
                         continue;
                     }
-                    // The module is told the endpoints by `update_endpoints`, so that nothing is watched or probed for it here.
+                    // The module gets the endpoints from `update_endpoints`, so nothing is watched or probed here.
                     Act::Watch | Act::List | Act::Probe(_) | Act::Close(_) => continue,
                 };
-                if let Some(actions) = inner.action_senders.get(&id) {
+                if let Some(actions) = state.action_senders.get(&id) {
                     let _ = actions.send(action);
                 }
             }
         }
     }
 
-    /// Dispatches actions, and wakes the timer if the module now wants to be asked sooner.
-    fn dispatch_and_wake(&self, inner: &mut SchedulerState) {
-        let before = inner.wake_at;
-        if self.dispatch_actions(inner) < before {
-            self.woken.notify_one();
+    /// Dispatches actions, and notifies the timer if the module now asks to be run earlier.
+    fn dispatch_and_wake(&self, state: &mut SchedulerState) {
+        let previous = state.wake_at;
+        if self.dispatch_actions(state) < previous {
+            self.timer_changed.notify_one();
         }
     }
 
-    /// Hands a request to the module, which may act on it at once. Its id is set here.
-    pub fn schedule(self: &Arc<Self>, mut req: Req) -> ScheduledRequest {
-        let mut inner = held(&self.inner);
-        inner.last_id += 1;
-        let id = inner.last_id;
-        req.id = id;
+    /// Assigns an id to a request and hands it to the module, which may act on it immediately.
+    pub fn schedule(self: &Arc<Self>, mut request: Req) -> ScheduledRequest {
+        let mut state = held(&self.state);
+        state.last_request_id += 1;
+        let id = state.last_request_id;
+        request.id = id;
         let (sender, actions) = mpsc::unbounded_channel();
-        inner.action_senders.insert(id, sender);
+        state.action_senders.insert(id, sender);
         let now = self.clock.now();
-        let attempts = RequestAttempts::new(self.settings.is_repeatable(&req.rule_set), req.ends);
-        if req.again {
-            inner.retry_account.nested_call_retried(now);
-            self.count_in_pool(&inner, now, AttemptCounts { retried: 1, ..AttemptCounts::default() });
+        let attempts = RequestAttempts::new(self.settings.is_repeatable(&request.rule_set), request.ends);
+        if request.again {
+            state.retry_account.nested_call_retried(now);
+            self.count_in_pool(&state, now, AttemptCounts { retried: 1, ..AttemptCounts::default() });
         }
-        self.update_retry_allowance(&mut inner, now);
-        inner.policy.take(now, req);
-        self.dispatch_and_wake(&mut inner);
+        self.update_retry_allowance(&mut state, now);
+        state.decision_module.take(now, request);
+        self.dispatch_and_wake(&mut state);
         ScheduledRequest { scheduler: self.clone(), id, actions, finished: false, attempts }
     }
 
-    /// First attempts, retries and retries refused for lack of budget, in the budget's window.
+    /// First attempts, retries and denied retries in the budget's window.
     pub fn attempt_counts(&self) -> AttemptCounts {
-        held(&self.inner).retry_account.reported_counts(self.clock.now())
+        held(&self.state).retry_account.reported_counts(self.clock.now())
     }
 
-    /// Whether this incarnation of an upstream is known and accepts requests.
-    pub fn accepts_requests(&self, srv: &Name) -> bool {
-        held(&self.inner).listed.get(srv).is_some_and(|listed| listed.state == State::Up)
+    /// Whether this upstream incarnation is known and accepts requests.
+    pub fn accepts_requests(&self, upstream_id: &Name) -> bool {
+        held(&self.state).listed.get(upstream_id).is_some_and(|listed| listed.state == State::Up)
     }
 
-    /// Where this incarnation of an upstream is reached, if it is known.
-    pub fn endpoint(&self, srv: &Name) -> Option<Endpoint> {
-        held(&self.inner).endpoints.get(srv).cloned()
+    /// The endpoint of this upstream incarnation, if it is known.
+    pub fn endpoint(&self, upstream_id: &Name) -> Option<Endpoint> {
+        held(&self.state).endpoints.get(upstream_id).cloned()
     }
 
-    /// Tells the module the endpoints of the service as they are now, if that differs from what it knows. `zone` is that of
-    /// this node; `suspected` are inbound proxies to which nothing new is sent.
+    /// Gives the module the service's endpoints if they have changed. `zone` is that of this node; `suspected` are inbound
+    /// proxies that get no new requests.
     pub fn update_endpoints<'a>(
         &self,
         records: impl Iterator<Item = &'a ReceivedRecord>,
         suspected: &HashSet<SocketAddr>,
         zone: &str,
     ) {
-        let mut inner = held(&self.inner);
+        let mut scheduler_state = held(&self.state);
         let now = self.clock.now();
         let records: Vec<&ReceivedRecord> =
             records.filter(|received| !received.record.upstream_id.is_empty()).collect();
@@ -486,11 +491,13 @@
                 && record.state == UpstreamState::Serving
                 && !suspected.contains(&record.inbound_proxy)
         };
-        let near = records.iter().any(|received| received.record.zone == zone && accepts(&received.record));
+        let zone_accepts =
+            records.iter().any(|received| received.record.zone == zone && accepts(&received.record));
         let mut current = HashMap::new();
-        let wanted = |record: &EndpointRecord| !(self.settings.plan.large && near) || record.zone == zone;
+        let is_candidate =
+            |record: &EndpointRecord| !(self.settings.plan.is_large && zone_accepts) || record.zone == zone;
         for ReceivedRecord { record, received_at } in
-            records.into_iter().filter(|received| wanted(&received.record))
+            records.into_iter().filter(|received| is_candidate(&received.record))
         {
             let state = if accepts(record) {
                 State::Up
@@ -499,92 +506,116 @@
             } else {
                 State::Draining
             };
-            let srv: Name = record.upstream_id.as_str().into();
-            let was = inner.listed.get(&srv);
-            let came_up = was.and_then(|was| was.came_up);
+            let upstream_id: Name = record.upstream_id.as_str().into();
+            let came_up = scheduler_state.listed.get(&upstream_id).and_then(|previous| previous.came_up);
             let warm_at = received_at + record.warming_up_ms * MS;
-            let came_up = came_up.or((warm_at > now).then(|| warm_at.saturating_sub(SLOW_START)));
-            let far = near && record.zone != zone;
-            let weight =
-                f64::from(record.concurrency_limit.max(1)) * if far { OTHER_ZONE_WEIGHT } else { 1.0 };
-            let site: Name = record.zone.as_str().into();
-            let listed = Listed { srv: srv.clone(), state, came_up, weight, site: site.clone(), cell: 0 };
-            current.insert(
-                srv.clone(),
-                (listed, Endpoint { inbound_proxy: record.inbound_proxy, upstream_id: srv, zone: site }),
-            );
+            let came_up = came_up.or((warm_at > now).then(|| warm_at.saturating_sub(SLOW_START_DURATION)));
+            let in_other_zone = zone_accepts && record.zone != zone;
+            let weight = f64::from(record.concurrency_limit.max(1))
+                * if in_other_zone { OTHER_ZONE_WEIGHT_FACTOR } else { 1.0 };
+            let record_zone: Name = record.zone.as_str().into();
+            let listed = Listed {
+                srv: upstream_id.clone(),
+                state,
+                came_up,
+                weight,
+                site: record_zone.clone(),
+                cell: 0,
+            };
+            let endpoint = Endpoint {
+                inbound_proxy: record.inbound_proxy,
+                upstream_id: upstream_id.clone(),
+                zone: record_zone,
+            };
+            current.insert(upstream_id, (listed, endpoint));
         }
-        let is_same = |(srv, (listed, endpoint)): (&Name, &(Listed, Endpoint))| {
-            let was = inner.listed.get(srv).map(|was| (was.state, was.weight, was.came_up, &was.site));
-            was == Some((listed.state, listed.weight, listed.came_up, &listed.site))
-                && inner.endpoints.get(srv) == Some(endpoint)
+        let is_unchanged = |(upstream_id, (listed, endpoint)): (&Name, &(Listed, Endpoint))| {
+            let previous = scheduler_state
+                .listed
+                .get(upstream_id)
+                .map(|previous| (previous.state, previous.weight, previous.came_up, &previous.site));
+            previous == Some((listed.state, listed.weight, listed.came_up, &listed.site))
+                && scheduler_state.endpoints.get(upstream_id) == Some(endpoint)
         };
-        if current.len() == inner.listed.len() && current.iter().all(is_same) {
+        if current.len() == scheduler_state.listed.len() && current.iter().all(is_unchanged) {
             return;
         }
         let entries: Vec<Listed> = current.values().map(|(listed, _)| listed.clone()).collect();
-        inner.endpoints =
-            current.iter().map(|(srv, (_, endpoint))| (srv.clone(), endpoint.clone())).collect();
-        inner.listed = current.into_iter().map(|(srv, (listed, _))| (srv, listed)).collect();
-        inner.policy.news(now, Outcome::List { whole: true, old: false, entries: &entries });
-        self.dispatch_and_wake(&mut inner);
+        scheduler_state.endpoints = current
+            .iter()
+            .map(|(upstream_id, (_, endpoint))| (upstream_id.clone(), endpoint.clone()))
+            .collect();
+        scheduler_state.listed =
+            current.into_iter().map(|(upstream_id, (listed, _))| (upstream_id, listed)).collect();
+        scheduler_state
+            .decision_module
+            .news(now, Outcome::List { whole: true, old: false, entries: &entries });
+        self.dispatch_and_wake(&mut scheduler_state);
     }
 }
 
 #[cfg(test)]
 impl ServiceSettings {
-    /// As if all its routes were those of this member, with this greatest number of attempts.
-    pub fn of_member(&mut self, member: Name, max_attempts: u32) {
+    /// Assigns all routes to this member, with this greatest number of attempts.
+    pub fn set_member(&mut self, member: Name, max_attempts: u32) {
         (self.plan.member, self.plan.max_attempts) = (Some(member), max_attempts);
     }
 }
 
 impl ScheduledRequest {
-    /// To be called when an attempt is sent. Returns what was counted for it: a first attempt or a retry.
+    /// To be called when an attempt is sent. Returns what it counts as: a first attempt or a retry.
     pub fn attempt_started(&self) -> AttemptCounts {
-        let (mut inner, now) = (held(&self.scheduler.inner), self.scheduler.clock.now());
-        let counted = inner.retry_account.attempt_started(now, &self.attempts);
-        self.scheduler.count_in_pool(&inner, now, counted);
+        let (mut state, now) = (held(&self.scheduler.state), self.scheduler.clock.now());
+        let counted = state.retry_account.attempt_started(now, &self.attempts);
+        self.scheduler.count_in_pool(&state, now, counted);
         counted
     }
 
-    /// To be called when an attempt has ended, after `took`. `closed` says that its response is the final answer of the
-    /// request; `inside` is the load that the inbound proxy reported, if it did.
-    pub fn attempt_ended(&mut self, number: usize, how: How, took: Nanos, closed: bool, inside: Option<f64>) {
-        let mut inner = held(&self.scheduler.inner);
+    /// To be called when an attempt has ended. `is_final` says that its response is the final one of the request; `load` is
+    /// the load that the inbound proxy reported, if any.
+    pub fn attempt_ended(
+        &mut self,
+        attempt_number: usize,
+        how: How,
+        duration: Nanos,
+        is_final: bool,
+        load: Option<f64>,
+    ) {
+        let mut state = held(&self.scheduler.state);
         self.attempts.ended(how);
-        self.finished |= closed;
+        self.finished |= is_final;
         let now = self.scheduler.clock.now();
-        self.scheduler.update_retry_allowance(&mut inner, now);
-        inner.policy.ended(now, self.id, number, End { how, took, closed, report: inside.as_slice() });
-        self.scheduler.dispatch_and_wake(&mut inner);
+        self.scheduler.update_retry_allowance(&mut state, now);
+        let end = End { how, took: duration, closed: is_final, report: load.as_slice() };
+        state.decision_module.ended(now, self.id, attempt_number, end);
+        self.scheduler.dispatch_and_wake(&mut state);
     }
 
-    /// To be called when the module has given the request up, or its final answer is made without one. Returns what was
-    /// counted for that: a retry that was refused.
+    /// To be called when the module has given up the request, or the outbound proxy ends it itself. Returns what that counts
+    /// as: a denied retry, if any.
     pub fn finish(&mut self) -> AttemptCounts {
         self.finished = true;
-        held(&self.scheduler.inner).retry_account.request_given_up(self.scheduler.clock.now(), &self.attempts)
+        held(&self.scheduler.state).retry_account.request_given_up(self.scheduler.clock.now(), &self.attempts)
     }
 }
 
 impl Drop for ScheduledRequest {
     fn drop(&mut self) {
-        let mut inner = held(&self.scheduler.inner);
-        inner.action_senders.remove(&self.id);
+        let mut state = held(&self.scheduler.state);
+        state.action_senders.remove(&self.id);
         if !self.finished {
             let now = self.scheduler.clock.now();
-            inner.policy.left(now, self.id);
-            // An attempt that is out ends with the request. Its number isn't kept here, so that all that can occur are ended.
-            for number in 0..64 {
-                inner.policy.ended(
+            state.decision_module.left(now, self.id);
+            // An attempt in flight ends with the request. Its number isn't stored, so all possible numbers are ended.
+            for attempt_number in 0..64 {
+                state.decision_module.ended(
                     now,
                     self.id,
-                    number,
+                    attempt_number,
                     End { how: How::Recalled, took: 0, closed: true, report: &[] },
                 );
             }
-            self.scheduler.dispatch_and_wake(&mut inner);
+            self.scheduler.dispatch_and_wake(&mut state);
         }
     }
 }
--- a/balancer/src/mesh/proxy/tests/request_scheduler_tests.rs
+++ b/balancer/src/mesh/proxy/tests/request_scheduler_tests.rs
@@ -36,7 +36,7 @@
 }
 
 fn scheduler(was: Option<Arc<RequestScheduler>>, told: ServiceSettings) -> Arc<RequestScheduler> {
-    RequestScheduler::of(was, ("a".into(), told), Clock::new(), || 7, 10_000 * MS)
+    RequestScheduler::reuse_or_create(was, ("a".into(), told), Clock::new(), || 7, 10_000 * MS)
 }
 
 fn record(host: u8, zone: &str, stand: UpstreamState) -> EndpointRecord {
@@ -78,7 +78,7 @@
 /// Where it goes next, if it goes.
 async fn goes(scheduled: &mut ScheduledRequest) -> Option<(usize, String)> {
     match scheduled.actions.recv().await {
-        Some(SchedulerAction::Send { number, srv, .. }) => {
+        Some(SchedulerAction::Send { attempt_number: number, upstream_id: srv, .. }) => {
             scheduled.attempt_started();
             Some((number, srv.to_string()))
         }
@@ -161,7 +161,7 @@
     let records = [1, 2].map(|host| record(host, "a", UpstreamState::Serving));
     let member = |tries| {
         let mut told = told(1, false);
-        told.of_member("norte".into(), tries);
+        told.set_member("norte".into(), tries);
         told
     };
     let share = MemberShares { member: "norte".into(), retry: 0.25, concurrency: 0.5 };
