--- a/balancer/src/mesh/proxy/outbound.rs
+++ b/balancer/src/mesh/proxy/outbound.rs
@@ -1,19 +1,19 @@
-//! The outbound proxy: takes the requests of this node's clients and the nested calls of its upstream.
+//! The outbound proxy: accepts the requests of this node's clients and the nested calls of its upstream.
 //!
-//! The way of a request: [`handle_request`] finds its route in the configuration in force, reads the body and computes the
-//! deadline. A request with an idempotency key takes a lease first (`run_with_lease`). `RequestInFlight::run` then draws a
-//! service and carries out the scheduler's actions: each attempt goes to the inbound proxy of the chosen endpoint, and its
-//! outcome goes back to the decision module, until there is one final answer for the client.
+//! Request path: [`handle_request`] finds the route in the configuration in force, reads the body and computes the deadline.
+//! A request with an idempotency key acquires a lease first (`run_with_lease`). `RequestInFlight::run` then chooses a service
+//! and executes the scheduler's actions: each attempt goes to the inbound proxy of the chosen endpoint, and its outcome goes
+//! back to the decision module, until the request has a final response.
 //!
-//! Main types: `RequestInFlight` (one request with its deadline and its session), `Attempt` (what differs between its
-//! attempts), `RequestOutcome` (what it came to).
+//! Main types: `RequestInFlight` (a request with its deadline and session), `Attempt` (parameters of one attempt),
+//! `RequestOutcome` (the final outcome).
 //!
 //! Invariants:
-//! - Where an attempt goes is decided by the decision module alone, never here.
-//! - A request that the configuration in force on this node forbids is not forwarded.
-//! - An answer that has arrived is returned at once; nothing here delays it.
+//! - Only the decision module chooses the endpoint of an attempt.
+//! - A request that the configuration in force on this node doesn't allow is not forwarded.
+//! - A response that has arrived is returned without delay.
 //! - A client is told that its request has not run only if that is certain. (On a repeatable route an upstream's own error
-//!   response is passed on as it is, since running twice does no harm there.)
+//!   response is passed on unchanged, since a second run is harmless there.)
 
 use std::pin::pin;
 use std::sync::Arc;
@@ -48,37 +48,36 @@
 use crate::mesh::proxy::session_affinity::{self, BoundSession};
 
 const MS: Nanos = 1_000_000;
-/// Time kept back from the deadline for the answer's way back to the client.
+/// Subtracted from the deadline, so that the response reaches the client in time.
 const RESPONSE_MARGIN: Nanos = 12 * MS;
 /// Longest response body, in bytes, that is stored with its lease. A longer one completes the lease as indeterminate.
 const MAX_STORED_RESPONSE_BYTES: usize = 64 * 1024;
 /// `Retry-After` of a rejection for which the decision module gives no time.
 const DEFAULT_RETRY_AFTER: Nanos = 100 * MS;
-/// A request with a large response is rejected if this process shuts down sooner than this after it was received, since
-/// its response would be cut off.
+/// A request for a large response is rejected if this process shuts down sooner than this after it was received, since the
+/// response would be truncated.
 const MIN_LARGE_RESPONSE_TIME: Nanos = 2_400 * MS;
-/// Added to the time after which a client is told to retry: a burst of requests that is rejected at once would otherwise
-/// return at once.
-const MIN_RETRY_AFTER: Nanos = 10 * MS;
+/// Added to the decision module's retry time, so that a burst of requests that is rejected at once doesn't return at once.
+const RETRY_AFTER_OFFSET: Nanos = 10 * MS;
 
-/// What a request came to at this outbound proxy.
+/// Final outcome of a request at this outbound proxy.
 enum RequestOutcome {
     /// An upstream's response, successful or not.
     Response(Parts, ResponseBody),
-    /// It has not run and never will. The client may retry after this time; 0 stands for [`DEFAULT_RETRY_AFTER`].
+    /// The request has not run and never will. The client may retry after this time; 0 stands for [`DEFAULT_RETRY_AFTER`].
     NotRun(Nanos),
-    /// It may have run, and there is no response that tells.
+    /// The request may have run, and no response shows whether it did.
     MayHaveRun {
-        /// Its deadline has passed: the client gets 504 instead of 502.
-        late: bool,
+        /// The deadline has passed: the client gets 504 instead of 502.
+        deadline_passed: bool,
     },
 }
 
-/// Answers one request of a client or of the upstream on this node.
+/// Handles one request of a client or of the upstream on this node.
 ///
-/// Answers that are made here: 400 without a request id, 404 without a route, what [`listener::read_message`] rejects, 409
-/// while the lease on its key is pending, 502 or 504 if it may have run, and 503 with `Retry-After` if it has not run.
-/// Each answer carries the request's id.
+/// Responses generated here: 400 without a request id, 404 without a route, the errors of [`listener::read_message`], 409
+/// while the lease on the request's key is pending, 502 or 504 if the request may have run, and 503 with `Retry-After` if it
+/// has not run. Each response carries the request's id.
 pub async fn handle_request(node: Arc<Node>, received: ReceivedRequest) -> Response<ResponseBody> {
     let headers = received.request.headers();
     let Some(id) = headers.get(&REQUEST_ID).cloned() else {
@@ -90,38 +89,42 @@
     let Some(route) = configuration.route(&host, &path).cloned() else {
         return plain_response(404, "no such route");
     };
-    let person = route
+    let session_value = route
         .session_header
         .as_ref()
         .and_then(|name| headers.get(&**name))
         .and_then(|value| value.to_str().ok());
-    let person = person.filter(|person| !person.is_empty()).map(str::to_owned);
-    let left =
+    let session_value = session_value.filter(|value| !value.is_empty()).map(str::to_owned);
+    let left_ms =
         header_str(headers, &TIME_LEFT_MS).parse::<u64>().unwrap_or(route.deadline_ms).min(MAX_TIME_LEFT_MS);
     let key =
         Some(header_str(headers, &IDEMPOTENCY_KEY)).filter(|key| !key.is_empty()).map(lease_client::hash_key);
     let received_at = received.received_at;
     let nested_call = node.nested_call(&id);
     let limits = configuration.limits();
-    let slow = Duration::from_millis(limits.header_timeout_ms.max(left));
-    let read = listener::read_message(received, &node.bodies, node.clock, limits.max_body_bytes, slow).await;
-    let (mut message, room) = match read {
+    let body_timeout = Duration::from_millis(limits.header_timeout_ms.max(left_ms));
+    let read =
+        listener::read_message(received, &node.bodies, node.clock, limits.max_body_bytes, body_timeout).await;
+    let (mut message, body_permit) = match read {
         Ok(read) => read,
         Err(RequestError(status, reason)) => return plain_response(status, reason),
     };
     for name in [&TARGET_UPSTREAM, &CALLER_SERVICE, &REQUEST_TERMS, &FENCING_TOKEN, &ATTEMPT_OUTCOME] {
         message.head.headers_mut().remove(name);
     }
-    let ends_by = node.shutdown_deadline();
-    if route.repeat_policy == RepeatPolicy::LargeResponse && ends_by < received_at + MIN_LARGE_RESPONSE_TIME {
+    let shutdown_deadline = node.shutdown_deadline();
+    if route.repeat_policy == RepeatPolicy::LargeResponse
+        && shutdown_deadline < received_at + MIN_LARGE_RESPONSE_TIME
+    {
         return rejection_response(DEFAULT_RETRY_AFTER);
     }
-    let deadline =
-        (received_at + left.min(route.deadline_ms) * MS).min(ends_by).saturating_sub(RESPONSE_MARGIN);
+    let deadline = (received_at + left_ms.min(route.deadline_ms) * MS)
+        .min(shutdown_deadline)
+        .saturating_sub(RESPONSE_MARGIN);
     let target = (received_at + route.latency_target_ms * MS)
-        .saturating_sub(node.time_used_ms(&route, left) * MS + RESPONSE_MARGIN);
-    // A nested call keeps its caller's slot occupied, and its answer is of use for as long as the caller waits. It is
-    // therefore not late before seven tenths of the route's deadline have passed.
+        .saturating_sub(node.time_used_ms(&route, left_ms) * MS + RESPONSE_MARGIN);
+    // A nested call occupies its caller's slot, and its response is useful for as long as the caller waits. It is therefore
+    // not late before 70 % of the route's deadline have passed.
     let target = if nested_call.is_some() {
         target.max(received_at + route.deadline_ms * MS * 7 / 10)
     } else {
@@ -138,69 +141,69 @@
         caller_is_retry: nested_call == Some(true),
         is_nested: nested_call.is_some(),
         key,
-        person,
+        session_value,
     };
-    let mut answer = match key.filter(|_| route.repeat_policy == RepeatPolicy::Keyed) {
+    let mut response = match key.filter(|_| route.repeat_policy == RepeatPolicy::Keyed) {
         Some(key) => {
-            // Runs in its own task, so that it is not cancelled when its client disconnects: its outcome must complete the
-            // lease, from which later requests with the same key are answered.
-            let (send, answered) = oneshot::channel();
+            // Runs in a task of its own, so that it isn't cancelled when the client disconnects: the outcome must complete
+            // the lease, which answers later requests with the same key.
+            let (response_sender, response_receiver) = oneshot::channel();
             tokio::spawn(async move {
-                let (_room, _inside) = (room, RequestGuard::new(&in_flight.node));
-                let _ = send.send(run_with_lease(in_flight, key).await);
+                let (_body_permit, _request_guard) = (body_permit, RequestGuard::new(&in_flight.node));
+                let _ = response_sender.send(run_with_lease(in_flight, key).await);
             });
-            answered.await.unwrap_or_else(|_| plain_response(502, "it may have run"))
+            response_receiver.await.unwrap_or_else(|_| plain_response(502, "it may have run"))
         }
-        None => in_flight.run().await.into_answer(),
+        None => in_flight.run().await.into_response(),
     };
-    if !answer.headers().contains_key(&REQUEST_ID) {
-        answer.headers_mut().insert(REQUEST_ID, id);
+    if !response.headers().contains_key(&REQUEST_ID) {
+        response.headers_mut().insert(REQUEST_ID, id);
     }
-    answer
+    response
 }
 
-/// 503 with `Retry-After`: the request has not run and may be sent again after `retry_after`.
+/// 503 with `Retry-After`: the request has not run and may be retried after `retry_after`.
 fn rejection_response(retry_after: Nanos) -> Response<ResponseBody> {
-    let mut answer = plain_response(503, "not run: come back");
-    let back = if retry_after == 0 { DEFAULT_RETRY_AFTER } else { MIN_RETRY_AFTER + retry_after };
-    if let Ok(value) = HeaderValue::try_from(format!("{:.3}", seconds(back))) {
-        answer.headers_mut().insert(RETRY_AFTER, value);
+    let mut response = plain_response(503, "not run: come back");
+    let retry_after = if retry_after == 0 { DEFAULT_RETRY_AFTER } else { RETRY_AFTER_OFFSET + retry_after };
+    if let Ok(value) = HeaderValue::try_from(format!("{:.3}", seconds(retry_after))) {
+        response.headers_mut().insert(RETRY_AFTER, value);
     }
-    answer
+    response
 }
 
 impl RequestOutcome {
-    fn into_answer(self) -> Response<ResponseBody> {
+    fn into_response(self) -> Response<ResponseBody> {
         match self {
             RequestOutcome::Response(mut head, body) => {
                 head.headers.remove(&ATTEMPT_OUTCOME);
                 Response::from_parts(head, body)
             }
             RequestOutcome::NotRun(retry_after) => rejection_response(retry_after),
-            RequestOutcome::MayHaveRun { late: true } => {
+            RequestOutcome::MayHaveRun { deadline_passed: true } => {
                 plain_response(504, "its time is over; it may have run")
             }
-            RequestOutcome::MayHaveRun { late: false } => plain_response(502, "it may have run"),
+            RequestOutcome::MayHaveRun { deadline_passed: false } => plain_response(502, "it may have run"),
         }
     }
 }
 
-/// Runs a request with an idempotency key under a lease. If another request holds the lease, this one does not run and
-/// is answered from what is known of the other's outcome.
+/// Runs a request with an idempotency key under a lease. If another request holds the lease, this one does not run, and the
+/// response is derived from the other's outcome.
 async fn run_with_lease(in_flight: RequestInFlight, key: LeaseKey) -> Response<ResponseBody> {
     let node = in_flight.node.clone();
     let token: LeaseToken = node.new_token();
     let now = node.clock.now();
-    let left = in_flight.deadline.saturating_sub(now);
-    let wait = held(&node.lease_breaker).wait(now, left, node.quorum_unreachable());
-    let left_ms = (left / MS).min(u64::from(u32::MAX)) as u32;
-    let within = Duration::from_nanos(wait);
+    let time_left = in_flight.deadline.saturating_sub(now);
+    let wait = held(&node.lease_breaker).wait(now, time_left, node.quorum_unreachable());
+    let left_ms = (time_left / MS).min(u64::from(u32::MAX)) as u32;
+    let timeout = Duration::from_nanos(wait);
     let response =
-        lease_client::acquire_lease(&node.replicas, &node.rpc, (key, token), left_ms, within).await;
+        lease_client::acquire_lease(&node.replicas, &node.rpc, (key, token), left_ms, timeout).await;
     match response {
         CoreResponse::Unavailable => {
-            let ended = node.clock.now();
-            held(&node.lease_breaker).unanswered(ended, ended - now);
+            let ended_at = node.clock.now();
+            held(&node.lease_breaker).unanswered(ended_at, ended_at - now);
         }
         _ => held(&node.lease_breaker).answered(),
     }
@@ -210,11 +213,10 @@
     match response {
         CoreResponse::LeaseGranted => {}
         other => {
-            // Some replicas may have granted the lease though no quorum is known to. It is released, and the token is
-            // never used.
+            // Some replicas may have granted the lease without a known quorum. It is released, and the token is never used.
             complete(None);
             return match other {
-                CoreResponse::LeaseHeld(LeaseOutcome::Completed(answer)) => replay_stored(&answer),
+                CoreResponse::LeaseHeld(LeaseOutcome::Completed(stored)) => replay_stored(&stored),
                 CoreResponse::LeaseHeld(LeaseOutcome::Pending) => {
                     plain_response(409, "a req with this key is at work")
                 }
@@ -234,7 +236,7 @@
             } else {
                 complete(Some(LeaseOutcome::Indeterminate));
             }
-            RequestOutcome::Response(head, ResponseBody::from_bytes(bytes)).into_answer()
+            RequestOutcome::Response(head, ResponseBody::from_bytes(bytes)).into_response()
         }
         RequestOutcome::NotRun(retry_after) => {
             complete(None);
@@ -242,27 +244,28 @@
         }
         other => {
             complete(Some(LeaseOutcome::Indeterminate));
-            other.into_answer()
+            other.into_response()
         }
     }
 }
 
-/// The response as it is stored with its lease: without the headers that belong to this one exchange. Headers whose
-/// values aren't visible ASCII are left out.
+/// Converts a response to the form that is stored with its lease, without the headers of this one exchange and those whose
+/// values aren't visible ASCII.
 fn stored_response(head: &Parts, body: &[u8]) -> StoredResponse {
-    let text = |(name, value): (&HeaderName, &HeaderValue)| {
+    let as_text = |(name, value): (&HeaderName, &HeaderValue)| {
         Some((name.as_str().to_owned(), value.to_str().ok()?.to_owned()))
     };
-    let ours = [&REQUEST_ID, &ATTEMPT_OUTCOME];
-    let headers = head.headers.iter().filter(|(name, _)| !ours.contains(name)).filter_map(text).collect();
+    let excluded = [&REQUEST_ID, &ATTEMPT_OUTCOME];
+    let headers =
+        head.headers.iter().filter(|(name, _)| !excluded.contains(name)).filter_map(as_text).collect();
     StoredResponse { status: head.status.as_u16(), headers, body: body.to_vec() }
 }
 
-/// A stored response as an answer to another request with the same key.
-fn replay_stored(answer: &StoredResponse) -> Response<ResponseBody> {
-    let mut response = Response::new(ResponseBody::from_bytes(answer.body.clone()));
-    *response.status_mut() = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::BAD_GATEWAY);
-    for (name, value) in &answer.headers {
+/// Converts a stored response to the response for a later request with the same key.
+fn replay_stored(stored: &StoredResponse) -> Response<ResponseBody> {
+    let mut response = Response::new(ResponseBody::from_bytes(stored.body.clone()));
+    *response.status_mut() = StatusCode::from_u16(stored.status).unwrap_or(StatusCode::BAD_GATEWAY);
+    for (name, value) in &stored.headers {
         if let (Ok(name), Ok(value)) = (HeaderName::try_from(name), HeaderValue::try_from(value)) {
             response.headers_mut().append(name, value);
         }
@@ -280,46 +283,46 @@
     !head.status.is_server_error() && !promises_not_run(head.status)
 }
 
-/// What an inbound proxy is told about one attempt of a request.
+/// Parameters of one attempt of a request.
 #[derive(Clone, Copy)]
 struct Attempt {
-    /// How many inbound proxies have rejected the request before. Starts at 1 for a large response, so that the first
-    /// inbound proxy may queue it: it is better served near than soon.
+    /// Number of inbound proxies that have rejected the request before. Starts at 1 for a large response, so that the first
+    /// inbound proxy may queue it: a node in the same zone matters more than a short wait.
     rejections: u32,
-    /// Its session is bound to this upstream, so that it rather waits for a slot than goes elsewhere.
+    /// The session is bound to this upstream, so the request prefers to wait for a slot there.
     has_affinity: bool,
     /// An earlier attempt was sent.
     is_retry: bool,
-    /// Its response is a large one.
-    large: bool,
-    /// Its session and the term since which this proxy owns it; none without a session.
+    /// The response is a large one.
+    is_large: bool,
+    /// The session and the term since which this proxy owns it; none without a session.
     fencing_token: Option<FencingToken>,
 }
 
-/// A request that has been received and has no final answer yet.
+/// A request that has been received and has no final response yet.
 struct RequestInFlight {
     node: Arc<Node>,
     route: Arc<Route>,
-    /// The edition of the member's routes with which it is counted; none on a route of the platform.
+    /// The edition of the member's routes that its outcome is counted for; none on a route of the platform.
     edition: Option<RouteEdition>,
     message: Arc<Message>,
-    /// No attempt goes on after this time. It leaves [`RESPONSE_MARGIN`] before the client's own deadline.
+    /// When its attempts end: [`RESPONSE_MARGIN`] before the client's own deadline.
     deadline: Nanos,
     received_at: Nanos,
-    /// When an answer is late by the route's latency target.
+    /// When a response misses the route's latency target.
     target: Nanos,
-    /// It is a nested call of a run that was itself a retry.
+    /// It is a nested call of a run that is itself a retry.
     caller_is_retry: bool,
     /// It is a nested call: a run of the upstream on this node waits for it.
     is_nested: bool,
-    /// Hash of its idempotency key, also on routes that take no lease.
+    /// Hash of its idempotency key, also on routes without leases.
     key: Option<LeaseKey>,
-    /// Value of the session header that its route names; none if the route names none or the value is empty.
-    person: Option<String>,
+    /// Value of the route's session header; none if the route has no session header or the value is empty.
+    session_value: Option<String>,
 }
 
 impl RequestInFlight {
-    /// Runs it to its final outcome, and counts that outcome for the member whose route it came by.
+    /// Runs the request to its final outcome, and counts that outcome for the member that owns the route.
     async fn run(&self) -> RequestOutcome {
         let outcome = self.run_attempts().await;
         let succeeded = matches!(&outcome, RequestOutcome::Response(head, _) if is_success(head));
@@ -338,33 +341,33 @@
         }
     }
 
-    /// Carries out the scheduler's actions until one of them is final, or the attempts or this process's time are used up.
+    /// Executes the scheduler's actions until one is final, the attempts are used up or this process aborts its requests.
     async fn run_attempts(&self) -> RequestOutcome {
         let Some(service) = self.node.choose_service(&self.route) else {
             return RequestOutcome::NotRun(DEFAULT_RETRY_AFTER);
         };
-        let large = self.route.repeat_policy == RepeatPolicy::LargeResponse;
+        let is_large = self.route.repeat_policy == RepeatPolicy::LargeResponse;
         let Some(scheduler) = self.node.scheduler(&service, &self.route) else {
             return RequestOutcome::NotRun(DEFAULT_RETRY_AFTER);
         };
-        let mut bound = self.session(&scheduler, &service, !large).await;
-        let fencing_token = bound.as_ref().map(|bound| bound.token);
-        let _at_work = fencing_token
+        let mut session = self.acquire_session(&scheduler, &service, !is_large).await;
+        let fencing_token = session.as_ref().map(|session| session.fencing_token);
+        let _key_in_flight = fencing_token
             .zip(self.key)
             .map(|(fencing_token, key)| session_affinity::track_key(&self.node, fencing_token.session, key));
         let route_class: Name = request_scheduler::route_class(&self.route).as_str().into();
         let mut request = Req::new(0, route_class, "".into(), self.received_at, self.deadline);
         request.again = self.caller_is_retry;
         request.coming = self.message.long.is_some();
-        request.tie = bound
+        request.tie = session
             .as_ref()
-            .and_then(|bound| bound.binding.as_ref())
+            .and_then(|session| session.binding.as_ref())
             .map(|binding| binding.upstream_id.as_str().into());
         let mut scheduled = scheduler.schedule(request);
-        let mut last: Option<(Parts, ResponseBody)> = None;
-        // Requests with large responses count as rejected once from the start, so that the first inbound proxy, which is a
-        // near one, may already queue them instead of rejecting them.
-        let (mut may_have_run, mut sent, mut rejections) = (false, 0, u32::from(large));
+        let mut error_response: Option<(Parts, ResponseBody)> = None;
+        // Requests for large responses count as rejected once from the start, so that the first inbound proxy, which is in
+        // the same zone, may queue them instead of rejecting them.
+        let (mut may_have_run, mut attempts_sent, mut rejections) = (false, 0, u32::from(is_large));
         let mut aborted = pin!(self.node.aborted());
         loop {
             let action = tokio::select! {
@@ -373,72 +376,69 @@
                 action = scheduled.actions.recv() => action,
             };
             match action {
-                Some(SchedulerAction::Send {
-                    attempt_number: number,
-                    upstream_id: srv,
-                    give_up_at: give_up,
-                }) => {
-                    if sent >= self.route.max_attempts {
+                Some(SchedulerAction::Send { attempt_number, upstream_id, give_up_at }) => {
+                    if attempts_sent >= self.route.max_attempts {
                         break;
                     }
-                    let began = self.node.clock.now();
-                    let Some(endpoint) = scheduler.endpoint(&srv) else {
-                        scheduled.attempt_ended(number, How::NotSent, 0, false, None);
+                    let started_at = self.node.clock.now();
+                    let Some(endpoint) = scheduler.endpoint(&upstream_id) else {
+                        scheduled.attempt_ended(attempt_number, How::NotSent, 0, false, None);
                         continue;
                     };
-                    if let Some(bound) = bound.as_mut().filter(|_| !large)
-                        && !session_affinity::attempt_starting(&self.node, &scheduler, bound, &endpoint).await
+                    if let Some(session) = session.as_mut().filter(|_| !is_large)
+                        && !session_affinity::bind_before_attempt(&self.node, &scheduler, session, &endpoint)
+                            .await
                     {
-                        // The session has moved to another owner or upstream. The client retries, and the retry finds it.
-                        scheduled.attempt_ended(number, How::NotSent, 0, false, None);
+                        // The session has moved to another owner or upstream. The client's retry finds it there.
+                        scheduled.attempt_ended(attempt_number, How::NotSent, 0, false, None);
                         scheduled.finish();
                         break;
                     }
                     self.count(scheduled.attempt_started());
                     let has_affinity =
-                        bound.as_ref().is_some_and(|bound| bound.is_bound_to(&endpoint.upstream_id));
-                    let attempt =
-                        Attempt { rejections, has_affinity, is_retry: sent > 0, large, fencing_token };
+                        session.as_ref().is_some_and(|session| session.is_bound_to(&endpoint.upstream_id));
+                    let is_retry = attempts_sent > 0;
+                    let attempt = Attempt { rejections, has_affinity, is_retry, is_large, fencing_token };
                     let Some((outcome, load)) =
-                        self.dispatch(&mut scheduled, &endpoint, attempt, give_up).await
+                        self.run_attempt(&mut scheduled, &endpoint, attempt, give_up_at).await
                     else {
                         may_have_run = true;
-                        scheduled.attempt_ended(number, How::Recalled, 0, false, None);
+                        scheduled.attempt_ended(attempt_number, How::Recalled, 0, false, None);
                         continue;
                     };
-                    sent +=
+                    attempts_sent +=
                         u32::from(!matches!(outcome, UpstreamOutcome::Rejected | UpstreamOutcome::Fenced(_)));
                     if matches!(outcome, UpstreamOutcome::Rejected) {
                         rejections += 1;
                         self.count(OutcomeCounts { rejected: 1, ..OutcomeCounts::default() });
                     }
-                    let took = self.node.clock.now() - began;
+                    let duration = self.node.clock.now() - started_at;
                     let how = match outcome {
                         UpstreamOutcome::Responded(head, body) if is_success(&head) => {
-                            scheduled.attempt_ended(number, How::Done, took, true, load);
-                            if let Some(bound) = bound.as_ref().filter(|_| !large) {
-                                session_affinity::attempt_succeeded(&self.node, bound, &endpoint);
+                            scheduled.attempt_ended(attempt_number, How::Done, duration, true, load);
+                            if let Some(session) = session.as_ref().filter(|_| !is_large) {
+                                session_affinity::count_success(&self.node, session, &endpoint);
                             }
                             return RequestOutcome::Response(head, body);
                         }
                         UpstreamOutcome::Responded(head, body) => {
                             may_have_run = true;
-                            // The attempt may have run. On a route that isn't repeatable, such a status would promise to the
-                            // client that it has not, so that the response isn't passed on.
-                            let untrue =
+                            // The attempt may have run. On a route that isn't repeatable, a response whose status promises
+                            // the contrary isn't passed on.
+                            let is_false_promise =
                                 !self.route.repeat_policy.repeatable() && promises_not_run(head.status);
-                            last = (!untrue).then_some((head, body));
+                            error_response = (!is_false_promise).then_some((head, body));
                             How::Error
                         }
                         UpstreamOutcome::UpstreamFull | UpstreamOutcome::Gone => How::Full,
                         UpstreamOutcome::Rejected => How::Turned,
-                        UpstreamOutcome::Fenced(known) => {
-                            // Another proxy owns the session since a later term, so that this request comes too late. It
-                            // ends here, and the client's retry goes to the new owner.
-                            fencing_token
-                                .into_iter()
-                                .for_each(|fencing_token| self.node.sessions().fenced(fencing_token, known));
-                            scheduled.attempt_ended(number, How::Turned, took, false, load);
+                        UpstreamOutcome::Fenced(current_term) => {
+                            // Another proxy has owned the session since a later term. The request ends here, and the
+                            // client's retry goes to the new owner.
+                            if let Some(fencing_token) = fencing_token {
+                                self.node.sessions().record_fencing(fencing_token, current_term);
+                            }
+                            scheduled.attempt_ended(attempt_number, How::Turned, duration, false, load);
                             scheduled.finish();
                             break;
                         }
@@ -453,12 +453,12 @@
                             How::TimedOut
                         }
                     };
-                    scheduled.attempt_ended(number, how, took, false, load);
+                    scheduled.attempt_ended(attempt_number, how, duration, false, load);
                 }
                 Some(SchedulerAction::Cancel) => {}
                 Some(SchedulerAction::Reject { retry_after }) => {
                     self.count(scheduled.finish());
-                    if last.is_none() && !may_have_run {
+                    if error_response.is_none() && !may_have_run {
                         return RequestOutcome::NotRun(retry_after);
                     }
                     break;
@@ -469,51 +469,51 @@
                 }
             }
         }
-        let late = self.node.clock.now() >= self.deadline;
-        match last {
-            // An upstream's own error response tells the client more than one made here.
+        let deadline_passed = self.node.clock.now() >= self.deadline;
+        match error_response {
+            // An upstream's own error response is more informative than one generated here.
             Some((head, body)) => RequestOutcome::Response(head, body),
             None if !may_have_run => RequestOutcome::NotRun(DEFAULT_RETRY_AFTER),
-            None => RequestOutcome::MayHaveRun { late },
+            None => RequestOutcome::MayHaveRun { deadline_passed },
         }
     }
 
     /// Acquires the session of the request; none if its route or its headers name none. `follows_binding` says whether the
-    /// request goes to the upstream to which the session is bound.
-    async fn session(
+    /// request goes to the upstream that the session is bound to.
+    async fn acquire_session(
         &self,
         scheduler: &RequestScheduler,
         service: &Name,
         follows_binding: bool,
     ) -> Option<BoundSession> {
-        let (header, person) = (self.route.session_header.as_ref()?, self.person.as_ref()?);
+        let (header, value) = (self.route.session_header.as_ref()?, self.session_value.as_ref()?);
         session_affinity::acquire(
             &self.node,
             scheduler,
-            session_affinity::session_id(service, header, person),
+            session_affinity::session_id(service, header, value),
             follows_binding,
         )
         .await
     }
 
-    /// Makes one attempt, ended by `give_up` or the deadline at the latest. Returns its outcome and the load that the
-    /// inbound proxy reported; `None` if the attempt was cancelled or this process gives up its requests.
-    async fn dispatch(
+    /// Makes one attempt, which ends at `give_up_at` or the deadline at the latest. Returns its outcome and the load that the
+    /// inbound proxy reported; `None` if the attempt was cancelled or this process aborts its requests.
+    async fn run_attempt(
         &self,
         scheduled: &mut ScheduledRequest,
         endpoint: &Endpoint,
         attempt: Attempt,
-        give_up: Nanos,
+        give_up_at: Nanos,
     ) -> Option<(UpstreamOutcome, Option<f64>)> {
-        let work = self.send(endpoint, attempt, give_up.min(self.deadline));
+        let sending = self.send_attempt(endpoint, attempt, give_up_at.min(self.deadline));
         let mut aborted = pin!(self.node.aborted());
-        tokio::pin!(work);
+        tokio::pin!(sending);
         loop {
             tokio::select! {
-                outcome = &mut work => return Some(outcome),
+                outcome = &mut sending => return Some(outcome),
                 action = scheduled.actions.recv() => match action {
-                    // That one attempt stays unanswered is no reason to cancel it: its node must be suspected by the
-                    // replicas as well, and the request be one that may run twice.
+                    // A missing response alone is no reason to cancel an attempt: the replicas must suspect the node as
+                    // well, and the route must be repeatable.
                     Some(SchedulerAction::Cancel) if self.route.repeat_policy.repeatable() && self.node.is_suspected(&endpoint.inbound_proxy) => {
                         return None;
                     }
@@ -525,23 +525,23 @@
         }
     }
 
-    /// Forwards one attempt to the endpoint's inbound proxy: by a call if that is on this node, else over a connection with
-    /// the terms in headers. The second value is the inbound proxy's load (running and queued requests), if it is known.
-    async fn send(
+    /// Forwards one attempt to the endpoint's inbound proxy: by a function call on this node, else over a connection with the
+    /// terms in headers. The second value is the inbound proxy's load (running and queued requests), if known.
+    async fn send_attempt(
         &self,
         endpoint: &Endpoint,
         attempt: Attempt,
-        until: Nanos,
+        deadline: Nanos,
     ) -> (UpstreamOutcome, Option<f64>) {
-        let Attempt { rejections, has_affinity, large, fencing_token, .. } = attempt;
+        let Attempt { rejections, has_affinity, is_large, fencing_token, .. } = attempt;
         let (node, now) = (&self.node, self.node.clock.now());
-        let (caller, away) = (node.caller_header(), endpoint.inbound_proxy != node.inbound_address());
+        let (caller, is_remote) = (node.caller_header(), endpoint.inbound_proxy != node.inbound_address());
         let (message, upstream_id, target) = (&self.message, &*endpoint.upstream_id, self.target);
-        let share = self
+        let member_share = self
             .route
             .share
             .as_ref()
-            .map(|of| MemberShare { member: of.member.clone(), share: of.concurrency });
+            .map(|share| MemberShare { member: share.member.clone(), share: share.concurrency });
         let request = InboundRequest {
             message,
             upstream_id,
@@ -550,47 +550,47 @@
             has_affinity,
             is_retry: attempt.is_retry || self.caller_is_retry,
             is_nested: self.is_nested,
-            is_large: large,
-            is_remote: away,
+            is_large,
+            is_remote,
             fencing_token,
             target,
-            deadline: until,
-            member_share: share,
+            deadline,
+            member_share,
         };
-        if !away {
+        if !is_remote {
             let outcome = node.inbound.forward(request).await;
             return (outcome, Some(node.inbound.load() as f64));
         }
-        let left = until.saturating_sub(now) / MS;
-        if left == 0 {
+        let left_ms = deadline.saturating_sub(now) / MS;
+        if left_ms == 0 {
             return (UpstreamOutcome::NotSent, None);
         }
-        let mut fields = HeaderMap::new();
-        fields.insert(TIME_LEFT_MS, HeaderValue::from(left));
+        let mut added_headers = HeaderMap::new();
+        added_headers.insert(TIME_LEFT_MS, HeaderValue::from(left_ms));
         if let Ok(id) = HeaderValue::try_from(&*endpoint.upstream_id) {
-            fields.insert(TARGET_UPSTREAM, id);
+            added_headers.insert(TARGET_UPSTREAM, id);
         }
         if let Ok(value) = HeaderValue::try_from(request.terms_header(now)) {
-            fields.insert(REQUEST_TERMS, value);
+            added_headers.insert(REQUEST_TERMS, value);
         }
         if let Some(Ok(value)) =
             fencing_token.map(|fencing_token| HeaderValue::try_from(fencing_token.to_header()))
         {
-            fields.insert(FENCING_TOKEN, value);
+            added_headers.insert(FENCING_TOKEN, value);
         }
-        fields.insert(CALLER_SERVICE, caller);
+        added_headers.insert(CALLER_SERVICE, caller);
         node.inbound.record_outgoing_bytes(message.length.unwrap_or(0));
-        // Only an inbound proxy sets this header: a response without it comes from somewhere else.
-        let ours = |head: &Parts| head.headers.contains_key(&ATTEMPT_OUTCOME);
+        // Only inbound proxies set this header: a response without it is not from one.
+        let is_from_inbound_proxy = |head: &Parts| head.headers.contains_key(&ATTEMPT_OUTCOME);
         let outcome = match node
             .connection_pool(endpoint.inbound_proxy)
-            .exchange(&self.message, &fields, until, None, ours)
+            .exchange(&self.message, &added_headers, deadline, None, is_from_inbound_proxy)
             .await
         {
             Ok((head, body)) => {
                 let value = header_str(&head.headers, &ATTEMPT_OUTCOME).to_owned();
-                let (outcome_word, load) = value.split_once(' ').unwrap_or((&value, ""));
-                return (UpstreamOutcome::from_wire_name(outcome_word, head, body), load.parse().ok());
+                let (outcome_name, load) = value.split_once(' ').unwrap_or((&value, ""));
+                return (UpstreamOutcome::from_wire_name(outcome_name, head, body), load.parse().ok());
             }
             Err(ExchangeError::ConnectFailed) => UpstreamOutcome::ConnectFailed,
             Err(ExchangeError::NotSent) => UpstreamOutcome::NotSent,
--- a/balancer/src/mesh/proxy/session_affinity.rs
+++ b/balancer/src/mesh/proxy/session_affinity.rs
@@ -1,8 +1,8 @@
 //! Sessions at an outbound proxy: which sessions it owns, the upstream that each is bound to, and the handover between proxies.
 //!
 //! [`acquire`] finds the session of a request, or acquires it from the replicas and asks the previous owner to let it go.
-//! [`attempt_starting`] binds a session without a usable upstream before the first attempt there, so that whoever acquires the
-//! session next finds the binding; [`attempt_succeeded`] counts how the binding was kept.
+//! [`bind_before_attempt`] binds a session without a usable upstream before the first attempt there, so that whoever acquires the
+//! session next finds the binding; [`count_success`] counts how the binding was kept.
 //!
 //! Main types: [`SessionTable`] (what this proxy owns), [`BoundSession`] (the session of one request), [`AffinityCounts`].
 //!
@@ -132,7 +132,7 @@
 /// The session of one request.
 pub struct BoundSession {
     /// Goes with each attempt to the inbound proxy.
-    pub token: FencingToken,
+    pub fencing_token: FencingToken,
     /// The upstream to which the session is bound; none if it is new.
     pub binding: Option<SessionBinding>,
     owner: SessionOwner,
@@ -148,7 +148,7 @@
         binding: Option<SessionBinding>,
         owner: SessionOwner,
     ) -> BoundSession {
-        BoundSession { token: fencing_token, binding, owner, first: None, unplaced: false }
+        BoundSession { fencing_token, binding, owner, first: None, unplaced: false }
     }
 
     /// Whether the session is bound to an upstream that accepts requests.
@@ -272,7 +272,7 @@
     }
 
     /// Notes that an inbound proxy refused a request since it knows the later term `known`.
-    pub fn fenced(&self, fencing_token: FencingToken, known: u64) {
+    pub fn record_fencing(&self, fencing_token: FencingToken, known: u64) {
         let mut inner = held(&self.0);
         inner.counts.fenced += 1;
         if inner.held.get(&fencing_token.session).is_some_and(|has| has.owner.since_term < known) {
@@ -382,7 +382,7 @@
     let bound = all.learn(now, session, &agreed, me)?;
     match before.filter(|_| fresh) {
         Some(before) => {
-            let heard = hand_over(node, before.outbound_proxy, bound.token).await.is_some();
+            let heard = hand_over(node, before.outbound_proxy, bound.fencing_token).await.is_some();
             let took = node.clock.now().saturating_sub(now);
             let mut inner = held(&all.0);
             inner.counts.moves += 1;
@@ -444,7 +444,7 @@
 /// To be called before an attempt is sent to an endpoint. If the session is bound to no upstream, or to one that is gone, it is
 /// bound to this one before anything can have run there, so that the next owner finds the binding. Returns false if another
 /// proxy owns the session now or has bound it elsewhere: the attempt must then not be sent.
-pub async fn attempt_starting(
+pub async fn bind_before_attempt(
     node: &Arc<Node>,
     scheduler: &RequestScheduler,
     bound: &mut BoundSession,
@@ -463,8 +463,8 @@
     let succeeds = was.is_some() && !bound.is_placed(scheduler);
     let wish =
         SessionRequest::Bind { owner: bound.owner, current_upstream_id: was, binding: binding.clone() };
-    let Some(Some(agreed)) = ask(node, bound.token.session, wish).await else { return true };
-    node.sessions().learn(node.clock.now(), bound.token.session, &agreed, node.inbound_address());
+    let Some(Some(agreed)) = ask(node, bound.fencing_token.session, wish).await else { return true };
+    node.sessions().learn(node.clock.now(), bound.fencing_token.session, &agreed, node.inbound_address());
     bound.first = None;
     let ours =
         agreed.ownership.owner == Some(bound.owner) && agreed.ownership.binding.as_ref() == Some(&binding);
@@ -476,7 +476,7 @@
 }
 
 /// Counts a request that succeeded at this endpoint.
-pub fn attempt_succeeded(node: &Node, bound: &BoundSession, endpoint: &Endpoint) {
+pub fn count_success(node: &Node, bound: &BoundSession, endpoint: &Endpoint) {
     let counts = &mut held(&node.sessions().0).counts;
     match &bound.binding {
         Some(binding) if *binding.upstream_id == *endpoint.upstream_id => counts.kept += 1,
