--- a/balancer/src/mesh/proxy/node.rs
+++ b/balancer/src/mesh/proxy/node.rs
@@ -661,7 +661,7 @@
             .gauge("window_first_sends", "First sends in the budget's window", sum(|of| of.first))
             .gauge("window_retries", "Sent again in the budget's window", sum(|of| of.retried))
             .gauge("window_retries_refused", "Not sent again for want of budget", sum(|of| of.denied))
-            .gauge("sessions", "Sessions held", sessions.held as f64)
+            .gauge("sessions", "Sessions held", sessions.owned_sessions as f64)
             .counter("sessions_moved", "Sessions that came from another gate", sessions.moves)
             .counter("requests", "Requests answered", self.requests_received.load(Relaxed))
             .into_response()
--- a/balancer/src/mesh/proxy/session_affinity.rs
+++ b/balancer/src/mesh/proxy/session_affinity.rs
@@ -1,16 +1,18 @@
-//! Sessions at an outbound proxy: which sessions it owns, the upstream that each is bound to, and the handover between proxies.
+//! Session affinity at an outbound proxy: the sessions that it owns, the upstream that each is bound to, and their handover
+//! between proxies.
 //!
-//! [`acquire`] finds the session of a request, or acquires it from the replicas and asks the previous owner to let it go.
-//! [`bind_before_attempt`] binds a session without a usable upstream before the first attempt there, so that whoever acquires the
-//! session next finds the binding; [`count_success`] counts how the binding was kept.
+//! [`acquire`] looks up the session of a request, or acquires it from the replicas and makes the previous owner release it.
+//! [`bind_before_attempt`] binds a session without a usable upstream before an attempt is sent there, so that the session's
+//! next owner finds the binding. [`count_success`] counts whether requests ran at the bound upstream.
 //!
-//! Main types: [`SessionTable`] (what this proxy owns), [`BoundSession`] (the session of one request), [`AffinityCounts`].
+//! Main types: [`SessionTable`] (sessions owned by this proxy), [`BoundSession`] (the session of one request),
+//! [`AffinityCounts`].
 //!
 //! Invariants:
-//! - The value that names a person is neither stored nor passed on, only its hash.
-//! - A session that the replicas gave to another owner is not kept.
-//! - A request waits for its session only for a short time and then goes on without it: what must run once is kept by the lease
-//!   on its key, not by the session.
+//! - The header value that identifies a person is only stored and sent as a hash.
+//! - A session that the replicas assigned to another owner is dropped.
+//! - A request waits for its session only for a short time and then runs without it: requests that must run at most once are
+//!   protected by the lease on their key, not by the session.
 
 use std::collections::{BTreeSet, HashMap};
 use std::net::SocketAddr;
@@ -37,92 +39,92 @@
 use crate::mesh::rpc::{InternalRequest, InternalResponse};
 
 const MS: Nanos = 1_000_000;
-/// How long a request waits for the replicas in all.
+/// Timeout of a call to the replicas, over all replicas that are tried.
 const ACQUIRE_TIMEOUT: Duration = Duration::from_millis(500);
-/// How long one replica is waited for.
+/// Timeout of the call to one replica.
 const REPLICA_TIMEOUT: Duration = Duration::from_millis(220);
-/// How long the previous owner of a session is waited for. Its requests with keys are safe by their leases.
+/// Timeout of the handover from the previous owner. Its requests with idempotency keys are protected by their leases.
 const HANDOVER_TIMEOUT: Nanos = 150 * MS;
 /// How often the replicas are told that a session is in use.
 const RENEW_INTERVAL: Nanos = 60_000 * MS;
-/// A session that was not used for this long is acquired again, since the replicas may have dropped it.
+/// A session that was unused for this long is acquired again, since the replicas may have dropped it.
 const REACQUIRE_AFTER: Nanos = 600_000 * MS;
-/// How many sessions are kept; those not used for longest are dropped first and acquired again when needed.
+/// Most sessions that are kept. The least recently used ones are dropped first and acquired again when needed.
 const MAX_SESSIONS: usize = 20_000;
-/// How long other requests of a session wait for its first one.
+/// How long other requests of a session wait until its first request has bound it.
 const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(300);
-/// Above this number, sessions without a first request in flight are dropped from the table of these.
-const MAX_FIRST_REQUESTS: usize = 4_096;
-/// Most keys in flight that are reported of one session.
+/// Above this number of first-request locks, the unused ones are dropped.
+const MAX_FIRST_REQUEST_LOCKS: usize = 4_096;
+/// Most keys in flight that are tracked and reported for one session.
 const MAX_HANDED_OVER_KEYS: usize = 64;
-/// How many durations of moves are remembered.
+/// Number of handover durations that are kept for the percentiles.
 const MAX_MOVE_SAMPLES: usize = 512;
-/// Marks a handover in the header that otherwise has a request's fencing token.
+/// Marks a handover in the header that otherwise carries a request's fencing token.
 const HANDOVER_PREFIX: &str = "moved ";
 
-/// Identifies a session: a hash of its service, the header that names it and that header's value.
+/// Identifies a session: a hash of its service, the session header's name and that header's value.
 pub fn session_id(service: &str, header: &str, value: &str) -> SessionId {
-    let mut sum = Sha256::new();
+    let mut hasher = Sha256::new();
     for part in [service, &header.to_ascii_lowercase(), value] {
-        sum.update((part.len() as u64).to_be_bytes());
-        sum.update(part);
+        hasher.update((part.len() as u64).to_be_bytes());
+        hasher.update(part);
     }
-    let sum: [u8; 32] = sum.finalize().into();
-    sum.iter().take(16).fold(0, |all, byte| all << 8 | SessionId::from(*byte))
+    let digest: [u8; 32] = hasher.finalize().into();
+    digest.iter().take(16).fold(0, |id, byte| id << 8 | SessionId::from(*byte))
 }
 
 /// A session that this proxy owns.
 struct OwnedSession {
     owner: SessionOwner,
     binding: Option<SessionBinding>,
-    /// When the replicas last heard of its use.
+    /// When the replicas were last told of its use.
     renewed_at: Nanos,
     used_at: Nanos,
 }
 
 #[derive(Default)]
 struct SessionState {
-    held: HashMap<SessionId, OwnedSession>,
+    sessions: HashMap<SessionId, OwnedSession>,
     /// The sessions by their last use.
-    order: BTreeSet<(Nanos, SessionId)>,
-    /// Keys of requests in flight.
-    keys: HashMap<SessionId, Vec<LeaseKey>>,
-    /// Locks that the first request of a session holds until it is known where the session is bound.
-    firsts: HashMap<SessionId, Arc<tokio::sync::Mutex<()>>>,
-    /// Later terms that inbound proxies have reported: the session is acquired with a term above.
-    above: HashMap<SessionId, u64>,
+    by_last_use: BTreeSet<(Nanos, SessionId)>,
+    /// Idempotency keys of requests in flight.
+    keys_in_flight: HashMap<SessionId, Vec<LeaseKey>>,
+    /// Locks that a session's first request holds until the session is bound.
+    first_request_locks: HashMap<SessionId, Arc<tokio::sync::Mutex<()>>>,
+    /// Later terms that inbound proxies have reported: a session is acquired again with a term above.
+    reported_terms: HashMap<SessionId, u64>,
     counts: AffinityCounts,
-    /// Durations of the last moves, as a ring.
-    move_times: Vec<Nanos>,
+    /// Durations of the last moves, as a ring buffer.
+    move_durations: Vec<Nanos>,
 }
 
-/// What this outbound proxy has seen of sessions since its start.
+/// Counts on sessions since this outbound proxy started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct AffinityCounts {
-    /// Sessions owned now.
-    pub held: usize,
-    /// Acquired sessions that had no owner.
-    pub begun: u64,
+    /// Sessions that are owned now.
+    pub owned_sessions: usize,
+    /// Sessions acquired that had no owner.
+    pub new_sessions: u64,
     /// Sessions that moved here from another owner.
     pub moves: u64,
-    /// Of these, those whose previous owner did not answer.
-    pub unheard: u64,
-    /// Sessions given up to another owner.
-    pub left: u64,
-    /// Requests that an inbound proxy refused since the session has a later owner.
-    pub fenced: u64,
-    /// Requests that went on without a session since no replica answered in time.
-    pub without: u64,
-    /// Requests that ran at the upstream to which their session is bound.
-    pub kept: u64,
-    /// Requests that ran at another upstream though that one still runs.
-    pub crowded: u64,
-    /// Sessions that were bound to another upstream since theirs was gone.
-    pub gone: u64,
+    /// Moves whose previous owner did not respond.
+    pub moves_without_response: u64,
+    /// Sessions released to another owner.
+    pub released_sessions: u64,
+    /// Requests that an inbound proxy refused because the session has a later owner.
+    pub fenced_requests: u64,
+    /// Requests that ran without their session because no replica responded in time.
+    pub requests_without_session: u64,
+    /// Requests that ran at the upstream that their session is bound to.
+    pub requests_at_bound_upstream: u64,
+    /// Requests that ran at another upstream although the bound one still runs.
+    pub requests_at_other_upstream: u64,
+    /// Sessions that were bound to another upstream because theirs was gone.
+    pub rebound_sessions: u64,
     /// Median duration of a move, in ns.
-    pub move_half: Nanos,
+    pub median_move_duration: Nanos,
     /// 99th percentile of the duration of a move, in ns.
-    pub move_most: Nanos,
+    pub p99_move_duration: Nanos,
 }
 
 /// The sessions that an outbound proxy owns.
@@ -131,15 +133,15 @@
 
 /// The session of one request.
 pub struct BoundSession {
-    /// Goes with each attempt to the inbound proxy.
+    /// Sent to the inbound proxy with each attempt.
     pub fencing_token: FencingToken,
-    /// The upstream to which the session is bound; none if it is new.
+    /// The upstream that the session is bound to; none for a new session.
     pub binding: Option<SessionBinding>,
     owner: SessionOwner,
-    /// Held by the first request of a session here: others wait until it is known where the session is bound.
-    first: Option<OwnedMutexGuard<()>>,
-    /// The session was bound to no upstream that accepts requests when the request came: it is bound before an attempt is sent.
-    unplaced: bool,
+    /// Held by the session's first request at this proxy; others wait for it until the session is bound.
+    first_request_guard: Option<OwnedMutexGuard<()>>,
+    /// The session has no upstream that accepts requests and must be bound before an attempt is sent.
+    needs_binding: bool,
 }
 
 impl BoundSession {
@@ -148,19 +150,19 @@
         binding: Option<SessionBinding>,
         owner: SessionOwner,
     ) -> BoundSession {
-        BoundSession { fencing_token, binding, owner, first: None, unplaced: false }
+        BoundSession { fencing_token, binding, owner, first_request_guard: None, needs_binding: false }
     }
 
     /// Whether the session is bound to an upstream that accepts requests.
-    fn is_placed(&self, scheduler: &RequestScheduler) -> bool {
+    fn has_usable_binding(&self, scheduler: &RequestScheduler) -> bool {
         self.binding
             .as_ref()
             .is_some_and(|binding| scheduler.accepts_requests(&binding.upstream_id.as_str().into()))
     }
 
-    /// Whether the session is bound to this incarnation of an upstream.
-    pub fn is_bound_to(&self, srv: &str) -> bool {
-        self.binding.as_ref().is_some_and(|binding| binding.upstream_id == srv)
+    /// Whether the session is bound to this upstream incarnation.
+    pub fn is_bound_to(&self, upstream_id: &str) -> bool {
+        self.binding.as_ref().is_some_and(|binding| binding.upstream_id == upstream_id)
     }
 }
 
@@ -173,152 +175,174 @@
 
 impl Drop for KeyInFlight {
     fn drop(&mut self) {
-        let mut inner = held(&self.node.sessions().0);
-        if let Some(keys) = inner.keys.get_mut(&self.session) {
+        let mut state = held(&self.node.sessions().0);
+        if let Some(keys) = state.keys_in_flight.get_mut(&self.session) {
             keys.retain(|key| *key != self.key);
             if keys.is_empty() {
-                inner.keys.remove(&self.session);
+                state.keys_in_flight.remove(&self.session);
             }
         }
     }
 }
 
 impl SessionState {
-    /// Drops a session.
     fn remove(&mut self, session: SessionId) {
-        if let Some(was) = self.held.remove(&session) {
-            self.order.remove(&(was.used_at, session));
+        if let Some(removed) = self.sessions.remove(&session) {
+            self.by_last_use.remove(&(removed.used_at, session));
         }
     }
 
-    /// Adds a session, in place of the one not used for longest if there are too many.
-    fn put(&mut self, now: Nanos, session: SessionId, agreed: &CommittedSession, owner: SessionOwner) {
+    /// Adds a session, and drops the least recently used ones above [`MAX_SESSIONS`].
+    fn insert(&mut self, now: Nanos, session: SessionId, committed: &CommittedSession, owner: SessionOwner) {
         self.remove(session);
-        while self.held.len() >= MAX_SESSIONS
-            && let Some(&(_, oldest)) = self.order.first()
+        while self.sessions.len() >= MAX_SESSIONS
+            && let Some(&(_, oldest)) = self.by_last_use.first()
         {
             self.remove(oldest);
         }
-        let binding = agreed.ownership.binding.clone();
-        self.held.insert(session, OwnedSession { owner, binding, renewed_at: now, used_at: now });
-        self.order.insert((now, session));
+        let binding = committed.ownership.binding.clone();
+        self.sessions.insert(session, OwnedSession { owner, binding, renewed_at: now, used_at: now });
+        self.by_last_use.insert((now, session));
     }
 
-    /// The session if it is owned, now counted as used, and whether the replicas are to be told of that.
+    /// Returns the session if it is owned, marked as used now, and whether it must be renewed at the replicas.
     fn use_session(&mut self, now: Nanos, session: SessionId) -> Option<(BoundSession, bool)> {
-        let has = self.held.get_mut(&session)?;
-        if now > has.used_at.saturating_add(REACQUIRE_AFTER) {
+        let owned = self.sessions.get_mut(&session)?;
+        if now > owned.used_at.saturating_add(REACQUIRE_AFTER) {
             self.remove(session);
             return None;
         }
-        self.order.remove(&(has.used_at, session));
-        has.used_at = now;
-        self.order.insert((now, session));
-        let renew = now > has.renewed_at.saturating_add(RENEW_INTERVAL);
-        if renew {
-            has.renewed_at = now;
+        self.by_last_use.remove(&(owned.used_at, session));
+        owned.used_at = now;
+        self.by_last_use.insert((now, session));
+        let must_renew = now > owned.renewed_at.saturating_add(RENEW_INTERVAL);
+        if must_renew {
+            owned.renewed_at = now;
         }
-        let fencing_token = FencingToken { session, since_term: has.owner.since_term };
-        Some((BoundSession::new(fencing_token, has.binding.clone(), has.owner), renew))
+        let fencing_token = FencingToken { session, since_term: owned.owner.since_term };
+        Some((BoundSession::new(fencing_token, owned.binding.clone(), owned.owner), must_renew))
     }
 }
 
 impl SessionTable {
-    /// The counts now, with the percentiles of the last moves.
+    /// The current counts, with the percentiles of the last moves.
     pub fn counts(&self) -> AffinityCounts {
-        let inner = held(&self.0);
-        let mut times = inner.move_times.clone();
-        times.sort_unstable();
-        let at = |part: usize| times.get((times.len() * part / 100).min(times.len().saturating_sub(1)));
-        let (half, most) = (at(50).copied().unwrap_or(0), at(99).copied().unwrap_or(0));
-        AffinityCounts { held: inner.held.len(), move_half: half, move_most: most, ..inner.counts }
+        let state = held(&self.0);
+        let mut durations = state.move_durations.clone();
+        durations.sort_unstable();
+        let percentile = |percent: usize| {
+            durations.get((durations.len() * percent / 100).min(durations.len().saturating_sub(1)))
+        };
+        AffinityCounts {
+            owned_sessions: state.sessions.len(),
+            median_move_duration: percentile(50).copied().unwrap_or(0),
+            p99_move_duration: percentile(99).copied().unwrap_or(0),
+            ..state.counts
+        }
     }
 
-    /// The counts as JSON for operators; `fenced_here` is how many requests the inbound proxy of this node has refused.
+    /// The counts as JSON for operators; `fenced_here` is the number of requests that this node's inbound proxy has refused.
     pub fn status_json(&self, fenced_here: u64) -> String {
         let counts = self.counts();
         let ms = |nanos: Nanos| nanos as f64 / 1e6;
         jzon::stringify(jzon::object! {
-            "sessions": counts.held,
-            "begun": counts.begun,
+            "sessions": counts.owned_sessions,
+            "begun": counts.new_sessions,
             "moves": counts.moves,
-            "moves_unheard": counts.unheard,
-            "move_ms": { "half": ms(counts.move_half), "all_but_1_of_100": ms(counts.move_most) },
-            "left": counts.left,
-            "without": counts.without,
-            "ties": { "kept": counts.kept, "crowded": counts.crowded, "gone": counts.gone },
-            "fenced": { "here": fenced_here, "elsewhere": counts.fenced },
+            "moves_unheard": counts.moves_without_response,
+            "move_ms": {
+                "half": ms(counts.median_move_duration),
+                "all_but_1_of_100": ms(counts.p99_move_duration),
+            },
+            "left": counts.released_sessions,
+            "without": counts.requests_without_session,
+            "ties": {
+                "kept": counts.requests_at_bound_upstream,
+                "crowded": counts.requests_at_other_upstream,
+                "gone": counts.rebound_sessions,
+            },
+            "fenced": { "here": fenced_here, "elsewhere": counts.fenced_requests },
         })
     }
 
-    /// Gives up a session that another proxy owns since the token's term. Returns the keys of its requests in flight here.
+    /// Releases a session that another proxy has owned since the token's term. Returns the keys of its requests in flight at
+    /// this proxy.
     pub fn release(&self, fencing_token: FencingToken) -> Vec<LeaseKey> {
-        let mut inner = held(&self.0);
-        if inner
-            .held
+        let mut state = held(&self.0);
+        if state
+            .sessions
             .get(&fencing_token.session)
-            .is_some_and(|has| has.owner.since_term < fencing_token.since_term)
+            .is_some_and(|owned| owned.owner.since_term < fencing_token.since_term)
         {
-            inner.remove(fencing_token.session);
-            inner.counts.left += 1;
+            state.remove(fencing_token.session);
+            state.counts.released_sessions += 1;
         }
-        inner.keys.get(&fencing_token.session).cloned().unwrap_or_default()
+        state.keys_in_flight.get(&fencing_token.session).cloned().unwrap_or_default()
     }
 
-    /// Answers a handover: the keys in flight, one a line. `None` if the header is not one of a handover.
-    pub fn handle_handover(&self, word: &str) -> Option<String> {
-        let fencing_token = FencingToken::from_header(word.strip_prefix(HANDOVER_PREFIX)?)?;
+    /// Handles a handover. Returns the keys in flight, one per line; `None` if the header doesn't announce a handover.
+    pub fn handle_handover(&self, header: &str) -> Option<String> {
+        let fencing_token = FencingToken::from_header(header.strip_prefix(HANDOVER_PREFIX)?)?;
         Some(self.release(fencing_token).iter().map(|key| format!("{key:032x}\n")).collect())
     }
 
-    /// Notes that an inbound proxy refused a request since it knows the later term `known`.
-    pub fn record_fencing(&self, fencing_token: FencingToken, known: u64) {
-        let mut inner = held(&self.0);
-        inner.counts.fenced += 1;
-        if inner.held.get(&fencing_token.session).is_some_and(|has| has.owner.since_term < known) {
-            inner.remove(fencing_token.session);
+    /// Records that an inbound proxy refused a request because it knows the later term `current_term`.
+    pub fn record_fencing(&self, fencing_token: FencingToken, current_term: u64) {
+        let mut state = held(&self.0);
+        state.counts.fenced_requests += 1;
+        if state
+            .sessions
+            .get(&fencing_token.session)
+            .is_some_and(|owned| owned.owner.since_term < current_term)
+        {
+            state.remove(fencing_token.session);
         }
-        if inner.above.len() >= MAX_SESSIONS {
-            inner.above.clear();
+        if state.reported_terms.len() >= MAX_SESSIONS {
+            state.reported_terms.clear();
         }
-        inner.above.insert(fencing_token.session, known);
+        state.reported_terms.insert(fencing_token.session, current_term);
     }
 
-    /// Takes over what the replicas have committed of a session; `None` if this proxy, `me`, doesn't own it.
-    fn learn(
+    /// Stores a session as committed by the replicas; `None` if this proxy, `own_address`, doesn't own it.
+    fn store_committed(
         &self,
         now: Nanos,
         session: SessionId,
-        got: &CommittedSession,
-        me: SocketAddr,
+        committed: &CommittedSession,
+        own_address: SocketAddr,
     ) -> Option<BoundSession> {
-        let mut inner = held(&self.0);
-        let Some(owner) = got.ownership.owner.filter(|owner| owner.outbound_proxy == me) else {
-            inner.remove(session);
+        let mut state = held(&self.0);
+        let Some(owner) = committed.ownership.owner.filter(|owner| owner.outbound_proxy == own_address)
+        else {
+            state.remove(session);
             return None;
         };
-        let newer = |has: &OwnedSession| has.owner.since_term > owner.since_term;
-        if !inner.held.get(&session).is_some_and(newer) {
-            inner.put(now, session, got, owner);
+        let is_newer = |owned: &OwnedSession| owned.owner.since_term > owner.since_term;
+        if !state.sessions.get(&session).is_some_and(is_newer) {
+            state.insert(now, session, committed, owner);
         }
-        inner.above.remove(&session);
+        state.reported_terms.remove(&session);
         let fencing_token = FencingToken { session, since_term: owner.since_term };
-        Some(BoundSession::new(fencing_token, got.ownership.binding.clone(), owner))
+        Some(BoundSession::new(fencing_token, committed.ownership.binding.clone(), owner))
     }
 }
 
-/// Asks the replicas one after the other. The outer `None`: none answered in time.
-async fn ask(node: &Node, session: SessionId, wish: SessionRequest) -> Option<Option<CommittedSession>> {
-    let until = Instant::now() + ACQUIRE_TIMEOUT;
+/// Calls the replicas one after the other. The outer `None` means that none responded in time.
+async fn call_replicas(
+    node: &Node,
+    session: SessionId,
+    request: SessionRequest,
+) -> Option<Option<CommittedSession>> {
+    let deadline = Instant::now() + ACQUIRE_TIMEOUT;
     for replica in node.replicas.replicas_for_key(session) {
-        if Instant::now() >= until {
+        if Instant::now() >= deadline {
             break;
         }
-        let ask = InternalRequest::Core(CoreRequest::Session(session, wish.clone()));
-        match node.rpc.to(replica).call(ask, REPLICA_TIMEOUT).await {
-            Ok(InternalResponse::Core(CoreResponse::Session(agreed))) => {
+        let call = InternalRequest::Core(CoreRequest::Session(session, request.clone()));
+        match node.rpc.to(replica).call(call, REPLICA_TIMEOUT).await {
+            Ok(InternalResponse::Core(CoreResponse::Session(committed))) => {
                 node.replicas.response_received(replica);
-                return Some(agreed);
+                return Some(committed);
             }
             Ok(InternalResponse::Core(_)) => {}
             _ => node.replicas.request_failed(replica),
@@ -327,161 +351,174 @@
     None
 }
 
-/// The session of a request, acquired from its previous owner if it isn't owned here. `None` if the replicas don't answer in
-/// time: the request then goes on without a session. `ties` says whether the request follows the session's binding.
+/// Returns the session of a request, acquired from its previous owner if this proxy doesn't own it. `None` if the replicas
+/// don't respond in time: the request then runs without a session. `follows_binding` says whether the request goes to the
+/// upstream that the session is bound to.
 pub async fn acquire(
     node: &Arc<Node>,
     scheduler: &RequestScheduler,
     session: SessionId,
-    ties: bool,
+    follows_binding: bool,
 ) -> Option<BoundSession> {
-    let known = || {
-        let (bound, renew) = held(&node.sessions().0).use_session(node.clock.now(), session)?;
-        if renew {
-            tokio::spawn(renewal(node.clone(), session, bound.owner));
+    let find_owned = || {
+        let (bound, must_renew) = held(&node.sessions().0).use_session(node.clock.now(), session)?;
+        if must_renew {
+            tokio::spawn(renew(node.clone(), session, bound.owner));
         }
         Some(bound)
     };
-    let had = known();
-    if had.as_ref().is_some_and(|bound| bound.is_placed(scheduler) || !ties) {
-        return had;
+    let owned = find_owned();
+    if owned.as_ref().is_some_and(|bound| bound.has_usable_binding(scheduler) || !follows_binding) {
+        return owned;
     }
-    let first = {
-        let mut inner = held(&node.sessions().0);
-        if inner.firsts.len() >= MAX_FIRST_REQUESTS {
-            inner.firsts.retain(|_, first| Arc::strong_count(first) > 1);
+    let first_request_lock = {
+        let mut state = held(&node.sessions().0);
+        if state.first_request_locks.len() >= MAX_FIRST_REQUEST_LOCKS {
+            state.first_request_locks.retain(|_, lock| Arc::strong_count(lock) > 1);
         }
-        inner.firsts.entry(session).or_default().clone()
+        state.first_request_locks.entry(session).or_default().clone()
     };
-    let first = timeout(FIRST_REQUEST_TIMEOUT, first.lock_owned()).await.ok();
-    let mut bound = match known() {
+    let first_request_guard = timeout(FIRST_REQUEST_TIMEOUT, first_request_lock.lock_owned()).await.ok();
+    let mut bound = match find_owned() {
         Some(bound) => bound,
-        None => ask_for(node, session).await?,
+        None => acquire_from_replicas(node, session).await?,
     };
-    bound.unplaced = ties && !bound.is_placed(scheduler);
-    bound.first = first.filter(|_| bound.unplaced);
+    bound.needs_binding = follows_binding && !bound.has_usable_binding(scheduler);
+    bound.first_request_guard = first_request_guard.filter(|_| bound.needs_binding);
     Some(bound)
 }
 
-/// Acquires a session from the replicas, and has its previous owner give it up.
-async fn ask_for(node: &Arc<Node>, session: SessionId) -> Option<BoundSession> {
-    let (now, me, all) = (node.clock.now(), node.inbound_address(), node.sessions());
-    let above = held(&all.0).above.get(&session).copied().unwrap_or(0);
-    let agreed = match node.quorum_unreachable() {
+/// Acquires a session from the replicas, and makes its previous owner release it.
+async fn acquire_from_replicas(node: &Arc<Node>, session: SessionId) -> Option<BoundSession> {
+    let (now, own_address, table) = (node.clock.now(), node.inbound_address(), node.sessions());
+    let above_term = held(&table.0).reported_terms.get(&session).copied().unwrap_or(0);
+    let committed = match node.quorum_unreachable() {
         true => None,
-        false => ask(node, session, SessionRequest::Acquire { outbound_proxy: me, above_term: above })
-            .await
-            .flatten(),
+        false => {
+            let request = SessionRequest::Acquire { outbound_proxy: own_address, above_term };
+            call_replicas(node, session, request).await.flatten()
+        }
     };
-    let Some(agreed) = agreed else {
-        held(&all.0).counts.without += 1;
+    let Some(committed) = committed else {
+        held(&table.0).counts.requests_without_session += 1;
         return None;
     };
-    let before = agreed.ownership.previous_owner.filter(|before| before.outbound_proxy != me);
-    let fresh = agreed.ownership.owner.is_some_and(|owner| owner.since_term == agreed.term);
-    let bound = all.learn(now, session, &agreed, me)?;
-    match before.filter(|_| fresh) {
-        Some(before) => {
-            let heard = hand_over(node, before.outbound_proxy, bound.fencing_token).await.is_some();
-            let took = node.clock.now().saturating_sub(now);
-            let mut inner = held(&all.0);
-            inner.counts.moves += 1;
-            inner.counts.unheard += u64::from(!heard);
-            let at = inner.counts.moves as usize % MAX_MOVE_SAMPLES;
-            match inner.move_times.get_mut(at) {
-                Some(time) => *time = took,
-                None => inner.move_times.push(took),
+    let previous_owner =
+        committed.ownership.previous_owner.filter(|previous| previous.outbound_proxy != own_address);
+    let is_new_owner = committed.ownership.owner.is_some_and(|owner| owner.since_term == committed.term);
+    let bound = table.store_committed(now, session, &committed, own_address)?;
+    match previous_owner.filter(|_| is_new_owner) {
+        Some(previous) => {
+            let has_responded =
+                request_handover(node, previous.outbound_proxy, bound.fencing_token).await.is_some();
+            let duration = node.clock.now().saturating_sub(now);
+            let mut state = held(&table.0);
+            state.counts.moves += 1;
+            state.counts.moves_without_response += u64::from(!has_responded);
+            let at = state.counts.moves as usize % MAX_MOVE_SAMPLES;
+            match state.move_durations.get_mut(at) {
+                Some(sample) => *sample = duration,
+                None => state.move_durations.push(duration),
             }
         }
-        None => held(&all.0).counts.begun += u64::from(fresh),
+        None => held(&table.0).counts.new_sessions += u64::from(is_new_owner),
     }
     Some(bound)
 }
 
-/// Tells the replicas that a session is in use; gives it up if it turns out to have a later owner.
-async fn renewal(node: Arc<Node>, session: SessionId, owner: SessionOwner) {
-    if let Some(Some(agreed)) = ask(&node, session, SessionRequest::Renew(owner)).await
-        && let Some(other) = agreed.ownership.owner
-        && other.since_term > owner.since_term
+/// Renews a session at the replicas, and releases it if it turns out to have a later owner.
+async fn renew(node: Arc<Node>, session: SessionId, owner: SessionOwner) {
+    if let Some(Some(committed)) = call_replicas(&node, session, SessionRequest::Renew(owner)).await
+        && let Some(current_owner) = committed.ownership.owner
+        && current_owner.since_term > owner.since_term
     {
-        node.sessions().release(FencingToken { session, since_term: other.since_term });
+        node.sessions().release(FencingToken { session, since_term: current_owner.since_term });
     }
 }
 
-/// Asks the previous owner of a session to give it up. Returns the keys in flight there; `None` if it didn't answer in time.
-async fn hand_over(node: &Arc<Node>, gate: SocketAddr, fencing_token: FencingToken) -> Option<Vec<LeaseKey>> {
+/// Requests the handover of a session from its previous owner. Returns the keys in flight there; `None` if it didn't respond
+/// in time.
+async fn request_handover(
+    node: &Arc<Node>,
+    previous_owner: SocketAddr,
+    fencing_token: FencingToken,
+) -> Option<Vec<LeaseKey>> {
     let mut head = hyper::Request::new(());
     *head.method_mut() = hyper::Method::POST;
     head.headers_mut().insert(HOST, HeaderValue::from_static("ochreshed"));
     let message = Arc::new(Message { head, first: bytes::Bytes::new(), length: Some(0), long: None });
-    let mut fields = HeaderMap::new();
-    fields.insert(
+    let mut added_headers = HeaderMap::new();
+    added_headers.insert(
         FENCING_TOKEN,
         HeaderValue::try_from(format!("{HANDOVER_PREFIX}{}", fencing_token.to_header())).ok()?,
     );
-    let until = node.clock.now() + HANDOVER_TIMEOUT;
-    let ours = |head: &hyper::http::response::Parts| head.headers.contains_key(&ATTEMPT_OUTCOME);
-    let answer = node.connection_pool(gate).exchange(&message, &fields, until, None, ours).await;
-    let (head, body) = answer.ok()?;
+    let deadline = node.clock.now() + HANDOVER_TIMEOUT;
+    let is_from_inbound_proxy =
+        |head: &hyper::http::response::Parts| head.headers.contains_key(&ATTEMPT_OUTCOME);
+    let pool = node.connection_pool(previous_owner);
+    let response = pool.exchange(&message, &added_headers, deadline, None, is_from_inbound_proxy).await;
+    let (head, body) = response.ok()?;
     if header_str(&head.headers, &ATTEMPT_OUTCOME).split(' ').next() != Some("ran") {
-        return None; // An older version, which owns no sessions.
+        return None; // An older version, which doesn't support sessions.
     }
     let body = http_body_util::BodyExt::collect(body).await.ok()?.to_bytes();
     let keys = std::str::from_utf8(&body).ok()?.lines();
     Some(keys.take(MAX_HANDED_OVER_KEYS).filter_map(|key| LeaseKey::from_str_radix(key, 16).ok()).collect())
 }
 
-/// Marks a key as in flight in a session, so that a handover reports it.
+/// Marks a key as in flight in a session, so that it is reported in a handover.
 pub fn track_key(node: &Arc<Node>, session: SessionId, key: LeaseKey) -> KeyInFlight {
-    let mut inner = held(&node.sessions().0);
-    let keys = inner.keys.entry(session).or_default();
+    let mut state = held(&node.sessions().0);
+    let keys = state.keys_in_flight.entry(session).or_default();
     if keys.len() < MAX_HANDED_OVER_KEYS {
         keys.push(key);
     }
     KeyInFlight { node: node.clone(), session, key }
 }
 
-/// To be called before an attempt is sent to an endpoint. If the session is bound to no upstream, or to one that is gone, it is
-/// bound to this one before anything can have run there, so that the next owner finds the binding. Returns false if another
-/// proxy owns the session now or has bound it elsewhere: the attempt must then not be sent.
+/// To be called before an attempt is sent to an endpoint. If the session has no upstream, or one that is gone, it is bound to
+/// this one before anything can run there, so that the next owner finds the binding. Returns false if another proxy owns the
+/// session now or has bound it to another upstream: the attempt must then not be sent.
 pub async fn bind_before_attempt(
     node: &Arc<Node>,
     scheduler: &RequestScheduler,
     bound: &mut BoundSession,
     endpoint: &Endpoint,
 ) -> bool {
-    bound.unplaced |= !bound.is_placed(scheduler);
-    // While no quorum is reachable, requests don't wait for it, as in `ask_for`.
-    if !bound.unplaced || bound.is_bound_to(&endpoint.upstream_id) || node.quorum_unreachable() {
+    bound.needs_binding |= !bound.has_usable_binding(scheduler);
+    // Without a reachable quorum, requests don't wait for the replicas, as in `acquire_from_replicas`.
+    if !bound.needs_binding || bound.is_bound_to(&endpoint.upstream_id) || node.quorum_unreachable() {
         return true;
     }
     let binding = SessionBinding {
         upstream_id: endpoint.upstream_id.to_string(),
         inbound_proxy: endpoint.inbound_proxy,
     };
-    let was = bound.binding.as_ref().map(|binding| binding.upstream_id.clone());
-    let succeeds = was.is_some() && !bound.is_placed(scheduler);
-    let wish =
-        SessionRequest::Bind { owner: bound.owner, current_upstream_id: was, binding: binding.clone() };
-    let Some(Some(agreed)) = ask(node, bound.fencing_token.session, wish).await else { return true };
-    node.sessions().learn(node.clock.now(), bound.fencing_token.session, &agreed, node.inbound_address());
-    bound.first = None;
-    let ours =
-        agreed.ownership.owner == Some(bound.owner) && agreed.ownership.binding.as_ref() == Some(&binding);
-    if ours && succeeds {
-        held(&node.sessions().0).counts.gone += 1;
+    let current_upstream_id = bound.binding.as_ref().map(|binding| binding.upstream_id.clone());
+    let is_rebinding = current_upstream_id.is_some() && !bound.has_usable_binding(scheduler);
+    let request = SessionRequest::Bind { owner: bound.owner, current_upstream_id, binding: binding.clone() };
+    let session = bound.fencing_token.session;
+    let Some(Some(committed)) = call_replicas(node, session, request).await else { return true };
+    node.sessions().store_committed(node.clock.now(), session, &committed, node.inbound_address());
+    bound.first_request_guard = None;
+    let is_bound_as_requested = committed.ownership.owner == Some(bound.owner)
+        && committed.ownership.binding.as_ref() == Some(&binding);
+    if is_bound_as_requested && is_rebinding {
+        held(&node.sessions().0).counts.rebound_sessions += 1;
     }
-    bound.binding = agreed.ownership.binding;
-    ours
+    bound.binding = committed.ownership.binding;
+    is_bound_as_requested
 }
 
-/// Counts a request that succeeded at this endpoint.
+/// Counts a request of a session that succeeded at this endpoint.
 pub fn count_success(node: &Node, bound: &BoundSession, endpoint: &Endpoint) {
     let counts = &mut held(&node.sessions().0).counts;
     match &bound.binding {
-        Some(binding) if *binding.upstream_id == *endpoint.upstream_id => counts.kept += 1,
-        // The session stays bound there: that upstream was only at capacity, or failed this once.
-        Some(_) => counts.crowded += 1,
+        Some(binding) if *binding.upstream_id == *endpoint.upstream_id => {
+            counts.requests_at_bound_upstream += 1
+        }
+        // The session stays bound: its upstream was only at capacity or failed once.
+        Some(_) => counts.requests_at_other_upstream += 1,
         None => {}
     }
 }
