--- a/balancer/src/mesh/proxy/listener.rs
+++ b/balancer/src/mesh/proxy/listener.rs
@@ -1,12 +1,12 @@
 //! An HTTP/1.1 listener: accepts connections, reads requests within limits and writes the responses.
 //!
-//! [`serve`] runs one listener and asks a function for each response. [`read_message`] then reads a request's body and makes of
-//! the request what may be forwarded.
+//! [`serve`] runs one listener and calls a handler for each request. The handler calls [`read_message`], which reads the body
+//! and converts the request to the form in which it may be forwarded.
 //!
 //! Main types: [`ListenerLimits`], [`ListenerState`], [`ReceivedRequest`], [`RequestError`].
 //!
-//! Invariants: nothing is decided here about where a request goes; a malformed request is rejected before anything else sees
-//! it; a failing connection doesn't affect others.
+//! Invariants: no routing decisions are made here; a malformed request is rejected before it is processed; a failing
+//! connection doesn't affect others.
 
 use std::convert::Infallible;
 use std::pin::pin;
@@ -37,24 +37,24 @@
 use crate::mesh::proxy::connection_pool::{Permit, ResponseBody};
 use crate::start::{MOST_BODY, PER_LONG};
 
-/// Pause after a connection could not be accepted, for instance since no file descriptor is left.
+/// Delay before the next accept after one has failed, for instance because no file descriptor is left.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(50);
-/// How long an incomplete request is waited for once the listener is closed.
+/// How long a closed listener waits for an incomplete request.
 const DRAIN_READ_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Limits of one listener.
 #[derive(Clone)]
 pub struct ListenerLimits {
-    /// Connections beyond this wait to be accepted.
+    /// Further connections wait to be accepted.
     pub max_connections: usize,
-    /// How long a request's head may take, and a connection be idle.
+    /// Longest time for reading a request's head, and longest idle time of a connection.
     pub header_timeout: Duration,
 }
 
-/// A request with its head read and its body still to come.
+/// A request whose head has been read and whose body has not.
 pub struct ReceivedRequest {
     pub request: Request<Incoming>,
-    /// What was read of the connection.
+    /// Byte counts of the connection.
     pub meter: Arc<Meter>,
     /// When its first byte arrived.
     pub received_at: Nanos,
@@ -64,7 +64,7 @@
 #[derive(Debug)]
 pub struct RequestError(pub u16, pub &'static str);
 
-/// How far the shutdown of a listener has come.
+/// Shutdown state of a listener.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub enum ListenerState {
     Open,
@@ -74,21 +74,21 @@
     Closed,
 }
 
-/// Accepts connections until the listener is closed, and returns once the last connection has ended. `answer` is called for
-/// each request; `callers` is set to the number of connections whenever one is accepted.
+/// Accepts connections until the listener is closed, and returns once the last connection has ended. `handler` is called for
+/// each request; `connection_count` is set whenever a connection is accepted.
 pub async fn serve<F, A>(
     listener: TcpListener,
     clock: Clock,
-    bounds: ListenerLimits,
+    limits: ListenerLimits,
     mut state: watch::Receiver<ListenerState>,
-    callers: Arc<AtomicUsize>,
-    answer: F,
+    connection_count: Arc<AtomicUsize>,
+    handler: F,
 ) where
     F: Fn(ReceivedRequest) -> A + Clone + Send + Sync + 'static,
     A: Future<Output = Response<ResponseBody>> + Send + 'static,
 {
     let mut connections = JoinSet::new();
-    let closing = state.clone();
+    let connection_state = state.clone();
     let mut closed = pin!(async {
         let _ = state.wait_for(|state| *state == ListenerState::Closed).await;
     });
@@ -96,10 +96,10 @@
         tokio::select! {
             () = &mut closed => break,
             Some(_) = connections.join_next(), if !connections.is_empty() => {}
-            received = listener.accept(), if connections.len() < bounds.max_connections => match received {
+            accepted = listener.accept(), if connections.len() < limits.max_connections => match accepted {
                 Ok((stream, _)) => {
-                    callers.store(connections.len() + 1, Relaxed);
-                    connections.spawn(serve_connection(stream, clock, bounds.clone(), closing.clone(), answer.clone()));
+                    connection_count.store(connections.len() + 1, Relaxed);
+                    connections.spawn(serve_connection(stream, clock, limits.clone(), connection_state.clone(), handler.clone()));
                 }
                 Err(_) => sleep(ACCEPT_RETRY_INTERVAL).await,
             }
@@ -109,17 +109,17 @@
     while connections.join_next().await.is_some() {}
 }
 
-/// Counts a request from its arrival until its response has been sent.
-struct ConnectionGuard(Arc<AtomicUsize>);
+/// Counts a request as in flight on its connection until its response has been sent.
+struct InFlightGuard(Arc<AtomicUsize>);
 
-impl ConnectionGuard {
-    fn new(count: Arc<AtomicUsize>) -> ConnectionGuard {
-        count.fetch_add(1, Relaxed);
-        ConnectionGuard(count)
+impl InFlightGuard {
+    fn new(in_flight: Arc<AtomicUsize>) -> InFlightGuard {
+        in_flight.fetch_add(1, Relaxed);
+        InFlightGuard(in_flight)
     }
 }
 
-impl Drop for ConnectionGuard {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Relaxed);
     }
@@ -129,110 +129,114 @@
 async fn serve_connection<F, A>(
     stream: TcpStream,
     clock: Clock,
-    bounds: ListenerLimits,
+    limits: ListenerLimits,
     mut state: watch::Receiver<ListenerState>,
-    answer: F,
+    handler: F,
 ) where
     F: Fn(ReceivedRequest) -> A + Clone + Send + Sync + 'static,
     A: Future<Output = Response<ResponseBody>> + Send + 'static,
 {
     let (wire, meter) = Wire::new(Arc::new(stream), clock, None);
-    let leaving = state.clone();
-    let work = Arc::new(AtomicUsize::new(0));
-    let busy = work.clone();
-    let serve = service_fn(move |req: Request<Incoming>| {
-        let at = meter.take_first().unwrap_or_else(|| clock.now());
+    let current_state = state.clone();
+    let in_flight = Arc::new(AtomicUsize::new(0));
+    let requests_in_flight = in_flight.clone();
+    let service = service_fn(move |request: Request<Incoming>| {
+        let received_at = meter.take_first().unwrap_or_else(|| clock.now());
         let meter = meter.clone();
-        let (answer, leaving, work) = (answer.clone(), leaving.clone(), work.clone());
+        let (handler, current_state, in_flight) = (handler.clone(), current_state.clone(), in_flight.clone());
         async move {
-            let work = ConnectionGuard::new(work);
-            let answer =
-                answer(ReceivedRequest { request: req, meter: meter.clone(), received_at: at }).await;
+            let guard = InFlightGuard::new(in_flight);
+            let response = handler(ReceivedRequest { request, meter: meter.clone(), received_at }).await;
             // A long response counts as in flight until its last byte.
-            let mut answer = answer.map(|flow| flow.with_guard(work));
+            let mut response = response.map(|body| body.with_guard(guard));
             meter.take_first();
             meter.next_message();
-            if *leaving.borrow() >= ListenerState::Draining {
-                answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
+            if *current_state.borrow() >= ListenerState::Draining {
+                response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
             }
-            Ok::<_, Infallible>(answer)
+            Ok::<_, Infallible>(response)
         }
     });
     let mut builder = http1::Builder::new();
-    builder.timer(TokioTimer::new()).header_read_timeout(bounds.header_timeout).max_buf_size(MOST_HEAD);
-    let mut connection = pin!(builder.serve_connection(wire, serve));
+    builder.timer(TokioTimer::new()).header_read_timeout(limits.header_timeout).max_buf_size(MOST_HEAD);
+    let mut connection = pin!(builder.serve_connection(wire, service));
     tokio::select! {
         _ = connection.as_mut() => return,
         _ = state.wait_for(|state| *state == ListenerState::Closed) => connection.as_mut().graceful_shutdown(),
     }
-    // Requests that are being answered are waited for; one that is incomplete is not.
+    // Requests in flight are completed; an incomplete request is abandoned.
     while timeout(DRAIN_READ_TIMEOUT, connection.as_mut()).await.is_err() {
-        if busy.load(Relaxed) == 0 {
+        if requests_in_flight.load(Relaxed) == 0 {
             return;
         }
     }
 }
 
-/// Reads a request as it may be forwarded, without the headers of the one connection. Returns it with the permit for the memory
-/// of its body. A body up to [`MOST_BODY`] is read completely, within `slow`; of a longer one only the first part. Errors:
-/// 400 if it is malformed, 408 if it is too slow, 413 above `most` bytes, 503 while the process ends.
+/// Reads a request and returns it in the form in which it may be forwarded, without hop-by-hop headers, with the permit for the
+/// memory of its body. A body up to [`MOST_BODY`] is read completely, within `body_timeout`; of a longer one only the first
+/// part. Errors: 400 if the request is malformed, 408 if its body is too slow, 413 above `max_bytes`, 503 while the process
+/// ends.
 pub async fn read_message(
     received: ReceivedRequest,
-    bodies: &Arc<Semaphore>,
+    body_memory: &Arc<Semaphore>,
     clock: Clock,
-    most: u64,
-    slow: Duration,
+    max_bytes: u64,
+    body_timeout: Duration,
 ) -> Result<(Message, Permit), RequestError> {
-    let ReceivedRequest { request: req, meter, .. } = received;
-    let (mut head, mut body) = req.into_parts();
-    let framed = !head.headers.contains_key(TRANSFER_ENCODING);
-    if !framed && meter.length_named() {
-        // A request with both could hide another request from one of the servers on its way (request smuggling).
+    let ReceivedRequest { request, meter, .. } = received;
+    let (mut head, mut body) = request.into_parts();
+    if head.headers.contains_key(TRANSFER_ENCODING) && meter.length_named() {
+        // Two ways of framing could hide a second request from one of the servers on the path (request smuggling).
         return Err(RequestError(400, "both a length and a transfer encoding"));
     }
-    if body.size_hint().lower() > most {
+    if body.size_hint().lower() > max_bytes {
         return Err(RequestError(413, "body too large"));
     }
-    let told = body.size_hint().exact();
-    let room = told.filter(|length| *length <= MOST_BODY as u64).map_or(PER_LONG, |length| length as u32);
-    let room = bodies.clone().acquire_many_owned(room).await.map_err(|_| RequestError(503, "closed"))?;
-    let (first, whole) = match timeout(slow, first(&mut body)).await {
+    let declared_length = body.size_hint().exact();
+    let reserved_bytes =
+        declared_length.filter(|length| *length <= MOST_BODY as u64).map_or(PER_LONG, |length| length as u32);
+    let permit = body_memory
+        .clone()
+        .acquire_many_owned(reserved_bytes)
+        .await
+        .map_err(|_| RequestError(503, "closed"))?;
+    let (first, is_complete) = match timeout(body_timeout, read_first_part(&mut body)).await {
         Ok(read) => read?,
         Err(_) => return Err(RequestError(408, "body too slow")),
     };
-    let long = (!whole).then(|| Long::new(body, clock, Coming::apart()));
-    let length = if whole { Some(first.len() as u64) } else { told };
-    let named = head.headers.contains_key(CONTENT_LENGTH) || !first.is_empty();
+    let long = (!is_complete).then(|| Long::new(body, clock, Coming::apart()));
+    let length = if is_complete { Some(first.len() as u64) } else { declared_length };
+    let has_length = head.headers.contains_key(CONTENT_LENGTH) || !first.is_empty();
     drop_hop_fields(&mut head.headers);
     head.headers.remove(EXPECT);
     head.headers.remove(CONTENT_LENGTH);
-    if let Some(length) = length.filter(|_| named) {
+    if let Some(length) = length.filter(|_| has_length) {
         head.headers.insert(CONTENT_LENGTH, length.into());
     }
-    let mut on = Request::new(());
-    *on.method_mut() = head.method;
+    let mut forwarded = Request::new(());
+    *forwarded.method_mut() = head.method;
     if let Some(path) = head.uri.path_and_query() {
-        *on.uri_mut() = path.clone().into();
+        *forwarded.uri_mut() = path.clone().into();
     }
     if !head.headers.contains_key(HOST)
         && let Some(host) = head.uri.authority().and_then(|host| HeaderValue::try_from(host.as_str()).ok())
     {
         head.headers.insert(HOST, host);
     }
-    *on.headers_mut() = head.headers;
-    Ok((Message { head: on, first, length, long }, room))
+    *forwarded.headers_mut() = head.headers;
+    Ok((Message { head: forwarded, first, length, long }, permit))
 }
 
-/// Reads all of a message's body, up to `most` bytes.
-pub async fn read_body(message: Message, most: u64) -> Result<Vec<u8>, RequestError> {
+/// Reads a message's complete body, up to `max_bytes`.
+pub async fn read_body(message: Message, max_bytes: u64) -> Result<Vec<u8>, RequestError> {
     let message = Arc::new(message);
     let load = message.load().ok_or(RequestError(400, "body cut short"))?;
-    let body = http_body_util::Limited::new(load, most.min(usize::MAX as u64) as usize).collect().await;
+    let body = http_body_util::Limited::new(load, max_bytes.min(usize::MAX as u64) as usize).collect().await;
     Ok(body.map_err(|_| RequestError(400, "body cut short, or too large"))?.to_bytes().to_vec())
 }
 
-/// The first part of a body, and whether that is all of it.
-async fn first(body: &mut Incoming) -> Result<(bytes::Bytes, bool), RequestError> {
+/// Reads the first part of a body. The second value says whether that is the complete body.
+async fn read_first_part(body: &mut Incoming) -> Result<(bytes::Bytes, bool), RequestError> {
     if body.is_end_stream() {
         return Ok((bytes::Bytes::new(), true));
     }
@@ -249,22 +253,22 @@
     Ok((bytes.freeze(), false))
 }
 
-/// A response of one line of text. An invalid status becomes 500.
+/// A plain-text response of one line. An invalid status becomes 500.
 pub fn plain_response(status: u16, line: &str) -> Response<ResponseBody> {
-    let mut answer = Response::new(ResponseBody::from_bytes(format!("{line}\n")));
-    *answer.status_mut() = StatusCode::from_u16(status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
-    answer
+    let mut response = Response::new(ResponseBody::from_bytes(format!("{line}\n")));
+    *response.status_mut() = StatusCode::from_u16(status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
+    response
 }
 
-/// A response of JSON. An invalid status becomes 500.
+/// A JSON response. An invalid status becomes 500.
 pub fn json_response(status: u16, text: String) -> Response<ResponseBody> {
-    let mut answer = Response::new(ResponseBody::from_bytes(text));
-    *answer.status_mut() = StatusCode::from_u16(status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
-    answer.headers_mut().insert("content-type", HeaderValue::from_static("application/json"));
-    answer
+    let mut response = Response::new(ResponseBody::from_bytes(text));
+    *response.status_mut() = StatusCode::from_u16(status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
+    response.headers_mut().insert("content-type", HeaderValue::from_static("application/json"));
+    response
 }
 
-/// The value of a header without surrounding spaces; empty if there is none or it isn't text.
+/// The value of a header without surrounding spaces; empty if it is missing or not visible ASCII.
 pub fn header_str<'a>(headers: &'a HeaderMap, name: &HeaderName) -> &'a str {
     headers.get(name).and_then(|value| value.to_str().ok()).unwrap_or_default().trim()
 }
