--- a/balancer/src/mesh/proxy/lease_client.rs
+++ b/balancer/src/mesh/proxy/lease_client.rs
@@ -1,11 +1,11 @@
-//! The data plane's side of leases on idempotency keys: a lease is acquired before a keyed request runs, and completed with its
-//! outcome after.
+//! Client for leases on idempotency keys: a lease is acquired before a keyed request runs, and completed with its outcome
+//! afterwards.
 //!
-//! [`acquire_lease`] asks the replicas in the order of the key, with a hedged request to the next one when a reply is late;
-//! [`complete_lease`] reports the outcome until a replica has it. [`ReplicaPool`] holds the known replicas.
+//! [`acquire_lease`] calls the replicas in the order for the key, with a hedged request to the next one when a response is
+//! late; [`complete_lease`] reports the outcome until a replica accepts it. [`ReplicaPool`] holds the known replicas.
 //!
 //! Invariants: a request runs only under a lease that was granted; a lease under which it may have run is never released.
-//! (Both are kept by the caller, `outbound`; here a lease counts as granted only if a replica said so.)
+//! (The caller, `outbound`, ensures both; here a lease counts as granted only if a replica responded so.)
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -21,130 +21,130 @@
 use crate::link::held;
 use crate::mesh::rpc::{InternalRequest, InternalResponse, RpcClients};
 
-/// A lease request also goes to the next replica if the one before has not replied within this.
+/// Delay after which a lease request is also sent to the next replica.
 const HEDGE_DELAY: Duration = Duration::from_millis(90);
-/// How long one call that completes a lease may take.
+/// Timeout of one call that completes a lease.
 const COMPLETE_TIMEOUT: Duration = Duration::from_millis(800);
-/// How often all replicas are tried to complete a lease. After that its time ends it.
-const MAX_COMPLETE_ATTEMPTS: u32 = 4;
-/// Pause after the first round of attempts to complete a lease; doubled after each further one.
-const RETRY_INTERVAL: Duration = Duration::from_millis(150);
+/// Number of rounds over all replicas to complete a lease. After these the lease is left to expire.
+const MAX_COMPLETE_ROUNDS: u32 = 4;
+/// Delay after the first round of calls to complete a lease; doubled after each further round.
+const INITIAL_RETRY_DELAY: Duration = Duration::from_millis(150);
 
-/// The key under which replicas know an idempotency key, which may be of any length.
-pub fn hash_key(text: &str) -> LeaseKey {
-    xxh3_128(text.as_bytes())
+/// Hashes an idempotency key, which may be of any length, to the key of its lease at the replicas.
+pub fn hash_key(idempotency_key: &str) -> LeaseKey {
+    xxh3_128(idempotency_key.as_bytes())
 }
 
-/// The replicas that are known, and which of them have failed lately, for all parts of the data plane that ask them.
+/// The known replicas and their recent failures, shared by all clients of the replicas in the data plane.
 pub struct ReplicaPool {
     clock: Clock,
-    known: Mutex<ReplicaDirectory>,
+    directory: Mutex<ReplicaDirectory>,
 }
 
 impl ReplicaPool {
     pub fn new(clock: Clock) -> ReplicaPool {
-        ReplicaPool { clock, known: Mutex::default() }
+        ReplicaPool { clock, directory: Mutex::default() }
     }
 
     /// Replaces the known replicas.
-    pub fn set_replicas(&self, all: impl IntoIterator<Item = SocketAddr>) {
-        held(&self.known).set_replicas(all);
+    pub fn set_replicas(&self, replicas: impl IntoIterator<Item = SocketAddr>) {
+        held(&self.directory).set_replicas(replicas);
     }
 
     /// The known replicas.
     pub fn replicas(&self) -> Vec<SocketAddr> {
-        held(&self.known).replicas()
+        held(&self.directory).replicas()
     }
 
-    /// Notes that a replica gave no usable reply: others are asked first for a while.
+    /// Records that a replica gave no usable response: others are preferred for a while.
     pub fn request_failed(&self, replica: SocketAddr) {
-        held(&self.known).failed(self.clock.now(), replica);
+        held(&self.directory).failed(self.clock.now(), replica);
     }
 
-    /// Notes that a replica has replied.
+    /// Records that a replica has responded.
     pub fn response_received(&self, replica: SocketAddr) {
-        held(&self.known).replied(replica);
+        held(&self.directory).replied(replica);
     }
 
-    /// The replicas in the order in which they are to be asked about a key.
+    /// The replicas in the order in which they are called for a key.
     pub fn replicas_for_key(&self, key: LeaseKey) -> Vec<SocketAddr> {
-        held(&self.known).replicas_for_key(self.clock.now(), key)
+        held(&self.directory).replicas_for_key(self.clock.now(), key)
     }
 }
 
-/// Acquires the lease of a key for a token. The first definite reply of a replica counts. The same request may go to several
-/// replicas, since they all grant it to one token. `left_ms` is the time that the request has left; `within` is how long this
-/// may take. Returns [`CoreResponse::Unavailable`] if no replica has decided by then; the lease may then still have been
-/// granted.
+/// Acquires the lease of a key for a token. The first definite response of a replica counts. The same request may go to several
+/// replicas, since they all grant the lease to the same token. `left_ms` is the request's time left. Returns
+/// [`CoreResponse::Unavailable`] if no replica has decided within `timeout`; the lease may still have been granted.
 pub async fn acquire_lease(
     replicas: &ReplicaPool,
-    callers: &RpcClients,
+    clients: &RpcClients,
     (key, token): (LeaseKey, LeaseToken),
     left_ms: u32,
-    within: Duration,
+    timeout: Duration,
 ) -> CoreResponse {
-    let until = tokio::time::Instant::now() + within;
+    let deadline = tokio::time::Instant::now() + timeout;
     let mut remaining = replicas.replicas_for_key(key).into_iter();
     let mut calls = FuturesUnordered::new();
     let mut unanswered = Vec::new();
     loop {
         if let Some(replica) = remaining.next() {
             let call = async move {
-                let ask =
+                let request =
                     InternalRequest::Core(CoreRequest::AcquireLease { key, token, time_left_ms: left_ms });
-                (replica, callers.to(replica).call(ask, within).await)
+                (replica, clients.to(replica).call(request, timeout).await)
             };
             unanswered.push(replica);
             calls.push(call);
         } else if calls.is_empty() {
             return CoreResponse::Unavailable;
         }
-        let hedge = (tokio::time::Instant::now() + HEDGE_DELAY).min(until);
+        let hedge_at = (tokio::time::Instant::now() + HEDGE_DELAY).min(deadline);
         tokio::select! {
-            Some((replica, reply)) = calls.next(), if !calls.is_empty() => {
-                unanswered.retain(|asked| *asked != replica);
-                match reply {
+            Some((replica, response)) = calls.next(), if !calls.is_empty() => {
+                unanswered.retain(|called| *called != replica);
+                match response {
                     Ok(InternalResponse::Core(CoreResponse::Unavailable)) => {}
                     Ok(InternalResponse::Core(response)) => {
                         replicas.response_received(replica);
-                        // Those that were asked before and have not replied count as failed.
-                        unanswered.into_iter().for_each(|asked| replicas.request_failed(asked));
+                        // Replicas that were called and have not responded count as failed.
+                        unanswered.into_iter().for_each(|called| replicas.request_failed(called));
                         return response;
                     }
                     _ => replicas.request_failed(replica),
                 }
             }
-            () = sleep_until(hedge) => {}
+            () = sleep_until(hedge_at) => {}
         }
-        if tokio::time::Instant::now() >= until {
+        if tokio::time::Instant::now() >= deadline {
             return CoreResponse::Unavailable;
         }
     }
 }
 
-/// Completes a lease with its outcome, or releases it with `None`, in the background until a replica has accepted that.
+/// Completes a lease with its outcome, or releases it with `None`. Retries in the background until a replica accepts that, for
+/// [`MAX_COMPLETE_ROUNDS`] at most.
 pub fn complete_lease(
     replicas: Arc<ReplicaPool>,
-    callers: Arc<RpcClients>,
+    clients: Arc<RpcClients>,
     (key, token): (LeaseKey, LeaseToken),
     outcome: Option<LeaseOutcome>,
 ) {
     tokio::spawn(async move {
-        for round in 0..MAX_COMPLETE_ATTEMPTS {
+        for round in 0..MAX_COMPLETE_ROUNDS {
             for replica in replicas.replicas_for_key(key) {
-                let ask = InternalRequest::Core(CoreRequest::CompleteLease {
+                let request = InternalRequest::Core(CoreRequest::CompleteLease {
                     key,
                     token,
                     outcome: outcome.clone(),
                 });
                 if let Ok(InternalResponse::Core(CoreResponse::Accepted)) =
-                    callers.to(replica).call(ask, COMPLETE_TIMEOUT).await
+                    clients.to(replica).call(request, COMPLETE_TIMEOUT).await
                 {
                     return;
                 }
                 replicas.request_failed(replica);
             }
-            sleep(RETRY_INTERVAL * (1 << round)).await;
+            sleep(INITIAL_RETRY_DELAY * (1 << round)).await;
         }
     });
 }
