--- a/balancer/src/mesh/proxy/fencing.rs
+++ b/balancer/src/mesh/proxy/fencing.rs
@@ -1,9 +1,9 @@
-//! Fencing of sessions at an inbound proxy: it refuses requests from an outbound proxy that has lost the session.
+//! Fencing of sessions at an inbound proxy: it refuses requests from an outbound proxy that no longer owns the session.
 //!
 //! [`FencingTable::check`] compares the term in a request's [`FencingToken`] with the latest one seen for its session.
 //!
-//! Invariants: a request with an earlier term than one seen for its session doesn't pass, as long as the session is remembered;
-//! nobody is asked.
+//! Invariants: a request with an earlier term than one seen for its session is refused, as long as the session is remembered;
+//! the check needs no I/O.
 
 use std::collections::{BTreeSet, HashMap};
 use std::sync::Mutex;
@@ -14,14 +14,14 @@
 
 use crate::link::held;
 
-/// How many sessions are remembered; those not seen for longest are dropped first.
+/// Most sessions that are remembered; the least recently seen ones are dropped first.
 const MAX_SESSIONS: usize = 20_000;
-/// How long a session is remembered after its last request. Less than the replicas keep its record, so that a session that
-/// begins anew at a low term finds no higher one here. The replicas hear of a session's use a minute later at most, and the
-/// difference covers that.
+/// How long a session is remembered after its last request. This is 180 s less than the replicas keep its record, so that a
+/// session that restarts at a low term finds no higher one here. The replicas learn of a session's use up to a minute late,
+/// which the difference covers.
 const RETENTION: Nanos = SESSION_IDLE - 180_000_000_000;
 
-/// The session of an attempt, and the term since which the outbound proxy that sends it owns the session.
+/// The session of an attempt, and the term since which the sending outbound proxy has owned it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FencingToken {
     pub session: SessionId,
@@ -29,17 +29,17 @@
 }
 
 impl FencingToken {
-    /// The token as the value of a header: the session in 32 hexadecimal digits, a dot, and the term.
+    /// Formats the token as a header value: the session in 32 hexadecimal digits, a dot, and the term.
     pub fn to_header(self) -> String {
         format!("{:032x}.{}", self.session, self.since_term)
     }
 
-    /// Reads a header's value; `None` if it isn't a token.
-    pub fn from_header(word: &str) -> Option<FencingToken> {
-        let (session, since) = word.split_once('.')?;
+    /// Parses a header value; `None` if it isn't a token.
+    pub fn from_header(value: &str) -> Option<FencingToken> {
+        let (session, since_term) = value.split_once('.')?;
         Some(FencingToken {
             session: SessionId::from_str_radix(session, 16).ok()?,
-            since_term: since.parse().ok()?,
+            since_term: since_term.parse().ok()?,
         })
     }
 }
@@ -48,39 +48,47 @@
 #[derive(Default)]
 pub struct FencingTable(Mutex<KnownOwners>);
 
+/// The latest known owner of a session.
+#[derive(Clone, Copy)]
+struct KnownOwner {
+    since_term: u64,
+    /// When the session is forgotten.
+    expires_at: Nanos,
+}
+
 #[derive(Default)]
 struct KnownOwners {
-    /// The term since which each session is owned, and until when it is remembered.
-    sessions: HashMap<SessionId, (u64, Nanos)>,
-    /// The sessions by the time until which they are remembered.
-    order: BTreeSet<(Nanos, SessionId)>,
+    sessions: HashMap<SessionId, KnownOwner>,
+    /// The sessions by the time when they are forgotten.
+    by_expiry: BTreeSet<(Nanos, SessionId)>,
     rejections: u64,
 }
 
 impl FencingTable {
-    /// Remembers the token and lets it pass; the later term that is known is the error if the session has a later owner.
+    /// Accepts and remembers a token, unless the session has a later owner; the error is that owner's term.
     pub fn check(&self, now: Nanos, fencing_token: FencingToken) -> Result<(), u64> {
-        let mut known = held(&self.0);
-        while let Some(&(until, session)) = known.order.first()
-            && (until <= now || known.sessions.len() > MAX_SESSIONS)
+        let mut owners = held(&self.0);
+        while let Some(&(expires_at, session)) = owners.by_expiry.first()
+            && (expires_at <= now || owners.sessions.len() > MAX_SESSIONS)
         {
-            known.order.remove(&(until, session));
-            known.sessions.remove(&session);
+            owners.by_expiry.remove(&(expires_at, session));
+            owners.sessions.remove(&session);
         }
-        let until = now.saturating_add(RETENTION);
-        if let Some((since, before)) = known.sessions.get(&fencing_token.session).copied() {
-            if since > fencing_token.since_term {
-                known.rejections += 1;
-                return Err(since);
+        if let Some(known) = owners.sessions.get(&fencing_token.session).copied() {
+            if known.since_term > fencing_token.since_term {
+                owners.rejections += 1;
+                return Err(known.since_term);
             }
-            known.order.remove(&(before, fencing_token.session));
+            owners.by_expiry.remove(&(known.expires_at, fencing_token.session));
         }
-        known.sessions.insert(fencing_token.session, (fencing_token.since_term, until));
-        known.order.insert((until, fencing_token.session));
+        let owner =
+            KnownOwner { since_term: fencing_token.since_term, expires_at: now.saturating_add(RETENTION) };
+        owners.sessions.insert(fencing_token.session, owner);
+        owners.by_expiry.insert((owner.expires_at, fencing_token.session));
         Ok(())
     }
 
-    /// How many requests were refused since this process started.
+    /// Number of requests that were refused since this process started.
     pub fn rejections(&self) -> u64 {
         held(&self.0).rejections
     }
