--- a/balancer/src/mesh/proxy/connection_limit.rs
+++ b/balancer/src/mesh/proxy/connection_limit.rs
@@ -1,7 +1,7 @@
-//! The limit on connections from an inbound proxy to its upstream: what this process can hold, or what the upstream takes from
-//! all its callers if that is less. It changes with the upstream's service and the configuration.
+//! The limit on connections from an inbound proxy to its upstream: the lower of this process's own limit and the upstream's
+//! limit on connections from all its callers. It changes with the upstream's service and the configuration.
 //!
-//! Invariants: a connection that is in use is never ended; a lower limit takes effect as connections end.
+//! Invariants: a connection in use is never closed; a lower limit takes effect as connections end.
 
 use std::sync::{Arc, Mutex};
 
@@ -12,17 +12,21 @@
 /// A limit that can be changed while connections are in use.
 pub struct ConnectionLimit {
     permits: Arc<Semaphore>,
-    /// As many as this process can hold.
-    max: usize,
-    /// Permits that exist now, free or in use.
-    current: Mutex<usize>,
+    /// This process's own limit.
+    max_connections: usize,
+    /// Number of existing permits, free or in use.
+    permit_count: Mutex<usize>,
 }
 
 impl ConnectionLimit {
-    /// `max` is as many as this process can hold; at least one is allowed.
-    pub fn new(max: usize) -> ConnectionLimit {
-        let max = max.max(1);
-        ConnectionLimit { permits: Arc::new(Semaphore::new(max)), max, current: Mutex::new(max) }
+    /// `max_connections` is this process's own limit; it is at least one.
+    pub fn new(max_connections: usize) -> ConnectionLimit {
+        let max_connections = max_connections.max(1);
+        ConnectionLimit {
+            permits: Arc::new(Semaphore::new(max_connections)),
+            max_connections,
+            permit_count: Mutex::new(max_connections),
+        }
     }
 
     /// The permits, one for each connection.
@@ -30,16 +34,16 @@
         self.permits.clone()
     }
 
-    /// Sets how many connections the upstream takes. Permits in use above the limit can't be withdrawn, so that this is to be
-    /// called again now and then until they have ended.
-    pub fn set_limit(&self, cap: usize) {
-        let limit = cap.clamp(1, self.max);
-        let mut current = held(&self.current);
-        if limit >= *current {
-            self.permits.add_permits(limit - *current);
-            *current = limit;
+    /// Sets the upstream's limit. Permits in use above the limit can't be withdrawn, so this must be called repeatedly until
+    /// they have been released.
+    pub fn set_limit(&self, upstream_limit: usize) {
+        let limit = upstream_limit.clamp(1, self.max_connections);
+        let mut permit_count = held(&self.permit_count);
+        if limit >= *permit_count {
+            self.permits.add_permits(limit - *permit_count);
+            *permit_count = limit;
         } else {
-            *current -= self.permits.forget_permits(*current - limit);
+            *permit_count -= self.permits.forget_permits(*permit_count - limit);
         }
     }
 }
--- a/balancer/src/mesh/proxy/mod.rs
+++ b/balancer/src/mesh/proxy/mod.rs
@@ -1,9 +1,9 @@
-//! The data plane: the proxies of one node, and what they need of the control plane.
+//! The data plane: the proxies of one node, and their clients of the control plane.
 //!
-//! The way of a request: `listener` accepts it, `outbound` finds its route and takes a lease on its key (`lease_client`)
-//! or its session (`session_affinity`), `request_scheduler` asks the decision module where each attempt goes,
-//! `connection_pool` carries the attempt to the inbound proxy of the chosen node, and `inbound` admits it to the upstream.
-//! `control_plane_watch` keeps configuration and endpoint records up to date, `node` holds the state of all of these.
+//! Request path: `listener` accepts a request, `outbound` finds its route and acquires the lease on its key (`lease_client`)
+//! and its session (`session_affinity`), `request_scheduler` lets the decision module choose the endpoint of each attempt,
+//! `connection_pool` sends the attempt to the inbound proxy of the chosen node, and `inbound` admits it to the upstream.
+//! `control_plane_watch` keeps configuration and endpoint records up to date, and `node` holds the shared state.
 
 pub(super) mod budget_reporter;
 pub(super) mod connection_limit;
