--- a/balancer/src/mesh/proxy/outbound.rs
+++ b/balancer/src/mesh/proxy/outbound.rs
@@ -22,7 +22,7 @@
 use hyper::header::{HOST, HeaderMap, HeaderName, HeaderValue, RETRY_AFTER};
 use hyper::http::response::Parts;
 use hyper::{Response, StatusCode};
-use ochreshed::{How, Name, Nanos, Req, seconds};
+use ochreshed::{DispatchOutcome, Name, Nanos, RequestContext, to_seconds};
 use ochreshed_catalog::configuration::{RepeatPolicy, Route};
 use ochreshed_catalog::traffic_reports::{OutcomeCounts, RouteEdition};
 use ochreshed_consensus::messages::{CoreResponse, LeaseKey, LeaseOutcome, LeaseToken, StoredResponse};
@@ -167,7 +167,7 @@
 fn rejection_response(retry_after: Nanos) -> Response<ResponseBody> {
     let mut response = plain_response(503, "not run: come back");
     let retry_after = if retry_after == 0 { DEFAULT_RETRY_AFTER } else { RETRY_AFTER_OFFSET + retry_after };
-    if let Ok(value) = HeaderValue::try_from(format!("{:.3}", seconds(retry_after))) {
+    if let Ok(value) = HeaderValue::try_from(format!("{:.3}", to_seconds(retry_after))) {
         response.headers_mut().insert(RETRY_AFTER, value);
     }
     response
@@ -357,10 +357,10 @@
             .zip(self.key)
             .map(|(fencing_token, key)| session_affinity::track_key(&self.node, fencing_token.session, key));
         let route_class: Name = request_scheduler::route_class(&self.route).as_str().into();
-        let mut request = Req::new(0, route_class, "".into(), self.received_at, self.deadline);
-        request.again = self.caller_is_retry;
-        request.coming = self.message.long.is_some();
-        request.tie = session
+        let mut request = RequestContext::new(0, route_class, "".into(), self.received_at, self.deadline);
+        request.is_client_retry = self.caller_is_retry;
+        request.body_pending = self.message.long.is_some();
+        request.preferred_endpoint = session
             .as_ref()
             .and_then(|session| session.binding.as_ref())
             .map(|binding| binding.upstream_id.as_str().into());
@@ -383,7 +383,7 @@
                     }
                     let started_at = self.node.clock.now();
                     let Some(endpoint) = scheduler.endpoint(&upstream_id) else {
-                        scheduled.attempt_ended(attempt_number, How::NotSent, 0, false, None);
+                        scheduled.attempt_ended(attempt_number, DispatchOutcome::NotSent, 0, false, None);
                         continue;
                     };
                     if let Some(session) = session.as_mut().filter(|_| !is_large)
@@ -391,7 +391,7 @@
                             .await
                     {
                         // The session has moved to another owner or upstream. The client's retry finds it there.
-                        scheduled.attempt_ended(attempt_number, How::NotSent, 0, false, None);
+                        scheduled.attempt_ended(attempt_number, DispatchOutcome::NotSent, 0, false, None);
                         scheduled.finish();
                         break;
                     }
@@ -404,7 +404,7 @@
                         self.run_attempt(&mut scheduled, &endpoint, attempt, give_up_at).await
                     else {
                         may_have_run = true;
-                        scheduled.attempt_ended(attempt_number, How::Recalled, 0, false, None);
+                        scheduled.attempt_ended(attempt_number, DispatchOutcome::Cancelled, 0, false, None);
                         continue;
                     };
                     attempts_sent +=
@@ -416,7 +416,13 @@
                     let duration = self.node.clock.now() - started_at;
                     let how = match outcome {
                         UpstreamOutcome::Responded(head, body) if is_success(&head) => {
-                            scheduled.attempt_ended(attempt_number, How::Done, duration, true, load);
+                            scheduled.attempt_ended(
+                                attempt_number,
+                                DispatchOutcome::Done,
+                                duration,
+                                true,
+                                load,
+                            );
                             if let Some(session) = session.as_ref().filter(|_| !is_large) {
                                 session_affinity::count_success(&self.node, session, &endpoint);
                             }
@@ -429,29 +435,35 @@
                             let is_false_promise =
                                 !self.route.repeat_policy.repeatable() && promises_not_run(head.status);
                             error_response = (!is_false_promise).then_some((head, body));
-                            How::Error
+                            DispatchOutcome::Error
                         }
-                        UpstreamOutcome::UpstreamFull | UpstreamOutcome::Gone => How::Full,
-                        UpstreamOutcome::Rejected => How::Turned,
+                        UpstreamOutcome::UpstreamFull | UpstreamOutcome::Gone => DispatchOutcome::Full,
+                        UpstreamOutcome::Rejected => DispatchOutcome::Rejected,
                         UpstreamOutcome::Fenced(current_term) => {
                             // Another proxy has owned the session since a later term. The request ends here, and the
                             // client's retry goes to the new owner.
                             if let Some(fencing_token) = fencing_token {
                                 self.node.sessions().record_fencing(fencing_token, current_term);
                             }
-                            scheduled.attempt_ended(attempt_number, How::Turned, duration, false, load);
+                            scheduled.attempt_ended(
+                                attempt_number,
+                                DispatchOutcome::Rejected,
+                                duration,
+                                false,
+                                load,
+                            );
                             scheduled.finish();
                             break;
                         }
-                        UpstreamOutcome::ConnectFailed => How::NoConnection,
-                        UpstreamOutcome::NotSent => How::NotSent,
+                        UpstreamOutcome::ConnectFailed => DispatchOutcome::NoConnection,
+                        UpstreamOutcome::NotSent => DispatchOutcome::NotSent,
                         UpstreamOutcome::Reset => {
                             may_have_run = true;
-                            How::Reset
+                            DispatchOutcome::Reset
                         }
                         UpstreamOutcome::TimedOut => {
                             may_have_run = true;
-                            How::TimedOut
+                            DispatchOutcome::TimedOut
                         }
                     };
                     scheduled.attempt_ended(attempt_number, how, duration, false, load);
--- a/balancer/src/mesh/proxy/request_scheduler.rs
+++ b/balancer/src/mesh/proxy/request_scheduler.rs
@@ -17,7 +17,10 @@
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, Weak};
 
-use ochreshed::{Balancer, Facts, How, Listed, Name, Nanos, Outcome, Req, State, Value};
+use ochreshed::{
+    Balancer, DispatchOutcome, EndpointState, Event, ListedEndpoint, Name, Nanos, ParameterValue, Parameters,
+    RequestContext,
+};
 use ochreshed_catalog::configuration::WeightedService;
 use ochreshed_catalog::configuration::{Configuration, RepeatPolicy, Route};
 use ochreshed_catalog::endpoints::{EndpointRecord, UpstreamState};
@@ -206,25 +209,27 @@
     }
 
     /// The settings in the form that the decision module reads.
-    fn facts(&self) -> Facts {
-        let number = |value: f64| Value::Number(value);
+    fn facts(&self) -> Parameters {
+        let number = |value: f64| ParameterValue::Number(value);
         let class_facts = |class: &RouteClass| {
             let utility = 0.5f64.powi(class.priority.min(8) as i32);
-            Facts::from([
-                ("name".into(), Value::Text((*class.name).into())),
-                ("response_target".into(), Value::Span(class.latency_target_ms * MS)),
+            Parameters::from([
+                ("name".into(), ParameterValue::Text((*class.name).into())),
+                ("response_target".into(), ParameterValue::Duration(class.latency_target_ms * MS)),
                 ("utility".into(), number(utility)),
                 ("late_utility".into(), number(0.2 * utility)),
                 (
                     "effect".into(),
-                    Value::Text(if class.repeatable { "replayable" } else { "non-replayable" }.into()),
+                    ParameterValue::Text(
+                        if class.repeatable { "replayable" } else { "non-replayable" }.into(),
+                    ),
                 ),
             ])
         };
-        Facts::from([
+        Parameters::from([
             ("instances".into(), number(self.outbound_proxies as f64)),
             // The inbound proxy beside an upstream enforces its concurrency limit, not the module.
-            ("level".into(), Value::Text("doors".into())),
+            ("level".into(), ParameterValue::Text("doors".into())),
             ("report_in_flight".into(), number(0.0)),
             ("again_part".into(), number(self.retry_ratio)),
             ("again_floor".into(), number(self.retry_slack)),
@@ -233,12 +238,15 @@
             ("tier".into(), number(0.0)),
             ("tiers".into(), number(if self.calls_services { 2.0 } else { 1.0 })),
             ("max_dispatches".into(), number(f64::from(self.plan.max_attempts))),
-            ("may_recall".into(), Value::Flag(true)),
-            ("come_back_passed".into(), Value::Flag(true)),
-            ("max_come_back".into(), Value::Span(1_000 * MS)),
-            ("cold".into(), Value::Span(SLOW_START_DURATION)),
+            ("may_recall".into(), ParameterValue::Flag(true)),
+            ("come_back_passed".into(), ParameterValue::Flag(true)),
+            ("max_come_back".into(), ParameterValue::Duration(1_000 * MS)),
+            ("cold".into(), ParameterValue::Duration(SLOW_START_DURATION)),
             ("cold_share".into(), number(SLOW_START_INITIAL_SHARE)),
-            ("rule_sets".into(), Value::List(self.plan.route_classes.iter().map(class_facts).collect())),
+            (
+                "rule_sets".into(),
+                ParameterValue::List(self.plan.route_classes.iter().map(class_facts).collect()),
+            ),
         ])
     }
 }
@@ -263,7 +271,7 @@
     /// When the module next asks to be run.
     wake_at: Nanos,
     /// The endpoints as last given to the module.
-    listed: HashMap<Name, Listed>,
+    listed: HashMap<Name, ListedEndpoint>,
     endpoints: HashMap<Name, Endpoint>,
     retry_account: RetryAccount,
     /// The service's retry budget if it is divided among members and the platform; else the scheduler has its own.
@@ -440,7 +448,7 @@
     }
 
     /// Assigns an id to a request and hands it to the module, which may act on it immediately.
-    pub fn schedule(self: &Arc<Self>, mut request: Req) -> ScheduledRequest {
+    pub fn schedule(self: &Arc<Self>, mut request: RequestContext) -> ScheduledRequest {
         let mut state = held(&self.state);
         state.last_request_id += 1;
         let id = state.last_request_id;
@@ -448,8 +456,8 @@
         let (sender, actions) = mpsc::unbounded_channel();
         state.action_senders.insert(id, sender);
         let now = self.clock.now();
-        let attempts = RequestAttempts::new(self.settings.is_repeatable(&request.rule_set), request.ends);
-        if request.again {
+        let attempts = RequestAttempts::new(self.settings.is_repeatable(&request.rule_set), request.deadline);
+        if request.is_client_retry {
             state.retry_account.nested_call_retried(now);
             self.count_in_pool(&state, now, AttemptCounts { retried: 1, ..AttemptCounts::default() });
         }
@@ -466,7 +474,7 @@
 
     /// Whether this upstream incarnation is known and accepts requests.
     pub fn accepts_requests(&self, upstream_id: &Name) -> bool {
-        held(&self.state).listed.get(upstream_id).is_some_and(|listed| listed.state == State::Up)
+        held(&self.state).listed.get(upstream_id).is_some_and(|listed| listed.state == EndpointState::Up)
     }
 
     /// The endpoint of this upstream incarnation, if it is known.
@@ -500,24 +508,26 @@
             records.into_iter().filter(|received| is_candidate(&received.record))
         {
             let state = if accepts(record) {
-                State::Up
+                EndpointState::Up
             } else if record.state == UpstreamState::Absent || !record.accepts_clients {
-                State::Gone
+                EndpointState::Gone
             } else {
-                State::Draining
+                EndpointState::Draining
             };
             let upstream_id: Name = record.upstream_id.as_str().into();
-            let came_up = scheduler_state.listed.get(&upstream_id).and_then(|previous| previous.came_up);
+            let started_at =
+                scheduler_state.listed.get(&upstream_id).and_then(|previous| previous.started_at);
             let warm_at = received_at + record.warming_up_ms * MS;
-            let came_up = came_up.or((warm_at > now).then(|| warm_at.saturating_sub(SLOW_START_DURATION)));
+            let started_at =
+                started_at.or((warm_at > now).then(|| warm_at.saturating_sub(SLOW_START_DURATION)));
             let in_other_zone = zone_accepts && record.zone != zone;
             let weight = f64::from(record.concurrency_limit.max(1))
                 * if in_other_zone { OTHER_ZONE_WEIGHT_FACTOR } else { 1.0 };
             let record_zone: Name = record.zone.as_str().into();
-            let listed = Listed {
-                srv: upstream_id.clone(),
+            let listed = ListedEndpoint {
+                name: upstream_id.clone(),
                 state,
-                came_up,
+                started_at,
                 weight,
                 site: record_zone.clone(),
                 cell: 0,
@@ -529,18 +539,18 @@
             };
             current.insert(upstream_id, (listed, endpoint));
         }
-        let is_unchanged = |(upstream_id, (listed, endpoint)): (&Name, &(Listed, Endpoint))| {
+        let is_unchanged = |(upstream_id, (listed, endpoint)): (&Name, &(ListedEndpoint, Endpoint))| {
             let previous = scheduler_state
                 .listed
                 .get(upstream_id)
-                .map(|previous| (previous.state, previous.weight, previous.came_up, &previous.site));
-            previous == Some((listed.state, listed.weight, listed.came_up, &listed.site))
+                .map(|previous| (previous.state, previous.weight, previous.started_at, &previous.site));
+            previous == Some((listed.state, listed.weight, listed.started_at, &listed.site))
                 && scheduler_state.endpoints.get(upstream_id) == Some(endpoint)
         };
         if current.len() == scheduler_state.listed.len() && current.iter().all(is_unchanged) {
             return;
         }
-        let entries: Vec<Listed> = current.values().map(|(listed, _)| listed.clone()).collect();
+        let entries: Vec<ListedEndpoint> = current.values().map(|(listed, _)| listed.clone()).collect();
         scheduler_state.endpoints = current
             .iter()
             .map(|(upstream_id, (_, endpoint))| (upstream_id.clone(), endpoint.clone()))
@@ -549,7 +559,7 @@
             current.into_iter().map(|(upstream_id, (listed, _))| (upstream_id, listed)).collect();
         scheduler_state
             .decision_module
-            .news(now, Outcome::List { whole: true, old: false, entries: &entries });
+            .news(now, Event::EndpointsListed { is_complete: true, is_stale: false, endpoints: &entries });
         self.dispatch_and_wake(&mut scheduler_state);
     }
 }
@@ -576,7 +586,7 @@
     pub fn attempt_ended(
         &mut self,
         attempt_number: usize,
-        how: How,
+        how: DispatchOutcome,
         duration: Nanos,
         is_final: bool,
         load: Option<f64>,
@@ -612,7 +622,7 @@
                     now,
                     self.id,
                     attempt_number,
-                    End { how: How::Recalled, took: 0, closed: true, report: &[] },
+                    End { how: DispatchOutcome::Cancelled, took: 0, closed: true, report: &[] },
                 );
             }
             self.scheduler.dispatch_and_wake(&mut state);
