--- a/balancer/src/mesh/proxy/request_scheduler.rs
+++ b/balancer/src/mesh/proxy/request_scheduler.rs
@@ -8,7 +8,7 @@
 //! of the module), [`Endpoint`].
 //!
 //! Invariants:
-//! - Only the module makes decisions, from the facts and endpoints that it is given.
+//! - Only the module makes decisions, from the parameters and endpoints that it is given.
 //! - No I/O.
 //! - A scheduler with the same settings is kept across changes of configuration, since a new one must learn the state of the
 //!   upstreams again.
@@ -193,7 +193,7 @@
         }
     }
 
-    /// The same limits as in the module's facts, for the counts that this process reports.
+    /// The same limits as in the module's parameters, for the counts that this process reports.
     fn retry_limits(&self) -> RetryLimits {
         let floor = (self.retry_slack / self.outbound_proxies.max(1) as f64).min(1.0);
         RetryLimits {
@@ -209,9 +209,9 @@
     }
 
     /// The settings in the form that the decision module reads.
-    fn facts(&self) -> Parameters {
+    fn parameters(&self) -> Parameters {
         let number = |value: f64| ParameterValue::Number(value);
-        let class_facts = |class: &RouteClass| {
+        let class_parameters = |class: &RouteClass| {
             let utility = 0.5f64.powi(class.priority.min(8) as i32);
             Parameters::from([
                 ("name".into(), ParameterValue::Text((*class.name).into())),
@@ -245,7 +245,7 @@
             ("cold_share".into(), number(SLOW_START_INITIAL_SHARE)),
             (
                 "rule_sets".into(),
-                ParameterValue::List(self.plan.route_classes.iter().map(class_facts).collect()),
+                ParameterValue::List(self.plan.route_classes.iter().map(class_parameters).collect()),
             ),
         ])
     }
@@ -328,7 +328,7 @@
         retry_account: RetryAccount,
     ) -> Arc<RequestScheduler> {
         let now = clock.now();
-        let decision_module = Hands::new(Balancer::new(now, seed, settings.facts()));
+        let decision_module = Hands::new(Balancer::new(now, seed, settings.parameters()));
         let state = SchedulerState {
             decision_module,
             action_senders: HashMap::new(),
@@ -350,7 +350,7 @@
         scheduler
     }
 
-    /// Runs the module whenever it asks to be run, until the scheduler has been dropped.
+    /// Runs the module whenever it asks to be run, until no one else holds the scheduler.
     async fn run_timer(scheduler: Weak<RequestScheduler>) {
         loop {
             let (clock, wake_at) = {
--- a/balancer/src/mesh/proxy/tests/outbound_tests.rs
+++ b/balancer/src/mesh/proxy/tests/outbound_tests.rs
@@ -1,5 +1,5 @@
-//! The gate by itself, on loopback: stand-in doors that do as they are told, a stand-in steward, and clients that send
-//! bytes. What a client may be told, and what must never come to a door.
+//! Tests of the outbound proxy on loopback, with scripted inbound proxies, a scripted replica and clients that send raw bytes:
+//! what responses clients get, and what must never reach an inbound proxy.
 
 use std::collections::{HashSet, VecDeque};
 use std::net::SocketAddr;
@@ -27,22 +27,22 @@
 use crate::mesh::settings::Settings;
 use crate::mesh::shared::member_documents::MemberEdition;
 
-/// What a stand-in door does with a req that has come whole.
+/// What a scripted inbound proxy does with a complete request.
 #[derive(Clone)]
-enum Does {
-    /// Its upstream ran it and answered with this status and body.
-    Ran(u16, &'static str),
-    /// It tells how its part ended.
-    Says(&'static str),
-    /// It answers as some other program would.
-    Stranger,
-    /// It closes without an answer.
-    Closes,
-    /// It answers so once the test lets it, if nobody has gone until then.
-    Waits(u16, &'static str),
+enum Behavior {
+    /// The upstream runs the request and responds with this status and body.
+    Respond(u16, &'static str),
+    /// The inbound proxy reports this outcome.
+    ReportOutcome(&'static str),
+    /// Responds without the headers of an inbound proxy, like another program.
+    RespondAsOtherProgram,
+    /// Closes the connection without a response.
+    Close,
+    /// Responds like `Respond` once the test releases it, unless the connection has been closed before.
+    RespondOnRelease(u16, &'static str),
 }
 
-/// A req or an answer as it came.
+/// A request or response as received.
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct Message {
     head: String,
@@ -50,9 +50,9 @@
 }
 
 impl Message {
-    fn field(&self, name: &str) -> Option<&str> {
-        let mut fields = self.head.lines().skip(1).filter_map(|line| line.split_once(':'));
-        fields.find(|(other, _)| other.eq_ignore_ascii_case(name)).map(|(_, value)| value.trim())
+    fn header(&self, name: &str) -> Option<&str> {
+        let mut headers = self.head.lines().skip(1).filter_map(|line| line.split_once(':'));
+        headers.find(|(other, _)| other.eq_ignore_ascii_case(name)).map(|(_, value)| value.trim())
     }
 
     fn status(&self) -> &str {
@@ -60,14 +60,14 @@
     }
 }
 
-/// Reads one message; nothing where it ends too early.
-async fn read(stream: &mut TcpStream) -> Option<Message> {
+/// Reads one message; `None` if the connection ends before its end.
+async fn read_message(stream: &mut TcpStream) -> Option<Message> {
     let mut head = Vec::new();
     while !head.ends_with(b"\r\n\r\n") {
         head.push(stream.read_u8().await.ok()?);
     }
     let mut message = Message { head: String::from_utf8(head).expect("text"), body: Vec::new() };
-    if message.field("transfer-encoding") == Some("chunked") {
+    if message.header("transfer-encoding") == Some("chunked") {
         loop {
             let mut line = Vec::new();
             while !line.ends_with(b"\r\n") {
@@ -75,41 +75,44 @@
             }
             let line = String::from_utf8(line).expect("text");
             let length = usize::from_str_radix(line.trim(), 16).expect("a length");
-            let mut piece = vec![0; length + 2];
-            stream.read_exact(&mut piece).await.ok()?;
-            message.body.extend_from_slice(&piece[..length]);
+            let mut chunk = vec![0; length + 2];
+            stream.read_exact(&mut chunk).await.ok()?;
+            message.body.extend_from_slice(&chunk[..length]);
             if length == 0 {
                 return Some(message);
             }
         }
     }
-    let length = message.field("content-length").and_then(|length| length.parse().ok()).unwrap_or(0);
+    let length = message.header("content-length").and_then(|length| length.parse().ok()).unwrap_or(0);
     message.body = vec![0; length];
     stream.read_exact(&mut message.body).await.ok()?;
     Some(message)
 }
 
-/// All that stands around the gate.
-struct Rig {
+/// An outbound proxy with scripted inbound proxies and a scripted replica.
+struct TestProxy {
     node: Arc<Node>,
-    gate: SocketAddr,
-    seen: Arc<Mutex<Seen>>,
-    go: watch::Sender<bool>,
+    address: SocketAddr,
+    environment: Arc<Mutex<Environment>>,
+    /// Releases [`Behavior::RespondOnRelease`].
+    release: watch::Sender<bool>,
 }
 
+/// Scripts of the inbound proxies and the replica, and what these have received.
 #[derive(Default)]
-struct Seen {
-    script: VecDeque<Does>,
-    /// What came to doors, with the upstream's life beside each, and how often a connection ended before all had come.
+struct Environment {
+    script: VecDeque<Behavior>,
+    /// Complete requests at inbound proxies, each with the id of the upstream.
     received: Vec<(&'static str, Message)>,
-    cut: usize,
-    /// Connections that ended before the answer.
-    left: usize,
-    leases: VecDeque<CoreResponse>,
-    asked: usize,
-    settled: Vec<Option<LeaseOutcome>>,
-    /// What comes by this path fails, whatever is to be done with others.
-    fails: Option<&'static str>,
+    /// Connections to inbound proxies that ended before a complete request, also while idle.
+    incomplete_requests: usize,
+    /// Connections to inbound proxies that ended before the response.
+    aborted_requests: usize,
+    lease_responses: VecDeque<CoreResponse>,
+    lease_requests: usize,
+    completed_leases: Vec<Option<LeaseOutcome>>,
+    /// Requests with this path prefix fail, whatever the script says.
+    failing_path: Option<&'static str>,
 }
 
 const UPSTREAMS: [(&str, &str); 3] = [("i-1", "alpha"), ("i-2", "alpha"), ("i-3", "omega")];
@@ -136,9 +139,9 @@
     RegisterValue::new(1, format!(r#"{{"edition":"r1","consignments":[{}]}}"#, all.join(",")).into_bytes())
 }
 
-/// That with routes of members laid over it, at places of their own and to one service with the platform: each with its
-/// name, its share of repeats and the target of its reqs in ms.
-fn of_members(members: &[(&str, f64, u64)]) -> AppliedConfiguration {
+/// The same with an overlay of members' routes at paths of their own, to a service that the platform uses as well. Each member
+/// has a name, a share of the retry budget and a latency target in ms.
+fn configuration_with_members(members: &[(&str, f64, u64)]) -> AppliedConfiguration {
     let member = |(name, share, _): &(&str, f64, u64)| {
         format!(
             r#"{{"name":"{name}","key_sha256":"{:064x}","places":[{{"host":"one.example","prefix":"/{name}/"}}],
@@ -149,36 +152,44 @@
     let all: Vec<String> = members.iter().map(member).collect();
     let register = format!(r#"{{"edition":"r1","members":[{}]}}"#, all.join(","));
     let register = MemberRegister::read(register.as_bytes()).expect("a register");
-    let doc = |(name, _, target): &(&str, f64, u64)| {
+    let document = |(name, _, target): &(&str, f64, u64)| {
         let text = format!(
             r#"{{"edition":"r4","routes":[{{"name":"again","depot":"one.example","lane_prefix":"/{name}/",
             "route_kind":"resendable","deadline_ms":30000,"target_ms":{target},"post_class":1,"line":"alpha","tries":2}}]}}"#
         );
         (Name::from(*name), Arc::new(MemberDocument::read(text.as_bytes()).expect("a document")))
     };
-    let base = Configuration::read(&configuration().bytes).expect("a timetable");
-    let laid = overlay(&base, &register, &members.iter().map(doc).collect());
-    assert_eq!(laid.violations, []);
+    let base = Configuration::read(&configuration().bytes).expect("a configuration");
+    let overlaid = overlay(&base, &register, &members.iter().map(document).collect());
+    assert_eq!(overlaid.violations, []);
     AppliedConfiguration::new(
-        laid.configuration,
+        overlaid.configuration,
         [("norte".into(), MemberEdition { version: 4, canary: true })].into(),
     )
 }
 
-impl Rig {
-    async fn new(script: &[Does], leases: &[CoreResponse]) -> Rig {
-        Rig::over(script, leases, None).await
+impl TestProxy {
+    async fn new(script: &[Behavior], lease_responses: &[CoreResponse]) -> TestProxy {
+        TestProxy::with_configuration(script, lease_responses, None).await
     }
 
-    async fn over(script: &[Does], leases: &[CoreResponse], laid: Option<AppliedConfiguration>) -> Rig {
+    async fn with_configuration(
+        script: &[Behavior],
+        lease_responses: &[CoreResponse],
+        overlaid: Option<AppliedConfiguration>,
+    ) -> TestProxy {
         let text = "station = \"s\"\nrole = \"r\"\nip = \"127.0.0.1\"\nzone = \"a\"\nregion = \"r\"\n\
              inner_ports = [1, 1]\nline = \"beta\"\napp = \"127.0.0.1:1\"\n";
         let settings = Settings::parse(text).expect("settings");
         let clock = Clock::new();
         let node = Node::new(settings, SocketAddr::from(([127, 0, 0, 1], 1)), clock);
-        let seen = Seen { script: script.to_vec().into(), leases: leases.to_vec().into(), ..Seen::default() };
-        let seen = Arc::new(Mutex::new(seen));
-        let (go, wait) = watch::channel(false);
+        let environment = Environment {
+            script: script.to_vec().into(),
+            lease_responses: lease_responses.to_vec().into(),
+            ..Environment::default()
+        };
+        let environment = Arc::new(Mutex::new(environment));
+        let (release, released) = watch::channel(false);
         let listen = || async {
             let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
             let at = listener.local_addr().expect("its address");
@@ -186,10 +197,10 @@
         };
         let mut records = Vec::new();
         for (id, line) in UPSTREAMS {
-            let (listener, door) = listen().await;
-            tokio::spawn(doors(listener, id, seen.clone(), wait.clone()));
+            let (listener, inbound_proxy) = listen().await;
+            tokio::spawn(serve_inbound_proxy(listener, id, environment.clone(), released.clone()));
             records.push(EndpointRecord {
-                inbound_proxy: door,
+                inbound_proxy,
                 incarnation: 1,
                 sequence: 1,
                 zone: "a".into(),
@@ -204,236 +215,251 @@
                 health: Default::default(),
             });
         }
-        let (inner, replica) = listen().await;
-        let asked = seen.clone();
-        tokio::spawn(rpc::answer(inner, move |ask| {
-            let got = steward_says(&mut held(&asked), ask);
-            async move { got.map(InternalResponse::Core) }
+        let (replica_listener, replica) = listen().await;
+        let replica_environment = environment.clone();
+        tokio::spawn(rpc::answer(replica_listener, move |request| {
+            let response = replica_response(&mut held(&replica_environment), request);
+            async move { response.map(InternalResponse::Core) }
         }));
         node.set_replicas(vec![replica]);
         node.apply_configuration(configuration());
-        if let Some(laid) = laid {
-            node.configuration.store(Some(Arc::new(laid)));
+        if let Some(overlaid) = overlaid {
+            node.configuration.store(Some(Arc::new(overlaid)));
         }
         node.merge_records(0, records, HashSet::new());
-        let (outer, gate) = listen().await;
-        let bounds = ListenerLimits { max_connections: 64, header_timeout: Duration::from_secs(20) };
-        let (ajar, ajar_now) = watch::channel(ListenerState::Open);
-        let of = node.clone();
+        let (outbound_listener, address) = listen().await;
+        let limits = ListenerLimits { max_connections: 64, header_timeout: Duration::from_secs(20) };
+        let (state_sender, state_receiver) = watch::channel(ListenerState::Open);
+        let handler_node = node.clone();
         tokio::spawn(async move {
-            let _open = ajar;
+            let _state_sender = state_sender;
             listener::serve(
-                outer,
+                outbound_listener,
                 clock,
-                bounds,
-                ajar_now,
+                limits,
+                state_receiver,
                 Arc::default(),
                 move |received: ReceivedRequest| {
-                    let node = of.clone();
+                    let node = handler_node.clone();
                     async move {
-                        let inside = RequestGuard::new(&node);
+                        let guard = RequestGuard::new(&node);
                         outbound::handle_request(node.clone(), received)
                             .await
-                            .map(|flow| flow.with_guard(inside))
+                            .map(|body| body.with_guard(guard))
                     }
                 },
             )
             .await;
         });
-        Rig { node, gate, seen, go }
+        TestProxy { node, address, environment, release }
     }
 
     async fn send(&self, bytes: &[u8]) -> TcpStream {
         self.node.record_replica_response(true);
-        let mut stream = TcpStream::connect(self.gate).await.expect("a connection");
+        let mut stream = TcpStream::connect(self.address).await.expect("a connection");
         stream.write_all(bytes).await.expect("sent");
         stream
     }
 
-    async fn answer(&self, bytes: &[u8]) -> Message {
-        read(&mut self.send(bytes).await).await.expect("an answer")
+    async fn exchange(&self, bytes: &[u8]) -> Message {
+        read_message(&mut self.send(bytes).await).await.expect("a response")
     }
 
-    /// Sent on a path of the first host, with an id.
-    async fn call(&self, path: &str, more: &str) -> Message {
-        self.answer(req(path, more).as_bytes()).await
+    /// Sends a request with an id to the first host, and returns the response.
+    async fn call(&self, path: &str, headers: &str) -> Message {
+        self.exchange(request_text(path, headers).as_bytes()).await
     }
 
     fn received(&self) -> Vec<(&'static str, Message)> {
-        held(&self.seen).received.clone()
+        held(&self.environment).received.clone()
     }
 
-    async fn until(&self, is: impl Fn(&Seen) -> bool) {
-        while !is(&held(&self.seen)) {
+    async fn wait_until(&self, condition: impl Fn(&Environment) -> bool) {
+        while !condition(&held(&self.environment)) {
             tokio::task::yield_now().await;
         }
     }
 }
 
-fn req(path: &str, more: &str) -> String {
-    format!("POST {path} HTTP/1.1\r\nHost: one.example\r\nOchreshed-Consignment-Id: 7\r\n{more}\r\n")
+fn request_text(path: &str, headers: &str) -> String {
+    format!("POST {path} HTTP/1.1\r\nHost: one.example\r\nOchreshed-Consignment-Id: 7\r\n{headers}\r\n")
 }
 
-fn steward_says(seen: &mut Seen, ask: InternalRequest) -> Option<CoreResponse> {
-    match ask {
+fn replica_response(environment: &mut Environment, request: InternalRequest) -> Option<CoreResponse> {
+    match request {
         InternalRequest::Core(CoreRequest::AcquireLease { .. }) => {
-            seen.asked += 1;
-            Some(seen.leases.pop_front().unwrap_or(CoreResponse::Unavailable))
+            environment.lease_requests += 1;
+            Some(environment.lease_responses.pop_front().unwrap_or(CoreResponse::Unavailable))
         }
         InternalRequest::Core(CoreRequest::CompleteLease { outcome, .. }) => {
-            seen.settled.push(outcome);
+            environment.completed_leases.push(outcome);
             Some(CoreResponse::Accepted)
         }
         _ => None,
     }
 }
 
-async fn doors(listener: TcpListener, id: &'static str, seen: Arc<Mutex<Seen>>, wait: watch::Receiver<bool>) {
+async fn serve_inbound_proxy(
+    listener: TcpListener,
+    id: &'static str,
+    environment: Arc<Mutex<Environment>>,
+    released: watch::Receiver<bool>,
+) {
     while let Ok((stream, _)) = listener.accept().await {
-        tokio::spawn(door(stream, id, seen.clone(), wait.clone()));
+        tokio::spawn(serve_connection(stream, id, environment.clone(), released.clone()));
     }
 }
 
-async fn door(
+async fn serve_connection(
     mut stream: TcpStream,
     id: &'static str,
-    seen: Arc<Mutex<Seen>>,
-    mut wait: watch::Receiver<bool>,
+    environment: Arc<Mutex<Environment>>,
+    mut released: watch::Receiver<bool>,
 ) {
     loop {
-        let Some(message) = read(&mut stream).await else {
-            held(&seen).cut += 1;
+        let Some(message) = read_message(&mut stream).await else {
+            held(&environment).incomplete_requests += 1;
             return;
         };
-        let echo = message.field("ochreshed-consignment-id").unwrap_or_default().to_owned();
-        let does = {
-            let mut seen = held(&seen);
-            let fails = seen.fails.is_some_and(|path| message.head.starts_with(&format!("POST {path}")));
-            seen.received.push((id, message));
-            let does = if fails { Some(Does::Ran(500, "broken")) } else { seen.script.pop_front() };
-            does.unwrap_or(Does::Ran(200, "well"))
+        let request_id = message.header("ochreshed-consignment-id").unwrap_or_default().to_owned();
+        let behavior = {
+            let mut environment = held(&environment);
+            let fails = environment
+                .failing_path
+                .is_some_and(|path| message.head.starts_with(&format!("POST {path}")));
+            environment.received.push((id, message));
+            let behavior =
+                if fails { Some(Behavior::Respond(500, "broken")) } else { environment.script.pop_front() };
+            behavior.unwrap_or(Behavior::Respond(200, "well"))
         };
-        if let Does::Waits(..) = does {
+        if let Behavior::RespondOnRelease(..) = behavior {
             let mut byte = [0];
             tokio::select! {
-                _ = wait.wait_for(|go| *go) => {}
+                _ = released.wait_for(|released| *released) => {}
                 _ = stream.read(&mut byte) => {
-                    held(&seen).left += 1;
+                    held(&environment).aborted_requests += 1;
                     return;
                 }
             }
         }
-        let fields = |way: &str| {
+        let headers = |outcome: &str| {
             format!(
-                "ochreshed-consignment-id: {echo}\r\nochreshed-postmark: st-{id}\r\nochreshed-way: {way} 1\r\n"
+                "ochreshed-consignment-id: {request_id}\r\nochreshed-postmark: st-{id}\r\nochreshed-way: {outcome} 1\r\n"
             )
         };
-        let (status, fields, body) = match does {
-            Does::Ran(status, body) | Does::Waits(status, body) => (status, fields("ran"), body),
-            Does::Says(way) => (503, fields(way), ""),
-            Does::Stranger => (200, String::new(), "who are you"),
-            Does::Closes => return,
+        let (status, headers, body) = match behavior {
+            Behavior::Respond(status, body) | Behavior::RespondOnRelease(status, body) => {
+                (status, headers("ran"), body)
+            }
+            Behavior::ReportOutcome(outcome) => (503, headers(outcome), ""),
+            Behavior::RespondAsOtherProgram => (200, String::new(), "who are you"),
+            Behavior::Close => return,
         };
-        let head = format!("HTTP/1.1 {status} X\r\n{fields}content-length: {}\r\n\r\n", body.len());
+        let head = format!("HTTP/1.1 {status} X\r\n{headers}content-length: {}\r\n\r\n", body.len());
         if stream.write_all(format!("{head}{body}").as_bytes()).await.is_err() {
             return;
         }
     }
 }
 
-/// Guards against connections that end without an answer when a process has to end: whoever still waits gets one, and a
-/// large answer is not begun that could not be brought to its end.
+/// Guards against connections that end without a response at a shutdown: requests in flight get one, and a large response that
+/// can't be completed in time isn't started.
 #[tokio::test]
-async fn who_is_inside_when_a_process_must_end_gets_an_answer() {
-    use Does::Waits;
-    let mut all = String::new();
-    for (path, more) in [("/again/", ""), ("/once/", ""), ("/keyed/", "Ochreshed-Tracking-Key: k\r\n")] {
-        let rig = Rig::new(&[Waits(200, "late")], &[CoreResponse::LeaseGranted]).await;
-        let mut stream = rig.send(req(path, more).as_bytes()).await;
-        rig.until(|seen| !seen.received.is_empty()).await;
-        rig.node.start_draining(Duration::from_secs(5));
-        let large = rig.call("/large/", "").await;
-        rig.node.abort_requests();
-        let answer = read(&mut stream).await.expect("an answer");
-        let back = large.field("retry-after").is_some();
-        all += &format!("{path}: {}, large {}, come back {back}\n", answer.status(), large.status());
-        rig.until(|seen| seen.left == 1).await;
+async fn requests_in_flight_get_a_response_when_the_process_must_end() {
+    use Behavior::RespondOnRelease;
+    let mut report = String::new();
+    for (path, headers) in [("/again/", ""), ("/once/", ""), ("/keyed/", "Ochreshed-Tracking-Key: k\r\n")] {
+        let proxy = TestProxy::new(&[RespondOnRelease(200, "late")], &[CoreResponse::LeaseGranted]).await;
+        let mut stream = proxy.send(request_text(path, headers).as_bytes()).await;
+        proxy.wait_until(|environment| !environment.received.is_empty()).await;
+        proxy.node.start_draining(Duration::from_secs(5));
+        let large = proxy.call("/large/", "").await;
+        proxy.node.abort_requests();
+        let response = read_message(&mut stream).await.expect("a response");
+        let has_retry_after = large.header("retry-after").is_some();
+        report += &format!(
+            "{path}: {}, large {}, retry-after {has_retry_after}\n",
+            response.status(),
+            large.status()
+        );
+        proxy.wait_until(|environment| environment.aborted_requests == 1).await;
     }
     expect![[r#"
-        /again/: 502, large 200, come back false
-        /once/: 502, large 200, come back false
-        /keyed/: 502, large 200, come back false
+        /again/: 502, large 200, retry-after false
+        /once/: 502, large 200, retry-after false
+        /keyed/: 502, large 200, retry-after false
     "#]]
-    .assert_eq(&all);
-    // Less time is left than a large answer needs, and than the client would wait.
-    let rig = Rig::new(&[Waits(200, "late")], &[]).await;
-    rig.node.start_draining(Duration::from_millis(300));
-    assert_eq!(rig.call("/large/", "").await.status(), "503");
-    assert_eq!(rig.call("/once/", "").await.status(), "504");
+    .assert_eq(&report);
+    // Less time is left than a large response needs, and than the client would wait.
+    let proxy = TestProxy::new(&[RespondOnRelease(200, "late")], &[]).await;
+    proxy.node.start_draining(Duration::from_millis(300));
+    assert_eq!(proxy.call("/large/", "").await.status(), "503");
+    assert_eq!(proxy.call("/once/", "").await.status(), "504");
 }
 
-/// Guards against a promise that a req has not run where it may have, and against a second run of one that may run once.
+/// Guards against telling a client that its request has not run when it may have, and against a second run of a request that
+/// must run at most once.
 #[tokio::test]
-async fn a_promise_is_given_only_where_nothing_may_have_run() {
-    use Does::{Closes, Ran, Says, Stranger};
-    let cases: [(&str, &[Does]); 19] = [
-        ("/once/", &[Says("full"), Says("full")]),
-        ("/once/", &[Says("gone"), Ran(200, "a")]),
-        ("/once/", &[Says("unreachable"), Ran(200, "a")]),
-        ("/once/", &[Says("unsent")]),
-        ("/once/", &[Says("turned"), Ran(200, "a")]),
-        ("/again/", &[Says("turned"), Closes, Ran(200, "a")]),
-        ("/once/", &[Closes]),
-        ("/once/", &[Says("full"), Closes]),
-        ("/once/", &[Says("reset")]),
-        ("/once/", &[Says("late")]),
-        ("/once/", &[Stranger]),
-        ("/once/", &[Ran(503, "not now")]),
-        ("/once/", &[Ran(429, "not now")]),
-        ("/once/", &[Ran(500, "broken")]),
-        ("/once/", &[Ran(404, "no such thing")]),
-        ("/again/", &[Closes, Ran(200, "a")]),
-        ("/again/", &[Ran(503, "not now"), Ran(200, "a")]),
-        ("/again/", &[Ran(500, "broken"), Ran(500, "again")]),
-        ("/again/", &[Says("full"), Says("full")]),
+async fn a_client_is_told_not_run_only_if_nothing_may_have_run() {
+    use Behavior::{Close, ReportOutcome, Respond, RespondAsOtherProgram};
+    let cases: [(&str, &[Behavior]); 19] = [
+        ("/once/", &[ReportOutcome("full"), ReportOutcome("full")]),
+        ("/once/", &[ReportOutcome("gone"), Respond(200, "a")]),
+        ("/once/", &[ReportOutcome("unreachable"), Respond(200, "a")]),
+        ("/once/", &[ReportOutcome("unsent")]),
+        ("/once/", &[ReportOutcome("turned"), Respond(200, "a")]),
+        ("/again/", &[ReportOutcome("turned"), Close, Respond(200, "a")]),
+        ("/once/", &[Close]),
+        ("/once/", &[ReportOutcome("full"), Close]),
+        ("/once/", &[ReportOutcome("reset")]),
+        ("/once/", &[ReportOutcome("late")]),
+        ("/once/", &[RespondAsOtherProgram]),
+        ("/once/", &[Respond(503, "not now")]),
+        ("/once/", &[Respond(429, "not now")]),
+        ("/once/", &[Respond(500, "broken")]),
+        ("/once/", &[Respond(404, "no such thing")]),
+        ("/again/", &[Close, Respond(200, "a")]),
+        ("/again/", &[Respond(503, "not now"), Respond(200, "a")]),
+        ("/again/", &[Respond(500, "broken"), Respond(500, "again")]),
+        ("/again/", &[ReportOutcome("full"), ReportOutcome("full")]),
     ];
-    let mut all = String::new();
+    let mut report = String::new();
     for (path, script) in cases {
-        let rig = Rig::new(script, &[]).await;
-        let answer = rig.call(path, "").await;
-        let received = rig.received();
-        let back = if answer.field("retry-after").is_some() { ", come back" } else { "" };
-        let said = String::from_utf8_lossy(&answer.body).trim().to_owned();
-        let told: Vec<String> = script
+        let proxy = TestProxy::new(script, &[]).await;
+        let response = proxy.call(path, "").await;
+        let received = proxy.received();
+        let retry_after = if response.header("retry-after").is_some() { ", retry-after" } else { "" };
+        let body = String::from_utf8_lossy(&response.body).trim().to_owned();
+        let behaviors: Vec<String> = script
             .iter()
-            .map(|does| match does {
-                Ran(status, _) => format!("ran {status}"),
-                Says(way) => (*way).to_owned(),
-                Closes => "closes".into(),
-                _ => "a stranger's 200".into(),
+            .map(|behavior| match behavior {
+                Respond(status, _) => format!("ran {status}"),
+                ReportOutcome(outcome) => (*outcome).to_owned(),
+                Close => "closes".into(),
+                _ => "other program's 200".into(),
             })
             .collect();
-        all += &format!(
-            "{path} {}: {} {said:?}{back}, {} sent\n",
-            told.join(", "),
-            answer.status(),
+        report += &format!(
+            "{path} {}: {} {body:?}{retry_after}, {} sent\n",
+            behaviors.join(", "),
+            response.status(),
             received.len()
         );
-        assert_eq!(answer.field("ochreshed-consignment-id"), Some("7"));
-        assert!(received.windows(2).all(|two| two[0].0 != two[1].0), "each to another upstream");
+        assert_eq!(response.header("ochreshed-consignment-id"), Some("7"));
+        assert!(received.windows(2).all(|pair| pair[0].0 != pair[1].0), "each to another upstream");
     }
     expect![[r#"
-        /once/ full, full: 503 "not run: come back", come back, 2 sent
+        /once/ full, full: 503 "not run: come back", retry-after, 2 sent
         /once/ gone, ran 200: 200 "a", 2 sent
         /once/ unreachable, ran 200: 200 "a", 2 sent
-        /once/ unsent: 503 "not run: come back", come back, 1 sent
+        /once/ unsent: 503 "not run: come back", retry-after, 1 sent
         /once/ turned, ran 200: 200 "a", 2 sent
         /again/ turned, closes, ran 200: 502 "it may have run", 2 sent
         /once/ closes: 502 "it may have run", 1 sent
         /once/ full, closes: 502 "it may have run", 2 sent
         /once/ reset: 502 "it may have run", 1 sent
         /once/ late: 502 "it may have run", 1 sent
-        /once/ a stranger's 200: 502 "it may have run", 1 sent
+        /once/ other program's 200: 502 "it may have run", 1 sent
         /once/ ran 503: 502 "it may have run", 1 sent
         /once/ ran 429: 502 "it may have run", 1 sent
         /once/ ran 500: 500 "broken", 1 sent
@@ -441,14 +467,14 @@
         /again/ closes, ran 200: 200 "a", 2 sent
         /again/ ran 503, ran 200: 200 "a", 2 sent
         /again/ ran 500, ran 500: 500 "again", 2 sent
-        /again/ full, full: 503 "not run: come back", come back, 2 sent
+        /again/ full, full: 503 "not run: come back", retry-after, 2 sent
     "#]]
-    .assert_eq(&all);
+    .assert_eq(&report);
 }
 
-/// Guards against a run without a grant, and against an answer that is not the first one's.
+/// Guards against a run without a lease, and against a response to a repeated key that differs from the first one.
 #[tokio::test]
-async fn a_key_is_answered_by_what_its_claim_came_to() {
+async fn a_keyed_request_is_answered_by_the_outcome_of_its_lease() {
     let first = StoredResponse {
         status: 201,
         headers: vec![("ochreshed-postmark".into(), "st-0".into()), ("x-more".into(), "kept".into())],
@@ -456,94 +482,98 @@
     };
     let long: &str = String::leak("x".repeat(64 * 1024 + 1));
     let granted = CoreResponse::LeaseGranted;
-    let cases: [(CoreResponse, &[Does]); 9] = [
+    let cases: [(CoreResponse, &[Behavior]); 9] = [
         (CoreResponse::LeaseHeld(LeaseOutcome::Completed(Arc::new(first))), &[]),
         (CoreResponse::LeaseHeld(LeaseOutcome::Pending), &[]),
         (CoreResponse::LeaseHeld(LeaseOutcome::Indeterminate), &[]),
         (CoreResponse::Unavailable, &[]),
-        (granted.clone(), &[Does::Ran(200, "ran")]),
-        (granted.clone(), &[Does::Ran(503, "no promise")]),
-        (granted.clone(), &[Does::Ran(200, long)]),
-        (granted.clone(), &[Does::Closes]),
-        (granted, &[Does::Says("full"), Does::Says("full")]),
+        (granted.clone(), &[Behavior::Respond(200, "ran")]),
+        (granted.clone(), &[Behavior::Respond(503, "no promise")]),
+        (granted.clone(), &[Behavior::Respond(200, long)]),
+        (granted.clone(), &[Behavior::Close]),
+        (granted, &[Behavior::ReportOutcome("full"), Behavior::ReportOutcome("full")]),
     ];
-    let mut all = String::new();
-    for (got, script) in cases {
-        let rig = Rig::new(script, std::slice::from_ref(&got)).await;
-        let answer = rig.call("/keyed/", "Ochreshed-Tracking-Key: k-1\r\n").await;
-        rig.until(|seen| seen.settled.len() == 1).await;
-        let settled = match &held(&rig.seen).settled[0] {
-            None => "freed".into(),
-            Some(LeaseOutcome::Completed(kept)) => {
-                let stamp = kept.headers.iter().find(|(name, _)| name == "ochreshed-postmark");
-                let ours = kept.headers.iter().filter(|(name, _)| name.starts_with("ochreshed")).count();
+    let mut report = String::new();
+    for (lease_response, script) in cases {
+        let proxy = TestProxy::new(script, std::slice::from_ref(&lease_response)).await;
+        let response = proxy.call("/keyed/", "Ochreshed-Tracking-Key: k-1\r\n").await;
+        proxy.wait_until(|environment| environment.completed_leases.len() == 1).await;
+        let completion = match &held(&proxy.environment).completed_leases[0] {
+            None => "released".into(),
+            Some(LeaseOutcome::Completed(stored)) => {
+                let stamp = stored.headers.iter().find(|(name, _)| name == "ochreshed-postmark");
+                let mesh_headers =
+                    stored.headers.iter().filter(|(name, _)| name.starts_with("ochreshed")).count();
                 format!(
-                    "{} {:?} {} {ours}",
-                    kept.status,
-                    String::from_utf8_lossy(&kept.body),
+                    "{} {:?} {} {mesh_headers}",
+                    stored.status,
+                    String::from_utf8_lossy(&stored.body),
                     stamp.is_some()
                 )
             }
             Some(other) => format!("{other:?}"),
         };
-        let got = if let CoreResponse::LeaseHeld(LeaseOutcome::Completed(_)) = got {
-            "done".into()
+        let lease_response = if let CoreResponse::LeaseHeld(LeaseOutcome::Completed(_)) = lease_response {
+            "completed".into()
         } else {
-            format!("{got:?}")
+            format!("{lease_response:?}")
         };
-        let body = String::from_utf8_lossy(&answer.body);
+        let body = String::from_utf8_lossy(&response.body);
         let body: String = body.trim().chars().take(40).collect();
-        let stamp = answer.field("ochreshed-postmark").map_or("no", |_| "a");
-        let sent = rig.received().len();
-        all += &format!("{got}: {} {body:?}, {stamp} stamp, {sent} sent, {settled}\n", answer.status());
+        let stamp = response.header("ochreshed-postmark").map_or("no", |_| "a");
+        let sent = proxy.received().len();
+        report += &format!(
+            "{lease_response}: {} {body:?}, {stamp} stamp, {sent} sent, {completion}\n",
+            response.status()
+        );
     }
     expect![[r#"
-        done: 201 "the first", a stamp, 0 sent, freed
-        LeaseHeld(Pending): 409 "a req with this key is at work", no stamp, 0 sent, freed
-        LeaseHeld(Indeterminate): 502 "a req with this key may have run", no stamp, 0 sent, freed
-        Unavailable: 503 "not run: come back", no stamp, 0 sent, freed
+        completed: 201 "the first", a stamp, 0 sent, released
+        LeaseHeld(Pending): 409 "a req with this key is at work", no stamp, 0 sent, released
+        LeaseHeld(Indeterminate): 502 "a req with this key may have run", no stamp, 0 sent, released
+        Unavailable: 503 "not run: come back", no stamp, 0 sent, released
         LeaseGranted: 200 "ran", a stamp, 1 sent, 200 "ran" true 1
         LeaseGranted: 502 "it may have run", no stamp, 1 sent, Indeterminate
         LeaseGranted: 200 "xxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxx", a stamp, 1 sent, Indeterminate
         LeaseGranted: 502 "it may have run", no stamp, 1 sent, Indeterminate
-        LeaseGranted: 503 "not run: come back", no stamp, 2 sent, freed
+        LeaseGranted: 503 "not run: come back", no stamp, 2 sent, released
     "#]]
-    .assert_eq(&all);
-    // Only registered routes know keys.
-    let rig = Rig::new(&[], &[]).await;
-    assert_eq!(rig.call("/once/", "Ochreshed-Tracking-Key: k-1\r\n").await.status(), "200");
-    assert_eq!(held(&rig.seen).asked, 0);
+    .assert_eq(&report);
+    // Other routes ignore keys.
+    let proxy = TestProxy::new(&[], &[]).await;
+    assert_eq!(proxy.call("/once/", "Ochreshed-Tracking-Key: k-1\r\n").await.status(), "200");
+    assert_eq!(held(&proxy.environment).lease_requests, 0);
 }
 
-/// Guards against requests that are held to their end because the control plane is there and does not answer: the first is
-/// refused while its client has most of its time left, the next ones at once.
+/// Guards against requests that wait until their deadline because the control plane accepts connections and doesn't respond:
+/// the first is rejected while its client has most of its time left, later ones much sooner.
 #[tokio::test]
-async fn keyed_requests_are_refused_soon_while_claims_stay_unanswered() {
-    let rig = Rig::new(&[], &[]).await;
-    let silent = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    rig.node.set_replicas(vec![silent.local_addr().expect("its address")]);
-    let took = async |key: &str| {
-        let began = tokio::time::Instant::now();
-        let fields = format!("Ochreshed-Tracking-Key: {key}\r\nOchreshed-Time-Left-Ms: 2000\r\n");
-        let answer = rig.call("/keyed/", &fields).await;
-        assert_eq!((answer.status(), answer.field("retry-after").is_some()), ("503", true));
-        began.elapsed()
+async fn keyed_requests_are_rejected_early_while_lease_requests_stay_unanswered() {
+    let proxy = TestProxy::new(&[], &[]).await;
+    let silent_replica = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+    proxy.node.set_replicas(vec![silent_replica.local_addr().expect("its address")]);
+    let time_request = async |key: &str| {
+        let started_at = tokio::time::Instant::now();
+        let headers = format!("Ochreshed-Tracking-Key: {key}\r\nOchreshed-Time-Left-Ms: 2000\r\n");
+        let response = proxy.call("/keyed/", &headers).await;
+        assert_eq!((response.status(), response.header("retry-after").is_some()), ("503", true));
+        started_at.elapsed()
     };
-    let first = took("k-1").await;
+    let first = time_request("k-1").await;
     assert!(Duration::from_millis(700) < first && first < Duration::from_millis(1_400), "{first:?}");
-    // One in a while waits in full, to find out.
-    let mut soon = 0;
+    // From time to time a request waits for the full time, as a probe.
+    let mut early = 0;
     for nth in 2..10 {
-        soon += u32::from(took(&format!("k-{nth}")).await < first / 2);
+        early += u32::from(time_request(&format!("k-{nth}")).await < first / 2);
     }
-    assert!(soon >= 4, "{soon}");
-    assert!(rig.received().is_empty());
+    assert!(early >= 4, "{early}");
+    assert!(proxy.received().is_empty());
 }
 
-/// Guards against reqs that go to another route's service, or on where there is no route.
+/// Guards against requests that go to another route's service, or that are forwarded without a route.
 #[tokio::test]
 async fn the_route_is_that_of_the_host_with_the_longest_prefix() {
-    let rig = Rig::new(&[], &[]).await;
+    let proxy = TestProxy::new(&[], &[]).await;
     let cases = [
         ("one.example", "/once/x"),
         ("ONE.example:8080", "/once/deepest/x"),
@@ -555,16 +585,16 @@
         ("one.example", "/"),
         ("three.example", "/again/x"),
     ];
-    let mut all = String::new();
+    let mut report = String::new();
     for (host, path) in cases {
-        let before = rig.received().len();
+        let before = proxy.received().len();
         let head = format!("GET {path} HTTP/1.1\r\nHost: {host}\r\nOchreshed-Consignment-Id: 7\r\n\r\n");
-        let answer = rig.answer(head.as_bytes()).await;
-        let to = rig
+        let response = proxy.exchange(head.as_bytes()).await;
+        let service = proxy
             .received()
             .get(before)
             .map_or("nobody", |(id, _)| if *id == "i-3" { "omega" } else { "alpha" });
-        all += &format!("{host} {path}: {} {to}\n", answer.status());
+        report += &format!("{host} {path}: {} {service}\n", response.status());
     }
     expect![[r#"
         one.example /once/x: 200 alpha
@@ -577,204 +607,218 @@
         one.example /: 404 nobody
         three.example /again/x: 404 nobody
     "#]]
-    .assert_eq(&all);
+    .assert_eq(&report);
 }
 
-/// Guards against a req that hides in another's body, and against one that goes on though not all of it came.
+/// Guards against a request that is hidden in another's body (request smuggling), and against forwarding an incomplete request.
 #[tokio::test]
-async fn what_is_framed_twice_or_cut_short_comes_to_no_door() {
+async fn ambiguously_framed_and_truncated_requests_reach_no_inbound_proxy() {
     let hidden = "GET /again/hidden HTTP/1.1\r\nHost: one.example\r\nOchreshed-Consignment-Id: 8\r\n\r\n";
     let length = hidden.len();
-    let twice = [
+    let framings = [
         format!("Content-Length: {length}\r\nTransfer-Encoding: chunked\r\n"),
         format!("Transfer-Encoding: chunked\r\nContent-Length: {length}\r\n"),
         format!("Content-Length: 0\r\nContent-Length: {length}\r\n"),
         "Transfer-Encoding: gzip\r\n".into(),
         "Content-Length: -1\r\n".into(),
     ];
-    let rig = Rig::new(&[], &[]).await;
-    for framing in &twice {
+    let proxy = TestProxy::new(&[], &[]).await;
+    for framing in &framings {
         let body = if framing.contains("chunked") { format!("0\r\n\r\n{hidden}") } else { hidden.to_owned() };
-        let mut stream = rig.send(format!("{}{body}", req("/again/", framing)).as_bytes()).await;
-        let answer = read(&mut stream).await.expect("an answer");
-        assert_eq!(answer.status(), "400", "{framing}");
+        let mut stream = proxy.send(format!("{}{body}", request_text("/again/", framing)).as_bytes()).await;
+        let response = read_message(&mut stream).await.expect("a response");
+        assert_eq!(response.status(), "400", "{framing}");
     }
     let no_id = "GET /again/ HTTP/1.1\r\nHost: one.example\r\n\r\n";
-    assert_eq!(rig.answer(no_id.as_bytes()).await.status(), "400");
-    assert_eq!(rig.received(), []);
-    // A body in pieces, and a long one, come whole.
-    let pieces =
-        req("/again/", "Transfer-Encoding: chunked\r\n") + "5\r\nhello\r\n6;x=y\r\n world\r\n0\r\n\r\n";
-    assert_eq!(rig.answer(pieces.as_bytes()).await.status(), "200");
+    assert_eq!(proxy.exchange(no_id.as_bytes()).await.status(), "400");
+    assert_eq!(proxy.received(), []);
+    // A chunked body and a long one arrive completely.
+    let chunked = request_text("/again/", "Transfer-Encoding: chunked\r\n")
+        + "5\r\nhello\r\n6;x=y\r\n world\r\n0\r\n\r\n";
+    assert_eq!(proxy.exchange(chunked.as_bytes()).await.status(), "200");
     let long = vec![b'x'; 300_000];
-    let mut bytes = req("/once/", "Content-Length: 300000\r\n").into_bytes();
+    let mut bytes = request_text("/once/", "Content-Length: 300000\r\n").into_bytes();
     bytes.extend_from_slice(&long);
-    assert_eq!(rig.answer(&bytes).await.status(), "200");
-    let bodies: Vec<Vec<u8>> = rig.received().into_iter().map(|(_, message)| message.body).collect();
+    assert_eq!(proxy.exchange(&bytes).await.status(), "200");
+    let bodies: Vec<Vec<u8>> = proxy.received().into_iter().map(|(_, message)| message.body).collect();
     assert!(
         bodies == [b"hello world".to_vec(), long],
         "{:?}",
         bodies.iter().map(Vec::len).collect::<Vec<_>>()
     );
-    // Cut short: a short one goes to nobody, a long one, of which a door may have a part, never comes whole.
-    let short = req("/once/", "Content-Length: 10\r\n") + "hal";
-    drop(rig.send(short.as_bytes()).await);
-    let chunked = req("/again/", "Transfer-Encoding: chunked\r\n") + "5\r\nhello\r\n";
-    drop(rig.send(chunked.as_bytes()).await);
-    let before = held(&rig.seen).cut;
-    drop(rig.send(&bytes[..200_000]).await);
-    rig.until(|seen| seen.cut > before).await;
-    assert_eq!(rig.call("/again/", "").await.status(), "200");
-    assert_eq!(rig.received().len(), 3);
+    // Of truncated requests, a short one isn't forwarded, and a long one may be forwarded in part but never completely.
+    let truncated = request_text("/once/", "Content-Length: 10\r\n") + "hal";
+    drop(proxy.send(truncated.as_bytes()).await);
+    let chunked = request_text("/again/", "Transfer-Encoding: chunked\r\n") + "5\r\nhello\r\n";
+    drop(proxy.send(chunked.as_bytes()).await);
+    let before = held(&proxy.environment).incomplete_requests;
+    drop(proxy.send(&bytes[..200_000]).await);
+    proxy.wait_until(|environment| environment.incomplete_requests > before).await;
+    assert_eq!(proxy.call("/again/", "").await.status(), "200");
+    assert_eq!(proxy.received().len(), 3);
 }
 
-/// Guards against a client that speaks for the system, and against fields of one connection that go on.
+/// Guards against clients that set the mesh's internal headers, and against forwarding hop-by-hop headers.
 #[tokio::test]
-async fn what_the_system_sets_is_not_taken_from_clients() {
-    let rig = Rig::new(&[], &[]).await;
-    let lies = "Ochreshed-Caller: nobody\r\nOchreshed-Addressee: i-9\r\nOchreshed-Knock: 1 9 acl\r\n\
+async fn internal_headers_of_clients_are_not_forwarded() {
+    let proxy = TestProxy::new(&[], &[]).await;
+    let forged = "Ochreshed-Caller: nobody\r\nOchreshed-Addressee: i-9\r\nOchreshed-Knock: 1 9 acl\r\n\
         Ochreshed-Way: ran\r\nX-More: kept\r\nConnection: x-hop\r\nX-Hop: 1\r\nOchreshed-Time-Left-Ms: 5000\r\n";
-    let answer = rig.call("/again/a%20b/?c=%2F", lies).await;
-    let (id, received) = rig.received().remove(0);
-    let field = |name| received.field(name).unwrap_or("-").to_owned();
-    let told =
-        ["ochreshed-caller", "ochreshed-addressee", "x-more", "x-hop", "ochreshed-consignment-id"].map(field);
-    assert_eq!(told, ["beta", id, "kept", "-", "7"]);
+    let response = proxy.call("/again/a%20b/?c=%2F", forged).await;
+    let (id, received) = proxy.received().remove(0);
+    let received_header = |name| received.header(name).unwrap_or("-").to_owned();
+    let forwarded =
+        ["ochreshed-caller", "ochreshed-addressee", "x-more", "x-hop", "ochreshed-consignment-id"]
+            .map(received_header);
+    assert_eq!(forwarded, ["beta", id, "kept", "-", "7"]);
     assert!(received.head.starts_with("POST /again/a%20b/?c=%2F HTTP/1.1\r\n"), "{}", received.head);
-    // How late it may be, and that no door turned it away; none of the letters that the client wrote.
-    let knock = field("ochreshed-knock");
-    assert!(knock.split_once(' ').is_some_and(|(_, turned)| turned == "0"), "{knock}");
-    assert_eq!(field("ochreshed-way"), "-");
-    assert!(field("ochreshed-time-left-ms").parse::<u32>().is_ok_and(|left| left < 5_000));
-    assert_eq!(answer.field("ochreshed-way"), None);
+    // The terms hold the target and zero rejections, and none of the client's flags.
+    let terms = received_header("ochreshed-knock");
+    assert!(terms.split_once(' ').is_some_and(|(_, rejections)| rejections == "0"), "{terms}");
+    assert_eq!(received_header("ochreshed-way"), "-");
+    assert!(received_header("ochreshed-time-left-ms").parse::<u32>().is_ok_and(|left| left < 5_000));
+    assert_eq!(response.header("ochreshed-way"), None);
 }
 
-/// Guards against work for nobody, and against a key whose run nobody knows the answer of.
+/// Guards against running a request whose client has disconnected, and against losing the response to a keyed request.
 #[tokio::test]
-async fn a_client_that_leaves_ends_its_req_unless_it_has_a_key() {
-    let rig = Rig::new(&[Does::Waits(200, "late")], &[]).await;
-    let stream = rig.send(req("/once/", "").as_bytes()).await;
-    rig.until(|seen| seen.received.len() == 1).await;
+async fn a_disconnecting_client_cancels_its_request_unless_that_has_a_key() {
+    let proxy = TestProxy::new(&[Behavior::RespondOnRelease(200, "late")], &[]).await;
+    let stream = proxy.send(request_text("/once/", "").as_bytes()).await;
+    proxy.wait_until(|environment| environment.received.len() == 1).await;
     drop(stream);
-    rig.until(|seen| seen.left == 1).await;
+    proxy.wait_until(|environment| environment.aborted_requests == 1).await;
 
-    let rig = Rig::new(&[Does::Waits(200, "late")], &[CoreResponse::LeaseGranted]).await;
-    let stream = rig.send(req("/keyed/", "Ochreshed-Tracking-Key: k-1\r\n").as_bytes()).await;
-    rig.until(|seen| seen.received.len() == 1).await;
+    let proxy =
+        TestProxy::new(&[Behavior::RespondOnRelease(200, "late")], &[CoreResponse::LeaseGranted]).await;
+    let stream = proxy.send(request_text("/keyed/", "Ochreshed-Tracking-Key: k-1\r\n").as_bytes()).await;
+    proxy.wait_until(|environment| environment.received.len() == 1).await;
     drop(stream);
-    // Its gate looks at other reqs meanwhile, and has seen that it has gone.
-    assert_eq!(rig.call("/again/", "").await.status(), "200");
-    rig.go.send_replace(true);
-    rig.until(|seen| !seen.settled.is_empty()).await;
-    let seen = held(&rig.seen);
+    // The proxy has handled another request meanwhile, so it has seen the disconnect.
+    assert_eq!(proxy.call("/again/", "").await.status(), "200");
+    proxy.release.send_replace(true);
+    proxy.wait_until(|environment| !environment.completed_leases.is_empty()).await;
+    let environment = held(&proxy.environment);
     assert!(
-        matches!(&seen.settled[0], Some(LeaseOutcome::Completed(answer)) if answer.body == b"late"),
+        matches!(&environment.completed_leases[0], Some(LeaseOutcome::Completed(response)) if response.body == b"late"),
         "{:?}",
-        seen.settled
+        environment.completed_leases
     );
-    assert_eq!(seen.left, 0);
+    assert_eq!(environment.aborted_requests, 0);
 }
 
-/// Guards against a member whose reqs all fail and that uses up what others' reqs are sent again by.
+/// Guards against a member whose requests all fail and use up the retry budget of others.
 #[tokio::test]
-async fn a_member_whose_reqs_all_fail_spends_only_its_own() {
-    let rig = Rig::over(&[], &[], Some(of_members(&[("norte", 0.2, 20_000), ("sul", 0.2, 20_000)]))).await;
-    held(&rig.seen).fails = Some("/norte/");
-    let others = async |path: &str, first: Option<Does>| {
-        held(&rig.seen).script.extend(first);
-        assert_eq!(rig.call(path, "").await.status(), "200", "{path}");
+async fn a_member_whose_requests_all_fail_spends_only_its_own_retry_budget() {
+    let proxy = TestProxy::with_configuration(
+        &[],
+        &[],
+        Some(configuration_with_members(&[("norte", 0.2, 20_000), ("sul", 0.2, 20_000)])),
+    )
+    .await;
+    held(&proxy.environment).failing_path = Some("/norte/");
+    let call_successfully = async |path: &str, first_behavior: Option<Behavior>| {
+        held(&proxy.environment).script.extend(first_behavior);
+        assert_eq!(proxy.call(path, "").await.status(), "200", "{path}");
     };
     for _ in 0..60 {
-        others("/again/x", None).await;
+        call_successfully("/again/x", None).await;
     }
     for round in 0..50 {
         for _ in 0..2 {
-            assert_eq!(rig.call("/norte/x", "").await.status(), "500");
+            assert_eq!(proxy.call("/norte/x", "").await.status(), "500");
         }
-        // Twice each a full upstream turns them away at first.
+        // In two rounds, a full upstream rejects the first attempts.
         for path in ["/sul/x", "/again/x"] {
-            others(path, (round % 25 == 0).then_some(Does::Says("full"))).await;
+            call_successfully(path, (round % 25 == 0).then_some(Behavior::ReportOutcome("full"))).await;
         }
     }
-    // A tenth of 260, and one; a fifth of that is the member's.
+    // The budget is a tenth of 260 requests plus one, and the member has a fifth of it.
     let sent =
-        |path: &str| rig.received().iter().filter(|(_, received)| received.head.contains(path)).count();
-    let (norte, sul, plain) = (sent("/norte/"), sent("/sul/"), sent("/again/"));
-    assert!((104..=106).contains(&norte) && (sul, plain) == (52, 112), "{norte} {sul} {plain}");
-    // Doors are told whose a req is and its part of the slots, for members' reqs only.
-    let knocks = |path: &str| {
-        let received = rig
+        |path: &str| proxy.received().iter().filter(|(_, received)| received.head.contains(path)).count();
+    let (norte, sul, platform) = (sent("/norte/"), sent("/sul/"), sent("/again/"));
+    assert!((104..=106).contains(&norte) && (sul, platform) == (52, 112), "{norte} {sul} {platform}");
+    // Inbound proxies get the member and its share of the slots, for members' requests only.
+    let sent_terms = |path: &str| {
+        let received = proxy
             .received()
             .into_iter()
             .filter(|(_, received)| received.head.contains(path))
             .map(|(_, received)| received);
         received
-            .map(|received| received.field("ochreshed-knock").unwrap_or_default().to_owned())
+            .map(|received| received.header("ochreshed-knock").unwrap_or_default().to_owned())
             .collect::<Vec<_>>()
     };
-    assert!(knocks("/sul/").iter().all(|knock| knock.ends_with(" 0.5 sul")), "{:?}", knocks("/sul/"));
+    assert!(sent_terms("/sul/").iter().all(|terms| terms.ends_with(" 0.5 sul")), "{:?}", sent_terms("/sul/"));
     assert!(
-        knocks("/again/")
+        sent_terms("/again/")
             .iter()
-            .all(|knock| knock.split(' ').count() == 3 - usize::from(!knock.ends_with('a')))
+            .all(|terms| terms.split(' ').count() == 3 - usize::from(!terms.ends_with('a')))
     );
-    // What is told of it: by service in all, and by member.
-    let report = rig.node.budget_report();
-    let again = (norte - 100) as u32;
-    let figures: Vec<_> = report.services.iter().map(|(name, of)| (&**name, of.first, of.retried)).collect();
-    assert_eq!(figures, [("alpha", 260, again + 4)]);
-    let of =
-        |member: &str, number, trial| RouteEdition { member: member.into(), version: number, canary: trial };
-    let told = [
+    // The report counts attempts by service, and outcomes by member.
+    let report = proxy.node.budget_report();
+    let norte_retries = (norte - 100) as u32;
+    let attempt_counts: Vec<_> =
+        report.services.iter().map(|(name, counts)| (&**name, counts.first, counts.retried)).collect();
+    assert_eq!(attempt_counts, [("alpha", 260, norte_retries + 4)]);
+    let edition = |member: &str, version, canary| RouteEdition { member: member.into(), version, canary };
+    let outcomes = [
         (
-            of("norte", 4, true),
+            edition("norte", 4, true),
             OutcomeCounts {
                 first: 100,
-                retried: again,
-                denied: 100 - again,
+                retried: norte_retries,
+                denied: 100 - norte_retries,
                 failed: 100,
                 ..OutcomeCounts::default()
             },
         ),
         (
-            of("sul", 0, false),
+            edition("sul", 0, false),
             OutcomeCounts { first: 50, retried: 2, succeeded: 50, ..OutcomeCounts::default() },
         ),
     ];
-    assert_eq!(report.outcomes, told);
+    assert_eq!(report.outcomes, outcomes);
 }
 
-/// Guards against a member's change that makes another's module, or the platform's, begin anew.
+/// Guards against a member's change that replaces the scheduler of another member or of the platform, which would lose what
+/// that has learned.
 #[tokio::test]
-async fn a_member_that_changes_its_routes_touches_no_desk_but_its_own() {
-    let rig = Rig::over(&[], &[], Some(of_members(&[("norte", 0.2, 20_000), ("sul", 0.2, 20_000)]))).await;
+async fn a_member_that_changes_its_routes_replaces_only_its_own_scheduler() {
+    let proxy = TestProxy::with_configuration(
+        &[],
+        &[],
+        Some(configuration_with_members(&[("norte", 0.2, 20_000), ("sul", 0.2, 20_000)])),
+    )
+    .await;
     let paths = ["/again/x", "/sul/x", "/norte/x"];
-    let desks = || {
-        let configuration = rig.node.configuration.load_full().expect("a timetable");
+    let schedulers = || {
+        let configuration = proxy.node.configuration.load_full().expect("a configuration");
         let scheduler =
-            |path: &str| rig.node.scheduler(&"alpha".into(), configuration.route("one.example", path)?);
+            |path: &str| proxy.node.scheduler(&"alpha".into(), configuration.route("one.example", path)?);
         paths.map(scheduler)
     };
     for path in paths {
-        assert_eq!(rig.call(path, "").await.status(), "200");
+        assert_eq!(proxy.call(path, "").await.status(), "200");
     }
-    let before = desks();
+    let before = schedulers();
     assert!(before.iter().all(Option::is_some));
     let mut suspected = 0;
     let mut changed = |members: &[(&str, f64, u64)]| {
-        rig.node.configuration.store(Some(Arc::new(of_members(members))));
+        proxy.node.configuration.store(Some(Arc::new(configuration_with_members(members))));
         suspected += 1;
-        rig.node.merge_records(0, Vec::new(), [SocketAddr::from(([10, 0, 0, 1], suspected))].into());
-        let after = desks();
-        let same = |nth: usize| {
-            before[nth].as_ref().zip(after[nth].as_ref()).is_some_and(|(one, other)| Arc::ptr_eq(one, other))
+        proxy.node.merge_records(0, Vec::new(), [SocketAddr::from(([10, 0, 0, 1], suspected))].into());
+        let after = schedulers();
+        let is_same = |index: usize| {
+            let pair = before[index].as_ref().zip(after[index].as_ref());
+            pair.is_some_and(|(one, other)| Arc::ptr_eq(one, other))
         };
-        [0, 1, 2].map(same)
+        [0, 1, 2].map(is_same)
     };
     assert_eq!(changed(&[("norte", 0.2, 9_000), ("sul", 0.2, 20_000)]), [true, true, false]);
-    // Another share of the allowance is no reason to begin anew.
+    // A change of the retry budget's shares alone replaces no scheduler.
     assert_eq!(changed(&[("norte", 0.9, 9_000), ("sul", 0.1, 20_000)]), [true, true, false]);
     assert_eq!(changed(&[("sul", 0.1, 20_000)]), [true, true, false]);
     assert_eq!(changed(&[]), [true, false, false]);
-    assert_eq!(rig.call("/again/x", "").await.status(), "200");
+    assert_eq!(proxy.call("/again/x", "").await.status(), "200");
 }
