--- a/balancer/src/mesh/proxy/tests/inbound_tests.rs
+++ b/balancer/src/mesh/proxy/tests/inbound_tests.rs
@@ -1,5 +1,5 @@
-//! The door by itself, on loopback, before stand-in upstreams that answer when the test lets them, lie about their health
-//! or forget connections: who is let through, and what is told of one that was not answered.
+//! Tests of the inbound proxy on loopback, with upstreams that respond when the test lets them, report a wrong health or drop
+//! connections: which requests are admitted, and which outcome a request without a response has.
 
 use ochreshed_catalog::configuration::MemberShares;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -7,66 +7,73 @@
 
 use super::*;
 
-/// A door beside an upstream of so many slots that answers when told to, and how many reqs have come to that.
-async fn door(slots: u32) -> (Arc<InboundProxy>, TcpListener) {
-    let (door, listener, app) = silent_door().await;
-    beat(&door, app, "i-1", 1, slots, "open_for_post");
-    (door, listener)
+/// An inbound proxy whose upstream `i-1` has this concurrency limit, and the upstream's listener.
+async fn proxy_with_upstream(concurrency_limit: u32) -> (Arc<InboundProxy>, TcpListener) {
+    let (proxy, listener, upstream_address) = proxy_without_heartbeat().await;
+    send_heartbeat(&proxy, upstream_address, "i-1", 1, concurrency_limit, "open_for_post");
+    (proxy, listener)
 }
 
-/// One whose upstream has not told of itself.
-async fn silent_door() -> (Arc<InboundProxy>, TcpListener, SocketAddr) {
+/// An inbound proxy whose upstream has sent no heartbeat.
+async fn proxy_without_heartbeat() -> (Arc<InboundProxy>, TcpListener, SocketAddr) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let app = listener.local_addr().expect("its address");
+    let upstream_address = listener.local_addr().expect("its address");
     let settings = InboundSettings {
         address: SocketAddr::from(([127, 0, 0, 1], 1)),
         zone: "a".into(),
-        upstream_address: Some(app),
+        upstream_address: Some(upstream_address),
         drain_timeout: Duration::from_secs(2),
         max_connections: 64,
         read_ahead_bytes: 1 << 20,
         link_mbps: 1_000.0,
     };
-    (InboundProxy::new(settings, Clock::new(), 1), listener, app)
+    (InboundProxy::new(settings, Clock::new(), 1), listener, upstream_address)
 }
 
-fn beat(door: &Arc<InboundProxy>, app: SocketAddr, id: &str, number: u64, slots: u32, state: &str) {
-    let notice = format!(r#"{{"line":"x","edition":"v1","zone":"a","pigeonholes":{slots}}}"#);
-    let status = format!(r#"{{"state":"{state}","postmark_seq":{number},"cold_left_ms":0}}"#);
-    let beat = format!(r#"{{"address":"{app}","notice":{notice},"status":{status}}}"#);
-    door.handle_heartbeat(id, beat.as_bytes()).expect("a beat that can be read");
+fn send_heartbeat(
+    proxy: &Arc<InboundProxy>,
+    address: SocketAddr,
+    id: &str,
+    sequence: u64,
+    concurrency_limit: u32,
+    state: &str,
+) {
+    let notice = format!(r#"{{"line":"x","edition":"v1","zone":"a","pigeonholes":{concurrency_limit}}}"#);
+    let status = format!(r#"{{"state":"{state}","postmark_seq":{sequence},"cold_left_ms":0}}"#);
+    let heartbeat = format!(r#"{{"address":"{address}","notice":{notice},"status":{status}}}"#);
+    proxy.handle_heartbeat(id, heartbeat.as_bytes()).expect("a valid heartbeat");
 }
 
-/// Knocks with a req that is late after so many ms, turned away before as often as said.
-fn knock(
-    door: &Arc<InboundProxy>,
+/// Forwards a request with this number of earlier rejections and this latency target. Returns its outcome.
+fn forward(
+    proxy: &Arc<InboundProxy>,
     id: &str,
-    turned: u32,
-    late_ms: u64,
+    rejections: u32,
+    target_ms: u64,
 ) -> tokio::task::JoinHandle<&'static str> {
-    knock_of(door, id, (turned, late_ms), None, None)
+    forward_with(proxy, id, (rejections, target_ms), None, None)
 }
 
-/// The same of a session or a member.
-fn knock_of(
-    door: &Arc<InboundProxy>,
+/// The same for a request of a session or a member.
+fn forward_with(
+    proxy: &Arc<InboundProxy>,
     id: &str,
-    (turned, late_ms): (u32, u64),
+    (rejections, target_ms): (u32, u64),
     fencing_token: Option<FencingToken>,
-    part: Option<MemberShare>,
+    member_share: Option<MemberShare>,
 ) -> tokio::task::JoinHandle<&'static str> {
     let mut head = hyper::Request::new(());
     head.headers_mut().insert(REQUEST_ID, HeaderValue::try_from(id).expect("an id"));
     let message = Arc::new(Message { head, first: bytes::Bytes::new(), length: Some(0), long: None });
-    let door = door.clone();
+    let proxy = proxy.clone();
     tokio::spawn(async move {
-        let (caller, now) = (HeaderValue::from_static("y"), door.clock.now());
-        let (target, until) = (now + late_ms * MS, now + 20_000 * MS);
+        let (caller, now) = (HeaderValue::from_static("y"), proxy.clock.now());
+        let (target, deadline) = (now + target_ms * MS, now + 20_000 * MS);
         let request = InboundRequest {
             message: &message,
             upstream_id: "i-1",
             caller: &caller,
-            rejections: turned,
+            rejections,
             has_affinity: false,
             is_retry: false,
             is_nested: false,
@@ -74,15 +81,15 @@
             is_remote: false,
             fencing_token,
             target,
-            deadline: until,
-            member_share: part,
+            deadline,
+            member_share,
         };
-        door.forward(request).await.wire_name()
+        proxy.forward(request).await.wire_name()
     })
 }
 
-/// Takes the next req that comes to the upstream: its id, and the connection to answer on.
-async fn next(listener: &TcpListener) -> (String, tokio::net::TcpStream) {
+/// Accepts the next request at the upstream. Returns its id and its connection.
+async fn accept_request(listener: &TcpListener) -> (String, tokio::net::TcpStream) {
     let (mut stream, _) = listener.accept().await.expect("a connection");
     let mut head = Vec::new();
     while !head.ends_with(b"\r\n\r\n") {
@@ -93,243 +100,244 @@
     (id.to_owned(), stream)
 }
 
-async fn answer(received: (String, tokio::net::TcpStream)) {
-    answer_with(received, "200 OK").await;
+async fn respond(received: (String, tokio::net::TcpStream)) {
+    respond_with(received, "200 OK").await;
 }
 
-async fn answer_with((id, mut stream): (String, tokio::net::TcpStream), status: &str) {
-    let fields = format!("ochreshed-consignment-id: {id}\r\nochreshed-postmark: s\r\nconnection: close");
-    let answer = format!("HTTP/1.1 {status}\r\n{fields}\r\ncontent-length: 0\r\n\r\n");
-    stream.write_all(answer.as_bytes()).await.expect("written");
+async fn respond_with((id, mut stream): (String, tokio::net::TcpStream), status: &str) {
+    let headers = format!("ochreshed-consignment-id: {id}\r\nochreshed-postmark: s\r\nconnection: close");
+    let response = format!("HTTP/1.1 {status}\r\n{headers}\r\ncontent-length: 0\r\n\r\n");
+    stream.write_all(response.as_bytes()).await.expect("written");
 }
 
-async fn inside(door: &InboundProxy, count: usize) {
-    while door.requests_in_flight() != count {
+async fn wait_for_requests_in_flight(proxy: &InboundProxy, count: usize) {
+    while proxy.requests_in_flight() != count {
         tokio::task::yield_now().await;
     }
 }
 
 #[tokio::test]
-async fn a_full_door_turns_away_at_once_and_one_that_waited_goes_when_it_is_its_turn() {
-    let (door, upstream) = door(1).await;
-    let first = knock(&door, "a", 0, 10_000);
-    let at_upstream = next(&upstream).await;
-    assert_eq!(knock(&door, "b", 0, 10_000).await.expect("no panic"), "turned");
-    // Turned away elsewhere before, it waits; the one that is late sooner goes first.
-    let later = knock(&door, "c", 3, 9_000);
-    inside(&door, 2).await;
-    let sooner = knock(&door, "d", 3, 5_000);
-    inside(&door, 3).await;
-    answer(at_upstream).await;
-    let at_upstream = next(&upstream).await;
+async fn a_full_proxy_rejects_new_requests_and_admits_queued_ones_by_their_targets() {
+    let (proxy, upstream) = proxy_with_upstream(1).await;
+    let first = forward(&proxy, "a", 0, 10_000);
+    let at_upstream = accept_request(&upstream).await;
+    assert_eq!(forward(&proxy, "b", 0, 10_000).await.expect("no panic"), "turned");
+    // Requests that were rejected elsewhere before are queued; the one with the earlier target is admitted first.
+    let later = forward(&proxy, "c", 3, 9_000);
+    wait_for_requests_in_flight(&proxy, 2).await;
+    let sooner = forward(&proxy, "d", 3, 5_000);
+    wait_for_requests_in_flight(&proxy, 3).await;
+    respond(at_upstream).await;
+    let at_upstream = accept_request(&upstream).await;
     assert_eq!((first.await.expect("no panic"), &*at_upstream.0), ("ran", "d"));
-    answer(at_upstream).await;
-    answer(next(&upstream).await).await;
+    respond(at_upstream).await;
+    respond(accept_request(&upstream).await).await;
     assert_eq!((sooner.await.expect("no panic"), later.await.expect("no panic")), ("ran", "ran"));
 }
 
 #[tokio::test]
-async fn a_slot_handed_to_one_that_has_gone_is_not_lost() {
-    let (door, upstream) = door(1).await;
+async fn a_permit_granted_to_a_cancelled_request_is_not_lost() {
+    let (proxy, upstream) = proxy_with_upstream(1).await;
     for round in 0..20 {
-        let first = knock(&door, "a", 0, 10_000);
-        let at_upstream = next(&upstream).await;
-        let waits = knock(&door, "b", 3, 10_000);
-        inside(&door, 2).await;
-        // Its client goes in the moment in which the slot becomes free.
+        let first = forward(&proxy, "a", 0, 10_000);
+        let at_upstream = accept_request(&upstream).await;
+        let queued = forward(&proxy, "b", 3, 10_000);
+        wait_for_requests_in_flight(&proxy, 2).await;
+        // Its client disconnects at the moment at which the permit becomes free.
         first.abort();
-        waits.abort();
+        queued.abort();
         drop(at_upstream);
-        inside(&door, 0).await;
-        let next_one = knock(&door, "c", 0, 10_000);
-        answer(next(&upstream).await).await;
-        assert_eq!(next_one.await.expect("no panic"), "ran", "round {round}");
+        wait_for_requests_in_flight(&proxy, 0).await;
+        let next_request = forward(&proxy, "c", 0, 10_000);
+        respond(accept_request(&upstream).await).await;
+        assert_eq!(next_request.await.expect("no panic"), "ran", "round {round}");
     }
 }
 
-/// Guards against a late message of the site that a person has left, also where it has waited here meanwhile.
+/// Guards against running a late request from an outbound proxy that no longer owns the session, also if the request was queued
+/// here when the session moved.
 #[tokio::test]
-async fn what_a_gate_sends_that_has_lost_the_session_never_runs() {
-    let (door, upstream) = door(1).await;
-    let of = |since| Some(FencingToken { session: 7, since_term: since });
-    let first = knock_of(&door, "a", (0, 10_000), of(2), None);
-    let at_upstream = next(&upstream).await;
-    let waits = knock_of(&door, "b", (3, 9_000), of(2), None);
-    inside(&door, 2).await;
-    let moved = knock_of(&door, "c", (3, 10_000), of(5), None);
-    inside(&door, 3).await;
-    assert_eq!(knock_of(&door, "d", (0, 10_000), of(4), None).await.expect("no panic"), "fenced");
-    answer(at_upstream).await;
-    let at_upstream = next(&upstream).await;
+async fn requests_of_a_former_session_owner_never_run() {
+    let (proxy, upstream) = proxy_with_upstream(1).await;
+    let token = |since_term| Some(FencingToken { session: 7, since_term });
+    let first = forward_with(&proxy, "a", (0, 10_000), token(2), None);
+    let at_upstream = accept_request(&upstream).await;
+    let queued = forward_with(&proxy, "b", (3, 9_000), token(2), None);
+    wait_for_requests_in_flight(&proxy, 2).await;
+    let moved = forward_with(&proxy, "c", (3, 10_000), token(5), None);
+    wait_for_requests_in_flight(&proxy, 3).await;
+    assert_eq!(forward_with(&proxy, "d", (0, 10_000), token(4), None).await.expect("no panic"), "fenced");
+    respond(at_upstream).await;
+    let at_upstream = accept_request(&upstream).await;
     assert_eq!((first.await.expect("no panic"), &*at_upstream.0), ("ran", "c"));
-    answer(at_upstream).await;
-    assert_eq!((waits.await.expect("no panic"), moved.await.expect("no panic")), ("fenced", "ran"));
+    respond(at_upstream).await;
+    assert_eq!((queued.await.expect("no panic"), moved.await.expect("no panic")), ("fenced", "ran"));
 }
 
-/// Guards against a member whose runs hang and keep others out, and against a gate that knows an older share.
+/// Guards against a member whose requests hang and block others, and against an outbound proxy with an outdated share.
 #[tokio::test]
-async fn a_members_reqs_hold_their_part_of_the_slots_as_the_door_knows_it() {
-    let (door, upstream) = door(4).await;
-    let part = |share| Some(MemberShare { member: "norte".into(), share });
-    let mut hang = Vec::new();
+async fn a_members_requests_are_limited_to_its_share_as_configured_on_this_node() {
+    let (proxy, upstream) = proxy_with_upstream(4).await;
+    let member_share = |share| Some(MemberShare { member: "norte".into(), share });
+    let mut hanging = Vec::new();
     let mut runs = Vec::new();
     for id in ["a", "b"] {
-        runs.push(knock_of(&door, id, (3, 10_000), None, part(0.5)));
-        hang.push(next(&upstream).await);
+        runs.push(forward_with(&proxy, id, (3, 10_000), None, member_share(0.5)));
+        hanging.push(accept_request(&upstream).await);
     }
-    runs.push(knock_of(&door, "c", (3, 10_000), None, part(0.5)));
-    inside(&door, 3).await;
-    // Two slots are free, and others take them at once.
+    runs.push(forward_with(&proxy, "c", (3, 10_000), None, member_share(0.5)));
+    wait_for_requests_in_flight(&proxy, 3).await;
+    // Two slots are free, and other requests get them at once.
     for id in ["d", "e"] {
-        let run = knock(&door, id, 0, 10_000);
-        answer(next(&upstream).await).await;
+        let run = forward(&proxy, id, 0, 10_000);
+        respond(accept_request(&upstream).await).await;
         assert_eq!(run.await.expect("no panic"), "ran");
     }
-    // The configuration in force here gives it less: one has to go before the one that waits may come in.
+    // The configuration in force here has a lower share: a running request must end before a queued one is admitted.
     let share = MemberShares { member: "norte".into(), retry: 0.0, concurrency: 0.25 };
-    door.set_member_shares(&Arc::new([(share.member.clone(), Arc::new(share))].into()));
-    runs.push(knock_of(&door, "f", (3, 9_000), None, part(0.5)));
-    inside(&door, 4).await;
-    answer(hang.remove(0)).await;
+    proxy.set_member_shares(&Arc::new([(share.member.clone(), Arc::new(share))].into()));
+    runs.push(forward_with(&proxy, "f", (3, 9_000), None, member_share(0.5)));
+    wait_for_requests_in_flight(&proxy, 4).await;
+    respond(hanging.remove(0)).await;
     assert_eq!(runs.remove(0).await.expect("no panic"), "ran");
-    assert_eq!((door.load(), held(&door.admission).queued()), (3, 2));
-    answer(hang.remove(0)).await;
+    assert_eq!((proxy.load(), held(&proxy.admission).queued()), (3, 2));
+    respond(hanging.remove(0)).await;
     for id in ["f", "c"] {
-        let received = next(&upstream).await;
+        let received = accept_request(&upstream).await;
         assert_eq!(received.0, id);
-        answer(received).await;
+        respond(received).await;
     }
     for run in runs {
         assert_eq!(run.await.expect("no panic"), "ran");
     }
 }
 
-/// Guards against knocks of other programs, and against names that no field of text holds.
+/// Guards against malformed terms from other programs, and against member names that are not ASCII.
 #[test]
-fn a_knock_tells_what_its_req_is_and_whose() {
-    let read = |word: &str| {
+fn request_terms_are_parsed_and_malformed_ones_ignored() {
+    let parse = |value: &str| {
         let mut headers = HeaderMap::new();
         headers.insert(
             REQUEST_TERMS,
-            HeaderValue::from_str(word).or(HeaderValue::from_bytes(word.as_bytes())).expect("a field"),
+            HeaderValue::from_str(value)
+                .or(HeaderValue::from_bytes(value.as_bytes()))
+                .expect("a header value"),
         );
         let RequestTerms { target_ms, rejections, has_affinity, is_retry, is_nested, is_large, member_share } =
             RequestTerms::from_headers(&headers, 700);
-        assert_eq!(
-            has_affinity,
-            word.split(' ').nth(2).is_some_and(|letters| letters.contains('t')),
-            "{word}"
-        );
+        assert_eq!(has_affinity, value.split(' ').nth(2).is_some_and(|flags| flags.contains('t')), "{value}");
         let member = member_share.map(|member| (member.share, member.member.to_string()));
         (target_ms, rejections, is_retry, is_nested, is_large, member)
     };
-    let of = |share, name: &str| Some((share, name.to_owned()));
-    assert_eq!(read("250 2 acl"), (250, 2, true, true, true, None));
-    assert_eq!(read("250 2 at"), (250, 2, true, false, false, None));
-    assert_eq!(read("250 0 "), (250, 0, false, false, false, None));
-    assert_eq!(read("250 0  0.5 norte"), (250, 0, false, false, false, of(0.5, "norte")));
-    assert_eq!(read("250 1 c 0.25 são  joão"), (250, 1, false, true, false, of(0.25, "são  joão")));
-    for odd in ["", "x y z", "250 0 c 0.5", "250 0 c half norte", "250 0 c 0.5 "] {
-        assert_eq!(read(odd).5, None, "{odd}");
+    let member = |share, name: &str| Some((share, name.to_owned()));
+    assert_eq!(parse("250 2 acl"), (250, 2, true, true, true, None));
+    assert_eq!(parse("250 2 at"), (250, 2, true, false, false, None));
+    assert_eq!(parse("250 0 "), (250, 0, false, false, false, None));
+    assert_eq!(parse("250 0  0.5 norte"), (250, 0, false, false, false, member(0.5, "norte")));
+    assert_eq!(parse("250 1 c 0.25 são  joão"), (250, 1, false, true, false, member(0.25, "são  joão")));
+    for malformed in ["", "x y z", "250 0 c 0.5", "250 0 c half norte", "250 0 c 0.5 "] {
+        assert_eq!(parse(malformed).5, None, "{malformed}");
     }
-    assert_eq!(read(&format!("250 0 c 0.5 {}", "x".repeat(257))).5, None);
+    assert_eq!(parse(&format!("250 0 c 0.5 {}", "x".repeat(257))).5, None);
 }
 
-/// Guards against an upstream that fails half of its reqs while it says that it is well: each gate alone sees few of them.
+/// Guards against an upstream that fails half of its requests while its heartbeats report it as healthy: each outbound proxy
+/// alone sees too few of them to tell.
 #[tokio::test]
-async fn the_row_tells_that_the_upstream_fails_and_another_life_begins_anew() {
-    let (door, upstream) = door(2).await;
-    let ran = async |count: usize, status: &dyn Fn(usize) -> &'static str| {
-        for nth in 0..count {
-            let sent = knock(&door, "a", 0, 10_000);
-            answer_with(next(&upstream).await, status(nth)).await;
+async fn the_record_shows_a_failing_upstream_and_a_new_incarnation_starts_healthy() {
+    let (proxy, upstream) = proxy_with_upstream(2).await;
+    let run_requests = async |count: usize, status: &dyn Fn(usize) -> &'static str| {
+        for index in 0..count {
+            let sent = forward(&proxy, "a", 0, 10_000);
+            respond_with(accept_request(&upstream).await, status(index)).await;
             assert_eq!(sent.await.expect("no panic"), "ran");
         }
     };
-    ran(40, &|_| "200 OK").await;
-    let number = door.endpoint_record().sequence;
-    assert!(door.endpoint_record().health.is_healthy());
-    ran(24, &|nth| ["500 Broken", "200 OK"][nth % 2]).await;
-    let record = door.endpoint_record();
-    assert!(record.health.failure_level >= 1 && record.sequence > number, "{record:?}");
-    // Beats say that it is well, and count for nothing here.
-    let app = upstream.local_addr().expect("its address");
-    beat(&door, app, "i-1", 2, 2, "open_for_post");
-    assert_eq!(door.endpoint_record().health, record.health);
-    beat(&door, app, "i-2", 1, 2, "open_for_post");
-    assert!(door.endpoint_record().health.is_healthy());
+    run_requests(40, &|_| "200 OK").await;
+    let sequence = proxy.endpoint_record().sequence;
+    assert!(proxy.endpoint_record().health.is_healthy());
+    run_requests(24, &|index| ["500 Broken", "200 OK"][index % 2]).await;
+    let record = proxy.endpoint_record();
+    assert!(record.health.failure_level >= 1 && record.sequence > sequence, "{record:?}");
+    // Heartbeats report the upstream as healthy, which doesn't affect its health here.
+    let upstream_address = upstream.local_addr().expect("its address");
+    send_heartbeat(&proxy, upstream_address, "i-1", 2, 2, "open_for_post");
+    assert_eq!(proxy.endpoint_record().health, record.health);
+    send_heartbeat(&proxy, upstream_address, "i-2", 1, 2, "open_for_post");
+    assert!(proxy.endpoint_record().health.is_healthy());
 }
 
 #[tokio::test]
-async fn another_life_gets_nothing_that_was_meant_for_this_one() {
-    let (door, upstream) = door(2).await;
-    let app = upstream.local_addr().expect("its address");
-    beat(&door, app, "i-2", 1, 2, "open_for_post");
-    assert_eq!(knock(&door, "a", 0, 10_000).await.expect("no panic"), "gone");
-    // A late beat of the life before brings nothing back.
-    beat(&door, app, "i-1", 9, 2, "open_for_post");
-    assert_eq!(knock(&door, "a", 0, 10_000).await.expect("no panic"), "gone");
-    assert_eq!(door.endpoint_record().upstream_id, "i-2");
+async fn a_new_incarnation_gets_no_request_addressed_to_the_previous_one() {
+    let (proxy, upstream) = proxy_with_upstream(2).await;
+    let upstream_address = upstream.local_addr().expect("its address");
+    send_heartbeat(&proxy, upstream_address, "i-2", 1, 2, "open_for_post");
+    assert_eq!(forward(&proxy, "a", 0, 10_000).await.expect("no panic"), "gone");
+    // A late heartbeat of the previous incarnation changes nothing.
+    send_heartbeat(&proxy, upstream_address, "i-1", 9, 2, "open_for_post");
+    assert_eq!(forward(&proxy, "a", 0, 10_000).await.expect("no panic"), "gone");
+    assert_eq!(proxy.endpoint_record().upstream_id, "i-2");
 }
 
-/// Guards against an upstream that signs off without a word of closing, whose last beat comes seconds late: to this
-/// process, or to one that started anew since.
+/// Guards against an upstream that signs off without draining and whose last heartbeat arrives seconds late, at this process or
+/// at one that has restarted since.
 #[tokio::test]
-async fn a_late_beat_opens_no_life_that_has_signed_off() {
-    let (door, upstream) = door(2).await;
-    let app = upstream.local_addr().expect("its address");
-    door.sign_off("i-1");
-    beat(&door, app, "i-1", 9, 2, "open_for_post");
-    assert_eq!(knock(&door, "a", 0, 10_000).await.expect("no panic"), "gone");
-    // Unknown here when it signs off.
-    let (door, _, app) = silent_door().await;
-    door.sign_off("i-1");
-    beat(&door, app, "i-1", 9, 2, "open_for_post");
-    assert_eq!(knock(&door, "a", 0, 10_000).await.expect("no panic"), "gone");
-    // Signed off, or closing, at an earlier life of this process, as others tell; before that beat or after it.
-    for stand in [UpstreamState::Absent, UpstreamState::Draining] {
-        let (door, _, app) = silent_door().await;
-        beat(&door, app, "i-1", 9, 2, "open_for_post");
-        assert_eq!(door.endpoint_record().state, UpstreamState::Serving);
-        door.restore_upstream_state("i-1", stand);
-        beat(&door, app, "i-1", 10, 2, "open_for_post");
-        assert_eq!(knock(&door, "a", 0, 10_000).await.expect("no panic"), "gone", "{stand:?}");
-        // Another life is not meant.
-        beat(&door, app, "i-2", 1, 2, "open_for_post");
-        assert_eq!(door.endpoint_record().state, UpstreamState::Serving);
+async fn a_late_heartbeat_restores_no_incarnation_that_has_signed_off() {
+    let (proxy, upstream) = proxy_with_upstream(2).await;
+    let upstream_address = upstream.local_addr().expect("its address");
+    proxy.sign_off("i-1");
+    send_heartbeat(&proxy, upstream_address, "i-1", 9, 2, "open_for_post");
+    assert_eq!(forward(&proxy, "a", 0, 10_000).await.expect("no panic"), "gone");
+    // The incarnation is unknown here when it signs off.
+    let (proxy, _, upstream_address) = proxy_without_heartbeat().await;
+    proxy.sign_off("i-1");
+    send_heartbeat(&proxy, upstream_address, "i-1", 9, 2, "open_for_post");
+    assert_eq!(forward(&proxy, "a", 0, 10_000).await.expect("no panic"), "gone");
+    // The incarnation signed off or drained before a restart of this process, as other nodes report before or after the late
+    // heartbeat.
+    for state in [UpstreamState::Absent, UpstreamState::Draining] {
+        let (proxy, _, upstream_address) = proxy_without_heartbeat().await;
+        send_heartbeat(&proxy, upstream_address, "i-1", 9, 2, "open_for_post");
+        assert_eq!(proxy.endpoint_record().state, UpstreamState::Serving);
+        proxy.restore_upstream_state("i-1", state);
+        send_heartbeat(&proxy, upstream_address, "i-1", 10, 2, "open_for_post");
+        assert_eq!(forward(&proxy, "a", 0, 10_000).await.expect("no panic"), "gone", "{state:?}");
+        // A new incarnation is not affected.
+        send_heartbeat(&proxy, upstream_address, "i-2", 1, 2, "open_for_post");
+        assert_eq!(proxy.endpoint_record().state, UpstreamState::Serving);
     }
-    let (door, _, app) = silent_door().await;
-    door.restore_upstream_state("i-1", UpstreamState::Absent);
-    beat(&door, app, "i-1", 9, 2, "open_for_post");
-    assert_eq!(knock(&door, "a", 0, 10_000).await.expect("no panic"), "gone");
+    let (proxy, _, upstream_address) = proxy_without_heartbeat().await;
+    proxy.restore_upstream_state("i-1", UpstreamState::Absent);
+    send_heartbeat(&proxy, upstream_address, "i-1", 9, 2, "open_for_post");
+    assert_eq!(forward(&proxy, "a", 0, 10_000).await.expect("no panic"), "gone");
 }
 
 #[tokio::test]
-async fn calls_are_known_by_the_run_that_they_go_on_from() {
-    let (door, upstream) = door(2).await;
-    let run = knock(&door, "f00", 0, 10_000);
-    let at_upstream = next(&upstream).await;
+async fn nested_calls_are_recognized_by_the_id_of_their_run() {
+    let (proxy, upstream) = proxy_with_upstream(2).await;
+    let run = forward(&proxy, "f00", 0, 10_000);
+    let at_upstream = accept_request(&upstream).await;
     assert_eq!(
         (
-            door.nested_call_is_retry(b"f00"),
-            door.nested_call_is_retry(b"f001.2"),
-            door.endpoint_record().calls_services
+            proxy.nested_call_is_retry(b"f00"),
+            proxy.nested_call_is_retry(b"f001.2"),
+            proxy.endpoint_record().calls_services
         ),
         (None, None, false)
     );
     assert_eq!(
-        (door.nested_call_is_retry(b"f00.2"), door.endpoint_record().calls_services),
+        (proxy.nested_call_is_retry(b"f00.2"), proxy.endpoint_record().calls_services),
         (Some(false), true)
     );
-    answer(at_upstream).await;
+    respond(at_upstream).await;
     assert_eq!(run.await.expect("no panic"), "ran");
-    assert_eq!(door.nested_call_is_retry(b"f00.3"), None);
+    assert_eq!(proxy.nested_call_is_retry(b"f00.3"), None);
 }
 
-/// Guards against an upstream that is shut out for its life, or let in under another's name, by one word of its health
-/// page.
+/// Guards against an upstream that is excluded for good, or accepted as another incarnation, because of one wrong response to
+/// the health check.
 #[tokio::test]
-async fn what_a_health_page_says_wrongly_lasts_until_the_next_beat() {
+async fn a_wrong_health_response_counts_only_until_the_next_heartbeat() {
     let cases = [
         ("200 OK", "i-1", UpstreamState::Serving, UpstreamState::Serving),
         ("200 OK", "i-1", UpstreamState::Draining, UpstreamState::Draining),
@@ -337,105 +345,106 @@
         ("500 Broken", "i-1", UpstreamState::Serving, UpstreamState::Absent),
         ("503 Not now", "i-1", UpstreamState::Serving, UpstreamState::Absent),
     ];
-    for (status, by, stand, found) in cases {
-        let (door, upstream, app) = silent_door().await;
+    for (status, responding_id, recorded, found) in cases {
+        let (proxy, upstream, upstream_address) = proxy_without_heartbeat().await;
         let record = EndpointRecord {
             service: "x".into(),
             upstream_id: "i-1".into(),
-            state: stand,
+            state: recorded,
             concurrency_limit: 1,
-            ..door.endpoint_record()
+            ..proxy.endpoint_record()
         };
-        let finds = tokio::spawn(door.clone().probe_upstream(record, "/health".into()));
+        let probe = tokio::spawn(proxy.clone().probe_upstream(record, "/health".into()));
         let (mut stream, _) = upstream.accept().await.expect("a probe");
-        let head = format!("HTTP/1.1 {status}\r\nochreshed-delivered-by: {by}\r\nconnection: close");
-        let answer = format!("{head}\r\ncontent-length: 0\r\n\r\n");
-        stream.write_all(answer.as_bytes()).await.expect("written");
-        finds.await.expect("no panic");
-        assert_eq!(door.endpoint_record().state, found, "{status} of {by}");
-        // What it tells itself counts; only what closes stays closed.
-        beat(&door, app, "i-1", 1, 1, "open_for_post");
-        let takes = stand == UpstreamState::Serving;
+        let head =
+            format!("HTTP/1.1 {status}\r\nochreshed-delivered-by: {responding_id}\r\nconnection: close");
+        let response = format!("{head}\r\ncontent-length: 0\r\n\r\n");
+        stream.write_all(response.as_bytes()).await.expect("written");
+        probe.await.expect("no panic");
+        assert_eq!(proxy.endpoint_record().state, found, "{status} of {responding_id}");
+        // The upstream's own heartbeat counts, except that a draining incarnation stays so.
+        send_heartbeat(&proxy, upstream_address, "i-1", 1, 1, "open_for_post");
+        let serves = recorded == UpstreamState::Serving;
         assert_eq!(
-            door.endpoint_record().state,
-            if takes { UpstreamState::Serving } else { UpstreamState::Draining },
-            "{status} of {by}"
+            proxy.endpoint_record().state,
+            if serves { UpstreamState::Serving } else { UpstreamState::Draining },
+            "{status} of {responding_id}"
         );
-        if takes {
-            let sent = knock(&door, "a", 0, 10_000);
-            answer_next(&upstream).await;
-            assert_eq!(sent.await.expect("no panic"), "ran", "{status} of {by}");
+        if serves {
+            let sent = forward(&proxy, "a", 0, 10_000);
+            respond_to_next(&upstream).await;
+            assert_eq!(sent.await.expect("no panic"), "ran", "{status} of {responding_id}");
         }
     }
 }
 
-async fn answer_next(upstream: &TcpListener) {
-    answer(next(upstream).await).await;
+async fn respond_to_next(upstream: &TcpListener) {
+    respond(accept_request(upstream).await).await;
 }
 
-/// Reads one req from a connection that stays open, and answers it.
-async fn answer_on(stream: &mut tokio::net::TcpStream) {
+/// Reads one request from a connection and responds, and keeps the connection open.
+async fn respond_on(stream: &mut tokio::net::TcpStream) {
     let mut head = Vec::new();
     while !head.ends_with(b"\r\n\r\n") {
         head.push(stream.read_u8().await.expect("a head"));
     }
     let head = String::from_utf8(head).expect("text");
     let id = head.lines().find_map(|line| line.strip_prefix("ochreshed-consignment-id: ")).expect("an id");
-    let fields = format!("ochreshed-consignment-id: {id}\r\nochreshed-postmark: s\r\ncontent-length: 0");
-    stream.write_all(format!("HTTP/1.1 200 OK\r\n{fields}\r\n\r\n").as_bytes()).await.expect("written");
+    let headers = format!("ochreshed-consignment-id: {id}\r\nochreshed-postmark: s\r\ncontent-length: 0");
+    stream.write_all(format!("HTTP/1.1 200 OK\r\n{headers}\r\n\r\n").as_bytes()).await.expect("written");
 }
 
-/// Guards against a req that is lost to a kept connection where that can be known before it is written, against one that
-/// is told as unrun where it can't, and against a second one that goes the same way.
+/// Guards against losing a request on an idle connection that is detectably closed, against reporting a lost request as not run
+/// when that is unknown, and against losing a second request in the same way.
 #[tokio::test]
-async fn a_forgotten_connection_costs_one_req_at_most_and_that_may_have_run() {
-    let (door, upstream) = door(2).await;
-    let sent = |id: &str| knock(&door, id, 0, 10_000);
-    let accepted = || async {
-        let next = tokio::time::timeout(Duration::from_secs(10), upstream.accept()).await;
-        next.expect("a new connection").expect("a connection").0
+async fn a_dropped_idle_connection_loses_at_most_one_request_which_may_have_run() {
+    let (proxy, upstream) = proxy_with_upstream(2).await;
+    let send = |id: &str| forward(&proxy, id, 0, 10_000);
+    let accept = || async {
+        let accepted = tokio::time::timeout(Duration::from_secs(10), upstream.accept()).await;
+        accepted.expect("a new connection").expect("a connection").0
     };
-    let ran = |sent: tokio::task::JoinHandle<&'static str>| async { sent.await.expect("no panic") };
-    let age =
-        |by| held(&door.state).upstream.as_ref().expect("an upstream").connections.advance_idle_time(by);
-    // While it is used it is kept.
-    let first = sent("a");
-    let mut kept = accepted().await;
-    answer_on(&mut kept).await;
-    assert_eq!(ran(first).await, "ran");
-    let second = sent("b");
-    answer_on(&mut kept).await;
-    assert_eq!(ran(second).await, "ran");
-    // Ended while it was idle, in order or not: the next req goes on another.
+    let outcome = |sent: tokio::task::JoinHandle<&'static str>| async { sent.await.expect("no panic") };
+    let advance_idle_time =
+        |by| held(&proxy.state).upstream.as_ref().expect("an upstream").connections.advance_idle_time(by);
+    // A connection in use is kept.
+    let first = send("a");
+    let mut connection = accept().await;
+    respond_on(&mut connection).await;
+    assert_eq!(outcome(first).await, "ran");
+    let second = send("b");
+    respond_on(&mut connection).await;
+    assert_eq!(outcome(second).await, "ran");
+    // If it was closed or reset while idle, the next request uses a new one.
     for reset in [false, true] {
         let linger = reset.then_some(Duration::ZERO);
-        socket2::SockRef::from(&kept).set_linger(linger).expect("an option");
-        drop(kept);
-        let next = sent("c");
-        kept = accepted().await;
-        answer_on(&mut kept).await;
-        assert_eq!(ran(next).await, "ran", "reset: {reset}");
+        socket2::SockRef::from(&connection).set_linger(linger).expect("an option");
+        drop(connection);
+        let next = send("c");
+        connection = accept().await;
+        respond_on(&mut connection).await;
+        assert_eq!(outcome(next).await, "ran", "reset: {reset}");
     }
-    // Idle for long: the next one does not go on it.
-    age(1_100 * MS);
-    let next = sent("d");
-    kept = accepted().await;
-    answer_on(&mut kept).await;
-    assert_eq!(ran(next).await, "ran");
-    age(100 * MS);
-    // Forgotten, and that shows only once something comes: it may have run, for all that can be told.
-    let lost = sent("e");
-    kept.peek(&mut [0]).await.expect("something comes");
-    socket2::SockRef::from(&kept).set_linger(Some(Duration::ZERO)).expect("an option");
-    drop(kept);
-    assert_eq!(ran(lost).await, "reset");
-    // None that has been idle for as long carries another.
-    let next = sent("f");
-    kept = accepted().await;
-    answer_on(&mut kept).await;
-    assert_eq!(ran(next).await, "ran");
-    age(500 * MS);
-    let next = sent("g");
-    answer_on(&mut accepted().await).await;
-    assert_eq!(ran(next).await, "ran");
+    // A connection that was idle for too long isn't reused.
+    advance_idle_time(1_100 * MS);
+    let next = send("d");
+    connection = accept().await;
+    respond_on(&mut connection).await;
+    assert_eq!(outcome(next).await, "ran");
+    advance_idle_time(100 * MS);
+    // The upstream has dropped the connection, which shows only once a request is sent: that request may have run.
+    let lost = send("e");
+    connection.peek(&mut [0]).await.expect("request bytes");
+    socket2::SockRef::from(&connection).set_linger(Some(Duration::ZERO)).expect("an option");
+    drop(connection);
+    assert_eq!(outcome(lost).await, "reset");
+    // No connection that has been idle for as long is reused.
+    let next = send("f");
+    connection = accept().await;
+    respond_on(&mut connection).await;
+    assert_eq!(outcome(next).await, "ran");
+    advance_idle_time(500 * MS);
+    let next = send("g");
+    respond_on(&mut accept().await).await;
+    assert_eq!(outcome(next).await, "ran");
 }
