--- a/balancer/src/mesh/proxy/tests/budget_reporter_tests.rs
+++ b/balancer/src/mesh/proxy/tests/budget_reporter_tests.rs
@@ -1,4 +1,4 @@
-//! When a proxy's report is sent, and sent again.
+//! Tests of the timing of a proxy's reports.
 
 use std::time::Duration;
 
@@ -14,7 +14,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_proxy_reports_changes_four_times_a_window_and_anew_to_a_replica_that_restarted() {
+async fn changes_are_reported_four_times_per_window_and_again_to_a_restarted_replica() {
     let mut reporter = BudgetReporter::default();
     assert_eq!(reporter.next_report(WINDOW, || report(1)), Some(report(1)));
     reporter.request_finished(true);
--- a/balancer/src/mesh/proxy/tests/connection_pool_tests.rs
+++ b/balancer/src/mesh/proxy/tests/connection_pool_tests.rs
@@ -1,5 +1,5 @@
-//! One hop on kept connections against an upstream that is silent, resets, half-closes, answers twice, early, late or for
-//! another request: what the exchange tells, whose answer it takes, and how often the request arrived.
+//! Tests of exchanges on reused connections with an upstream that is silent, resets, half-closes, or responds twice, early,
+//! late or to another request: the result of the exchange, which response it returns, and how often the request arrives.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,23 +19,23 @@
 
 const MS: u64 = 1_000_000;
 
-/// What the upstream does with the second request on its connection.
+/// What the upstream does with the second request on its first connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Second {
-    /// Answers it, as the first.
-    Answers,
-    /// Has sent one more answer to the first before it came.
-    AnsweredTwice,
-    /// Sends that surplus answer only once the second request is there.
-    SurplusLate,
-    AnswersAnother,
-    Silent,
-    Resets,
-    HalfCloses,
+enum SecondRequest {
+    /// Responds to it, like to the first.
+    Respond,
+    /// Has sent a surplus response to the first request before the second one arrives.
+    SurplusResponseBefore,
+    /// Sends the surplus response to the first request once the second one has arrived.
+    SurplusResponseAfter,
+    RespondWithOtherId,
+    StaySilent,
+    Reset,
+    HalfClose,
     /// Closes the connection while it is idle.
-    ClosedIdle,
-    /// Answers when it has read the head alone, and reads on slowly.
-    Early,
+    CloseIdle,
+    /// Responds after reading the head only.
+    RespondEarly,
 }
 
 fn message(id: &str, body: usize) -> Arc<Message> {
@@ -48,25 +48,25 @@
     Arc::new(Message { head, first: vec![7; body].into(), length: Some(body as u64), long: None })
 }
 
-/// The id of the next request; nothing where the connection has ended.
-async fn request(stream: &mut TcpStream, whole: bool) -> Option<String> {
+/// Reads the head of the next request, and its body if `with_body` is set. Returns its id; `None` if the connection has ended.
+async fn read_request(stream: &mut TcpStream, with_body: bool) -> Option<String> {
     let mut head = Vec::new();
     while !head.ends_with(b"\r\n\r\n") {
         head.push(stream.read_u8().await.ok()?);
     }
     let head = String::from_utf8(head).expect("text").to_lowercase();
-    let field = |name: &str| {
+    let header = |name: &str| {
         head.lines().find_map(|line| line.strip_prefix(name)).map(|value| value.trim().to_owned())
     };
-    let length: usize = field("content-length:").and_then(|length| length.parse().ok()).unwrap_or(0);
-    if whole {
+    let length: usize = header("content-length:").and_then(|length| length.parse().ok()).unwrap_or(0);
+    if with_body {
         let mut body = vec![0; length];
         stream.read_exact(&mut body).await.ok()?;
     }
-    field("ochreshed-consignment-id:")
+    header("ochreshed-consignment-id:")
 }
 
-async fn answer(stream: &mut TcpStream, id: &str) {
+async fn respond(stream: &mut TcpStream, id: &str) {
     let text = format!(
         "HTTP/1.1 200 OK\r\nochreshed-consignment-id: {id}\r\ncontent-length: {}\r\n\r\nof {id}",
         id.len() + 3
@@ -74,75 +74,80 @@
     let _ = stream.write_all(text.as_bytes()).await;
 }
 
-/// Serves connections one after the other; tells which requests arrived whole, or their heads where it answers early.
-async fn upstream(
+/// Serves connections, and reports the ids of the requests that arrived completely, or whose head arrived if it responds early.
+async fn run_upstream(
     listener: TcpListener,
-    second: Second,
+    behavior: SecondRequest,
     received: tokio::sync::mpsc::UnboundedSender<String>,
 ) {
     let mut first = true;
     while let Ok((mut stream, _)) = listener.accept().await {
-        let (received, on_first) = (received.clone(), std::mem::take(&mut first));
+        let (received, is_first_connection) = (received.clone(), std::mem::take(&mut first));
         tokio::spawn(async move {
-            let Some(id) = request(&mut stream, true).await else { return };
+            let Some(id) = read_request(&mut stream, true).await else { return };
             let _ = received.send(id.clone());
-            answer(&mut stream, &id).await;
-            if !on_first {
+            respond(&mut stream, &id).await;
+            if !is_first_connection {
                 return;
             }
-            match second {
-                Second::AnsweredTwice => answer(&mut stream, &id).await,
-                Second::ClosedIdle => return,
+            match behavior {
+                SecondRequest::SurplusResponseBefore => respond(&mut stream, &id).await,
+                SecondRequest::CloseIdle => return,
                 _ => {}
             }
-            let Some(next) = request(&mut stream, second != Second::Early).await else { return };
+            let Some(next) = read_request(&mut stream, behavior != SecondRequest::RespondEarly).await else {
+                return;
+            };
             let _ = received.send(next.clone());
-            match second {
-                Second::Answers => return answer(&mut stream, &next).await,
-                Second::Early => answer(&mut stream, &next).await,
-                Second::SurplusLate => answer(&mut stream, &id).await,
-                Second::AnswersAnother => answer(&mut stream, "another").await,
-                Second::Resets => {
+            match behavior {
+                SecondRequest::Respond => return respond(&mut stream, &next).await,
+                SecondRequest::RespondEarly => respond(&mut stream, &next).await,
+                SecondRequest::SurplusResponseAfter => respond(&mut stream, &id).await,
+                SecondRequest::RespondWithOtherId => respond(&mut stream, "another").await,
+                SecondRequest::Reset => {
                     let _ = socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO));
                     return;
                 }
-                Second::HalfCloses => drop(stream.shutdown().await),
+                SecondRequest::HalfClose => drop(stream.shutdown().await),
                 _ => {}
             }
-            // The connection stays.
+            // The connection stays open.
             tokio::time::sleep(Duration::from_secs(3)).await;
         });
     }
 }
 
-/// What the second of two exchanges came to, and a third one after it: the bodies taken, or how they failed, and the
-/// requests that arrived.
-async fn play(
-    second: Second,
-    checks: bool,
+/// Makes three exchanges and returns the results of the second and the third, as bodies or errors, and the requests that
+/// arrived. `check_ids` says whether response ids are checked.
+async fn run_exchanges(
+    behavior: SecondRequest,
+    check_ids: bool,
 ) -> (Result<String, ExchangeError>, Result<String, ExchangeError>, Vec<String>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let at = listener.local_addr().expect("its address");
-    let (send, mut received) = tokio::sync::mpsc::unbounded_channel();
-    let served = tokio::spawn(upstream(listener, second, send));
+    let address = listener.local_addr().expect("its address");
+    let (sender, mut received) = tokio::sync::mpsc::unbounded_channel();
+    let upstream = tokio::spawn(run_upstream(listener, behavior, sender));
     let clock = Clock::new();
-    let line = Arc::new(ConnectionPool::new(at, clock, Arc::new(Semaphore::new(8))));
-    let exchange = |id: &'static str, body: usize| {
-        let line = line.clone();
+    let pool = Arc::new(ConnectionPool::new(address, clock, Arc::new(Semaphore::new(8))));
+    let exchange = |id: &'static str, body_bytes: usize| {
+        let pool = pool.clone();
         async move {
-            let until = clock.now() + 300 * MS;
-            let ours = |head: &Parts| !checks || head.headers.get(&REQUEST_ID).is_some_and(|told| told == id);
-            let (_, flow) = line.exchange(&message(id, body), &HeaderMap::new(), until, None, ours).await?;
-            let bytes = flow.collect().await.map_err(|_| ExchangeError::Reset)?.to_bytes();
+            let deadline = clock.now() + 300 * MS;
+            let is_match = |head: &Parts| {
+                !check_ids || head.headers.get(&REQUEST_ID).is_some_and(|response_id| response_id == id)
+            };
+            let (_, body) =
+                pool.exchange(&message(id, body_bytes), &HeaderMap::new(), deadline, None, is_match).await?;
+            let bytes = body.collect().await.map_err(|_| ExchangeError::Reset)?.to_bytes();
             Ok(String::from_utf8(bytes.to_vec()).expect("text"))
         }
     };
     assert_eq!(exchange("one", 3).await, Ok("of one".to_owned()));
-    // What was sent behind the answer is there.
+    // Bytes that the upstream sends after the response have time to arrive.
     tokio::time::sleep(Duration::from_millis(20)).await;
-    let body = if second == Second::Early { 16 << 20 } else { 3 };
-    let (two, three) = (exchange("two", body).await, exchange("three", 3).await);
-    served.abort();
+    let body_bytes = if behavior == SecondRequest::RespondEarly { 16 << 20 } else { 3 };
+    let (two, three) = (exchange("two", body_bytes).await, exchange("three", 3).await);
+    upstream.abort();
     let mut arrived = Vec::new();
     while let Ok(id) = received.try_recv() {
         arrived.push(id);
@@ -150,34 +155,35 @@
     (two, three, arrived)
 }
 
-/// Guards against an answer that goes to the wrong caller, and against a request that is sent once more though it may
-/// have run.
+/// Guards against a response that is returned for another request, and against resending a request that may have run.
 #[tokio::test]
-async fn on_kept_connections_each_gets_its_own_answer_and_nothing_that_may_have_run_goes_again() {
-    let well = |id: &str| Ok(format!("of {id}"));
-    for (second, two) in [
-        (Second::Answers, well("two")),
-        (Second::AnsweredTwice, well("two")),
-        (Second::ClosedIdle, well("two")),
-        (Second::Early, well("two")),
-        (Second::SurplusLate, Err(ExchangeError::Reset)),
-        (Second::AnswersAnother, Err(ExchangeError::Reset)),
-        (Second::Resets, Err(ExchangeError::Reset)),
-        (Second::HalfCloses, Err(ExchangeError::Reset)),
-        (Second::Silent, Err(ExchangeError::TimedOut)),
+async fn on_reused_connections_responses_match_and_requests_that_may_have_run_are_not_resent() {
+    let response = |id: &str| Ok(format!("of {id}"));
+    for (behavior, expected) in [
+        (SecondRequest::Respond, response("two")),
+        (SecondRequest::SurplusResponseBefore, response("two")),
+        (SecondRequest::CloseIdle, response("two")),
+        (SecondRequest::RespondEarly, response("two")),
+        (SecondRequest::SurplusResponseAfter, Err(ExchangeError::Reset)),
+        (SecondRequest::RespondWithOtherId, Err(ExchangeError::Reset)),
+        (SecondRequest::Reset, Err(ExchangeError::Reset)),
+        (SecondRequest::HalfClose, Err(ExchangeError::Reset)),
+        (SecondRequest::StaySilent, Err(ExchangeError::TimedOut)),
     ] {
-        let (got, three, arrived) = play(second, true).await;
-        assert_eq!(got, two, "{second:?}");
-        assert_eq!(arrived.iter().filter(|id| *id == "two").count(), 1, "{second:?}: {arrived:?}");
-        // The next one is not harmed by what was left on the connection.
-        assert_eq!(three, well("three"), "{second:?}");
+        let (two, three, arrived) = run_exchanges(behavior, true).await;
+        assert_eq!(two, expected, "{behavior:?}");
+        assert_eq!(arrived.iter().filter(|id| *id == "two").count(), 1, "{behavior:?}: {arrived:?}");
+        // The next request isn't affected by bytes that were left on the connection.
+        assert_eq!(three, response("three"), "{behavior:?}");
     }
 }
 
-/// Without the look at the id the wrong answer would be taken: the cases above can fail.
+/// Shows that the test above can fail: without the check of the id, the wrong response is returned.
 #[tokio::test]
-async fn without_the_check_of_the_id_the_wrong_answer_is_taken() {
-    for (second, wrong) in [(Second::SurplusLate, "of one"), (Second::AnswersAnother, "of another")] {
-        assert_eq!(play(second, false).await.0, Ok(wrong.to_owned()), "{second:?}");
+async fn without_the_check_of_the_id_the_wrong_response_is_returned() {
+    for (behavior, wrong) in
+        [(SecondRequest::SurplusResponseAfter, "of one"), (SecondRequest::RespondWithOtherId, "of another")]
+    {
+        assert_eq!(run_exchanges(behavior, false).await.0, Ok(wrong.to_owned()), "{behavior:?}");
     }
 }
--- a/balancer/src/mesh/proxy/tests/listener_tests.rs
+++ b/balancer/src/mesh/proxy/tests/listener_tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `listener`.
+//! Tests of the listener.
 
 use bytes::Bytes;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -6,32 +6,32 @@
 use super::*;
 use crate::body::Pieces;
 
-/// Time is the test's own: it goes on at once when nobody has anything to do.
+/// The test uses paused time, which advances when all tasks are idle.
 #[tokio::test(start_paused = true)]
-async fn a_long_answer_that_is_on_its_way_at_the_end_goes_whole() {
+async fn a_long_response_in_flight_at_the_shutdown_is_completed() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let at = listener.local_addr().expect("its address");
-    let (ajar, watch_ajar) = watch::channel(ListenerState::Open);
-    let (sender, pieces) = Pieces::new(Bytes::from_static(b"begins, "), Some(17));
-    let once = Arc::new(std::sync::Mutex::new(Some(pieces)));
-    let answer = move |_: ReceivedRequest| {
-        let pieces = once.lock().expect("a lock").take().expect("one req");
-        async move { Response::new(ResponseBody::Streaming { chunks: pieces, guard: None, pacing: None }) }
+    let address = listener.local_addr().expect("its address");
+    let (state_sender, state_receiver) = watch::channel(ListenerState::Open);
+    let (sender, chunks) = Pieces::new(Bytes::from_static(b"begins, "), Some(17));
+    let chunks = Arc::new(std::sync::Mutex::new(Some(chunks)));
+    let handler = move |_: ReceivedRequest| {
+        let chunks = chunks.lock().expect("a lock").take().expect("one request");
+        async move { Response::new(ResponseBody::Streaming { chunks, guard: None, pacing: None }) }
     };
-    let bounds = ListenerLimits { max_connections: 4, header_timeout: Duration::from_secs(60) };
-    let door = tokio::spawn(serve(listener, Clock::new(), bounds, watch_ajar, Arc::default(), answer));
-    let mut client = TcpStream::connect(at).await.expect("a connection");
+    let limits = ListenerLimits { max_connections: 4, header_timeout: Duration::from_secs(60) };
+    let server = tokio::spawn(serve(listener, Clock::new(), limits, state_receiver, Arc::default(), handler));
+    let mut client = TcpStream::connect(address).await.expect("a connection");
     client.write_all(b"GET / HTTP/1.1\r\nhost: a\r\n\r\n").await.expect("written");
-    let mut got = Vec::new();
-    while !got.ends_with(b"begins, ") {
-        got.push(client.read_u8().await.expect("a byte"));
+    let mut received = Vec::new();
+    while !received.ends_with(b"begins, ") {
+        received.push(client.read_u8().await.expect("a byte"));
     }
-    ajar.send_replace(ListenerState::Closed);
+    state_sender.send_replace(ListenerState::Closed);
     sleep(DRAIN_READ_TIMEOUT * 5).await;
-    sender.send(Some(Bytes::from_static(b"ends well"))).await.expect("somebody reads");
-    // Its length was told: nobody asks for its end.
+    sender.send(Some(Bytes::from_static(b"ends well"))).await.expect("a reader");
+    // The length is known, so the reader may stop before the end marker.
     let _ = sender.send(None).await;
-    client.read_to_end(&mut got).await.expect("an end");
-    assert!(got.ends_with(b"begins, ends well"), "{}", String::from_utf8_lossy(&got));
-    door.await.expect("no panic");
+    client.read_to_end(&mut received).await.expect("an end");
+    assert!(received.ends_with(b"begins, ends well"), "{}", String::from_utf8_lossy(&received));
+    server.await.expect("no panic");
 }
--- a/balancer/src/mesh/proxy/tests/mod.rs
+++ b/balancer/src/mesh/proxy/tests/mod.rs
@@ -1,4 +1,4 @@
-//! Tests of the proxies on loopback, with stand-in upstreams and replicas.
+//! Tests of the proxies on loopback, with scripted upstreams and replicas.
 
 mod connection_pool_tests;
 mod outbound_tests;
--- a/balancer/src/mesh/proxy/tests/request_scheduler_tests.rs
+++ b/balancer/src/mesh/proxy/tests/request_scheduler_tests.rs
@@ -1,4 +1,4 @@
-//! The desk by itself: what the module is told of the list, and what is counted of its allowance.
+//! Tests of the request scheduler: the endpoints that it gives to the decision module, and the counting of the retry budget.
 
 use std::collections::{BTreeSet, HashSet};
 use std::net::SocketAddr;
@@ -20,35 +20,35 @@
 
 const MS: Nanos = 1_000_000;
 
-/// One service, whose reqs may run more than once.
-fn told(gates: usize, calls: bool) -> ServiceSettings {
+/// Settings for a service with one repeatable route.
+fn service_settings(outbound_proxies: usize, calls_services: bool) -> ServiceSettings {
     let route = r#"{"category":"routes","label":{"name":"r"},"manifest":{"depot":"one.example","lane_prefix":"/",
         "route_kind":"resendable","deadline_ms":20000,"target_ms":10000,"post_class":1,"line":"a","tries":2}}"#;
     let line = r#"{"category":"mail_lines","label":{"name":"a"},"manifest":{"health":"/h","berth_cap":9}}"#;
     let text = format!(r#"{{"edition":"r1","consignments":[{route},{line}]}}"#);
-    let configuration = Configuration::read(text.as_bytes()).expect("a timetable");
+    let configuration = Configuration::read(text.as_bytes()).expect("a configuration");
     ServiceSettings::new(
         &SchedulerPlan::for_configuration(&configuration)[0],
-        gates,
-        calls,
+        outbound_proxies,
+        calls_services,
         &OperatingBounds::default(),
     )
 }
 
-fn scheduler(was: Option<Arc<RequestScheduler>>, told: ServiceSettings) -> Arc<RequestScheduler> {
-    RequestScheduler::reuse_or_create(was, ("a".into(), told), Clock::new(), || 7, 10_000 * MS)
+fn scheduler(previous: Option<Arc<RequestScheduler>>, settings: ServiceSettings) -> Arc<RequestScheduler> {
+    RequestScheduler::reuse_or_create(previous, ("a".into(), settings), Clock::new(), || 7, 10_000 * MS)
 }
 
-fn record(host: u8, zone: &str, stand: UpstreamState) -> EndpointRecord {
+fn record(host: u8, zone: &str, state: UpstreamState) -> EndpointRecord {
     EndpointRecord {
-        inbound_proxy: door(host),
+        inbound_proxy: inbound_proxy(host),
         incarnation: 1,
         sequence: 1,
         zone: zone.into(),
         service: "a".into(),
         upstream_id: format!("i-{host}"),
         software_version: "v1".into(),
-        state: stand,
+        state,
         concurrency_limit: 6,
         warming_up_ms: 0,
         calls_services: false,
@@ -57,30 +57,30 @@
     }
 }
 
-fn door(host: u8) -> SocketAddr {
+fn inbound_proxy(host: u8) -> SocketAddr {
     SocketAddr::from(([10, 1, 0, host], 8300))
 }
 
-fn list(scheduler: &RequestScheduler, records: &[EndpointRecord], suspected: &[u8]) {
+fn update_endpoints(scheduler: &RequestScheduler, records: &[EndpointRecord], suspected: &[u8]) {
     let records: Vec<ReceivedRecord> =
         records.iter().map(|record| ReceivedRecord { record: record.clone(), received_at: 1 }).collect();
-    let suspected: HashSet<SocketAddr> = suspected.iter().map(|host| door(*host)).collect();
+    let suspected: HashSet<SocketAddr> = suspected.iter().map(|host| inbound_proxy(*host)).collect();
     scheduler.update_endpoints(records.iter(), &suspected, "a");
 }
 
-fn take(scheduler: &Arc<RequestScheduler>, again: bool) -> ScheduledRequest {
+fn schedule(scheduler: &Arc<RequestScheduler>, is_retry: bool) -> ScheduledRequest {
     let now = Clock::new().now();
-    let mut req = RequestContext::new(0, "again-10000-1".into(), "".into(), now, now + 20_000 * MS);
-    req.is_client_retry = again;
-    scheduler.schedule(req)
+    let mut request = RequestContext::new(0, "again-10000-1".into(), "".into(), now, now + 20_000 * MS);
+    request.is_client_retry = is_retry;
+    scheduler.schedule(request)
 }
 
-/// Where it goes next, if it goes.
-async fn goes(scheduled: &mut ScheduledRequest) -> Option<(usize, String)> {
+/// Receives the next action: the number and the upstream of an attempt, or `None` if the request is given up.
+async fn next_attempt(scheduled: &mut ScheduledRequest) -> Option<(usize, String)> {
     match scheduled.actions.recv().await {
-        Some(SchedulerAction::Send { attempt_number: number, upstream_id: srv, .. }) => {
+        Some(SchedulerAction::Send { attempt_number, upstream_id, .. }) => {
             scheduled.attempt_started();
-            Some((number, srv.to_string()))
+            Some((attempt_number, upstream_id.to_string()))
         }
         Some(SchedulerAction::Reject { .. } | SchedulerAction::Fail) => {
             scheduled.finish();
@@ -90,153 +90,162 @@
     }
 }
 
-async fn one(scheduler: &Arc<RequestScheduler>, how: DispatchOutcome) -> String {
-    let mut scheduled = take(scheduler, false);
-    let (number, srv) = goes(&mut scheduled).await.expect("sent");
+/// Runs a request with one attempt that ends so, and returns the upstream that it was sent to.
+async fn run_request(scheduler: &Arc<RequestScheduler>, how: DispatchOutcome) -> String {
+    let mut scheduled = schedule(scheduler, false);
+    let (number, upstream_id) = next_attempt(&mut scheduled).await.expect("sent");
     scheduled.attempt_ended(number, how, MS, how == DispatchOutcome::Done, None);
-    srv
+    upstream_id
 }
 
-/// Guards against reqs for upstreams that take none: closing, gone, beside an attendant that leaves or is quiet.
+/// Guards against requests to upstreams that accept none: draining or absent ones, and those whose node shuts down or is
+/// suspected.
 #[tokio::test]
-async fn the_module_sends_only_to_those_that_take_reqs() {
-    let scheduler = scheduler(None, told(4, false));
-    let mut leaving = record(3, "a", UpstreamState::Serving);
-    leaving.accepts_clients = false;
-    let mut none = record(6, "a", UpstreamState::Absent);
-    none.upstream_id = String::new();
+async fn requests_go_only_to_upstreams_that_accept_them() {
+    let scheduler = scheduler(None, service_settings(4, false));
+    let mut shutting_down = record(3, "a", UpstreamState::Serving);
+    shutting_down.accepts_clients = false;
+    let mut without_upstream = record(6, "a", UpstreamState::Absent);
+    without_upstream.upstream_id = String::new();
     let records = [
         record(1, "a", UpstreamState::Serving),
         record(2, "a", UpstreamState::Draining),
-        leaving,
+        shutting_down,
         record(4, "a", UpstreamState::Serving),
         record(5, "b", UpstreamState::Serving),
-        none,
+        without_upstream,
         record(7, "a", UpstreamState::Absent),
     ];
     let sent = async |suspected: &[u8]| {
-        list(&scheduler, &records, suspected);
-        let mut to = BTreeSet::new();
+        update_endpoints(&scheduler, &records, suspected);
+        let mut targets = BTreeSet::new();
         for _ in 0..40 {
-            to.insert(one(&scheduler, DispatchOutcome::Done).await);
+            targets.insert(run_request(&scheduler, DispatchOutcome::Done).await);
         }
-        to
+        targets
     };
-    let near = sent(&[]).await;
-    assert!(near.is_superset(&["i-1".to_owned(), "i-4".into()].into()) && near.len() <= 3, "{near:?}");
-    assert!(near.iter().all(|id| ["i-1", "i-4", "i-5"].contains(&&**id)), "{near:?}");
-    // Another zone takes over once none of this one is heard, and gives it back.
+    let targets = sent(&[]).await;
+    assert!(
+        targets.is_superset(&["i-1".to_owned(), "i-4".into()].into()) && targets.len() <= 3,
+        "{targets:?}"
+    );
+    assert!(targets.iter().all(|id| ["i-1", "i-4", "i-5"].contains(&&**id)), "{targets:?}");
+    // Another zone takes over while all upstreams of this zone are suspected, and only then.
     assert_eq!(sent(&[1, 4]).await, ["i-5".to_owned()].into());
-    let back = sent(&[4]).await;
-    assert!(back.contains("i-1") && !back.contains("i-4"), "{back:?}");
-    // Nobody is left.
-    list(&scheduler, &records, &[1, 4, 5]);
-    let mut scheduled = take(&scheduler, false);
-    let step = scheduled.actions.try_recv();
-    assert!(!matches!(step, Ok(SchedulerAction::Send { .. })), "{step:?}");
-    assert_eq!(scheduler.endpoint(&"i-5".into()).map(|place| place.inbound_proxy), Some(door(5)));
+    let targets = sent(&[4]).await;
+    assert!(targets.contains("i-1") && !targets.contains("i-4"), "{targets:?}");
+    // No upstream is left.
+    update_endpoints(&scheduler, &records, &[1, 4, 5]);
+    let mut scheduled = schedule(&scheduler, false);
+    let action = scheduled.actions.try_recv();
+    assert!(!matches!(action, Ok(SchedulerAction::Send { .. })), "{action:?}");
+    assert_eq!(
+        scheduler.endpoint(&"i-5".into()).map(|endpoint| endpoint.inbound_proxy),
+        Some(inbound_proxy(5))
+    );
 }
 
-/// Guards against a door asked twice for one req, and against turned reqs that use up the allowance.
+/// Guards against sending a request twice to an inbound proxy that rejected it, and against rejections that use up the retry
+/// budget.
 #[tokio::test]
-async fn one_that_is_turned_away_goes_to_others_at_no_cost() {
-    let scheduler = scheduler(None, told(4, false));
-    list(&scheduler, &[1, 2, 3].map(|host| record(host, "a", UpstreamState::Serving)), &[]);
+async fn a_rejected_request_goes_to_other_upstreams_without_using_the_retry_budget() {
+    let scheduler = scheduler(None, service_settings(4, false));
+    update_endpoints(&scheduler, &[1, 2, 3].map(|host| record(host, "a", UpstreamState::Serving)), &[]);
     for _ in 0..20 {
-        let mut scheduled = take(&scheduler, false);
-        let mut to = BTreeSet::new();
-        while let Some((number, srv)) = goes(&mut scheduled).await {
-            assert!(to.insert(srv), "twice to the same");
+        let mut scheduled = schedule(&scheduler, false);
+        let mut targets = BTreeSet::new();
+        while let Some((number, upstream_id)) = next_attempt(&mut scheduled).await {
+            assert!(targets.insert(upstream_id), "twice to the same upstream");
             scheduled.attempt_ended(number, DispatchOutcome::Rejected, MS, false, None);
         }
-        assert!(to.len() >= 2, "{to:?}");
+        assert!(targets.len() >= 2, "{targets:?}");
     }
     assert_eq!(scheduler.attempt_counts(), AttemptCounts { first: 20, retried: 0, denied: 0 });
 }
 
-/// Guards against a member's desk that adds to what a service's reqs may be sent again, or takes others' part of it;
-/// that holds however often its module begins anew.
+/// Guards against a member's scheduler that increases a service's retry budget or uses others' shares of it, however often the
+/// member's module is replaced.
 #[tokio::test]
-async fn desks_of_one_service_have_what_one_would_have() {
+async fn schedulers_of_one_service_share_one_retry_budget() {
     let records = [1, 2].map(|host| record(host, "a", UpstreamState::Serving));
-    let member = |tries| {
-        let mut told = told(1, false);
-        told.set_member("norte".into(), tries);
-        told
+    let member_settings = |max_attempts| {
+        let mut settings = service_settings(1, false);
+        settings.set_member("norte".into(), max_attempts);
+        settings
     };
     let share = MemberShares { member: "norte".into(), retry: 0.25, concurrency: 0.5 };
     let shares = Arc::new([(share.member.clone(), Arc::new(share))].into());
     let pool = Arc::new(Mutex::new(RetryPool::default()));
     held(&pool).set_shares(1, &shares);
-    let draws = |scheduler: Arc<RequestScheduler>| {
-        list(&scheduler, &records, &[]);
+    let with_pool = |scheduler: Arc<RequestScheduler>| {
+        update_endpoints(&scheduler, &records, &[]);
         scheduler.set_pool(Some(&pool));
         scheduler
     };
-    let plain = draws(scheduler(None, told(1, false)));
-    let mut norte = draws(scheduler(None, member(2)));
-    let fails = async |scheduler: &Arc<RequestScheduler>| {
-        let mut scheduled = take(scheduler, false);
-        let (number, _) = goes(&mut scheduled).await.expect("sent");
+    let platform = with_pool(scheduler(None, service_settings(1, false)));
+    let mut norte = with_pool(scheduler(None, member_settings(2)));
+    let fail_request = async |scheduler: &Arc<RequestScheduler>| {
+        let mut scheduled = schedule(scheduler, false);
+        let (number, _) = next_attempt(&mut scheduled).await.expect("sent");
         scheduled.attempt_ended(number, DispatchOutcome::Reset, MS, false, None);
-        let again = goes(&mut scheduled).await;
-        if let Some((number, _)) = again {
+        let retry = next_attempt(&mut scheduled).await;
+        if let Some((number, _)) = retry {
             scheduled.attempt_ended(number, DispatchOutcome::Reset, MS, true, None);
         }
-        again.is_some()
+        retry.is_some()
     };
-    // All of the member's fail, and its routes change all the time.
+    // All requests of the member fail, and its routes change repeatedly.
     for round in 0..100 {
         if round % 10 == 9 {
-            norte = draws(scheduler(Some(norte), member(2 + round)));
+            norte = with_pool(scheduler(Some(norte), member_settings(2 + round)));
         }
-        fails(&norte).await;
+        fail_request(&norte).await;
     }
-    // A quarter of a tenth of a hundred, and of one.
+    // The member has a quarter of the budget, which is a tenth of 100 requests plus one.
     assert_eq!(norte.attempt_counts(), AttemptCounts { first: 100, retried: 2, denied: 98 });
-    // The platform has the rest of it, and of what it sends itself.
-    let mut again = 0;
+    // The platform has the rest, and its share for its own requests.
+    let mut retries = 0;
     for _ in 0..30 {
-        again += u32::from(fails(&plain).await);
+        retries += u32::from(fail_request(&platform).await);
     }
-    assert!((9..=10).contains(&again), "{again}");
-    // With nothing divided any more it goes by its own.
-    plain.set_pool(None);
-    assert!(!fails(&plain).await);
+    assert!((9..=10).contains(&retries), "{retries}");
+    // Without a divided budget, the scheduler's own settings apply.
+    platform.set_pool(None);
+    assert!(!fail_request(&platform).await);
 }
 
-/// Guards against calls of runs that were sent again and that are not counted as such, and against counts that differ
-/// from what the module goes by.
+/// Guards against nested calls of retried runs that aren't counted as retries, and against reported counts that differ from
+/// those of the module.
 #[tokio::test]
-async fn calls_of_runs_sent_again_use_up_the_allowance() {
+async fn nested_calls_of_retried_runs_use_the_retry_budget() {
     let records = [1, 2].map(|host| record(host, "a", UpstreamState::Serving));
-    let fails = async |scheduler: &Arc<RequestScheduler>| {
-        let mut scheduled = take(scheduler, false);
-        let (number, _) = goes(&mut scheduled).await.expect("sent");
+    let fail_request = async |scheduler: &Arc<RequestScheduler>| {
+        let mut scheduled = schedule(scheduler, false);
+        let (number, _) = next_attempt(&mut scheduled).await.expect("sent");
         scheduled.attempt_ended(number, DispatchOutcome::Reset, MS, false, None);
-        goes(&mut scheduled).await.is_some()
+        next_attempt(&mut scheduled).await.is_some()
     };
-    // One may be sent again in a window at a gate that has sent little.
-    let fresh = scheduler(None, told(1, false));
-    list(&fresh, &records, &[]);
-    assert!(fails(&fresh).await);
-    assert!(!fails(&fresh).await);
+    // A proxy that has sent little may make one retry in a window.
+    let fresh = scheduler(None, service_settings(1, false));
+    update_endpoints(&fresh, &records, &[]);
+    assert!(fail_request(&fresh).await);
+    assert!(!fail_request(&fresh).await);
     assert_eq!(fresh.attempt_counts(), AttemptCounts { first: 2, retried: 1, denied: 1 });
-    // A call of a run that was sent again has taken that.
-    let called = scheduler(None, told(1, false));
-    list(&called, &records, &[]);
-    let mut call = take(&called, true);
-    let (number, _) = goes(&mut call).await.expect("sent");
-    call.attempt_ended(number, DispatchOutcome::Done, MS, true, None);
-    assert!(!fails(&called).await);
-    assert_eq!(called.attempt_counts(), AttemptCounts { first: 2, retried: 1, denied: 1 });
-    // Where it calls others itself its errors are not ours to send again, whatever is allowed.
-    let middle = scheduler(Some(called), told(1, true));
-    list(&middle, &records, &[]);
-    let mut scheduled = take(&middle, false);
-    let (number, _) = goes(&mut scheduled).await.expect("sent");
+    // A nested call of a retried run uses that one.
+    let with_nested_call = scheduler(None, service_settings(1, false));
+    update_endpoints(&with_nested_call, &records, &[]);
+    let mut nested_call = schedule(&with_nested_call, true);
+    let (number, _) = next_attempt(&mut nested_call).await.expect("sent");
+    nested_call.attempt_ended(number, DispatchOutcome::Done, MS, true, None);
+    assert!(!fail_request(&with_nested_call).await);
+    assert_eq!(with_nested_call.attempt_counts(), AttemptCounts { first: 2, retried: 1, denied: 1 });
+    // If the service calls others itself, its errors aren't retried, even within the budget.
+    let calling_service = scheduler(Some(with_nested_call), service_settings(1, true));
+    update_endpoints(&calling_service, &records, &[]);
+    let mut scheduled = schedule(&calling_service, false);
+    let (number, _) = next_attempt(&mut scheduled).await.expect("sent");
     scheduled.attempt_ended(number, DispatchOutcome::Error, MS, false, None);
-    assert_eq!(goes(&mut scheduled).await, None);
-    // What was counted before the module began anew is still told.
-    assert_eq!(middle.attempt_counts(), AttemptCounts { first: 3, retried: 1, denied: 1 });
+    assert_eq!(next_attempt(&mut scheduled).await, None);
+    // Attempts that were counted before the module was replaced are still reported.
+    assert_eq!(calling_service.attempt_counts(), AttemptCounts { first: 3, retried: 1, denied: 1 });
 }
