--- a/adapter/src/host.rs
+++ b/adapter/src/host.rs
@@ -19,19 +19,7 @@
     }
 
     pub fn submit(&mut self, now: Nanos, line: &Line, out: &mut String) -> Result<(), String> {
-        let req = RequestContext {
-            id: line.int("RequestId")?,
-            rule_set: line.must("Kind")?.into(),
-            customer: line.get("Org").unwrap_or_default().into(),
-            is_client_retry: line.flag("AgainByClient"),
-            received_at: now,
-            deadline: now + line.time("Budget")?,
-            body_pending: false,
-            expected_cost: line.time("CostGuess").ok(),
-            preferred_endpoint: None,
-            dispatches: Vec::new(),
-        };
-        self.hands.take(now, req);
+        self.hands.take(now, read_request(now, line)?);
         self.write(out);
         Ok(())
     }
@@ -89,24 +77,28 @@
 
     fn write(&mut self, out: &mut String) {
         for act in self.hands.acts() {
-            match act {
-                Act::Send { id, srv, give_up, .. } => {
-                    let rest = format!("\tRequestId={id}\tUpstream={srv}\tStopAt={}", millis(give_up));
-                    self.say(out, "issue", &rest);
-                }
-                Act::Recall { id, number } => {
-                    self.say(out, "recall", &format!("\tRequestId={id}\tCopy={number}"));
-                }
-                Act::Deny { id, come_back } => {
-                    self.say(out, "push_back", &format!("\tRequestId={id}\tPause={}", millis(come_back)));
-                }
-                Act::Abort { id } => self.say(out, "respond_error", &format!("\tRequestId={id}")),
-                Act::Watch => self.say(out, "watch", "\tEnable=1"),
-                Act::List => self.say(out, "query_all", ""),
-                Act::Probe(srv) => self.say(out, "touch", &format!("\tUpstream={srv}")),
-                Act::Close(srv) => self.say(out, "free_links", &format!("\tUpstream={srv}")),
-                Act::Log(text) => self.say(out, "note_down", &format!("\tMessage={text}")),
+            self.write_act(act, out);
+        }
+    }
+
+    fn write_act(&self, act: Act, out: &mut String) {
+        match act {
+            Act::Send { id, srv, give_up, .. } => {
+                let rest = format!("\tRequestId={id}\tUpstream={srv}\tStopAt={}", millis(give_up));
+                self.say(out, "issue", &rest);
             }
+            Act::Recall { id, number } => {
+                self.say(out, "recall", &format!("\tRequestId={id}\tCopy={number}"));
+            }
+            Act::Deny { id, come_back } => {
+                self.say(out, "push_back", &format!("\tRequestId={id}\tPause={}", millis(come_back)));
+            }
+            Act::Abort { id } => self.say(out, "respond_error", &format!("\tRequestId={id}")),
+            Act::Watch => self.say(out, "watch", "\tEnable=1"),
+            Act::List => self.say(out, "query_all", ""),
+            Act::Probe(srv) => self.say(out, "touch", &format!("\tUpstream={srv}")),
+            Act::Close(srv) => self.say(out, "free_links", &format!("\tUpstream={srv}")),
+            Act::Log(text) => self.say(out, "note_down", &format!("\tMessage={text}")),
         }
     }
 
@@ -115,3 +107,92 @@
         let _ = writeln!(out, "{action}\tBalancer={}{rest}", self.number);
     }
 }
+
+/// The request of a `submit` line.
+fn read_request(now: Nanos, line: &Line) -> Result<RequestContext, String> {
+    Ok(RequestContext {
+        id: line.int("RequestId")?,
+        rule_set: line.must("Kind")?.into(),
+        customer: line.get("Org").unwrap_or_default().into(),
+        is_client_retry: line.flag("AgainByClient"),
+        received_at: now,
+        deadline: now + line.time("Budget")?,
+        body_pending: false,
+        expected_cost: line.time("CostGuess").ok(),
+        preferred_endpoint: None,
+        dispatches: Vec::new(),
+    })
+}
+
+#[cfg(test)]
+mod tests {
+    use expect_test::expect;
+    use ochreshed::Parameters;
+
+    use super::*;
+
+    /// The simulator parses these lines. The policy does not use all actions at present, so they are written one by
+    /// one here.
+    #[test]
+    fn each_action_is_written_as_its_line() {
+        let host = Host::new(3, Balancer::new(0, 9, Parameters::new()));
+        let mut lines = String::new();
+        for act in [
+            Act::Send { id: 7, number: 1, srv: "10.0.0.1:80".into(), give_up: 1_240_750_000 },
+            Act::Recall { id: 7, number: 1 },
+            Act::Deny { id: 7, come_back: 1_500_000 },
+            Act::Abort { id: 7 },
+            Act::Watch,
+            Act::List,
+            Act::Probe("10.0.0.1:80".into()),
+            Act::Close("10.0.0.1:80".into()),
+            Act::Log("text".into()),
+        ] {
+            host.write_act(act, &mut lines);
+        }
+        expect![[r#"
+            issue	Balancer=3	RequestId=7	Upstream=10.0.0.1:80	StopAt=1240.750000
+            recall	Balancer=3	RequestId=7	Copy=1
+            push_back	Balancer=3	RequestId=7	Pause=1.500000
+            respond_error	Balancer=3	RequestId=7
+            watch	Balancer=3	Enable=1
+            query_all	Balancer=3
+            touch	Balancer=3	Upstream=10.0.0.1:80
+            free_links	Balancer=3	Upstream=10.0.0.1:80
+            note_down	Balancer=3	Message=text
+        "#]]
+        .assert_eq(&lines);
+    }
+
+    #[test]
+    fn each_field_of_a_submit_line_is_read() {
+        let lines = [
+            "submit\tBalancer=3\tRequestId=7\tBudget=240.5\tKind=pay\tOrg=acme\tAgainByClient=1\tCostGuess=3",
+            "submit\tBalancer=3\tRequestId=7\tBudget=240.5\tKind=pay",
+        ];
+        let requests: String = lines
+            .iter()
+            .map(|line| {
+                let request = read_request(1_000_000, &Line::read(line).expect("a line")).expect("a request");
+                format!(
+                    "{} {} {:?} {} {} {} {} {:?} {:?} {}\n",
+                    request.id,
+                    request.rule_set,
+                    request.customer,
+                    request.is_client_retry,
+                    request.received_at,
+                    request.deadline,
+                    request.body_pending,
+                    request.expected_cost,
+                    request.preferred_endpoint,
+                    request.dispatches.len()
+                )
+            })
+            .collect();
+        expect![[r#"
+            7 pay "acme" true 1000000 241500000 false Some(3000000) None 0
+            7 pay "" false 1000000 241500000 false None None 0
+        "#]]
+        .assert_eq(&requests);
+    }
+}
--- a/adapter/src/wire.rs
+++ b/adapter/src/wire.rs
@@ -106,3 +106,72 @@
         cell: line.get("Stripe").and_then(|v| v.parse().ok()).unwrap_or(0),
     })
 }
+
+#[cfg(test)]
+mod tests {
+    use expect_test::expect;
+
+    use super::*;
+
+    #[test]
+    fn each_outcome_is_read_from_its_word() {
+        let words = [
+            "Ok",
+            "Failed",
+            "QueueFull",
+            "TimedOut",
+            "ConnectError",
+            "ResetByPeer",
+            "Canceled",
+            "Ignored",
+            "Done",
+        ];
+        let outcomes: String = words.iter().map(|word| format!("{word}: {:?}\n", how(word))).collect();
+        expect![[r#"
+            Ok: Ok(Done)
+            Failed: Ok(Error)
+            QueueFull: Ok(Full)
+            TimedOut: Ok(TimedOut)
+            ConnectError: Ok(NoConnection)
+            ResetByPeer: Ok(Reset)
+            Canceled: Ok(Cancelled)
+            Ignored: Ok(NotSent)
+            Done: Err("How=Done is no outcome")
+        "#]]
+        .assert_eq(&outcomes);
+    }
+
+    #[test]
+    fn each_field_of_an_upstream_line_is_read() {
+        let entries = [
+            "upstream\tCondition=up\tUpstream=a:80\tCapacityHint=2.5\tCameUp=1.5\tHall=perth\tStripe=4",
+            "upstream\tCondition=draining\tUpstream=a:80\tCapacityHint=-1\tCameUp=0\tStripe=x",
+            "upstream\tCondition=removed\tUpstream=a:80",
+            "upstream\tCondition=odd\tUpstream=a:80",
+            "upstream\tCondition=up",
+        ];
+        let entries: String = entries
+            .iter()
+            .map(|text| format!("{:?}\n", listed(&Line::read(text).expect("a line"))))
+            .collect();
+        expect![[r#"
+            Ok(ListedEndpoint { name: "a:80", state: Up, started_at: Some(1500000), weight: 2.5, site: "perth", cell: 4 })
+            Ok(ListedEndpoint { name: "a:80", state: Draining, started_at: None, weight: 1.0, site: "", cell: 0 })
+            Ok(ListedEndpoint { name: "a:80", state: Gone, started_at: None, weight: 1.0, site: "", cell: 0 })
+            Err("Condition=odd is no state")
+            Err("upstream lacks Upstream")
+        "#]].assert_eq(&entries);
+    }
+
+    #[test]
+    fn times_and_load_reports_are_read_and_written() {
+        let times = ["1", "1.5", "0.0000019", "-3", "1e3", "inf", "x", ""].map(nanos);
+        let line = Line::read("response\tStats=1,x,2.5").expect("a line");
+        expect![[r#"
+            [Some(1000000), Some(1500000), Some(1), Some(0), Some(1000000000), None, None, None]
+            1240.750001
+            [1.0, NaN, 2.5]
+        "#]]
+        .assert_eq(&format!("{times:?}\n{}\n{:?}\n", millis(1_240_750_001), line.report()));
+    }
+}
--- a/adapter/tests/wire.rs
+++ b/adapter/tests/wire.rs
@@ -138,3 +138,101 @@
     "#]],
     );
 }
+
+/// All lines that are written, with the timers.
+fn check_all_lines(input: &str, expected: Expect) {
+    let mut out = Vec::new();
+    let end = serve(input.as_bytes(), &mut out);
+    let out = String::from_utf8(out).expect("text");
+    expected.assert_eq(&format!("{out}{end:?}\n"));
+}
+
+#[test]
+fn each_event_of_the_simulator_is_taken_and_answered_with_the_policys_actions() {
+    let facts = r#"{"NInstances":1,"Tier":0,"Tiers":["one"],"Discovery":"ask","Limits":{"MaxDispatches":3,"Cancelling":true},"RuleSets":[{"Name":"pay","Effect":"once","ResponseTarget":1000.0}]}"#;
+    let input = format!(
+        "turn\tAtTime=1000.25\nstart\tBalancer=3\tRngSeed=9\tProfileData={facts}\npool\tRef=5\tLines=1\n\
+         upstream\tCondition=up\tCapacityHint=1\tCameUp=1\tHall=perth\tStripe=1\tUpstream=10.0.0.1:80\n\
+         fleet\tBalancer=3\tHow=Complete\tSeqNo=1\tRef=5\nend\n\
+         turn\tAtTime=1001\n\
+         submit\tBalancer=3\tRequestId=7\tBudget=240.5\tKind=pay\tOrg=acme\tAgainByClient=1\tCostGuess=3\n\
+         submit\tBalancer=3\tRequestId=8\tBudget=240.5\tKind=pay\nend\n\
+         turn\tAtTime=1002\nbegun\tBalancer=3\tRequestId=7\tCopy=0\n\
+         client_gone\tBalancer=3\tRequestId=7\nend\n\
+         turn\tAtTime=1003\n\
+         response\tBalancer=3\tRequestId=8\tCopy=0\tHow=ResetByPeer\tDuration=2\tClosed=0\tStats=1,2\n\
+         ping_result\tBalancer=3\tUpstream=10.0.0.1:80\tHow=Ok\tDuration=1\tStats=1,2\nend\n\
+         turn\tAtTime=1004\nfleet\tBalancer=3\tHow=Error\nend\n\
+         turn\tAtTime=9000\ntick_due\tBalancer=3\tCtx=0\nend\n\
+         turn\tAtTime=9001\nfleet\tBalancer=3\tHow=Partial\tRef=5\nend\n"
+    );
+    check_all_lines(
+        &input,
+        expect![[r#"
+        wake_at	Balancer=3	Ctx=0	In=637.456723
+        end
+        issue	Balancer=3	RequestId=7	Upstream=10.0.0.1:80	StopAt=1241.500000
+        issue	Balancer=3	RequestId=8	Upstream=10.0.0.1:80	StopAt=1241.500000
+        wake_at	Balancer=3	Ctx=0	In=250.000000
+        end
+        recall	Balancer=3	RequestId=7	Copy=0
+        end
+        respond_error	Balancer=3	RequestId=8
+        end
+        end
+        watch	Balancer=3	Enable=1
+        wake_at	Balancer=3	Ctx=0	In=250.000000
+        end
+        end
+        Ok(())
+    "#]],
+    );
+}
+
+#[test]
+fn a_line_of_the_list_that_is_not_of_the_protocol_ends_the_adapter() {
+    check_all_lines(
+        &start("fleet\tBalancer=3\tHow=Odd\nend\n"),
+        expect![[r#"
+        Err("line 7: How=Odd is no kind of list")
+    "#]],
+    );
+    check_all_lines(
+        &start("fleet\tBalancer=3\tHow=Complete\tRef=9\nend\n"),
+        expect![[r#"
+        Err("line 7: fleet names a pool that was never given")
+    "#]],
+    );
+    check_all_lines(
+        &start("fleet\tBalancer=3\nend\n"),
+        expect![[r#"
+        Err("line 7: fleet lacks How")
+    "#]],
+    );
+    check_all_lines(
+        &start("submit\tBalancer=x\nend\n"),
+        expect![[r#"
+        Err("line 7: Balancer=x is not a whole number")
+    "#]],
+    );
+    check_all_lines(
+        "turn\tAtTime=1\npool\tRef=0\tLines=1\n",
+        expect![[r#"
+        Err("line 3: input ends within a pool")
+    "#]],
+    );
+    check_all_lines(
+        "\tAtTime=1\n",
+        expect![[r#"
+        Err("line 1: a line without a name")
+    "#]],
+    );
+    check_all_lines(
+        "turn\tAtTime=1\nstart\tBalancer=1\tRngSeed=9\tProfileData={\"RuleSets\":[{\"Name\":1}]}\nend\n",
+        expect![[r#"
+            broken	Balancer=1	Message=settings: /Name can't be read
+            end
+            Ok(())
+        "#]],
+    );
+}
