--- a/adapter/src/host.rs
+++ b/adapter/src/host.rs
@@ -3,7 +3,7 @@
 use std::fmt::Write;
 
 use ochreshed::{Balancer, Event, ListedEndpoint, Nanos, RequestContext};
-use ochreshed_hands::{Act, End, Hands};
+use ochreshed_policy_runtime::{Act, End, Hands};
 
 use crate::wire::{self, Line, millis};
 
--- a/balancer/src/decisions.rs
+++ b/balancer/src/decisions.rs
@@ -11,7 +11,7 @@
 
 use hyper::Response;
 use ochreshed::{Balancer, DispatchOutcome, Event, ListedEndpoint, Name, Nanos, RequestContext};
-use ochreshed_hands::{Act, End, Hands};
+use ochreshed_policy_runtime::{Act, End, Hands};
 use ochreshed_replica::outcomes::OutcomeCounts;
 use tokio::sync::mpsc::error::TrySendError;
 use tokio::sync::mpsc::{self, OwnedPermit};
--- a/balancer/src/mesh/proxy/request_scheduler.rs
+++ b/balancer/src/mesh/proxy/request_scheduler.rs
@@ -26,7 +26,7 @@
 use ochreshed_catalog::endpoints::{EndpointRecord, UpstreamState};
 use ochreshed_catalog::traffic_reports::AttemptCounts;
 use ochreshed_catalog::watch_client::ReceivedRecord;
-use ochreshed_hands::{Act, End, Hands};
+use ochreshed_policy_runtime::{Act, End, Hands};
 use ochreshed_traffic::retry_budget::{RequestAttempts, RetryAccount, RetryLimits};
 use ochreshed_traffic::retry_shares::RetryPool;
 use tokio::sync::{Notify, mpsc};
--- a/balancer/src/start.rs
+++ b/balancer/src/start.rs
@@ -5,7 +5,7 @@
 use std::path::{Path, PathBuf};
 
 use ochreshed::Parameters;
-use ochreshed_hands::facts;
+use ochreshed_policy_runtime::facts;
 use serde_json::Value as Json;
 
 use crate::settings::{self, Headers};
--- a/emulator/src/chooser.rs
+++ b/emulator/src/chooser.rs
@@ -7,7 +7,7 @@
     Balancer, DispatchOutcome, EndpointState, Event, ListedEndpoint, Name, ParameterValue, Parameters,
     RequestContext,
 };
-use ochreshed_hands::{Act, End, Hands};
+use ochreshed_policy_runtime::{Act, End, Hands};
 
 use crate::Nanos;
 use crate::chance::Stream;
--- a/emulator/src/world.rs
+++ b/emulator/src/world.rs
@@ -8,7 +8,7 @@
 use std::collections::BTreeMap;
 
 use ochreshed::{DispatchOutcome, EndpointState, ListedEndpoint, Name, RequestContext};
-use ochreshed_hands::Act;
+use ochreshed_policy_runtime::Act;
 use ochreshed_replica::outcomes::OutcomeCounts;
 
 use crate::audit::{Answer, Audit, Breach, Key};
--- a/hands/benches/req.rs
+++ b/policy-runtime/benches/req.rs
@@ -6,7 +6,7 @@
 
 use divan::{Bencher, counter::ItemsCount};
 use ochreshed::*;
-use ochreshed_hands::{Act, End, Hands};
+use ochreshed_policy_runtime::{Act, End, Hands};
 
 const MS: Nanos = 1_000_000;
 const SIZES: &[u64] = &[10, 100, 1_000, 10_000];
--- a/hands/tests/parameters.rs
+++ b/policy-runtime/tests/parameters.rs
@@ -3,7 +3,7 @@
 
 use expect_test::{Expect, expect};
 use ochreshed::ParameterValue;
-use ochreshed_hands::facts;
+use ochreshed_policy_runtime::facts;
 
 fn check(facts_json: &str, expected: Expect) {
     let parameters = match facts::read(facts_json) {
