--- a/adapter/src/host.rs
+++ b/adapter/src/host.rs
@@ -3,23 +3,23 @@
 use std::fmt::Write;
 
 use ochreshed::{Balancer, Event, ListedEndpoint, Nanos, RequestContext};
-use ochreshed_policy_runtime::{Act, End, Hands};
+use ochreshed_policy_runtime::{Action, DispatchResult, PolicyRuntime};
 
 use crate::wire::{self, Line, millis};
 
 pub struct Host {
     number: u64,
-    hands: Hands,
+    runtime: PolicyRuntime,
     wake: Option<Nanos>,
 }
 
 impl Host {
     pub fn new(number: u64, balancer: Balancer) -> Host {
-        Host { number, hands: Hands::new(balancer), wake: None }
+        Host { number, runtime: PolicyRuntime::new(balancer), wake: None }
     }
 
     pub fn submit(&mut self, now: Nanos, line: &Line, out: &mut String) -> Result<(), String> {
-        self.hands.take(now, read_request(now, line)?);
+        self.runtime.accept_request(now, read_request(now, line)?);
         self.write(out);
         Ok(())
     }
@@ -27,14 +27,19 @@
     pub fn response(&mut self, now: Nanos, line: &Line, out: &mut String) -> Result<(), String> {
         let (id, number) = (line.int("RequestId")?, line.int("Copy")? as usize);
         let (how, took) = (wire::how(line.must("How")?)?, line.time("Duration")?);
-        let end = End { how, took, closed: line.flag("Closed"), report: &line.report() };
-        self.hands.ended(now, id, number, end);
+        let end = DispatchResult {
+            outcome: how,
+            duration: took,
+            is_final: line.flag("Closed"),
+            load_report: &line.report(),
+        };
+        self.runtime.handle_dispatch_ended(now, id, number, end);
         self.write(out);
         Ok(())
     }
 
     pub fn client_gone(&mut self, now: Nanos, line: &Line, out: &mut String) -> Result<(), String> {
-        self.hands.left(now, line.int("RequestId")?);
+        self.runtime.handle_client_disconnected(now, line.int("RequestId")?);
         self.write(out);
         Ok(())
     }
@@ -42,7 +47,7 @@
     pub fn probed(&mut self, now: Nanos, line: &Line) -> Result<(), String> {
         let (how, took, report) = (wire::how(line.must("How")?)?, line.time("Duration")?, line.report());
         let srv = line.must("Upstream")?;
-        self.hands.news(
+        self.runtime.handle_event(
             now,
             Event::ProbeEnded { endpoint: srv, outcome: how, duration: took, load_report: &report },
         );
@@ -60,13 +65,13 @@
             },
             _ => return Err(format!("How={how} is no kind of list")),
         };
-        self.hands.news(now, news);
+        self.runtime.handle_event(now, news);
         Ok(())
     }
 
     /// Asks for what is due and does the chores, at the end of a batch that touched this instance.
     pub fn settle(&mut self, now: Nanos, out: &mut String) {
-        let next = self.hands.settle(now);
+        let next = self.runtime.run_due_work(now);
         self.write(out);
         if self.wake.is_none_or(|wake| wake <= now || next < wake) && next < Nanos::MAX {
             let delay = next.saturating_sub(now).min(4_000_000_000_000);
@@ -76,29 +81,29 @@
     }
 
     fn write(&mut self, out: &mut String) {
-        for act in self.hands.acts() {
+        for act in self.runtime.take_actions() {
             self.write_act(act, out);
         }
     }
 
-    fn write_act(&self, act: Act, out: &mut String) {
+    fn write_act(&self, act: Action, out: &mut String) {
         match act {
-            Act::Send { id, srv, give_up, .. } => {
+            Action::Send { request_id: id, endpoint: srv, give_up_at: give_up, .. } => {
                 let rest = format!("\tRequestId={id}\tUpstream={srv}\tStopAt={}", millis(give_up));
                 self.say(out, "issue", &rest);
             }
-            Act::Recall { id, number } => {
+            Action::CancelDispatch { request_id: id, dispatch_index: number } => {
                 self.say(out, "recall", &format!("\tRequestId={id}\tCopy={number}"));
             }
-            Act::Deny { id, come_back } => {
+            Action::Deny { request_id: id, retry_after: come_back } => {
                 self.say(out, "push_back", &format!("\tRequestId={id}\tPause={}", millis(come_back)));
             }
-            Act::Abort { id } => self.say(out, "respond_error", &format!("\tRequestId={id}")),
-            Act::Watch => self.say(out, "watch", "\tEnable=1"),
-            Act::List => self.say(out, "query_all", ""),
-            Act::Probe(srv) => self.say(out, "touch", &format!("\tUpstream={srv}")),
-            Act::Close(srv) => self.say(out, "free_links", &format!("\tUpstream={srv}")),
-            Act::Log(text) => self.say(out, "note_down", &format!("\tMessage={text}")),
+            Action::Abort { request_id: id } => self.say(out, "respond_error", &format!("\tRequestId={id}")),
+            Action::WatchEndpoints => self.say(out, "watch", "\tEnable=1"),
+            Action::FetchEndpoints => self.say(out, "query_all", ""),
+            Action::Probe(srv) => self.say(out, "touch", &format!("\tUpstream={srv}")),
+            Action::CloseIdleConnections(srv) => self.say(out, "free_links", &format!("\tUpstream={srv}")),
+            Action::Log(text) => self.say(out, "note_down", &format!("\tMessage={text}")),
         }
     }
 
@@ -138,15 +143,20 @@
         let host = Host::new(3, Balancer::new(0, 9, Parameters::new()));
         let mut lines = String::new();
         for act in [
-            Act::Send { id: 7, number: 1, srv: "10.0.0.1:80".into(), give_up: 1_240_750_000 },
-            Act::Recall { id: 7, number: 1 },
-            Act::Deny { id: 7, come_back: 1_500_000 },
-            Act::Abort { id: 7 },
-            Act::Watch,
-            Act::List,
-            Act::Probe("10.0.0.1:80".into()),
-            Act::Close("10.0.0.1:80".into()),
-            Act::Log("text".into()),
+            Action::Send {
+                request_id: 7,
+                dispatch_index: 1,
+                endpoint: "10.0.0.1:80".into(),
+                give_up_at: 1_240_750_000,
+            },
+            Action::CancelDispatch { request_id: 7, dispatch_index: 1 },
+            Action::Deny { request_id: 7, retry_after: 1_500_000 },
+            Action::Abort { request_id: 7 },
+            Action::WatchEndpoints,
+            Action::FetchEndpoints,
+            Action::Probe("10.0.0.1:80".into()),
+            Action::CloseIdleConnections("10.0.0.1:80".into()),
+            Action::Log("text".into()),
         ] {
             host.write_act(act, &mut lines);
         }
--- a/adapter/src/lib.rs
+++ b/adapter/src/lib.rs
@@ -148,10 +148,11 @@
     fn start(&mut self, number: u64, now: Nanos, line: &Line, reply: &mut String) -> Result<(), String> {
         let seed = line.int("RngSeed")?;
         self.hosts.remove(&number);
-        let made = ochreshed_policy_runtime::facts::read(line.must("ProfileData")?).and_then(|facts| {
-            catch_unwind(AssertUnwindSafe(|| Balancer::new(now, seed, facts)))
-                .map_err(|_| "panic at start".into())
-        });
+        let made = ochreshed_policy_runtime::parameters::parse_parameters(line.must("ProfileData")?)
+            .and_then(|facts| {
+                catch_unwind(AssertUnwindSafe(|| Balancer::new(now, seed, facts)))
+                    .map_err(|_| "panic at start".into())
+            });
         match made {
             Ok(balancer) => {
                 self.hosts.insert(number, Host::new(number, balancer));
--- a/balancer/src/decisions.rs
+++ b/balancer/src/decisions.rs
@@ -11,7 +11,7 @@
 
 use hyper::Response;
 use ochreshed::{Balancer, DispatchOutcome, Event, ListedEndpoint, Name, Nanos, RequestContext};
-use ochreshed_policy_runtime::{Act, End, Hands};
+use ochreshed_policy_runtime::{Action, DispatchResult, PolicyRuntime};
 use ochreshed_replica::outcomes::OutcomeCounts;
 use tokio::sync::mpsc::error::TrySendError;
 use tokio::sync::mpsc::{self, OwnedPermit};
@@ -181,7 +181,7 @@
 
 pub struct Actor {
     clock: Clock,
-    hands: Hands,
+    runtime: PolicyRuntime,
     /// The rule sets whose reqs must not run twice.
     once: HashSet<Name>,
     taken: HashMap<u64, Taken>,
@@ -204,10 +204,10 @@
         fresh: oneshot::Sender<()>,
         evidence: Option<Evidence>,
     ) -> Actor {
-        let (clock, hands) = (common.clock, Hands::new(balancer));
+        let (clock, runtime) = (common.clock, PolicyRuntime::new(balancer));
         Actor {
             clock,
-            hands,
+            runtime,
             once,
             taken: HashMap::new(),
             touched: Vec::new(),
@@ -246,13 +246,13 @@
                 let reply = Some(reply);
                 let taken = Taken { message, once, reply, sent_at: now, recall: None, went: None, rule_set };
                 self.taken.insert(req.id, taken);
-                self.hands.take(now, req);
+                self.runtime.accept_request(now, req);
             }
             Mail::Left(id) => {
-                self.hands.left(now, id);
+                self.runtime.handle_client_disconnected(now, id);
                 self.touched.push(id);
             }
-            Mail::Written { id, number } => self.hands.written(now, id, number),
+            Mail::Written { id, number } => self.runtime.handle_request_sent(now, id, number),
             Mail::Ended { id, number, how, at, waited, answer } => {
                 let Some(taken) = self.taken.get_mut(&id) else { return };
                 let took = at.saturating_sub(taken.sent_at + waited);
@@ -265,21 +265,26 @@
                 if let Some(answer) = answer {
                     taken.answer(Answer::Done(answer));
                 }
-                let end = End { how, took, closed: how == DispatchOutcome::Done, report: &[] };
-                self.hands.ended(now, id, number, end);
+                let end = DispatchResult {
+                    outcome: how,
+                    duration: took,
+                    is_final: how == DispatchOutcome::Done,
+                    load_report: &[],
+                };
+                self.runtime.handle_dispatch_ended(now, id, number, end);
                 self.touched.push(id);
             }
             Mail::Probed { srv, how, took } => {
-                self.hands.news(
+                self.runtime.handle_event(
                     now,
                     Event::ProbeEnded { endpoint: &srv, outcome: how, duration: took, load_report: &[] },
                 );
             }
             Mail::List { whole, old, entries, .. } => self.follow_list(now, whole, old, entries),
-            Mail::ListFailed => self.hands.news(now, Event::EndpointListFailed),
+            Mail::ListFailed => self.runtime.handle_event(now, Event::EndpointListFailed),
             Mail::Others { srv, rule_set, how, times } => {
                 for _ in 0..times {
-                    self.hands.news(
+                    self.runtime.handle_event(
                         now,
                         Event::PeerDispatchEnded { endpoint: &srv, rule_set: &rule_set, outcome: how },
                     );
@@ -305,51 +310,61 @@
             let _ = fresh.send(());
         }
         let entries: Vec<ListedEndpoint> = entries.into_iter().map(|(listed, _)| listed).collect();
-        self.hands
-            .news(now, Event::EndpointsListed { is_complete: whole, is_stale: old, endpoints: &entries });
+        self.runtime.handle_event(
+            now,
+            Event::EndpointsListed { is_complete: whole, is_stale: old, endpoints: &entries },
+        );
     }
 
     /// Does what the module wants done; answers with the time it is asked again.
     fn settle(&mut self) -> Nanos {
         loop {
             let now = self.clock.now();
-            let next = self.hands.settle(now);
+            let next = self.runtime.run_due_work(now);
             let mut unsent = Vec::new();
-            for act in self.hands.acts() {
+            for act in self.runtime.take_actions() {
                 self.act(now, act, &mut unsent);
             }
             if unsent.is_empty() {
                 self.forget();
-                self.common.figures.stand(self.hands.standing());
+                let counts = self.runtime.count_endpoints();
+                self.common.figures.stand((counts.listed, counts.avoided));
                 return next;
             }
             for (id, number) in unsent {
-                let end = End { how: DispatchOutcome::NotSent, took: 0, closed: false, report: &[] };
-                self.hands.ended(now, id, number, end);
+                let end = DispatchResult {
+                    outcome: DispatchOutcome::NotSent,
+                    duration: 0,
+                    is_final: false,
+                    load_report: &[],
+                };
+                self.runtime.handle_dispatch_ended(now, id, number, end);
             }
         }
     }
 
-    fn act(&mut self, now: Nanos, act: Act, unsent: &mut Vec<(u64, usize)>) {
+    fn act(&mut self, now: Nanos, act: Action, unsent: &mut Vec<(u64, usize)>) {
         match act {
-            Act::Send { id, number, srv, give_up } => {
+            Action::Send { request_id: id, dispatch_index: number, endpoint: srv, give_up_at: give_up } => {
                 if !self.send(now, id, number, &srv, give_up) {
                     unsent.push((id, number));
                 }
             }
-            Act::Recall { id, .. } => {
+            Action::CancelDispatch { request_id: id, .. } => {
                 let recall = self.taken.get_mut(&id).and_then(|taken| taken.recall.take());
                 // One that has just ended needs no recall.
                 recall.map(|recall| recall.send(()));
             }
-            Act::Deny { id, come_back } => self.answer(id, Answer::Deny { come_back }),
-            Act::Abort { id } => self.answer(id, Answer::Abort),
+            Action::Deny { request_id: id, retry_after: come_back } => {
+                self.answer(id, Answer::Deny { come_back })
+            }
+            Action::Abort { request_id: id } => self.answer(id, Answer::Abort),
             // With wishes enough in its mailbox the list is asked anyway.
-            Act::Watch => drop(self.list.try_send(list::Mail::Watch)),
-            Act::List => drop(self.list.try_send(list::Mail::Fetch)),
-            Act::Probe(srv) => drop(self.post(&srv, peer::Mail::Probe(now + 1_000_000_000))),
-            Act::Close(srv) => self.shut(&srv),
-            Act::Log(line) => info!("{line}"),
+            Action::WatchEndpoints => drop(self.list.try_send(list::Mail::Watch)),
+            Action::FetchEndpoints => drop(self.list.try_send(list::Mail::Fetch)),
+            Action::Probe(srv) => drop(self.post(&srv, peer::Mail::Probe(now + 1_000_000_000))),
+            Action::CloseIdleConnections(srv) => self.shut(&srv),
+            Action::Log(line) => info!("{line}"),
         }
     }
 
@@ -396,7 +411,7 @@
     /// finds its reply gone: the client would be told that its req may have run.
     fn forget(&mut self) {
         for id in self.touched.drain(..) {
-            if !self.hands.holds(id) {
+            if !self.runtime.has_request(id) {
                 self.taken.remove(&id);
             }
         }
--- a/balancer/src/mesh/proxy/request_scheduler.rs
+++ b/balancer/src/mesh/proxy/request_scheduler.rs
@@ -26,7 +26,7 @@
 use ochreshed_catalog::endpoints::{EndpointRecord, UpstreamState};
 use ochreshed_catalog::traffic_reports::AttemptCounts;
 use ochreshed_catalog::watch_client::ReceivedRecord;
-use ochreshed_policy_runtime::{Act, End, Hands};
+use ochreshed_policy_runtime::{Action, DispatchResult, PolicyRuntime};
 use ochreshed_traffic::retry_budget::{RequestAttempts, RetryAccount, RetryLimits};
 use ochreshed_traffic::retry_shares::RetryPool;
 use tokio::sync::{Notify, mpsc};
@@ -264,7 +264,7 @@
 
 struct SchedulerState {
     /// The decision module with the requests that it holds.
-    policy: Hands,
+    policy: PolicyRuntime,
     /// Where the actions for each request go, by its id.
     action_senders: HashMap<u64, mpsc::UnboundedSender<SchedulerAction>>,
     last_id: u64,
@@ -328,7 +328,7 @@
         retry_account: RetryAccount,
     ) -> Arc<RequestScheduler> {
         let now = clock.now();
-        let policy = Hands::new(Balancer::new(now, seed, settings.facts()));
+        let policy = PolicyRuntime::new(Balancer::new(now, seed, settings.facts()));
         let inner = SchedulerState {
             policy,
             action_senders: HashMap::new(),
@@ -375,7 +375,7 @@
             None if inner.retry_pool.is_none() => return,
             None => {
                 let RetryLimits { ratio, floor, .. } = self.settings.retry_limits();
-                inner.policy.allow(ratio, floor);
+                inner.policy.set_retry_budget(ratio, floor);
                 inner.retry_account.set_allowance(ratio, floor);
             }
         }
@@ -389,7 +389,7 @@
         let left = held(pool).remaining(now, self.settings.plan.member.as_ref(), ratio, floor);
         // The module bounds the retries that it has made itself since it began anew, so that these are added to what is left.
         let floor = left + f64::from(inner.retry_account.policy_counts(now).retried);
-        inner.policy.allow(0.0, floor);
+        inner.policy.set_retry_budget(0.0, floor);
         inner.retry_account.set_allowance(0.0, floor);
     }
 
@@ -406,26 +406,34 @@
         loop {
             let now = self.clock.now();
             self.update_retry_allowance(inner, now);
-            let wake = inner.policy.settle(now);
-            let acts = inner.policy.acts();
+            let wake = inner.policy.run_due_work(now);
+            let acts = inner.policy.take_actions();
             if acts.is_empty() {
                 inner.wake_at = wake;
                 return wake;
             }
             for act in acts {
                 let (id, action) = match act {
-                    Act::Send { id, number, srv, give_up } => {
-                        (id, SchedulerAction::Send { number, srv, give_up })
+                    Action::Send {
+                        request_id: id,
+                        dispatch_index: number,
+                        endpoint: srv,
+                        give_up_at: give_up,
+                    } => (id, SchedulerAction::Send { number, srv, give_up }),
+                    Action::CancelDispatch { request_id: id, .. } => (id, SchedulerAction::Cancel),
+                    Action::Deny { request_id: id, retry_after: come_back } => {
+                        (id, SchedulerAction::Reject { come_back })
                     }
-                    Act::Recall { id, .. } => (id, SchedulerAction::Cancel),
-                    Act::Deny { id, come_back } => (id, SchedulerAction::Reject { come_back }),
-                    Act::Abort { id } => (id, SchedulerAction::Fail),
-                    Act::Log(line) => {
+                    Action::Abort { request_id: id } => (id, SchedulerAction::Fail),
+                    Action::Log(line) => {
                         log::info!("{}: {line}", self.service);
                         continue;
                     }
                     // The module is told the endpoints by `update_endpoints`, so that nothing is watched or probed for it here.
-                    Act::Watch | Act::List | Act::Probe(_) | Act::Close(_) => continue,
+                    Action::WatchEndpoints
+                    | Action::FetchEndpoints
+                    | Action::Probe(_)
+                    | Action::CloseIdleConnections(_) => continue,
                 };
                 if let Some(actions) = inner.action_senders.get(&id) {
                     let _ = actions.send(action);
@@ -457,7 +465,7 @@
             self.count_in_pool(&inner, now, AttemptCounts { retried: 1, ..AttemptCounts::default() });
         }
         self.update_retry_allowance(&mut inner, now);
-        inner.policy.take(now, req);
+        inner.policy.accept_request(now, req);
         self.dispatch_and_wake(&mut inner);
         ScheduledRequest { scheduler: self.clone(), id, actions, finished: false, attempts }
     }
@@ -541,9 +549,10 @@
         inner.endpoints =
             current.iter().map(|(srv, (_, endpoint))| (srv.clone(), endpoint.clone())).collect();
         inner.listed = current.into_iter().map(|(srv, (listed, _))| (srv, listed)).collect();
-        inner
-            .policy
-            .news(now, Event::EndpointsListed { is_complete: true, is_stale: false, endpoints: &entries });
+        inner.policy.handle_event(
+            now,
+            Event::EndpointsListed { is_complete: true, is_stale: false, endpoints: &entries },
+        );
         self.dispatch_and_wake(&mut inner);
     }
 }
@@ -580,7 +589,12 @@
         self.finished |= closed;
         let now = self.scheduler.clock.now();
         self.scheduler.update_retry_allowance(&mut inner, now);
-        inner.policy.ended(now, self.id, number, End { how, took, closed, report: inside.as_slice() });
+        inner.policy.handle_dispatch_ended(
+            now,
+            self.id,
+            number,
+            DispatchResult { outcome: how, duration: took, is_final: closed, load_report: inside.as_slice() },
+        );
         self.scheduler.dispatch_and_wake(&mut inner);
     }
 
@@ -598,14 +612,19 @@
         inner.action_senders.remove(&self.id);
         if !self.finished {
             let now = self.scheduler.clock.now();
-            inner.policy.left(now, self.id);
+            inner.policy.handle_client_disconnected(now, self.id);
             // An attempt that is out ends with the request. Its number isn't kept here, so that all that can occur are ended.
             for number in 0..64 {
-                inner.policy.ended(
+                inner.policy.handle_dispatch_ended(
                     now,
                     self.id,
                     number,
-                    End { how: DispatchOutcome::Cancelled, took: 0, closed: true, report: &[] },
+                    DispatchResult {
+                        outcome: DispatchOutcome::Cancelled,
+                        duration: 0,
+                        is_final: true,
+                        load_report: &[],
+                    },
                 );
             }
             self.scheduler.dispatch_and_wake(&mut inner);
--- a/balancer/src/start.rs
+++ b/balancer/src/start.rs
@@ -5,7 +5,7 @@
 use std::path::{Path, PathBuf};
 
 use ochreshed::Parameters;
-use ochreshed_policy_runtime::facts;
+use ochreshed_policy_runtime::parameters::read_parameters;
 use serde_json::Value as Json;
 
 use crate::settings::{self, Headers};
@@ -89,7 +89,7 @@
             most_in: most(PER_CALLER),
             most_out: most(MOST_BODY),
             most_bodies: (quarter / 2).clamp(1024 * KB, 1 << 30),
-            facts: facts::from_json(&json["settings"])?,
+            facts: read_parameters(&json["settings"])?,
             headers: settings::headers(&json["headers"])?,
             unused: settings::unused(&json["settings"]),
             known: json["known"].take(),
--- a/emulator/src/chooser.rs
+++ b/emulator/src/chooser.rs
@@ -1,4 +1,4 @@
-//! What chooses srvs: the real module behind the real hands, and baselines to hold it against. Baselines are what
+//! What chooses srvs: the real module behind the real policy runtime, and baselines to hold it against. Baselines are what
 //! others do without it; they are no policies of the program and never leave the emulator.
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -7,7 +7,7 @@
     Balancer, DispatchOutcome, EndpointState, Event, ListedEndpoint, Name, ParameterValue, Parameters,
     RequestContext,
 };
-use ochreshed_policy_runtime::{Act, End, Hands};
+use ochreshed_policy_runtime::{Action, DispatchResult, PolicyRuntime};
 
 use crate::Nanos;
 use crate::chance::Stream;
@@ -52,7 +52,7 @@
     /// An instance before a tier.
     pub fn start(self, now: Nanos, seed: u64, scenario: &Scenario, seat: Seat) -> Box<dyn Chooser> {
         match self {
-            Policy::Module => Box::new(Hands::new(Balancer::new(now, seed, facts(scenario, seat)))),
+            Policy::Module => Box::new(PolicyRuntime::new(Balancer::new(now, seed, facts(scenario, seat)))),
             _ => Box::new(Plain {
                 policy: self,
                 replayable: replayable(scenario),
@@ -124,43 +124,52 @@
     fn others(&mut self, now: Nanos, srv: &str, rule_set: &str, how: DispatchOutcome, times: u16);
     /// Does what is due; answers with when it is to be asked again.
     fn settle(&mut self, now: Nanos) -> Nanos;
-    fn acts(&mut self) -> Vec<Act>;
+    fn acts(&mut self) -> Vec<Action>;
 }
 
-impl Chooser for Hands {
+impl Chooser for PolicyRuntime {
     fn take(&mut self, now: Nanos, req: RequestContext) {
-        Hands::take(self, now, req);
+        PolicyRuntime::accept_request(self, now, req);
     }
 
     fn ended(&mut self, now: Nanos, id: u64, number: usize, how: DispatchOutcome, took: Nanos) {
-        Hands::ended(
+        PolicyRuntime::handle_dispatch_ended(
             self,
             now,
             id,
             number,
-            End { how, took, closed: how == DispatchOutcome::Done, report: &[] },
+            DispatchResult {
+                outcome: how,
+                duration: took,
+                is_final: how == DispatchOutcome::Done,
+                load_report: &[],
+            },
         );
     }
 
     fn left(&mut self, now: Nanos, id: u64) {
-        Hands::left(self, now, id);
+        PolicyRuntime::handle_client_disconnected(self, now, id);
     }
 
     fn list(&mut self, now: Nanos, entries: &[ListedEndpoint]) {
-        self.news(now, Event::EndpointsListed { is_complete: false, is_stale: false, endpoints: entries });
+        self.handle_event(
+            now,
+            Event::EndpointsListed { is_complete: false, is_stale: false, endpoints: entries },
+        );
     }
 
     fn others(&mut self, now: Nanos, srv: &str, rule_set: &str, how: DispatchOutcome, times: u16) {
-        (0..times)
-            .for_each(|_| self.news(now, Event::PeerDispatchEnded { endpoint: srv, rule_set, outcome: how }));
+        (0..times).for_each(|_| {
+            self.handle_event(now, Event::PeerDispatchEnded { endpoint: srv, rule_set, outcome: how })
+        });
     }
 
     fn settle(&mut self, now: Nanos) -> Nanos {
-        Hands::settle(self, now)
+        PolicyRuntime::run_due_work(self, now)
     }
 
-    fn acts(&mut self) -> Vec<Act> {
-        Hands::acts(self)
+    fn acts(&mut self) -> Vec<Action> {
+        PolicyRuntime::take_actions(self)
     }
 }
 
@@ -173,7 +182,7 @@
     srvs: BTreeMap<Name, usize>,
     next: usize,
     reqs: BTreeMap<u64, RequestContext>,
-    acts: Vec<Act>,
+    acts: Vec<Action>,
 }
 
 impl Plain {
@@ -216,7 +225,7 @@
         let Some(req) = self.reqs.get_mut(&id) else { return };
         let Some(srv) = picked.filter(|_| now < req.deadline) else {
             self.reqs.remove(&id);
-            return self.acts.push(Act::Abort { id });
+            return self.acts.push(Action::Abort { request_id: id });
         };
         *self.srvs.entry(srv.clone()).or_default() += 1;
         let (number, give_up) = (req.dispatches.len(), req.deadline);
@@ -228,7 +237,12 @@
             sent_at: now,
             outcome: None,
         });
-        self.acts.push(Act::Send { id, number, srv, give_up });
+        self.acts.push(Action::Send {
+            request_id: id,
+            dispatch_index: number,
+            endpoint: srv,
+            give_up_at: give_up,
+        });
     }
 }
 
@@ -263,7 +277,11 @@
         }
         let ran = req.first_possible_run().is_some();
         self.reqs.remove(&id);
-        self.acts.push(if ran { Act::Abort { id } } else { Act::Deny { id, come_back: 0 } });
+        self.acts.push(if ran {
+            Action::Abort { request_id: id }
+        } else {
+            Action::Deny { request_id: id, retry_after: 0 }
+        });
     }
 
     fn left(&mut self, _: Nanos, id: u64) {
@@ -293,7 +311,7 @@
         Nanos::MAX
     }
 
-    fn acts(&mut self) -> Vec<Act> {
+    fn acts(&mut self) -> Vec<Action> {
         std::mem::take(&mut self.acts)
     }
 }
--- a/emulator/src/world.rs
+++ b/emulator/src/world.rs
@@ -8,7 +8,7 @@
 use std::collections::BTreeMap;
 
 use ochreshed::{DispatchOutcome, EndpointState, ListedEndpoint, Name, RequestContext};
-use ochreshed_policy_runtime::Act;
+use ochreshed_policy_runtime::Action;
 use ochreshed_replica::outcomes::OutcomeCounts;
 
 use crate::audit::{Answer, Audit, Breach, Key};
@@ -498,15 +498,22 @@
         }
         for act in self.instances[instance].chooser.acts() {
             match act {
-                Act::Send { id, number, srv, give_up } => {
-                    self.send(now, (instance, id), number, &srv, give_up)
-                }
-                Act::Recall { id, number } => {
+                Action::Send {
+                    request_id: id,
+                    dispatch_index: number,
+                    endpoint: srv,
+                    give_up_at: give_up,
+                } => self.send(now, (instance, id), number, &srv, give_up),
+                Action::CancelDispatch { request_id: id, dispatch_index: number } => {
                     self.back(now, (instance, id), number, DispatchOutcome::Cancelled)
                 }
-                Act::Deny { id, .. } => self.answer(now, (instance, id), Answer::Denied),
-                Act::Abort { id } => self.answer(now, (instance, id), Answer::Aborted),
-                Act::Watch | Act::List | Act::Probe(_) | Act::Close(_) | Act::Log(_) => {}
+                Action::Deny { request_id: id, .. } => self.answer(now, (instance, id), Answer::Denied),
+                Action::Abort { request_id: id } => self.answer(now, (instance, id), Answer::Aborted),
+                Action::WatchEndpoints
+                | Action::FetchEndpoints
+                | Action::Probe(_)
+                | Action::CloseIdleConnections(_)
+                | Action::Log(_) => {}
             }
         }
     }
--- a/policy-runtime/benches/req.rs
+++ b/policy-runtime/benches/req.rs
@@ -1,4 +1,4 @@
-//! What one req costs through the hands (taken, settled, ended, settled) by the length of the list and what else is
+//! What one req costs through the runtime (taken, settled, ended, settled) by the length of the list and what else is
 //! going on, and what news of the list cost. Time is simulated: 2,000 reqs a second that take 50 ms each, unless a
 //! bench says otherwise.
 
@@ -6,7 +6,7 @@
 
 use divan::{Bencher, counter::ItemsCount};
 use ochreshed::*;
-use ochreshed_policy_runtime::{Act, End, Hands};
+use ochreshed_policy_runtime::{Action, DispatchResult, PolicyRuntime};
 
 const MS: Nanos = 1_000_000;
 const SIZES: &[u64] = &[10, 100, 1_000, 10_000];
@@ -30,7 +30,7 @@
 
 /// An instance with reqs on their way through it.
 struct Road {
-    hands: Hands,
+    runtime: PolicyRuntime,
     now: Nanos,
     id: u64,
     gap: Nanos,
@@ -59,13 +59,16 @@
             ("cold_share".into(), ParameterValue::Number(0.2)),
             ("rule_sets".into(), ParameterValue::List(vec![set])),
         ]);
-        let mut hands = Hands::new(Balancer::new(now, 7, facts));
+        let mut runtime = PolicyRuntime::new(Balancer::new(now, 7, facts));
         let came_up = |number: u64| (cold && number.is_multiple_of(3)).then_some(now);
         let entries: Vec<ListedEndpoint> = (0..size).map(|number| listed(number, came_up(number))).collect();
-        hands.news(now, Event::EndpointsListed { is_complete: true, is_stale: false, endpoints: &entries });
+        runtime.handle_event(
+            now,
+            Event::EndpointsListed { is_complete: true, is_stale: false, endpoints: &entries },
+        );
         let out = Default::default();
         Road {
-            hands,
+            runtime,
             now,
             id: 0,
             gap: MS / 2,
@@ -100,24 +103,27 @@
         self.waiting += 1;
         let (rule_set, customer) = ("read".into(), "".into());
         let (id, taken, ends) = (self.id, self.now, self.now + 3_000 * MS);
-        self.hands.take(self.now, RequestContext::new(id, rule_set, customer, taken, ends));
+        self.runtime.accept_request(self.now, RequestContext::new(id, rule_set, customer, taken, ends));
         self.settle();
     }
 
     fn end(&mut self, at: Nanos, id: u64, number: usize, fails: bool) {
         let how = if fails { DispatchOutcome::NoConnection } else { DispatchOutcome::Done };
-        let end = End { how, took: self.takes, closed: !fails, report: &[] };
-        self.hands.ended(at.max(self.now - self.gap), id, number, end);
+        let end = DispatchResult { outcome: how, duration: self.takes, is_final: !fails, load_report: &[] };
+        self.runtime.handle_dispatch_ended(at.max(self.now - self.gap), id, number, end);
         self.settle();
     }
 
     fn settle(&mut self) {
-        self.hands.settle(self.now);
-        for act in self.hands.acts() {
-            if matches!(act, Act::Send { number: 0, .. } | Act::Deny { .. } | Act::Abort { .. }) {
+        self.runtime.run_due_work(self.now);
+        for act in self.runtime.take_actions() {
+            if matches!(
+                act,
+                Action::Send { dispatch_index: 0, .. } | Action::Deny { .. } | Action::Abort { .. }
+            ) {
                 self.waiting -= 1;
             }
-            if let Act::Send { id, number, srv, .. } = act {
+            if let Action::Send { request_id: id, dispatch_index: number, endpoint: srv, .. } = act {
                 let fails = id.is_multiple_of(self.fails) || (self.broken && srv.ends_with('0'));
                 self.out.push_back((self.now + self.takes, id, number, fails));
             }
@@ -209,8 +215,10 @@
         let mut entry = listed(*number * 7919 % road.size, None);
         entry.state = if *number % 2 == 0 { EndpointState::Up } else { EndpointState::Draining };
         let now = road.now;
-        road.hands
-            .news(now, Event::EndpointsListed { is_complete: false, is_stale: false, endpoints: &[entry] });
+        road.runtime.handle_event(
+            now,
+            Event::EndpointsListed { is_complete: false, is_stale: false, endpoints: &[entry] },
+        );
     });
 }
 
@@ -218,7 +226,7 @@
 fn a_whole_list_is_applied(bencher: Bencher, size: u64) {
     let entries: Vec<ListedEndpoint> = (0..size).map(|number| listed(number, None)).collect();
     bencher.with_inputs(|| Road::new(0, false)).bench_local_values(|mut road| {
-        road.hands.news(
+        road.runtime.handle_event(
             road.now,
             Event::EndpointsListed { is_complete: true, is_stale: false, endpoints: &entries },
         );
@@ -234,7 +242,9 @@
     bencher.bench_local(|| {
         let mut road = road.borrow_mut();
         let now = road.now;
-        road.hands
-            .news(now, Event::EndpointsListed { is_complete: true, is_stale: false, endpoints: &entries });
+        road.runtime.handle_event(
+            now,
+            Event::EndpointsListed { is_complete: true, is_stale: false, endpoints: &entries },
+        );
     });
 }
--- a/policy-runtime/src/facts.rs
+++ b/policy-runtime/src/parameters.rs
@@ -59,12 +59,12 @@
 const CUSTOMER: &[(&str, &str, Unit)] =
     &[("/Name", "name", Text), ("/QuotaPerS", "share_per_s", Number), ("/Share", "share", Number)];
 
-pub fn read(text: &str) -> Result<Parameters, String> {
+pub fn parse_parameters(text: &str) -> Result<Parameters, String> {
     let json: Json = serde_json::from_str(text).map_err(|e| format!("settings: {e}"))?;
-    from_json(&json)
+    read_parameters(&json)
 }
 
-pub fn from_json(json: &Json) -> Result<Parameters, String> {
+pub fn read_parameters(json: &Json) -> Result<Parameters, String> {
     if !json.is_object() {
         return Err("settings: not an object".into());
     }
--- a/policy-runtime/tests/parameters.rs
+++ b/policy-runtime/tests/parameters.rs
@@ -3,10 +3,10 @@
 
 use expect_test::{Expect, expect};
 use ochreshed::ParameterValue;
-use ochreshed_policy_runtime::facts;
+use ochreshed_policy_runtime::parameters;
 
 fn check(facts_json: &str, expected: Expect) {
-    let parameters = match facts::read(facts_json) {
+    let parameters = match parameters::parse_parameters(facts_json) {
         Ok(parameters) => parameters,
         Err(error) => return expected.assert_eq(&format!("{error}\n")),
     };
