--- a/balancer/src/command_line.rs
+++ b/balancer/src/command_line.rs
@@ -1,9 +1,9 @@
-//! The command line of the load balancer without a mesh: `serve`, `fleet`, `snapshot`, `check`, `version` and `help`.
-//! The mesh's subcommands have their own in [`crate::mesh`], which is asked first.
+//! The command line of the load balancer without a mesh: `serve`, `fleet`, `snapshot`, `check`, `version` and
+//! `help`. The mesh's subcommands are parsed in [`crate::mesh`], which is tried first.
 //!
-//! [`parse`] gives a [`Command`], or a [`CommandLineError`] for whoever typed the line.
+//! [`parse`] returns a [`Command`], or a [`CommandLineError`] for the user.
 //!
-//! Invariant: nothing is done here but reading the line and the environment variable that names the facts.
+//! Invariant: parsing reads only the arguments and the environment variable that names the start facts.
 
 use std::ffi::OsString;
 use std::net::SocketAddr;
@@ -31,18 +31,18 @@
 FILE holds the start facts as JSON; without it ROUTER_CONFIG names the file.
 ";
 
-/// The environment variable that names the facts where the command line does not.
+/// The environment variable that names the start facts if the command line does not.
 const FACTS_VARIABLE: &str = "ROUTER_CONFIG";
-/// The words of `snapshot`: what to do, and the file.
-const SNAPSHOT_WORDS: usize = 2;
+/// The arguments of `snapshot`: the action and the file.
+const SNAPSHOT_ARGUMENTS: usize = 2;
 
-/// A command line that was understood.
+/// A parsed command line.
 pub enum Command {
     /// Serve until SIGTERM.
     Serve {
         /// The file of the start facts.
         facts: PathBuf,
-        /// The file that says how to speak with other instances.
+        /// The file that configures the communication with other instances.
         fleet: Option<PathBuf>,
     },
     /// Check the start facts.
@@ -50,9 +50,9 @@
         /// The file of the start facts.
         facts: PathBuf,
     },
-    /// Show what instances hold of their fleet.
+    /// Show what instances know about their fleet.
     Fleet {
-        /// The operators' addresses of the instances.
+        /// The operator addresses of the instances.
         instances: Vec<SocketAddr>,
     },
     /// Read a snapshot.
@@ -75,40 +75,40 @@
     Verify,
 }
 
-/// Why a command line was not taken.
+/// Why a command line was refused.
 #[derive(Debug, Error)]
 pub enum CommandLineError {
-    /// An option lacks its value, or has one that can't be read.
+    /// An option without its value, or with an invalid one.
     #[error(transparent)]
     Option(#[from] lexopt::Error),
-    /// An option or word that no command has.
+    /// An option or argument that no command has.
     #[error("{0}; see `ochreshed help`")]
     Unexpected(lexopt::Error),
-    /// Neither the command line nor the environment names the facts.
+    /// Neither the command line nor the environment names the start facts.
     #[error("no --facts FILE, and {FACTS_VARIABLE} names none")]
     NoFacts,
     /// `fleet` without an address.
     #[error("fleet wants --at ADDRESS, an operators' door")]
     NoInstance,
-    /// `snapshot` without its two words.
+    /// `snapshot` without its two arguments.
     #[error("snapshot wants show or verify, and a file")]
     IncompleteSnapshot,
-    /// The first word is no command.
+    /// The first argument is no command.
     #[error("there is no command {0}; see `ochreshed help`")]
     UnknownCommand(String),
 }
 
-/// The parts of a command line, in whatever order they came.
+/// The parts of a command line, in any order.
 #[derive(Default)]
 struct Arguments {
     command: Option<OsString>,
-    snapshot_words: Vec<OsString>,
+    snapshot_arguments: Vec<OsString>,
     facts: Option<PathBuf>,
     fleet: Option<PathBuf>,
     instances: Vec<SocketAddr>,
 }
 
-/// Reads a command line.
+/// Parses a command line.
 pub fn parse(mut parser: lexopt::Parser) -> Result<Command, CommandLineError> {
     let mut arguments = Arguments::default();
     while let Some(argument) = parser.next()? {
@@ -119,7 +119,7 @@
             Long("fleet") => arguments.fleet = Some(parser.value()?.into()),
             Long("at") => arguments.instances.push(parser.value()?.parse()?),
             Value(word) if arguments.command.is_none() => arguments.command = Some(word),
-            Value(word) if arguments.expects_snapshot_word() => arguments.snapshot_words.push(word),
+            Value(word) if arguments.expects_snapshot_argument() => arguments.snapshot_arguments.push(word),
             other => return Err(CommandLineError::Unexpected(other.unexpected())),
         }
     }
@@ -127,9 +127,9 @@
 }
 
 impl Arguments {
-    fn expects_snapshot_word(&self) -> bool {
+    fn expects_snapshot_argument(&self) -> bool {
         let is_snapshot = self.command.as_ref().is_some_and(|command| command == "snapshot");
-        is_snapshot && self.snapshot_words.len() < SNAPSHOT_WORDS
+        is_snapshot && self.snapshot_arguments.len() < SNAPSHOT_ARGUMENTS
     }
 
     fn into_command(self) -> Result<Command, CommandLineError> {
@@ -138,7 +138,7 @@
             Some("check") => Ok(Command::Check { facts: facts_file(self.facts)? }),
             Some("fleet") if self.instances.is_empty() => Err(CommandLineError::NoInstance),
             Some("fleet") => Ok(Command::Fleet { instances: self.instances }),
-            Some("snapshot") => snapshot_command(&self.snapshot_words),
+            Some("snapshot") => snapshot_command(&self.snapshot_arguments),
             Some("version") => Ok(Command::Version),
             Some("help") | None => Ok(Command::Help),
             Some(other) => Err(CommandLineError::UnknownCommand(other.to_owned())),
@@ -156,7 +156,7 @@
     Ok(Command::Snapshot { action, file: PathBuf::from(file) })
 }
 
-/// The file that was given, or else the one that the environment names.
+/// The file from the command line, or else the one from the environment.
 fn facts_file(given: Option<PathBuf>) -> Result<PathBuf, CommandLineError> {
     let from_environment = || std::env::var_os(FACTS_VARIABLE).map(PathBuf::from);
     given.or_else(from_environment).ok_or(CommandLineError::NoFacts)
--- a/balancer/src/fleet.rs
+++ b/balancer/src/fleet.rs
@@ -3,10 +3,10 @@
 //! must never decide anything, hold up a list, or believe bytes. It exists only where the operator's own file names it
 //! (`serve --fleet`).
 
-pub mod file;
-pub mod keep;
+pub mod config;
 mod meeting;
 pub mod page;
+pub mod snapshot_store;
 
 use std::net::SocketAddr;
 use std::sync::{Arc, PoisonError};
@@ -33,8 +33,8 @@
 use crate::list::Entry;
 use crate::metrics::Metrics;
 use crate::phases::{Life, Phase};
-use file::FleetFile;
-use keep::Keep;
+use config::FleetConfig;
+use snapshot_store::SnapshotStore;
 
 const S: Nanos = 1_000_000_000;
 /// A line a minute about what could not be read.
@@ -92,7 +92,7 @@
 }
 
 struct Fleet {
-    file: FleetFile,
+    file: FleetConfig,
     clock: Clock,
     /// None while another process of this instance has the port, and once one has taken over.
     sockets: Option<Sockets>,
@@ -107,7 +107,7 @@
     said: u64,
     pages: watch::Sender<Shown>,
     evidence: Evidence,
-    keep: Option<Keep>,
+    keep: Option<SnapshotStore>,
     /// When the next snapshot is due, if anything has changed since the last; and its number.
     keep_at: Option<Nanos>,
     kept: u64,
@@ -132,7 +132,7 @@
 /// Starts it before the module's actor: what the list tells goes through it, changed by nothing but what others heard of
 /// later lists. Where another process of this instance may still have the port it is waited for, else it has to be free.
 pub async fn start(
-    file: FleetFile,
+    file: FleetConfig,
     name: &str,
     zone: &str,
     began: Began,
@@ -150,7 +150,7 @@
         Err(e) => return Err(format!("can't speak with the fleet on {}: {e}", file.listen)),
     };
     let now = clock.now();
-    let keep = file.snapshots.as_deref().map(Keep::new);
+    let keep = file.snapshots.as_deref().map(SnapshotStore::new);
     let unix = unix_nanos();
     let snapshot = keep.as_ref().and_then(|keep| keep.read(&file.fleet, name, unix));
     let age = snapshot.as_ref().map(|snapshot| unix.saturating_sub(snapshot.written));
@@ -419,7 +419,7 @@
         }
         if self.count_at <= now {
             self.count_at = now + COUNT_EVERY;
-            if self.keep.as_ref().is_some_and(Keep::missed) && self.keep_at.is_none() {
+            if self.keep.as_ref().is_some_and(SnapshotStore::take_refused) && self.keep_at.is_none() {
                 self.keep_at = Some(now + S);
             }
             self.look(now);
--- a/balancer/src/fleet/keep.rs
+++ b/balancer/src/fleet/snapshot_store.rs
@@ -1,5 +1,7 @@
-//! Snapshots in the operator's folder. It owns the files there and the lock that keeps a second writer out, writes beside the
-//! req path, and must never fail a start or a req: what can't be read or written is one log line.
+//! Snapshots of an instance's state in the configured folder.
+//!
+//! A lock file keeps a second process from writing there. Writing happens off the request path. A snapshot
+//! that can't be read or written is logged, and never prevents a start or fails a request.
 
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, Read, Write};
@@ -12,11 +14,11 @@
 use tokio::task::spawn_blocking;
 use tracing::warn;
 
-const LOCK: &str = "lock";
+const LOCK_FILE: &str = "lock";
 
-struct Folder<'a>(&'a Path);
+struct SnapshotFolder<'a>(&'a Path);
 
-impl Disk for Folder<'_> {
+impl Disk for SnapshotFolder<'_> {
     type Error = io::Error;
 
     fn write(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
@@ -40,96 +42,99 @@
     }
 }
 
-/// Where this instance's snapshots are.
-pub struct Keep {
+/// The folder of this instance's snapshots.
+pub struct SnapshotStore {
     folder: PathBuf,
-    /// Held for as long as this process writes; empty while another one does.
+    /// Held while this process is the writer; None while another one is.
     lock: Arc<Mutex<Option<File>>>,
-    /// Another process has the folder still: it is to be tried again.
-    missed: Arc<AtomicBool>,
-    /// One is being written.
-    busy: Arc<AtomicBool>,
-    /// The last one failed, and that was said.
+    /// The last write was refused because another process holds the folder; it is to be retried.
+    refused: Arc<AtomicBool>,
+    /// A write is running.
+    writing: Arc<AtomicBool>,
+    /// The last write failed, and the failure has been logged.
     failed: Arc<AtomicBool>,
 }
 
-impl Keep {
-    pub fn new(folder: &Path) -> Keep {
-        Keep {
+impl SnapshotStore {
+    pub fn new(folder: &Path) -> SnapshotStore {
+        SnapshotStore {
             folder: folder.to_owned(),
             lock: Arc::default(),
-            missed: Arc::default(),
-            busy: Arc::default(),
+            refused: Arc::default(),
+            writing: Arc::default(),
             failed: Arc::default(),
         }
     }
 
-    /// The snapshot of this instance, if there is one that can be taken; else why not, where there is something.
+    /// Reads this instance's snapshot. One that exists but can't be used is logged.
     pub fn read(&self, fleet: &str, instance: &str, now: u64) -> Option<Snapshot> {
         let path = self.folder.join(NAME);
-        match read(&path) {
+        match read_file(&path) {
             Ok(None) => None,
             Ok(Some(bytes)) => match Snapshot::own(&bytes, fleet, instance, now) {
                 Ok(snapshot) => Some(snapshot),
                 Err(wrong) => {
-                    warn!("snapshot {}: {wrong}; the start goes on without", path.display());
+                    warn!("can't use snapshot {}: {wrong}; the start goes on without", path.display());
                     None
                 }
             },
             Err(why) => {
-                warn!("snapshot {}: {why}; the start goes on without", path.display());
+                warn!("can't read snapshot {}: {why}; the start goes on without", path.display());
                 None
             }
         }
     }
 
-    /// Whether the last one could not be written because another process has the folder; once.
-    pub fn missed(&self) -> bool {
-        self.missed.swap(false, Relaxed)
+    /// Whether a write was refused because another process holds the folder. Clears the flag.
+    pub fn take_refused(&self) -> bool {
+        self.refused.swap(false, Relaxed)
     }
 
-    /// Writes one beside everything else, unless one is being written: whether it was begun.
+    /// Writes a snapshot in the background. Returns false if a write is still running.
     pub fn write(&self, snapshot: Snapshot) -> bool {
-        if self.busy.swap(true, Relaxed) {
+        if self.writing.swap(true, Relaxed) {
             return false;
         }
-        let (folder, busy, failed) = (self.folder.clone(), self.busy.clone(), self.failed.clone());
-        let (lock, missed) = (self.lock.clone(), self.missed.clone());
+        let (folder, writing, failed) = (self.folder.clone(), self.writing.clone(), self.failed.clone());
+        let (lock, refused) = (self.lock.clone(), self.refused.clone());
         spawn_blocking(move || {
             let mut lock = lock.lock().unwrap_or_else(PoisonError::into_inner);
-            let owned = own(&mut lock, &folder).map_err(|why| {
-                missed.store(true, Relaxed);
+            let locked = acquire_lock(&mut lock, &folder).map_err(|why| {
+                refused.store(true, Relaxed);
                 format!("no snapshots in {}: {why}", folder.display())
             });
-            let written = owned.and_then(|()| {
-                let saved = disk::save(&mut Folder(&folder), &snapshot.write());
-                saved.map_err(|why| format!("snapshot in {}: {why}; the one before stands", folder.display()))
+            let written = locked.and_then(|()| {
+                let saved = disk::save(&mut SnapshotFolder(&folder), &snapshot.write());
+                saved.map_err(|why| {
+                    format!("can't write snapshot in {}: {why}; the previous one is kept", folder.display())
+                })
             });
             match written {
                 Ok(()) => failed.store(false, Relaxed),
-                // Said once for as long as it lasts.
+                // Logged once for a series of failures.
                 Err(why) if !failed.swap(true, Relaxed) => warn!("{why}"),
                 Err(_) => {}
             }
-            busy.store(false, Relaxed);
+            writing.store(false, Relaxed);
         });
         true
     }
 }
 
-/// Makes this process the one that writes here. The lock of one that has died is free.
-fn own(lock: &mut Option<File>, folder: &Path) -> io::Result<()> {
+/// Makes this process the writer of the folder. The lock of a process that has died is free.
+fn acquire_lock(lock: &mut Option<File>, folder: &Path) -> io::Result<()> {
     if lock.is_none() {
         fs::create_dir_all(folder)?;
-        let file = OpenOptions::new().create(true).truncate(false).write(true).open(folder.join(LOCK))?;
+        let file =
+            OpenOptions::new().create(true).truncate(false).write(true).open(folder.join(LOCK_FILE))?;
         file.try_lock().map_err(|_| io::Error::other("another process writes snapshots here"))?;
         *lock = Some(file);
     }
     Ok(())
 }
 
-/// None where there is no such file. No more than its bound is read.
-pub fn read(path: &Path) -> io::Result<Option<Vec<u8>>> {
+/// Returns None if there is no such file. Reads no more than the maximum size of a snapshot.
+pub fn read_file(path: &Path) -> io::Result<Option<Vec<u8>>> {
     let file = match File::open(path) {
         Ok(file) => file,
         Err(why) if why.kind() == io::ErrorKind::NotFound => return Ok(None),
@@ -140,12 +145,14 @@
     Ok(Some(bytes))
 }
 
-/// `ochreshed snapshot show|verify`: whether a file is a snapshot that could be taken by its instance, and what it holds.
+/// `ochreshed snapshot show|verify`: checks whether its instance could use a snapshot, and shows what it
+/// holds.
 pub fn inspect(path: &Path, show: bool) -> Result<String, String> {
-    let said = |why: String| format!("{}: {why}", path.display());
-    let bytes =
-        read(path).map_err(|e| said(e.to_string()))?.ok_or_else(|| said("there is no such file".into()))?;
-    let snapshot = Snapshot::read(&bytes).map_err(|wrong| said(wrong.to_string()))?;
+    let with_path = |why: String| format!("{}: {why}", path.display());
+    let bytes = read_file(path)
+        .map_err(|e| with_path(e.to_string()))?
+        .ok_or_else(|| with_path("there is no such file".into()))?;
+    let snapshot = Snapshot::read(&bytes).map_err(|wrong| with_path(wrong.to_string()))?;
     let Snapshot { fleet, instance, number, written, stamp, list, words, floor } = snapshot;
     let age = super::unix_nanos().saturating_sub(written) / 1_000_000_000;
     let mut lines = vec![format!(
--- a/balancer/src/main.rs
+++ b/balancer/src/main.rs
@@ -17,7 +17,7 @@
 mod list;
 mod mesh;
 mod metrics;
-mod operator;
+mod operator_api;
 mod peer;
 mod phases;
 mod settings;
@@ -28,7 +28,7 @@
 use std::process::ExitCode;
 
 use command_line::{Command, SnapshotAction};
-use fleet::file::FleetFile;
+use fleet::config::FleetConfig;
 use start::StartFacts;
 
 fn main() -> ExitCode {
@@ -51,7 +51,7 @@
         Command::Check { facts } => check_facts(&facts),
         Command::Fleet { instances } => show_fleet(&instances),
         Command::Snapshot { action, file } => {
-            println!("{}", fleet::keep::inspect(&file, action == SnapshotAction::Show)?);
+            println!("{}", fleet::snapshot_store::inspect(&file, action == SnapshotAction::Show)?);
             Ok(ExitCode::SUCCESS)
         }
         Command::Version => {
@@ -68,7 +68,7 @@
 fn run_serve(facts: &Path, fleet: Option<&Path>) -> Result<ExitCode, String> {
     let mut start = StartFacts::read(facts)?;
     let has_peers = start.unused.contains(&"Peers");
-    let fleet = fleet.map(|file| FleetFile::read(file, has_peers)).transpose()?;
+    let fleet = fleet.map(|file| FleetConfig::read(file, has_peers)).transpose()?;
     start.unused.retain(|name| fleet.is_none() || *name != "Peers");
     serve(start, fleet)
 }
@@ -95,7 +95,7 @@
     Ok(ExitCode::SUCCESS)
 }
 
-fn serve(start: StartFacts, fleet: Option<FleetFile>) -> Result<ExitCode, String> {
+fn serve(start: StartFacts, fleet: Option<FleetConfig>) -> Result<ExitCode, String> {
     // A log that nobody reads must not hold up requests, so its lines are dropped rather than waited for.
     let (lines, _writer) = tracing_appender::non_blocking(std::io::stderr());
     let subscriber =
--- a/balancer/src/phases.rs
+++ b/balancer/src/phases.rs
@@ -20,10 +20,10 @@
 use crate::address_sharing::AddressSharing;
 use crate::clock::Clock;
 use crate::decisions::{Actor, Decisions, Mail};
-use crate::fleet::{self, file::FleetFile};
+use crate::fleet::{self, config::FleetConfig};
 use crate::metrics::Metrics;
 use crate::start::StartFacts;
-use crate::{client_listener, list, operator, peer};
+use crate::{client_listener, list, operator_api, peer};
 
 const S: Nanos = 1_000_000_000;
 /// After the wish to stop, callers still come for a while, and those that are in go on asking. The door stays open
@@ -148,7 +148,7 @@
 }
 
 /// Runs a balancer from start to exit.
-pub async fn run(start: StartFacts, fleet: Option<FleetFile>) -> Result<ExitCode, String> {
+pub async fn run(start: StartFacts, fleet: Option<FleetConfig>) -> Result<ExitCode, String> {
     let (clock, life) = (Clock::new(), Life::new());
     let mut terminate = signal(SignalKind::terminate()).map_err(|e| e.to_string())?;
     let mut interrupt = signal(SignalKind::interrupt()).map_err(|e| e.to_string())?;
@@ -224,11 +224,11 @@
     tokio::spawn(read_again(hangup, start.file, start.discovery, listed.clone()));
     let told = fleet.as_ref().map(|fleet| (fleet.confirmed.clone(), fleet.wait));
     let (fleet, evidence) = fleet.map(|fleet| (fleet.pages, fleet.evidence)).unzip();
-    let desk = operator::Desk { life: life.clone(), metrics: metrics.clone(), fleet };
+    let operator_api = operator_api::OperatorApi { life: life.clone(), metrics: metrics.clone(), fleet };
     if let Some(address) = start.operator {
-        let door = operator::bind(address)?;
+        let door = operator_api::bind(address)?;
         let address = door.local_addr().map_err(|e| e.to_string())?;
-        operator::open(door, desk)?;
+        operator_api::spawn(door, operator_api)?;
         info!("{} answers operators on {address}", start.name);
     }
     let bounds = client_listener::AdmissionLimits {
--- a/balancer/src/settings.rs
+++ b/balancer/src/settings.rs
@@ -1,20 +1,22 @@
-//! What the settings and the names of callers' headers may be. It owns the checks before a start and must never
-//! mend anything: what can't be is a plain line that names the setting, and no start.
+//! Checks the settings and the header names in the start facts.
+//!
+//! An invalid value is never corrected: the program reports the setting and does not start.
 
 use hyper::header::HeaderName;
 use serde_json::Value as Json;
 
-/// Where callers tell what the module may know of a req beside its rule set; nowhere unless the facts say so.
+/// The headers in which clients give optional facts about a request. There are none unless the start facts
+/// name them.
 #[derive(Clone, Default)]
 pub struct Headers {
-    /// The customer that the req is of.
+    /// The customer that sends the request.
     pub customer: Option<HeaderName>,
-    /// The work it is expected to be, in milliseconds.
+    /// The expected work, in milliseconds.
     pub cost: Option<HeaderName>,
 }
 
-/// Headers that mean something else here.
-const TAKEN: &[&str] = &[
+/// Headers that have another meaning here.
+const RESERVED_HEADERS: &[&str] = &[
     "x-call-id",
     "x-call-class",
     "x-budget",
@@ -29,58 +31,58 @@
 ];
 
 enum Kind {
-    /// A whole number from 1 on.
+    /// A whole number of at least 1.
     Count,
-    /// A number above 0, or from 0 on, or from 0 to 1.
-    Above,
-    From,
-    Share,
+    /// A number above 0, of at least 0, or from 0 to 1.
+    PositiveNumber,
+    NonNegativeNumber,
+    Fraction,
     Flag,
-    Word(&'static [&'static str]),
+    OneOf(&'static [&'static str]),
 }
 use Kind::*;
 
-const TOP: &[(&str, Kind)] = &[
+const TOP_LEVEL_SETTINGS: &[(&str, Kind)] = &[
     ("/NInstances", Count),
-    ("/Me", From),
-    ("/Tier", From),
-    ("/ExcessUtility", From),
-    ("/UtilityBy", Word(&["request", "work"])),
-    ("/Discovery", Word(&["ask", "push"])),
+    ("/Me", NonNegativeNumber),
+    ("/Tier", NonNegativeNumber),
+    ("/ExcessUtility", NonNegativeNumber),
+    ("/UtilityBy", OneOf(&["request", "work"])),
+    ("/Discovery", OneOf(&["ask", "push"])),
     ("/Limits/MaxDispatches", Count),
     ("/Limits/StreamsPerConn", Count),
-    ("/Limits/MaxRetryAfter", From),
-    ("/Limits/ConnIdle", From),
-    ("/Limits/ConnectTimeout", From),
+    ("/Limits/MaxRetryAfter", NonNegativeNumber),
+    ("/Limits/ConnIdle", NonNegativeNumber),
+    ("/Limits/ConnectTimeout", NonNegativeNumber),
     ("/Limits/Cancelling", Flag),
     ("/Limits/RetryAfter", Flag),
     ("/Limits/Probes", Flag),
     ("/Limits/Peers", Flag),
     ("/Limits/SecondCopies", Flag),
-    ("/Guarantees/Cold", From),
-    ("/Guarantees/ColdShare", Share),
-    ("/Guarantees/DrainGrace", From),
-    ("/Report/Via", Word(&["inline", "on_probe", "off"])),
+    ("/Guarantees/Cold", NonNegativeNumber),
+    ("/Guarantees/ColdShare", Fraction),
+    ("/Guarantees/DrainGrace", NonNegativeNumber),
+    ("/Report/Via", OneOf(&["inline", "on_probe", "off"])),
 ];
 
-const RULE_SET: &[(&str, Kind)] = &[
-    ("/ResponseTarget", Above),
-    ("/ClientTimeout", Above),
-    ("/Window", From),
-    ("/Utility", From),
-    ("/TardyUtility", Share),
-    ("/Effect", Word(&["repeatable", "by_key", "once"])),
-    ("/DedupScope", Word(&["all", "zone", "cell"])),
+const RULE_SET_SETTINGS: &[(&str, Kind)] = &[
+    ("/ResponseTarget", PositiveNumber),
+    ("/ClientTimeout", PositiveNumber),
+    ("/Window", NonNegativeNumber),
+    ("/Utility", NonNegativeNumber),
+    ("/TardyUtility", Fraction),
+    ("/Effect", OneOf(&["repeatable", "by_key", "once"])),
+    ("/DedupScope", OneOf(&["all", "zone", "cell"])),
 ];
 
-const CUSTOMER: &[(&str, Kind)] = &[("/QuotaPerS", From), ("/Share", Share)];
+const CUSTOMER_SETTINGS: &[(&str, Kind)] = &[("/QuotaPerS", NonNegativeNumber), ("/Share", Fraction)];
 
-/// Whether these settings can be; what is absent can.
+/// Checks the settings that are present; absent ones are valid.
 pub fn check(settings: &Json) -> Result<(), String> {
-    all(settings, "settings", TOP)?;
-    for (list, kinds) in [("RuleSets", RULE_SET), ("Tenants", CUSTOMER)] {
+    check_values(settings, "settings", TOP_LEVEL_SETTINGS)?;
+    for (list, kinds) in [("RuleSets", RULE_SET_SETTINGS), ("Tenants", CUSTOMER_SETTINGS)] {
         for (number, item) in settings[list].as_array().into_iter().flatten().enumerate() {
-            all(item, &format!("settings: /{list}/{number}"), kinds)?;
+            check_values(item, &format!("settings: /{list}/{number}"), kinds)?;
         }
     }
     let limits = &settings["Limits"];
@@ -90,7 +92,7 @@
     Ok(())
 }
 
-/// What the settings allow and this program never does, by name.
+/// Names the features that the settings allow but this program does not use.
 pub fn unused(settings: &Json) -> Vec<&'static str> {
     let limits = &settings["Limits"];
     let allowed = ["SecondCopies", "Probes", "Peers"].into_iter().filter(|name| limits[*name] == true);
@@ -98,42 +100,42 @@
     allowed.chain(streams.then_some("StreamsPerConn")).collect()
 }
 
-/// The headers that the facts name, if any.
-pub fn headers(named: &Json) -> Result<Headers, String> {
-    let header = |what: &str| match &named[what] {
+/// Reads the header names from the start facts.
+pub fn headers(names: &Json) -> Result<Headers, String> {
+    let header = |what: &str| match &names[what] {
         Json::Null => Ok(None),
         name => {
             let name = name.as_str().and_then(|name| HeaderName::try_from(name).ok());
             let name = name.ok_or(format!("headers.{what} is no name of a header"))?;
-            match TAKEN.contains(&name.as_str()) {
+            match RESERVED_HEADERS.contains(&name.as_str()) {
                 true => Err(format!("headers.{what}: {name} means something else here")),
                 false => Ok(Some(name)),
             }
         }
     };
-    if !named.is_null() && !named.is_object() {
+    if !names.is_null() && !names.is_object() {
         return Err("headers is no object".into());
     }
     Ok(Headers { customer: header("customer")?, cost: header("cost_ms")? })
 }
 
-fn all(found: &Json, at: &str, kinds: &[(&str, Kind)]) -> Result<(), String> {
+fn check_values(found: &Json, location: &str, kinds: &[(&str, Kind)]) -> Result<(), String> {
     for (path, kind) in kinds {
         let Some(value) = found.pointer(path).filter(|value| !value.is_null()) else { continue };
-        let number = |fits: fn(f64) -> bool| value.as_f64().is_some_and(fits);
-        let (fits, wanted) = match kind {
-            Count => (number(|n| n >= 1.0 && n.fract() == 0.0), "a whole number from 1 on".to_owned()),
-            Above => (number(|n| n > 0.0), "a number above 0".to_owned()),
-            From => (number(|n| n >= 0.0), "a number from 0 on".to_owned()),
-            Share => (number(|n| (0.0..=1.0).contains(&n)), "a number from 0 to 1".to_owned()),
+        let is_number = |condition: fn(f64) -> bool| value.as_f64().is_some_and(condition);
+        let (is_valid, expected) = match kind {
+            Count => (is_number(|n| n >= 1.0 && n.fract() == 0.0), "a whole number from 1 on".to_owned()),
+            PositiveNumber => (is_number(|n| n > 0.0), "a number above 0".to_owned()),
+            NonNegativeNumber => (is_number(|n| n >= 0.0), "a number from 0 on".to_owned()),
+            Fraction => (is_number(|n| (0.0..=1.0).contains(&n)), "a number from 0 to 1".to_owned()),
             Flag => (value.is_boolean(), "true or false".to_owned()),
-            Word(words) => (
+            OneOf(words) => (
                 value.as_str().is_some_and(|word| words.contains(&word)),
                 format!("one of {}", words.join(", ")),
             ),
         };
-        if !fits {
-            return Err(format!("{at}: {path} is {value}, not {wanted}"));
+        if !is_valid {
+            return Err(format!("{location}: {path} is {value}, not {expected}"));
         }
     }
     Ok(())
@@ -147,20 +149,20 @@
         serde_json::from_str(text).expect("JSON")
     }
 
-    /// Guards against a deployment that starts on a setting that can't be, and serves by a guess.
+    /// Guards against a deployment that starts with an invalid setting and serves on a guess.
     #[test]
-    fn a_setting_that_cannot_be_is_named() {
-        let line = |text: &str| check(&settings(text)).expect_err("refused");
-        let seen = [
-            line(r#"{"NInstances": 0}"#),
-            line(r#"{"NInstances": 2.5}"#),
-            line(r#"{"Limits": {"SecondCopies": "yes"}}"#),
-            line(r#"{"Limits": {"SecondCopies": true, "MaxDispatches": 1}}"#),
-            line(r#"{"UtilityBy": "customer"}"#),
-            line(r#"{"Guarantees": {"ColdShare": 1.5}}"#),
-            line(r#"{"RuleSets": [{"Utility": 1}, {"Utility": -1}]}"#),
-            line(r#"{"RuleSets": [{"ResponseTarget": 0}]}"#),
-            line(r#"{"Tenants": [{"QuotaPerS": "many"}]}"#),
+    fn an_invalid_setting_is_named() {
+        let error = |text: &str| check(&settings(text)).expect_err("refused");
+        let errors = [
+            error(r#"{"NInstances": 0}"#),
+            error(r#"{"NInstances": 2.5}"#),
+            error(r#"{"Limits": {"SecondCopies": "yes"}}"#),
+            error(r#"{"Limits": {"SecondCopies": true, "MaxDispatches": 1}}"#),
+            error(r#"{"UtilityBy": "customer"}"#),
+            error(r#"{"Guarantees": {"ColdShare": 1.5}}"#),
+            error(r#"{"RuleSets": [{"Utility": 1}, {"Utility": -1}]}"#),
+            error(r#"{"RuleSets": [{"ResponseTarget": 0}]}"#),
+            error(r#"{"Tenants": [{"QuotaPerS": "many"}]}"#),
         ];
         expect_test::expect![[r#"
             settings: /NInstances is 0, not a whole number from 1 on
@@ -172,11 +174,11 @@
             settings: /RuleSets/1: /Utility is -1, not a number from 0 on
             settings: /RuleSets/0: /ResponseTarget is 0, not a number above 0
             settings: /Tenants/0: /QuotaPerS is "many", not a number from 0 on"#]]
-        .assert_eq(&seen.join("\n"));
+        .assert_eq(&errors.join("\n"));
     }
 
     #[test]
-    fn what_is_absent_stays_as_it_was() {
+    fn absent_settings_are_valid_and_unused() {
         assert!(check(&settings("{}")).is_ok() && unused(&settings("{}")).is_empty());
         let none = headers(&Json::Null).expect("none");
         assert!(none.customer.is_none() && none.cost.is_none());
@@ -186,13 +188,13 @@
     }
 
     #[test]
-    fn headers_that_mean_something_else_are_refused() {
-        let line = |text: &str| headers(&settings(text)).err().expect("refused");
+    fn reserved_and_invalid_headers_are_refused() {
+        let error = |text: &str| headers(&settings(text)).err().expect("refused");
         assert_eq!(
-            line(r#"{"customer": "X-Budget"}"#),
+            error(r#"{"customer": "X-Budget"}"#),
             "headers.customer: x-budget means something else here"
         );
-        assert_eq!(line(r#"{"cost_ms": "a b"}"#), "headers.cost_ms is no name of a header");
-        assert_eq!(line("[]"), "headers is no object");
+        assert_eq!(error(r#"{"cost_ms": "a b"}"#), "headers.cost_ms is no name of a header");
+        assert_eq!(error("[]"), "headers is no object");
     }
 }
