--- a/balancer/src/body.rs
+++ b/balancer/src/body.rs
@@ -19,7 +19,7 @@
 use crate::clock::Clock;
 use crate::connection::lock;
 use crate::metrics::InFlightState;
-use crate::start::MAX_STREAMED_BODY_BYTES;
+use crate::start_facts::MAX_STREAMED_BODY_BYTES;
 
 /// A client that sends no body data for this long is considered gone.
 const CLIENT_IDLE_TIMEOUT: Duration = Duration::from_secs(3);
--- a/balancer/src/client_listener.rs
+++ b/balancer/src/client_listener.rs
@@ -37,12 +37,12 @@
 use crate::connection::{
     MAX_HEAD_BYTES, MeteredStream, SocketMeter, lock, remove_hop_by_hop_headers, unread_bytes,
 };
-use crate::decisions::{Answer, Offer};
+use crate::decision_actor::{DecisionRequest, FinalAnswer};
+use crate::endpoint_pool::BUDGET_HEADER;
+use crate::lifecycle::{Lifecycle, Phase};
 use crate::metrics::{InFlightRequest, Metrics, RequestOutcome};
-use crate::peer::BUDGET;
-use crate::phases::{Life, Phase};
 use crate::settings::Headers;
-use crate::start::{MAX_BUFFERED_BODY_BYTES, MAX_STREAMED_BODY_BYTES, STREAMED_BODY_BUFFER_BYTES};
+use crate::start_facts::{MAX_BUFFERED_BODY_BYTES, MAX_STREAMED_BODY_BYTES, STREAMED_BODY_BUFFER_BYTES};
 
 /// How long a client may take to send a request, the first one counted from the connection's start, and how
 /// long a connection may stay idle.
@@ -83,7 +83,7 @@
 
 pub struct ClientListener<S> {
     clock: Clock,
-    life: Life,
+    life: Lifecycle,
     decisions: S,
     limits: AdmissionLimits,
     connections: Arc<ClientConnections>,
@@ -126,11 +126,11 @@
 
 impl<S> ClientListener<S>
 where
-    S: Service<Offer, Response = Answer> + Clone + Send + Sync + 'static,
+    S: Service<DecisionRequest, Response = FinalAnswer> + Clone + Send + Sync + 'static,
     S::Future: Send,
     S::Error: std::fmt::Display + Send,
 {
-    pub fn new(clock: Clock, life: Life, decisions: S, limits: AdmissionLimits) -> ClientListener<S> {
+    pub fn new(clock: Clock, life: Lifecycle, decisions: S, limits: AdmissionLimits) -> ClientListener<S> {
         ClientListener {
             clock,
             life,
@@ -159,7 +159,7 @@
                     accepted = listener.accept(), if connections.len() < self.max_connections() => match accepted {
                         Ok((stream, _)) => {
                             connection_number += 1;
-                            self.life.came(self.clock.now());
+                            self.life.record_connection(self.clock.now());
                             connections.spawn(self.serve_connection(connection_number, stream));
                             if connections.len() >= self.max_connections() {
                                 self.evict_one();
@@ -189,7 +189,7 @@
             }
             Err(error) => warn!("accept: {error}"),
         }
-        if self.life.handed() {
+        if self.life.is_taken_over() {
             let mut closed = pin!(self.life.reached(Phase::Closing));
             for _ in self.max_connections()..connections.len() {
                 self.evict_one();
@@ -222,7 +222,7 @@
     /// routes some here for a moment, and a connection that has been idle for this long is unlikely to carry
     /// another request.
     async fn close_idle_in_evacuations(&self) {
-        let mut evacuating = self.life.aways();
+        let mut evacuating = self.life.watch_evacuating();
         while evacuating.wait_for(|evacuating| *evacuating).await.is_ok() {
             let lasts =
                 timeout(EVACUATION_IDLE_GRACE, evacuating.wait_for(|evacuating| !evacuating)).await.is_err();
@@ -237,7 +237,7 @@
     /// Returns once another process has taken over the address.
     async fn wait_taken_over(&self) {
         self.life.reached(Phase::Leaving).await;
-        if !self.life.handed() {
+        if !self.life.is_taken_over() {
             std::future::pending().await
         }
     }
@@ -414,7 +414,7 @@
 #[derive(Clone)]
 struct RequestHandler<S> {
     clock: Clock,
-    life: Life,
+    life: Lifecycle,
     decisions: S,
     limits: AdmissionLimits,
     open_ids: Arc<OpenRequestIds>,
@@ -425,7 +425,7 @@
 
 impl<S> Service<Request<Incoming>> for RequestHandler<S>
 where
-    S: Service<Offer, Response = Answer> + Clone + Send + Sync + 'static,
+    S: Service<DecisionRequest, Response = FinalAnswer> + Clone + Send + Sync + 'static,
     S::Future: Send,
     S::Error: std::fmt::Display + Send,
 {
@@ -437,15 +437,15 @@
         Poll::Ready(Ok(()))
     }
 
-    fn call(&mut self, req: Request<Incoming>) -> Self::Future {
+    fn call(&mut self, request: Request<Incoming>) -> Self::Future {
         let handler = self.clone();
         Box::pin(async move {
             handler.connection.close_at.store(Nanos::MAX, Relaxed);
-            let mut response = handler.respond(req).await.unwrap_or_else(|Refusal(status, line)| {
+            let mut response = handler.respond(request).await.unwrap_or_else(|Refusal(status, line)| {
                 handler.connection.refused.store(true, Relaxed);
                 close(text_response(status, line))
             });
-            if handler.life.closes() {
+            if handler.life.closes_connections() {
                 response = close(response);
             }
             let exchange =
@@ -533,39 +533,40 @@
 
 impl<S> RequestHandler<S>
 where
-    S: Service<Offer, Response = Answer> + Clone,
+    S: Service<DecisionRequest, Response = FinalAnswer> + Clone,
     S::Error: std::fmt::Display,
 {
-    async fn respond(&self, req: Request<Incoming>) -> Result<Response<ForwardedBody>, Refusal> {
+    async fn respond(&self, request: Request<Incoming>) -> Result<Response<ForwardedBody>, Refusal> {
         let is_first = !self.connection.had_head.swap(true, Relaxed);
         let received_at = self.meter.take_first_read_at().unwrap_or_else(|| self.clock.now());
-        if req.uri().path() == "/_health" {
+        if request.uri().path() == "/_health" {
             self.refuse_pipelined(0)?;
-            return Ok(if self.life.healthy() {
+            return Ok(if self.life.is_healthy() {
                 Response::new(ForwardedBody::Complete(Full::default()))
             } else {
                 text_response(503, "not serving")
             });
         }
-        let has_length = !req.headers().contains_key(TRANSFER_ENCODING);
+        let has_length = !request.headers().contains_key(TRANSFER_ENCODING);
         if !has_length && self.meter.has_content_length() {
             // Guards against request smuggling: hyper drops the length that would reveal it.
             return Err(Refusal(400, "both a length and a transfer encoding"));
         }
         let read_until =
             if is_first { self.connection.accepted_at } else { received_at } + REQUEST_READ_TIMEOUT;
-        let (mut offer, mut in_flight, _permit) = tokio::select! {
+        let (mut decision_request, mut in_flight, _permit) = tokio::select! {
             biased;
-            offer = self.read_request(req, received_at) => offer?,
+            read = self.read_request(request, received_at) => read?,
             // Guards against clients that use up all connections with bodies that never end.
             () = self.connection.abort_body.notified() => return Err(Refusal(408, "no room for slow bodies")),
             () = self.body_too_slow(read_until) => return Err(Refusal(408, "body too slow")),
         };
-        let (body_bytes, is_streamed) = (offer.1.first_bytes.len() as u64, offer.1.remainder.is_some());
+        let (body_bytes, is_streamed) =
+            (decision_request.1.first_bytes.len() as u64, decision_request.1.remainder.is_some());
         if has_length && !is_streamed {
             self.refuse_pipelined(body_bytes)?;
         }
-        let open_id = self.register_id(offer.1.head.headers())?;
+        let open_id = self.register_id(decision_request.1.head.headers())?;
         if is_streamed {
             // Until it has been received completely, a response leaves some of it unread.
             self.connection.answered_early.store(true, Relaxed);
@@ -577,17 +578,17 @@
         // Everything read from here on belongs to the next request.
         self.meter.take_first_read_at();
         // A request is accepted when its last byte has been received.
-        offer.0.taken = self.meter.last_read_at().max(received_at);
+        decision_request.0.taken = self.meter.last_read_at().max(received_at);
         let answer = tokio::select! {
             biased;
-            answer = self.decisions.clone().oneshot(offer) => answer,
+            answer = self.decisions.clone().oneshot(decision_request) => answer,
             // The end of the process must not leave a request without a response.
-            () = self.life.reached(Phase::Ending) => Ok(Answer::Abort),
+            () = self.life.reached(Phase::Ending) => Ok(FinalAnswer::Aborted),
         };
         self.connection.answered_early.store(is_streamed && !in_flight.state().is_received(), Relaxed);
         let response = match answer {
-            Ok(Answer::Done(answer)) => {
-                let (head, body) = forwarded_response(answer).into_parts();
+            Ok(FinalAnswer::Response(response)) => {
+                let (head, body) = forwarded_response(response).into_parts();
                 let body = match body {
                     ResponseBody::Complete(bytes) => {
                         in_flight.set_outcome(RequestOutcome::Success);
@@ -606,18 +607,18 @@
                 };
                 Response::from_parts(head, body)
             }
-            Ok(Answer::Deny { come_back }) => {
+            Ok(FinalAnswer::Denied { retry_after }) => {
                 in_flight.set_outcome(RequestOutcome::Overload);
                 let mut response = text_response(503, "denied: safe to try again");
-                if come_back > 0 {
-                    let value = HeaderValue::try_from(format!("{:.3}", seconds(come_back)));
+                if retry_after > 0 {
+                    let value = HeaderValue::try_from(format!("{:.3}", seconds(retry_after)));
                     value
                         .into_iter()
                         .for_each(|value| drop(response.headers_mut().insert(RETRY_AFTER, value)));
                 }
                 response
             }
-            Ok(Answer::Abort) => text_response(502, "aborted: it may have run"),
+            Ok(FinalAnswer::Aborted) => text_response(502, "aborted: it may have run"),
             Err(error) => text_response(500, &error.to_string()),
         };
         // The data after the request has not been examined, and the end of a chunked request is unknown.
@@ -650,10 +651,10 @@
     /// memory permit for the body.
     async fn read_request(
         &self,
-        req: Request<Incoming>,
+        request: Request<Incoming>,
         received_at: Nanos,
-    ) -> Result<(Offer, InFlightRequest, OwnedSemaphorePermit), Refusal> {
-        let (mut head, mut body) = req.into_parts();
+    ) -> Result<(DecisionRequest, InFlightRequest, OwnedSemaphorePermit), Refusal> {
+        let (mut head, mut body) = request.into_parts();
         let header = |name: &str| head.headers.get(name).map(|value| value.to_str().unwrap_or_default());
         if head.method == Method::CONNECT {
             return Err(Refusal(405, "no tunnels"));
@@ -661,7 +662,7 @@
         if header("x-call-id").is_none() {
             return Err(Refusal(400, "no X-Call-Id"));
         }
-        let budget = header(BUDGET.as_str()).and_then(|text| text.trim().parse::<f64>().ok());
+        let budget = header(BUDGET_HEADER.as_str()).and_then(|text| text.trim().parse::<f64>().ok());
         let budget = budget.filter(|budget| *budget > 0.0 && *budget <= MAX_BUDGET_S);
         let budget = budget.ok_or(Refusal(400, "no X-Budget that can be read"))?;
         let first_segment = head.uri.path().split('/').nth(1).unwrap_or_default();
--- a/balancer/src/connection.rs
+++ b/balancer/src/connection.rs
@@ -29,7 +29,7 @@
 use crate::body::{RequestBody, RequestMessage};
 use crate::clock::Clock;
 use crate::metrics::Metrics;
-use crate::start::{MAX_BUFFERED_BODY_BYTES, MAX_STREAMED_BODY_BYTES};
+use crate::start_facts::{MAX_BUFFERED_BODY_BYTES, MAX_STREAMED_BODY_BYTES};
 
 /// The maximum size of a request or response head.
 pub const MAX_HEAD_BYTES: usize = 32 * 1024;
--- a/balancer/src/fleet.rs
+++ b/balancer/src/fleet.rs
@@ -1,12 +1,14 @@
-//! The actor between the instances of a fleet: the one that owns the sockets they speak by. It carries what the machine of
-//! `gossip/` says, tells the module's actor of drains and departures that others heard of first and of what they count, and
-//! must never decide anything, hold up a list, or believe bytes. It exists only where the operator's own file names it
-//! (`serve --fleet`).
+//! The fleet actor: it owns the sockets on which the instances of a fleet exchange messages, and drives the
+//! gossip state machine of `gossip/`.
+//!
+//! It reports to the decision actor the drains, departures and outcomes that other instances have seen first.
+//! It decides nothing itself, never delays a list update, and treats received bytes as untrusted. It runs
+//! only if a fleet configuration is given (`serve --fleet`).
 
 pub mod config;
-mod meeting;
-pub mod page;
 pub mod snapshot_store;
+pub mod status_page;
+mod stream_sync;
 
 use std::net::SocketAddr;
 use std::sync::{Arc, PoisonError};
@@ -29,47 +31,47 @@
 use tracing::{info, warn};
 
 use crate::clock::Clock;
-use crate::decisions::{Evidence, Mail};
-use crate::list::Entry;
+use crate::decision_actor::{DecisionEvent, ObservedOutcomes};
+use crate::discovery::EndpointEntry;
+use crate::lifecycle::{Lifecycle, Phase};
 use crate::metrics::Metrics;
-use crate::phases::{Life, Phase};
 use config::FleetConfig;
 use snapshot_store::SnapshotStore;
 
 const S: Nanos = 1_000_000_000;
-/// A line a minute about what could not be read.
-const SAY_EVERY: Nanos = 60 * S;
-const SHOW_EVERY: Nanos = S / 2;
-/// What the module's actor has counted is taken over so often.
-const COUNT_EVERY: Nanos = S / 10;
-const MAILBOX: usize = 64;
-/// A snapshot follows what has changed by so much, and a part of it by chance: those that hear the same don't write
-/// together.
-const KEEP_AFTER: Nanos = S / 10;
-/// The process that this one takes over from has the port a little longer.
-const BIND_EVERY: Duration = Duration::from_millis(100);
+/// Unreadable messages are logged at most once a minute.
+const REJECTION_LOG_INTERVAL: Nanos = 60 * S;
+const STATUS_INTERVAL: Nanos = S / 2;
+/// How often the outcomes recorded by the decision actor are collected.
+const OUTCOME_INTERVAL: Nanos = S / 10;
+const MAILBOX_CAPACITY: usize = 64;
+/// A snapshot is written this long after a change, plus a random part of it, so that instances that receive
+/// the same change do not write at the same time.
+const SNAPSHOT_DELAY: Nanos = S / 10;
+/// The process that this one replaces keeps the port a little longer.
+const BIND_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What the rest of the program holds of it: where the list's news goes, and pages for operators.
-pub struct Door {
-    pub news: mpsc::Sender<Mail>,
-    pub pages: Pages,
-    /// Where the module's actor puts what the others are to be told.
-    pub evidence: Evidence,
-    /// The list to begin with, and where it is from.
-    pub first: (Source, Vec<Entry>),
-    /// Others have told what they know; and how long a start may wait for that.
+/// The rest of the program's access to the fleet actor: where list updates go, and the status for operators.
+pub struct FleetHandle {
+    pub list_updates: mpsc::Sender<DecisionEvent>,
+    pub status: FleetStatus,
+    /// Where the decision actor records outcomes for the other instances.
+    pub observed: ObservedOutcomes,
+    /// The list to start with, and its source.
+    pub initial_list: (Source, Vec<EndpointEntry>),
+    /// Whether other instances have sent their state, and how long a start may wait for that.
     pub confirmed: watch::Receiver<bool>,
-    pub wait: Duration,
+    pub confirmation_timeout: Duration,
 }
 
-/// The page of what is held, and metrics.
+/// The status page and the fleet's metrics.
 #[derive(Clone)]
-pub struct Pages(watch::Receiver<Shown>);
+pub struct FleetStatus(watch::Receiver<StatusSnapshot>);
 
-type Shown = (String, Vec<(&'static str, u64, &'static str)>);
+type StatusSnapshot = (String, Vec<(&'static str, u64, &'static str)>);
 
-impl Pages {
-    pub fn page(&self) -> String {
+impl FleetStatus {
+    pub fn status_page(&self) -> String {
         self.0.borrow().0.clone()
     }
 
@@ -78,422 +80,459 @@
     }
 }
 
-/// What others reach this instance at.
+/// The sockets for messages from other instances.
 struct Sockets {
     udp: UdpSocket,
-    /// Takes in meetings.
-    keeper: AbortHandle,
+    /// The task that accepts stream synchronizations.
+    sync_listener: AbortHandle,
 }
 
 impl Drop for Sockets {
     fn drop(&mut self) {
-        self.keeper.abort();
+        self.sync_listener.abort();
     }
 }
 
-struct Fleet {
-    file: FleetConfig,
+struct FleetActor {
+    config: FleetConfig,
     clock: Clock,
-    /// None while another process of this instance has the port, and once one has taken over.
+    /// None while another process of this instance holds the port, and after one has taken over.
     sockets: Option<Sockets>,
     peer: Peer,
     known: Known<SocketAddr>,
-    decisions: mpsc::Sender<Mail>,
-    desk: mpsc::Sender<meeting::Mail>,
-    counts: page::Counts,
-    show_at: Nanos,
-    count_at: Nanos,
-    say_at: Nanos,
-    said: u64,
-    pages: watch::Sender<Shown>,
-    evidence: Evidence,
-    keep: Option<SnapshotStore>,
-    /// When the next snapshot is due, if anything has changed since the last; and its number.
-    keep_at: Option<Nanos>,
-    kept: u64,
-    spread: Nanos,
+    decisions: mpsc::Sender<DecisionEvent>,
+    sync_sender: mpsc::Sender<stream_sync::SyncRequest>,
+    counts: status_page::FleetCounts,
+    next_status_at: Nanos,
+    next_outcomes_at: Nanos,
+    next_rejection_log_at: Nanos,
+    rejected_messages: u64,
+    status: watch::Sender<StatusSnapshot>,
+    observed: ObservedOutcomes,
+    snapshots: Option<SnapshotStore>,
+    /// When the next snapshot is due, if anything has changed since the last; and the number of the last.
+    snapshot_due_at: Option<Nanos>,
+    snapshot_number: u64,
+    snapshot_jitter: Nanos,
     start: Start,
     metrics: Arc<Metrics>,
-    /// Reqs that had ended when that was looked at last, and those of them that were lost.
-    ends: (u64, u64),
+    /// Requests that had ended at the last check, and how many of them failed.
+    ended_and_failed: (u64, u64),
     confirmed: watch::Sender<bool>,
 }
 
 /// What the program knows when it starts.
-pub struct Began {
+pub struct FleetStartup {
     pub seed: u64,
     /// Other processes at the clients' address.
-    pub others: usize,
+    pub other_processes: usize,
     /// The list in the start facts, with discovery's version.
-    pub given: Option<(u64, Vec<Entry>)>,
+    pub facts_list: Option<(u64, Vec<EndpointEntry>)>,
     pub metrics: Arc<Metrics>,
 }
 
-/// Starts it before the module's actor: what the list tells goes through it, changed by nothing but what others heard of
-/// later lists. Where another process of this instance may still have the port it is waited for, else it has to be free.
+/// Starts the fleet actor, before the decision actor. List updates pass through it and are changed only where
+/// other instances know of later lists. If another process of this instance may still hold the port, it is
+/// waited for; otherwise the port must be free.
 pub async fn start(
-    file: FleetConfig,
+    config: FleetConfig,
     name: &str,
     zone: &str,
-    began: Began,
-    (clock, life): (Clock, Life),
-    decisions: mpsc::Sender<Mail>,
-) -> Result<Door, String> {
-    let Began { seed, others, given, metrics } = began;
-    let (desk, meetings) = mpsc::channel(MAILBOX);
-    let sockets = match open(file.listen, &desk).await {
+    startup: FleetStartup,
+    (clock, life): (Clock, Lifecycle),
+    decisions: mpsc::Sender<DecisionEvent>,
+) -> Result<FleetHandle, String> {
+    let FleetStartup { seed, other_processes, facts_list, metrics } = startup;
+    let (sync_sender, sync_requests) = mpsc::channel(MAILBOX_CAPACITY);
+    let sockets = match open(config.listen, &sync_sender).await {
         Ok(sockets) => Some(sockets),
-        Err(_) if others > 0 => {
-            info!("fleet: {} is taken; waited for", file.listen);
+        Err(_) if other_processes > 0 => {
+            info!("fleet: {} is in use; waiting until it is free", config.listen);
             None
         }
-        Err(e) => return Err(format!("can't speak with the fleet on {}: {e}", file.listen)),
+        Err(e) => return Err(format!("can't speak with the fleet on {}: {e}", config.listen)),
     };
     let now = clock.now();
-    let keep = file.snapshots.as_deref().map(SnapshotStore::new);
+    let snapshots = config.snapshots.as_deref().map(SnapshotStore::new);
     let unix = unix_nanos();
-    let snapshot = keep.as_ref().and_then(|keep| keep.read(&file.fleet, name, unix));
+    let snapshot = snapshots.as_ref().and_then(|store| store.read(&config.fleet, name, unix));
     let age = snapshot.as_ref().map(|snapshot| unix.saturating_sub(snapshot.written));
-    let version = given.as_ref().map(|(version, _)| *version);
-    let given = given.map(|(version, entries)| Given { version, entries });
-    let first: First<SocketAddr> = begin::first(given, snapshot.as_ref(), age.unwrap_or(0));
+    let version = facts_list.as_ref().map(|(version, _)| *version);
+    let facts_list = facts_list.map(|(version, entries)| Given { version, entries });
+    let initial_list: First<SocketAddr> = begin::first(facts_list, snapshot.as_ref(), age.unwrap_or(0));
     if let Some(age) = age {
-        let First { source, entries, gone, drain } = &first;
+        let First { source, entries, gone, drain } = &initial_list;
         info!(
-            "snapshot {} s old: begins with {} srvs by {source:?}, {gone} left out as gone, {drain} avoided",
+            "snapshot is {} s old: starting with {} endpoints from {source:?}, {gone} excluded as gone, {drain} draining",
             age / S,
             entries.len()
         );
     }
-    let wait = start::wait(age, !file.seeds.is_empty());
+    let wait = start::wait(age, !config.seeds.is_empty());
     let settings = Settings {
-        fleet: file.fleet.clone(),
+        fleet: config.fleet.clone(),
         name: name.into(),
-        address: file.listen,
+        address: config.listen,
         zone: zone.into(),
-        // Another process under this name has another start: by its time and its number, over the facts' seed.
+        // Distinguishes processes under the same instance name: time and process id are combined with the
+        // seed of the start facts.
         start: seed ^ (std::process::id() as u64).rotate_left(40) ^ unix_nanos(),
-        seeds: file.seeds.clone(),
+        seeds: config.seeds.clone(),
         membership: Config::default(),
     };
-    let (news, mailbox) = mpsc::channel(MAILBOX);
-    let spread = settings.start % KEEP_AFTER;
-    let (mut peer, counts) = (Peer::new(settings, now), page::Counts::default());
+    let (list_updates, update_receiver) = mpsc::channel(MAILBOX_CAPACITY);
+    let snapshot_jitter = settings.start % SNAPSHOT_DELAY;
+    let (mut peer, counts) = (Peer::new(settings, now), status_page::FleetCounts::default());
     if let Some(snapshot) = &snapshot {
-        // What the facts' list is newer in is settled by it.
-        let newer =
-            version.is_some_and(|version| version > snapshot.stamp.version) && first.source == Source::Facts;
+        // Where the list in the start facts is newer, it replaces the snapshot's statuses.
+        let newer = version.is_some_and(|version| version > snapshot.stamp.version)
+            && initial_list.source == Source::Facts;
         peer.recall(snapshot.stamp, &snapshot.words, snapshot.floor);
         if newer {
-            let said: Vec<(String, words::State)> = first
+            let states: Vec<(String, words::State)> = initial_list
                 .entries
                 .iter()
                 .map(|(listed, _)| (listed.srv.to_string(), to_word(listed.state)))
                 .collect();
-            peer.listed(version.unwrap_or_default(), true, &said);
+            peer.listed(version.unwrap_or_default(), true, &states);
         }
     }
-    let start = Start::new(now, !first.entries.is_empty());
-    let (confirmed, told) = watch::channel(false);
-    let page = (page::show(&peer, &file.fleet, counts, now), page::metrics(&peer, counts, &start));
-    let (pages, shown) = watch::channel(page);
-    let evidence = Evidence::default();
-    info!("{name} speaks with fleet {} on {}", file.fleet, file.listen);
-    let fleet = Fleet {
-        file,
+    let start = Start::new(now, !initial_list.entries.is_empty());
+    let (confirmed, confirmed_receiver) = watch::channel(false);
+    let page =
+        (status_page::render(&peer, &config.fleet, counts, now), status_page::metrics(&peer, counts, &start));
+    let (status, status_receiver) = watch::channel(page);
+    let observed = ObservedOutcomes::default();
+    info!("{name} joins fleet {} at {}", config.fleet, config.listen);
+    let actor = FleetActor {
+        config,
         clock,
         sockets,
         peer,
         known: Known::new(),
         decisions,
-        desk,
+        sync_sender,
         counts,
-        show_at: now,
-        count_at: now,
-        say_at: now,
-        said: 0,
-        pages,
-        evidence: evidence.clone(),
-        keep,
-        keep_at: None,
-        kept: snapshot.map_or(0, |snapshot| snapshot.number),
-        spread,
+        next_status_at: now,
+        next_outcomes_at: now,
+        next_rejection_log_at: now,
+        rejected_messages: 0,
+        status,
+        observed: observed.clone(),
+        snapshots,
+        snapshot_due_at: None,
+        snapshot_number: snapshot.map_or(0, |snapshot| snapshot.number),
+        snapshot_jitter,
         start,
         metrics,
-        ends: (0, 0),
+        ended_and_failed: (0, 0),
         confirmed,
     };
-    tokio::spawn(fleet.run(mailbox, meetings, life));
-    let wait = Duration::from_nanos(wait);
-    Ok(Door {
-        news,
-        pages: Pages(shown),
-        evidence,
-        first: (first.source, first.entries),
-        confirmed: told,
-        wait,
+    tokio::spawn(actor.run(update_receiver, sync_requests, life));
+    let confirmation_timeout = Duration::from_nanos(wait);
+    Ok(FleetHandle {
+        list_updates,
+        status: FleetStatus(status_receiver),
+        observed,
+        initial_list: (initial_list.source, initial_list.entries),
+        confirmed: confirmed_receiver,
+        confirmation_timeout,
     })
 }
 
-/// On the machine's clock, since 1970.
+/// The system time since 1970.
 fn unix_nanos() -> u64 {
-    let since = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
-    since.map_or(0, |since| since.as_nanos() as u64)
+    let since_epoch = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
+    since_epoch.map_or(0, |since_epoch| since_epoch.as_nanos() as u64)
 }
 
-/// Both have one port: datagrams, and meetings.
-async fn open(listen: SocketAddr, desk: &mpsc::Sender<meeting::Mail>) -> std::io::Result<Sockets> {
+/// Datagrams and stream synchronizations use the same port.
+async fn open(
+    listen: SocketAddr,
+    sync_sender: &mpsc::Sender<stream_sync::SyncRequest>,
+) -> std::io::Result<Sockets> {
     let udp = UdpSocket::bind(listen).await?;
     let listener = TcpListener::bind(listen).await?;
-    let keeper = tokio::spawn(meeting::keep(listener, desk.clone())).abort_handle();
-    Ok(Sockets { udp, keeper })
+    let sync_listener = tokio::spawn(stream_sync::accept(listener, sync_sender.clone())).abort_handle();
+    Ok(Sockets { udp, sync_listener })
 }
 
-async fn received(sockets: &Option<Sockets>, bytes: &mut [u8]) -> Option<(usize, SocketAddr)> {
+async fn receive(sockets: &Option<Sockets>, bytes: &mut [u8]) -> Option<(usize, SocketAddr)> {
     match sockets {
         Some(sockets) => sockets.udp.recv_from(bytes).await.ok(),
         None => std::future::pending().await,
     }
 }
 
-impl Fleet {
+impl FleetActor {
     async fn run(
         mut self,
-        mut mailbox: mpsc::Receiver<Mail>,
-        mut meetings: mpsc::Receiver<meeting::Mail>,
-        life: Life,
+        mut update_receiver: mpsc::Receiver<DecisionEvent>,
+        mut sync_requests: mpsc::Receiver<stream_sync::SyncRequest>,
+        life: Lifecycle,
     ) {
-        let (mut bytes, mut serves, mut left) = (vec![0; MOST + 1], false, false);
+        let (mut bytes, mut is_serving, mut has_left) = (vec![0; MOST + 1], false, false);
         let mut bind_at = Instant::now();
         loop {
-            let next = self.next();
+            let wake_at = self.next_wake_at();
             tokio::select! {
-                mail = mailbox.recv() => {
-                    let Some(mail) = mail else { return };
-                    let mail = self.note(mail);
-                    if self.decisions.send(mail).await.is_err() {
+                event = update_receiver.recv() => {
+                    let Some(event) = event else { return };
+                    let event = self.merge_update(event);
+                    if self.decisions.send(event).await.is_err() {
                         return;
                     }
                 }
-                received = received(&self.sockets, &mut bytes) => if let Some((count, from)) = received {
+                received = receive(&self.sockets, &mut bytes) => if let Some((count, from)) = received {
                     self.peer.receive(self.clock.now(), from, &bytes[..count]);
                 },
-                mail = meetings.recv() => if let Some(mail) = mail {
-                    self.meet(mail);
+                request = sync_requests.recv() => if let Some(request) = request {
+                    self.handle_sync(request);
                 },
-                () = life.reached(Phase::Serving), if !serves => {
+                () = life.reached(Phase::Serving), if !is_serving => {
                     self.start.ready(self.clock.now());
-                    serves = true;
+                    is_serving = true;
                 }
-                // One that is to end says so: it is no loss to the others. It still hears what drains.
-                () = life.reached(Phase::Leaving), if !left => {
+                // An instance that stops announces it, so that the others do not count it as failed. It still
+                // receives drains.
+                () = life.reached(Phase::Leaving), if !has_left => {
                     self.peer.leave(self.clock.now());
-                    left = true;
+                    has_left = true;
                 }
-                () = sleep_until(bind_at), if self.sockets.is_none() && !left => {
-                    bind_at = Instant::now() + BIND_EVERY;
-                    self.sockets = open(self.file.listen, &self.desk).await.ok();
+                () = sleep_until(bind_at), if self.sockets.is_none() && !has_left => {
+                    bind_at = Instant::now() + BIND_RETRY_INTERVAL;
+                    self.sockets = open(self.config.listen, &self.sync_sender).await.ok();
                     if self.sockets.is_some() {
-                        info!("fleet: {} is free, and taken", self.file.listen);
+                        info!("fleet: {} is free, and taken", self.config.listen);
                     }
                 }
-                () = sleep_until(self.clock.instant(next)) => {}
+                () = sleep_until(self.clock.instant(wake_at)) => {}
             }
             self.tick().await;
-            // The process that takes over speaks from the same port.
-            if left && life.handed() {
+            // The process that takes over uses the same port.
+            if has_left && life.is_taken_over() {
                 self.sockets = None;
             }
         }
     }
 
-    fn next(&self) -> Nanos {
-        // Nothing is due later than that, and a clock can tell it.
-        self.peer.next().min(self.show_at).min(self.count_at).min(self.keep_at.unwrap_or(Nanos::MAX))
+    fn next_wake_at(&self) -> Nanos {
+        // Nothing is due later than `show_at`, and the clock can represent that.
+        self.peer
+            .next()
+            .min(self.next_status_at)
+            .min(self.next_outcomes_at)
+            .min(self.snapshot_due_at.unwrap_or(Nanos::MAX))
     }
 
-    /// Something is known that the last snapshot does not hold.
-    fn changed(&mut self, now: Nanos) {
-        if self.keep.is_some() && self.keep_at.is_none() {
-            self.keep_at = Some(now + KEEP_AFTER + self.spread);
+    /// Schedules a snapshot after a change.
+    fn schedule_snapshot(&mut self, now: Nanos) {
+        if self.snapshots.is_some() && self.snapshot_due_at.is_none() {
+            self.snapshot_due_at = Some(now + SNAPSHOT_DELAY + self.snapshot_jitter);
         }
     }
 
-    fn write(&mut self, now: Nanos) {
+    fn write_snapshot(&mut self, now: Nanos) {
         let store = self.peer.store();
         let worse = store.words().iter().filter(|(_, word)| word.state != words::State::Serves);
         let snapshot = Snapshot {
-            fleet: self.file.fleet.clone(),
+            fleet: self.config.fleet.clone(),
             instance: self.peer.swim().name().to_owned(),
-            number: self.kept + 1,
+            number: self.snapshot_number + 1,
             written: unix_nanos(),
             stamp: store.own(),
             list: self.known.list().map(|(listed, address)| snapshot::Entry::of(listed, *address)).collect(),
             words: worse.map(|(srv, word)| (srv.clone(), *word)).collect(),
             floor: store.words().floor(),
         };
-        let Some(keep) = &mut self.keep else { return };
-        if keep.write(snapshot) {
-            (self.kept, self.keep_at) = (self.kept + 1, None);
+        let Some(snapshots) = &mut self.snapshots else { return };
+        if snapshots.write(snapshot) {
+            (self.snapshot_number, self.snapshot_due_at) = (self.snapshot_number + 1, None);
         } else {
-            // Another one is being written.
-            self.keep_at = Some(now + S);
+            // A write is still running.
+            self.snapshot_due_at = Some(now + S);
         }
     }
 
-    /// How far the start has come.
-    fn look(&mut self, now: Nanos) {
+    /// Checks how far the start has progressed.
+    fn update_start_progress(&mut self, now: Nanos) {
         if self.peer.confirmed() {
             self.start.told(now, Knows::Others);
-            self.confirmed.send_if_modified(|told| !std::mem::replace(told, true));
+            self.confirmed.send_if_modified(|confirmed| !std::mem::replace(confirmed, true));
         }
-        let (ended, lost) = self.metrics.ended_and_failed();
-        self.start.ended(now, ended - self.ends.0, lost - self.ends.1);
-        self.ends = (ended, lost);
-        if let Some(told) = self.start.look(now) {
+        let (ended, failed) = self.metrics.ended_and_failed();
+        self.start.ended(now, ended - self.ended_and_failed.0, failed - self.ended_and_failed.1);
+        self.ended_and_failed = (ended, failed);
+        if let Some(summary) = self.start.look(now) {
             let ms = |span: Nanos| span / 1_000_000;
-            let some = |span: Option<Nanos>| span.map_or("never".into(), |span| format!("{} ms", ms(span)));
+            let optional_ms =
+                |span: Option<Nanos>| span.map_or("never".into(), |span| format!("{} ms", ms(span)));
             info!(
                 "full service {} ms after the start: began by {}, ready {} ms, told by others {}, by discovery {}",
-                ms(told.full),
-                told.began_by.name(),
-                ms(told.ready),
-                some(told.others),
-                some(told.discovery)
+                ms(summary.full),
+                summary.began_by.name(),
+                ms(summary.ready),
+                optional_ms(summary.others),
+                optional_ms(summary.discovery)
             );
         }
     }
 
-    /// The list's own news goes on, but for what others have heard of later lists.
-    fn note(&mut self, mail: Mail) -> Mail {
-        let Mail::List { whole, old, version, mut entries } = mail else { return mail };
+    /// Passes on an update from discovery, changed only where other instances know of later lists.
+    fn merge_update(&mut self, event: DecisionEvent) -> DecisionEvent {
+        let DecisionEvent::ListUpdate { is_complete, is_stale, version, mut entries } = event else {
+            return event;
+        };
         let now = self.clock.now();
-        if !old {
+        if !is_stale {
             self.start.told(now, Knows::Discovery);
-            if whole || !entries.is_empty() {
-                self.changed(now);
+            if is_complete || !entries.is_empty() {
+                self.schedule_snapshot(now);
             }
-            let said: Vec<(String, words::State)> =
+            let states: Vec<(String, words::State)> =
                 entries.iter().map(|(listed, _)| (listed.srv.to_string(), to_word(listed.state))).collect();
-            self.peer.listed(version, whole, &said);
+            self.peer.listed(version, is_complete, &states);
         }
-        self.known.told(self.peer.store().words(), whole, &mut entries);
-        Mail::List { whole, old, version, entries }
+        self.known.told(self.peer.store().words(), is_complete, &mut entries);
+        DecisionEvent::ListUpdate { is_complete, is_stale, version, entries }
     }
 
-    /// What a meeting wants.
-    fn meet(&mut self, mail: meeting::Mail) {
+    /// Handles a request from a stream synchronization.
+    fn handle_sync(&mut self, request: stream_sync::SyncRequest) {
         let now = self.clock.now();
-        match mail {
-            meeting::Mail::Hello(reply) => drop(reply.send(self.peer.hello())),
-            meeting::Mail::Greeted(body, reply) => {
+        match request {
+            stream_sync::SyncRequest::OurHello(reply) => drop(reply.send(self.peer.hello())),
+            stream_sync::SyncRequest::TheirHello(body, reply) => {
                 let met = self.peer.greeted(&body).ok().map(|hello| {
                     let pieces = self.peer.differing(&hello);
                     (hello, pieces)
                 });
-                // One that waits no more was cut off.
+                // If the receiver is gone, the synchronization was cut short.
                 drop(reply.send(met));
             }
-            meeting::Mail::Heard(from, body) => {
+            stream_sync::SyncRequest::ReceivedState(from, body) => {
                 if let Err(why) = self.peer.met(now, &body) {
-                    self.wrong(now, from, why);
+                    self.record_rejection(now, from, why);
                 }
             }
-            meeting::Mail::Over { ours, well } if ours || well => self.peer.parted(now, well),
-            meeting::Mail::Over { .. } => {}
+            stream_sync::SyncRequest::Finished { started_here, succeeded } if started_here || succeeded => {
+                self.peer.parted(now, succeeded)
+            }
+            stream_sync::SyncRequest::Finished { .. } => {}
         }
     }
 
-    fn wrong(&mut self, now: Nanos, from: SocketAddr, why: &str) {
-        self.said += 1;
-        if now >= self.say_at {
-            warn!("fleet: {} messages could not be read, the last from {from}: {why}", self.said);
-            (self.say_at, self.said) = (now + SAY_EVERY, 0);
+    fn record_rejection(&mut self, now: Nanos, from: SocketAddr, reason: &str) {
+        self.rejected_messages += 1;
+        if now >= self.next_rejection_log_at {
+            warn!(
+                "fleet: {} messages could not be read, the last from {from}: {reason}",
+                self.rejected_messages
+            );
+            (self.next_rejection_log_at, self.rejected_messages) = (now + REJECTION_LOG_INTERVAL, 0);
         }
     }
 
     async fn tick(&mut self) {
         let now = self.clock.now();
-        if self.keep_at.is_some_and(|at| at <= now) {
-            self.write(now);
+        if self.snapshot_due_at.is_some_and(|at| at <= now) {
+            self.write_snapshot(now);
         }
-        if self.count_at <= now {
-            self.count_at = now + COUNT_EVERY;
-            if self.keep.as_ref().is_some_and(SnapshotStore::take_refused) && self.keep_at.is_none() {
-                self.keep_at = Some(now + S);
+        if self.next_outcomes_at <= now {
+            self.next_outcomes_at = now + OUTCOME_INTERVAL;
+            if self.snapshots.as_ref().is_some_and(SnapshotStore::take_refused)
+                && self.snapshot_due_at.is_none()
+            {
+                self.snapshot_due_at = Some(now + S);
             }
-            self.look(now);
-            let counted = std::mem::take(&mut *self.evidence.lock().unwrap_or_else(PoisonError::into_inner));
-            for ((srv, set), counts) in counted {
-                self.peer.count(now, &srv, &set, counts);
+            self.update_start_progress(now);
+            let recorded = std::mem::take(&mut *self.observed.lock().unwrap_or_else(PoisonError::into_inner));
+            for ((endpoint, rule_set), counts) in recorded {
+                self.peer.count(now, &endpoint, &rule_set, counts);
             }
         }
         if self.peer.next() <= now {
             self.peer.tick(now);
         }
         while let Some(output) = self.peer.output() {
-            self.follow(now, output).await;
+            self.handle_output(now, output).await;
         }
-        if self.show_at <= now {
-            self.show_at = now + SHOW_EVERY;
+        if self.next_status_at <= now {
+            self.next_status_at = now + STATUS_INTERVAL;
             self.counts.overruled = self.known.overruled() as u64;
-            let page = page::show(&self.peer, &self.file.fleet, self.counts, now);
-            self.pages.send_replace((page, page::metrics(&self.peer, self.counts, &self.start)));
+            let page = status_page::render(&self.peer, &self.config.fleet, self.counts, now);
+            self.status.send_replace((page, status_page::metrics(&self.peer, self.counts, &self.start)));
         }
     }
 
-    async fn follow(&mut self, now: Nanos, output: Output) {
+    async fn handle_output(&mut self, now: Nanos, output: Output) {
         match output {
             Output::Send { to, bytes } => {
-                // UDP promises nothing: what can't be sent now is lost, and said again by the protocol.
-                if let (Some(to), Some(sockets)) = (self.reach(&to), &self.sockets) {
+                // UDP is unreliable: a message that can't be sent now is lost, and the protocol sends it
+                // again.
+                if let (Some(to), Some(sockets)) = (self.address_of(&to), &self.sockets) {
                     let _ = sockets.udp.try_send_to(&bytes, to);
                 }
             }
             Output::Changed(srvs) => {
-                self.changed(now);
-                let news = self.known.changed(self.peer.store().words(), srvs.iter().map(String::as_str));
-                if let Some((first, _)) = news.first() {
-                    self.counts.told_early += news.len() as u64;
-                    info!("fleet: told of {} srvs by others, {} is {:?}", news.len(), first.srv, first.state);
-                    let news = Mail::List { whole: false, old: true, version: 0, entries: news };
-                    // With the module's actor gone the program ends.
-                    let _ = self.decisions.send(news).await;
+                self.schedule_snapshot(now);
+                let changed = self.known.changed(self.peer.store().words(), srvs.iter().map(String::as_str));
+                if let Some((first, _)) = changed.first() {
+                    self.counts.told_early += changed.len() as u64;
+                    info!(
+                        "fleet: other instances reported changes of {} endpoints; {} is {:?}",
+                        changed.len(),
+                        first.srv,
+                        first.state
+                    );
+                    let update = DecisionEvent::ListUpdate {
+                        is_complete: false,
+                        is_stale: true,
+                        version: 0,
+                        entries: changed,
+                    };
+                    // The program ends when the decision actor has ended.
+                    let _ = self.decisions.send(update).await;
                 }
             }
             Output::Counted { srv, set, counts } if self.known.has(&srv) => {
                 let Counts { done, failed, lost } = counts;
-                for (how, times) in [(How::Done, done), (How::Error, failed), (How::Reset, lost)] {
-                    if times > 0 {
-                        let (srv, rule_set) = (srv.as_str().into(), set.as_str().into());
-                        let _ = self.decisions.send(Mail::Others { srv, rule_set, how, times }).await;
+                for (outcome, count) in [(How::Done, done), (How::Error, failed), (How::Reset, lost)] {
+                    if count > 0 {
+                        let event = DecisionEvent::PeerOutcomes {
+                            endpoint: srv.as_str().into(),
+                            rule_set: set.as_str().into(),
+                            outcome,
+                            count,
+                        };
+                        let _ = self.decisions.send(event).await;
                     }
                 }
             }
             Output::Counted { .. } => {}
-            Output::Joined(name) => info!("fleet: {name} is there"),
-            Output::Lost(name) => info!("fleet: {name} is lost"),
+            Output::Joined(name) => info!("fleet: {name} has joined"),
+            Output::Lost(name) => info!("fleet: {name} has failed"),
             Output::Left(name) => info!("fleet: {name} has left"),
-            Output::Returned => info!("fleet: the others had taken this instance for dead"),
+            Output::Returned => info!("fleet: other instances had declared this instance dead"),
             Output::Displaced(address) => {
                 warn!(
-                    "fleet: another live process at {address} has this name; nothing is said or heard any more"
+                    "fleet: another live process at {address} has this instance's name; this process sends and receives no more messages"
                 );
             }
-            Output::Meet(name) => match self.reach(&To::Member(name)) {
-                Some(to) => meeting::begin(to, self.desk.clone()),
+            Output::Meet(name) => match self.address_of(&To::Member(name)) {
+                Some(to) => stream_sync::start(to, self.sync_sender.clone()),
                 None => self.peer.parted(now, false),
             },
-            Output::Wrong { from, why } => self.wrong(now, from, &why),
+            Output::Wrong { from, why } => self.record_rejection(now, from, &why),
         }
     }
 
-    fn reach(&self, to: &To) -> Option<SocketAddr> {
+    fn address_of(&self, to: &To) -> Option<SocketAddr> {
         match to {
             To::Address(address) => Some(*address),
             To::Member(name) => {
                 let listens = self.peer.swim().members().get(name).map(|member| member.word.address);
-                self.file.reach.get(name).copied().or(listens)
+                self.config.reach.get(name).copied().or(listens)
             }
         }
     }
--- a/balancer/src/fleet/page.rs
+++ b/balancer/src/fleet/status_page.rs
@@ -1,5 +1,5 @@
-//! What an instance holds of its fleet, as operators read it: the page at their door, metrics beside the program's own, and
-//! how two pages differ. It owns their form and must never be what anything is decided by.
+//! What operators see of an instance's state in the fleet: the status page in the operator API, the fleet's
+//! metrics, and the differences between two pages. Nothing is decided by them.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write as _;
@@ -10,20 +10,20 @@
 use ochreshed_recovery::start::Start;
 use ochreshed_replica::words;
 
-/// Srvs that drain or are gone are shown up to so many.
-const MOST_SHOWN: usize = 200;
+/// The maximum number of draining or gone endpoints on the page.
+const MAX_ENDPOINTS_SHOWN: usize = 200;
 
-/// What the actor counts beside the machine.
+/// What the fleet actor counts besides the gossip node.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Counts {
-    /// Drains, departures and returns told to the module before its own list had them.
+pub struct FleetCounts {
+    /// Drains, departures and returns reported to the decision module before its own list had them.
     pub told_early: u64,
-    /// Srvs of which others have heard worse than the own list says, now.
+    /// Endpoints whose state according to other instances is currently worse than in the own list.
     pub overruled: u64,
 }
 
-/// Members, what is held and how much, what was wrong.
-pub fn show(peer: &Peer, fleet: &str, counts: Counts, now: Nanos) -> String {
+/// Renders the members, the state held with its size, and the rejected messages.
+pub fn render(peer: &Peer, fleet: &str, counts: FleetCounts, now: Nanos) -> String {
     let mut page = String::new();
     let (swim, words, traffic) = (peer.swim(), peer.store().words(), peer.traffic());
     let (name, mine) = (swim.name(), swim.mine());
@@ -59,23 +59,23 @@
             word.state, word.zone, word.address, word.incarnation
         ));
     }
-    // What serves is not worth a line.
-    let worse = words.iter().filter(|(_, word)| word.state != words::State::Serves);
-    for (srv, word) in worse.take(MOST_SHOWN) {
+    // Serving endpoints are left out.
+    let not_serving = words.iter().filter(|(_, word)| word.state != words::State::Serves);
+    for (srv, word) in not_serving.take(MAX_ENDPOINTS_SHOWN) {
         line(format_args!("srv {srv} {:?} by list {}.{}", word.state, word.stamp.epoch, word.stamp.version));
     }
     page
 }
 
-/// The same in numbers: a name, a value, and whether it is a count or a gauge.
-pub fn metrics(peer: &Peer, counts: Counts, start: &Start) -> Vec<(&'static str, u64, &'static str)> {
+/// The same as metrics: a name, a value, and `c` for a counter or `g` for a gauge.
+pub fn metrics(peer: &Peer, counts: FleetCounts, start: &Start) -> Vec<(&'static str, u64, &'static str)> {
     let (swim, words, traffic) = (peer.swim(), peer.store().words(), peer.traffic());
-    let worse = words.iter().filter(|(_, word)| word.state != words::State::Serves).count();
+    let not_serving = words.iter().filter(|(_, word)| word.state != words::State::Serves).count();
     vec![
         ("fleet.members", swim.there().count() as u64 + 1, "g"),
         ("fleet.health", u64::from(swim.health()), "g"),
         ("fleet.words", words.len() as u64, "g"),
-        ("fleet.worse", worse as u64, "g"),
+        ("fleet.worse", not_serving as u64, "g"),
         ("fleet.overruled", counts.overruled, "g"),
         ("fleet.told_early", counts.told_early, "c"),
         ("fleet.rows", traffic.rows, "c"),
@@ -85,22 +85,22 @@
         ("fleet.received_bytes", traffic.received_bytes, "c"),
         ("fleet.unreadable", traffic.wrong.values().sum(), "c"),
         ("start.knows", start.knows() as u64, "g"),
-        // 0 until it is reached.
+        // 0 until full service is reached.
         ("start.full_service_ms", start.full().unwrap_or(0) / 1_000_000, "g"),
     ]
 }
 
-/// Asks an operators' door for its page of the fleet.
-pub fn ask(at: SocketAddr) -> Result<String, String> {
+/// Fetches the status page from an instance's operator API.
+pub fn fetch(at: SocketAddr) -> Result<String, String> {
     let (status, page) =
-        crate::http_client::request(at, "/api/fleet", None).map_err(|why| format!("{at}: {why}"))?;
+        crate::http_client::request(at, "/api/fleet", None).map_err(|error| format!("{at}: {error}"))?;
     let page = String::from_utf8(page).map_err(|_| format!("{at}: the answer is not UTF-8"))?;
     if status == 200 { Ok(page) } else { Err(format!("{at}: {}", page.trim())) }
 }
 
-/// Where the pages of two instances differ in what they hold of members and srvs.
+/// Compares what two instances' pages say about members and endpoints.
 pub fn differences(one: &str, other: &str) -> Vec<String> {
-    let held = |page: &str| -> BTreeMap<String, String> {
+    let states = |page: &str| -> BTreeMap<String, String> {
         let lines = page.lines().filter(|line| line.starts_with("member ") || line.starts_with("srv "));
         lines
             .filter_map(|line| {
@@ -110,7 +110,7 @@
             })
             .collect()
     };
-    let (one, other) = (held(one), held(other));
+    let (one, other) = (states(one), states(other));
     let keys: BTreeSet<&String> = one.keys().chain(other.keys()).collect();
     let none = "-".to_owned();
     let pair =
@@ -124,7 +124,7 @@
     use super::*;
 
     #[test]
-    fn pages_are_held_against_each_other_by_what_they_hold() {
+    fn pages_are_compared_by_members_and_endpoints() {
         let one = "instance n1\nmember n2 Alive in zone a\nsrv s1 Drains by list 0.4\n";
         let other = "instance n2\nmember n2 Dead in zone a\n";
         assert_eq!(
--- a/balancer/src/main.rs
+++ b/balancer/src/main.rs
@@ -11,17 +11,17 @@
 mod clock;
 mod command_line;
 mod connection;
-mod decisions;
+mod decision_actor;
+mod discovery;
+mod endpoint_pool;
 mod fleet;
 mod http_client;
-mod list;
+mod lifecycle;
 mod mesh;
 mod metrics;
 mod operator_api;
-mod peer;
-mod phases;
 mod settings;
-mod start;
+mod start_facts;
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -29,7 +29,7 @@
 
 use command_line::{Command, SnapshotAction};
 use fleet::config::FleetConfig;
-use start::StartFacts;
+use start_facts::StartFacts;
 
 fn main() -> ExitCode {
     match run_command_line() {
@@ -67,18 +67,19 @@
 
 fn run_serve(facts: &Path, fleet: Option<&Path>) -> Result<ExitCode, String> {
     let mut start = StartFacts::read(facts)?;
-    let has_peers = start.unused.contains(&"Peers");
+    let has_peers = start.unused_features.contains(&"Peers");
     let fleet = fleet.map(|file| FleetConfig::read(file, has_peers)).transpose()?;
-    start.unused.retain(|name| fleet.is_none() || *name != "Peers");
+    start.unused_features.retain(|name| fleet.is_none() || *name != "Peers");
     serve(start, fleet)
 }
 
 /// Prints what the instances hold of their fleet; of two instances, where they differ.
 fn show_fleet(instances: &[SocketAddr]) -> Result<ExitCode, String> {
-    let pages = instances.iter().map(|address| fleet::page::ask(*address)).collect::<Result<Vec<_>, _>>()?;
+    let pages =
+        instances.iter().map(|address| fleet::status_page::fetch(*address)).collect::<Result<Vec<_>, _>>()?;
     match &pages[..] {
         [first, second] => {
-            let lines = fleet::page::differences(first, second);
+            let lines = fleet::status_page::differences(first, second);
             lines.iter().for_each(|line| println!("{line}"));
             println!("{} differences", lines.len());
         }
@@ -91,7 +92,10 @@
     let start = StartFacts::read(facts)?;
     let (name, listen, discovery) = (start.name, start.listen, start.discovery);
     println!("{name} listens on {listen} and asks {discovery} for the list");
-    println!("at most {} callers and {} connections to srvs", start.most_in, start.most_out);
+    println!(
+        "at most {} callers and {} connections to srvs",
+        start.max_client_connections, start.max_server_connections
+    );
     Ok(ExitCode::SUCCESS)
 }
 
@@ -103,5 +107,5 @@
     // Unlike `init`, this leaves out the records of the `log` crate, which are the mesh's.
     tracing::subscriber::set_global_default(subscriber).map_err(|e| format!("no log: {e}"))?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    runtime.map_err(|e| format!("no runtime: {e}"))?.block_on(phases::run(start, fleet))
+    runtime.map_err(|e| format!("no runtime: {e}"))?.block_on(lifecycle::run(start, fleet))
 }
--- a/balancer/src/mesh/proxy/listener.rs
+++ b/balancer/src/mesh/proxy/listener.rs
@@ -35,7 +35,7 @@
 use crate::connection::{MAX_HEAD_BYTES, MeteredStream, SocketMeter, remove_hop_by_hop_headers};
 use crate::mesh::proxy::connection_pool::{Permit, ResponseBody};
 use crate::metrics::InFlightState;
-use crate::start::{MAX_BUFFERED_BODY_BYTES, STREAMED_BODY_BUFFER_BYTES};
+use crate::start_facts::{MAX_BUFFERED_BODY_BYTES, STREAMED_BODY_BUFFER_BYTES};
 
 /// Pause after a connection could not be accepted, for instance since no file descriptor is left.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(50);
--- a/balancer/src/operator_api.rs
+++ b/balancer/src/operator_api.rs
@@ -22,9 +22,9 @@
 use tokio::task::AbortHandle;
 use tokio::time::{sleep, timeout};
 
-use crate::fleet::Pages;
+use crate::fleet::FleetStatus;
+use crate::lifecycle::{Lifecycle, Phase};
 use crate::metrics::Metrics;
-use crate::phases::{Life, Phase};
 
 /// The maximum number of connections; one more closes the oldest.
 pub const MAX_CONNECTIONS: usize = 16;
@@ -40,10 +40,10 @@
 /// What operators can read and change.
 #[derive(Clone)]
 pub struct OperatorApi {
-    pub life: Life,
+    pub life: Lifecycle,
     pub metrics: Arc<Metrics>,
     /// What this instance knows about its fleet, if it belongs to one.
-    pub fleet: Option<Pages>,
+    pub fleet: Option<FleetStatus>,
 }
 
 /// Binds the listener. The error is one line of text.
@@ -129,11 +129,11 @@
                 phase => text_response(503, &format!("{phase:?}")),
             },
             "/api/telemetry" if is_read => {
-                let additional = self.fleet.as_ref().map(Pages::metrics).unwrap_or_default();
+                let additional = self.fleet.as_ref().map(FleetStatus::metrics).unwrap_or_default();
                 text_page(&self.metrics.render(&additional))
             }
             "/api/fleet" if is_read => match &self.fleet {
-                Some(fleet) => text_page(&fleet.page()),
+                Some(fleet) => text_page(&fleet.status_page()),
                 None => text_response(404, "this instance speaks with no fleet"),
             },
             "/api/evacuate" if is_put => self.set_evacuating(true),
@@ -148,7 +148,7 @@
     }
 
     fn set_evacuating(&self, evacuating: bool) -> Response<Full<Bytes>> {
-        match (self.life.send_away(evacuating), evacuating) {
+        match (self.life.set_evacuating(evacuating), evacuating) {
             (true, true) => text_response(200, "clients are sent away"),
             (true, false) => text_response(200, "clients are welcome"),
             (false, _) => text_response(409, "it does not serve: it has not begun, or was asked to stop"),
--- a/balancer/src/start.rs
+++ b/balancer/src/start_facts.rs
@@ -1,5 +1,6 @@
-//! The start facts: what the platform tells a balancer before it serves. It owns reading and checking them and
-//! must never fall back on a guess: what is missing or unreadable is a plain line and no start.
+//! The start facts: what the platform tells a balancer before it serves.
+//!
+//! Missing or invalid facts are reported in one line, and the program does not start; nothing is guessed.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -12,37 +13,37 @@
 
 const KB: usize = 1024;
 
-/// A body of up to so many bytes is kept whole. A longer one, up to the most, is passed on as it comes and takes so
-/// much of the memory for bodies.
+/// A body of at most `MAX_BUFFERED_BODY_BYTES` is held complete. A larger one, up to
+/// `MAX_STREAMED_BODY_BYTES`, is streamed and takes `STREAMED_BODY_BUFFER_BYTES` of the memory for bodies.
 pub const MAX_BUFFERED_BODY_BYTES: usize = 64 * KB;
 pub const MAX_STREAMED_BODY_BYTES: u64 = 32 << 20;
 pub const STREAMED_BODY_BUFFER_BYTES: u32 = 192 * KB as u32;
-/// Descriptors kept for what is neither a caller's connection nor a srv's.
-const SPARE_SOCKETS: usize = 32;
-/// What a caller's connection costs in memory beside a body: its buffers, and a head that is coming.
-const PER_CALLER: usize = 24 * KB;
+/// Descriptors that are neither for client connections nor for server connections.
+const RESERVED_DESCRIPTORS: usize = 32;
+/// Memory for a client connection without a body: its buffers and a partly received head.
+const CLIENT_CONNECTION_BYTES: usize = 24 * KB;
 
 pub struct StartFacts {
-    /// The file they were read from.
+    /// The file from which they were read.
     pub file: PathBuf,
     pub name: String,
     pub listen: SocketAddr,
     pub discovery: SocketAddr,
-    /// Where operators are answered, if anywhere.
-    pub operator: Option<SocketAddr>,
+    /// The address of the operator API, if there is one.
+    pub operator_address: Option<SocketAddr>,
     pub seed: u64,
-    /// Connections from callers, and to srvs.
-    pub most_in: usize,
-    pub most_out: usize,
-    /// Bytes of reqs' bodies in hand, all together, and of long answers.
-    pub most_bodies: usize,
-    /// The list as this balancer last had it, in discovery's form.
-    pub known: Json,
+    /// The maximum number of connections from clients, and to servers.
+    pub max_client_connections: usize,
+    pub max_server_connections: usize,
+    /// Memory for the bodies of requests in flight, and as much again for large responses.
+    pub max_body_bytes: usize,
+    /// The last server list of this balancer, in discovery's format.
+    pub known_list: Json,
     pub facts: Facts,
-    /// Where callers tell more of a req.
+    /// The headers in which clients give optional facts about a request.
     pub headers: Headers,
-    /// What the settings allow and is not done here.
-    pub unused: Vec<&'static str>,
+    /// Features that the settings allow but this program does not use.
+    pub unused_features: Vec<&'static str>,
 }
 
 impl StartFacts {
@@ -51,7 +52,7 @@
         let mut facts = StartFacts::parse(path, &text).map_err(|why| format!("{}: {why}", path.display()))?;
         if let Some(address) = std::env::var("ROUTER_OPERATOR").ok().filter(|text| !text.is_empty()) {
             let address = address.parse().map_err(|_| "ROUTER_OPERATOR is no address with a port")?;
-            facts.operator = Some(address);
+            facts.operator_address = Some(address);
         }
         Ok(facts)
     }
@@ -67,32 +68,32 @@
             found.filter(|n| *n > 0).ok_or(format!("limits.{name} is missing or no whole number above 0"))
         };
         let (name, listen, discovery) = (text("name")?.to_owned(), address("listen")?, address("discovery")?);
-        let operator = match &json["operator"] {
+        let operator_address = match &json["operator"] {
             Json::Null => None,
             _ => Some(address("operator")?),
         };
         settings::check(&json["settings"])?;
         let sockets = limit("sockets")?;
-        let shared = sockets.checked_sub(SPARE_SOCKETS).filter(|n| *n >= 2);
-        let shared = shared.ok_or(format!("limits.sockets is under {}", SPARE_SOCKETS + 2))?;
-        // A quarter each for callers and for answers, an eighth each for reqs' bodies and for large answers; the
-        // last is the program's own.
+        let shared = sockets.checked_sub(RESERVED_DESCRIPTORS).filter(|n| *n >= 2);
+        let shared = shared.ok_or(format!("limits.sockets is under {}", RESERVED_DESCRIPTORS + 2))?;
+        // A quarter each is for client connections and for responses, an eighth each for request bodies and
+        // for large responses; the last quarter is the program's own.
         let quarter = limit("memory_mb")?.saturating_mul(KB * KB) / 4;
-        let most = |each: usize| (shared / 2).min(quarter / each).max(1);
+        let max_connections = |bytes_each: usize| (shared / 2).min(quarter / bytes_each).max(1);
         Ok(StartFacts {
             file: path.to_owned(),
             name,
             listen,
             discovery,
-            operator,
+            operator_address,
             seed: u64::from_str_radix(text("seed")?, 16).map_err(|_| "seed is no hexadecimal number")?,
-            most_in: most(PER_CALLER),
-            most_out: most(MAX_BUFFERED_BODY_BYTES),
-            most_bodies: (quarter / 2).clamp(1024 * KB, 1 << 30),
+            max_client_connections: max_connections(CLIENT_CONNECTION_BYTES),
+            max_server_connections: max_connections(MAX_BUFFERED_BODY_BYTES),
+            max_body_bytes: (quarter / 2).clamp(1024 * KB, 1 << 30),
             facts: facts::from_json(&json["settings"])?,
             headers: settings::headers(&json["headers"])?,
-            unused: settings::unused(&json["settings"]),
-            known: json["known"].take(),
+            unused_features: settings::unused(&json["settings"]),
+            known_list: json["known"].take(),
         })
     }
 }
