--- a/balancer/src/client_listener.rs
+++ b/balancer/src/client_listener.rs
@@ -23,7 +23,7 @@
 use hyper::server::conn::http1;
 use hyper::{Method, Request, Response, StatusCode};
 use hyper_util::service::TowerToHyperService;
-use ochreshed::{Name, Nanos, Req, seconds};
+use ochreshed::{Name, Nanos, RequestContext, to_seconds};
 use socket2::SockRef;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{Notify, OwnedSemaphorePermit, Semaphore};
@@ -44,7 +44,7 @@
 use crate::settings::Headers;
 use crate::start_facts::{MAX_BUFFERED_BODY_BYTES, MAX_STREAMED_BODY_BYTES, STREAMED_BODY_BUFFER_BYTES};
 
-/// How long a client may take to send a request, the first one counted from the connection's start, and how
+/// DispatchOutcome long a client may take to send a request, the first one counted from the connection's start, and how
 /// long a connection may stay idle.
 const REQUEST_READ_TIMEOUT: Nanos = 2_500_000_000;
 const IDLE_TIMEOUT: Nanos = 10_000_000_000;
@@ -52,11 +52,11 @@
 const EVACUATION_IDLE_GRACE: Duration = Duration::from_millis(1_500);
 /// The longest sleep between two checks of a connection's time limit.
 const OVERDUE_CHECK_INTERVAL: Nanos = 1_000_000_000;
-/// How long a partly received request is waited for once the listener is closed.
+/// DispatchOutcome long a partly received request is waited for once the listener is closed.
 const PARTIAL_REQUEST_GRACE: Duration = Duration::from_millis(300);
-/// How long a client may take to read its response on a connection that is being closed.
+/// DispatchOutcome long a client may take to read its response on a connection that is being closed.
 const FINAL_RESPONSE_TIMEOUT: Duration = Duration::from_secs(10);
-/// How long, and for how many bytes, a closing connection is still read; longer after a large request body.
+/// DispatchOutcome long, and for how many bytes, a closing connection is still read; longer after a large request body.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
 const LINGER_MAX_BYTES: usize = 4 << 20;
 const LARGE_BODY_LINGER_TIMEOUT: Duration = Duration::from_secs(3);
@@ -68,7 +68,7 @@
 const RESPONSE_DELIVERY_TIME: Nanos = 5_000_000;
 /// Clients wait for a day at most.
 const MAX_BUDGET_S: f64 = 86_400.0;
-/// How long to wait when no descriptor is left for a new connection.
+/// DispatchOutcome long to wait when no descriptor is left for a new connection.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// What is admitted: how many connections, how many bytes of bodies together, which rule sets.
@@ -113,7 +113,7 @@
     /// It was sent a refusal, or a response before the end of its body.
     refused: AtomicBool,
     answered_early: AtomicBool,
-    /// How many bytes of a body have arrived, and whether a streamed response was truncated.
+    /// DispatchOutcome many bytes of a body have arrived, and whether a streamed response was truncated.
     body_bytes: AtomicU64,
     truncated: AtomicBool,
     shutdown: Notify,
@@ -305,7 +305,7 @@
             {
                 let mut served =
                     pin!(builder.serve_connection(metered_stream, TowerToHyperService::new(handler)));
-                // How a client's connection ends has no effect elsewhere.
+                // DispatchOutcome a client's connection ends has no effect elsewhere.
                 tokio::select! {
                     _ = served.as_mut() => {}
                     () = connection.shutdown.notified() => {
@@ -578,7 +578,7 @@
         // Everything read from here on belongs to the next request.
         self.meter.take_first_read_at();
         // A request is accepted when its last byte has been received.
-        decision_request.0.taken = self.meter.last_read_at().max(received_at);
+        decision_request.0.received_at = self.meter.last_read_at().max(received_at);
         let answer = tokio::select! {
             biased;
             answer = self.decisions.clone().oneshot(decision_request) => answer,
@@ -611,7 +611,7 @@
                 in_flight.set_outcome(RequestOutcome::Overload);
                 let mut response = text_response(503, "denied: safe to try again");
                 if retry_after > 0 {
-                    let value = HeaderValue::try_from(format!("{:.3}", seconds(retry_after)));
+                    let value = HeaderValue::try_from(format!("{:.3}", to_seconds(retry_after)));
                     value
                         .into_iter()
                         .for_each(|value| drop(response.headers_mut().insert(RETRY_AFTER, value)));
@@ -672,16 +672,16 @@
         // An unreadable cost counts as absent: it matters less than the request.
         let cost = optional_header(&self.limits.headers.cost).and_then(|text| text.parse::<f64>().ok());
         let cost = cost.filter(|ms| *ms >= 0.0 && *ms <= MAX_BUDGET_S * 1e3);
-        let mut request = Req {
+        let mut request = RequestContext {
             id: 0,
             rule_set: rule_set.ok_or(Refusal(400, "no such class"))?,
             customer: optional_header(&self.limits.headers.customer).unwrap_or_default().into(),
-            again: header("x-again") == Some("1"),
-            taken: received_at,
-            ends: received_at + ((budget * 1e9) as Nanos).saturating_sub(RESPONSE_DELIVERY_TIME),
-            coming: false,
-            work: cost.map(|ms| (ms * 1e6) as Nanos),
-            tie: None,
+            is_client_retry: header("x-again") == Some("1"),
+            received_at,
+            deadline: received_at + ((budget * 1e9) as Nanos).saturating_sub(RESPONSE_DELIVERY_TIME),
+            body_pending: false,
+            expected_cost: cost.map(|ms| (ms * 1e6) as Nanos),
+            preferred_endpoint: None,
             dispatches: Vec::new(),
         };
         if body.size_hint().lower() > MAX_STREAMED_BODY_BYTES {
@@ -699,8 +699,8 @@
         let body_length = if is_complete { Some(first_bytes.len() as u64) } else { body_length };
         if remainder.is_some() {
             // Its time runs from its last byte, which has not arrived yet.
-            request.coming = true;
-            request.ends += self.clock.now().saturating_sub(received_at);
+            request.body_pending = true;
+            request.deadline += self.clock.now().saturating_sub(received_at);
         }
         let has_length = head.headers.contains_key(CONTENT_LENGTH) || !first_bytes.is_empty();
         remove_hop_by_hop_headers(&mut head.headers);
--- a/balancer/src/decision_actor.rs
+++ b/balancer/src/decision_actor.rs
@@ -12,9 +12,9 @@
 use std::task::{Context, Poll};
 
 use hyper::Response;
-use ochreshed::{Balancer, How, Listed, Name, Nanos, Outcome, Req};
+use ochreshed::{Balancer, DispatchOutcome, Event, ListedEndpoint, Name, Nanos, RequestContext};
 use ochreshed_hands::{Act, End, Hands};
-use ochreshed_replica::rows::Counts;
+use ochreshed_replica::outcomes::OutcomeCounts;
 use tokio::sync::mpsc::error::TrySendError;
 use tokio::sync::mpsc::{self, OwnedPermit};
 use tokio::sync::oneshot;
@@ -29,7 +29,7 @@
 
 pub enum DecisionEvent {
     NewRequest {
-        request: Req,
+        request: RequestContext,
         message: Arc<RequestMessage>,
         reply: oneshot::Sender<FinalAnswer>,
     },
@@ -43,15 +43,15 @@
     DispatchEnded {
         id: u64,
         dispatch_index: usize,
-        outcome: How,
+        outcome: DispatchOutcome,
         at: Nanos,
-        /// How long the body took to arrive, if it was waited for.
+        /// DispatchOutcome long the body took to arrive, if it was waited for.
         body_time: Nanos,
         response: Option<Response<ResponseBody>>,
     },
     ProbeEnded {
         endpoint: Name,
-        outcome: How,
+        outcome: DispatchOutcome,
         duration: Nanos,
     },
     ListUpdate {
@@ -66,13 +66,13 @@
     PeerOutcomes {
         endpoint: Name,
         rule_set: Name,
-        outcome: How,
+        outcome: DispatchOutcome,
         count: u16,
     },
 }
 
 /// Dispatch outcomes seen here by endpoint and rule set, for the other instances; recorded only in a fleet.
-pub type ObservedOutcomes = Arc<Mutex<HashMap<(Name, Name), Counts>>>;
+pub type ObservedOutcomes = Arc<Mutex<HashMap<(Name, Name), OutcomeCounts>>>;
 
 /// The one final answer to a request.
 pub enum FinalAnswer {
@@ -82,7 +82,7 @@
 }
 
 /// A request for the module and the message to forward. The actor's service assigns the id.
-pub type DecisionRequest = (Req, RequestMessage);
+pub type DecisionRequest = (RequestContext, RequestMessage);
 
 /// The decisions as a service, independent of the client protocol.
 #[derive(Clone)]
@@ -155,7 +155,7 @@
 fn record_outcome(
     observed: &ObservedOutcomes,
     (endpoint, rule_set): (Name, Name),
-    outcome: How,
+    outcome: DispatchOutcome,
     client_left: bool,
 ) {
     let mut all = observed.lock().unwrap_or_else(PoisonError::into_inner);
@@ -165,12 +165,17 @@
     }
     let counts = all.entry(key).or_default();
     let count = match outcome {
-        How::Done => &mut counts.done,
-        How::Error => &mut counts.failed,
-        How::NoConnection | How::Reset | How::TimedOut => &mut counts.lost,
+        DispatchOutcome::Done => &mut counts.succeeded,
+        DispatchOutcome::Error => &mut counts.failed,
+        DispatchOutcome::NoConnection | DispatchOutcome::Reset | DispatchOutcome::TimedOut => {
+            &mut counts.lost
+        }
         // Cancelled because the endpoint's zone has stopped answering here.
-        How::Recalled if !client_left => &mut counts.lost,
-        How::Recalled | How::Full | How::NotSent | How::Turned => return,
+        DispatchOutcome::Cancelled if !client_left => &mut counts.lost,
+        DispatchOutcome::Cancelled
+        | DispatchOutcome::Full
+        | DispatchOutcome::NotSent
+        | DispatchOutcome::Rejected => return,
     };
     *count = count.saturating_add(1);
 }
@@ -276,22 +281,31 @@
                 if let Some(response) = response {
                     pending.answer(FinalAnswer::Response(response));
                 }
-                let end = End { how: outcome, took: duration, closed: outcome == How::Done, report: &[] };
+                let end = End {
+                    how: outcome,
+                    took: duration,
+                    closed: outcome == DispatchOutcome::Done,
+                    report: &[],
+                };
                 self.hands.ended(now, id, dispatch_index, end);
                 self.maybe_ended.push(id);
             }
             DecisionEvent::ProbeEnded { endpoint, outcome, duration } => {
-                self.hands
-                    .news(now, Outcome::Probe { srv: &endpoint, how: outcome, took: duration, report: &[] });
+                self.hands.news(
+                    now,
+                    Event::ProbeEnded { endpoint: &endpoint, outcome, duration, load_report: &[] },
+                );
             }
             DecisionEvent::ListUpdate { is_complete, is_stale, entries, .. } => {
                 self.apply_list(now, is_complete, is_stale, entries);
             }
-            DecisionEvent::ListFailed => self.hands.news(now, Outcome::ListFailed),
+            DecisionEvent::ListFailed => self.hands.news(now, Event::EndpointListFailed),
             DecisionEvent::PeerOutcomes { endpoint, rule_set, outcome, count } => {
                 for _ in 0..count {
-                    self.hands
-                        .news(now, Outcome::Others { srv: &endpoint, rule_set: &rule_set, how: outcome });
+                    self.hands.news(
+                        now,
+                        Event::PeerDispatchEnded { endpoint: &endpoint, rule_set: &rule_set, outcome },
+                    );
                 }
             }
         }
@@ -299,22 +313,22 @@
 
     fn apply_list(&mut self, now: Nanos, is_complete: bool, is_stale: bool, entries: Vec<EndpointEntry>) {
         if is_complete {
-            let listed: HashSet<&Name> = entries.iter().map(|(listed, _)| &listed.srv).collect();
+            let listed: HashSet<&Name> = entries.iter().map(|(listed, _)| &listed.name).collect();
             self.endpoints.retain(|name, _| listed.contains(name));
         }
         for (listed, address) in &entries {
-            if listed.state == ochreshed::State::Gone {
-                self.endpoints.remove(&listed.srv);
-            } else if self.endpoints.get(&listed.srv).is_none_or(|endpoint| endpoint.address != *address) {
-                self.endpoints.insert(listed.srv.clone(), EndpointHandle { address: *address, pool: None });
+            if listed.state == ochreshed::EndpointState::Gone {
+                self.endpoints.remove(&listed.name);
+            } else if self.endpoints.get(&listed.name).is_none_or(|endpoint| endpoint.address != *address) {
+                self.endpoints.insert(listed.name.clone(), EndpointHandle { address: *address, pool: None });
             }
         }
         if !is_stale && let Some(first_fresh_list) = self.first_fresh_list.take() {
             // Nobody waits for it at an ordinary start.
             let _ = first_fresh_list.send(());
         }
-        let entries: Vec<Listed> = entries.into_iter().map(|(listed, _)| listed).collect();
-        self.hands.news(now, Outcome::List { whole: is_complete, old: is_stale, entries: &entries });
+        let entries: Vec<ListedEndpoint> = entries.into_iter().map(|(listed, _)| listed).collect();
+        self.hands.news(now, Event::EndpointsListed { is_complete, is_stale, endpoints: &entries });
     }
 
     /// Carries out the module's decisions and returns when it is to be called again.
@@ -332,7 +346,7 @@
                 return wake_at;
             }
             for (id, dispatch_index) in unsent {
-                let end = End { how: How::NotSent, took: 0, closed: false, report: &[] };
+                let end = End { how: DispatchOutcome::NotSent, took: 0, closed: false, report: &[] };
                 self.hands.ended(now, id, dispatch_index, end);
             }
         }
@@ -433,7 +447,7 @@
 mod tests {
     use std::time::Duration;
 
-    use ochreshed::Facts;
+    use ochreshed::Parameters;
     use tokio::sync::Semaphore;
 
     use super::*;
@@ -454,7 +468,7 @@
             metrics: Metrics::new([]),
         };
         DecisionActor::new(
-            Balancer::new(1, 1, Facts::new()),
+            Balancer::new(1, 1, Parameters::new()),
             HashSet::new(),
             pool_context,
             discovery,
@@ -464,9 +478,9 @@
     }
 
     fn listed(number: u64) -> EndpointEntry {
-        let srv = format!("s{number}").into();
-        let (state, came_up, site) = (ochreshed::State::Up, None, "x".into());
-        let listed = Listed { srv, state, came_up, weight: 1.0, site, cell: 0 };
+        let name = format!("s{number}").into();
+        let (state, started_at, site) = (ochreshed::EndpointState::Up, None, "x".into());
+        let listed = ListedEndpoint { name, state, started_at, weight: 1.0, site, cell: 0 };
         (listed, SocketAddr::from(([127, 0, 0, 1], 9)))
     }
 
--- a/balancer/src/discovery.rs
+++ b/balancer/src/discovery.rs
@@ -10,7 +10,7 @@
 use bytes::Bytes;
 use hyper::header::HOST;
 use hyper::{Request, StatusCode};
-use ochreshed::{Facts, Listed, State, number};
+use ochreshed::{EndpointState, ListedEndpoint, Parameters, read_number};
 use serde_json::Value as Json;
 use tokio::sync::{Semaphore, mpsc};
 use tokio::task::spawn_blocking;
@@ -27,7 +27,7 @@
 const FLEET_CALLS_PER_S: f64 = 50.0;
 const MIN_WATCH_S: f64 = 1.0;
 const MAX_WATCH_S: f64 = 20.0;
-/// How much longer than the wait a response may take before the call has failed. 2 s after the wait, a change
+/// DispatchOutcome much longer than the wait a response may take before the call has failed. 2 s after the wait, a change
 /// must have been delivered.
 const RESPONSE_GRACE: Duration = Duration::from_millis(1_500);
 const MAX_LIST_BYTES: usize = 4 << 20;
@@ -53,12 +53,12 @@
 }
 
 /// A server in the list and the address at which it is reached from here.
-pub type EndpointEntry = (Listed, SocketAddr);
+pub type EndpointEntry = (ListedEndpoint, SocketAddr);
 
 struct DiscoveryClient {
     discovery: SocketAddr,
     clock: Clock,
-    /// How long a watch waits for a change.
+    /// DispatchOutcome long a watch waits for a change.
     watch_wait: Duration,
     decisions: mpsc::Sender<DecisionEvent>,
     /// The last generation received, as discovery wrote it.
@@ -68,10 +68,10 @@
     memory: Arc<Semaphore>,
 }
 
-/// How long a watch waits in a fleet of this size. The bounds limit how long a silent watch goes unnoticed:
+/// DispatchOutcome long a watch waits in a fleet of this size. The bounds limit how long a silent watch goes unnoticed:
 /// until its wait is over it looks like one without changes, and the changes it missed arrive too late.
-pub fn watch_wait(facts: &Facts) -> Duration {
-    let all = number(facts, "instances", 1.0) * number(facts, "tiers", 1.0);
+pub fn watch_wait(facts: &Parameters) -> Duration {
+    let all = read_number(facts, "instances", 1.0) * read_number(facts, "tiers", 1.0);
     Duration::from_secs_f64((all / FLEET_CALLS_PER_S).clamp(MIN_WATCH_S, MAX_WATCH_S))
 }
 
@@ -206,28 +206,28 @@
 }
 
 fn entry(json: &Json) -> Result<Option<EndpointEntry>, String> {
-    let srv = json["instanceId"].as_str().ok_or("an entry without instanceId")?;
+    let name = json["instanceId"].as_str().ok_or("an entry without instanceId")?;
     let state = match json["lifecycle"].as_str() {
-        Some("SERVING") => State::Up,
-        Some("DRAINING") => State::Draining,
-        Some("DELETED") => State::Gone,
+        Some("SERVING") => EndpointState::Up,
+        Some("DRAINING") => EndpointState::Draining,
+        Some("DELETED") => EndpointState::Gone,
         // An unknown state is not `Up`.
         other => {
-            warn!("discovery: server {srv} has state {}; treated as draining", other.unwrap_or("none"));
-            State::Draining
+            warn!("discovery: server {name} has state {}; treated as draining", other.unwrap_or("none"));
+            EndpointState::Draining
         }
     };
     let address = json["hostPort"].as_str().and_then(|text| text.parse().ok());
-    let Some(address) = address.or((state == State::Gone).then_some(NO_ADDRESS)) else {
-        warn!("discovery: server {srv} has no usable address; left out");
+    let Some(address) = address.or((state == EndpointState::Gone).then_some(NO_ADDRESS)) else {
+        warn!("discovery: server {name} has no usable address; left out");
         return Ok(None);
     };
-    let came_up = json["startedAtMs"].as_f64().filter(|ms| *ms > 0.0).map(|ms| (ms * 1e6) as u64);
+    let started_at = json["startedAtMs"].as_f64().filter(|ms| *ms > 0.0).map(|ms| (ms * 1e6) as u64);
     let weight = json["weight"].as_f64().filter(|weight| weight.is_finite() && *weight > 0.0);
-    let listed = Listed {
-        srv: srv.into(),
+    let listed = ListedEndpoint {
+        name: name.into(),
         state,
-        came_up,
+        started_at,
         weight: weight.unwrap_or(1.0),
         site: json["zone"].as_str().unwrap_or_default().into(),
         cell: json["cell"].as_u64().unwrap_or(0),
@@ -242,7 +242,7 @@
 mod tests {
     use std::fmt::Write;
 
-    use ochreshed::Value;
+    use ochreshed::ParameterValue;
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
     use tokio::net::{TcpListener, TcpStream};
 
@@ -258,8 +258,10 @@
         (String::from_utf8_lossy(&call).lines().next().unwrap_or_default().to_owned(), caller)
     }
 
-    fn fleet(instances: f64) -> Facts {
-        [("instances", instances), ("tiers", 3.0)].map(|(name, n)| (name.into(), Value::Number(n))).into()
+    fn fleet(instances: f64) -> Parameters {
+        [("instances", instances), ("tiers", 3.0)]
+            .map(|(name, n)| (name.into(), ParameterValue::Number(n)))
+            .into()
     }
 
     #[tokio::test]
@@ -312,7 +314,7 @@
             assert_eq!(body.len() > MAX_INLINE_PARSE_BYTES, srvs > 1);
             let DiscoveryResponse { generation, is_complete, entries } = parse(body).await.expect("a list");
             assert_eq!((&*generation, is_complete, entries.len()), ("7", true, srvs + 1));
-            assert_eq!(entries[srvs].0.state, State::Draining);
+            assert_eq!(entries[srvs].0.state, EndpointState::Draining);
         }
         for srvs in [1, 5_000] {
             let why = parse(response_body(srvs, r#"{"hostPort":"127.0.0.1:9"}"#)).await.err();
--- a/balancer/src/endpoint_pool.rs
+++ b/balancer/src/endpoint_pool.rs
@@ -16,7 +16,7 @@
 use hyper::body::Incoming;
 use hyper::header::{HOST, HeaderName, HeaderValue};
 use hyper::{Request, Response, StatusCode, Version};
-use ochreshed::{How, Name, Nanos, seconds};
+use ochreshed::{DispatchOutcome, Name, Nanos, to_seconds};
 use tokio::sync::{OwnedSemaphorePermit, Semaphore, mpsc, oneshot};
 use tokio::task::yield_now;
 use tokio::time::{sleep, sleep_until, timeout};
@@ -99,7 +99,7 @@
     /// requests could be denied for want of a connection while other connections are idle.
     pub min_spare_permits: usize,
     pub connect_timeout: Duration,
-    /// How long an endpoint keeps an idle connection open.
+    /// DispatchOutcome long an endpoint keeps an idle connection open.
     pub idle_timeout: Nanos,
 }
 
@@ -182,13 +182,13 @@
             let mut response = pin!(self.dispatch(&mut connection, &message, give_up_at));
             tokio::select! {
                 biased;
-                Ok(()) = &mut cancelled => Err(How::Recalled),
+                Ok(()) = &mut cancelled => Err(DispatchOutcome::Cancelled),
                 result = &mut response => result,
                 () = self.wait_due((id, dispatch_index), &message, started_at, give_up_at) => {
                     // After a pause of the whole process, timers fire before socket events are seen; a
                     // response that has arrived by then still counts.
                     yield_now().await;
-                    response.now_or_never().unwrap_or(Err(How::TimedOut))
+                    response.now_or_never().unwrap_or(Err(DispatchOutcome::TimedOut))
                 }
             }
         };
@@ -207,13 +207,17 @@
         let (outcome, received) = match result {
             Ok(received) => {
                 let outcome = outcome_of(&received.response);
-                (outcome, Some(received).filter(|_| outcome == How::Done))
+                (outcome, Some(received).filter(|_| outcome == DispatchOutcome::Done))
             }
             // Cancelled or failed before the request was written completely, so it cannot have run. If the
             // client did not send all of its body, the endpoint is not at fault.
-            Err(How::Recalled | How::TimedOut) if !is_request_sent(&connection) => (How::NotSent, None),
-            Err(How::NoConnection) if remainder.is_some_and(|remainder| remainder.has_failed()) => {
-                (How::NotSent, None)
+            Err(DispatchOutcome::Cancelled | DispatchOutcome::TimedOut) if !is_request_sent(&connection) => {
+                (DispatchOutcome::NotSent, None)
+            }
+            Err(DispatchOutcome::NoConnection)
+                if remainder.is_some_and(|remainder| remainder.has_failed()) =>
+            {
+                (DispatchOutcome::NotSent, None)
             }
             Err(outcome) => (outcome, None),
         };
@@ -295,7 +299,7 @@
         connection: &mut Option<OutboundConnection>,
         message: &Arc<RequestMessage>,
         give_up_at: Nanos,
-    ) -> Result<DispatchResponse, How> {
+    ) -> Result<DispatchResponse, DispatchOutcome> {
         let mut reused = connection.is_some();
         loop {
             let current = match connection {
@@ -305,11 +309,11 @@
             let remaining = give_up_at.saturating_sub(self.context.clock.now());
             if remaining == 0 {
                 // After a pause of the whole process, nothing is sent for a request whose time is over.
-                return Err(How::NotSent);
+                return Err(DispatchOutcome::NotSent);
             }
             let sent_at = self.context.clock.now();
             // A large body that was partly sent to another endpoint can't be sent again.
-            let request = self.address_request(message, remaining).ok_or(How::NotSent)?;
+            let request = self.address_request(message, remaining).ok_or(DispatchOutcome::NotSent)?;
             let response = self.exchange(current, request, message).await;
             if reused {
                 self.context.reuse_failures.record(
@@ -318,9 +322,9 @@
             }
             match response {
                 Ok(response) => return Ok(response),
-                Err(_) if current.is_request_sent() => return Err(How::Reset),
+                Err(_) if current.is_request_sent() => return Err(DispatchOutcome::Reset),
                 Err(_) if reused && !current.has_written() => (*connection, reused) = (None, false),
-                Err(_) => return Err(How::NoConnection),
+                Err(_) => return Err(DispatchOutcome::NoConnection),
             }
         }
     }
@@ -357,21 +361,21 @@
             let ping = Request::get("/ping").header(HOST, self.address.to_string()).body(());
             let response = connection
                 .exchange(
-                    ping.map_err(|_| How::NotSent)?,
+                    ping.map_err(|_| DispatchOutcome::NotSent)?,
                     MAX_BUFFERED_BODY_BYTES,
                     &self.context.response_memory,
                 )
                 .await;
-            Ok((response.map_err(|_| How::Reset)?.0, connection))
+            Ok((response.map_err(|_| DispatchOutcome::Reset)?.0, connection))
         };
         let result = tokio::time::timeout_at(self.context.clock.instant(give_up_at), probe).await;
         let (outcome, connection) = match result {
             Ok(Ok((response, connection))) if response.status() == StatusCode::OK => {
-                (How::Done, Some(connection))
+                (DispatchOutcome::Done, Some(connection))
             }
-            Ok(Ok(_)) => (How::Full, None),
+            Ok(Ok(_)) => (DispatchOutcome::Full, None),
             Ok(Err(outcome)) => (outcome, None),
-            Err(_) => (How::TimedOut, None),
+            Err(_) => (DispatchOutcome::TimedOut, None),
         };
         let now = self.context.clock.now();
         let event = DecisionEvent::ProbeEnded {
@@ -383,14 +387,19 @@
         connection
     }
 
-    async fn open(&self) -> Result<OutboundConnection, How> {
+    async fn open(&self) -> Result<OutboundConnection, DispatchOutcome> {
         // No connection is opened at the limit: the limit is this process's, so the endpoint is not at fault.
-        let permit = self.context.connection_permits.clone().try_acquire_owned().map_err(|_| How::NotSent)?;
+        let permit = self
+            .context
+            .connection_permits
+            .clone()
+            .try_acquire_owned()
+            .map_err(|_| DispatchOutcome::NotSent)?;
         let metrics = Some(self.context.metrics.clone());
         let opening = OutboundConnection::open(self.address, self.context.clock, Some(permit), metrics);
         match timeout(self.context.connect_timeout, opening).await {
             Ok(Ok(connection)) => Ok(connection),
-            Ok(Err(_)) | Err(_) => Err(How::NoConnection),
+            Ok(Err(_)) | Err(_) => Err(DispatchOutcome::NoConnection),
         }
     }
 
@@ -403,7 +412,7 @@
         let body = message.take_body()?;
         let mut request = message.head.clone().map(|()| body);
         request.headers_mut().insert(HOST, header_value(self.address.to_string()));
-        request.headers_mut().insert(BUDGET_HEADER, header_value(format!("{:.6}", seconds(remaining))));
+        request.headers_mut().insert(BUDGET_HEADER, header_value(format!("{:.6}", to_seconds(remaining))));
         Some(request)
     }
 }
@@ -426,11 +435,11 @@
 }
 
 /// Derives the outcome of a dispatch from its response.
-fn outcome_of(response: &Response<Bytes>) -> How {
+fn outcome_of(response: &Response<Bytes>) -> DispatchOutcome {
     let rejected = response.headers().get("x-rejected").is_some_and(|value| value == "1");
     match response.status() {
-        StatusCode::OK => How::Done,
-        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if rejected => How::Full,
-        _ => How::Error,
+        StatusCode::OK => DispatchOutcome::Done,
+        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if rejected => DispatchOutcome::Full,
+        _ => DispatchOutcome::Error,
     }
 }
--- a/balancer/src/fleet.rs
+++ b/balancer/src/fleet.rs
@@ -14,7 +14,7 @@
 use std::sync::{Arc, PoisonError};
 use std::time::Duration;
 
-use ochreshed::{How, Nanos};
+use ochreshed::{DispatchOutcome, Nanos};
 use ochreshed_gossip::known::{Known, to_word};
 use ochreshed_gossip::peer::{Output, Peer, Settings};
 use ochreshed_membership::swim::{Config, To};
@@ -22,8 +22,8 @@
 use ochreshed_recovery::begin::{self, First, Given, Source};
 use ochreshed_recovery::snapshot::{self, Snapshot};
 use ochreshed_recovery::start::{self, Knows, Start};
-use ochreshed_replica::rows::Counts;
-use ochreshed_replica::words;
+use ochreshed_replica::outcomes::OutcomeCounts;
+use ochreshed_replica::status::ServerStatus;
 use tokio::net::{TcpListener, UdpSocket};
 use tokio::sync::{mpsc, watch};
 use tokio::task::AbortHandle;
@@ -42,7 +42,7 @@
 /// Unreadable messages are logged at most once a minute.
 const REJECTION_LOG_INTERVAL: Nanos = 60 * S;
 const STATUS_INTERVAL: Nanos = S / 2;
-/// How often the outcomes recorded by the decision actor are collected.
+/// DispatchOutcome often the outcomes recorded by the decision actor are collected.
 const OUTCOME_INTERVAL: Nanos = S / 10;
 const MAILBOX_CAPACITY: usize = 64;
 /// A snapshot is written this long after a change, plus a random part of it, so that instances that receive
@@ -189,10 +189,10 @@
             && initial_list.source == Source::Facts;
         peer.recall(snapshot.stamp, &snapshot.words, snapshot.floor);
         if newer {
-            let states: Vec<(String, words::State)> = initial_list
+            let states: Vec<(String, ServerStatus)> = initial_list
                 .entries
                 .iter()
-                .map(|(listed, _)| (listed.srv.to_string(), to_word(listed.state)))
+                .map(|(listed, _)| (listed.name.to_string(), to_word(listed.state)))
                 .collect();
             peer.listed(version.unwrap_or_default(), true, &states);
         }
@@ -334,16 +334,16 @@
 
     fn write_snapshot(&mut self, now: Nanos) {
         let store = self.peer.store();
-        let worse = store.words().iter().filter(|(_, word)| word.state != words::State::Serves);
+        let worse = store.statuses().iter().filter(|(_, word)| word.status != ServerStatus::Serving);
         let snapshot = Snapshot {
             fleet: self.config.fleet.clone(),
             instance: self.peer.swim().name().to_owned(),
             number: self.snapshot_number + 1,
             written: unix_nanos(),
-            stamp: store.own(),
+            stamp: store.discovery_stamp(),
             list: self.known.list().map(|(listed, address)| snapshot::Entry::of(listed, *address)).collect(),
             words: worse.map(|(srv, word)| (srv.clone(), *word)).collect(),
-            floor: store.words().floor(),
+            floor: store.statuses().floor(),
         };
         let Some(snapshots) = &mut self.snapshots else { return };
         if snapshots.write(snapshot) {
@@ -389,11 +389,11 @@
             if is_complete || !entries.is_empty() {
                 self.schedule_snapshot(now);
             }
-            let states: Vec<(String, words::State)> =
-                entries.iter().map(|(listed, _)| (listed.srv.to_string(), to_word(listed.state))).collect();
+            let states: Vec<(String, ServerStatus)> =
+                entries.iter().map(|(listed, _)| (listed.name.to_string(), to_word(listed.state))).collect();
             self.peer.listed(version, is_complete, &states);
         }
-        self.known.told(self.peer.store().words(), is_complete, &mut entries);
+        self.known.told(self.peer.store().statuses(), is_complete, &mut entries);
         DecisionEvent::ListUpdate { is_complete, is_stale, version, entries }
     }
 
@@ -476,13 +476,14 @@
             }
             Output::Changed(srvs) => {
                 self.schedule_snapshot(now);
-                let changed = self.known.changed(self.peer.store().words(), srvs.iter().map(String::as_str));
+                let changed =
+                    self.known.changed(self.peer.store().statuses(), srvs.iter().map(String::as_str));
                 if let Some((first, _)) = changed.first() {
                     self.counts.told_early += changed.len() as u64;
                     info!(
                         "fleet: other instances reported changes of {} endpoints; {} is {:?}",
                         changed.len(),
-                        first.srv,
+                        first.name,
                         first.state
                     );
                     let update = DecisionEvent::ListUpdate {
@@ -496,8 +497,12 @@
                 }
             }
             Output::Counted { srv, set, counts } if self.known.has(&srv) => {
-                let Counts { done, failed, lost } = counts;
-                for (outcome, count) in [(How::Done, done), (How::Error, failed), (How::Reset, lost)] {
+                let OutcomeCounts { succeeded, failed, lost } = counts;
+                for (outcome, count) in [
+                    (DispatchOutcome::Done, succeeded),
+                    (DispatchOutcome::Error, failed),
+                    (DispatchOutcome::Reset, lost),
+                ] {
                     if count > 0 {
                         let event = DecisionEvent::PeerOutcomes {
                             endpoint: srv.as_str().into(),
--- a/balancer/src/fleet/status_page.rs
+++ b/balancer/src/fleet/status_page.rs
@@ -8,7 +8,7 @@
 use ochreshed_gossip::peer::Peer;
 use ochreshed_gossip::{Nanos, S};
 use ochreshed_recovery::start::Start;
-use ochreshed_replica::words;
+use ochreshed_replica::status::ServerStatus;
 
 /// The maximum number of draining or gone endpoints on the page.
 const MAX_ENDPOINTS_SHOWN: usize = 200;
@@ -25,7 +25,7 @@
 /// Renders the members, the state held with its size, and the rejected messages.
 pub fn render(peer: &Peer, fleet: &str, counts: FleetCounts, now: Nanos) -> String {
     let mut page = String::new();
-    let (swim, words, traffic) = (peer.swim(), peer.store().words(), peer.traffic());
+    let (swim, words, traffic) = (peer.swim(), peer.store().statuses(), peer.traffic());
     let (name, mine) = (swim.name(), swim.mine());
     // Writing to a String does not fail.
     let mut line = |line: std::fmt::Arguments| {
@@ -60,17 +60,17 @@
         ));
     }
     // Serving endpoints are left out.
-    let not_serving = words.iter().filter(|(_, word)| word.state != words::State::Serves);
+    let not_serving = words.iter().filter(|(_, word)| word.status != ServerStatus::Serving);
     for (srv, word) in not_serving.take(MAX_ENDPOINTS_SHOWN) {
-        line(format_args!("srv {srv} {:?} by list {}.{}", word.state, word.stamp.epoch, word.stamp.version));
+        line(format_args!("srv {srv} {:?} by list {}.{}", word.status, word.stamp.epoch, word.stamp.version));
     }
     page
 }
 
 /// The same as metrics: a name, a value, and `c` for a counter or `g` for a gauge.
 pub fn metrics(peer: &Peer, counts: FleetCounts, start: &Start) -> Vec<(&'static str, u64, &'static str)> {
-    let (swim, words, traffic) = (peer.swim(), peer.store().words(), peer.traffic());
-    let not_serving = words.iter().filter(|(_, word)| word.state != words::State::Serves).count();
+    let (swim, words, traffic) = (peer.swim(), peer.store().statuses(), peer.traffic());
+    let not_serving = words.iter().filter(|(_, word)| word.status != ServerStatus::Serving).count();
     vec![
         ("fleet.members", swim.there().count() as u64 + 1, "g"),
         ("fleet.health", u64::from(swim.health()), "g"),
--- a/balancer/src/lifecycle.rs
+++ b/balancer/src/lifecycle.rs
@@ -8,7 +8,7 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering::Relaxed};
 use std::time::Duration;
 
-use ochreshed::{Balancer, Facts, Name, Nanos, Value, list as facts_list, span, text};
+use ochreshed::{Balancer, Name, Nanos, ParameterValue, Parameters, read_duration, read_list, read_text};
 use ochreshed_recovery::begin::Source;
 use tokio::net::TcpListener;
 use tokio::signal::unix::{Signal, SignalKind, signal};
@@ -40,7 +40,7 @@
 const MAX_RESPONSE_WAIT: Nanos = 3 * S;
 const ABORT_DELAY: Nanos = S * 3 / 10;
 const EXIT_DELAY: Nanos = S / 2;
-/// How long a process that starts beside another waits for its first current list, and how often it checks
+/// DispatchOutcome long a process that starts beside another waits for its first current list, and how often it checks
 /// whether the other has ended.
 const FIRST_LIST_TIMEOUT: Duration = Duration::from_secs(3);
 const OTHERS_CHECK_INTERVAL: Duration = Duration::from_millis(250);
@@ -183,12 +183,12 @@
         known_generation = Some(generation);
     }
     let rule_sets: Arc<[Name]> =
-        facts_list(&start.facts, "rule_sets").iter().map(|set| text(set, "name").into()).collect();
+        read_list(&start.facts, "rule_sets").iter().map(|set| read_text(set, "name").into()).collect();
     let metrics = Metrics::new(rule_sets.iter().cloned());
     let mut fleet = match fleet {
         None => None,
         Some(config) => {
-            let (name, zone) = (&start.name, text(&start.facts, "site"));
+            let (name, zone) = (&start.name, read_text(&start.facts, "site"));
             let facts_list = known_list.take().map(|(version, _, entries)| (version, entries));
             let startup = fleet::FleetStartup {
                 seed: start.seed,
@@ -227,14 +227,14 @@
     // In push mode the watch starts at once instead of on request by the module.
     if others > 0 {
         discovery_commands.try_send(discovery::DiscoveryCommand::Fetch).map_err(|e| e.to_string())?;
-    } else if text(&start.facts, "list_mode") != "ask" {
+    } else if read_text(&start.facts, "list_mode") != "ask" {
         discovery_commands.try_send(discovery::DiscoveryCommand::Watch).map_err(|e| e.to_string())?;
     }
     if !start.unused_features.is_empty() {
         info!("allowed by the settings but not used: {}", start.unused_features.join(", "));
     }
     let client_timeouts =
-        facts_list(&start.facts, "rule_sets").iter().map(|set| span(set, "client_timeout", S));
+        read_list(&start.facts, "rule_sets").iter().map(|set| read_duration(set, "client_timeout", S));
     let longest_timeout = client_timeouts.max().unwrap_or(MAX_RESPONSE_WAIT).min(MAX_RESPONSE_WAIT);
     let pool_context = endpoint_pool::PoolContext {
         metrics: metrics.clone(),
@@ -244,8 +244,8 @@
         reuse_failures: Arc::default(),
         response_memory: limits.response_memory.clone(),
         min_spare_permits: start.max_server_connections / 4,
-        connect_timeout: Duration::from_nanos(span(&start.facts, "connect_timeout", S)),
-        idle_timeout: span(&start.facts, "connection_idle", 10 * S),
+        connect_timeout: Duration::from_nanos(read_duration(&start.facts, "connect_timeout", S)),
+        idle_timeout: read_duration(&start.facts, "connection_idle", 10 * S),
     };
     tokio::spawn(reload_on_hangup(hangup, start.file, start.discovery, discovery_commands.clone()));
     let confirmation = fleet.as_ref().map(|fleet| (fleet.confirmed.clone(), fleet.confirmation_timeout));
@@ -264,12 +264,14 @@
         headers: start.headers,
         metrics: metrics.clone(),
     };
-    let runs_once = |set: &&Facts| text(set, "effect") == "non-replayable";
-    let run_once_rule_sets =
-        facts_list(&start.facts, "rule_sets").iter().filter(runs_once).map(|set| text(set, "name").into());
+    let runs_once = |set: &&Parameters| read_text(set, "effect") == "non-replayable";
+    let run_once_rule_sets = read_list(&start.facts, "rule_sets")
+        .iter()
+        .filter(runs_once)
+        .map(|set| read_text(set, "name").into());
     let run_once_rule_sets = run_once_rule_sets.collect();
     let mut facts = start.facts;
-    facts.insert("connections".into(), Value::Number(start.max_server_connections as f64));
+    facts.insert("connections".into(), ParameterValue::Number(start.max_server_connections as f64));
     let balancer = Balancer::new(clock.now(), start.seed, facts);
     let (first_fresh_list, fresh_list_received) = oneshot::channel();
     let actor = DecisionActor::new(
--- a/balancer/src/start_facts.rs
+++ b/balancer/src/start_facts.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-use ochreshed::Facts;
+use ochreshed::Parameters;
 use ochreshed_hands::facts;
 use serde_json::Value as Json;
 
@@ -39,7 +39,7 @@
     pub max_body_bytes: usize,
     /// The last server list of this balancer, in discovery's format.
     pub known_list: Json,
-    pub facts: Facts,
+    pub facts: Parameters,
     /// The headers in which clients give optional facts about a request.
     pub headers: Headers,
     /// Features that the settings allow but this program does not use.
