--- a/balancer/src/client_listener.rs
+++ b/balancer/src/client_listener.rs
@@ -44,7 +44,7 @@
 use crate::settings::Headers;
 use crate::start_facts::{MAX_BUFFERED_BODY_BYTES, MAX_STREAMED_BODY_BYTES, STREAMED_BODY_BUFFER_BYTES};
 
-/// DispatchOutcome long a client may take to send a request, the first one counted from the connection's start, and how
+/// How long a client may take to send a request, the first one counted from the connection's start, and how
 /// long a connection may stay idle.
 const REQUEST_READ_TIMEOUT: Nanos = 2_500_000_000;
 const IDLE_TIMEOUT: Nanos = 10_000_000_000;
@@ -52,11 +52,11 @@
 const EVACUATION_IDLE_GRACE: Duration = Duration::from_millis(1_500);
 /// The longest sleep between two checks of a connection's time limit.
 const OVERDUE_CHECK_INTERVAL: Nanos = 1_000_000_000;
-/// DispatchOutcome long a partly received request is waited for once the listener is closed.
+/// How long a partly received request is waited for once the listener is closed.
 const PARTIAL_REQUEST_GRACE: Duration = Duration::from_millis(300);
-/// DispatchOutcome long a client may take to read its response on a connection that is being closed.
+/// How long a client may take to read its response on a connection that is being closed.
 const FINAL_RESPONSE_TIMEOUT: Duration = Duration::from_secs(10);
-/// DispatchOutcome long, and for how many bytes, a closing connection is still read; longer after a large request body.
+/// How long, and for how many bytes, a closing connection is still read; longer after a large request body.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
 const LINGER_MAX_BYTES: usize = 4 << 20;
 const LARGE_BODY_LINGER_TIMEOUT: Duration = Duration::from_secs(3);
@@ -68,7 +68,7 @@
 const RESPONSE_DELIVERY_TIME: Nanos = 5_000_000;
 /// Clients wait for a day at most.
 const MAX_BUDGET_S: f64 = 86_400.0;
-/// DispatchOutcome long to wait when no descriptor is left for a new connection.
+/// How long to wait when no descriptor is left for a new connection.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// What is admitted: how many connections, how many bytes of bodies together, which rule sets.
@@ -113,7 +113,7 @@
     /// It was sent a refusal, or a response before the end of its body.
     refused: AtomicBool,
     answered_early: AtomicBool,
-    /// DispatchOutcome many bytes of a body have arrived, and whether a streamed response was truncated.
+    /// How many bytes of a body have arrived, and whether a streamed response was truncated.
     body_bytes: AtomicU64,
     truncated: AtomicBool,
     shutdown: Notify,
@@ -305,7 +305,7 @@
             {
                 let mut served =
                     pin!(builder.serve_connection(metered_stream, TowerToHyperService::new(handler)));
-                // DispatchOutcome a client's connection ends has no effect elsewhere.
+                // How a client's connection ends has no effect elsewhere.
                 tokio::select! {
                     _ = served.as_mut() => {}
                     () = connection.shutdown.notified() => {
--- a/balancer/src/decision_actor.rs
+++ b/balancer/src/decision_actor.rs
@@ -45,7 +45,7 @@
         dispatch_index: usize,
         outcome: DispatchOutcome,
         at: Nanos,
-        /// DispatchOutcome long the body took to arrive, if it was waited for.
+        /// How long the body took to arrive, if it was waited for.
         body_time: Nanos,
         response: Option<Response<ResponseBody>>,
     },
--- a/balancer/src/discovery.rs
+++ b/balancer/src/discovery.rs
@@ -27,7 +27,7 @@
 const FLEET_CALLS_PER_S: f64 = 50.0;
 const MIN_WATCH_S: f64 = 1.0;
 const MAX_WATCH_S: f64 = 20.0;
-/// DispatchOutcome much longer than the wait a response may take before the call has failed. 2 s after the wait, a change
+/// How much longer than the wait a response may take before the call has failed. 2 s after the wait, a change
 /// must have been delivered.
 const RESPONSE_GRACE: Duration = Duration::from_millis(1_500);
 const MAX_LIST_BYTES: usize = 4 << 20;
@@ -58,7 +58,7 @@
 struct DiscoveryClient {
     discovery: SocketAddr,
     clock: Clock,
-    /// DispatchOutcome long a watch waits for a change.
+    /// How long a watch waits for a change.
     watch_wait: Duration,
     decisions: mpsc::Sender<DecisionEvent>,
     /// The last generation received, as discovery wrote it.
@@ -68,7 +68,7 @@
     memory: Arc<Semaphore>,
 }
 
-/// DispatchOutcome long a watch waits in a fleet of this size. The bounds limit how long a silent watch goes unnoticed:
+/// How long a watch waits in a fleet of this size. The bounds limit how long a silent watch goes unnoticed:
 /// until its wait is over it looks like one without changes, and the changes it missed arrive too late.
 pub fn watch_wait(facts: &Parameters) -> Duration {
     let all = read_number(facts, "instances", 1.0) * read_number(facts, "tiers", 1.0);
--- a/balancer/src/endpoint_pool.rs
+++ b/balancer/src/endpoint_pool.rs
@@ -99,7 +99,7 @@
     /// requests could be denied for want of a connection while other connections are idle.
     pub min_spare_permits: usize,
     pub connect_timeout: Duration,
-    /// DispatchOutcome long an endpoint keeps an idle connection open.
+    /// How long an endpoint keeps an idle connection open.
     pub idle_timeout: Nanos,
 }
 
--- a/balancer/src/fleet.rs
+++ b/balancer/src/fleet.rs
@@ -19,9 +19,9 @@
 use ochreshed_gossip::peer::{Output, Peer, Settings};
 use ochreshed_membership::swim::{Config, To};
 use ochreshed_membership::wire::MOST;
-use ochreshed_recovery::begin::{self, First, Given, Source};
-use ochreshed_recovery::snapshot::{self, Snapshot};
-use ochreshed_recovery::start::{self, Knows, Start};
+use ochreshed_recovery::initial_list::{FactsList, InitialList, ListSource, select_initial_list};
+use ochreshed_recovery::snapshot::{Snapshot, SnapshotEntry};
+use ochreshed_recovery::start_progress::{ListFreshness, StartProgress, max_wait_for_peers};
 use ochreshed_replica::outcomes::OutcomeCounts;
 use ochreshed_replica::status::ServerStatus;
 use tokio::net::{TcpListener, UdpSocket};
@@ -42,7 +42,7 @@
 /// Unreadable messages are logged at most once a minute.
 const REJECTION_LOG_INTERVAL: Nanos = 60 * S;
 const STATUS_INTERVAL: Nanos = S / 2;
-/// DispatchOutcome often the outcomes recorded by the decision actor are collected.
+/// How often the outcomes recorded by the decision actor are collected.
 const OUTCOME_INTERVAL: Nanos = S / 10;
 const MAILBOX_CAPACITY: usize = 64;
 /// A snapshot is written this long after a change, plus a random part of it, so that instances that receive
@@ -58,7 +58,7 @@
     /// Where the decision actor records outcomes for the other instances.
     pub observed: ObservedOutcomes,
     /// The list to start with, and its source.
-    pub initial_list: (Source, Vec<EndpointEntry>),
+    pub initial_list: (ListSource, Vec<EndpointEntry>),
     /// Whether other instances have sent their state, and how long a start may wait for that.
     pub confirmed: watch::Receiver<bool>,
     pub confirmation_timeout: Duration,
@@ -114,7 +114,7 @@
     snapshot_due_at: Option<Nanos>,
     snapshot_number: u64,
     snapshot_jitter: Nanos,
-    start: Start,
+    start_progress: StartProgress,
     metrics: Arc<Metrics>,
     /// Requests that had ended at the last check, and how many of them failed.
     ended_and_failed: (u64, u64),
@@ -156,19 +156,20 @@
     let snapshots = config.snapshots.as_deref().map(SnapshotStore::new);
     let unix = unix_nanos();
     let snapshot = snapshots.as_ref().and_then(|store| store.read(&config.fleet, name, unix));
-    let age = snapshot.as_ref().map(|snapshot| unix.saturating_sub(snapshot.written));
+    let age = snapshot.as_ref().map(|snapshot| unix.saturating_sub(snapshot.written_at_unix_ns));
     let version = facts_list.as_ref().map(|(version, _)| *version);
-    let facts_list = facts_list.map(|(version, entries)| Given { version, entries });
-    let initial_list: First<SocketAddr> = begin::first(facts_list, snapshot.as_ref(), age.unwrap_or(0));
+    let facts_list = facts_list.map(|(version, entries)| FactsList { version, entries });
+    let initial_list: InitialList<SocketAddr> =
+        select_initial_list(facts_list, snapshot.as_ref(), age.unwrap_or(0));
     if let Some(age) = age {
-        let First { source, entries, gone, drain } = &initial_list;
+        let InitialList { source, entries, excluded_as_gone, marked_draining } = &initial_list;
         info!(
-            "snapshot is {} s old: starting with {} endpoints from {source:?}, {gone} excluded as gone, {drain} draining",
+            "snapshot is {} s old: starting with {} endpoints from {source:?}, {excluded_as_gone} excluded as gone, {marked_draining} draining",
             age / S,
             entries.len()
         );
     }
-    let wait = start::wait(age, !config.seeds.is_empty());
+    let wait = max_wait_for_peers(age, !config.seeds.is_empty());
     let settings = Settings {
         fleet: config.fleet.clone(),
         name: name.into(),
@@ -186,8 +187,8 @@
     if let Some(snapshot) = &snapshot {
         // Where the list in the start facts is newer, it replaces the snapshot's statuses.
         let newer = version.is_some_and(|version| version > snapshot.stamp.version)
-            && initial_list.source == Source::Facts;
-        peer.recall(snapshot.stamp, &snapshot.words, snapshot.floor);
+            && initial_list.source == ListSource::Facts;
+        peer.recall(snapshot.stamp, &snapshot.statuses, snapshot.floor);
         if newer {
             let states: Vec<(String, ServerStatus)> = initial_list
                 .entries
@@ -197,10 +198,12 @@
             peer.listed(version.unwrap_or_default(), true, &states);
         }
     }
-    let start = Start::new(now, !initial_list.entries.is_empty());
+    let start_progress = StartProgress::new(now, !initial_list.entries.is_empty());
     let (confirmed, confirmed_receiver) = watch::channel(false);
-    let page =
-        (status_page::render(&peer, &config.fleet, counts, now), status_page::metrics(&peer, counts, &start));
+    let page = (
+        status_page::render(&peer, &config.fleet, counts, now),
+        status_page::metrics(&peer, counts, &start_progress),
+    );
     let (status, status_receiver) = watch::channel(page);
     let observed = ObservedOutcomes::default();
     info!("{name} joins fleet {} at {}", config.fleet, config.listen);
@@ -221,9 +224,9 @@
         observed: observed.clone(),
         snapshots,
         snapshot_due_at: None,
-        snapshot_number: snapshot.map_or(0, |snapshot| snapshot.number),
+        snapshot_number: snapshot.map_or(0, |snapshot| snapshot.sequence),
         snapshot_jitter,
-        start,
+        start_progress,
         metrics,
         ended_and_failed: (0, 0),
         confirmed,
@@ -290,7 +293,7 @@
                     self.handle_sync(request);
                 },
                 () = life.reached(Phase::Serving), if !is_serving => {
-                    self.start.ready(self.clock.now());
+                    self.start_progress.mark_ready(self.clock.now());
                     is_serving = true;
                 }
                 // An instance that stops announces it, so that the others do not count it as failed. It still
@@ -338,11 +341,15 @@
         let snapshot = Snapshot {
             fleet: self.config.fleet.clone(),
             instance: self.peer.swim().name().to_owned(),
-            number: self.snapshot_number + 1,
-            written: unix_nanos(),
+            sequence: self.snapshot_number + 1,
+            written_at_unix_ns: unix_nanos(),
             stamp: store.discovery_stamp(),
-            list: self.known.list().map(|(listed, address)| snapshot::Entry::of(listed, *address)).collect(),
-            words: worse.map(|(srv, word)| (srv.clone(), *word)).collect(),
+            entries: self
+                .known
+                .list()
+                .map(|(listed, address)| SnapshotEntry::from_listed(listed, *address))
+                .collect(),
+            statuses: worse.map(|(srv, word)| (srv.clone(), *word)).collect(),
             floor: store.statuses().floor(),
         };
         let Some(snapshots) = &mut self.snapshots else { return };
@@ -357,23 +364,27 @@
     /// Checks how far the start has progressed.
     fn update_start_progress(&mut self, now: Nanos) {
         if self.peer.confirmed() {
-            self.start.told(now, Knows::Others);
+            self.start_progress.record_confirmation(now, ListFreshness::ConfirmedByPeers);
             self.confirmed.send_if_modified(|confirmed| !std::mem::replace(confirmed, true));
         }
         let (ended, failed) = self.metrics.ended_and_failed();
-        self.start.ended(now, ended - self.ended_and_failed.0, failed - self.ended_and_failed.1);
+        self.start_progress.record_requests(
+            now,
+            ended - self.ended_and_failed.0,
+            failed - self.ended_and_failed.1,
+        );
         self.ended_and_failed = (ended, failed);
-        if let Some(summary) = self.start.look(now) {
+        if let Some(summary) = self.start_progress.check_full_service(now) {
             let ms = |span: Nanos| span / 1_000_000;
             let optional_ms =
                 |span: Option<Nanos>| span.map_or("never".into(), |span| format!("{} ms", ms(span)));
             info!(
                 "full service {} ms after the start: began by {}, ready {} ms, told by others {}, by discovery {}",
-                ms(summary.full),
-                summary.began_by.name(),
-                ms(summary.ready),
-                optional_ms(summary.others),
-                optional_ms(summary.discovery)
+                ms(summary.full_service_after),
+                summary.initial_freshness.label(),
+                ms(summary.ready_after),
+                optional_ms(summary.peers_after),
+                optional_ms(summary.discovery_after)
             );
         }
     }
@@ -385,7 +396,7 @@
         };
         let now = self.clock.now();
         if !is_stale {
-            self.start.told(now, Knows::Discovery);
+            self.start_progress.record_confirmation(now, ListFreshness::ConfirmedByDiscovery);
             if is_complete || !entries.is_empty() {
                 self.schedule_snapshot(now);
             }
@@ -461,7 +472,8 @@
             self.next_status_at = now + STATUS_INTERVAL;
             self.counts.overruled = self.known.overruled() as u64;
             let page = status_page::render(&self.peer, &self.config.fleet, self.counts, now);
-            self.status.send_replace((page, status_page::metrics(&self.peer, self.counts, &self.start)));
+            self.status
+                .send_replace((page, status_page::metrics(&self.peer, self.counts, &self.start_progress)));
         }
     }
 
--- a/balancer/src/fleet/status_page.rs
+++ b/balancer/src/fleet/status_page.rs
@@ -7,7 +7,7 @@
 
 use ochreshed_gossip::peer::Peer;
 use ochreshed_gossip::{Nanos, S};
-use ochreshed_recovery::start::Start;
+use ochreshed_recovery::start_progress::StartProgress;
 use ochreshed_replica::status::ServerStatus;
 
 /// The maximum number of draining or gone endpoints on the page.
@@ -68,7 +68,11 @@
 }
 
 /// The same as metrics: a name, a value, and `c` for a counter or `g` for a gauge.
-pub fn metrics(peer: &Peer, counts: FleetCounts, start: &Start) -> Vec<(&'static str, u64, &'static str)> {
+pub fn metrics(
+    peer: &Peer,
+    counts: FleetCounts,
+    start: &StartProgress,
+) -> Vec<(&'static str, u64, &'static str)> {
     let (swim, words, traffic) = (peer.swim(), peer.store().statuses(), peer.traffic());
     let not_serving = words.iter().filter(|(_, word)| word.status != ServerStatus::Serving).count();
     vec![
@@ -84,9 +88,9 @@
         ("fleet.sent_bytes", traffic.sent_bytes, "c"),
         ("fleet.received_bytes", traffic.received_bytes, "c"),
         ("fleet.unreadable", traffic.wrong.values().sum(), "c"),
-        ("start.knows", start.knows() as u64, "g"),
+        ("start.knows", start.freshness() as u64, "g"),
         // 0 until full service is reached.
-        ("start.full_service_ms", start.full().unwrap_or(0) / 1_000_000, "g"),
+        ("start.full_service_ms", start.full_service_after().unwrap_or(0) / 1_000_000, "g"),
     ]
 }
 
--- a/balancer/src/lifecycle.rs
+++ b/balancer/src/lifecycle.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use ochreshed::{Balancer, Name, Nanos, ParameterValue, Parameters, read_duration, read_list, read_text};
-use ochreshed_recovery::begin::Source;
+use ochreshed_recovery::initial_list::ListSource;
 use tokio::net::TcpListener;
 use tokio::signal::unix::{Signal, SignalKind, signal};
 use tokio::sync::{Semaphore, mpsc, oneshot, watch};
@@ -40,7 +40,7 @@
 const MAX_RESPONSE_WAIT: Nanos = 3 * S;
 const ABORT_DELAY: Nanos = S * 3 / 10;
 const EXIT_DELAY: Nanos = S / 2;
-/// DispatchOutcome long a process that starts beside another waits for its first current list, and how often it checks
+/// How long a process that starts beside another waits for its first current list, and how often it checks
 /// whether the other has ended.
 const FIRST_LIST_TIMEOUT: Duration = Duration::from_secs(3);
 const OTHERS_CHECK_INTERVAL: Duration = Duration::from_millis(250);
@@ -203,13 +203,13 @@
     let list_updates = fleet.as_ref().map_or(&events, |fleet| &fleet.list_updates).clone();
     let initial_list = match &mut fleet {
         Some(fleet) => {
-            if fleet.initial_list.0 == Source::Snapshot {
+            if fleet.initial_list.0 == ListSource::Snapshot {
                 // The snapshot's list may not match the generation in the start facts, so changes since then
                 // would be incomplete: the whole list is requested.
                 known_generation = None;
             }
             let entries = std::mem::take(&mut fleet.initial_list.1);
-            (fleet.initial_list.0 != Source::Nothing).then_some((true, entries))
+            (fleet.initial_list.0 != ListSource::Nothing).then_some((true, entries))
         }
         None => known_list.map(|(_, is_complete, entries)| (is_complete, entries)),
     };
