--- a/balancer/src/decision_actor.rs
+++ b/balancer/src/decision_actor.rs
@@ -150,6 +150,7 @@
 /// The maximum number of endpoint and rule set pairs recorded at once; the fleet actor collects them ten
 /// times a second.
 const MAX_OBSERVED_PAIRS: usize = 1_000;
+const PROBE_TIMEOUT: Nanos = 1_000_000_000;
 
 /// Records an outcome for the other instances.
 fn record_outcome(
@@ -369,7 +370,7 @@
             // A full mailbox already holds commands that fetch the list.
             Act::Watch => drop(self.discovery.try_send(DiscoveryCommand::Watch)),
             Act::List => drop(self.discovery.try_send(DiscoveryCommand::Fetch)),
-            Act::Probe(srv) => drop(self.send_to_pool(&srv, PoolCommand::Probe(now + 1_000_000_000))),
+            Act::Probe(srv) => drop(self.send_to_pool(&srv, PoolCommand::Probe(now + PROBE_TIMEOUT))),
             Act::Close(srv) => self.close_idle(&srv),
             Act::Log(line) => info!("{line}"),
         }
