--- a/balancer/src/fleet.rs
+++ b/balancer/src/fleet.rs
@@ -15,10 +15,10 @@
 use std::time::Duration;
 
 use ochreshed::{DispatchOutcome, Nanos};
-use ochreshed_gossip::known::{Known, to_word};
-use ochreshed_gossip::peer::{Output, Peer, Settings};
-use ochreshed_membership::swim::{Config, To};
-use ochreshed_membership::wire::MOST;
+use ochreshed_gossip::endpoint_list::{EndpointList, to_server_status};
+use ochreshed_gossip::node::{GossipNode, NodeSettings, Output};
+use ochreshed_membership::swim::{Destination, SwimConfig};
+use ochreshed_membership::wire::MAX_MESSAGE_BYTES;
 use ochreshed_recovery::initial_list::{FactsList, InitialList, ListSource, select_initial_list};
 use ochreshed_recovery::snapshot::{Snapshot, SnapshotEntry};
 use ochreshed_recovery::start_progress::{ListFreshness, StartProgress, max_wait_for_peers};
@@ -98,8 +98,8 @@
     clock: Clock,
     /// None while another process of this instance holds the port, and after one has taken over.
     sockets: Option<Sockets>,
-    peer: Peer,
-    known: Known<SocketAddr>,
+    gossip: GossipNode,
+    endpoints: EndpointList<SocketAddr>,
     decisions: mpsc::Sender<DecisionEvent>,
     sync_sender: mpsc::Sender<stream_sync::SyncRequest>,
     counts: status_page::FleetCounts,
@@ -170,39 +170,39 @@
         );
     }
     let wait = max_wait_for_peers(age, !config.seeds.is_empty());
-    let settings = Settings {
+    let settings = NodeSettings {
         fleet: config.fleet.clone(),
         name: name.into(),
         address: config.listen,
         zone: zone.into(),
         // Distinguishes processes under the same instance name: time and process id are combined with the
         // seed of the start facts.
-        start: seed ^ (std::process::id() as u64).rotate_left(40) ^ unix_nanos(),
+        start_id: seed ^ (std::process::id() as u64).rotate_left(40) ^ unix_nanos(),
         seeds: config.seeds.clone(),
-        membership: Config::default(),
+        membership: SwimConfig::default(),
     };
     let (list_updates, update_receiver) = mpsc::channel(MAILBOX_CAPACITY);
-    let snapshot_jitter = settings.start % SNAPSHOT_DELAY;
-    let (mut peer, counts) = (Peer::new(settings, now), status_page::FleetCounts::default());
+    let snapshot_jitter = settings.start_id % SNAPSHOT_DELAY;
+    let (mut gossip, counts) = (GossipNode::new(settings, now), status_page::FleetCounts::default());
     if let Some(snapshot) = &snapshot {
         // Where the list in the start facts is newer, it replaces the snapshot's statuses.
         let newer = version.is_some_and(|version| version > snapshot.stamp.version)
             && initial_list.source == ListSource::Facts;
-        peer.recall(snapshot.stamp, &snapshot.statuses, snapshot.floor);
+        gossip.restore(snapshot.stamp, &snapshot.statuses, snapshot.floor);
         if newer {
             let states: Vec<(String, ServerStatus)> = initial_list
                 .entries
                 .iter()
-                .map(|(listed, _)| (listed.name.to_string(), to_word(listed.state)))
+                .map(|(listed, _)| (listed.name.to_string(), to_server_status(listed.state)))
                 .collect();
-            peer.listed(version.unwrap_or_default(), true, &states);
+            gossip.apply_discovery(version.unwrap_or_default(), true, &states);
         }
     }
     let start_progress = StartProgress::new(now, !initial_list.entries.is_empty());
     let (confirmed, confirmed_receiver) = watch::channel(false);
     let page = (
-        status_page::render(&peer, &config.fleet, counts, now),
-        status_page::metrics(&peer, counts, &start_progress),
+        status_page::render(&gossip, &config.fleet, counts, now),
+        status_page::metrics(&gossip, counts, &start_progress),
     );
     let (status, status_receiver) = watch::channel(page);
     let observed = ObservedOutcomes::default();
@@ -211,8 +211,8 @@
         config,
         clock,
         sockets,
-        peer,
-        known: Known::new(),
+        gossip,
+        endpoints: EndpointList::new(),
         decisions,
         sync_sender,
         counts,
@@ -274,7 +274,7 @@
         mut sync_requests: mpsc::Receiver<stream_sync::SyncRequest>,
         life: Lifecycle,
     ) {
-        let (mut bytes, mut is_serving, mut has_left) = (vec![0; MOST + 1], false, false);
+        let (mut bytes, mut is_serving, mut has_left) = (vec![0; MAX_MESSAGE_BYTES + 1], false, false);
         let mut bind_at = Instant::now();
         loop {
             let wake_at = self.next_wake_at();
@@ -287,7 +287,7 @@
                     }
                 }
                 received = receive(&self.sockets, &mut bytes) => if let Some((count, from)) = received {
-                    self.peer.receive(self.clock.now(), from, &bytes[..count]);
+                    self.gossip.receive(self.clock.now(), from, &bytes[..count]);
                 },
                 request = sync_requests.recv() => if let Some(request) = request {
                     self.handle_sync(request);
@@ -299,7 +299,7 @@
                 // An instance that stops announces it, so that the others do not count it as failed. It still
                 // receives drains.
                 () = life.reached(Phase::Leaving), if !has_left => {
-                    self.peer.leave(self.clock.now());
+                    self.gossip.leave(self.clock.now());
                     has_left = true;
                 }
                 () = sleep_until(bind_at), if self.sockets.is_none() && !has_left => {
@@ -321,8 +321,8 @@
 
     fn next_wake_at(&self) -> Nanos {
         // Nothing is due later than `show_at`, and the clock can represent that.
-        self.peer
-            .next()
+        self.gossip
+            .next_tick_at()
             .min(self.next_status_at)
             .min(self.next_outcomes_at)
             .min(self.snapshot_due_at.unwrap_or(Nanos::MAX))
@@ -336,17 +336,17 @@
     }
 
     fn write_snapshot(&mut self, now: Nanos) {
-        let store = self.peer.store();
+        let store = self.gossip.store();
         let worse = store.statuses().iter().filter(|(_, word)| word.status != ServerStatus::Serving);
         let snapshot = Snapshot {
             fleet: self.config.fleet.clone(),
-            instance: self.peer.swim().name().to_owned(),
+            instance: self.gossip.swim().name().to_owned(),
             sequence: self.snapshot_number + 1,
             written_at_unix_ns: unix_nanos(),
             stamp: store.discovery_stamp(),
             entries: self
-                .known
-                .list()
+                .endpoints
+                .discovered()
                 .map(|(listed, address)| SnapshotEntry::from_listed(listed, *address))
                 .collect(),
             statuses: worse.map(|(srv, word)| (srv.clone(), *word)).collect(),
@@ -363,7 +363,7 @@
 
     /// Checks how far the start has progressed.
     fn update_start_progress(&mut self, now: Nanos) {
-        if self.peer.confirmed() {
+        if self.gossip.has_synced() {
             self.start_progress.record_confirmation(now, ListFreshness::ConfirmedByPeers);
             self.confirmed.send_if_modified(|confirmed| !std::mem::replace(confirmed, true));
         }
@@ -400,11 +400,13 @@
             if is_complete || !entries.is_empty() {
                 self.schedule_snapshot(now);
             }
-            let states: Vec<(String, ServerStatus)> =
-                entries.iter().map(|(listed, _)| (listed.name.to_string(), to_word(listed.state))).collect();
-            self.peer.listed(version, is_complete, &states);
+            let states: Vec<(String, ServerStatus)> = entries
+                .iter()
+                .map(|(listed, _)| (listed.name.to_string(), to_server_status(listed.state)))
+                .collect();
+            self.gossip.apply_discovery(version, is_complete, &states);
         }
-        self.known.told(self.peer.store().statuses(), is_complete, &mut entries);
+        self.endpoints.apply_discovery(self.gossip.store().statuses(), is_complete, &mut entries);
         DecisionEvent::ListUpdate { is_complete, is_stale, version, entries }
     }
 
@@ -412,22 +414,22 @@
     fn handle_sync(&mut self, request: stream_sync::SyncRequest) {
         let now = self.clock.now();
         match request {
-            stream_sync::SyncRequest::OurHello(reply) => drop(reply.send(self.peer.hello())),
+            stream_sync::SyncRequest::OurHello(reply) => drop(reply.send(self.gossip.hello())),
             stream_sync::SyncRequest::TheirHello(body, reply) => {
-                let met = self.peer.greeted(&body).ok().map(|hello| {
-                    let pieces = self.peer.differing(&hello);
-                    (hello, pieces)
+                let accepted = self.gossip.accept_hello(&body).ok().map(|hello| {
+                    let bodies = self.gossip.encode_differences(&hello);
+                    (hello, bodies)
                 });
                 // If the receiver is gone, the synchronization was cut short.
-                drop(reply.send(met));
+                drop(reply.send(accepted));
             }
             stream_sync::SyncRequest::ReceivedState(from, body) => {
-                if let Err(why) = self.peer.met(now, &body) {
+                if let Err(why) = self.gossip.receive_stream_body(now, &body) {
                     self.record_rejection(now, from, why);
                 }
             }
             stream_sync::SyncRequest::Finished { started_here, succeeded } if started_here || succeeded => {
-                self.peer.parted(now, succeeded)
+                self.gossip.finish_stream_sync(now, succeeded)
             }
             stream_sync::SyncRequest::Finished { .. } => {}
         }
@@ -459,21 +461,21 @@
             self.update_start_progress(now);
             let recorded = std::mem::take(&mut *self.observed.lock().unwrap_or_else(PoisonError::into_inner));
             for ((endpoint, rule_set), counts) in recorded {
-                self.peer.count(now, &endpoint, &rule_set, counts);
+                self.gossip.record_outcomes(now, &endpoint, &rule_set, counts);
             }
         }
-        if self.peer.next() <= now {
-            self.peer.tick(now);
+        if self.gossip.next_tick_at() <= now {
+            self.gossip.tick(now);
         }
-        while let Some(output) = self.peer.output() {
+        while let Some(output) = self.gossip.poll_output() {
             self.handle_output(now, output).await;
         }
         if self.next_status_at <= now {
             self.next_status_at = now + STATUS_INTERVAL;
-            self.counts.overruled = self.known.overruled() as u64;
-            let page = status_page::render(&self.peer, &self.config.fleet, self.counts, now);
+            self.counts.overridden = self.endpoints.override_count() as u64;
+            let page = status_page::render(&self.gossip, &self.config.fleet, self.counts, now);
             self.status
-                .send_replace((page, status_page::metrics(&self.peer, self.counts, &self.start_progress)));
+                .send_replace((page, status_page::metrics(&self.gossip, self.counts, &self.start_progress)));
         }
     }
 
@@ -486,12 +488,13 @@
                     let _ = sockets.udp.try_send_to(&bytes, to);
                 }
             }
-            Output::Changed(srvs) => {
+            Output::StatusesChanged(servers) => {
                 self.schedule_snapshot(now);
-                let changed =
-                    self.known.changed(self.peer.store().statuses(), srvs.iter().map(String::as_str));
+                let changed = self
+                    .endpoints
+                    .apply_status_changes(self.gossip.store().statuses(), servers.iter().map(String::as_str));
                 if let Some((first, _)) = changed.first() {
-                    self.counts.told_early += changed.len() as u64;
+                    self.counts.reported_early += changed.len() as u64;
                     info!(
                         "fleet: other instances reported changes of {} endpoints; {} is {:?}",
                         changed.len(),
@@ -508,7 +511,7 @@
                     let _ = self.decisions.send(update).await;
                 }
             }
-            Output::Counted { srv, set, counts } if self.known.has(&srv) => {
+            Output::OutcomesReceived { server, rule_set, counts } if self.endpoints.contains(&server) => {
                 let OutcomeCounts { succeeded, failed, lost } = counts;
                 for (outcome, count) in [
                     (DispatchOutcome::Done, succeeded),
@@ -517,8 +520,8 @@
                 ] {
                     if count > 0 {
                         let event = DecisionEvent::PeerOutcomes {
-                            endpoint: srv.as_str().into(),
-                            rule_set: set.as_str().into(),
+                            endpoint: server.as_str().into(),
+                            rule_set: rule_set.as_str().into(),
                             outcome,
                             count,
                         };
@@ -526,30 +529,30 @@
                     }
                 }
             }
-            Output::Counted { .. } => {}
+            Output::OutcomesReceived { .. } => {}
             Output::Joined(name) => info!("fleet: {name} has joined"),
-            Output::Lost(name) => info!("fleet: {name} has failed"),
+            Output::Failed(name) => info!("fleet: {name} has failed"),
             Output::Left(name) => info!("fleet: {name} has left"),
-            Output::Returned => info!("fleet: other instances had declared this instance dead"),
+            Output::DeclaredDead => info!("fleet: other instances had declared this instance dead"),
             Output::Displaced(address) => {
                 warn!(
                     "fleet: another live process at {address} has this instance's name; this process sends and receives no more messages"
                 );
             }
-            Output::Meet(name) => match self.address_of(&To::Member(name)) {
+            Output::StreamSyncDue(name) => match self.address_of(&Destination::Member(name)) {
                 Some(to) => stream_sync::start(to, self.sync_sender.clone()),
-                None => self.peer.parted(now, false),
+                None => self.gossip.finish_stream_sync(now, false),
             },
-            Output::Wrong { from, why } => self.record_rejection(now, from, &why),
+            Output::Rejected { from, reason } => self.record_rejection(now, from, &reason),
         }
     }
 
-    fn address_of(&self, to: &To) -> Option<SocketAddr> {
+    fn address_of(&self, to: &Destination) -> Option<SocketAddr> {
         match to {
-            To::Address(address) => Some(*address),
-            To::Member(name) => {
-                let listens = self.peer.swim().members().get(name).map(|member| member.word.address);
-                self.config.reach.get(name).copied().or(listens)
+            Destination::Address(address) => Some(*address),
+            Destination::Member(name) => {
+                let announced = self.gossip.swim().members().get(name).map(|member| member.record.address);
+                self.config.reach.get(name).copied().or(announced)
             }
         }
     }
--- a/balancer/src/fleet/status_page.rs
+++ b/balancer/src/fleet/status_page.rs
@@ -5,7 +5,7 @@
 use std::fmt::Write as _;
 use std::net::SocketAddr;
 
-use ochreshed_gossip::peer::Peer;
+use ochreshed_gossip::node::GossipNode;
 use ochreshed_gossip::{Nanos, S};
 use ochreshed_recovery::start_progress::StartProgress;
 use ochreshed_replica::status::ServerStatus;
@@ -17,80 +17,90 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct FleetCounts {
     /// Drains, departures and returns reported to the decision module before its own list had them.
-    pub told_early: u64,
+    pub reported_early: u64,
     /// Endpoints whose state according to other instances is currently worse than in the own list.
-    pub overruled: u64,
+    pub overridden: u64,
 }
 
 /// Renders the members, the state held with its size, and the rejected messages.
-pub fn render(peer: &Peer, fleet: &str, counts: FleetCounts, now: Nanos) -> String {
+pub fn render(gossip: &GossipNode, fleet: &str, counts: FleetCounts, now: Nanos) -> String {
     let mut page = String::new();
-    let (swim, words, traffic) = (peer.swim(), peer.store().statuses(), peer.traffic());
-    let (name, mine) = (swim.name(), swim.mine());
+    let (swim, statuses, traffic) = (gossip.swim(), gossip.store().statuses(), gossip.traffic());
+    let (name, own_record) = (swim.name(), swim.own_record());
     // Writing to a String does not fail.
     let mut line = |line: std::fmt::Arguments| {
         let _ = writeln!(page, "{line}");
     };
     line(format_args!(
         "instance {name} of fleet {fleet}, incarnation {}, health {}",
-        mine.incarnation,
-        swim.health()
+        own_record.incarnation,
+        swim.health_score()
     ));
     line(format_args!(
         "sent {} messages, {} bytes; received {}, {} bytes; {} meetings",
-        traffic.sent, traffic.sent_bytes, traffic.received, traffic.received_bytes, traffic.meetings
+        traffic.sent_messages,
+        traffic.sent_bytes,
+        traffic.received_messages,
+        traffic.received_bytes,
+        traffic.stream_syncs
     ));
     line(format_args!(
         "words on {} srvs, floor {:?}; told before the own list: {}, worse than it now: {}",
-        words.len(),
-        words.floor(),
-        counts.told_early,
-        counts.overruled
+        statuses.len(),
+        statuses.floor(),
+        counts.reported_early,
+        counts.overridden
     ));
-    line(format_args!("rows written {}, outcomes of others told on {}", traffic.rows, traffic.counted));
-    for (why, count) in &traffic.wrong {
-        line(format_args!("could not be read: {count} {why}"));
+    line(format_args!(
+        "rows written {}, outcomes of others told on {}",
+        traffic.outcome_rows_sent, traffic.outcomes_applied
+    ));
+    for (reason, count) in &traffic.rejected {
+        line(format_args!("could not be read: {count} {reason}"));
     }
-    line(format_args!("member {name} {:?} here, incarnation {}", mine.state, mine.incarnation));
+    line(format_args!("member {name} {:?} here, incarnation {}", own_record.state, own_record.incarnation));
     for (name, member) in swim.members() {
-        let (word, since) = (&member.word, (now.saturating_sub(member.since)) / S);
+        let (record, since) = (&member.record, (now.saturating_sub(member.changed_at)) / S);
         line(format_args!(
             "member {name} {:?} in zone {} at {}, incarnation {}, for {since} s",
-            word.state, word.zone, word.address, word.incarnation
+            record.state, record.zone, record.address, record.incarnation
         ));
     }
     // Serving endpoints are left out.
-    let not_serving = words.iter().filter(|(_, word)| word.status != ServerStatus::Serving);
-    for (srv, word) in not_serving.take(MAX_ENDPOINTS_SHOWN) {
-        line(format_args!("srv {srv} {:?} by list {}.{}", word.status, word.stamp.epoch, word.stamp.version));
+    let not_serving = statuses.iter().filter(|(_, record)| record.status != ServerStatus::Serving);
+    for (server, record) in not_serving.take(MAX_ENDPOINTS_SHOWN) {
+        line(format_args!(
+            "srv {server} {:?} by list {}.{}",
+            record.status, record.stamp.epoch, record.stamp.version
+        ));
     }
     page
 }
 
 /// The same as metrics: a name, a value, and `c` for a counter or `g` for a gauge.
 pub fn metrics(
-    peer: &Peer,
+    gossip: &GossipNode,
     counts: FleetCounts,
-    start: &StartProgress,
+    start_progress: &StartProgress,
 ) -> Vec<(&'static str, u64, &'static str)> {
-    let (swim, words, traffic) = (peer.swim(), peer.store().statuses(), peer.traffic());
-    let not_serving = words.iter().filter(|(_, word)| word.status != ServerStatus::Serving).count();
+    let (swim, statuses, traffic) = (gossip.swim(), gossip.store().statuses(), gossip.traffic());
+    let not_serving = statuses.iter().filter(|(_, record)| record.status != ServerStatus::Serving).count();
     vec![
-        ("fleet.members", swim.there().count() as u64 + 1, "g"),
-        ("fleet.health", u64::from(swim.health()), "g"),
-        ("fleet.words", words.len() as u64, "g"),
+        ("fleet.members", swim.live_members().count() as u64 + 1, "g"),
+        ("fleet.health", u64::from(swim.health_score()), "g"),
+        ("fleet.words", statuses.len() as u64, "g"),
         ("fleet.worse", not_serving as u64, "g"),
-        ("fleet.overruled", counts.overruled, "g"),
-        ("fleet.told_early", counts.told_early, "c"),
-        ("fleet.rows", traffic.rows, "c"),
-        ("fleet.counted", traffic.counted, "c"),
-        ("fleet.meetings", traffic.meetings, "c"),
+        ("fleet.overruled", counts.overridden, "g"),
+        ("fleet.told_early", counts.reported_early, "c"),
+        ("fleet.rows", traffic.outcome_rows_sent, "c"),
+        ("fleet.counted", traffic.outcomes_applied, "c"),
+        ("fleet.meetings", traffic.stream_syncs, "c"),
         ("fleet.sent_bytes", traffic.sent_bytes, "c"),
         ("fleet.received_bytes", traffic.received_bytes, "c"),
-        ("fleet.unreadable", traffic.wrong.values().sum(), "c"),
-        ("start.knows", start.freshness() as u64, "g"),
+        ("fleet.unreadable", traffic.rejected.values().sum(), "c"),
+        ("start.knows", start_progress.freshness() as u64, "g"),
         // 0 until full service is reached.
-        ("start.full_service_ms", start.full_service_after().unwrap_or(0) / 1_000_000, "g"),
+        ("start.full_service_ms", start_progress.full_service_after().unwrap_or(0) / 1_000_000, "g"),
     ]
 }
 
@@ -108,17 +118,17 @@
         let lines = page.lines().filter(|line| line.starts_with("member ") || line.starts_with("srv "));
         lines
             .filter_map(|line| {
-                let mut words = line.split(' ');
-                let key = format!("{} {}", words.next()?, words.next()?);
-                Some((key, words.next()?.to_owned()))
+                let mut fields = line.split(' ');
+                let key = format!("{} {}", fields.next()?, fields.next()?);
+                Some((key, fields.next()?.to_owned()))
             })
             .collect()
     };
     let (one, other) = (states(one), states(other));
     let keys: BTreeSet<&String> = one.keys().chain(other.keys()).collect();
-    let none = "-".to_owned();
+    let absent = "-".to_owned();
     let pair =
-        |key: &String| (one.get(key).unwrap_or(&none).clone(), other.get(key).unwrap_or(&none).clone());
+        |key: &String| (one.get(key).unwrap_or(&absent).clone(), other.get(key).unwrap_or(&absent).clone());
     let different = keys.into_iter().map(|key| (key, pair(key))).filter(|(_, (one, other))| one != other);
     different.map(|(key, (one, other))| format!("{key}: {one} here, {other} there")).collect()
 }
--- a/balancer/src/fleet/stream_sync.rs
+++ b/balancer/src/fleet/stream_sync.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use ochreshed_gossip::meet::{self, HEAD, Hello, MOST_FRAMES};
+use ochreshed_gossip::stream_sync::{self, FRAME_HEADER_BYTES, Hello, MAX_FRAMES_PER_SIDE};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{Semaphore, mpsc, oneshot};
@@ -76,7 +76,7 @@
 
 /// Returns None if either side ended it early.
 async fn run_initiator(stream: &mut TcpStream, at: SocketAddr, requests: &RequestSender) -> Option<()> {
-    stream.write_all(&our_hello(requests).await?.write()).await.ok()?;
+    stream.write_all(&our_hello(requests).await?.encode()).await.ok()?;
     let (_, bodies) = receive_hello(stream, requests).await?;
     receive_frames(stream, at, requests).await?;
     send_frames(stream, bodies).await
@@ -84,7 +84,7 @@
 
 async fn run_responder(stream: &mut TcpStream, from: SocketAddr, requests: &RequestSender) -> Option<()> {
     let (_, bodies) = timeout(HELLO_TIMEOUT, receive_hello(stream, requests)).await.ok()??;
-    stream.write_all(&our_hello(requests).await?.write()).await.ok()?;
+    stream.write_all(&our_hello(requests).await?.encode()).await.ok()?;
     send_frames(stream, bodies).await?;
     receive_frames(stream, from, requests).await
 }
@@ -104,14 +104,14 @@
 
 async fn send_frames(stream: &mut TcpStream, bodies: Vec<Vec<u8>>) -> Option<()> {
     for body in bodies.iter().filter(|body| !body.is_empty()) {
-        stream.write_all(&meet::frame(body)).await.ok()?;
+        stream.write_all(&stream_sync::encode_frame(body)).await.ok()?;
         sleep(FRAME_INTERVAL).await;
     }
-    stream.write_all(&meet::frame(&[])).await.ok()
+    stream.write_all(&stream_sync::encode_frame(&[])).await.ok()
 }
 
 async fn receive_frames(stream: &mut TcpStream, from: SocketAddr, requests: &RequestSender) -> Option<()> {
-    for _ in 0..=MOST_FRAMES {
+    for _ in 0..=MAX_FRAMES_PER_SIDE {
         let body = read_frame(stream).await?;
         if body.is_empty() {
             return Some(());
@@ -122,10 +122,10 @@
 }
 
 async fn read_frame(stream: &mut TcpStream) -> Option<Vec<u8>> {
-    let mut head = [0; HEAD];
+    let mut head = [0; FRAME_HEADER_BYTES];
     stream.read_exact(&mut head).await.ok()?;
-    let mut body = vec![0; meet::length(&head).ok()?];
+    let mut body = vec![0; stream_sync::body_length(&head).ok()?];
     stream.read_exact(&mut body).await.ok()?;
-    meet::check(&head, &body).ok()?;
+    stream_sync::verify_body(&head, &body).ok()?;
     Some(body)
 }
--- a/gossip/src/lib.rs
+++ b/gossip/src/lib.rs
@@ -1,11 +1,11 @@
-//! What one balancer says to the others of its fleet, and what it makes of what they say. [`peer`] puts membership and
-//! replica into one machine that is told what arrived and what time it is, and answers with datagrams to send; [`meet`] is
-//! the exchange of two copies that differ in much, over a stream; [`known`] holds the list as discovery told it here
-//! against what others have heard since. Nothing here does I/O, reads a clock or draws from the system's chance, so the
-//! program, the emulator and the tests run the same.
+//! The gossip protocol between the balancers of a fleet. [`node`] joins membership and replica into one state machine, which
+//! takes arrived datagrams and the current time and returns datagrams to send; [`stream_sync`] is the format in which two
+//! replicas that differ in many records synchronize over a stream; [`endpoint_list`] merges the list that this balancer has
+//! from discovery with what other balancers have heard since. Nothing here does I/O, reads a clock or uses the system's
+//! random numbers, so the program, the emulator and the tests run the same code.
 
-pub mod known;
-pub mod meet;
-pub mod peer;
+pub mod endpoint_list;
+pub mod node;
+pub mod stream_sync;
 
 pub use ochreshed_membership::{MS, Nanos, S};
