--- a/balancer/src/client_listener.rs
+++ b/balancer/src/client_listener.rs
@@ -83,7 +83,7 @@
 
 pub struct ClientListener<S> {
     clock: Clock,
-    life: Lifecycle,
+    lifecycle: Lifecycle,
     decisions: S,
     limits: AdmissionLimits,
     connections: Arc<ClientConnections>,
@@ -130,10 +130,15 @@
     S::Future: Send,
     S::Error: std::fmt::Display + Send,
 {
-    pub fn new(clock: Clock, life: Lifecycle, decisions: S, limits: AdmissionLimits) -> ClientListener<S> {
+    pub fn new(
+        clock: Clock,
+        lifecycle: Lifecycle,
+        decisions: S,
+        limits: AdmissionLimits,
+    ) -> ClientListener<S> {
         ClientListener {
             clock,
-            life,
+            lifecycle,
             decisions,
             limits,
             connections: Arc::default(),
@@ -147,7 +152,7 @@
         let mut connections = JoinSet::new();
         let mut connection_number = 0;
         {
-            let mut closed = pin!(self.life.reached(Phase::Closing));
+            let mut closed = pin!(self.lifecycle.reached(Phase::Closing));
             let mut taken_over = pin!(self.wait_taken_over());
             let mut evacuation = pin!(self.close_idle_in_evacuations());
             loop {
@@ -159,7 +164,7 @@
                     accepted = listener.accept(), if connections.len() < self.max_connections() => match accepted {
                         Ok((stream, _)) => {
                             connection_number += 1;
-                            self.life.record_connection(self.clock.now());
+                            self.lifecycle.record_connection(self.clock.now());
                             connections.spawn(self.serve_connection(connection_number, stream));
                             if connections.len() >= self.max_connections() {
                                 self.evict_one();
@@ -189,8 +194,8 @@
             }
             Err(error) => warn!("accept: {error}"),
         }
-        if self.life.is_taken_over() {
-            let mut closed = pin!(self.life.reached(Phase::Closing));
+        if self.lifecycle.is_taken_over() {
+            let mut closed = pin!(self.lifecycle.reached(Phase::Closing));
             for _ in self.max_connections()..connections.len() {
                 self.evict_one();
             }
@@ -222,7 +227,7 @@
     /// routes some here for a moment, and a connection that has been idle for this long is unlikely to carry
     /// another request.
     async fn close_idle_in_evacuations(&self) {
-        let mut evacuating = self.life.watch_evacuating();
+        let mut evacuating = self.lifecycle.watch_evacuating();
         while evacuating.wait_for(|evacuating| *evacuating).await.is_ok() {
             let lasts =
                 timeout(EVACUATION_IDLE_GRACE, evacuating.wait_for(|evacuating| !evacuating)).await.is_err();
@@ -236,8 +241,8 @@
 
     /// Returns once another process has taken over the address.
     async fn wait_taken_over(&self) {
-        self.life.reached(Phase::Leaving).await;
-        if !self.life.is_taken_over() {
+        self.lifecycle.reached(Phase::Leaving).await;
+        if !self.lifecycle.is_taken_over() {
             std::future::pending().await
         }
     }
@@ -290,7 +295,7 @@
         let (clock, all_connections) = (self.clock, self.connections.clone());
         let handler = RequestHandler {
             clock,
-            life: self.life.clone(),
+            lifecycle: self.lifecycle.clone(),
             decisions: self.decisions.clone(),
             limits: self.limits.clone(),
             open_ids: self.open_ids.clone(),
@@ -414,7 +419,7 @@
 #[derive(Clone)]
 struct RequestHandler<S> {
     clock: Clock,
-    life: Lifecycle,
+    lifecycle: Lifecycle,
     decisions: S,
     limits: AdmissionLimits,
     open_ids: Arc<OpenRequestIds>,
@@ -445,7 +450,7 @@
                 handler.connection.refused.store(true, Relaxed);
                 close(text_response(status, line))
             });
-            if handler.life.closes_connections() {
+            if handler.lifecycle.closes_connections() {
                 response = close(response);
             }
             let exchange =
@@ -541,7 +546,7 @@
         let received_at = self.meter.take_first_read_at().unwrap_or_else(|| self.clock.now());
         if request.uri().path() == "/_health" {
             self.refuse_pipelined(0)?;
-            return Ok(if self.life.is_healthy() {
+            return Ok(if self.lifecycle.is_healthy() {
                 Response::new(ForwardedBody::Complete(Full::default()))
             } else {
                 text_response(503, "not serving")
@@ -583,7 +588,7 @@
             biased;
             answer = self.decisions.clone().oneshot(decision_request) => answer,
             // The end of the process must not leave a request without a response.
-            () = self.life.reached(Phase::Ending) => Ok(FinalAnswer::Aborted),
+            () = self.lifecycle.reached(Phase::Ending) => Ok(FinalAnswer::Aborted),
         };
         self.connection.answered_early.store(is_streamed && !in_flight.state().is_received(), Relaxed);
         let response = match answer {
--- a/balancer/src/discovery.rs
+++ b/balancer/src/discovery.rs
@@ -317,8 +317,8 @@
             assert_eq!(entries[srvs].0.state, EndpointState::Draining);
         }
         for srvs in [1, 5_000] {
-            let why = parse(response_body(srvs, r#"{"hostPort":"127.0.0.1:9"}"#)).await.err();
-            assert_eq!(why.as_deref(), Some("an entry without instanceId"));
+            let error = parse(response_body(srvs, r#"{"hostPort":"127.0.0.1:9"}"#)).await.err();
+            assert_eq!(error.as_deref(), Some("an entry without instanceId"));
             assert!(parse(response_body(srvs, "{")).await.is_err());
         }
     }
--- a/balancer/src/fleet.rs
+++ b/balancer/src/fleet.rs
@@ -139,7 +139,7 @@
     name: &str,
     zone: &str,
     startup: FleetStartup,
-    (clock, life): (Clock, Lifecycle),
+    (clock, lifecycle): (Clock, Lifecycle),
     decisions: mpsc::Sender<DecisionEvent>,
 ) -> Result<FleetHandle, String> {
     let FleetStartup { seed, other_processes, facts_list, metrics } = startup;
@@ -186,10 +186,10 @@
     let (mut gossip, counts) = (GossipNode::new(settings, now), status_page::FleetCounts::default());
     if let Some(snapshot) = &snapshot {
         // Where the list in the start facts is newer, it replaces the snapshot's statuses.
-        let newer = version.is_some_and(|version| version > snapshot.stamp.version)
+        let is_newer = version.is_some_and(|version| version > snapshot.stamp.version)
             && initial_list.source == ListSource::Facts;
         gossip.restore(snapshot.stamp, &snapshot.statuses, snapshot.floor);
-        if newer {
+        if is_newer {
             let states: Vec<(String, ServerStatus)> = initial_list
                 .entries
                 .iter()
@@ -231,7 +231,7 @@
         ended_and_failed: (0, 0),
         confirmed,
     };
-    tokio::spawn(actor.run(update_receiver, sync_requests, life));
+    tokio::spawn(actor.run(update_receiver, sync_requests, lifecycle));
     let confirmation_timeout = Duration::from_nanos(wait);
     Ok(FleetHandle {
         list_updates,
@@ -272,7 +272,7 @@
         mut self,
         mut update_receiver: mpsc::Receiver<DecisionEvent>,
         mut sync_requests: mpsc::Receiver<stream_sync::SyncRequest>,
-        life: Lifecycle,
+        lifecycle: Lifecycle,
     ) {
         let (mut bytes, mut is_serving, mut has_left) = (vec![0; MAX_MESSAGE_BYTES + 1], false, false);
         let mut bind_at = Instant::now();
@@ -292,13 +292,13 @@
                 request = sync_requests.recv() => if let Some(request) = request {
                     self.handle_sync(request);
                 },
-                () = life.reached(Phase::Serving), if !is_serving => {
+                () = lifecycle.reached(Phase::Serving), if !is_serving => {
                     self.start_progress.mark_ready(self.clock.now());
                     is_serving = true;
                 }
                 // An instance that stops announces it, so that the others do not count it as failed. It still
                 // receives drains.
-                () = life.reached(Phase::Leaving), if !has_left => {
+                () = lifecycle.reached(Phase::Leaving), if !has_left => {
                     self.gossip.leave(self.clock.now());
                     has_left = true;
                 }
@@ -313,14 +313,14 @@
             }
             self.tick().await;
             // The process that takes over uses the same port.
-            if has_left && life.is_taken_over() {
+            if has_left && lifecycle.is_taken_over() {
                 self.sockets = None;
             }
         }
     }
 
     fn next_wake_at(&self) -> Nanos {
-        // Nothing is due later than `show_at`, and the clock can represent that.
+        // Nothing is due later than `next_status_at`, and the clock can represent that.
         self.gossip
             .next_tick_at()
             .min(self.next_status_at)
@@ -337,7 +337,8 @@
 
     fn write_snapshot(&mut self, now: Nanos) {
         let store = self.gossip.store();
-        let worse = store.statuses().iter().filter(|(_, word)| word.status != ServerStatus::Serving);
+        let not_serving =
+            store.statuses().iter().filter(|(_, record)| record.status != ServerStatus::Serving);
         let snapshot = Snapshot {
             fleet: self.config.fleet.clone(),
             instance: self.gossip.swim().name().to_owned(),
@@ -349,7 +350,7 @@
                 .discovered()
                 .map(|(listed, address)| SnapshotEntry::from_listed(listed, *address))
                 .collect(),
-            statuses: worse.map(|(srv, word)| (srv.clone(), *word)).collect(),
+            statuses: not_serving.map(|(server, record)| (server.clone(), *record)).collect(),
             floor: store.statuses().floor(),
         };
         let Some(snapshots) = &mut self.snapshots else { return };
@@ -424,8 +425,8 @@
                 drop(reply.send(accepted));
             }
             stream_sync::SyncRequest::ReceivedState(from, body) => {
-                if let Err(why) = self.gossip.receive_stream_body(now, &body) {
-                    self.record_rejection(now, from, why);
+                if let Err(error) = self.gossip.receive_stream_body(now, &body) {
+                    self.record_rejection(now, from, error);
                 }
             }
             stream_sync::SyncRequest::Finished { started_here, succeeded } if started_here || succeeded => {
--- a/balancer/src/fleet/snapshot_store.rs
+++ b/balancer/src/fleet/snapshot_store.rs
@@ -73,13 +73,13 @@
             Ok(None) => None,
             Ok(Some(bytes)) => match Snapshot::decode_for_instance(&bytes, fleet, instance, now) {
                 Ok(snapshot) => Some(snapshot),
-                Err(wrong) => {
-                    warn!("can't use snapshot {}: {wrong}; the start goes on without", path.display());
+                Err(error) => {
+                    warn!("can't use snapshot {}: {error}; the start goes on without", path.display());
                     None
                 }
             },
-            Err(why) => {
-                warn!("can't read snapshot {}: {why}; the start goes on without", path.display());
+            Err(error) => {
+                warn!("can't read snapshot {}: {error}; the start goes on without", path.display());
                 None
             }
         }
@@ -99,20 +99,20 @@
         let (lock, refused) = (self.lock.clone(), self.refused.clone());
         spawn_blocking(move || {
             let mut lock = lock.lock().unwrap_or_else(PoisonError::into_inner);
-            let locked = acquire_lock(&mut lock, &folder).map_err(|why| {
+            let locked = acquire_lock(&mut lock, &folder).map_err(|error| {
                 refused.store(true, Relaxed);
-                format!("no snapshots in {}: {why}", folder.display())
+                format!("no snapshots in {}: {error}", folder.display())
             });
             let written = locked.and_then(|()| {
                 let saved = save_snapshot(&mut SnapshotFolder(&folder), &snapshot.encode());
-                saved.map_err(|why| {
-                    format!("can't write snapshot in {}: {why}; the previous one is kept", folder.display())
+                saved.map_err(|error| {
+                    format!("can't write snapshot in {}: {error}; the previous one is kept", folder.display())
                 })
             });
             match written {
                 Ok(()) => failed.store(false, Relaxed),
                 // Logged once for a series of failures.
-                Err(why) if !failed.swap(true, Relaxed) => warn!("{why}"),
+                Err(error) if !failed.swap(true, Relaxed) => warn!("{error}"),
                 Err(_) => {}
             }
             writing.store(false, Relaxed);
@@ -137,8 +137,8 @@
 pub fn read_file(path: &Path) -> io::Result<Option<Vec<u8>>> {
     let file = match File::open(path) {
         Ok(file) => file,
-        Err(why) if why.kind() == io::ErrorKind::NotFound => return Ok(None),
-        Err(why) => return Err(why),
+        Err(error) if error.kind() == io::ErrorKind::NotFound => return Ok(None),
+        Err(error) => return Err(error),
     };
     let mut bytes = Vec::new();
     file.take(MAX_SNAPSHOT_BYTES as u64 + 1).read_to_end(&mut bytes)?;
@@ -148,11 +148,11 @@
 /// `ochreshed snapshot show|verify`: checks whether its instance could use a snapshot, and shows what it
 /// holds.
 pub fn inspect(path: &Path, show: bool) -> Result<String, String> {
-    let with_path = |why: String| format!("{}: {why}", path.display());
+    let with_path = |error: String| format!("{}: {error}", path.display());
     let bytes = read_file(path)
         .map_err(|e| with_path(e.to_string()))?
         .ok_or_else(|| with_path("there is no such file".into()))?;
-    let snapshot = Snapshot::decode(&bytes).map_err(|wrong| with_path(wrong.to_string()))?;
+    let snapshot = Snapshot::decode(&bytes).map_err(|error| with_path(error.to_string()))?;
     let Snapshot { fleet, instance, sequence, written_at_unix_ns, stamp, entries, statuses, floor } =
         snapshot;
     let age = super::unix_nanos().saturating_sub(written_at_unix_ns) / 1_000_000_000;
@@ -174,8 +174,11 @@
                 entry.server, entry.site, entry.address, entry.weight
             )
         }));
-        lines.extend(statuses.iter().map(|(srv, word)| {
-            format!("word {srv} {:?} by list {}.{}", word.status, word.stamp.epoch, word.stamp.version)
+        lines.extend(statuses.iter().map(|(server, record)| {
+            format!(
+                "word {server} {:?} by list {}.{}",
+                record.status, record.stamp.epoch, record.stamp.version
+            )
         }));
     }
     Ok(lines.join("\n"))
--- a/balancer/src/http_client.rs
+++ b/balancer/src/http_client.rs
@@ -32,7 +32,9 @@
 impl fmt::Display for HttpClientError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            HttpClientError::ConnectFailed(why) | HttpClientError::ConnectionFailed(why) => f.write_str(why),
+            HttpClientError::ConnectFailed(error) | HttpClientError::ConnectionFailed(error) => {
+                f.write_str(error)
+            }
             HttpClientError::TimedOut => write!(f, "no response within {} s", IO_TIMEOUT.as_secs()),
             HttpClientError::Truncated => f.write_str("the response is truncated"),
             HttpClientError::TooLarge => write!(f, "the response is larger than {MAX_BODY_BYTES} bytes"),
@@ -66,7 +68,7 @@
 ) -> Result<(u16, Vec<u8>), HttpClientError> {
     let header = header.map_or(String::new(), |(name, value)| format!("{name}: {value}\r\n"));
     let deadline = Instant::now() + REQUEST_TIMEOUT;
-    let connect_failed = |why: std::io::Error| HttpClientError::ConnectFailed(why.to_string());
+    let connect_failed = |error: std::io::Error| HttpClientError::ConnectFailed(error.to_string());
     let mut stream = TcpStream::connect_timeout(&at, IO_TIMEOUT).map_err(connect_failed)?;
     let head = match body {
         None => format!("GET {path} HTTP/1.1\r\nHost: {at}\r\n{header}Connection: close\r\n\r\n"),
@@ -96,8 +98,8 @@
             match stream.write(part) {
                 Ok(0) => return Err(HttpClientError::Truncated),
                 Ok(written) => part = part.get(written..).unwrap_or_default(),
-                Err(why) if why.kind() == ErrorKind::Interrupted => {}
-                Err(why) => return Err(why.into()),
+                Err(error) if error.kind() == ErrorKind::Interrupted => {}
+                Err(error) => return Err(error.into()),
             }
         }
     }
@@ -121,8 +123,8 @@
         match stream.read(&mut buffer) {
             Ok(0) => break,
             Ok(count) => bytes.extend_from_slice(buffer.get(..count).unwrap_or_default()),
-            Err(why) if why.kind() == ErrorKind::Interrupted => {}
-            Err(why) => return Err(why.into()),
+            Err(error) if error.kind() == ErrorKind::Interrupted => {}
+            Err(error) => return Err(error.into()),
         }
         if bytes.len() > MAX_HEAD_BYTES + MAX_BODY_BYTES {
             return Err(HttpClientError::TooLarge);
@@ -240,7 +242,7 @@
         let at = serve_responses(responses.iter().map(|response| response.as_bytes().to_vec()).collect());
         let text = |response: Result<(u16, Vec<u8>), HttpClientError>| match response {
             Ok((status, body)) => format!("{status} {:?}\n", String::from_utf8_lossy(&body)),
-            Err(why) => format!("{why}\n"),
+            Err(error) => format!("{error}\n"),
         };
         let all: String = responses.iter().map(|_| text(request(at, "/", Some(b"{}")))).collect();
         expect![[r#"
--- a/balancer/src/lifecycle.rs
+++ b/balancer/src/lifecycle.rs
@@ -36,7 +36,8 @@
 const QUIET_TIME: Nanos = S * 4 / 10;
 const MAX_LISTENER_EXTENSION: Nanos = S / 5;
 /// An accepted request is answered within its client timeout and is waited for no longer than
-/// `MAX_RESPONSE_WAIT`. `ABORT_DELAY` after that it is aborted, and `EXIT_DELAY` after it the process exits.
+/// `MAX_RESPONSE_WAIT`. It is aborted `ABORT_DELAY` after that time, and the process exits `EXIT_DELAY` after
+/// the same time.
 const MAX_RESPONSE_WAIT: Nanos = 3 * S;
 const ABORT_DELAY: Nanos = S * 3 / 10;
 const EXIT_DELAY: Nanos = S / 2;
@@ -128,7 +129,7 @@
     }
 
     pub async fn reached(&self, phase: Phase) {
-        // `self` limits a sender, so the channel stays open.
+        // `self` holds a sender, so the channel stays open.
         let _ = self.phase.subscribe().wait_for(|now| *now >= phase).await;
     }
 
@@ -156,17 +157,17 @@
 
 /// Runs a balancer from start to exit.
 pub async fn run(start: StartFacts, fleet: Option<FleetConfig>) -> Result<ExitCode, String> {
-    let (clock, life) = (Clock::new(), Lifecycle::new());
+    let (clock, lifecycle) = (Clock::new(), Lifecycle::new());
     let mut terminate = signal(SignalKind::terminate()).map_err(|e| e.to_string())?;
     let mut interrupt = signal(SignalKind::interrupt()).map_err(|e| e.to_string())?;
     let hangup = signal(SignalKind::hangup()).map_err(|e| e.to_string())?;
     let folder = std::env::var_os("TMPDIR").map(PathBuf::from);
     let address_sharing = Arc::new(AddressSharing::register(folder.as_deref(), start.listen));
-    let others = address_sharing.count_others();
-    let limits = ResourceLimits::new(&start, 1 + others);
-    if others > 0 {
+    let other_processes = address_sharing.count_others();
+    let limits = ResourceLimits::new(&start, 1 + other_processes);
+    if other_processes > 0 {
         info!(
-            "{others} other processes serve {}: each holds a part of the limits until they end",
+            "{other_processes} other processes serve {}: each holds a part of the limits until they end",
             start.listen
         );
     }
@@ -192,11 +193,11 @@
             let facts_list = known_list.take().map(|(version, _, entries)| (version, entries));
             let startup = fleet::FleetStartup {
                 seed: start.seed,
-                other_processes: others,
+                other_processes,
                 facts_list,
                 metrics: metrics.clone(),
             };
-            Some(fleet::start(config, name, zone, startup, (clock, life.clone()), events.clone()).await?)
+            Some(fleet::start(config, name, zone, startup, (clock, lifecycle.clone()), events.clone()).await?)
         }
     };
     // In a fleet, list updates go through the fleet actor.
@@ -224,8 +225,8 @@
         known_generation,
         list_updates,
     );
-    // In push mode the watch starts at once instead of on request by the module.
-    if others > 0 {
+    // Unless the list is only fetched on request by the module, a watch starts at once.
+    if other_processes > 0 {
         discovery_commands.try_send(discovery::DiscoveryCommand::Fetch).map_err(|e| e.to_string())?;
     } else if read_text(&start.facts, "list_mode") != "ask" {
         discovery_commands.try_send(discovery::DiscoveryCommand::Watch).map_err(|e| e.to_string())?;
@@ -250,7 +251,7 @@
     tokio::spawn(reload_on_hangup(hangup, start.file, start.discovery, discovery_commands.clone()));
     let confirmation = fleet.as_ref().map(|fleet| (fleet.confirmed.clone(), fleet.confirmation_timeout));
     let (fleet, observed) = fleet.map(|fleet| (fleet.status, fleet.observed)).unzip();
-    let api = operator_api::OperatorApi { life: life.clone(), metrics: metrics.clone(), fleet };
+    let api = operator_api::OperatorApi { lifecycle: lifecycle.clone(), metrics: metrics.clone(), fleet };
     if let Some(address) = start.operator_address {
         let listener = operator_api::bind(address)?;
         let address = listener.local_addr().map_err(|e| e.to_string())?;
@@ -283,12 +284,12 @@
         observed,
     );
     let mut actor = tokio::spawn(actor.run(event_receiver));
-    if others > 0 {
+    if other_processes > 0 {
         // The known list may be old, and no client waits for this process yet.
         let _ = timeout(FIRST_LIST_TIMEOUT, fresh_list_received).await;
     }
     if let Some((mut confirmed, wait)) = confirmation {
-        // Other instances may know what the list is too old for.
+        // Other instances may know of changes since the list; they are waited for no longer than that is worth.
         let _ = timeout(wait, confirmed.wait_for(|confirmed| *confirmed)).await;
     }
     let listener = address_sharing.listen(start.listen).and_then(|listener| {
@@ -299,15 +300,15 @@
     info!("{} listens on {address}", start.name);
     let client_listener = client_listener::ClientListener::new(
         clock,
-        life.clone(),
+        lifecycle.clone(),
         DecisionService::new(events),
         admission_limits,
     );
     let mut client_listener = tokio::spawn(client_listener.run(listener));
 
-    life.enter(Phase::Serving);
-    let expanding =
-        (others > 0).then(|| tokio::spawn(limits.clone().expand_when_alone(address_sharing.clone())));
+    lifecycle.enter(Phase::Serving);
+    let expanding = (other_processes > 0)
+        .then(|| tokio::spawn(limits.clone().expand_when_alone(address_sharing.clone())));
     let actor_ended = || Err("the decision actor has ended".to_owned());
     tokio::select! {
         _ = terminate.recv() => {}
@@ -317,22 +318,22 @@
     }
     if address_sharing.count_others() > 0 {
         info!("another process has taken over: no new connections are accepted here");
-        life.taken_over.store(true, Relaxed);
-        // A process that never was alone still limits its reduced limits and has nothing to release.
+        lifecycle.taken_over.store(true, Relaxed);
+        // A process that never was alone still holds its reduced limits and has nothing to release.
         match expanding.filter(|expanding| !expanding.is_finished()) {
             Some(expanding) => expanding.abort(),
             None => limits.release_half(),
         }
     }
-    life.enter(Phase::Leaving);
+    lifecycle.enter(Phase::Leaving);
     let stop_requested_at = clock.now();
     tokio::select! {
-        () = life.wait_quiet(clock, longest_timeout) => {}
-        _ = &mut client_listener, if life.is_taken_over() => {}
+        () = lifecycle.wait_quiet(clock, longest_timeout) => {}
+        _ = &mut client_listener, if lifecycle.is_taken_over() => {}
         _ = &mut actor => return actor_ended(),
     }
     for (phase, delay) in [(Phase::Closing, ABORT_DELAY), (Phase::Ending, EXIT_DELAY)] {
-        life.enter(phase);
+        lifecycle.enter(phase);
         if client_listener.is_finished() {
             continue;
         }
@@ -342,11 +343,11 @@
             _ = &mut actor => return actor_ended(),
         }
     }
-    life.enter(Phase::Over);
+    lifecycle.enter(Phase::Over);
     Ok(ExitCode::SUCCESS)
 }
 
-/// This process's share of the limits. While several processes serve the address, each limits a part of what
+/// This process's share of the limits. While several processes serve the address, each holds a part of what
 /// one alone may hold.
 #[derive(Clone)]
 struct ResourceLimits {
--- a/balancer/src/main.rs
+++ b/balancer/src/main.rs
@@ -1,9 +1,9 @@
-//! The program: it reads its command line and starts what was asked for.
+//! The program: reads its command line and runs the command.
 //!
 //! The mesh's subcommands are tried first ([`mesh::parse`]), then those of the load balancer without a mesh
 //! ([`command_line`]).
 //!
-//! Invariant: nothing is served on start facts that were not read and checked first.
+//! Invariant: no request is served before the start facts have been read and checked.
 
 mod address_sharing;
 mod body;
@@ -34,8 +34,8 @@
 fn main() -> ExitCode {
     match run_command_line() {
         Ok(code) => code,
-        Err(why) => {
-            eprintln!("ochreshed: {why}");
+        Err(error) => {
+            eprintln!("ochreshed: {error}");
             ExitCode::FAILURE
         }
     }
@@ -45,7 +45,7 @@
     if let Some(command) = mesh::parse(std::env::args_os().skip(1).collect()) {
         return mesh::run(command);
     }
-    let command = command_line::parse(lexopt::Parser::from_env()).map_err(|why| why.to_string())?;
+    let command = command_line::parse(lexopt::Parser::from_env()).map_err(|error| error.to_string())?;
     match command {
         Command::Serve { facts, fleet } => run_serve(&facts, fleet.as_deref()),
         Command::Check { facts } => check_facts(&facts),
@@ -67,13 +67,13 @@
 
 fn run_serve(facts: &Path, fleet: Option<&Path>) -> Result<ExitCode, String> {
     let mut start = StartFacts::read(facts)?;
-    let has_peers = start.unused_features.contains(&"Peers");
-    let fleet = fleet.map(|file| FleetConfig::read(file, has_peers)).transpose()?;
+    let allows_peers = start.unused_features.contains(&"Peers");
+    let fleet = fleet.map(|file| FleetConfig::read(file, allows_peers)).transpose()?;
     start.unused_features.retain(|name| fleet.is_none() || *name != "Peers");
     serve(start, fleet)
 }
 
-/// Prints what the instances hold of their fleet; of two instances, where they differ.
+/// Prints the fleet status pages of the instances; for two instances, their differences.
 fn show_fleet(instances: &[SocketAddr]) -> Result<ExitCode, String> {
     let pages =
         instances.iter().map(|address| fleet::status_page::fetch(*address)).collect::<Result<Vec<_>, _>>()?;
@@ -100,12 +100,12 @@
 }
 
 fn serve(start: StartFacts, fleet: Option<FleetConfig>) -> Result<ExitCode, String> {
-    // A log that nobody reads must not hold up requests, so its lines are dropped rather than waited for.
+    // Lines are dropped if the log is not read fast enough: logging must not delay requests.
     let (lines, _writer) = tracing_appender::non_blocking(std::io::stderr());
     let subscriber =
         tracing_subscriber::fmt().with_writer(lines).with_ansi(false).with_target(false).finish();
     // Unlike `init`, this leaves out the records of the `log` crate, which are the mesh's.
-    tracing::subscriber::set_global_default(subscriber).map_err(|e| format!("no log: {e}"))?;
+    tracing::subscriber::set_global_default(subscriber).map_err(|e| format!("can't set up logging: {e}"))?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    runtime.map_err(|e| format!("no runtime: {e}"))?.block_on(lifecycle::run(start, fleet))
+    runtime.map_err(|e| format!("can't start the runtime: {e}"))?.block_on(lifecycle::run(start, fleet))
 }
--- a/balancer/src/operator_api.rs
+++ b/balancer/src/operator_api.rs
@@ -40,7 +40,7 @@
 /// What operators can read and change.
 #[derive(Clone)]
 pub struct OperatorApi {
-    pub life: Lifecycle,
+    pub lifecycle: Lifecycle,
     pub metrics: Arc<Metrics>,
     /// What this instance knows about its fleet, if it belongs to one.
     pub fleet: Option<FleetStatus>,
@@ -124,7 +124,7 @@
         let is_read = method == Method::GET || method == Method::HEAD;
         let is_put = method == Method::PUT;
         match path {
-            "/api/ready" if is_read => match self.life.phase() {
+            "/api/ready" if is_read => match self.lifecycle.phase() {
                 Phase::Serving => text_response(200, "ready"),
                 phase => text_response(503, &format!("{phase:?}")),
             },
@@ -148,7 +148,7 @@
     }
 
     fn set_evacuating(&self, evacuating: bool) -> Response<Full<Bytes>> {
-        match (self.life.set_evacuating(evacuating), evacuating) {
+        match (self.lifecycle.set_evacuating(evacuating), evacuating) {
             (true, true) => text_response(200, "clients are sent away"),
             (true, false) => text_response(200, "clients are welcome"),
             (false, _) => text_response(409, "it does not serve: it has not begun, or was asked to stop"),
--- a/balancer/src/start_facts.rs
+++ b/balancer/src/start_facts.rs
@@ -49,7 +49,8 @@
 impl StartFacts {
     pub fn read(path: &Path) -> Result<StartFacts, String> {
         let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
-        let mut facts = StartFacts::parse(path, &text).map_err(|why| format!("{}: {why}", path.display()))?;
+        let mut facts =
+            StartFacts::parse(path, &text).map_err(|error| format!("{}: {error}", path.display()))?;
         if let Some(address) = std::env::var("ROUTER_OPERATOR").ok().filter(|text| !text.is_empty()) {
             let address = address.parse().map_err(|_| "ROUTER_OPERATOR is no address with a port")?;
             facts.operator_address = Some(address);
