--- a/balancer/src/mesh/proxy/connection_pool.rs
+++ b/balancer/src/mesh/proxy/connection_pool.rs
@@ -29,9 +29,9 @@
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 use tokio::time::{Sleep, sleep_until, timeout, timeout_at};
 
-use crate::body::{Message, Pass, Pieces};
+use crate::body::{ChunkSender, RequestMessage, ResponseStream};
 use crate::clock::Clock;
-use crate::link::{Body, Link, drop_hop_fields, held};
+use crate::connection::{OutboundConnection, ReceivedBody, lock, remove_hop_by_hop_headers};
 
 const MS: Nanos = 1_000_000;
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
@@ -70,7 +70,7 @@
 
 /// An open connection without a request.
 struct IdleConnection {
-    link: Link,
+    link: OutboundConnection,
     idle_since: Nanos,
     /// When the peer may close it.
     usable_until: Nanos,
@@ -112,38 +112,38 @@
 
     /// Closes connections that have been idle for too long. Returns whether no idle one is left.
     pub fn close_expired(&self, now: Nanos) -> bool {
-        let mut idle = held(&self.idle);
-        let limit = held(&self.idle_limit).limit(now);
+        let mut idle = lock(&self.idle);
+        let limit = lock(&self.idle_limit).limit(now);
         idle.retain(|connection| connection.usable_until > now && now - connection.idle_since <= limit);
         idle.is_empty()
     }
 
     /// Closes all idle connections.
     pub fn close_idle(&self) {
-        held(&self.idle).clear();
+        lock(&self.idle).clear();
     }
 
     /// Increases the idle time of all idle connections.
     #[cfg(test)]
     pub fn advance_idle_time(&self, by: Nanos) {
-        held(&self.idle).iter_mut().for_each(|connection| connection.idle_since -= by);
+        lock(&self.idle).iter_mut().for_each(|connection| connection.idle_since -= by);
     }
 
     /// Takes an idle connection that may carry another request. Also returns how long it has been idle.
-    fn take_idle(&self) -> Option<(Link, Nanos)> {
+    fn take_idle(&self) -> Option<(OutboundConnection, Nanos)> {
         let now = self.clock.now();
         loop {
-            let IdleConnection { mut link, idle_since, usable_until } = held(&self.idle).pop()?;
+            let IdleConnection { mut link, idle_since, usable_until } = lock(&self.idle).pop()?;
             let idle_time = now.saturating_sub(idle_since);
-            if now < usable_until && idle_time <= held(&self.idle_limit).limit(now) && link.sound() {
+            if now < usable_until && idle_time <= lock(&self.idle_limit).limit(now) && link.is_reusable() {
                 return Some((link, idle_time));
             }
         }
     }
 
     /// Keeps a connection for the next request, up to [`MAX_IDLE_CONNECTIONS`].
-    fn return_idle(&self, link: Link, usable_until: Nanos) {
-        let (mut idle, idle_since) = (held(&self.idle), self.clock.now());
+    fn return_idle(&self, link: OutboundConnection, usable_until: Nanos) {
+        let (mut idle, idle_since) = (lock(&self.idle), self.clock.now());
         if idle.len() < MAX_IDLE_CONNECTIONS && usable_until > idle_since {
             idle.push(IdleConnection { link, idle_since, usable_until });
         }
@@ -152,7 +152,7 @@
     /// Records a request that was reset before any byte of a response, on a connection that had been idle for this long, or on
     /// a new one. It is unknown whether the request ran; a shorter idle limit prevents further losses.
     fn record_lost_request(&self, idle_time: Option<Nanos>) {
-        if held(&self.idle_limit).lost(self.clock.now(), idle_time) {
+        if lock(&self.idle_limit).lost(self.clock.now(), idle_time) {
             log::info!(
                 "idle connection was dropped by its peer, idle limit lowered: address={} idle_ms={}",
                 self.address,
@@ -162,7 +162,7 @@
     }
 
     /// Opens a connection. If the limit is reached, this pool's idle connections are closed first.
-    async fn open(&self) -> Result<Link, ExchangeError> {
+    async fn open(&self) -> Result<OutboundConnection, ExchangeError> {
         let permit = match self.permits.clone().try_acquire_owned() {
             Ok(permit) => permit,
             Err(_) => {
@@ -170,7 +170,9 @@
                 self.permits.clone().try_acquire_owned().map_err(|_| ExchangeError::NotSent)?
             }
         };
-        match timeout(CONNECT_TIMEOUT, Link::open(self.address, self.clock, Some(permit), None)).await {
+        match timeout(CONNECT_TIMEOUT, OutboundConnection::open(self.address, self.clock, Some(permit), None))
+            .await
+        {
             Ok(Ok(link)) => Ok(link),
             _ => Err(ExchangeError::ConnectFailed),
         }
@@ -181,7 +183,7 @@
     /// is dropped when the peer has sent the whole response.
     pub async fn exchange(
         self: &Arc<Self>,
-        message: &Arc<Message>,
+        message: &Arc<RequestMessage>,
         added_headers: &HeaderMap,
         deadline: Nanos,
         guard: Option<ResponseGuard>,
@@ -197,7 +199,7 @@
                     Err(_) => return Err(ExchangeError::NotSent),
                 },
             };
-            let load = message.load().ok_or(ExchangeError::NotSent)?;
+            let load = message.take_body().ok_or(ExchangeError::NotSent)?;
             let mut request = message.head.clone().map(|()| load);
             for (name, value) in added_headers {
                 request.headers_mut().insert(name, value.clone());
@@ -208,20 +210,22 @@
                 Ok(Ok((head, _))) if !is_match(&head) => return Err(ExchangeError::Reset),
                 Ok(Ok((head, body))) => return Ok(self.response_body(link, head, body, guard)),
                 // The idle connection was closed before a byte of this request was written, so a new one is opened.
-                Ok(Err(())) if idle_time.is_some() && !connection.began() && message.load_again() => {
+                Ok(Err(()))
+                    if idle_time.is_some() && !connection.has_written() && message.can_send_body() =>
+                {
                     (link, idle_time) = (None, None)
                 }
                 Ok(Err(())) => {
-                    if connection.last_read() < sent_at {
+                    if connection.last_read_at() < sent_at {
                         self.record_lost_request(idle_time);
                     }
-                    return Err(if connection.sent_whole() {
+                    return Err(if connection.is_request_sent() {
                         ExchangeError::Reset
                     } else {
                         ExchangeError::ConnectFailed
                     });
                 }
-                Err(_) if connection.sent_whole() => return Err(ExchangeError::TimedOut),
+                Err(_) if connection.is_request_sent() => return Err(ExchangeError::TimedOut),
                 Err(_) => return Err(ExchangeError::NotSent),
             }
         }
@@ -230,28 +234,28 @@
     /// Prepares the response for the caller, and keeps the connection once the response has been read completely.
     fn response_body(
         self: &Arc<Self>,
-        link: Option<Link>,
+        link: Option<OutboundConnection>,
         mut head: Parts,
-        body: Body,
+        body: ReceivedBody,
         guard: Option<ResponseGuard>,
     ) -> (Parts, ResponseBody) {
         let usable_until = self.idle_until(&head);
-        drop_hop_fields(&mut head.headers);
+        remove_hop_by_hop_headers(&mut head.headers);
         match (body, link) {
-            (Body::Whole(bytes), link) => {
+            (ReceivedBody::Complete(bytes), link) => {
                 head.headers.remove(CONTENT_LENGTH);
                 if let (Some(mut link), Some(usable_until)) = (link, usable_until)
-                    && link.sent_whole()
-                    && link.end(head.version)
+                    && link.is_request_sent()
+                    && link.finish_exchange(head.version)
                 {
                     self.return_idle(link, usable_until);
                 }
                 (head, ResponseBody::Buffered(Full::new(bytes)))
             }
-            (Body::Long(first, length, rest), link) => {
+            (ReceivedBody::Partial(first, length, rest), link) => {
                 head.headers.remove(CONTENT_LENGTH);
                 let max_chunks = if self.read_ahead.is_some() { MAX_READ_AHEAD_CHUNKS } else { 1 };
-                let (sender, chunks) = Pieces::with_room(first.clone(), length, max_chunks);
+                let (sender, chunks) = ResponseStream::with_capacity(first.clone(), length, max_chunks);
                 if let Some(link) = link {
                     let remaining = length.map(|length| length.saturating_sub(first.len() as u64));
                     let (pool, version) = (self.clone(), head.version);
@@ -268,22 +272,24 @@
     /// Streams the rest of a long response to its reader. `None` if it was aborted; the connection is then closed.
     async fn stream_body(
         self: Arc<Self>,
-        mut link: Link,
+        mut link: OutboundConnection,
         version: hyper::Version,
         (length, mut rest): (Option<u64>, Incoming),
-        sender: Pass,
+        sender: ChunkSender,
         usable_until: Option<Nanos>,
     ) -> Option<()> {
         let mut remaining = length.unwrap_or(u64::MAX);
         loop {
             let chunk = tokio::select! {
-                chunk = timeout(UPSTREAM_READ_TIMEOUT, link.piece(&mut rest)) => chunk.ok()?.ok()?,
+                chunk = timeout(UPSTREAM_READ_TIMEOUT, link.next_chunk(&mut rest)) => chunk.ok()?.ok()?,
                 // A reader that knows the length stops listening after the last byte, which doesn't abort the response.
                 () = sender.closed(), if remaining > 0 => return None,
             };
             let Some(chunk) = chunk else {
                 let _ = sender.send_timeout(None, CLIENT_WRITE_TIMEOUT).await;
-                if let Some(usable_until) = usable_until.filter(|_| link.sent_whole() && link.end(version)) {
+                if let Some(usable_until) =
+                    usable_until.filter(|_| link.is_request_sent() && link.finish_exchange(version))
+                {
                     self.return_idle(link, usable_until);
                 }
                 return Some(());
@@ -335,12 +341,12 @@
 
 /// Sends a request on a connection and reads the response, or the first part of a long one.
 async fn exchange_on(
-    link: &mut Link,
-    request: Request<crate::body::Load>,
-    message: &Arc<Message>,
-) -> Result<(Parts, Body), ()> {
-    let (head, body) = link.begin(request, Some(message)).await.map_err(drop)?.into_parts();
-    let body = link.take(body).await.map_err(drop)?;
+    link: &mut OutboundConnection,
+    request: Request<crate::body::RequestBody>,
+    message: &Arc<RequestMessage>,
+) -> Result<(Parts, ReceivedBody), ()> {
+    let (head, body) = link.send_request(request, Some(message)).await.map_err(drop)?.into_parts();
+    let body = link.read_body(body).await.map_err(drop)?;
     Ok((head, body))
 }
 
@@ -349,7 +355,7 @@
     /// The body is in memory.
     Buffered(Full<Bytes>),
     /// The body is streamed while it arrives. `guard` is dropped with it, and `pacing` limits its rate.
-    Streaming { chunks: Pieces, guard: Option<ResponseGuard>, pacing: Option<Box<PacedBody>> },
+    Streaming { chunks: ResponseStream, guard: Option<ResponseGuard>, pacing: Option<Box<PacedBody>> },
 }
 
 /// State that all large responses of a node to other nodes share: the pacer of the link and the transmit permits.
@@ -371,7 +377,7 @@
 
     /// The pacer, locked.
     pub fn pacer(&self) -> MutexGuard<'_, LargeResponsePacer> {
-        held(&self.pacer)
+        lock(&self.pacer)
     }
 }
 
@@ -401,12 +407,16 @@
     }
 
     /// The next chunk, once it may be sent.
-    fn poll(&mut self, chunks: &mut Pieces, cx: &mut Context) -> Poll<Option<Result<Bytes, &'static str>>> {
+    fn poll(
+        &mut self,
+        chunks: &mut ResponseStream,
+        cx: &mut Context,
+    ) -> Poll<Option<Result<Bytes, &'static str>>> {
         if let TransmitPermit::Pending(permit) = &mut self.transmit_permit {
             self.transmit_permit = TransmitPermit::Granted(ready!(permit.as_mut().poll(cx)));
         }
         if self.delayed.is_none() {
-            let chunk = match ready!(chunks.poll(cx)) {
+            let chunk = match ready!(chunks.poll_chunk(cx)) {
                 Some(Ok(chunk)) => chunk,
                 end => return Poll::Ready(end),
             };
@@ -454,7 +464,8 @@
             ResponseBody::Buffered(body) if body.size_hint().lower() > CHUNK_BYTES as u64 => {
                 let mut rest = body.into_inner().unwrap_or_default();
                 let length = Some(rest.len() as u64);
-                let (sender, chunks) = Pieces::with_room(Bytes::new(), length, rest.len() / CHUNK_BYTES + 2);
+                let (sender, chunks) =
+                    ResponseStream::with_capacity(Bytes::new(), length, rest.len() / CHUNK_BYTES + 2);
                 while !rest.is_empty() {
                     let chunk = rest.split_to(CHUNK_BYTES.min(rest.len()));
                     let _ = sender.try_send(Some(chunk));
@@ -495,7 +506,7 @@
             ResponseBody::Streaming { chunks, pacing, .. } => {
                 let chunk = match pacing {
                     Some(pacing) => ready!(pacing.poll(chunks, cx)),
-                    None => ready!(chunks.poll(cx)),
+                    None => ready!(chunks.poll_chunk(cx)),
                 };
                 Poll::Ready(chunk.map(|chunk| chunk.map(Frame::data)))
             }
--- a/balancer/src/mesh/proxy/fencing.rs
+++ b/balancer/src/mesh/proxy/fencing.rs
@@ -12,7 +12,7 @@
 use ochreshed_consensus::core::SESSION_IDLE;
 use ochreshed_consensus::messages::SessionId;
 
-use crate::link::held;
+use crate::connection::lock;
 
 /// Most sessions that are remembered; the least recently seen ones are dropped first.
 const MAX_SESSIONS: usize = 20_000;
@@ -67,7 +67,7 @@
 impl FencingTable {
     /// Accepts and remembers a token, unless the session has a later owner; the error is that owner's term.
     pub fn check(&self, now: Nanos, fencing_token: FencingToken) -> Result<(), u64> {
-        let mut owners = held(&self.0);
+        let mut owners = lock(&self.0);
         while let Some(&(expires_at, session)) = owners.by_expiry.first()
             && (expires_at <= now || owners.sessions.len() > MAX_SESSIONS)
         {
@@ -90,7 +90,7 @@
 
     /// Number of requests that were refused since this process started.
     pub fn rejections(&self) -> u64 {
-        held(&self.0).rejections
+        lock(&self.0).rejections
     }
 }
 
--- a/balancer/src/mesh/proxy/request_scheduler.rs
+++ b/balancer/src/mesh/proxy/request_scheduler.rs
@@ -33,7 +33,7 @@
 use tokio::time::sleep_until;
 
 use crate::clock::Clock;
-use crate::link::held;
+use crate::connection::lock;
 use crate::mesh::settings::OperatingBounds;
 
 const MS: Nanos = 1_000_000;
@@ -314,7 +314,7 @@
         let limits = settings.retry_limits();
         let retry_account = match previous {
             Some(scheduler) if scheduler.settings == settings => return scheduler,
-            Some(scheduler) => held(&scheduler.state).retry_account.restart(window, limits),
+            Some(scheduler) => lock(&scheduler.state).retry_account.restart(window, limits),
             None => RetryAccount::new(window, limits),
         };
         RequestScheduler::new(service, settings, clock, seed(), retry_account)
@@ -355,7 +355,7 @@
         loop {
             let (clock, wake_at) = {
                 let Some(scheduler) = scheduler.upgrade() else { return };
-                let wake_at = scheduler.dispatch_actions(&mut held(&scheduler.state));
+                let wake_at = scheduler.dispatch_actions(&mut lock(&scheduler.state));
                 (scheduler.clock, wake_at)
             };
             let timer = clock.instant(wake_at.min(clock.now() + 2_000 * MS));
@@ -369,9 +369,9 @@
 
     /// Limits retries to the scheduler's share of this pool from now on; with `None`, by its own settings again.
     pub fn set_pool(&self, pool: Option<&Arc<Mutex<RetryPool>>>) {
-        let mut state = held(&self.state);
+        let mut state = lock(&self.state);
         match pool {
-            Some(pool) => held(pool).adopt(self.settings.plan.member.as_ref(), &state.retry_account),
+            Some(pool) => lock(pool).adopt(self.settings.plan.member.as_ref(), &state.retry_account),
             None if state.retry_pool.is_none() => return,
             None => {
                 let RetryLimits { ratio, floor, .. } = self.settings.retry_limits();
@@ -386,7 +386,7 @@
     fn update_retry_allowance(&self, state: &mut SchedulerState, now: Nanos) {
         let Some(pool) = &state.retry_pool else { return };
         let RetryLimits { ratio, floor, .. } = self.settings.retry_limits();
-        let remaining = held(pool).remaining(now, self.settings.plan.member.as_ref(), ratio, floor);
+        let remaining = lock(pool).remaining(now, self.settings.plan.member.as_ref(), ratio, floor);
         // The module's limit covers all retries that it has made since it was created, so these are added to what remains.
         let floor = remaining + f64::from(state.retry_account.policy_counts(now).retried);
         state.decision_module.set_retry_budget(0.0, floor);
@@ -396,7 +396,7 @@
     /// Counts attempts in the divided retry budget, if there is one.
     fn count_in_pool(&self, state: &SchedulerState, now: Nanos, counts: AttemptCounts) {
         if let Some(pool) = &state.retry_pool {
-            held(pool).add(now, self.settings.plan.member.as_ref(), counts);
+            lock(pool).add(now, self.settings.plan.member.as_ref(), counts);
         }
     }
 
@@ -459,7 +459,7 @@
 
     /// Assigns an id to a request and hands it to the module, which may act on it immediately.
     pub fn schedule(self: &Arc<Self>, mut request: RequestContext) -> ScheduledRequest {
-        let mut state = held(&self.state);
+        let mut state = lock(&self.state);
         state.last_request_id += 1;
         let id = state.last_request_id;
         request.id = id;
@@ -479,17 +479,17 @@
 
     /// First attempts, retries and denied retries in the budget's window.
     pub fn attempt_counts(&self) -> AttemptCounts {
-        held(&self.state).retry_account.reported_counts(self.clock.now())
+        lock(&self.state).retry_account.reported_counts(self.clock.now())
     }
 
     /// Whether this upstream incarnation is known and accepts requests.
     pub fn accepts_requests(&self, upstream_id: &Name) -> bool {
-        held(&self.state).listed.get(upstream_id).is_some_and(|listed| listed.state == EndpointState::Up)
+        lock(&self.state).listed.get(upstream_id).is_some_and(|listed| listed.state == EndpointState::Up)
     }
 
     /// The endpoint of this upstream incarnation, if it is known.
     pub fn endpoint(&self, upstream_id: &Name) -> Option<Endpoint> {
-        held(&self.state).endpoints.get(upstream_id).cloned()
+        lock(&self.state).endpoints.get(upstream_id).cloned()
     }
 
     /// Gives the module the service's endpoints if they have changed. `zone` is that of this node; `suspected` are inbound
@@ -500,7 +500,7 @@
         suspected: &HashSet<SocketAddr>,
         zone: &str,
     ) {
-        let mut scheduler_state = held(&self.state);
+        let mut scheduler_state = lock(&self.state);
         let now = self.clock.now();
         let records: Vec<&ReceivedRecord> =
             records.filter(|received| !received.record.upstream_id.is_empty()).collect();
@@ -586,7 +586,7 @@
 impl ScheduledRequest {
     /// To be called when an attempt is sent. Returns what it counts as: a first attempt or a retry.
     pub fn attempt_started(&self) -> AttemptCounts {
-        let (mut state, now) = (held(&self.scheduler.state), self.scheduler.clock.now());
+        let (mut state, now) = (lock(&self.scheduler.state), self.scheduler.clock.now());
         let counted = state.retry_account.attempt_started(now, &self.attempts);
         self.scheduler.count_in_pool(&state, now, counted);
         counted
@@ -602,7 +602,7 @@
         is_final: bool,
         load: Option<f64>,
     ) {
-        let mut state = held(&self.scheduler.state);
+        let mut state = lock(&self.scheduler.state);
         self.attempts.ended(how);
         self.finished |= is_final;
         let now = self.scheduler.clock.now();
@@ -616,13 +616,13 @@
     /// as: a denied retry, if any.
     pub fn finish(&mut self) -> AttemptCounts {
         self.finished = true;
-        held(&self.scheduler.state).retry_account.request_given_up(self.scheduler.clock.now(), &self.attempts)
+        lock(&self.scheduler.state).retry_account.request_given_up(self.scheduler.clock.now(), &self.attempts)
     }
 }
 
 impl Drop for ScheduledRequest {
     fn drop(&mut self) {
-        let mut state = held(&self.scheduler.state);
+        let mut state = lock(&self.scheduler.state);
         state.action_senders.remove(&self.id);
         if !self.finished {
             let now = self.scheduler.clock.now();
