--- a/gossip/src/endpoint_list.rs
+++ b/gossip/src/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list that this balancer has from discovery, merged with worse statuses that other balancers have heard
+//! The endpoint list that this balancer has from discovery, merged with worse statuses that other balancers have reported
 //! since.
 //!
 //! An endpoint is never passed on in a better state than the list gives it, and never if the list lacks it: only discovery
@@ -31,13 +31,13 @@
         self.discovered.values()
     }
 
-    /// The number of endpoints of which others have heard a worse status than the list gives.
+    /// The number of endpoints of which others have reported a worse status than the list gives.
     pub fn override_count(&self) -> usize {
         self.overrides.len()
     }
 
-    /// Takes in a list from discovery, or changes of it, and sets in `entries` the states that others have heard of later
-    /// lists.
+    /// Applies a list from discovery, or changes of it, and sets in `entries` the worse states that others have reported from
+    /// later lists.
     pub fn apply_discovery(
         &mut self,
         statuses: &StatusTable,
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Takes in that the replica's statuses of these endpoints have changed. Returns the entries to pass on.
+    /// Applies changed replica statuses of these endpoints. Returns the entries to pass on.
     pub fn apply_status_changes<'a>(
         &mut self,
         statuses: &StatusTable,
@@ -88,7 +88,7 @@
     }
 }
 
-/// The state that others have heard of an endpoint, if it is worse than the listed one.
+/// The state that others have reported of an endpoint, if it is worse than the listed one.
 fn worse_state(statuses: &StatusTable, listed: &ListedEndpoint) -> Option<EndpointState> {
     let known = statuses.get(&listed.name)?;
     let state = match known.status {
@@ -130,7 +130,7 @@
         entries.iter().map(|(listed, _)| (&*listed.name, listed.state)).collect()
     }
 
-    /// A replica that has heard from another one that endpoint `s` drains by version 2 of the list.
+    /// A replica that has received from another one that endpoint `s` drains by version 2 of the list.
     fn store_with_drain() -> Store {
         let (mut informed, mut store) = (Store::new("n1", 1, 10), Store::new("n2", 1, 10));
         informed.apply_discovery(2, false, &[("s".into(), ServerStatus::Draining)]);
--- a/gossip/src/node.rs
+++ b/gossip/src/node.rs
@@ -1,8 +1,8 @@
 //! One balancer's side of the gossip protocol: membership and replica as one state machine.
 //!
 //! It decides when updates are sent, to whom and how often, when two replicas synchronize over a stream rather than by
-//! datagrams, and counts all that. It acts on nothing that it hears: the caller does. What it sends and keeps is bounded, and
-//! messages of other fleets are rejected.
+//! datagrams, and counts all that. It makes no decisions from what it receives: the caller does. What it sends and keeps is
+//! bounded, and messages of other fleets are rejected.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -52,11 +52,11 @@
 const MAX_SERVERS: usize = 20_000;
 /// Outcomes are sent at this interval while requests fail.
 const OUTCOME_INTERVAL: Nanos = 100 * MS;
-/// Failures are sent with the successes of this span and the one before.
+/// Failures are sent with the successes of the current span and the one before.
 const SUCCESS_SPAN: Nanos = 3 * S / 2;
 /// Older outcomes are not passed to the caller.
 const MAX_OUTCOME_AGE: Nanos = S;
-/// Two rows of so many entries fit one message.
+/// Entries in one row, so that two rows fit one message.
 const MAX_SENT_ENTRIES: usize = 12;
 /// Space in a row beside its texts and entries, and in an entry beside the server's id.
 const ROW_OVERHEAD_BYTES: usize = 40;
@@ -76,7 +76,7 @@
     pub name: String,
     pub address: SocketAddr,
     pub zone: String,
-    /// Drawn anew at each start of a process.
+    /// A random number drawn when the process starts.
     pub start_id: u64,
     pub seeds: Vec<SocketAddr>,
     pub membership: SwimConfig,
@@ -103,9 +103,9 @@
     Failed(String),
     /// This member has announced its departure.
     Left(String),
-    /// The others held this balancer for dead.
+    /// The others considered this balancer dead.
     DeclaredDead,
-    /// Another live process, at this address, keeps this balancer's name. This one sends and hears nothing more.
+    /// Another live process, at this address, keeps this balancer's name. This one sends and receives nothing more.
     Displaced(SocketAddr),
     /// This member's replica differs in many records: a synchronization over a stream should start.
     StreamSyncDue(String),
@@ -133,8 +133,8 @@
 }
 
 /// The outcomes of a rule set at a server: failures since they were sent last, and successes of this span and the one
-/// before. Without the latter the others would hear of every failure and of few successes, and under overload every server
-/// would look bad.
+/// before. Without the latter the others would receive every failure but few successes, and under overload every server would
+/// look bad.
 #[derive(Clone, Copy, Debug)]
 struct OutcomeWindow {
     counts: OutcomeCounts,
@@ -248,7 +248,7 @@
         self.has_synced
     }
 
-    /// Takes in a list from discovery, or changes of it.
+    /// Applies a list from discovery, or changes of it.
     pub fn apply_discovery(&mut self, version: u64, is_full_list: bool, entries: &[(String, ServerStatus)]) {
         self.store.apply_discovery(version, is_full_list, entries);
     }
@@ -265,7 +265,7 @@
         self.has_new_failures |= counts.unsuccessful() > 0;
     }
 
-    /// Leaves the fleet for good and tells the others.
+    /// Leaves the fleet for good and notifies some members.
     pub fn leave(&mut self, now: Nanos) {
         self.swim.leave(now);
         self.process_swim_outputs();
@@ -362,7 +362,7 @@
         for ((server, rule_set), window) in &mut self.outcomes {
             let OutcomeCounts { failed, lost, .. } = window.counts;
             if window.counts.unsuccessful() > 0 {
-                // A lost request says something of the server, whatever its rule set; an error only of its rule set.
+                // A lost request counts against the server, whatever its rule set; an error only against its rule set.
                 let of_server = server_successes.get(server).copied().unwrap_or(0);
                 let succeeded = if lost > 0 { of_server } else { window.successes() };
                 entries.push((server.clone(), rule_set.clone(), OutcomeCounts { succeeded, failed, lost }));
@@ -602,7 +602,7 @@
         self.merge_updates(now, body)
     }
 
-    /// Takes in that a stream synchronization has ended.
+    /// Records the end of a stream synchronization.
     pub fn finish_stream_sync(&mut self, now: Nanos, succeeded: bool) {
         self.next_stream_sync_at = now + STREAM_SYNC_INTERVAL;
         self.traffic.stream_syncs += u64::from(succeeded);
--- a/gossip/tests/fleet.rs
+++ b/gossip/tests/fleet.rs
@@ -1,5 +1,5 @@
 //! Fleets of gossip nodes in simulated time, through network partitions, suspension, crashes, message loss, lists of 10,000
-//! servers, and replicas that heard different changes of the same server.
+//! servers, and replicas that received different changes of the same server.
 
 mod simulated_fleet;
 
@@ -59,12 +59,12 @@
 }
 
 #[test]
-fn halves_that_heard_different_changes_of_a_server_agree_two_seconds_after_their_partition() {
+fn halves_with_different_changes_of_a_server_agree_two_seconds_after_their_partition() {
     for seed in 1..4 {
         let mut fleet = connected_fleet(24, seed);
         fleet.is_cut = Box::new(|from, to| (from < 12) != (to < 12));
         fleet.run(S);
-        // One half hears that s1 drains and later that it serves again; the other half, in between, that it is gone.
+        // One half learns that s1 drains and later that it serves again; the other half, in between, that it is gone.
         fleet.apply_discovery(3, 2, false, &[("s1", ServerStatus::Draining), ("s3", ServerStatus::Draining)]);
         fleet.apply_discovery(15, 3, false, &[("s1", ServerStatus::Gone)]);
         fleet.run(30 * S);
@@ -85,7 +85,7 @@
 #[test]
 fn a_change_spreads_through_a_fleet_in_which_three_nodes_cannot_send() {
     let mut fleet = connected_fleet(12, 5);
-    // Nobody hears the first three nodes, which hear all others.
+    // Nothing arrives from the first three nodes, which receive from all others.
     fleet.is_cut = Box::new(|from, _| from < 3);
     fleet.run(10 * S);
     fleet.apply_discovery(7, 2, false, &[("s2", ServerStatus::Draining)]);
--- a/gossip/tests/frozen_forms.rs
+++ b/gossip/tests/frozen_forms.rs
@@ -19,7 +19,7 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(name)
 }
 
-/// Writes a fixture anew if WRITE_FIXTURES=1, and then fails: the test never passes on bytes that it has just written.
+/// Rewrites a fixture if WRITE_FIXTURES=1, and then fails: the test never passes on bytes that it has just written.
 fn write_fixture_if_asked(name: &str, content: &[u8]) {
     if std::env::var_os("WRITE_FIXTURES").is_some_and(|value| value == "1") {
         std::fs::write(fixture_path(name), content).expect("a writable fixture");
@@ -97,7 +97,7 @@
     GossipNode::new(settings, 0)
 }
 
-/// A datagram's label in the fixture: the kind of its message in the words of the build that wrote the fixture, whether it
+/// A datagram's label in the fixture: the kind of its message in the terms of the build that wrote the fixture, whether it
 /// carries records, and the kinds of its extensions.
 fn fixture_label(bytes: &[u8]) -> String {
     let message = wire::decode(FLEET, bytes).expect("a message");
--- a/gossip/tests/simulated_fleet/mod.rs
+++ b/gossip/tests/simulated_fleet/mod.rs
@@ -132,7 +132,7 @@
         self.process_outputs(node);
     }
 
-    /// Carries out a node's outputs and sets its timer anew.
+    /// Carries out a node's outputs and resets its timer.
     pub fn process_outputs(&mut self, node: usize) {
         while let Some(output) = self.nodes.get_mut(&node).and_then(GossipNode::poll_output) {
             match output {
--- a/membership/src/lib.rs
+++ b/membership/src/lib.rs
@@ -3,7 +3,7 @@
 //! A. Dadgar, J. Phillips, J. Currey, "Lifeguard: Local Health Awareness for More Accurate Failure Detection" (DSN-W 2018).
 //!
 //! [`record`] defines what is known of a member and which of two records wins; [`swim`] is the protocol as a state machine,
-//! which takes arrived messages and the current time and returns messages to send; [`wire`] encodes messages. Nothing here
+//! which is given received messages and the current time and returns messages to send; [`wire`] encodes messages. Nothing here
 //! does I/O, reads a clock or uses the system's random numbers: the caller passes times in nanoseconds, and random numbers
 //! come from a seed. The same code therefore runs in the program, in the emulator and in an exhaustive search over message
 //! orders.
@@ -12,7 +12,7 @@
 pub mod swim;
 pub mod wire;
 
-/// Nanoseconds on the caller's clock, which never goes back.
+/// Nanoseconds on the caller's monotonic clock.
 pub type Nanos = u64;
 /// One millisecond.
 pub const MS: Nanos = 1_000_000;
--- a/membership/src/record.rs
+++ b/membership/src/record.rs
@@ -1,5 +1,5 @@
 //! What is known of a member, and which of two records wins. Records are totally ordered and the greater one wins, whichever
-//! arrives first, so that merging is commutative, associative and idempotent. The order never depends on a clock.
+//! is received first, so that merging is commutative, associative and idempotent. The order never depends on a clock.
 
 use std::net::SocketAddr;
 
@@ -33,7 +33,7 @@
     pub incarnation: u64,
     /// Within an incarnation the worse state wins: only the member itself can improve it, by a new incarnation.
     pub state: MemberState,
-    /// Drawn at each start of a process: another process under the same name has another one.
+    /// A random number drawn when the process starts, which tells processes under one name apart.
     pub start_id: u64,
     pub address: SocketAddr,
     pub zone: String,
@@ -63,7 +63,10 @@
         assert!(record(2, Suspect, 1).supersedes(&record(2, Alive, 1)));
         assert!(record(2, Dead, 1).supersedes(&record(2, Suspect, 9)));
         assert!(record(3, Alive, 1).supersedes(&record(2, Left, 1)));
-        assert!(record(2, Alive, 5).supersedes(&record(2, Alive, 4)), "two starts of a name are told apart");
+        assert!(
+            record(2, Alive, 5).supersedes(&record(2, Alive, 4)),
+            "two processes under one name are ordered"
+        );
         assert!(!record(2, Alive, 5).supersedes(&record(2, Alive, 5)));
     }
 }
--- a/membership/src/swim.rs
+++ b/membership/src/swim.rs
@@ -1,7 +1,8 @@
 //! The SWIM protocol as a state machine: what this member knows of the others, and its own incarnation.
 //!
-//! An address that is not a member's is never sent more bytes than came from there. A member that the others hold for dead
-//! is first told so and comes back by a new incarnation; until then only its records of itself and of this member count.
+//! An address that is not a member's is never sent more bytes than were received from it. A member that is considered dead
+//! here is sent its record first, so that it returns with a new incarnation; until then only its records of itself and of
+//! this member are used.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
@@ -64,7 +65,7 @@
 const MAX_HEALTH_SCORE: u32 = 8;
 /// Leaves room in a message for extensions.
 const MAX_RECORDS_PER_MESSAGE: usize = 10;
-/// A process that claims this member's name so often is alive, and no earlier start of this member.
+/// A process that claims this member's name this many times is alive, rather than an earlier process of this member.
 const CLAIMS_OF_LIVE_PROCESS: u32 = 3;
 /// A member that knows no live one asks the seeds at this interval.
 const JOIN_INTERVAL: Nanos = S;
@@ -104,9 +105,9 @@
     Left {
         name: String,
     },
-    /// The others held this member for dead, so what it knows may be out of date.
+    /// The others considered this member dead, so what it knows may be out of date.
     DeclaredDead,
-    /// Another live process keeps this member's name. This one sends and hears nothing more.
+    /// Another live process keeps this member's name. This one sends and receives nothing more.
     Displaced {
         address: SocketAddr,
     },
@@ -140,7 +141,7 @@
     sequence: u64,
     requester_sequence: u64,
     requester: String,
-    /// When the requester is told that there is no answer yet; empty once it has been.
+    /// When a nack is sent to the requester; empty once it has been.
     nack_at: Option<Nanos>,
     deadline: Nanos,
 }
@@ -166,7 +167,7 @@
     next_gossip_at: Nanos,
     next_dead_probe_at: Nanos,
     next_join_at: Nanos,
-    /// How often each other process has claimed this member's name, by its start.
+    /// How often each other process has claimed this member's name, by its `start_id`.
     name_claims: BTreeMap<u64, u32>,
     leaving: bool,
     displaced: bool,
@@ -175,7 +176,7 @@
 }
 
 impl Swim {
-    /// A member that starts now. The caller draws a new start for each process; it also seeds the random numbers.
+    /// A member that starts now. The caller draws a new `start_id` for each process, which also seeds the random numbers.
     pub fn new(
         config: SwimConfig,
         name: &str,
@@ -249,7 +250,7 @@
         self.live_members().nth(index).cloned()
     }
 
-    /// Leaves the fleet for good and tells the others. Nothing is sent afterwards.
+    /// Leaves the fleet for good and notifies some members. No probes or gossip are sent afterwards.
     pub fn leave(&mut self, now: Nanos) {
         if self.leaving || self.displaced {
             return;
@@ -380,7 +381,7 @@
             if probe.acked && now >= probe.deadline {
                 self.health_score = self.health_score.saturating_sub(1);
             } else if now >= probe.deadline {
-                // Relays that stay silent suggest that this member itself hears nothing.
+                // Relays that stay silent suggest that this member itself receives nothing.
                 let silent = probe.silent_relays.len() as u32;
                 self.raise_health_score(if silent > 0 || probe.indirect_at.is_some() { silent } else { 1 });
                 self.suspect(now, &probe.target);
@@ -553,7 +554,7 @@
             return false;
         }
         if sender.name == self.name {
-            // Another process uses this member's name. It is told the greater of the two records.
+            // Another process uses this member's name. The greater of the two records decides which one keeps it.
             for (_, record) in records.iter().filter(|(name, _)| *name == sender.name) {
                 self.refute(record);
             }
@@ -573,7 +574,8 @@
             return false;
         };
         if !known.record.state.is_live() {
-            // The sender was suspended or cut off. Its records of others are out of date; it is told its own record here.
+            // The sender was suspended or cut off. Its records of others are out of date; its ping is answered with the record
+            // kept of it, so that it can refute it.
             let concerns_either = |name: &str| name == sender.name || name == self.name;
             let accepted: Vec<NamedRecord> =
                 records.iter().filter(|(name, _)| concerns_either(name)).cloned().collect();
@@ -626,7 +628,7 @@
         if let Some((name, record)) = sent_own.filter(|(name, _)| self.members.contains_key(name)) {
             self.apply_record(now, name, record.clone(), None);
         }
-        // A sender that holds this member for an earlier process of its name is refuted rather than corrected. Two members
+        // A sender that takes this member for an earlier process of its name is refuted rather than corrected. Two members
         // that both restarted would otherwise correct each other without end.
         if let Some((_, record)) = records.iter().find(|(name, _)| *name == self.name) {
             if self.members.contains_key(&sender.name) {
@@ -637,8 +639,8 @@
         }
     }
 
-    /// Tells a process whose name is known from another process what is known of that name, unless the answer would be
-    /// longer than its message.
+    /// Sends a process the record that is known of its name from another process, unless the answer would be longer than its
+    /// message.
     fn send_correction(&mut self, address: SocketAddr, message: &Message) {
         let name = &message.sender.name;
         let Some(member) =
@@ -755,8 +757,8 @@
         if record.start_id != self.own_record.start_id && record.state.is_live() {
             let claims = self.name_claims.entry(record.start_id).or_default();
             *claims += 1;
-            // An earlier process of this member does not claim the name again. One that does is alive, and the one with the
-            // smaller start gives way.
+            // An earlier process of this member does not claim the name again. One that does is alive, and the process with
+            // the smaller `start_id` gives up the name.
             if *claims >= CLAIMS_OF_LIVE_PROCESS && record.start_id > self.own_record.start_id {
                 self.displaced = true;
                 self.outputs.push_back(Output::Displaced { address: record.address });
--- a/membership/src/wire.rs
+++ b/membership/src/wire.rs
@@ -19,14 +19,14 @@
 /// One sum over the records in each bucket of names.
 pub type Digest = [u32; DIGEST_BUCKETS];
 
-/// The sender of a message: its name, and the start of the process under that name.
+/// The sender of a message: its name, and which process under that name it is.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Sender {
     pub name: String,
     pub start_id: u64,
 }
 
-/// What a message says or asks, beside the records that it carries.
+/// The protocol step that a message is for, beside the records that it carries.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum MessageBody {
     Ping {
@@ -94,7 +94,7 @@
 }
 
 impl DecodeError {
-    /// The word for it on operators' pages and in logs.
+    /// The name of the reason on operators' pages and in logs.
     pub fn reason(self) -> &'static str {
         match self {
             DecodeError::Malformed => "NotOurs",
--- a/membership/tests/fleet.rs
+++ b/membership/tests/fleet.rs
@@ -63,7 +63,7 @@
     }
 }
 
-/// Guards against a process that restarts while the others still hold its predecessor for alive, and is taken for it.
+/// Guards against a process that restarts while its predecessor still counts as alive, and is taken for it.
 #[test]
 fn a_process_that_restarts_at_once_is_known_as_a_new_one() {
     let mut fleet = SimulatedFleet::new(12, 3);
--- a/membership/tests/frozen_forms.rs
+++ b/membership/tests/frozen_forms.rs
@@ -12,7 +12,7 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(name)
 }
 
-/// Writes a fixture anew if WRITE_FIXTURES=1, and then fails: the test never passes on bytes that it has just written.
+/// Rewrites a fixture if WRITE_FIXTURES=1, and then fails: the test never passes on bytes that it has just written.
 fn write_fixture_if_asked(name: &str, content: &[u8]) {
     if std::env::var_os("WRITE_FIXTURES").is_some_and(|value| value == "1") {
         std::fs::write(fixture_path(name), content).expect("a writable fixture");
--- a/membership/tests/search.rs
+++ b/membership/tests/search.rs
@@ -1,6 +1,6 @@
 //! An exhaustive search, to a given depth, over what can happen to two to four members: messages delivered in any order,
 //! twice, late or never; a member that runs while the others' messages wait; one that is cut off or suspended until the
-//! others give it up, or cut off in one direction; crashes, restarts under the old name, and departures. The members are
+//! others declare it dead, or cut off in one direction; crashes, restarts under the old name, and departures. The members are
 //! those of the crate. For every invariant the search injects a fault that breaks it, and must find it.
 //!
 //! Invariants: (1) a member's record of another, while it keeps one, is only ever superseded by a greater one; (2) nobody
@@ -325,7 +325,7 @@
         try_step(&|state| state.run(fault, S, |_, _| true));
         for one in 0..size {
             try_step(&|state| state.tick(one));
-            // Cut off long enough that the others give it up, and it the others.
+            // Cut off long enough that it and the others declare each other dead.
             try_step(&|state| {
                 state.run(fault, 20 * S, |from, to| from == to || (from != one && to != one));
             });
--- a/membership/tests/simulated_fleet/mod.rs
+++ b/membership/tests/simulated_fleet/mod.rs
@@ -81,7 +81,7 @@
         self.process_outputs(member);
     }
 
-    /// Sets a member's timer anew and carries out its outputs.
+    /// Resets a member's timer and carries out its outputs.
     pub fn process_outputs(&mut self, member: usize) {
         if let Some(at) = self.timer_of.remove(&member) {
             self.timers.remove(&(at, member));
