--- a/src/endpoint_set.rs
+++ b/src/endpoint_set.rs
@@ -196,8 +196,8 @@
     pub reported: f64,
 }
 
-/// The traffic that endpoints past their slow start accept from us per unit of weight, from which the budgets of endpoints in
-/// slow start follow.
+/// The traffic that endpoints past their slow start accept from this instance per unit of weight, from which the budgets of
+/// endpoints in slow start follow.
 #[derive(Default)]
 pub struct WarmTraffic {
     pub accepted_per_s: f64,
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -1,19 +1,20 @@
 //! Every decision of ochreshed. An instance, [`Balancer`], is created from its start time, a seed and its parameters. The
 //! adapter then asks [`Balancer::route`] where a request goes, reports what happens to [`Balancer::handle_event`], and asks
 //! [`Balancer::next_action`] what to do next or when to ask again. The adapter owns the timers and the requests.
-//! `docs/design.md` describes the design and its deviations, `docs/scale.md` the cost of a decision and how old its sums may be.
-//! `endpoint_selection` selects endpoints, `outlier_ejection` judges them, `endpoint_limits` interprets the state of one.
+//! `docs/design.md` describes the design and its deviations, `docs/scale.md` the cost of a decision and how old its sums may
+//! be. `endpoint_selection` selects endpoints, `outlier_ejection` judges them, `endpoint_limits` interprets the state of one.
 //!
 //! A failed dispatch is retried only by the balancer in front of the callee that caused the failure, on another endpoint, and
-//! within a tenth of our first sends. Endpoints are selected by smooth weighted round robin that skips crowded ones; new and
-//! returning endpoints ramp up. The round robin is among as many endpoints as the instance gets enough responses from: a subset
-//! of the list that begins at its place among the instances. Six mechanisms are added to this:
+//! within a tenth of the first sends. Endpoints are selected by smooth weighted round robin that skips congested ones; new
+//! and returning endpoints ramp up. The round robin is among as many endpoints as the instance gets enough responses from: a
+//! subset of the list that begins at its place among the instances. Six mechanisms are added to this:
 //! 1. Concurrency limit: no more requests in flight at an endpoint than it completes within a part of the response target.
 //! 2. Queue: requests over the limit wait shortly, by utility; one that would wait too long is denied at once.
 //! 3. Health: an endpoint is judged by its last outcomes, ejected, and returns after a partly random time.
 //! 4. Silence: a site that answers nothing while others do is ejected as a whole and its dispatches are cancelled; idle
 //!    connections are closed before the age at which they are lost.
-//! 5. Slow-start budget: an endpoint in slow start gets no more than our share of what its least capacity takes.
+//! 5. Slow-start budget: an endpoint in slow start gets no more than the share of this instance in what its least capacity
+//!    takes.
 //! 6. Shares: requests of a customer over its share go last, and are denied while any request waits.
 
 mod endpoint_limits;
@@ -39,7 +40,7 @@
 /// latency, and at least this share of the response target.
 const LATENCY_LIMIT_FACTOR: f64 = 1.9;
 const MIN_LATENCY_LIMIT_SHARE: f64 = 0.6;
-/// We are in overload while more than this share of the arrivals is denied.
+/// The instance is in overload while more than this share of the arrivals is denied.
 const OVERLOAD_DENIAL_SHARE: f64 = 0.3;
 /// In overload the two values above are multiplied by this.
 const OVERLOAD_LATENCY_LIMIT_FACTOR: f64 = 0.7;
@@ -47,10 +48,10 @@
 const MAX_LATENCY_LIMIT_SHARE: f64 = 0.8;
 /// While latencies are low and there is no overload, an instance may have up to this many requests in flight whatever its
 /// concurrency limit is, and this gain says how fast that grows as latencies decrease.
-const MAX_CALM_CONCURRENCY: f64 = 3.0;
-const CALM_CONCURRENCY_GAIN: f64 = 4.0;
+const MAX_LIGHT_LOAD_CONCURRENCY: f64 = 3.0;
+const LIGHT_LOAD_CONCURRENCY_GAIN: f64 = 4.0;
 /// Latencies up to this many times the unloaded latency count as unloaded.
-const PROMPT_LATENCY_FACTOR: f64 = 1.3;
+const UNLOADED_LATENCY_FACTOR: f64 = 1.3;
 /// In recovery the completions of the last 2 s are from this count up to this share of the most in any 2 s. The count guards
 /// against hundreds of quiet instances that all widen a limit of one or two.
 const RECOVERY_MIN_COMPLETIONS: f64 = 3.0;
@@ -74,7 +75,17 @@
 const MAX_ENDPOINT_FLOOR: f64 = 4.0;
 /// The same for an instance that has just started or resumed and does not know what an endpoint has without load.
 const NEW_INSTANCE_ENDPOINT_FLOOR: f64 = 12.0;
-/// The share of its response target that a request may wait in our queue.
+/// A customer is over its share when its arrivals exceed the share by this factor.
+const CUSTOMER_SHARE_TOLERANCE: f64 = 1.2;
+/// A rule set has its own mean latency with at least this many completions.
+const MIN_COMPLETIONS_FOR_LATENCY: f64 = 3.0;
+/// The longest random part of a retry-after time.
+const MAX_RETRY_AFTER_JITTER: Nanos = S / 2;
+const MAX_LIST_RETRY_DELAY: Nanos = 4 * S;
+/// How often the adapter asks again while requests wait, and while dispatches are in flight.
+const QUEUE_POLL_INTERVAL: Nanos = 20 * MS;
+const IN_FLIGHT_POLL_INTERVAL: Nanos = S / 4;
+/// The share of its response target that a request may wait in the queue.
 const MAX_WAIT_SHARE: f64 = 0.2;
 
 pub struct Balancer {
@@ -83,7 +94,7 @@
     last_arrival_at: Nanos,
     /// Since when there has been no [`ARRIVAL_PAUSE`].
     active_since: Nanos,
-    /// The share of all weight that is in our subset of the list.
+    /// The share of all weight that is in the subset of the list.
     subset_share: f64,
     /// The second for which the subset was last updated.
     subset_updated_s: u64,
@@ -295,22 +306,23 @@
         self.statistics.denials.count(now) > OVERLOAD_DENIAL_SHARE * self.statistics.arrivals.count(now)
     }
 
-    /// The least concurrency limit: one request, and up to [`MAX_CALM_CONCURRENCY`] at the first tier while latencies are below
-    /// the latency limit of overload. Guards against denials at a quiet instance that has one request in flight on average and
-    /// three by chance.
+    /// The least concurrency limit: one request, and up to [`MAX_LIGHT_LOAD_CONCURRENCY`] at the first tier while latencies
+    /// are below the latency limit of overload. Guards against denials at a quiet instance that has one request in flight on
+    /// average and three by chance.
     fn min_concurrency_limit(&self, now: Nanos) -> f64 {
         let headroom = 1.0 - self.statistics.latency_short.mean(now) / self.latency_limit_s_when(now, true);
-        let is_calm = self.config.tier == 0 && !self.is_overloaded(now);
-        if is_calm {
-            (MAX_CALM_CONCURRENCY * CALM_CONCURRENCY_GAIN * headroom).clamp(1.0, MAX_CALM_CONCURRENCY)
+        let is_lightly_loaded = self.config.tier == 0 && !self.is_overloaded(now);
+        if is_lightly_loaded {
+            (MAX_LIGHT_LOAD_CONCURRENCY * LIGHT_LOAD_CONCURRENCY_GAIN * headroom)
+                .clamp(1.0, MAX_LIGHT_LOAD_CONCURRENCY)
         } else {
             1.0
         }
     }
 
-    /// The factor by which concurrency limits are widened while latencies are about as without load: 2 while we complete far
-    /// less than at best, after a fault at a lower tier has passed; up to the best while no more arrives than that. Guards
-    /// against a limit that shrinks because clients left, and then denies what the endpoints could process.
+    /// The factor by which concurrency limits are widened while latencies are about as without load: 2 while the instance
+    /// completes far less than at best, after a fault at a lower tier has passed; up to the best while no more arrives than
+    /// that. Guards against a limit that shrinks because clients left, and then denies what the endpoints could process.
     fn recovery_factor(&self, now: Nanos) -> f64 {
         let buckets = self.statistics.latency.live_buckets(now);
         let best = buckets.map(|bucket| bucket.count).fold(0.0, f64::max);
@@ -322,19 +334,20 @@
         };
         let completions = self.statistics.latency_short.count(now);
         let arrivals = self.statistics.arrivals.count(now);
-        let is_prompt = self.statistics.latency_short.mean(now)
-            <= self.statistics.latency.min_bucket_mean(now) * PROMPT_LATENCY_FACTOR;
+        let is_unloaded = self.statistics.latency_short.mean(now)
+            <= self.statistics.latency.min_bucket_mean(now) * UNLOADED_LATENCY_FACTOR;
         let is_steady = completions >= STEADY_MIN_COMPLETIONS
             && arrivals <= STEADY_MAX_ARRIVAL_FACTOR * best
             && !self.is_overloaded(now);
-        match self.config.tier == 0 && is_prompt {
+        match self.config.tier == 0 && is_unloaded {
             true if (min_completions..max_share * best).contains(&completions) => 2.0,
             true if is_steady => (best / completions).clamp(1.0, 2.0),
             _ => 1.0,
         }
     }
 
-    /// The floor of an endpoint's concurrency limit, however little it has completed for us: our share of a few requests.
+    /// The floor of an endpoint's concurrency limit, however little it has completed for this instance: the share of this
+    /// instance in a few requests.
     fn endpoint_limit_floor(&self, now: Nanos) -> f64 {
         // A new or idle instance has seen no completions, which says nothing about the endpoints.
         let unloaded = (ENDPOINT_FLOOR_FACTOR * self.unloaded_concurrency(now))
@@ -348,7 +361,7 @@
     }
 
     /// How many requests an endpoint of the first tier has in flight from all instances without load, by Little's law. Guards
-    /// against a floor made for larger endpoints, which keeps those with one core crowded and therefore slow.
+    /// against a floor made for larger endpoints, which keeps those with one core congested and therefore slow.
     fn unloaded_concurrency(&self, now: Nanos) -> f64 {
         if self.config.tier > 0 {
             return MAX_ENDPOINT_FLOOR;
@@ -369,7 +382,11 @@
             return set.utility;
         }
         // A rule set with few completions uses the latency of all requests, so that all ranks have the same unit.
-        let latency = if set.latency.count(now) < 3.0 { &self.statistics.latency } else { &set.latency };
+        let latency = if set.latency.count(now) < MIN_COMPLETIONS_FOR_LATENCY {
+            &self.statistics.latency
+        } else {
+            &set.latency
+        };
         set.utility / latency.mean(now).max(1e-3)
     }
 
@@ -381,14 +398,16 @@
         let (started_at, instances) = (self.started_at, self.config.instances);
         let Some(customer) = self.config.customers.get_mut(name) else { return false };
         customer.arrivals.add(now, 1.0);
-        customer.arrivals.rate_per_s(now, started_at) * instances > customer.share_per_s * 1.2
+        customer.arrivals.rate_per_s(now, started_at) * instances
+            > customer.share_per_s * CUSTOMER_SHARE_TOLERANCE
     }
 
     fn is_last_tier(&self) -> bool {
         self.config.tier + 1 >= self.config.tiers
     }
 
-    /// Whether we may retry this request: the failure was caused by our callee, and the rule set and the retry budget allow it.
+    /// Whether this instance may retry the request: the failure was caused by its callee, and the rule set and the retry
+    /// budget allow it.
     fn may_retry(&self, now: Nanos, request: &RequestContext) -> bool {
         let is_ours = match request.dispatches.last().and_then(|dispatch| dispatch.outcome) {
             Some(
@@ -419,7 +438,7 @@
         }
     }
 
-    /// The final answer for a request that we give up: a denial if the client may safely retry it.
+    /// The final answer for a request that is given up: a denial if the client may safely retry it.
     fn deny_or_abort(&mut self, now: Nanos, request: &RequestContext, wait: Nanos) -> RoutingDecision {
         let set = self.config.rule_set(&request.rule_set);
         let any_endpoint =
@@ -429,9 +448,9 @@
         }
         // Requests that failed together need not wait for capacity, only be spread over about the time of a response.
         let jitter = if wait > 0 {
-            S / 2
+            MAX_RETRY_AFTER_JITTER
         } else {
-            ((self.statistics.latency.mean(now) * S as f64) as Nanos).min(S / 2)
+            ((self.statistics.latency.mean(now) * S as f64) as Nanos).min(MAX_RETRY_AFTER_JITTER)
         };
         let retry_after =
             if self.config.sends_retry_after { wait + self.rng.next_duration(jitter.max(MS)) } else { 0 };
@@ -515,7 +534,7 @@
                 // All instances share one list service: ask again after a growing, partly random delay.
                 let delay = self.list_retry_delay / 2 + self.rng.next_duration(self.list_retry_delay);
                 self.list_request_at = Some(now + delay);
-                self.list_retry_delay = (self.list_retry_delay * 2).min(4 * S);
+                self.list_retry_delay = (self.list_retry_delay * 2).min(MAX_LIST_RETRY_DELAY);
                 NextStep::Nothing
             }
             Event::ClientDisconnected { request } => {
@@ -634,10 +653,10 @@
             return NextAction::Route(last.id);
         }
         let poll_at = match (is_queueing, self.in_flight) {
-            (true, _) => now + 20 * MS,
+            (true, _) => now + QUEUE_POLL_INTERVAL,
             (_, 0) => Nanos::MAX,
             // Dispatches in flight may become overdue without any event.
-            _ => now + S / 4,
+            _ => now + IN_FLIGHT_POLL_INTERVAL,
         };
         let list_request_at = self.list_request_at.unwrap_or(Nanos::MAX);
         NextAction::SleepUntil(list_request_at.min(self.idle_check_at).min(poll_at))
--- a/src/policy/endpoint_limits.rs
+++ b/src/policy/endpoint_limits.rs
@@ -1,4 +1,4 @@
-//! What the state of one endpoint means: its ramp, its concurrency limit, whether it is unresponsive or crowded, and its
+//! What the state of one endpoint means: its ramp, its concurrency limit, whether it is unresponsive or congested, and its
 //! slow-start budget. Endpoints are not compared with each other here; the means to compare with are given.
 
 use super::*;
@@ -8,9 +8,9 @@
 const EJECTION_RETURN_RAMP: Nanos = 3 * S;
 /// The share of its weight with which an endpoint returns from an ejection.
 const EJECTION_RETURN_SHARE: f64 = 0.2;
-/// An endpoint is crowded with this many times our mean in flight and a request more, or with that as a mean over
+/// An endpoint is congested with this many times the mean in flight and a request more, or with that as a mean over
 /// [`MEAN_LOAD_WINDOW`].
-const CROWDED_FACTOR: f64 = 1.25;
+const CONGESTION_FACTOR: f64 = 1.25;
 pub const MEAN_LOAD_WINDOW: Nanos = 8 * S;
 /// An endpoint is unresponsive when the ages of its unanswered dispatches, in overdue times, sum up to this. An endpoint that
 /// rarely gets a request may only be slow.
@@ -41,9 +41,10 @@
         warm * returned
     }
 
-    /// How many requests it may have in flight from us. By Little's law, what it completes within the latency limit is what it
-    /// may have in flight for latencies within that limit. The limit is per endpoint, so that a few slow ones do not use up
-    /// what the healthy ones need. The floor keeps an endpoint that is held crowded from becoming slower and staying so.
+    /// How many requests it may have in flight from this instance. By Little's law, what it completes within the latency
+    /// limit is what it may have in flight for latencies within that limit. The limit is per endpoint, so that a few slow
+    /// ones do not use up what the healthy ones need. The floor keeps an endpoint that is held congested from becoming slower
+    /// and staying so.
     pub fn concurrency_limit(&self, completions_per_s: f64, latency_limit_s: f64, floor: f64) -> f64 {
         (completions_per_s * latency_limit_s).max(floor)
     }
@@ -68,20 +69,20 @@
         max > 1.0 && sum >= UNRESPONSIVE_OVERDUE_SUM
     }
 
-    /// Whether it has far more in flight than our mean, now or over a while, or reports a far higher load than others. The mean
-    /// over a while is needed because a quiet instance nearly always has none or one in flight at an endpoint, even at one that
-    /// is many times slower than the others. One request that takes the latency limit is within chance, and a quiet instance
-    /// has no more there.
-    pub fn is_crowded(&self, now: Nanos, latency_limit_s: f64, means: &MeanLoads) -> bool {
-        self.in_flight.len() as f64 > CROWDED_FACTOR * means.momentary * self.subset_weight + 1.0
+    /// Whether it has far more in flight than the mean, now or over a while, or reports a far higher load than others. The
+    /// mean over a while is needed because a quiet instance nearly always has none or one in flight at an endpoint, even at
+    /// one that is many times slower than the others. One request that takes the latency limit is within chance, and a quiet
+    /// instance has no more there.
+    pub fn is_congested(&self, now: Nanos, latency_limit_s: f64, means: &MeanLoads) -> bool {
+        self.in_flight.len() as f64 > CONGESTION_FACTOR * means.momentary * self.subset_weight + 1.0
             || self.mean_in_flight(now)
-                > CROWDED_FACTOR * means.lasting * self.subset_weight
+                > CONGESTION_FACTOR * means.lasting * self.subset_weight
                     + latency_limit_s / to_seconds(MEAN_LOAD_WINDOW)
             || (self.has_fresh_report
-                && self.reported_load > CROWDED_FACTOR * means.reported * self.weight + 2.0)
+                && self.reported_load > CONGESTION_FACTOR * means.reported * self.weight + 2.0)
     }
 
-    /// The slow-start budget now. It grows by our share of what warm endpoints of the same weight accept from us, scaled to the
+    /// The slow-start budget now. It grows by what warm endpoints of the same weight accept from this instance, scaled to the
     /// least capacity that the endpoint can have at its age, and by no less than the floor. That capacity grows linearly, so
     /// its mean over a period is its value in the middle.
     pub fn current_slow_start_budget(
--- a/src/policy/endpoint_selection.rs
+++ b/src/policy/endpoint_selection.rs
@@ -53,7 +53,7 @@
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Suitability {
     Healthy,
-    /// Ejected, unresponsive or crowded: used only if no endpoint is healthy.
+    /// Ejected, unresponsive or congested: used only if no endpoint is healthy.
     Degraded,
     /// Healthy, but it has reset this request before.
     TriedBefore,
@@ -140,9 +140,9 @@
     }
 
     /// Selects among these candidates: the current weight of each suitable one grows by its weight; the one with the greatest
-    /// is selected and gives up what all gained. If all are ejected or crowded, a degraded one is better than none; the
-    /// concurrency limit still holds. A healthy one that has reset the request comes last, and only if the request is bound to
-    /// a group: in a group of one endpoint, a response that was lost once could not be had otherwise.
+    /// is selected and gives up what all gained. If all are ejected or congested, a degraded one is better than none; the
+    /// concurrency limit still holds. A healthy one that has reset the request comes last, and only if the request is bound
+    /// to a group: in a group of one endpoint, a response that was lost once could not be had otherwise.
     fn select_among(
         &mut self,
         context: &SelectionContext,
@@ -259,7 +259,7 @@
         }
         let is_healthy = !endpoint.ejected
             && !endpoint.is_unresponsive(now, context.latency_limit_s)
-            && !endpoint.is_crowded(now, context.latency_limit_s, &context.means);
+            && !endpoint.is_congested(now, context.latency_limit_s, &context.means);
         match (is_healthy, tried_before) {
             (true, false) => Suitability::Healthy,
             (false, false) => Suitability::Degraded,
@@ -336,11 +336,11 @@
         let unloaded =
             statistics.latency.min_bucket_mean(now).min(statistics.latency_long.min_bucket_mean(now));
         ((NO_BURST_LATENCY_FACTOR - statistics.latency_short.mean(now) / unloaded)
-            / (NO_BURST_LATENCY_FACTOR - PROMPT_LATENCY_FACTOR))
+            / (NO_BURST_LATENCY_FACTOR - UNLOADED_LATENCY_FACTOR))
             .clamp(0.0, 1.0)
     }
 
-    /// Updates what warm endpoints accept from us per unit of weight, while any endpoint is in slow start.
+    /// Updates what warm endpoints accept from this instance per unit of weight, while any endpoint is in slow start.
     pub(super) fn update_warm_traffic(&mut self, now: Nanos) {
         let since = std::mem::replace(&mut self.warm_traffic_updated_at, now);
         self.endpoints.refresh_ramps(now);
@@ -387,10 +387,10 @@
     }
 
     /// Updates the subset: a range of the list, by weight, that begins at this instance's place among the instances, so that
-    /// the subsets of all together cover the endpoints evenly without coordination. It is the whole list if this instance sends
-    /// enough to learn the state of each endpoint in time, and can keep connections to all. Otherwise it would select blindly:
-    /// with hundreds of instances, each one meets a given endpoint too rarely to know that it is crowded, slow or failing. And
-    /// with more endpoints than connections it would open a connection for each request.
+    /// the subsets of all together cover the endpoints evenly without coordination. It is the whole list if this instance
+    /// sends enough to learn the state of each endpoint in time, and can keep connections to all. Otherwise it would select
+    /// blindly: with hundreds of instances, each one meets a given endpoint too rarely to know that it is congested, slow or
+    /// failing. And with more endpoints than connections it would open a connection for each request.
     pub(super) fn update_subset(&mut self, now: Nanos, list_changed: bool) {
         let up = (self.endpoints.up as f64).max(1.0);
         let observable = (self.statistics.first_sends.rate_per_s(now, self.started_at)
--- a/src/policy/outlier_ejection.rs
+++ b/src/policy/outlier_ejection.rs
@@ -63,8 +63,8 @@
             | DispatchOutcome::Reset
             | DispatchOutcome::TimedOut
             | DispatchOutcome::NoConnection => true,
-            // Guards against an endpoint that drains before the list says so: it is never crowded and would attract ever more
-            // requests.
+            // Guards against an endpoint that drains before the list says so: it is never congested and would attract ever
+            // more requests.
             DispatchOutcome::Full
                 if endpoint_id.is_some_and(|id| self.endpoints.get(id).consecutive_refusals > 1) =>
             {
@@ -90,7 +90,7 @@
         let health_index = if is_rule_set_error { health_index } else { 0 };
         if health_index == 0 {
             // No connection and no response count twice, because they tell more than an error. So does a slow response at the
-            // last tier, whose cause can't be at a lower one. Guards against a jammed endpoint that is only late.
+            // last tier, whose cause can't be at a lower one. Guards against a stuck endpoint that is only late.
             let counts_twice = matches!(outcome, DispatchOutcome::NoConnection | DispatchOutcome::TimedOut)
                 || (outcome == DispatchOutcome::Done && is_last_tier);
             endpoint.health[0].record(failure, if failure && counts_twice { 2 } else { 1 });
--- a/src/policy/reference_tests.rs
+++ b/src/policy/reference_tests.rs
@@ -85,7 +85,7 @@
             differences: Vec::new(),
         };
         for number in 0..scenario.endpoints {
-            let just_started = simulation.draw_percentage(scenario.started_percentage);
+            let just_started = simulation.draw_bool(scenario.started_percentage);
             let listed = ListedEndpoint {
                 name: format!("s{number}").into(),
                 state: EndpointState::Up,
@@ -102,7 +102,7 @@
         simulation
     }
 
-    fn draw_percentage(&mut self, percentage: u64) -> bool {
+    fn draw_bool(&mut self, percentage: u64) -> bool {
         u64::from(self.rng.next_u32()) % 100 < percentage
     }
 
@@ -218,7 +218,7 @@
             }
             let is_healthy = endpoint.is_usable()
                 && !endpoint.is_unresponsive(now, latency_limit_s)
-                && !endpoint.is_crowded(now, latency_limit_s, &means);
+                && !endpoint.is_congested(now, latency_limit_s, &means);
             match (is_healthy, tried_before) {
                 (true, false) => reference.healthy.insert(endpoint.name.clone()),
                 (false, false) => reference.degraded.insert(endpoint.name.clone()),
@@ -320,10 +320,10 @@
         }
         match decision {
             RoutingDecision::Send { endpoint, .. } => {
-                let number = request.dispatches.len() - 1;
+                let dispatch_index = request.dispatches.len() - 1;
                 let (outcome, duration) = self.draw_outcome(&endpoint, request.deadline.saturating_sub(now));
-                self.ends.insert((now + duration, id, number));
-                self.outcomes.insert((id, number), outcome);
+                self.ends.insert((now + duration, id, dispatch_index));
+                self.outcomes.insert((id, dispatch_index), outcome);
                 self.sent += 1;
             }
             RoutingDecision::Wait { until } => drop(self.waiting_until.insert((until.max(now + 1), id))),
@@ -332,23 +332,26 @@
         self.requests.insert(id, request);
     }
 
-    fn draw_outcome(&mut self, endpoint: &str, left: Nanos) -> (DispatchOutcome, Nanos) {
+    fn draw_outcome(&mut self, endpoint: &str, remaining: Nanos) -> (DispatchOutcome, Nanos) {
         let number: u64 = endpoint[1..].parse().unwrap_or(0);
-        let slow = number * 37 % 100 < self.scenario.slow_percentage;
-        let part = self.rng.next_fraction();
-        let duration =
-            (self.scenario.service_time_ms as f64 * (0.5 + part) * if slow { 6.0 } else { 1.0 }) as u64 * MS;
+        let is_slow = number * 37 % 100 < self.scenario.slow_percentage;
+        let fraction = self.rng.next_fraction();
+        let duration = (self.scenario.service_time_ms as f64
+            * (0.5 + fraction)
+            * if is_slow { 6.0 } else { 1.0 }) as u64
+            * MS;
         // One site is cut off for a while in the middle of the simulation.
-        let lost = number % self.scenario.sites == 1 && (4 * S..9 * S).contains(&(self.now - 1_000 * S));
-        if lost || duration > left {
-            return (DispatchOutcome::TimedOut, left);
+        let is_cut_off =
+            number % self.scenario.sites == 1 && (4 * S..9 * S).contains(&(self.now - 1_000 * S));
+        if is_cut_off || duration > remaining {
+            return (DispatchOutcome::TimedOut, remaining);
         }
         let failing = if number.is_multiple_of(5) {
             self.scenario.failing_percentage * 4
         } else {
             self.scenario.failing_percentage / 4
         };
-        if !self.draw_percentage(failing) {
+        if !self.draw_bool(failing) {
             return (DispatchOutcome::Done, duration);
         }
         match self.rng.next_u32() % 4 {
--- a/src/statistics.rs
+++ b/src/statistics.rs
@@ -226,8 +226,8 @@
         self.retries.count(now) + 1.0 <= self.first_sends.count(now) * ratio + floor
     }
 
-    /// The requests per second that endpoints accept from us. Refused dispatches do not count: when many endpoints refuse,
-    /// requests are retried at once and most dispatches are refusals.
+    /// The requests per second that endpoints accept from this instance. Refused dispatches do not count: when many endpoints
+    /// refuse, requests are retried at once and most dispatches are refusals.
     pub fn accepted_per_s(&self, now: Nanos, started_at: Nanos) -> f64 {
         let accepted = self.first_sends.count(now) + self.retries.count(now) - self.never_ran.count(now);
         let admitted = self.arrivals.count(now) - self.denials.count(now);
--- a/src/types.rs
+++ b/src/types.rs
@@ -190,10 +190,10 @@
         duration: Nanos,
         load_report: &'a [f64],
     },
-    /// Another instance shared the outcome of one of its dispatches. It counts towards the endpoint's health like one of our
-    /// own, with three exceptions. It does not enter the mean over all endpoints, because instances mostly share failures.
-    /// Towards the silence of a site it counts once per endpoint, because a few endpoints that are gone cause many losses.
-    /// In overload it is ignored, because endpoints are then silent for lack of processing time.
+    /// Another instance shared the outcome of one of its dispatches. It counts towards the endpoint's health like a local
+    /// one, with three exceptions. It does not enter the mean over all endpoints, because instances mostly share failures.
+    /// Towards the silence of a site it counts once per endpoint, because a few endpoints that are gone cause many losses. In
+    /// overload it is ignored, because endpoints are then silent for lack of processing time.
     PeerDispatchEnded {
         endpoint: &'a str,
         rule_set: &'a str,
