--- a/balancer/src/mesh/proxy/request_scheduler.rs
+++ b/balancer/src/mesh/proxy/request_scheduler.rs
@@ -26,7 +26,7 @@
 use ochreshed_catalog::endpoints::{EndpointRecord, UpstreamState};
 use ochreshed_catalog::traffic_reports::AttemptCounts;
 use ochreshed_catalog::watch_client::ReceivedRecord;
-use ochreshed_hands::{Act, End, Hands};
+use ochreshed_policy_runtime::{Action, DispatchResult, PolicyRuntime};
 use ochreshed_traffic::retry_budget::{RequestAttempts, RetryAccount, RetryLimits};
 use ochreshed_traffic::retry_shares::RetryPool;
 use tokio::sync::{Notify, mpsc};
@@ -264,7 +264,7 @@
 
 struct SchedulerState {
     /// The decision module with its pending requests.
-    decision_module: Hands,
+    decision_module: PolicyRuntime,
     /// Channels for the actions of each request, by request id.
     action_senders: HashMap<u64, mpsc::UnboundedSender<SchedulerAction>>,
     last_request_id: u64,
@@ -328,7 +328,7 @@
         retry_account: RetryAccount,
     ) -> Arc<RequestScheduler> {
         let now = clock.now();
-        let decision_module = Hands::new(Balancer::new(now, seed, settings.parameters()));
+        let decision_module = PolicyRuntime::new(Balancer::new(now, seed, settings.parameters()));
         let state = SchedulerState {
             decision_module,
             action_senders: HashMap::new(),
@@ -375,7 +375,7 @@
             None if state.retry_pool.is_none() => return,
             None => {
                 let RetryLimits { ratio, floor, .. } = self.settings.retry_limits();
-                state.decision_module.allow(ratio, floor);
+                state.decision_module.set_retry_budget(ratio, floor);
                 state.retry_account.set_allowance(ratio, floor);
             }
         }
@@ -389,7 +389,7 @@
         let remaining = held(pool).remaining(now, self.settings.plan.member.as_ref(), ratio, floor);
         // The module's limit covers all retries that it has made since it was created, so these are added to what remains.
         let floor = remaining + f64::from(state.retry_account.policy_counts(now).retried);
-        state.decision_module.allow(0.0, floor);
+        state.decision_module.set_retry_budget(0.0, floor);
         state.retry_account.set_allowance(0.0, floor);
     }
 
@@ -406,15 +406,20 @@
         loop {
             let now = self.clock.now();
             self.update_retry_allowance(state, now);
-            let wake_at = state.decision_module.settle(now);
-            let acts = state.decision_module.acts();
-            if acts.is_empty() {
+            let wake_at = state.decision_module.run_due_work(now);
+            let actions = state.decision_module.take_actions();
+            if actions.is_empty() {
                 state.wake_at = wake_at;
                 return wake_at;
             }
-            for act in acts {
-                let (id, action) = match act {
-                    Act::Send { id, number, srv, give_up } => (
+            for action in actions {
+                let (id, action) = match action {
+                    Action::Send {
+                        request_id: id,
+                        dispatch_index: number,
+                        endpoint: srv,
+                        give_up_at: give_up,
+                    } => (
                         id,
                         SchedulerAction::Send {
                             attempt_number: number,
@@ -422,15 +427,20 @@
                             give_up_at: give_up,
                         },
                     ),
-                    Act::Recall { id, .. } => (id, SchedulerAction::Cancel),
-                    Act::Deny { id, come_back } => (id, SchedulerAction::Reject { retry_after: come_back }),
-                    Act::Abort { id } => (id, SchedulerAction::Fail),
-                    Act::Log(line) => {
+                    Action::CancelDispatch { request_id: id, .. } => (id, SchedulerAction::Cancel),
+                    Action::Deny { request_id: id, retry_after } => {
+                        (id, SchedulerAction::Reject { retry_after })
+                    }
+                    Action::Abort { request_id: id } => (id, SchedulerAction::Fail),
+                    Action::Log(line) => {
                         log::info!("{}: {line}", self.service);
                         continue;
                     }
                     // The module gets the endpoints from `update_endpoints`, so nothing is watched or probed here.
-                    Act::Watch | Act::List | Act::Probe(_) | Act::Close(_) => continue,
+                    Action::WatchEndpoints
+                    | Action::FetchEndpoints
+                    | Action::Probe(_)
+                    | Action::CloseIdleConnections(_) => continue,
                 };
                 if let Some(actions) = state.action_senders.get(&id) {
                     let _ = actions.send(action);
@@ -462,7 +472,7 @@
             self.count_in_pool(&state, now, AttemptCounts { retried: 1, ..AttemptCounts::default() });
         }
         self.update_retry_allowance(&mut state, now);
-        state.decision_module.take(now, request);
+        state.decision_module.accept_request(now, request);
         self.dispatch_and_wake(&mut state);
         ScheduledRequest { scheduler: self.clone(), id, actions, finished: false, attempts }
     }
@@ -557,9 +567,10 @@
             .collect();
         scheduler_state.listed =
             current.into_iter().map(|(upstream_id, (listed, _))| (upstream_id, listed)).collect();
-        scheduler_state
-            .decision_module
-            .news(now, Event::EndpointsListed { is_complete: true, is_stale: false, endpoints: &entries });
+        scheduler_state.decision_module.handle_event(
+            now,
+            Event::EndpointsListed { is_complete: true, is_stale: false, endpoints: &entries },
+        );
         self.dispatch_and_wake(&mut scheduler_state);
     }
 }
@@ -596,8 +607,8 @@
         self.finished |= is_final;
         let now = self.scheduler.clock.now();
         self.scheduler.update_retry_allowance(&mut state, now);
-        let end = End { how, took: duration, closed: is_final, report: load.as_slice() };
-        state.decision_module.ended(now, self.id, attempt_number, end);
+        let end = DispatchResult { outcome: how, duration, is_final, load_report: load.as_slice() };
+        state.decision_module.handle_dispatch_ended(now, self.id, attempt_number, end);
         self.scheduler.dispatch_and_wake(&mut state);
     }
 
@@ -615,14 +626,19 @@
         state.action_senders.remove(&self.id);
         if !self.finished {
             let now = self.scheduler.clock.now();
-            state.decision_module.left(now, self.id);
+            state.decision_module.handle_client_disconnected(now, self.id);
             // An attempt in flight ends with the request. Its number isn't stored, so all possible numbers are ended.
             for attempt_number in 0..64 {
-                state.decision_module.ended(
+                state.decision_module.handle_dispatch_ended(
                     now,
                     self.id,
                     attempt_number,
-                    End { how: DispatchOutcome::Cancelled, took: 0, closed: true, report: &[] },
+                    DispatchResult {
+                        outcome: DispatchOutcome::Cancelled,
+                        duration: 0,
+                        is_final: true,
+                        load_report: &[],
+                    },
                 );
             }
             self.scheduler.dispatch_and_wake(&mut state);
