--- a/balancer/src/address_sharing.rs
+++ b/balancer/src/address_sharing.rs
@@ -177,15 +177,15 @@
         let connect = |count: usize| -> Vec<TcpStream> {
             (0..count).map(|_| TcpStream::connect(address).expect("a connection")).collect()
         };
-        let mut callers = connect(50);
+        let mut clients = connect(50);
         assert_eq!((accept_all(&old).len(), accept_all(&newer).len()), (0, 50));
         drop(old);
-        callers.extend(connect(50));
+        clients.extend(connect(50));
         assert_eq!(accept_all(&newer).len(), 50);
         // None of the connections was reset.
-        for caller in &mut callers[50..] {
-            caller.set_nonblocking(true).expect("a stream");
-            let unread = caller.read(&mut [0]);
+        for client in &mut clients[50..] {
+            client.set_nonblocking(true).expect("a stream");
+            let unread = client.read(&mut [0]);
             assert!(!matches!(unread, Err(e) if e.kind() == ErrorKind::ConnectionReset));
         }
         fs::remove_dir_all(&folder).expect("removed");
--- a/balancer/src/discovery.rs
+++ b/balancer/src/discovery.rs
@@ -250,12 +250,12 @@
 
     /// Accepts the next call to a test discovery and returns its request line and connection.
     async fn call(discovery: &TcpListener) -> (String, TcpStream) {
-        let (mut caller, _) = discovery.accept().await.expect("a caller");
+        let (mut stream, _) = discovery.accept().await.expect("a connection");
         let mut call = Vec::new();
         while !call.ends_with(b"\r\n\r\n") {
-            call.push(caller.read_u8().await.expect("a whole head"));
+            call.push(stream.read_u8().await.expect("a whole head"));
         }
-        (String::from_utf8_lossy(&call).lines().next().unwrap_or_default().to_owned(), caller)
+        (String::from_utf8_lossy(&call).lines().next().unwrap_or_default().to_owned(), stream)
     }
 
     fn fleet(instances: f64) -> Parameters {
@@ -277,11 +277,11 @@
             timeout(Duration::from_secs(6), events.recv()).await.expect("still waiting for a silent watch");
         assert!(matches!(failed, Some(DecisionEvent::ListFailed)));
         client.send(DiscoveryCommand::Watch).await.expect("a list");
-        let (second, mut caller) = call(&discovery).await;
+        let (second, mut stream) = call(&discovery).await;
         assert_eq!((first.as_str(), &first), ("GET /catalog/members?after=4&wait_ms=1000 HTTP/1.1", &second));
         let body = response_body(1, r#"{"instanceId":"t","hostPort":"127.0.0.1:9","lifecycle":"DRAINING"}"#);
         let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len());
-        caller.write_all(&[head.as_bytes(), &body].concat()).await.expect("sent");
+        stream.write_all(&[head.as_bytes(), &body].concat()).await.expect("sent");
         assert!(
             matches!(events.recv().await, Some(DecisionEvent::ListUpdate { is_stale: false, entries, .. }) if entries.len() == 2)
         );
@@ -296,9 +296,9 @@
         assert_eq!(watch_wait(&fleet(10_000.0)).as_secs(), 20);
     }
 
-    fn response_body(srvs: usize, last: &str) -> Bytes {
+    fn response_body(servers: usize, last: &str) -> Bytes {
         let mut text = String::from(r#"{"generation":7,"reset":true,"instances":["#);
-        for number in 0..srvs {
+        for number in 0..servers {
             write!(text, r#"{{"instanceId":"s{number}","hostPort":"127.0.0.1:9","lifecycle":"SERVING"}},"#)
                 .expect("a String takes it");
         }
@@ -309,17 +309,17 @@
     #[tokio::test]
     async fn long_and_short_lists_are_read_alike() {
         let last = r#"{"instanceId":"last","hostPort":"127.0.0.1:9","lifecycle":"DRAINING"}"#;
-        for srvs in [1, 5_000] {
-            let body = response_body(srvs, last);
-            assert_eq!(body.len() > MAX_INLINE_PARSE_BYTES, srvs > 1);
+        for servers in [1, 5_000] {
+            let body = response_body(servers, last);
+            assert_eq!(body.len() > MAX_INLINE_PARSE_BYTES, servers > 1);
             let DiscoveryResponse { generation, is_complete, entries } = parse(body).await.expect("a list");
-            assert_eq!((&*generation, is_complete, entries.len()), ("7", true, srvs + 1));
-            assert_eq!(entries[srvs].0.state, EndpointState::Draining);
+            assert_eq!((&*generation, is_complete, entries.len()), ("7", true, servers + 1));
+            assert_eq!(entries[servers].0.state, EndpointState::Draining);
         }
-        for srvs in [1, 5_000] {
-            let error = parse(response_body(srvs, r#"{"hostPort":"127.0.0.1:9"}"#)).await.err();
+        for servers in [1, 5_000] {
+            let error = parse(response_body(servers, r#"{"hostPort":"127.0.0.1:9"}"#)).await.err();
             assert_eq!(error.as_deref(), Some("an entry without instanceId"));
-            assert!(parse(response_body(srvs, "{")).await.is_err());
+            assert!(parse(response_body(servers, "{")).await.is_err());
         }
     }
 }
--- a/balancer/src/fleet.rs
+++ b/balancer/src/fleet.rs
@@ -38,16 +38,16 @@
 use config::FleetConfig;
 use snapshot_store::SnapshotStore;
 
-const S: Nanos = 1_000_000_000;
+const SECOND: Nanos = 1_000_000_000;
 /// Unreadable messages are logged at most once a minute.
-const REJECTION_LOG_INTERVAL: Nanos = 60 * S;
-const STATUS_INTERVAL: Nanos = S / 2;
+const REJECTION_LOG_INTERVAL: Nanos = 60 * SECOND;
+const STATUS_INTERVAL: Nanos = SECOND / 2;
 /// How often the outcomes recorded by the decision actor are collected.
-const OUTCOME_INTERVAL: Nanos = S / 10;
+const OUTCOME_INTERVAL: Nanos = SECOND / 10;
 const MAILBOX_CAPACITY: usize = 64;
 /// A snapshot is written this long after a change, plus a random part of it, so that instances that receive
 /// the same change do not write at the same time.
-const SNAPSHOT_DELAY: Nanos = S / 10;
+const SNAPSHOT_DELAY: Nanos = SECOND / 10;
 /// The process that this one replaces keeps the port a little longer.
 const BIND_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
@@ -165,7 +165,7 @@
         let InitialList { source, entries, excluded_as_gone, marked_draining } = &initial_list;
         info!(
             "snapshot is {} s old: starting with {} endpoints from {source:?}, {excluded_as_gone} excluded as gone, {marked_draining} draining",
-            age / S,
+            age / SECOND,
             entries.len()
         );
     }
@@ -358,7 +358,7 @@
             (self.snapshot_number, self.snapshot_due_at) = (self.snapshot_number + 1, None);
         } else {
             // A write is still running.
-            self.snapshot_due_at = Some(now + S);
+            self.snapshot_due_at = Some(now + SECOND);
         }
     }
 
@@ -457,7 +457,7 @@
             if self.snapshots.as_ref().is_some_and(SnapshotStore::take_refused)
                 && self.snapshot_due_at.is_none()
             {
-                self.snapshot_due_at = Some(now + S);
+                self.snapshot_due_at = Some(now + SECOND);
             }
             self.update_start_progress(now);
             let recorded = std::mem::take(&mut *self.observed.lock().unwrap_or_else(PoisonError::into_inner));
--- a/balancer/src/lifecycle.rs
+++ b/balancer/src/lifecycle.rs
@@ -25,22 +25,22 @@
 use crate::start_facts::StartFacts;
 use crate::{client_listener, discovery, endpoint_pool, operator_api};
 
-const S: Nanos = 1_000_000_000;
+const SECOND: Nanos = 1_000_000_000;
 /// After a stop signal, clients keep coming for a while and connected ones keep sending requests. The
 /// listener stays open for `LISTENER_OPEN_TIME`, or for `LISTENER_OPEN_SHARE` of the longest client timeout
 /// if that is longer, and closes once no client has come for `QUIET_TIME`, at most `MAX_LISTENER_EXTENSION`
 /// later. Closing sooner could leave clients without a balancer: another one may be down just now, and a
 /// client may be unable to reconnect elsewhere.
-const LISTENER_OPEN_TIME: Nanos = S * 7 / 10;
+const LISTENER_OPEN_TIME: Nanos = SECOND * 7 / 10;
 const LISTENER_OPEN_SHARE: f64 = 0.6;
-const QUIET_TIME: Nanos = S * 4 / 10;
-const MAX_LISTENER_EXTENSION: Nanos = S / 5;
+const QUIET_TIME: Nanos = SECOND * 4 / 10;
+const MAX_LISTENER_EXTENSION: Nanos = SECOND / 5;
 /// An accepted request is answered within its client timeout and is waited for no longer than
 /// `MAX_RESPONSE_WAIT`. It is aborted `ABORT_DELAY` after that time, and the process exits `EXIT_DELAY` after
 /// the same time.
-const MAX_RESPONSE_WAIT: Nanos = 3 * S;
-const ABORT_DELAY: Nanos = S * 3 / 10;
-const EXIT_DELAY: Nanos = S / 2;
+const MAX_RESPONSE_WAIT: Nanos = 3 * SECOND;
+const ABORT_DELAY: Nanos = SECOND * 3 / 10;
+const EXIT_DELAY: Nanos = SECOND / 2;
 /// How long a process that starts beside another waits for its first current list, and how often it checks
 /// whether the other has ended.
 const FIRST_LIST_TIMEOUT: Duration = Duration::from_secs(3);
@@ -235,7 +235,7 @@
         info!("allowed by the settings but not used: {}", start.unused_features.join(", "));
     }
     let client_timeouts =
-        read_list(&start.facts, "rule_sets").iter().map(|set| read_duration(set, "client_timeout", S));
+        read_list(&start.facts, "rule_sets").iter().map(|set| read_duration(set, "client_timeout", SECOND));
     let longest_timeout = client_timeouts.max().unwrap_or(MAX_RESPONSE_WAIT).min(MAX_RESPONSE_WAIT);
     let pool_context = endpoint_pool::PoolContext {
         metrics: metrics.clone(),
@@ -245,8 +245,8 @@
         reuse_failures: Arc::default(),
         response_memory: limits.response_memory.clone(),
         min_spare_permits: start.max_server_connections / 4,
-        connect_timeout: Duration::from_nanos(read_duration(&start.facts, "connect_timeout", S)),
-        idle_timeout: read_duration(&start.facts, "connection_idle", 10 * S),
+        connect_timeout: Duration::from_nanos(read_duration(&start.facts, "connect_timeout", SECOND)),
+        idle_timeout: read_duration(&start.facts, "connection_idle", 10 * SECOND),
     };
     tokio::spawn(reload_on_hangup(hangup, start.file, start.discovery, discovery_commands.clone()));
     let confirmation = fleet.as_ref().map(|fleet| (fleet.confirmed.clone(), fleet.confirmation_timeout));
--- a/balancer/src/metrics.rs
+++ b/balancer/src/metrics.rs
@@ -225,8 +225,8 @@
                         started += 1;
                     }
                     2 if !in_flight.is_empty() => drop(in_flight.swap_remove(set % in_flight.len())),
-                    _ => if let Some(mut req) = in_flight.pop() {
-                        req.set_outcome(OUTCOMES[action % 3].0);
+                    _ => if let Some(mut request) = in_flight.pop() {
+                        request.set_outcome(OUTCOMES[action % 3].0);
                     },
                 }
                 let ended = |counts: &OutcomeCounts| counts.by_outcome.iter().map(|n| n.load(Relaxed)).sum::<u64>();
