--- a/balancer/src/decision_actor.rs
+++ b/balancer/src/decision_actor.rs
@@ -13,7 +13,7 @@
 
 use hyper::Response;
 use ochreshed::{Balancer, DispatchOutcome, Event, ListedEndpoint, Name, Nanos, RequestContext};
-use ochreshed_hands::{Act, End, Hands};
+use ochreshed_policy_runtime::{Action, DispatchResult, PolicyRuntime};
 use ochreshed_replica::outcomes::OutcomeCounts;
 use tokio::sync::mpsc::error::TrySendError;
 use tokio::sync::mpsc::{self, OwnedPermit};
@@ -190,7 +190,7 @@
 
 pub struct DecisionActor {
     clock: Clock,
-    hands: Hands,
+    runtime: PolicyRuntime,
     /// The rule sets whose requests must not run twice.
     run_once_rule_sets: HashSet<Name>,
     pending: HashMap<u64, PendingRequest>,
@@ -213,10 +213,10 @@
         first_fresh_list: oneshot::Sender<()>,
         observed: Option<ObservedOutcomes>,
     ) -> DecisionActor {
-        let (clock, hands) = (pool_context.clock, Hands::new(balancer));
+        let (clock, runtime) = (pool_context.clock, PolicyRuntime::new(balancer));
         DecisionActor {
             clock,
-            hands,
+            runtime,
             run_once_rule_sets,
             pending: HashMap::new(),
             maybe_ended: Vec::new(),
@@ -263,13 +263,15 @@
                     rule_set,
                 };
                 self.pending.insert(request.id, pending);
-                self.hands.take(now, request);
+                self.runtime.accept_request(now, request);
             }
             DecisionEvent::ClientDisconnected(id) => {
-                self.hands.left(now, id);
+                self.runtime.handle_client_disconnected(now, id);
                 self.maybe_ended.push(id);
             }
-            DecisionEvent::RequestSent { id, dispatch_index } => self.hands.written(now, id, dispatch_index),
+            DecisionEvent::RequestSent { id, dispatch_index } => {
+                self.runtime.handle_request_sent(now, id, dispatch_index)
+            }
             DecisionEvent::DispatchEnded { id, dispatch_index, outcome, at, body_time, response } => {
                 let Some(pending) = self.pending.get_mut(&id) else { return };
                 let duration = at.saturating_sub(pending.sent_at + body_time);
@@ -282,17 +284,17 @@
                 if let Some(response) = response {
                     pending.answer(FinalAnswer::Response(response));
                 }
-                let end = End {
-                    how: outcome,
-                    took: duration,
-                    closed: outcome == DispatchOutcome::Done,
-                    report: &[],
+                let result = DispatchResult {
+                    outcome,
+                    duration,
+                    is_final: outcome == DispatchOutcome::Done,
+                    load_report: &[],
                 };
-                self.hands.ended(now, id, dispatch_index, end);
+                self.runtime.handle_dispatch_ended(now, id, dispatch_index, result);
                 self.maybe_ended.push(id);
             }
             DecisionEvent::ProbeEnded { endpoint, outcome, duration } => {
-                self.hands.news(
+                self.runtime.handle_event(
                     now,
                     Event::ProbeEnded { endpoint: &endpoint, outcome, duration, load_report: &[] },
                 );
@@ -300,10 +302,10 @@
             DecisionEvent::ListUpdate { is_complete, is_stale, entries, .. } => {
                 self.apply_list(now, is_complete, is_stale, entries);
             }
-            DecisionEvent::ListFailed => self.hands.news(now, Event::EndpointListFailed),
+            DecisionEvent::ListFailed => self.runtime.handle_event(now, Event::EndpointListFailed),
             DecisionEvent::PeerOutcomes { endpoint, rule_set, outcome, count } => {
                 for _ in 0..count {
-                    self.hands.news(
+                    self.runtime.handle_event(
                         now,
                         Event::PeerDispatchEnded { endpoint: &endpoint, rule_set: &rule_set, outcome },
                     );
@@ -329,50 +331,60 @@
             let _ = first_fresh_list.send(());
         }
         let entries: Vec<ListedEndpoint> = entries.into_iter().map(|(listed, _)| listed).collect();
-        self.hands.news(now, Event::EndpointsListed { is_complete, is_stale, endpoints: &entries });
+        self.runtime.handle_event(now, Event::EndpointsListed { is_complete, is_stale, endpoints: &entries });
     }
 
     /// Carries out the module's decisions and returns when it is to be called again.
     fn run_decisions(&mut self) -> Nanos {
         loop {
             let now = self.clock.now();
-            let wake_at = self.hands.settle(now);
+            let wake_at = self.runtime.run_due_work(now);
             let mut unsent = Vec::new();
-            for act in self.hands.acts() {
-                self.perform(now, act, &mut unsent);
+            for action in self.runtime.take_actions() {
+                self.perform(now, action, &mut unsent);
             }
             if unsent.is_empty() {
                 self.remove_ended();
-                self.pool_context.metrics.set_server_counts(self.hands.standing());
+                let counts = self.runtime.count_endpoints();
+                self.pool_context.metrics.set_server_counts(counts.listed, counts.avoided);
                 return wake_at;
             }
             for (id, dispatch_index) in unsent {
-                let end = End { how: DispatchOutcome::NotSent, took: 0, closed: false, report: &[] };
-                self.hands.ended(now, id, dispatch_index, end);
+                let result = DispatchResult {
+                    outcome: DispatchOutcome::NotSent,
+                    duration: 0,
+                    is_final: false,
+                    load_report: &[],
+                };
+                self.runtime.handle_dispatch_ended(now, id, dispatch_index, result);
             }
         }
     }
 
-    fn perform(&mut self, now: Nanos, act: Act, unsent: &mut Vec<(u64, usize)>) {
-        match act {
-            Act::Send { id, number, srv, give_up } => {
-                if !self.send_dispatch(now, id, number, &srv, give_up) {
-                    unsent.push((id, number));
+    fn perform(&mut self, now: Nanos, action: Action, unsent: &mut Vec<(u64, usize)>) {
+        match action {
+            Action::Send { request_id, dispatch_index, endpoint, give_up_at } => {
+                if !self.send_dispatch(now, request_id, dispatch_index, &endpoint, give_up_at) {
+                    unsent.push((request_id, dispatch_index));
                 }
             }
-            Act::Recall { id, .. } => {
-                let cancel = self.pending.get_mut(&id).and_then(|pending| pending.cancel.take());
+            Action::CancelDispatch { request_id, .. } => {
+                let cancel = self.pending.get_mut(&request_id).and_then(|pending| pending.cancel.take());
                 // A dispatch that has just ended needs no cancellation.
                 cancel.map(|cancel| cancel.send(()));
             }
-            Act::Deny { id, come_back } => self.answer(id, FinalAnswer::Denied { retry_after: come_back }),
-            Act::Abort { id } => self.answer(id, FinalAnswer::Aborted),
+            Action::Deny { request_id, retry_after } => {
+                self.answer(request_id, FinalAnswer::Denied { retry_after });
+            }
+            Action::Abort { request_id } => self.answer(request_id, FinalAnswer::Aborted),
             // A full mailbox already holds commands that fetch the list.
-            Act::Watch => drop(self.discovery.try_send(DiscoveryCommand::Watch)),
-            Act::List => drop(self.discovery.try_send(DiscoveryCommand::Fetch)),
-            Act::Probe(srv) => drop(self.send_to_pool(&srv, PoolCommand::Probe(now + PROBE_TIMEOUT))),
-            Act::Close(srv) => self.close_idle(&srv),
-            Act::Log(line) => info!("{line}"),
+            Action::WatchEndpoints => drop(self.discovery.try_send(DiscoveryCommand::Watch)),
+            Action::FetchEndpoints => drop(self.discovery.try_send(DiscoveryCommand::Fetch)),
+            Action::Probe(endpoint) => {
+                self.send_to_pool(&endpoint, PoolCommand::Probe(now + PROBE_TIMEOUT));
+            }
+            Action::CloseIdleConnections(endpoint) => self.close_idle(&endpoint),
+            Action::Log(line) => info!("{line}"),
         }
     }
 
@@ -428,7 +440,7 @@
     /// have run.
     fn remove_ended(&mut self) {
         for id in self.maybe_ended.drain(..) {
-            if !self.hands.holds(id) {
+            if !self.runtime.has_request(id) {
                 self.pending.remove(&id);
             }
         }
--- a/balancer/src/metrics.rs
+++ b/balancer/src/metrics.rs
@@ -72,7 +72,7 @@
     }
 
     /// Sets how many servers are listed and how many of them are currently excluded.
-    pub fn set_server_counts(&self, (listed, excluded): (usize, usize)) {
+    pub fn set_server_counts(&self, listed: usize, excluded: usize) {
         self.listed_servers.store(listed, Relaxed);
         self.excluded_servers.store(excluded, Relaxed);
     }
@@ -195,7 +195,7 @@
         drop(done);
         let _in_flight = metrics.begin_request("a.b:1|c\nx");
         metrics.count_dispatch();
-        metrics.set_server_counts((5, 2));
+        metrics.set_server_counts(5, 2);
         expect![[r#"
             app.replies.pay.success:1|c
             app.replies.pay.overload:0|c
--- a/balancer/src/start_facts.rs
+++ b/balancer/src/start_facts.rs
@@ -6,7 +6,7 @@
 use std::path::{Path, PathBuf};
 
 use ochreshed::Parameters;
-use ochreshed_hands::facts;
+use ochreshed_policy_runtime::parameters::read_parameters;
 use serde_json::Value as Json;
 
 use crate::settings::{self, Headers};
@@ -91,7 +91,7 @@
             max_client_connections: max_connections(CLIENT_CONNECTION_BYTES),
             max_server_connections: max_connections(MAX_BUFFERED_BODY_BYTES),
             max_body_bytes: (quarter / 2).clamp(1024 * KB, 1 << 30),
-            facts: facts::from_json(&json["settings"])?,
+            facts: read_parameters(&json["settings"])?,
             headers: settings::headers(&json["headers"])?,
             unused_features: settings::unused(&json["settings"]),
             known_list: json["known"].take(),
