--- a/balancer/src/decision_actor.rs
+++ b/balancer/src/decision_actor.rs
@@ -381,7 +381,8 @@
             Action::WatchEndpoints => drop(self.discovery.try_send(DiscoveryCommand::Watch)),
             Action::FetchEndpoints => drop(self.discovery.try_send(DiscoveryCommand::Fetch)),
             Action::Probe(endpoint) => {
-                self.send_to_pool(&endpoint, PoolCommand::Probe(now + PROBE_TIMEOUT));
+                // A full mailbox may drop it, like any other command to a pool.
+                let _ = self.send_to_pool(&endpoint, PoolCommand::Probe(now + PROBE_TIMEOUT));
             }
             Action::CloseIdleConnections(endpoint) => self.close_idle(&endpoint),
             Action::Log(line) => info!("{line}"),
