--- a/balancer/src/decision_actor.rs
+++ b/balancer/src/decision_actor.rs
@@ -284,9 +284,13 @@
                 if let Some(response) = response {
                     pending.answer(FinalAnswer::Response(response));
                 }
-                let is_final = outcome == DispatchOutcome::Done;
-                let end = DispatchResult { outcome, duration, is_final, load_report: &[] };
-                self.runtime.handle_dispatch_ended(now, id, dispatch_index, end);
+                let result = DispatchResult {
+                    outcome,
+                    duration,
+                    is_final: outcome == DispatchOutcome::Done,
+                    load_report: &[],
+                };
+                self.runtime.handle_dispatch_ended(now, id, dispatch_index, result);
                 self.maybe_ended.push(id);
             }
             DecisionEvent::ProbeEnded { endpoint, outcome, duration } => {
@@ -342,31 +346,35 @@
             if unsent.is_empty() {
                 self.remove_ended();
                 let counts = self.runtime.count_endpoints();
-                self.pool_context.metrics.set_server_counts((counts.listed, counts.avoided));
+                self.pool_context.metrics.set_server_counts(counts.listed, counts.avoided);
                 return wake_at;
             }
             for (id, dispatch_index) in unsent {
-                let outcome = DispatchOutcome::NotSent;
-                let end = DispatchResult { outcome, duration: 0, is_final: false, load_report: &[] };
-                self.runtime.handle_dispatch_ended(now, id, dispatch_index, end);
+                let result = DispatchResult {
+                    outcome: DispatchOutcome::NotSent,
+                    duration: 0,
+                    is_final: false,
+                    load_report: &[],
+                };
+                self.runtime.handle_dispatch_ended(now, id, dispatch_index, result);
             }
         }
     }
 
     fn perform(&mut self, now: Nanos, action: Action, unsent: &mut Vec<(u64, usize)>) {
         match action {
-            Action::Send { request_id: id, dispatch_index, endpoint, give_up_at } => {
-                if !self.send_dispatch(now, id, dispatch_index, &endpoint, give_up_at) {
-                    unsent.push((id, dispatch_index));
+            Action::Send { request_id, dispatch_index, endpoint, give_up_at } => {
+                if !self.send_dispatch(now, request_id, dispatch_index, &endpoint, give_up_at) {
+                    unsent.push((request_id, dispatch_index));
                 }
             }
-            Action::CancelDispatch { request_id: id, .. } => {
-                let cancel = self.pending.get_mut(&id).and_then(|pending| pending.cancel.take());
+            Action::CancelDispatch { request_id, .. } => {
+                let cancel = self.pending.get_mut(&request_id).and_then(|pending| pending.cancel.take());
                 // A dispatch that has just ended needs no cancellation.
                 cancel.map(|cancel| cancel.send(()));
             }
             Action::Deny { request_id, retry_after } => {
-                self.answer(request_id, FinalAnswer::Denied { retry_after })
+                self.answer(request_id, FinalAnswer::Denied { retry_after });
             }
             Action::Abort { request_id } => self.answer(request_id, FinalAnswer::Aborted),
             // A full mailbox already holds commands that fetch the list.
