--- a/Makefile
+++ b/Makefile
@@ -17,7 +17,7 @@
 
 # Minutes long, with nothing beside it; no part of CI.
 bench:
-	cargo bench -p ochreshed-policy-runtime --bench req
+	cargo bench -p ochreshed-policy-runtime --bench request_cost
 	cargo bench -p ochreshed-balancer --bench sockets
 	cargo bench -p ochreshed-balancer --bench claims
 	cargo bench -p ochreshed-balancer --bench federation
--- a/policy-runtime/tests/parameters.rs
+++ b/policy-runtime/tests/parameters.rs
@@ -1,12 +1,12 @@
-//! The policy parameters read from JSON facts. Operators write the facts, and the policy looks parameters up by
-//! name: a change to either name would silently make a setting ineffective.
+//! The policy parameters read from JSON settings. Operators write the settings, and the policy looks parameters up by name:
+//! a change to either name would make a setting ineffective without an error.
 
 use expect_test::{Expect, expect};
 use ochreshed::ParameterValue;
 use ochreshed_policy_runtime::parameters;
 
-fn check(facts_json: &str, expected: Expect) {
-    let parameters = match parameters::parse_parameters(facts_json) {
+fn check(settings: &str, expected: Expect) {
+    let parameters = match parameters::parse_parameters(settings) {
         Ok(parameters) => parameters,
         Err(error) => return expected.assert_eq(&format!("{error}\n")),
     };
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn each_setting_becomes_the_parameter_of_its_name() {
+fn each_setting_is_read_into_its_parameter() {
     check(
         r#"{
             "NInstances": 3, "Me": 2, "Tier": 1, "Tiers": ["a", "b"], "Locality": "perth",
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn the_words_for_effects_and_utility_are_translated() {
+fn terms_for_effects_scopes_and_utility_are_translated() {
     check(
         r#"{"UtilityBy": "work", "RuleSets": [
             {"Effect": "repeatable"}, {"Effect": "by_key"}, {"Effect": "once"}, {"Effect": "zone"},
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn unreadable_settings_are_named_in_the_error() {
+fn errors_name_the_setting() {
     check(
         "{",
         expect![[r#"
@@ -149,13 +149,13 @@
     check(
         r#"{"Guarantees": {"Cold": "1 s"}}"#,
         expect![[r#"
-        settings: /Guarantees/Cold can't be read
+        settings: /Guarantees/Cold has the wrong type
     "#]],
     );
     check(
         r#"{"RuleSets": [{"Name": 1}]}"#,
         expect![[r#"
-        settings: /Name can't be read
+        settings: /Name has the wrong type
     "#]],
     );
 }
