--- a/adapter/src/instance.rs
+++ b/adapter/src/instance.rs
@@ -1,123 +1,136 @@
-//! One instance on the wire: decodes what concerns it and turns its acts into lines. It decides nothing.
+//! One simulated balancer instance: translates the simulator's event lines for the policy, and the policy's actions to lines.
+//! It makes no decisions.
 
 use std::fmt::Write;
 
 use ochreshed::{Balancer, Event, ListedEndpoint, Nanos, RequestContext};
 use ochreshed_policy_runtime::{Action, DispatchResult, PolicyRuntime};
 
-use crate::wire::{self, Line, millis};
+use crate::wire::{self, Line, format_millis};
 
-pub struct Host {
+/// The longest delay of a `wake_at` line.
+const MAX_WAKE_DELAY: Nanos = 4_000_000_000_000;
+
+pub struct Instance {
     number: u64,
     runtime: PolicyRuntime,
-    wake: Option<Nanos>,
+    /// When the last requested `wake_at` is due.
+    wake_at: Option<Nanos>,
 }
 
-impl Host {
-    pub fn new(number: u64, balancer: Balancer) -> Host {
-        Host { number, runtime: PolicyRuntime::new(balancer), wake: None }
+impl Instance {
+    pub fn new(number: u64, balancer: Balancer) -> Instance {
+        Instance { number, runtime: PolicyRuntime::new(balancer), wake_at: None }
     }
 
-    pub fn submit(&mut self, now: Nanos, line: &Line, out: &mut String) -> Result<(), String> {
-        self.runtime.accept_request(now, read_request(now, line)?);
-        self.write(out);
+    pub fn handle_submit(&mut self, now: Nanos, line: &Line, reply: &mut String) -> Result<(), String> {
+        self.runtime.accept_request(now, parse_request(now, line)?);
+        self.write_actions(reply);
         Ok(())
     }
 
-    pub fn response(&mut self, now: Nanos, line: &Line, out: &mut String) -> Result<(), String> {
-        let (id, number) = (line.int("RequestId")?, line.int("Copy")? as usize);
-        let (how, took) = (wire::how(line.must("How")?)?, line.time("Duration")?);
-        let end = DispatchResult {
-            outcome: how,
-            duration: took,
-            is_final: line.flag("Closed"),
-            load_report: &line.report(),
-        };
-        self.runtime.handle_dispatch_ended(now, id, number, end);
-        self.write(out);
+    pub fn handle_response(&mut self, now: Nanos, line: &Line, reply: &mut String) -> Result<(), String> {
+        let (id, dispatch_index) = (line.integer("RequestId")?, line.integer("Copy")? as usize);
+        let (outcome, duration) = (wire::parse_outcome(line.required("How")?)?, line.time("Duration")?);
+        let (is_final, load_report) = (line.flag("Closed"), line.load_report());
+        let result = DispatchResult { outcome, duration, is_final, load_report: &load_report };
+        self.runtime.handle_dispatch_ended(now, id, dispatch_index, result);
+        self.write_actions(reply);
         Ok(())
     }
 
-    pub fn client_gone(&mut self, now: Nanos, line: &Line, out: &mut String) -> Result<(), String> {
-        self.runtime.handle_client_disconnected(now, line.int("RequestId")?);
-        self.write(out);
+    pub fn handle_client_gone(&mut self, now: Nanos, line: &Line, reply: &mut String) -> Result<(), String> {
+        self.runtime.handle_client_disconnected(now, line.integer("RequestId")?);
+        self.write_actions(reply);
         Ok(())
     }
 
-    pub fn probed(&mut self, now: Nanos, line: &Line) -> Result<(), String> {
-        let (how, took, report) = (wire::how(line.must("How")?)?, line.time("Duration")?, line.report());
-        let srv = line.must("Upstream")?;
-        self.runtime.handle_event(
-            now,
-            Event::ProbeEnded { endpoint: srv, outcome: how, duration: took, load_report: &report },
-        );
+    pub fn handle_ping_result(&mut self, now: Nanos, line: &Line) -> Result<(), String> {
+        let (outcome, duration) = (wire::parse_outcome(line.required("How")?)?, line.time("Duration")?);
+        let (endpoint, load_report) = (line.required("Upstream")?, line.load_report());
+        self.runtime
+            .handle_event(now, Event::ProbeEnded { endpoint, outcome, duration, load_report: &load_report });
         Ok(())
     }
 
-    pub fn fleet(&mut self, now: Nanos, line: &Line, pool: Option<&[ListedEndpoint]>) -> Result<(), String> {
-        let how = line.must("How")?;
-        let news = match how {
+    /// Handles a `fleet` line: an endpoint list, which is in `pool`, or the failure to get one.
+    pub fn handle_fleet(
+        &mut self,
+        now: Nanos,
+        line: &Line,
+        pool: Option<&[ListedEndpoint]>,
+    ) -> Result<(), String> {
+        let how = line.required("How")?;
+        let event = match how {
             "Error" => Event::EndpointListFailed,
             "Partial" | "Complete" | "Persisted" => Event::EndpointsListed {
                 is_complete: how != "Partial",
                 is_stale: how == "Persisted",
-                endpoints: pool.ok_or("fleet names a pool that was never given")?,
+                endpoints: pool.ok_or("fleet refers to an unknown pool")?,
             },
-            _ => return Err(format!("How={how} is no kind of list")),
+            _ => return Err(format!("How={how} is not a list status")),
         };
-        self.runtime.handle_event(now, news);
+        self.runtime.handle_event(now, event);
         Ok(())
     }
 
-    /// Asks for what is due and does the chores, at the end of a batch that touched this instance.
-    pub fn settle(&mut self, now: Nanos, out: &mut String) {
+    /// Runs the policy's due work, at the end of a batch with an event for this instance, and requests the next wake-up if
+    /// none is pending or it must be sooner.
+    pub fn run_due_work(&mut self, now: Nanos, reply: &mut String) {
         let next = self.runtime.run_due_work(now);
-        self.write(out);
-        if self.wake.is_none_or(|wake| wake <= now || next < wake) && next < Nanos::MAX {
-            let delay = next.saturating_sub(now).min(4_000_000_000_000);
-            self.wake = Some(now + delay);
-            self.say(out, "wake_at", &format!("\tCtx=0\tIn={}", millis(delay)));
+        self.write_actions(reply);
+        if self.wake_at.is_none_or(|wake_at| wake_at <= now || next < wake_at) && next < Nanos::MAX {
+            let delay = next.saturating_sub(now).min(MAX_WAKE_DELAY);
+            self.wake_at = Some(now + delay);
+            self.write_line(reply, "wake_at", &format!("\tCtx=0\tIn={}", format_millis(delay)));
         }
     }
 
-    fn write(&mut self, out: &mut String) {
-        for act in self.runtime.take_actions() {
-            self.write_act(act, out);
+    fn write_actions(&mut self, reply: &mut String) {
+        for action in self.runtime.take_actions() {
+            self.write_action(action, reply);
         }
     }
 
-    fn write_act(&self, act: Action, out: &mut String) {
-        match act {
-            Action::Send { request_id: id, endpoint: srv, give_up_at: give_up, .. } => {
-                let rest = format!("\tRequestId={id}\tUpstream={srv}\tStopAt={}", millis(give_up));
-                self.say(out, "issue", &rest);
+    fn write_action(&self, action: Action, reply: &mut String) {
+        match action {
+            Action::Send { request_id, endpoint, give_up_at, .. } => {
+                let give_up_at = format_millis(give_up_at);
+                let fields = format!("\tRequestId={request_id}\tUpstream={endpoint}\tStopAt={give_up_at}");
+                self.write_line(reply, "issue", &fields);
+            }
+            Action::CancelDispatch { request_id, dispatch_index } => {
+                let fields = format!("\tRequestId={request_id}\tCopy={dispatch_index}");
+                self.write_line(reply, "recall", &fields);
+            }
+            Action::Deny { request_id, retry_after } => {
+                let fields = format!("\tRequestId={request_id}\tPause={}", format_millis(retry_after));
+                self.write_line(reply, "push_back", &fields);
             }
-            Action::CancelDispatch { request_id: id, dispatch_index: number } => {
-                self.say(out, "recall", &format!("\tRequestId={id}\tCopy={number}"));
+            Action::Abort { request_id } => {
+                self.write_line(reply, "respond_error", &format!("\tRequestId={request_id}"))
             }
-            Action::Deny { request_id: id, retry_after: come_back } => {
-                self.say(out, "push_back", &format!("\tRequestId={id}\tPause={}", millis(come_back)));
+            Action::WatchEndpoints => self.write_line(reply, "watch", "\tEnable=1"),
+            Action::FetchEndpoints => self.write_line(reply, "query_all", ""),
+            Action::Probe(endpoint) => self.write_line(reply, "touch", &format!("\tUpstream={endpoint}")),
+            Action::CloseIdleConnections(endpoint) => {
+                self.write_line(reply, "free_links", &format!("\tUpstream={endpoint}"))
             }
-            Action::Abort { request_id: id } => self.say(out, "respond_error", &format!("\tRequestId={id}")),
-            Action::WatchEndpoints => self.say(out, "watch", "\tEnable=1"),
-            Action::FetchEndpoints => self.say(out, "query_all", ""),
-            Action::Probe(srv) => self.say(out, "touch", &format!("\tUpstream={srv}")),
-            Action::CloseIdleConnections(srv) => self.say(out, "free_links", &format!("\tUpstream={srv}")),
-            Action::Log(text) => self.say(out, "note_down", &format!("\tMessage={text}")),
+            Action::Log(text) => self.write_line(reply, "note_down", &format!("\tMessage={text}")),
         }
     }
 
-    fn say(&self, out: &mut String, action: &str, rest: &str) {
+    fn write_line(&self, reply: &mut String, name: &str, fields: &str) {
         // Writing to a String does not fail.
-        let _ = writeln!(out, "{action}\tBalancer={}{rest}", self.number);
+        let _ = writeln!(reply, "{name}\tBalancer={}{fields}", self.number);
     }
 }
 
 /// The request of a `submit` line.
-fn read_request(now: Nanos, line: &Line) -> Result<RequestContext, String> {
+fn parse_request(now: Nanos, line: &Line) -> Result<RequestContext, String> {
     Ok(RequestContext {
-        id: line.int("RequestId")?,
-        rule_set: line.must("Kind")?.into(),
+        id: line.integer("RequestId")?,
+        rule_set: line.required("Kind")?.into(),
         customer: line.get("Org").unwrap_or_default().into(),
         is_client_retry: line.flag("AgainByClient"),
         received_at: now,
@@ -136,13 +149,13 @@
 
     use super::*;
 
-    /// The simulator parses these lines. The policy does not use all actions at present, so they are written one by
-    /// one here.
+    /// The simulator parses these lines. The policy does not use all actions at present, so that the tests on the wire can't
+    /// cover them.
     #[test]
     fn each_action_is_written_as_its_line() {
-        let host = Host::new(3, Balancer::new(0, 9, Parameters::new()));
+        let instance = Instance::new(3, Balancer::new(0, 9, Parameters::new()));
         let mut lines = String::new();
-        for act in [
+        for action in [
             Action::Send {
                 request_id: 7,
                 dispatch_index: 1,
@@ -158,7 +171,7 @@
             Action::CloseIdleConnections("10.0.0.1:80".into()),
             Action::Log("text".into()),
         ] {
-            host.write_act(act, &mut lines);
+            instance.write_action(action, &mut lines);
         }
         expect![[r#"
             issue	Balancer=3	RequestId=7	Upstream=10.0.0.1:80	StopAt=1240.750000
@@ -175,7 +188,7 @@
     }
 
     #[test]
-    fn each_field_of_a_submit_line_is_read() {
+    fn each_field_of_a_submit_line_is_parsed() {
         let lines = [
             "submit\tBalancer=3\tRequestId=7\tBudget=240.5\tKind=pay\tOrg=acme\tAgainByClient=1\tCostGuess=3",
             "submit\tBalancer=3\tRequestId=7\tBudget=240.5\tKind=pay",
@@ -183,7 +196,8 @@
         let requests: String = lines
             .iter()
             .map(|line| {
-                let request = read_request(1_000_000, &Line::read(line).expect("a line")).expect("a request");
+                let request =
+                    parse_request(1_000_000, &Line::parse(line).expect("a line")).expect("a request");
                 format!(
                     "{} {} {:?} {} {} {} {} {:?} {:?} {}\n",
                     request.id,
--- a/adapter/src/lib.rs
+++ b/adapter/src/lib.rs
@@ -1,6 +1,10 @@
-//! The adapter: reads batches of events, lends reqs to the instances, writes their answers.
+//! Runs the policy on the wire of a simulator: reads batches of events, passes them to the simulated balancer instances, and
+//! writes their actions.
+//!
+//! A batch is a `turn` line with the time, event lines, and an `end` line. Each is answered with the lines of the actions and
+//! an `end` line. The module `wire` parses the lines, and `instance` translates them for the policy.
 
-mod host;
+mod instance;
 mod wire;
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -8,16 +12,19 @@
 use std::io::{BufRead, Write};
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
-use host::Host;
+use instance::Instance;
 use ochreshed::{Balancer, ListedEndpoint, Nanos};
+use ochreshed_policy_runtime::parameters::parse_parameters;
 use wire::Line;
 
-/// Serves batches until the input ends; an error says which line could not be taken and why.
+/// Serves batches until the input ends. An error names the line that could not be processed and the reason.
 pub fn serve(mut input: impl BufRead, mut output: impl Write) -> Result<(), String> {
-    let mut lines = Lines { input: &mut input, number: 0, text: String::new() };
+    let mut lines = LineReader { input: &mut input, line_number: 0, text: String::new() };
     let mut adapter = Adapter::default();
     loop {
-        let reply = adapter.batch(&mut lines).map_err(|why| format!("line {}: {why}", lines.number))?;
+        let reply = adapter
+            .process_batch(&mut lines)
+            .map_err(|error| format!("line {}: {error}", lines.line_number))?;
         let Some(reply) = reply else { return Ok(()) };
         output
             .write_all(reply.as_bytes())
@@ -26,71 +33,77 @@
     }
 }
 
-struct Lines<'a, R> {
+struct LineReader<'a, R> {
     input: &'a mut R,
-    number: u64,
+    line_number: u64,
+    /// The current line, without its end.
     text: String,
 }
 
-impl<R: BufRead> Lines<'_, R> {
-    fn next(&mut self) -> Result<bool, String> {
+impl<R: BufRead> LineReader<'_, R> {
+    /// Reads the next line into `text`; `false` at the end of the input.
+    fn read_line(&mut self) -> Result<bool, String> {
         self.text.clear();
-        self.number += 1;
-        let got = self.input.read_line(&mut self.text).map_err(|e| e.to_string())?;
-        if got > 0 && !self.text.ends_with('\n') {
-            return Err("cut off".into());
+        self.line_number += 1;
+        let byte_count = self.input.read_line(&mut self.text).map_err(|e| e.to_string())?;
+        if byte_count > 0 && !self.text.ends_with('\n') {
+            return Err("input ends within a line".into());
         }
         while self.text.ends_with(['\n', '\r']) {
             self.text.pop();
         }
-        Ok(got > 0)
+        Ok(byte_count > 0)
     }
 }
 
+/// The endpoint lists that the simulator has sent, by their `Ref`.
+type Pools = BTreeMap<u64, Vec<ListedEndpoint>>;
+
 #[derive(Default)]
 struct Adapter {
-    hosts: BTreeMap<u64, Host>,
-    pools: BTreeMap<u64, Vec<ListedEndpoint>>,
+    /// By the simulator's `Balancer` number.
+    instances: BTreeMap<u64, Instance>,
+    pools: Pools,
 }
 
 impl Adapter {
-    /// Takes one batch and answers with the reply to it; none at the end of the input.
-    fn batch<R: BufRead>(&mut self, lines: &mut Lines<R>) -> Result<Option<String>, String> {
+    /// Processes one batch and returns the reply, or `None` at the end of the input.
+    fn process_batch<R: BufRead>(&mut self, lines: &mut LineReader<R>) -> Result<Option<String>, String> {
         loop {
-            if !lines.next()? {
+            if !lines.read_line()? {
                 return Ok(None);
             }
-            // The lines that set batches apart are empty.
+            // Empty lines separate batches.
             if !lines.text.is_empty() {
                 break;
             }
         }
         let mut reply = String::new();
-        let head = Line::read(&lines.text)?;
+        let head = Line::parse(&lines.text)?;
         if head.name != "turn" {
             return Err(format!("expected turn, found {}", head.name));
         }
         let now = head.time("AtTime")?;
-        let mut touched = BTreeSet::new();
+        let mut instances_with_events = BTreeSet::new();
         loop {
-            if !lines.next()? {
+            if !lines.read_line()? {
                 return Err("input ends within a batch".into());
             }
             if lines.text == "end" {
                 break;
             }
             let text = std::mem::take(&mut lines.text);
-            let line = Line::read(&text)?;
+            let line = Line::parse(&text)?;
             if line.name == "pool" {
-                self.pool(&line, lines)?;
-            } else if let Some(number) = self.event(now, &line, &mut reply)? {
-                touched.insert(number);
+                self.read_pool(&line, lines)?;
+            } else if let Some(number) = self.process_event(now, &line, &mut reply)? {
+                instances_with_events.insert(number);
             }
             lines.text = text;
         }
-        for number in touched {
-            self.with(number, &mut reply, |host, _, out| {
-                host.settle(now, out);
+        for number in instances_with_events {
+            self.run_instance(number, &mut reply, |instance, _, reply| {
+                instance.run_due_work(now, reply);
                 Ok(())
             })?;
         }
@@ -98,92 +111,99 @@
         Ok(Some(reply))
     }
 
-    fn pool<R: BufRead>(&mut self, line: &Line, lines: &mut Lines<R>) -> Result<(), String> {
-        let mut entries = Vec::new();
-        for _ in 0..line.int("Lines")? {
-            if !lines.next()? {
+    fn read_pool<R: BufRead>(&mut self, line: &Line, lines: &mut LineReader<R>) -> Result<(), String> {
+        let mut endpoints = Vec::new();
+        for _ in 0..line.integer("Lines")? {
+            if !lines.read_line()? {
                 return Err("input ends within a pool".into());
             }
-            let entry = Line::read(&lines.text)?;
+            let entry = Line::parse(&lines.text)?;
             if entry.name != "upstream" {
                 return Err(format!("expected upstream, found {}", entry.name));
             }
-            entries.push(wire::listed(&entry)?);
+            endpoints.push(wire::parse_endpoint(&entry)?);
         }
-        self.pools.insert(line.int("Ref")?, entries);
+        self.pools.insert(line.integer("Ref")?, endpoints);
         Ok(())
     }
 
-    /// Takes one event; answers with the instance it was for, if it may act on it.
-    fn event(&mut self, now: Nanos, line: &Line, reply: &mut String) -> Result<Option<u64>, String> {
+    /// Processes one event. Returns the number of the instance that it was for, or `None` if the event is ignored.
+    fn process_event(&mut self, now: Nanos, line: &Line, reply: &mut String) -> Result<Option<u64>, String> {
         if !matches!(
             line.name,
             "start" | "stop" | "fleet" | "submit" | "response" | "client_gone" | "ping_result" | "tick_due"
         ) {
-            // Unknown events are skipped; `peer` and `begun` change nothing here: no instance tells
-            // another anything, and a stream's outcome still follows.
+            // Unknown events are ignored, and so are `peer` and `begun`: instances exchange nothing here, and the outcome of
+            // a stream that has begun still follows.
             return Ok(None);
         }
-        let number = line.int("Balancer")?;
+        let number = line.integer("Balancer")?;
         match line.name {
-            "start" => self.start(number, now, line, reply)?,
+            "start" => self.start_instance(number, now, line, reply)?,
             "stop" => {
-                self.hosts.remove(&number);
+                self.instances.remove(&number);
             }
-            _ => self.with(number, reply, |host, pools, out| match line.name {
-                "submit" => host.submit(now, line, out),
-                "response" => host.response(now, line, out),
-                "client_gone" => host.client_gone(now, line, out),
-                "ping_result" => host.probed(now, line),
+            _ => self.run_instance(number, reply, |instance, pools, reply| match line.name {
+                "submit" => instance.handle_submit(now, line, reply),
+                "response" => instance.handle_response(now, line, reply),
+                "client_gone" => instance.handle_client_gone(now, line, reply),
+                "ping_result" => instance.handle_ping_result(now, line),
                 "fleet" => {
-                    let pool = line.int("Ref").ok().and_then(|at| pools.get(&at));
-                    host.fleet(now, line, pool.map(Vec::as_slice))
+                    let pool = line.integer("Ref").ok().and_then(|pool_ref| pools.get(&pool_ref));
+                    instance.handle_fleet(now, line, pool.map(Vec::as_slice))
                 }
+                // `tick_due` only causes the due work to run at the end of the batch.
                 _ => Ok(()),
             })?,
         }
         Ok(Some(number))
     }
 
-    fn start(&mut self, number: u64, now: Nanos, line: &Line, reply: &mut String) -> Result<(), String> {
-        let seed = line.int("RngSeed")?;
-        self.hosts.remove(&number);
-        let made = ochreshed_policy_runtime::parameters::parse_parameters(line.must("ProfileData")?)
-            .and_then(|facts| {
-                catch_unwind(AssertUnwindSafe(|| Balancer::new(now, seed, facts)))
-                    .map_err(|_| "panic at start".into())
-            });
-        match made {
+    /// Starts an instance, or writes `broken` for it if its settings are invalid.
+    fn start_instance(
+        &mut self,
+        number: u64,
+        now: Nanos,
+        line: &Line,
+        reply: &mut String,
+    ) -> Result<(), String> {
+        let seed = line.integer("RngSeed")?;
+        self.instances.remove(&number);
+        let balancer = parse_parameters(line.required("ProfileData")?).and_then(|parameters| {
+            catch_unwind(AssertUnwindSafe(|| Balancer::new(now, seed, parameters)))
+                .map_err(|_| "panic at start".into())
+        });
+        match balancer {
             Ok(balancer) => {
-                self.hosts.insert(number, Host::new(number, balancer));
+                self.instances.insert(number, Instance::new(number, balancer));
             }
-            Err(why) => broken(number, &why, reply),
+            Err(error) => write_broken(number, &error, reply),
         }
         Ok(())
     }
 
-    /// Runs one instance's part; a panic in the module ends that instance with `broken`.
-    fn with(
+    /// Runs `run` on an instance, if it exists. If the policy panics, the instance is removed and `broken` written for it.
+    fn run_instance(
         &mut self,
         number: u64,
         reply: &mut String,
-        run: impl FnOnce(&mut Host, &BTreeMap<u64, Vec<ListedEndpoint>>, &mut String) -> Result<(), String>,
+        run: impl FnOnce(&mut Instance, &Pools, &mut String) -> Result<(), String>,
     ) -> Result<(), String> {
-        let Some(host) = self.hosts.get_mut(&number) else { return Ok(()) };
-        match catch_unwind(AssertUnwindSafe(|| run(host, &self.pools, reply))) {
-            Ok(done) => done,
-            Err(cause) => {
-                let text = cause.downcast_ref::<String>().cloned();
-                let text = text.or_else(|| cause.downcast_ref::<&str>().map(|s| s.to_string()));
-                self.hosts.remove(&number);
-                broken(number, &text.unwrap_or_else(|| "panic".into()), reply);
+        let Some(instance) = self.instances.get_mut(&number) else { return Ok(()) };
+        match catch_unwind(AssertUnwindSafe(|| run(instance, &self.pools, reply))) {
+            Ok(result) => result,
+            Err(panic) => {
+                let message = panic.downcast_ref::<String>().cloned();
+                let message = message.or_else(|| panic.downcast_ref::<&str>().map(|s| s.to_string()));
+                self.instances.remove(&number);
+                write_broken(number, &message.unwrap_or_else(|| "panic".into()), reply);
                 Ok(())
             }
         }
     }
 }
 
-fn broken(number: u64, why: &str, reply: &mut String) {
-    let why = why.replace(['\n', '\t'], " ");
-    let _ = writeln!(reply, "broken\tBalancer={number}\tMessage={why}");
+fn write_broken(number: u64, message: &str, reply: &mut String) {
+    let message = message.replace(['\n', '\t'], " ");
+    let _ = writeln!(reply, "broken\tBalancer={number}\tMessage={message}");
 }
--- a/adapter/tests/wire.rs
+++ b/adapter/tests/wire.rs
@@ -1,37 +1,39 @@
-//! The adapter on the wire: what it answers, and what it makes of bad input.
+//! Replies to the simulator's events, and errors for invalid input.
 
 use expect_test::{Expect, expect};
 use ochreshed_adapter::serve;
 
-const FACTS: &str = r#"{"NInstances":1,"Tier":0,"Tiers":["one"],"Discovery":"ask","New":{"Key":1},"Limits":{"MaxDispatches":3},"RuleSets":[{"Name":"quote","Effect":"repeatable","ResponseTarget":1000.0,"TardyUtility":0.25,"Utility":3.0,"Window":5000.0}]}"#;
+const SETTINGS: &str = r#"{"NInstances":1,"Tier":0,"Tiers":["one"],"Discovery":"ask","New":{"Key":1},"Limits":{"MaxDispatches":3},"RuleSets":[{"Name":"quote","Effect":"repeatable","ResponseTarget":1000.0,"TardyUtility":0.25,"Utility":3.0,"Window":5000.0}]}"#;
 
-fn start(rest: &str) -> String {
+/// The start of an instance with two endpoints, then `rest` in the same batch.
+fn batch_with_start(rest: &str) -> String {
     format!(
-        "turn\tAtTime=1000.25\nstart\tBalancer=3\tRngSeed=9\tProfileData={FACTS}\npool\tRef=0\tLines=2\n\
+        "turn\tAtTime=1000.25\nstart\tBalancer=3\tRngSeed=9\tProfileData={SETTINGS}\npool\tRef=0\tLines=2\n\
          upstream\tCondition=up\tCapacityHint=1\tHall=perth\tUpstream=10.0.0.1:80\n\
          upstream\tCondition=draining\tHall=perth\tUpstream=10.0.0.2:80\n\
          fleet\tBalancer=3\tHow=Persisted\tSeqNo=1\tRef=0\n{rest}"
     )
 }
 
-fn check(input: &str, expected: Expect) {
+/// Compares the reply without its timers.
+fn check_actions(input: &str, expected: Expect) {
     let mut out = Vec::new();
-    let end = serve(input.as_bytes(), &mut out);
+    let result = serve(input.as_bytes(), &mut out);
     let out = String::from_utf8(out).expect("text");
-    let timers = |line: &&str| !line.starts_with("wake_at");
-    let lines: Vec<&str> = out.lines().filter(timers).collect();
-    expected.assert_eq(&format!("{}\n{end:?}\n", lines.join("\n")));
+    let is_timer = |line: &&str| line.starts_with("wake_at");
+    let lines: Vec<&str> = out.lines().filter(|line| !is_timer(line)).collect();
+    expected.assert_eq(&format!("{}\n{result:?}\n", lines.join("\n")));
 }
 
 #[test]
-fn a_req_is_sent_and_a_late_outcome_ignored() {
+fn a_request_is_sent_and_a_repeated_outcome_ignored() {
     let more = "submit\tBalancer=3\tRequestId=7\tBudget=240.5\tKind=quote\nend\n\
                 turn\tAtTime=1018.75\n\
                 response\tBalancer=3\tRequestId=7\tCopy=0\tUpstream=10.0.0.1:80\tHow=Ok\tDuration=18.5\tClosed=1\n\
                 response\tBalancer=3\tRequestId=7\tCopy=0\tUpstream=10.0.0.1:80\tHow=Ok\tDuration=18.5\tClosed=1\n\
                 client_gone\tBalancer=3\tRequestId=7\nend\n";
-    check(
-        &start(more),
+    check_actions(
+        &batch_with_start(more),
         expect![[r#"
         issue	Balancer=3	RequestId=7	Upstream=10.0.0.1:80	StopAt=1240.750000
         end
@@ -42,12 +44,12 @@
 }
 
 #[test]
-fn an_unset_closed_after_the_time_out_still_gets_an_answer() {
+fn a_request_that_timed_out_is_answered_if_its_outcome_is_not_closed() {
     let more = "submit\tBalancer=3\tRequestId=7\tBudget=240.5\tKind=quote\nend\n\
                 turn\tAtTime=1240.75\n\
                 response\tBalancer=3\tRequestId=7\tCopy=0\tUpstream=10.0.0.1:80\tHow=TimedOut\tDuration=240.5\nend\n";
-    check(
-        &start(more),
+    check_actions(
+        &batch_with_start(more),
         expect![[r#"
         issue	Balancer=3	RequestId=7	Upstream=10.0.0.1:80	StopAt=1240.750000
         end
@@ -59,11 +61,12 @@
 }
 
 #[test]
-fn unknown_events_are_skipped_and_a_stop_may_be_followed_by_a_start() {
+fn unknown_events_are_ignored_and_a_stopped_instance_may_start_again() {
     let more = "novel\tBalancer=3\tThing=1\npeer\tBalancer=3\tNeighbour=1\tBytes=-\nstop\tBalancer=3\n";
-    let again = start("end\n").split_once('\n').map(|(_, rest)| rest.to_string()).expect("lines");
-    check(
-        &start(&format!("{more}{again}")),
+    let restart =
+        batch_with_start("end\n").split_once('\n').map(|(_, rest)| rest.to_string()).expect("lines");
+    check_actions(
+        &batch_with_start(&format!("{more}{restart}")),
         expect![[r#"
         end
         Ok(())
@@ -72,14 +75,14 @@
 }
 
 #[test]
-fn settings_that_cant_be_read_break_that_instance_only() {
-    check(
+fn invalid_settings_break_only_their_instance() {
+    check_actions(
         "turn\tAtTime=1.5\nstart\tBalancer=1\tRngSeed=9\tProfileData={\"Tier\":\nend\n\
          turn\tAtTime=2\nstart\tBalancer=1\tRngSeed=9\tProfileData={\"Tier\":\"x\"}\nend\n",
         expect![[r#"
             broken	Balancer=1	Message=settings: EOF while parsing a value at line 1 column 8
             end
-            broken	Balancer=1	Message=settings: /Tier can't be read
+            broken	Balancer=1	Message=settings: /Tier has the wrong type
             end
             Ok(())
         "#]],
@@ -87,50 +90,50 @@
 }
 
 #[test]
-fn what_is_not_of_the_protocol_ends_the_adapter() {
-    check(
+fn protocol_errors_end_the_adapter() {
+    check_actions(
         "turn\tAtTime=1\nsubmit\tBalancer=3\n",
         expect![[r#"
 
         Err("line 3: input ends within a batch")
     "#]],
     );
-    check(
+    check_actions(
         "turn\tAtTime=1\nend",
         expect![[r#"
 
-            Err("line 2: cut off")
+            Err("line 2: input ends within a line")
         "#]],
     );
-    check(
+    check_actions(
         "hello\n",
         expect![[r#"
 
         Err("line 1: expected turn, found hello")
     "#]],
     );
-    check(
+    check_actions(
         "turn\tAtTime=soon\nend\n",
         expect![[r#"
 
         Err("line 1: AtTime is not a time")
     "#]],
     );
-    check(
+    check_actions(
         "turn\tAtTime=1\nsubmit\tBalancer\nend\n",
         expect![[r#"
 
         Err("line 2: 'Balancer' is not name=value")
     "#]],
     );
-    check(
-        &start("response\tBalancer=3\tRequestId=7\tCopy=0\tHow=Odd\tDuration=1\nend\n"),
+    check_actions(
+        &batch_with_start("response\tBalancer=3\tRequestId=7\tCopy=0\tHow=Odd\tDuration=1\nend\n"),
         expect![[r#"
 
-        Err("line 7: How=Odd is no outcome")
+        Err("line 7: How=Odd is not a dispatch outcome")
     "#]],
     );
-    check(
+    check_actions(
         "turn\tAtTime=1\npool\tRef=0\tLines=1\nend\n",
         expect![[r#"
 
@@ -139,19 +142,19 @@
     );
 }
 
-/// All lines that are written, with the timers.
+/// Compares the reply with its timers.
 fn check_all_lines(input: &str, expected: Expect) {
     let mut out = Vec::new();
-    let end = serve(input.as_bytes(), &mut out);
+    let result = serve(input.as_bytes(), &mut out);
     let out = String::from_utf8(out).expect("text");
-    expected.assert_eq(&format!("{out}{end:?}\n"));
+    expected.assert_eq(&format!("{out}{result:?}\n"));
 }
 
 #[test]
-fn each_event_of_the_simulator_is_taken_and_answered_with_the_policys_actions() {
-    let facts = r#"{"NInstances":1,"Tier":0,"Tiers":["one"],"Discovery":"ask","Limits":{"MaxDispatches":3,"Cancelling":true},"RuleSets":[{"Name":"pay","Effect":"once","ResponseTarget":1000.0}]}"#;
+fn each_event_is_answered_with_the_actions_of_the_policy() {
+    let settings = r#"{"NInstances":1,"Tier":0,"Tiers":["one"],"Discovery":"ask","Limits":{"MaxDispatches":3,"Cancelling":true},"RuleSets":[{"Name":"pay","Effect":"once","ResponseTarget":1000.0}]}"#;
     let input = format!(
-        "turn\tAtTime=1000.25\nstart\tBalancer=3\tRngSeed=9\tProfileData={facts}\npool\tRef=5\tLines=1\n\
+        "turn\tAtTime=1000.25\nstart\tBalancer=3\tRngSeed=9\tProfileData={settings}\npool\tRef=5\tLines=1\n\
          upstream\tCondition=up\tCapacityHint=1\tCameUp=1\tHall=perth\tStripe=1\tUpstream=10.0.0.1:80\n\
          fleet\tBalancer=3\tHow=Complete\tSeqNo=1\tRef=5\nend\n\
          turn\tAtTime=1001\n\
@@ -190,27 +193,27 @@
 }
 
 #[test]
-fn a_line_of_the_list_that_is_not_of_the_protocol_ends_the_adapter() {
+fn invalid_lists_and_lines_end_the_adapter() {
     check_all_lines(
-        &start("fleet\tBalancer=3\tHow=Odd\nend\n"),
+        &batch_with_start("fleet\tBalancer=3\tHow=Odd\nend\n"),
         expect![[r#"
-        Err("line 7: How=Odd is no kind of list")
+        Err("line 7: How=Odd is not a list status")
     "#]],
     );
     check_all_lines(
-        &start("fleet\tBalancer=3\tHow=Complete\tRef=9\nend\n"),
+        &batch_with_start("fleet\tBalancer=3\tHow=Complete\tRef=9\nend\n"),
         expect![[r#"
-        Err("line 7: fleet names a pool that was never given")
+        Err("line 7: fleet refers to an unknown pool")
     "#]],
     );
     check_all_lines(
-        &start("fleet\tBalancer=3\nend\n"),
+        &batch_with_start("fleet\tBalancer=3\nend\n"),
         expect![[r#"
         Err("line 7: fleet lacks How")
     "#]],
     );
     check_all_lines(
-        &start("submit\tBalancer=x\nend\n"),
+        &batch_with_start("submit\tBalancer=x\nend\n"),
         expect![[r#"
         Err("line 7: Balancer=x is not a whole number")
     "#]],
@@ -224,13 +227,13 @@
     check_all_lines(
         "\tAtTime=1\n",
         expect![[r#"
-        Err("line 1: a line without a name")
+        Err("line 1: line has no name")
     "#]],
     );
     check_all_lines(
         "turn\tAtTime=1\nstart\tBalancer=1\tRngSeed=9\tProfileData={\"RuleSets\":[{\"Name\":1}]}\nend\n",
         expect![[r#"
-            broken	Balancer=1	Message=settings: /Name can't be read
+            broken	Balancer=1	Message=settings: /Name has the wrong type
             end
             Ok(())
         "#]],
