--- a/src/policy/reference_tests.rs
+++ b/src/policy/reference_tests.rs
@@ -11,9 +11,9 @@
 use crate::endpoint_set::{Endpoint, MeanLoads};
 use crate::statistics::Rng;
 
-#[path = "../../tests/helper/mod.rs"]
-mod helper;
-use helper::facts;
+#[path = "../../tests/traced_balancer/mod.rs"]
+mod traced_balancer;
+use traced_balancer::parameters;
 
 /// The parameters of a simulation.
 #[derive(Clone, Debug)]
@@ -63,7 +63,7 @@
 
 impl Simulation {
     fn new(scenario: &Scenario) -> Simulation {
-        let mut parameters = facts(scenario.tier as f64, scenario.instances as f64);
+        let mut parameters = parameters(scenario.tier as f64, scenario.instances as f64);
         parameters.insert("me".into(), ParameterValue::Number((scenario.seed % scenario.instances) as f64));
         if scenario.reports {
             parameters.insert("report_in_flight".into(), ParameterValue::Number(0.0));
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,12 +1,12 @@
 //! Many instances side by side before the same srvs, in simulated time: what each does that is harmless alone is
 //! summed up over all of them.
 
-mod helper;
+mod traced_balancer;
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use helper::{MS, facts};
 use ochreshed::*;
+use traced_balancer::{MS, parameters};
 
 const S: Nanos = 1_000 * MS;
 const START: Nanos = 1_000 * S;
@@ -42,9 +42,9 @@
 impl Many {
     fn new(instances: usize, srvs: u64, bad: fn(&str) -> bool) -> Many {
         let balancers = (0..instances).map(|me| {
-            let mut facts = facts(0.0, instances as f64);
-            facts.insert("me".into(), ParameterValue::Number(me as f64));
-            Balancer::new(START, me as u64 * 7_919 + 3, facts)
+            let mut parameters = parameters(0.0, instances as f64);
+            parameters.insert("me".into(), ParameterValue::Number(me as f64));
+            Balancer::new(START, me as u64 * 7_919 + 3, parameters)
         });
         let mut many = Many {
             balancers: balancers.collect(),
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -1,11 +1,11 @@
 //! Large lists: shares, skips and budgets among thousands of srvs, and lists that come and go all day.
 
-mod helper;
+mod traced_balancer;
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use helper::{MS, facts};
 use ochreshed::*;
+use traced_balancer::{MS, parameters};
 
 type Fails = dyn Fn(u64, &str) -> Option<DispatchOutcome>;
 
@@ -42,10 +42,10 @@
 }
 
 impl Fleet {
-    fn new(facts: Parameters) -> Fleet {
+    fn new(parameters: Parameters) -> Fleet {
         let now = 1_000_000 * MS;
         Fleet {
-            balancer: Balancer::new(now, 5, facts),
+            balancer: Balancer::new(now, 5, parameters),
             now,
             id: 0,
             mix: 1,
@@ -147,7 +147,7 @@
 
 #[test]
 fn shares_are_as_the_weights_say_within_a_hundredth() {
-    let mut fleet = Fleet::new(facts(0.0, 1.0));
+    let mut fleet = Fleet::new(parameters(0.0, 1.0));
     let weight = |number: u64| [1.0, 0.5, 2.0, 3.5][number as usize % 4];
     let list: Vec<ListedEndpoint> =
         (0..1_000).map(|n| listed(n, EndpointState::Up, None, weight(n))).collect();
@@ -165,7 +165,7 @@
 
 #[test]
 fn a_skipped_srv_s_turns_go_to_the_others_evenly() {
-    let mut fleet = Fleet::new(facts(0.0, 1.0));
+    let mut fleet = Fleet::new(parameters(0.0, 1.0));
     let list: Vec<ListedEndpoint> = (0..1_000).map(|n| listed(n, EndpointState::Up, None, 1.0)).collect();
     fleet.list(true, &list);
     // One in ten is many times slower and so crowded; the others have no reason to differ.
@@ -184,7 +184,7 @@
 
 #[test]
 fn cold_srvs_get_no_more_than_their_ramp_allows() {
-    let mut fleet = Fleet::new(facts(0.0, 1.0));
+    let mut fleet = Fleet::new(parameters(0.0, 1.0));
     let now = fleet.now;
     let cold = |n: u64| n.is_multiple_of(3);
     let list: Vec<ListedEndpoint> =
@@ -204,7 +204,7 @@
 
 #[test]
 fn draining_and_gone_srvs_get_nothing_from_the_moment_it_is_told() {
-    let mut fleet = Fleet::new(facts(2.0, 1.0));
+    let mut fleet = Fleet::new(parameters(2.0, 1.0));
     let list: Vec<ListedEndpoint> = (0..2_000).map(|n| listed(n, EndpointState::Up, None, 1.0)).collect();
     fleet.list(true, &list);
     // Sends again go among the whole list too.
@@ -225,7 +225,7 @@
 
 #[test]
 fn a_doubtful_srv_is_better_than_none_and_all_have_their_turn() {
-    let mut fleet = Fleet::new(facts(0.0, 1.0));
+    let mut fleet = Fleet::new(parameters(0.0, 1.0));
     let list: Vec<ListedEndpoint> = (0..100).map(|n| listed(n, EndpointState::Up, None, 1.0)).collect();
     fleet.list(true, &list);
     fleet.run(8_000, MS / 2);
@@ -248,7 +248,7 @@
 
 #[test]
 fn a_srv_kept_from_one_rule_set_gets_no_more_of_the_others() {
-    let mut fleet = Fleet::new(facts(2.0, 1.0));
+    let mut fleet = Fleet::new(parameters(2.0, 1.0));
     let list: Vec<ListedEndpoint> = (0..61).map(|n| listed(n, EndpointState::Up, None, 1.0)).collect();
     fleet.list(true, &list);
     fleet.sets = &["read", "charge"];
@@ -265,7 +265,7 @@
 
 #[test]
 fn a_cold_srv_that_is_the_only_one_with_room_gets_its_budget_and_no_more() {
-    let mut fleet = Fleet::new(facts(0.0, 1.0));
+    let mut fleet = Fleet::new(parameters(0.0, 1.0));
     let now = fleet.now;
     let list: Vec<ListedEndpoint> =
         (0..41).map(|n| listed(n, EndpointState::Up, (n == 40).then_some(now), 1.0)).collect();
@@ -282,7 +282,7 @@
 
 #[test]
 fn weights_of_zero_tiny_and_huge_and_jumps_of_time_do_no_harm() {
-    let mut fleet = Fleet::new(facts(0.0, 1.0));
+    let mut fleet = Fleet::new(parameters(0.0, 1.0));
     let weight = |n: u64| [0.0, 1e-9, 1.0, 1e9][n as usize % 4];
     let list: Vec<ListedEndpoint> = (0..200).map(|n| listed(n, EndpointState::Up, None, weight(n))).collect();
     fleet.list(true, &list);
@@ -311,10 +311,10 @@
 fn few_connections_narrow_the_turns_and_their_sum_stays_even() {
     let mut sends = BTreeMap::<Name, u64>::new();
     for me in 0..24 {
-        let mut facts = facts(0.0, 24.0);
-        facts.insert("me".into(), ParameterValue::Number(f64::from(me)));
-        facts.insert("connections".into(), ParameterValue::Number(400.0));
-        let mut fleet = Fleet::new(facts);
+        let mut parameters = parameters(0.0, 24.0);
+        parameters.insert("me".into(), ParameterValue::Number(f64::from(me)));
+        parameters.insert("connections".into(), ParameterValue::Number(400.0));
+        let mut fleet = Fleet::new(parameters);
         let list: Vec<ListedEndpoint> = (0..1_000).map(|n| listed(n, EndpointState::Up, None, 1.0)).collect();
         fleet.list(true, &list);
         // Enough to hear of all in time: without the bound the turns would go among the whole list.
--- a/tests/shape.rs
+++ b/tests/shape.rs
@@ -1,25 +1,25 @@
 //! What the move to another shape of deployment brought: rule sets whose response targets lie far apart, told costs.
 
-mod helper;
+mod traced_balancer;
 
-use helper::{MS, Scene, facts};
 use ochreshed::{DispatchOutcome, ParameterValue, Parameters};
+use traced_balancer::{MS, TracedBalancer, parameters};
 
 /// One tier that is first and last, with response targets of 250 ms ("read"), 1 s and 1 s.
 fn one_tier(instances: f64) -> Parameters {
-    let mut facts = facts(0.0, instances);
-    facts.insert("tiers".into(), ParameterValue::Number(1.0));
-    if let Some(ParameterValue::List(sets)) = facts.get_mut("rule_sets") {
+    let mut parameters = parameters(0.0, instances);
+    parameters.insert("tiers".into(), ParameterValue::Number(1.0));
+    if let Some(ParameterValue::List(sets)) = parameters.get_mut("rule_sets") {
         sets[0].insert("response_target".into(), ParameterValue::Duration(250 * MS));
     }
-    facts
+    parameters
 }
 
 /// Guards against srvs, and then their sites, set aside for reqs that were in time by their own rule set's target.
 #[test]
 fn a_req_is_late_by_its_own_target_not_by_the_shortest() {
     let late = |rule_set: &str| {
-        let mut scene = Scene::new(one_tier(1.0), "a@x b@x c@y d@y");
+        let mut scene = TracedBalancer::new(one_tier(1.0), "a@x b@x c@y d@y");
         scene.past(40);
         for id in 0..8 {
             scene.req(id, rule_set).pass(600).end(id, DispatchOutcome::Done).wait();
@@ -34,7 +34,7 @@
 #[test]
 fn a_req_that_was_told_to_be_heavy_is_not_late_for_that() {
     let late = |work: u64| {
-        let mut scene = Scene::new(one_tier(1.0), "a@x b@x c@y d@y");
+        let mut scene = TracedBalancer::new(one_tier(1.0), "a@x b@x c@y d@y");
         scene.work = Some(100 * MS);
         scene.past(40);
         scene.work = Some(work * MS);
@@ -51,9 +51,9 @@
 #[test]
 fn when_answers_are_slow_a_quiet_instance_keeps_its_level_for_utility() {
     let sent = |rule_set: &str| {
-        let mut facts = one_tier(20.0);
-        facts.insert("utility_by".into(), ParameterValue::Text("work".into()));
-        let mut scene = Scene::new(facts, "a@x b@x c@y d@y");
+        let mut parameters = one_tier(20.0);
+        parameters.insert("utility_by".into(), ParameterValue::Text("work".into()));
+        let mut scene = TracedBalancer::new(parameters, "a@x b@x c@y d@y");
         scene.past(400);
         for id in 0..30 {
             scene
@@ -75,7 +75,7 @@
 #[test]
 fn the_floor_of_a_level_goes_by_what_a_srv_holds_without_load() {
     let sent = |at_once: u64| {
-        let mut scene = Scene::new(one_tier(2.0), "a@x b@x c@y d@y");
+        let mut scene = TracedBalancer::new(one_tier(2.0), "a@x b@x c@y d@y");
         for second in 0..20 {
             for id in 0..at_once {
                 scene.req(100 * second + id, "charge");
@@ -106,7 +106,7 @@
 #[test]
 fn connections_are_closed_before_the_age_at_which_they_are_lost() {
     let closed = |how: DispatchOutcome| {
-        let mut scene = Scene::new(one_tier(8.0), "a@x b@x c@x d@x");
+        let mut scene = TracedBalancer::new(one_tier(8.0), "a@x b@x c@x d@x");
         scene.past(20).wait();
         for id in 0..8 {
             scene.req(id, "charge").pass(200).end(id, DispatchOutcome::Done).pass(10).wait();
--- a/tests/standing.rs
+++ b/tests/standing.rs
@@ -72,8 +72,8 @@
 #[test]
 fn after_a_pause_without_reqs_it_takes_what_it_took_before() {
     const MS: u64 = 1_000_000;
-    let facts = Parameters::from([("instances".to_owned(), ParameterValue::Number(2.0))]);
-    let mut balancer = Balancer::new(1, 1, facts);
+    let parameters = Parameters::from([("instances".to_owned(), ParameterValue::Number(2.0))]);
+    let mut balancer = Balancer::new(1, 1, parameters);
     let whole: Vec<ListedEndpoint> = (0..8).map(|number| entry(number, EndpointState::Up)).collect();
     balancer
         .handle_event(2, Event::EndpointsListed { is_complete: true, is_stale: false, endpoints: &whole });
--- a/tests/helper/mod.rs
+++ b/tests/traced_balancer/mod.rs
@@ -9,7 +9,7 @@
 
 pub const MS: Nanos = 1_000_000;
 
-pub struct Scene {
+pub struct TracedBalancer {
     pub balancer: Balancer,
     now: Nanos,
     reqs: BTreeMap<u64, RequestContext>,
@@ -20,7 +20,7 @@
     pub come_back: Nanos,
 }
 
-pub fn facts(tier: f64, instances: f64) -> Parameters {
+pub fn parameters(tier: f64, instances: f64) -> Parameters {
     let text = |t: &str| ParameterValue::Text(t.into());
     let rule_set = |name: &str, effect: &str, group: &str, utility: f64| {
         Parameters::from([
@@ -51,13 +51,19 @@
     ])
 }
 
-impl Scene {
+impl TracedBalancer {
     /// An instance that knows these srvs: `name@site`, with `!` behind it when draining, `*` when just started.
-    pub fn new(facts: Parameters, srvs: &str) -> Scene {
+    pub fn new(parameters: Parameters, srvs: &str) -> TracedBalancer {
         let now = 1_000_000 * MS;
-        let balancer = Balancer::new(now, 7, facts);
-        let mut scene =
-            Scene { balancer, now, reqs: BTreeMap::new(), trace: String::new(), work: None, come_back: 0 };
+        let balancer = Balancer::new(now, 7, parameters);
+        let mut scene = TracedBalancer {
+            balancer,
+            now,
+            reqs: BTreeMap::new(),
+            trace: String::new(),
+            work: None,
+            come_back: 0,
+        };
         scene.list(true, srvs);
         scene
     }
@@ -81,20 +87,20 @@
         );
     }
 
-    pub fn pass(&mut self, ms: u64) -> &mut Scene {
+    pub fn pass(&mut self, ms: u64) -> &mut TracedBalancer {
         self.now += ms * MS;
         self
     }
 
-    pub fn req(&mut self, id: u64, rule_set: &str) -> &mut Scene {
+    pub fn req(&mut self, id: u64, rule_set: &str) -> &mut TracedBalancer {
         self.take(id, rule_set, "")
     }
 
-    pub fn of(&mut self, id: u64, customer: &str) -> &mut Scene {
+    pub fn of(&mut self, id: u64, customer: &str) -> &mut TracedBalancer {
         self.take(id, "read", customer)
     }
 
-    fn take(&mut self, id: u64, rule_set: &str, customer: &str) -> &mut Scene {
+    fn take(&mut self, id: u64, rule_set: &str, customer: &str) -> &mut TracedBalancer {
         self.reqs.insert(
             id,
             RequestContext {
@@ -113,7 +119,7 @@
         self.place(id)
     }
 
-    pub fn place(&mut self, id: u64) -> &mut Scene {
+    pub fn place(&mut self, id: u64) -> &mut TracedBalancer {
         let req = self.reqs.get_mut(&id).expect("a req in hand");
         let what = match self.balancer.route(self.now, req) {
             RoutingDecision::Send { endpoint: srv, .. } => format!("to {srv}"),
@@ -133,11 +139,11 @@
     }
 
     /// Another instance has seen this.
-    pub fn others(&mut self, srv: &str, how: DispatchOutcome) -> &mut Scene {
+    pub fn others(&mut self, srv: &str, how: DispatchOutcome) -> &mut TracedBalancer {
         self.others_of("charge", srv, how)
     }
 
-    pub fn others_of(&mut self, rule_set: &str, srv: &str, how: DispatchOutcome) -> &mut Scene {
+    pub fn others_of(&mut self, rule_set: &str, srv: &str, how: DispatchOutcome) -> &mut TracedBalancer {
         self.balancer
             .handle_event(self.now, Event::PeerDispatchEnded { endpoint: srv, rule_set, outcome: how });
         self
@@ -152,7 +158,7 @@
     }
 
     /// Ends a req's last dispatch, and places it again where that follows.
-    pub fn end(&mut self, id: u64, how: DispatchOutcome) -> &mut Scene {
+    pub fn end(&mut self, id: u64, how: DispatchOutcome) -> &mut TracedBalancer {
         if self.fail(id, how) == NextStep::Route { self.place(id) } else { self }
     }
 
@@ -178,7 +184,7 @@
     }
 
     /// Sends a req, and ends it well 100 ms later.
-    pub fn done(&mut self, id: u64) -> &mut Scene {
+    pub fn done(&mut self, id: u64) -> &mut TracedBalancer {
         self.req(id, "read").pass(100).end(id, DispatchOutcome::Done)
     }
 
@@ -188,7 +194,7 @@
     }
 
     /// Done reqs that leave no trace, for a past.
-    pub fn past(&mut self, number: u64) -> &mut Scene {
+    pub fn past(&mut self, number: u64) -> &mut TracedBalancer {
         let kept = self.trace.len();
         for id in 10_000..10_000 + number {
             self.done(id);
@@ -197,7 +203,7 @@
         self
     }
 
-    pub fn wait(&mut self) -> &mut Scene {
+    pub fn wait(&mut self) -> &mut TracedBalancer {
         loop {
             match self.balancer.next_action(self.now) {
                 NextAction::SleepUntil(_) => return self,
@@ -211,7 +217,7 @@
         }
     }
 
-    fn say(&mut self, line: &str) -> &mut Scene {
+    fn say(&mut self, line: &str) -> &mut TracedBalancer {
         let at = (self.now - 1_000_000 * MS) / MS;
         writeln!(self.trace, "{at} {line}").expect("a String takes it");
         self
--- a/tests/traces.rs
+++ b/tests/traces.rs
@@ -1,20 +1,20 @@
 //! Short traces of decisions, kept to be read.
 
-mod helper;
+mod traced_balancer;
 
 use std::collections::BTreeMap;
 
 use expect_test::{Expect, expect};
-use helper::{MS, Scene, facts};
 use ochreshed::{DispatchOutcome, ParameterValue, Parameters};
+use traced_balancer::{MS, TracedBalancer, parameters};
 
-fn check(scene: &mut Scene, expected: Expect) {
+fn check(scene: &mut TracedBalancer, expected: Expect) {
     expected.assert_eq(&scene.trace);
 }
 
 #[test]
 fn turns_are_even_from_a_random_start() {
-    let mut scene = Scene::new(facts(0.0, 1.0), "a@x b@x c@y");
+    let mut scene = TracedBalancer::new(parameters(0.0, 1.0), "a@x b@x c@y");
     for id in 1..7 {
         scene.done(id);
     }
@@ -33,7 +33,7 @@
 
 #[test]
 fn a_middle_tiers_error_is_passed_up_and_the_last_tiers_is_sent_again() {
-    let mut middle = Scene::new(facts(1.0, 4.0), "a@x b@x");
+    let mut middle = TracedBalancer::new(parameters(1.0, 4.0), "a@x b@x");
     middle.past(20).req(1, "read").pass(50).end(1, DispatchOutcome::Error);
     check(
         &mut middle,
@@ -43,7 +43,7 @@
         2050 1: deny
     "#]],
     );
-    let mut last = Scene::new(facts(2.0, 4.0), "a@x b@x");
+    let mut last = TracedBalancer::new(parameters(2.0, 4.0), "a@x b@x");
     last.past(20).req(1, "read").pass(50).end(1, DispatchOutcome::Error);
     check(
         &mut last,
@@ -57,7 +57,7 @@
 
 #[test]
 fn a_refused_connection_is_owned_at_any_tier_and_safe_for_every_rule_set() {
-    let mut scene = Scene::new(facts(0.0, 1.0), "a@x b@x");
+    let mut scene = TracedBalancer::new(parameters(0.0, 1.0), "a@x b@x");
     scene
         .past(20)
         .req(1, "charge")
@@ -79,7 +79,7 @@
 
 #[test]
 fn sends_again_keep_within_a_tenth() {
-    let mut scene = Scene::new(facts(0.0, 1.0), "a@x b@x c@x d@x");
+    let mut scene = TracedBalancer::new(parameters(0.0, 1.0), "a@x b@x c@x d@x");
     scene.past(10);
     for id in 1..5 {
         scene
@@ -110,7 +110,7 @@
 
 #[test]
 fn a_uniqued_req_that_may_have_run_goes_again_only_in_its_site_and_window() {
-    let mut scene = Scene::new(facts(2.0, 1.0), "a@x b@x c@y d@y");
+    let mut scene = TracedBalancer::new(parameters(2.0, 1.0), "a@x b@x c@y d@y");
     scene.past(40);
     for id in 1..4 {
         scene
@@ -142,7 +142,7 @@
 
 #[test]
 fn a_srv_alone_in_its_group_may_be_sent_again_what_it_reset() {
-    let mut scene = Scene::new(facts(0.0, 1.0), "a@x b@y");
+    let mut scene = TracedBalancer::new(parameters(0.0, 1.0), "a@x b@y");
     scene.past(40);
     scene
         .req(1, "move")
@@ -175,7 +175,7 @@
 
 #[test]
 fn a_req_never_has_two_dispatches_out() {
-    let mut scene = Scene::new(facts(0.0, 1.0), "a@x b@x");
+    let mut scene = TracedBalancer::new(parameters(0.0, 1.0), "a@x b@x");
     scene.req(1, "read").pass(10).place(1);
     check(
         &mut scene,
@@ -188,7 +188,7 @@
 
 #[test]
 fn draining_and_gone_srvs_get_nothing_new() {
-    let mut scene = Scene::new(facts(0.0, 1.0), "a@x b@x c@x");
+    let mut scene = TracedBalancer::new(parameters(0.0, 1.0), "a@x b@x c@x");
     scene.list(false, "a@x!");
     scene.done(1).done(2).done(3);
     scene.list(true, "c@x");
@@ -207,7 +207,7 @@
 
 #[test]
 fn a_cold_srv_gets_its_share_of_a_budget() {
-    let mut scene = Scene::new(facts(0.0, 1.0), "a@x b@x");
+    let mut scene = TracedBalancer::new(parameters(0.0, 1.0), "a@x b@x");
     scene.past(40);
     // The same id with a fresh start: it is cold again.
     scene.list(false, "a@x*");
@@ -235,7 +235,7 @@
 
 #[test]
 fn a_srv_that_fails_alone_is_set_aside_and_returns() {
-    let mut scene = Scene::new(facts(1.0, 1.0), "a@x b@x c@x d@x");
+    let mut scene = TracedBalancer::new(parameters(1.0, 1.0), "a@x b@x c@x d@x");
     scene.past(40);
     for id in 1..9 {
         scene.req(id, "charge").pass(50);
@@ -270,7 +270,7 @@
 
 #[test]
 fn a_srv_that_fails_one_rule_set_is_kept_from_that_one_only() {
-    let mut scene = Scene::new(facts(0.0, 1.0), "a@w b@x c@y d@z");
+    let mut scene = TracedBalancer::new(parameters(0.0, 1.0), "a@w b@x c@y d@z");
     scene.past(20);
     for id in 1..15 {
         let name = if id % 3 == 0 { "read" } else { "charge" };
@@ -316,7 +316,7 @@
 
 #[test]
 fn a_srv_that_turns_all_away_is_set_aside() {
-    let mut scene = Scene::new(facts(0.0, 1.0), "a@w b@x c@y d@z");
+    let mut scene = TracedBalancer::new(parameters(0.0, 1.0), "a@w b@x c@y d@z");
     scene.past(40);
     for id in 1..14 {
         scene.req(id, "charge").pass(10);
@@ -356,7 +356,7 @@
 
 #[test]
 fn a_silent_site_is_set_aside_whole_and_what_it_owes_is_recalled() {
-    let mut scene = Scene::new(facts(2.0, 1.0), "a@x b@x c@x d@y e@y f@y");
+    let mut scene = TracedBalancer::new(parameters(2.0, 1.0), "a@x b@x c@x d@y e@y f@y");
     scene.past(40).wait();
     for id in 1..7 {
         scene.req(id, "charge").pass(20);
@@ -397,7 +397,7 @@
 
 #[test]
 fn a_cut_off_site_is_set_aside_after_three_lost_connections() {
-    let mut scene = Scene::new(facts(1.0, 1.0), "a@x b@x c@x d@y e@y f@y");
+    let mut scene = TracedBalancer::new(parameters(1.0, 1.0), "a@x b@x c@x d@y e@y f@y");
     scene.past(100).wait();
     for id in 1..10 {
         scene.req(id, "charge").pass(20);
@@ -435,11 +435,11 @@
 /// everywhere: after a restart with an old list a balancer that turns among six srvs, four of them gone, denied half.
 #[test]
 fn srvs_that_refuse_all_are_set_aside_however_much_fails() {
-    let mut facts = facts(0.0, 24.0);
-    facts.insert("me".into(), ParameterValue::Number(19.0));
+    let mut parameters = parameters(0.0, 24.0);
+    parameters.insert("me".into(), ParameterValue::Number(19.0));
     let list = "a@x b@y c@z d@x e@y f@z g@x h@y i@z j@x k@y l@z m@x n@y o@z p@x q@y r@z";
     let gone = ["o", "p", "q", "r"];
-    let mut scene = Scene::new(facts, list);
+    let mut scene = TracedBalancer::new(parameters, list);
     for id in 1..200 {
         scene.req(id, "read");
         while scene.went_to(&gone) {
@@ -458,10 +458,10 @@
 /// Guards against clients that wait for half a second though nothing is full: their try failed, and there is room.
 #[test]
 fn what_failed_may_come_back_after_about_the_time_of_an_answer() {
-    let mut facts = facts(2.0, 24.0);
-    facts.insert("come_back_passed".into(), ParameterValue::Flag(true));
-    facts.insert("max_come_back".into(), ParameterValue::Duration(2_000 * MS));
-    let mut scene = Scene::new(facts, "a@x b@x c@x d@x");
+    let mut parameters = parameters(2.0, 24.0);
+    parameters.insert("come_back_passed".into(), ParameterValue::Flag(true));
+    parameters.insert("max_come_back".into(), ParameterValue::Duration(2_000 * MS));
+    let mut scene = TracedBalancer::new(parameters, "a@x b@x c@x d@x");
     scene.past(40);
     let mut longest = 0;
     for id in 1..30 {
@@ -480,7 +480,7 @@
 /// Guards against quiet instances that learn each alone, and late, what others have seen.
 #[test]
 fn what_others_lost_counts_as_an_outcome_of_ones_own() {
-    let mut scene = Scene::new(facts(0.0, 60.0), "a@x b@x c@x d@y e@y f@y");
+    let mut scene = TracedBalancer::new(parameters(0.0, 60.0), "a@x b@x c@x d@y e@y f@y");
     scene.past(20).wait().trace.clear();
     scene.others("a", DispatchOutcome::Done).others("a", DispatchOutcome::Reset).wait();
     assert_eq!(scene.trace, "", "one loss is chance, for others as for us");
@@ -504,7 +504,7 @@
 /// Guards against a whole site set aside for two of its srvs that are gone, of which all others tell.
 #[test]
 fn what_others_lost_again_and_again_at_two_srvs_sets_no_site_aside() {
-    let mut scene = Scene::new(facts(0.0, 60.0), "a@x b@x c@x d@y e@y f@y");
+    let mut scene = TracedBalancer::new(parameters(0.0, 60.0), "a@x b@x c@x d@y e@y f@y");
     scene.past(20).wait().trace.clear();
     for _ in 0..6 {
         scene.others("d", DispatchOutcome::Reset).others("e", DispatchOutcome::Reset);
@@ -517,7 +517,7 @@
 
 #[test]
 fn what_failed_of_one_rule_set_for_others_keeps_that_one_away() {
-    let mut scene = Scene::new(facts(0.0, 60.0), "a@w b@x c@y d@z");
+    let mut scene = TracedBalancer::new(parameters(0.0, 60.0), "a@w b@x c@y d@z");
     scene.past(20).wait().trace.clear();
     // For others too the srv does well in another rule set, and then errs in this one.
     for _ in 0..4 {
@@ -540,7 +540,7 @@
 
 #[test]
 fn a_slow_srv_loses_its_turns() {
-    let mut scene = Scene::new(facts(1.0, 8.0), "a@x b@x c@x");
+    let mut scene = TracedBalancer::new(parameters(1.0, 8.0), "a@x b@x c@x");
     scene.past(60);
     for id in 1..13 {
         scene.req(id, "charge");
@@ -568,7 +568,7 @@
 
 #[test]
 fn a_silent_srv_leaves_room_for_the_others() {
-    let mut scene = Scene::new(facts(1.0, 8.0), "a@x b@x");
+    let mut scene = TracedBalancer::new(parameters(1.0, 8.0), "a@x b@x");
     scene.past(40);
     for id in 1..9 {
         scene.req(id, "charge").pass(400);
@@ -593,15 +593,15 @@
 
 #[test]
 fn a_customer_over_its_share_is_denied_while_anyone_waits() {
-    let mut facts = facts(0.0, 1.0);
+    let mut parameters = parameters(0.0, 1.0);
     let share = |name: &str, per_s| {
         Parameters::from([
             ("name".into(), ParameterValue::Text(name.into())),
             ("share_per_s".into(), ParameterValue::Number(per_s)),
         ])
     };
-    facts.insert("customers".into(), ParameterValue::List(vec![share("big", 0.5), share("small", 1e6)]));
-    let mut scene = Scene::new(facts, "a@x");
+    parameters.insert("customers".into(), ParameterValue::List(vec![share("big", 0.5), share("small", 1e6)]));
+    let mut scene = TracedBalancer::new(parameters, "a@x");
     scene.past(40);
     for id in 1..13 {
         scene.of(id, if id % 2 == 0 { "big" } else { "small" });
@@ -627,7 +627,7 @@
 
 #[test]
 fn over_the_level_utility_goes_first_and_a_long_wait_is_denied_at_once() {
-    let mut scene = Scene::new(facts(0.0, 1.0), "a@x");
+    let mut scene = TracedBalancer::new(parameters(0.0, 1.0), "a@x");
     scene.past(40);
     for id in 1..9 {
         scene.req(id, "read").pass(1);
@@ -657,9 +657,9 @@
 
 #[test]
 fn the_list_is_watched_and_asked_for_again_after_a_pause() {
-    let mut scene = Scene::new(facts(0.0, 1.0), "a@x");
+    let mut scene = TracedBalancer::new(parameters(0.0, 1.0), "a@x");
     scene.wait().pass(1_000).wait();
-    scene.balancer.handle_event(1_001_000 * helper::MS, ochreshed::Event::EndpointListFailed);
+    scene.balancer.handle_event(1_001_000 * traced_balancer::MS, ochreshed::Event::EndpointListFailed);
     scene.wait().pass(2_000).wait();
     check(
         &mut scene,
@@ -672,7 +672,7 @@
 
 #[test]
 fn time_out_of_hand_is_answered_with_an_abort_where_it_may_have_run() {
-    let mut scene = Scene::new(facts(0.0, 1.0), "a@x b@x");
+    let mut scene = TracedBalancer::new(parameters(0.0, 1.0), "a@x b@x");
     scene.req(1, "charge").pass(3_000).end(1, DispatchOutcome::TimedOut);
     scene.req(2, "read").pass(3_000).end(2, DispatchOutcome::TimedOut);
     check(
@@ -690,7 +690,7 @@
 
 #[test]
 fn a_uniqued_req_whose_group_has_left_goes_nowhere_else() {
-    let mut scene = Scene::new(facts(0.0, 1.0), "a@x b@y c@y");
+    let mut scene = TracedBalancer::new(parameters(0.0, 1.0), "a@x b@y c@y");
     scene.past(20);
     let mut id = 1;
     while !scene.req(id, "move").went_to(&["a"]) {
@@ -716,9 +716,9 @@
     let mut sends = BTreeMap::<String, usize>::new();
     let mut trace = String::new();
     for me in 0..40 {
-        let mut facts = facts(0.0, 40.0);
-        facts.insert("me".into(), ParameterValue::Number(f64::from(me)));
-        let mut scene = Scene::new(facts, list);
+        let mut parameters = parameters(0.0, 40.0);
+        parameters.insert("me".into(), ParameterValue::Number(f64::from(me)));
+        let mut scene = TracedBalancer::new(parameters, list);
         for id in 1..9 {
             scene.done(id).pass(2_000);
         }
@@ -742,7 +742,7 @@
 
 #[test]
 fn one_late_answer_does_not_make_room_at_a_quiet_instance() {
-    let mut scene = Scene::new(facts(1.0, 60.0), "a@x b@x c@x d@x");
+    let mut scene = TracedBalancer::new(parameters(1.0, 60.0), "a@x b@x c@x d@x");
     scene.past(8).wait();
     for id in 1..7 {
         scene.req(id, "charge").pass(300);
@@ -765,7 +765,7 @@
 fn after_a_lost_site_prompt_answers_widen_the_level_but_not_in_overload() {
     let mut told = String::new();
     for burst in [0, 30] {
-        let mut scene = Scene::new(facts(0.0, 4.0), "a@x b@x d@y e@y");
+        let mut scene = TracedBalancer::new(parameters(0.0, 4.0), "a@x b@x d@y e@y");
         scene.past(200).wait();
         for id in 1..5 {
             scene.req(id, "read");
@@ -801,7 +801,7 @@
 fn the_level_does_not_sink_with_what_clients_left() {
     let mut told = String::new();
     for left in [0, 2] {
-        let mut scene = Scene::new(facts(0.0, 4.0), "a@x b@x d@y e@y");
+        let mut scene = TracedBalancer::new(parameters(0.0, 4.0), "a@x b@x d@y e@y");
         for id in 1..321 {
             let how =
                 if id > 160 && id % 3 < left { DispatchOutcome::Cancelled } else { DispatchOutcome::Done };
@@ -824,7 +824,7 @@
 fn a_silent_site_is_set_aside_by_the_time_of_its_tier() {
     let mut told = String::new();
     for tier in [0.0, 1.0, 2.0] {
-        let mut scene = Scene::new(facts(tier, 1.0), "a@x b@x c@y d@y");
+        let mut scene = TracedBalancer::new(parameters(tier, 1.0), "a@x b@x c@y d@y");
         scene.past(40).wait().trace.clear();
         for id in 1..5 {
             scene.req(id, "read").pass(10);
@@ -848,17 +848,17 @@
 
 /// As where balancers beside the srvs hold what those may have at once.
 fn doors() -> Parameters {
-    let mut facts = facts(0.0, 1.0);
-    facts.insert("level".into(), ParameterValue::Text("doors".into()));
-    facts
+    let mut parameters = parameters(0.0, 1.0);
+    parameters.insert("level".into(), ParameterValue::Text("doors".into()));
+    parameters
 }
 
 #[test]
 fn so_many_doors_of_one_site_and_of_all_may_turn_a_req_away() {
-    let mut facts = doors();
-    facts.insert("most_turned".into(), ParameterValue::Number(3.0));
-    facts.insert("most_turned_by_site".into(), ParameterValue::Number(2.0));
-    let mut scene = Scene::new(facts, "a@x b@x c@x d@y e@y f@y");
+    let mut parameters = doors();
+    parameters.insert("most_turned".into(), ParameterValue::Number(3.0));
+    parameters.insert("most_turned_by_site".into(), ParameterValue::Number(2.0));
+    let mut scene = TracedBalancer::new(parameters, "a@x b@x c@x d@y e@y f@y");
     for id in 1..4 {
         scene
             .req(id, "charge")
@@ -898,7 +898,7 @@
 
 #[test]
 fn a_req_that_doors_turn_away_goes_on_to_others_without_a_part_of_the_allowance() {
-    let mut scene = Scene::new(doors(), "a@x b@x c@x d@x");
+    let mut scene = TracedBalancer::new(doors(), "a@x b@x c@x d@x");
     // Nothing was sent before, so the allowance holds one at most.
     for id in 1..3 {
         scene
@@ -947,10 +947,10 @@
 
 #[test]
 fn where_doors_stand_nothing_is_held_for_a_level_nor_for_cold_srvs() {
-    let mut facts = doors();
-    facts.insert("cold".into(), ParameterValue::Duration(4_000 * MS));
-    facts.insert("cold_share".into(), ParameterValue::Number(0.4));
-    let mut scene = Scene::new(facts, "a@x* b@x*");
+    let mut parameters = doors();
+    parameters.insert("cold".into(), ParameterValue::Duration(4_000 * MS));
+    parameters.insert("cold_share".into(), ParameterValue::Number(0.4));
+    let mut scene = TracedBalancer::new(parameters, "a@x* b@x*");
     for id in 1..40 {
         scene.req(id, "read");
         assert!(scene.holds_out(id), "{id} waits\n{}", scene.trace);
