--- a/tests/traced_balancer/mod.rs
+++ b/tests/traced_balancer/mod.rs
@@ -1,4 +1,4 @@
-//! A scene: one instance, the reqs in its hands, and a short trace of what it decided.
+//! One balancer instance in simulated time, with its requests and a trace of its decisions.
 
 #![allow(dead_code)]
 
@@ -8,20 +8,24 @@
 use ochreshed::*;
 
 pub const MS: Nanos = 1_000_000;
+const START: Nanos = 1_000_000 * MS;
 
 pub struct TracedBalancer {
-    pub balancer: Balancer,
+    pub policy: Balancer,
     now: Nanos,
-    reqs: BTreeMap<u64, RequestContext>,
+    requests: BTreeMap<u64, RequestContext>,
+    /// A line for each decision, after the milliseconds since the start.
     pub trace: String,
-    /// What the next reqs are told to cost.
-    pub work: Option<Nanos>,
-    /// What the last deny said of when to come back.
-    pub come_back: Nanos,
+    /// The expected cost of the next requests.
+    pub expected_cost: Option<Nanos>,
+    /// The `retry_after` of the last denial.
+    pub last_retry_after: Nanos,
 }
 
+/// Parameters with three rule sets: "read" is replayable, "move" may be repeated within its site, and "charge" must not run
+/// twice.
 pub fn parameters(tier: f64, instances: f64) -> Parameters {
-    let text = |t: &str| ParameterValue::Text(t.into());
+    let text = |text: &str| ParameterValue::Text(text.into());
     let rule_set = |name: &str, effect: &str, group: &str, utility: f64| {
         Parameters::from([
             ("name".into(), text(name)),
@@ -33,7 +37,7 @@
             ("late_utility".into(), ParameterValue::Number(0.2)),
         ])
     };
-    let sets = vec![
+    let rule_sets = vec![
         rule_set("read", "replayable", "all", 1.0),
         rule_set("move", "uniqued", "site", 3.0),
         rule_set("charge", "non-replayable", "all", 9.0),
@@ -47,28 +51,26 @@
         ("may_recall".into(), ParameterValue::Flag(true)),
         ("cold".into(), ParameterValue::Duration(20_000 * MS)),
         ("cold_share".into(), ParameterValue::Number(0.2)),
-        ("rule_sets".into(), ParameterValue::List(sets)),
+        ("rule_sets".into(), ParameterValue::List(rule_sets)),
     ])
 }
 
 impl TracedBalancer {
-    /// An instance that knows these srvs: `name@site`, with `!` behind it when draining, `*` when just started.
-    pub fn new(parameters: Parameters, srvs: &str) -> TracedBalancer {
-        let now = 1_000_000 * MS;
-        let balancer = Balancer::new(now, 7, parameters);
-        let mut scene = TracedBalancer {
-            balancer,
-            now,
-            reqs: BTreeMap::new(),
+    /// An instance that knows these endpoints: `name@site`, followed by `!` if draining or `*` if just started.
+    pub fn new(parameters: Parameters, endpoints: &str) -> TracedBalancer {
+        let mut balancer = TracedBalancer {
+            policy: Balancer::new(START, 7, parameters),
+            now: START,
+            requests: BTreeMap::new(),
             trace: String::new(),
-            work: None,
-            come_back: 0,
+            expected_cost: None,
+            last_retry_after: 0,
         };
-        scene.list(true, srvs);
-        scene
+        balancer.apply_list(true, endpoints);
+        balancer
     }
 
-    pub fn list(&mut self, whole: bool, srvs: &str) {
+    pub fn apply_list(&mut self, is_complete: bool, endpoints: &str) {
         let listed = |entry: &str| {
             let (name, site) = entry.trim_end_matches(['!', '*']).split_once('@').expect("name@site");
             ListedEndpoint {
@@ -80,146 +82,141 @@
                 cell: 0,
             }
         };
-        let entries: Vec<ListedEndpoint> = srvs.split_whitespace().map(listed).collect();
-        self.balancer.handle_event(
+        let endpoints: Vec<ListedEndpoint> = endpoints.split_whitespace().map(listed).collect();
+        self.policy.handle_event(
             self.now,
-            Event::EndpointsListed { is_complete: whole, is_stale: false, endpoints: &entries },
+            Event::EndpointsListed { is_complete, is_stale: false, endpoints: &endpoints },
         );
     }
 
-    pub fn pass(&mut self, ms: u64) -> &mut TracedBalancer {
+    pub fn advance(&mut self, ms: u64) -> &mut TracedBalancer {
         self.now += ms * MS;
         self
     }
 
-    pub fn req(&mut self, id: u64, rule_set: &str) -> &mut TracedBalancer {
-        self.take(id, rule_set, "")
+    pub fn submit(&mut self, id: u64, rule_set: &str) -> &mut TracedBalancer {
+        self.submit_request(id, rule_set, "")
     }
 
-    pub fn of(&mut self, id: u64, customer: &str) -> &mut TracedBalancer {
-        self.take(id, "read", customer)
+    pub fn submit_read_of(&mut self, id: u64, customer: &str) -> &mut TracedBalancer {
+        self.submit_request(id, "read", customer)
     }
 
-    fn take(&mut self, id: u64, rule_set: &str, customer: &str) -> &mut TracedBalancer {
-        self.reqs.insert(
+    fn submit_request(&mut self, id: u64, rule_set: &str, customer: &str) -> &mut TracedBalancer {
+        let request = RequestContext {
             id,
-            RequestContext {
-                id,
-                rule_set: rule_set.into(),
-                customer: customer.into(),
-                is_client_retry: false,
-                received_at: self.now,
-                deadline: self.now + 3_000 * MS,
-                body_pending: false,
-                expected_cost: self.work,
-                preferred_endpoint: None,
-                dispatches: Vec::new(),
-            },
-        );
-        self.place(id)
+            rule_set: rule_set.into(),
+            customer: customer.into(),
+            is_client_retry: false,
+            received_at: self.now,
+            deadline: self.now + 3_000 * MS,
+            body_pending: false,
+            expected_cost: self.expected_cost,
+            preferred_endpoint: None,
+            dispatches: Vec::new(),
+        };
+        self.requests.insert(id, request);
+        self.route(id)
     }
 
-    pub fn place(&mut self, id: u64) -> &mut TracedBalancer {
-        let req = self.reqs.get_mut(&id).expect("a req in hand");
-        let what = match self.balancer.route(self.now, req) {
-            RoutingDecision::Send { endpoint: srv, .. } => format!("to {srv}"),
-            RoutingDecision::Wait { until: ask_at } => format!("later, in {} ms", (ask_at - self.now) / MS),
-            RoutingDecision::Deny { retry_after: come_back } => {
-                self.come_back = come_back;
+    pub fn route(&mut self, id: u64) -> &mut TracedBalancer {
+        let request = self.requests.get_mut(&id).expect("a known request");
+        let decision = match self.policy.route(self.now, request) {
+            RoutingDecision::Send { endpoint, .. } => format!("to {endpoint}"),
+            RoutingDecision::Wait { until } => format!("waits {} ms", (until - self.now) / MS),
+            RoutingDecision::Deny { retry_after } => {
+                self.last_retry_after = retry_after;
                 "deny".into()
             }
             RoutingDecision::Abort => "abort".into(),
         };
-        self.say(&format!("{id}: {what}"))
+        self.record(&format!("{id}: {decision}"))
     }
 
-    /// Whether a req has a dispatch.
-    pub fn holds(&self, id: u64) -> bool {
-        self.reqs.get(&id).is_some_and(|req| !req.dispatches.is_empty())
+    pub fn was_sent(&self, id: u64) -> bool {
+        self.requests.get(&id).is_some_and(|request| !request.dispatches.is_empty())
     }
 
-    /// Another instance has seen this.
-    pub fn others(&mut self, srv: &str, how: DispatchOutcome) -> &mut TracedBalancer {
-        self.others_of("charge", srv, how)
+    /// Reports that another instance saw this outcome of a "charge" request.
+    pub fn report_from_peer(&mut self, endpoint: &str, outcome: DispatchOutcome) -> &mut TracedBalancer {
+        self.report_from_peer_of("charge", endpoint, outcome)
     }
 
-    pub fn others_of(&mut self, rule_set: &str, srv: &str, how: DispatchOutcome) -> &mut TracedBalancer {
-        self.balancer
-            .handle_event(self.now, Event::PeerDispatchEnded { endpoint: srv, rule_set, outcome: how });
+    pub fn report_from_peer_of(
+        &mut self,
+        rule_set: &str,
+        endpoint: &str,
+        outcome: DispatchOutcome,
+    ) -> &mut TracedBalancer {
+        self.policy.handle_event(self.now, Event::PeerDispatchEnded { endpoint, rule_set, outcome });
         self
     }
 
-    /// Whether a dispatch of it is out.
-    pub fn holds_out(&self, id: u64) -> bool {
-        self.reqs
+    pub fn is_in_flight(&self, id: u64) -> bool {
+        self.requests
             .get(&id)
-            .and_then(|req| req.dispatches.last())
+            .and_then(|request| request.dispatches.last())
             .is_some_and(|dispatch| dispatch.outcome.is_none())
     }
 
-    /// Ends a req's last dispatch, and places it again where that follows.
-    pub fn end(&mut self, id: u64, how: DispatchOutcome) -> &mut TracedBalancer {
-        if self.fail(id, how) == NextStep::Route { self.place(id) } else { self }
-    }
-
-    /// Ends a req's last dispatch and leaves what follows to be done.
-    pub fn fail(&mut self, id: u64, how: DispatchOutcome) -> NextStep {
-        let req = self.reqs.get_mut(&id).expect("a req in hand");
-        let number = req.dispatches.len() - 1;
-        let took = self.now - req.dispatches[number].sent_at;
-        let closed = how == DispatchOutcome::Done;
-        let outcome = Event::DispatchEnded {
-            request: req,
-            dispatch_index: number,
-            outcome: how,
-            duration: took,
-            is_final: closed,
-            load_report: &[],
-        };
-        let follow = self.balancer.handle_event(self.now, outcome);
-        if !closed {
-            self.say(&format!("{id}: {how:?}"));
+    /// Ends the request's last dispatch, and routes the request again if the policy wants that.
+    pub fn end(&mut self, id: u64, outcome: DispatchOutcome) -> &mut TracedBalancer {
+        if self.end_without_routing(id, outcome) == NextStep::Route { self.route(id) } else { self }
+    }
+
+    /// Ends the request's last dispatch and returns the next step without taking it.
+    pub fn end_without_routing(&mut self, id: u64, outcome: DispatchOutcome) -> NextStep {
+        let request = self.requests.get_mut(&id).expect("a known request");
+        let dispatch_index = request.dispatches.len() - 1;
+        let duration = self.now - request.dispatches[dispatch_index].sent_at;
+        let is_final = outcome == DispatchOutcome::Done;
+        let event =
+            Event::DispatchEnded { request, dispatch_index, outcome, duration, is_final, load_report: &[] };
+        let next_step = self.policy.handle_event(self.now, event);
+        if !is_final {
+            self.record(&format!("{id}: {outcome:?}"));
         }
-        follow
+        next_step
     }
 
-    /// Sends a req, and ends it well 100 ms later.
-    pub fn done(&mut self, id: u64) -> &mut TracedBalancer {
-        self.req(id, "read").pass(100).end(id, DispatchOutcome::Done)
+    /// Submits a "read" request that succeeds after 100 ms.
+    pub fn run_read(&mut self, id: u64) -> &mut TracedBalancer {
+        self.submit(id, "read").advance(100).end(id, DispatchOutcome::Done)
     }
 
-    /// Whether the last line of the trace is a dispatch to one of these srvs.
-    pub fn went_to(&self, srvs: &[&str]) -> bool {
-        srvs.iter().any(|srv| self.trace.ends_with(&format!("to {srv}\n")))
+    /// Whether the last line of the trace is a dispatch to one of these endpoints.
+    pub fn was_last_sent_to(&self, endpoints: &[&str]) -> bool {
+        endpoints.iter().any(|endpoint| self.trace.ends_with(&format!("to {endpoint}\n")))
     }
 
-    /// Done reqs that leave no trace, for a past.
-    pub fn past(&mut self, number: u64) -> &mut TracedBalancer {
-        let kept = self.trace.len();
-        for id in 10_000..10_000 + number {
-            self.done(id);
+    /// Runs successful "read" requests without a trace, so that the policy has statistics.
+    pub fn warm_up(&mut self, request_count: u64) -> &mut TracedBalancer {
+        let trace_length = self.trace.len();
+        for id in 10_000..10_000 + request_count {
+            self.run_read(id);
         }
-        self.trace.truncate(kept);
+        self.trace.truncate(trace_length);
         self
     }
 
-    pub fn wait(&mut self) -> &mut TracedBalancer {
+    /// Takes and traces the policy's next actions until there is nothing to do at this time.
+    pub fn run_actions(&mut self) -> &mut TracedBalancer {
         loop {
-            match self.balancer.next_action(self.now) {
+            match self.policy.next_action(self.now) {
                 NextAction::SleepUntil(_) => return self,
-                NextAction::Route(id) => self.place(id),
-                NextAction::Log(line) => self.say(&format!("log: {line}")),
-                NextAction::CancelDispatch(id, number) => {
-                    self.say(&format!("recall {id}, dispatch {number}"))
+                NextAction::Route(id) => self.route(id),
+                NextAction::Log(line) => self.record(&format!("log: {line}")),
+                NextAction::CancelDispatch(id, dispatch_index) => {
+                    self.record(&format!("cancel {id}, dispatch {dispatch_index}"))
                 }
-                chore => self.say(&format!("{chore:?}")),
+                action => self.record(&format!("{action:?}")),
             };
         }
     }
 
-    fn say(&mut self, line: &str) -> &mut TracedBalancer {
-        let at = (self.now - 1_000_000 * MS) / MS;
-        writeln!(self.trace, "{at} {line}").expect("a String takes it");
+    fn record(&mut self, line: &str) -> &mut TracedBalancer {
+        let elapsed_ms = (self.now - START) / MS;
+        writeln!(self.trace, "{elapsed_ms} {line}").expect("writing to a String does not fail");
         self
     }
 }
--- a/tests/traces.rs
+++ b/tests/traces.rs
@@ -1,4 +1,4 @@
-//! Short traces of decisions, kept to be read.
+//! Traces of the policy's decisions, each short enough to read.
 
 mod traced_balancer;
 
@@ -8,18 +8,18 @@
 use ochreshed::{DispatchOutcome, ParameterValue, Parameters};
 use traced_balancer::{MS, TracedBalancer, parameters};
 
-fn check(scene: &mut TracedBalancer, expected: Expect) {
-    expected.assert_eq(&scene.trace);
+fn check(balancer: &mut TracedBalancer, expected: Expect) {
+    expected.assert_eq(&balancer.trace);
 }
 
 #[test]
-fn turns_are_even_from_a_random_start() {
-    let mut scene = TracedBalancer::new(parameters(0.0, 1.0), "a@x b@x c@y");
+fn requests_are_spread_evenly_from_a_random_start() {
+    let mut balancer = TracedBalancer::new(parameters(0.0, 1.0), "a@x b@x c@y");
     for id in 1..7 {
-        scene.done(id);
+        balancer.run_read(id);
     }
     check(
-        &mut scene,
+        &mut balancer,
         expect![[r#"
         0 1: to b
         100 2: to a
@@ -32,9 +32,9 @@
 }
 
 #[test]
-fn a_middle_tiers_error_is_passed_up_and_the_last_tiers_is_sent_again() {
+fn errors_are_passed_up_by_a_middle_tier_and_retried_by_the_last_tier() {
     let mut middle = TracedBalancer::new(parameters(1.0, 4.0), "a@x b@x");
-    middle.past(20).req(1, "read").pass(50).end(1, DispatchOutcome::Error);
+    middle.warm_up(20).submit(1, "read").advance(50).end(1, DispatchOutcome::Error);
     check(
         &mut middle,
         expect![[r#"
@@ -44,7 +44,7 @@
     "#]],
     );
     let mut last = TracedBalancer::new(parameters(2.0, 4.0), "a@x b@x");
-    last.past(20).req(1, "read").pass(50).end(1, DispatchOutcome::Error);
+    last.warm_up(20).submit(1, "read").advance(50).end(1, DispatchOutcome::Error);
     check(
         &mut last,
         expect![[r#"
@@ -56,17 +56,17 @@
 }
 
 #[test]
-fn a_refused_connection_is_owned_at_any_tier_and_safe_for_every_rule_set() {
-    let mut scene = TracedBalancer::new(parameters(0.0, 1.0), "a@x b@x");
-    scene
-        .past(20)
-        .req(1, "charge")
-        .pass(5)
+fn a_refused_connection_is_retried_at_any_tier_and_for_any_rule_set() {
+    let mut balancer = TracedBalancer::new(parameters(0.0, 1.0), "a@x b@x");
+    balancer
+        .warm_up(20)
+        .submit(1, "charge")
+        .advance(5)
         .end(1, DispatchOutcome::NoConnection)
-        .pass(50)
+        .advance(50)
         .end(1, DispatchOutcome::Reset);
     check(
-        &mut scene,
+        &mut balancer,
         expect![[r#"
         2000 1: to b
         2005 1: NoConnection
@@ -78,19 +78,19 @@
 }
 
 #[test]
-fn sends_again_keep_within_a_tenth() {
-    let mut scene = TracedBalancer::new(parameters(0.0, 1.0), "a@x b@x c@x d@x");
-    scene.past(10);
+fn retries_keep_within_a_tenth_of_the_requests() {
+    let mut balancer = TracedBalancer::new(parameters(0.0, 1.0), "a@x b@x c@x d@x");
+    balancer.warm_up(10);
     for id in 1..5 {
-        scene
-            .req(id, "read")
-            .pass(10)
+        balancer
+            .submit(id, "read")
+            .advance(10)
             .end(id, DispatchOutcome::Full)
-            .pass(100)
+            .advance(100)
             .end(id, DispatchOutcome::Done);
     }
     check(
-        &mut scene,
+        &mut balancer,
         expect![[r#"
         1000 1: to a
         1010 1: Full
@@ -109,20 +109,20 @@
 }
 
 #[test]
-fn a_uniqued_req_that_may_have_run_goes_again_only_in_its_site_and_window() {
-    let mut scene = TracedBalancer::new(parameters(2.0, 1.0), "a@x b@x c@y d@y");
-    scene.past(40);
+fn a_uniqued_request_that_may_have_run_is_retried_only_in_its_site_and_window() {
+    let mut balancer = TracedBalancer::new(parameters(2.0, 1.0), "a@x b@x c@y d@y");
+    balancer.warm_up(40);
     for id in 1..4 {
-        scene
-            .req(id, "move")
-            .pass(10)
+        balancer
+            .submit(id, "move")
+            .advance(10)
             .end(id, DispatchOutcome::Reset)
-            .pass(100)
+            .advance(100)
             .end(id, DispatchOutcome::Done);
     }
-    scene.req(9, "move").pass(1_100).end(9, DispatchOutcome::Reset);
+    balancer.submit(9, "move").advance(1_100).end(9, DispatchOutcome::Reset);
     check(
-        &mut scene,
+        &mut balancer,
         expect![[r#"
         4000 1: to d
         4010 1: Reset
@@ -141,20 +141,20 @@
 }
 
 #[test]
-fn a_srv_alone_in_its_group_may_be_sent_again_what_it_reset() {
-    let mut scene = TracedBalancer::new(parameters(0.0, 1.0), "a@x b@y");
-    scene.past(40);
-    scene
-        .req(1, "move")
-        .pass(10)
+fn the_only_endpoint_of_a_group_is_retried_after_a_reset() {
+    let mut balancer = TracedBalancer::new(parameters(0.0, 1.0), "a@x b@y");
+    balancer.warm_up(40);
+    balancer
+        .submit(1, "move")
+        .advance(10)
         .end(1, DispatchOutcome::NoConnection)
-        .pass(10)
+        .advance(10)
         .end(1, DispatchOutcome::Reset);
-    scene.pass(10).end(1, DispatchOutcome::Reset).pass(10).end(1, DispatchOutcome::Done);
-    scene.req(2, "move").pass(10).end(2, DispatchOutcome::TimedOut);
-    scene.req(3, "charge").pass(10).end(3, DispatchOutcome::Reset);
+    balancer.advance(10).end(1, DispatchOutcome::Reset).advance(10).end(1, DispatchOutcome::Done);
+    balancer.submit(2, "move").advance(10).end(2, DispatchOutcome::TimedOut);
+    balancer.submit(3, "charge").advance(10).end(3, DispatchOutcome::Reset);
     check(
-        &mut scene,
+        &mut balancer,
         expect![[r#"
         4000 1: to b
         4010 1: NoConnection
@@ -174,27 +174,27 @@
 }
 
 #[test]
-fn a_req_never_has_two_dispatches_out() {
-    let mut scene = TracedBalancer::new(parameters(0.0, 1.0), "a@x b@x");
-    scene.req(1, "read").pass(10).place(1);
+fn a_request_never_has_two_dispatches_in_flight() {
+    let mut balancer = TracedBalancer::new(parameters(0.0, 1.0), "a@x b@x");
+    balancer.submit(1, "read").advance(10).route(1);
     check(
-        &mut scene,
+        &mut balancer,
         expect![[r#"
         0 1: to b
-        10 1: later, in 2990 ms
+        10 1: waits 2990 ms
     "#]],
     );
 }
 
 #[test]
-fn draining_and_gone_srvs_get_nothing_new() {
-    let mut scene = TracedBalancer::new(parameters(0.0, 1.0), "a@x b@x c@x");
-    scene.list(false, "a@x!");
-    scene.done(1).done(2).done(3);
-    scene.list(true, "c@x");
-    scene.done(4).done(5);
+fn draining_and_gone_endpoints_get_no_new_requests() {
+    let mut balancer = TracedBalancer::new(parameters(0.0, 1.0), "a@x b@x c@x");
+    balancer.apply_list(false, "a@x!");
+    balancer.run_read(1).run_read(2).run_read(3);
+    balancer.apply_list(true, "c@x");
+    balancer.run_read(4).run_read(5);
     check(
-        &mut scene,
+        &mut balancer,
         expect![[r#"
         0 1: to b
         100 2: to c
@@ -206,16 +206,16 @@
 }
 
 #[test]
-fn a_cold_srv_gets_its_share_of_a_budget() {
-    let mut scene = TracedBalancer::new(parameters(0.0, 1.0), "a@x b@x");
-    scene.past(40);
-    // The same id with a fresh start: it is cold again.
-    scene.list(false, "a@x*");
+fn an_endpoint_in_slow_start_gets_its_share_of_a_budget() {
+    let mut balancer = TracedBalancer::new(parameters(0.0, 1.0), "a@x b@x");
+    balancer.warm_up(40);
+    // The endpoint of the same name has restarted: it is in slow start again.
+    balancer.apply_list(false, "a@x*");
     for id in 1..13 {
-        scene.done(id);
+        balancer.run_read(id);
     }
     check(
-        &mut scene,
+        &mut balancer,
         expect![[r#"
         4000 1: to b
         4100 2: to b
@@ -234,17 +234,18 @@
 }
 
 #[test]
-fn a_srv_that_fails_alone_is_set_aside_and_returns() {
-    let mut scene = TracedBalancer::new(parameters(1.0, 1.0), "a@x b@x c@x d@x");
-    scene.past(40);
+fn an_endpoint_that_alone_fails_is_ejected_and_returns() {
+    let mut balancer = TracedBalancer::new(parameters(1.0, 1.0), "a@x b@x c@x d@x");
+    balancer.warm_up(40);
     for id in 1..9 {
-        scene.req(id, "charge").pass(50);
-        let how = if scene.went_to(&["b"]) { DispatchOutcome::Error } else { DispatchOutcome::Done };
-        scene.end(id, how).wait();
+        balancer.submit(id, "charge").advance(50);
+        let outcome =
+            if balancer.was_last_sent_to(&["b"]) { DispatchOutcome::Error } else { DispatchOutcome::Done };
+        balancer.end(id, outcome).run_actions();
     }
-    scene.pass(5_000).done(21).done(22).done(23).done(24);
+    balancer.advance(5_000).run_read(21).run_read(22).run_read(23).run_read(24);
     check(
-        &mut scene,
+        &mut balancer,
         expect![[r#"
         4000 1: to d
         4050 WatchEndpoints
@@ -269,21 +270,21 @@
 }
 
 #[test]
-fn a_srv_that_fails_one_rule_set_is_kept_from_that_one_only() {
-    let mut scene = TracedBalancer::new(parameters(0.0, 1.0), "a@w b@x c@y d@z");
-    scene.past(20);
+fn an_endpoint_that_fails_one_rule_set_is_ejected_from_that_one_only() {
+    let mut balancer = TracedBalancer::new(parameters(0.0, 1.0), "a@w b@x c@y d@z");
+    balancer.warm_up(20);
     for id in 1..15 {
         let name = if id % 3 == 0 { "read" } else { "charge" };
-        scene.req(id, name).pass(50);
-        let how = if id % 3 > 0 && scene.went_to(&["b", "d"]) {
+        balancer.submit(id, name).advance(50);
+        let outcome = if id % 3 > 0 && balancer.was_last_sent_to(&["b", "d"]) {
             DispatchOutcome::Error
         } else {
             DispatchOutcome::Done
         };
-        scene.end(id, how).wait();
+        balancer.end(id, outcome).run_actions();
     }
     check(
-        &mut scene,
+        &mut balancer,
         expect![[r#"
             2000 1: to d
             2050 1: Error
@@ -315,19 +316,20 @@
 }
 
 #[test]
-fn a_srv_that_turns_all_away_is_set_aside() {
-    let mut scene = TracedBalancer::new(parameters(0.0, 1.0), "a@w b@x c@y d@z");
-    scene.past(40);
+fn an_endpoint_that_refuses_all_requests_as_full_is_ejected() {
+    let mut balancer = TracedBalancer::new(parameters(0.0, 1.0), "a@w b@x c@y d@z");
+    balancer.warm_up(40);
     for id in 1..14 {
-        scene.req(id, "charge").pass(10);
-        let how = if scene.went_to(&["b"]) { DispatchOutcome::Full } else { DispatchOutcome::Done };
-        scene.end(id, how).pass(40).wait();
-        if how == DispatchOutcome::Full {
-            scene.end(id, DispatchOutcome::Done);
+        balancer.submit(id, "charge").advance(10);
+        let outcome =
+            if balancer.was_last_sent_to(&["b"]) { DispatchOutcome::Full } else { DispatchOutcome::Done };
+        balancer.end(id, outcome).advance(40).run_actions();
+        if outcome == DispatchOutcome::Full {
+            balancer.end(id, DispatchOutcome::Done);
         }
     }
     check(
-        &mut scene,
+        &mut balancer,
         expect![[r#"
         4000 1: to d
         4050 WatchEndpoints
@@ -355,24 +357,24 @@
 }
 
 #[test]
-fn a_silent_site_is_set_aside_whole_and_what_it_owes_is_recalled() {
-    let mut scene = TracedBalancer::new(parameters(2.0, 1.0), "a@x b@x c@x d@y e@y f@y");
-    scene.past(40).wait();
+fn an_unresponsive_site_is_ejected_and_its_overdue_dispatches_cancelled() {
+    let mut balancer = TracedBalancer::new(parameters(2.0, 1.0), "a@x b@x c@x d@y e@y f@y");
+    balancer.warm_up(40).run_actions();
     for id in 1..7 {
-        scene.req(id, "charge").pass(20);
-        if scene.went_to(&["d", "e", "f"]) {
-            scene.end(id, DispatchOutcome::Done);
+        balancer.submit(id, "charge").advance(20);
+        if balancer.was_last_sent_to(&["d", "e", "f"]) {
+            balancer.end(id, DispatchOutcome::Done);
         }
     }
-    scene.pass(500);
+    balancer.advance(500);
     for id in 31..37 {
-        scene.req(id, "charge").pass(50);
-        if scene.went_to(&["d", "e", "f"]) {
-            scene.end(id, DispatchOutcome::Done).wait();
+        balancer.submit(id, "charge").advance(50);
+        if balancer.was_last_sent_to(&["d", "e", "f"]) {
+            balancer.end(id, DispatchOutcome::Done).run_actions();
         }
     }
     check(
-        &mut scene,
+        &mut balancer,
         expect![[r#"
             4000 WatchEndpoints
             4000 1: to c
@@ -383,10 +385,10 @@
             4100 6: to a
             4620 31: to c
             4670 32: to e
-            4720 recall 1, dispatch 0
+            4720 cancel 1, dispatch 0
             4720 log: ejected site x: no response for 0.7 s, 3 dispatches overdue, 0 lost
-            4720 recall 5, dispatch 0
-            4720 recall 6, dispatch 0
+            4720 cancel 5, dispatch 0
+            4720 cancel 6, dispatch 0
             4720 33: to e
             4770 34: to d
             4820 35: to f
@@ -396,18 +398,18 @@
 }
 
 #[test]
-fn a_cut_off_site_is_set_aside_after_three_lost_connections() {
-    let mut scene = TracedBalancer::new(parameters(1.0, 1.0), "a@x b@x c@x d@y e@y f@y");
-    scene.past(100).wait();
+fn an_unreachable_site_is_ejected_after_three_lost_connections() {
+    let mut balancer = TracedBalancer::new(parameters(1.0, 1.0), "a@x b@x c@x d@y e@y f@y");
+    balancer.warm_up(100).run_actions();
     for id in 1..10 {
-        scene.req(id, "charge").pass(20);
-        while scene.went_to(&["a", "b", "c"]) {
-            scene.end(id, DispatchOutcome::NoConnection).pass(20);
+        balancer.submit(id, "charge").advance(20);
+        while balancer.was_last_sent_to(&["a", "b", "c"]) {
+            balancer.end(id, DispatchOutcome::NoConnection).advance(20);
         }
-        scene.end(id, DispatchOutcome::Done).wait();
+        balancer.end(id, DispatchOutcome::Done).run_actions();
     }
     check(
-        &mut scene,
+        &mut balancer,
         expect![[r#"
         10000 WatchEndpoints
         10000 1: to c
@@ -431,69 +433,72 @@
     );
 }
 
-/// Guards against srvs whose processes are gone and that keep their turns because what they refuse is most of what fails
-/// everywhere: after a restart with an old list a balancer that turns among six srvs, four of them gone, denied half.
+/// Guards against endpoints whose processes are gone and that are still used because their refusals are most of all failures:
+/// after a restart with a stale list, a balancer with a subset of six endpoints, four of them gone, denied half of its requests.
 #[test]
-fn srvs_that_refuse_all_are_set_aside_however_much_fails() {
+fn endpoints_that_refuse_all_connections_are_ejected_at_any_failure_ratio() {
     let mut parameters = parameters(0.0, 24.0);
     parameters.insert("me".into(), ParameterValue::Number(19.0));
     let list = "a@x b@y c@z d@x e@y f@z g@x h@y i@z j@x k@y l@z m@x n@y o@z p@x q@y r@z";
     let gone = ["o", "p", "q", "r"];
-    let mut scene = TracedBalancer::new(parameters, list);
+    let mut balancer = TracedBalancer::new(parameters, list);
     for id in 1..200 {
-        scene.req(id, "read");
-        while scene.went_to(&gone) {
-            scene.end(id, DispatchOutcome::NoConnection);
+        balancer.submit(id, "read");
+        while balancer.was_last_sent_to(&gone) {
+            balancer.end(id, DispatchOutcome::NoConnection);
         }
-        scene.pass(40);
-        if scene.holds_out(id) {
-            scene.end(id, DispatchOutcome::Done);
+        balancer.advance(40);
+        if balancer.is_in_flight(id) {
+            balancer.end(id, DispatchOutcome::Done);
         }
-        scene.wait();
+        balancer.run_actions();
     }
-    let denied = scene.trace.lines().filter(|line| line.ends_with("deny")).count();
-    assert!(denied < 15, "{denied} of 199 denied: {}", scene.trace);
+    let denied = balancer.trace.lines().filter(|line| line.ends_with("deny")).count();
+    assert!(denied < 15, "{denied} of 199 denied: {}", balancer.trace);
 }
 
-/// Guards against clients that wait for half a second though nothing is full: their try failed, and there is room.
+/// Guards against clients that are told to wait for half a second after a failure though no endpoint is full.
 #[test]
-fn what_failed_may_come_back_after_about_the_time_of_an_answer() {
+fn a_failed_request_may_be_retried_after_about_one_response_time() {
     let mut parameters = parameters(2.0, 24.0);
     parameters.insert("come_back_passed".into(), ParameterValue::Flag(true));
     parameters.insert("max_come_back".into(), ParameterValue::Duration(2_000 * MS));
-    let mut scene = TracedBalancer::new(parameters, "a@x b@x c@x d@x");
-    scene.past(40);
+    let mut balancer = TracedBalancer::new(parameters, "a@x b@x c@x d@x");
+    balancer.warm_up(40);
     let mut longest = 0;
     for id in 1..30 {
-        scene.req(id, "read");
-        // What a tenth allows is sent again, and fails too.
-        while scene.holds_out(id) {
-            scene.end(id, DispatchOutcome::Error);
-            longest = longest.max(scene.come_back);
+        balancer.submit(id, "read");
+        // The retries that the budget allows fail too.
+        while balancer.is_in_flight(id) {
+            balancer.end(id, DispatchOutcome::Error);
+            longest = longest.max(balancer.last_retry_after);
         }
-        scene.pass(100);
+        balancer.advance(100);
     }
-    assert!(scene.trace.contains("deny"), "{}", scene.trace);
+    assert!(balancer.trace.contains("deny"), "{}", balancer.trace);
     assert!((MS..=100 * MS).contains(&longest), "{} ms after answers that take 100 ms", longest / MS);
 }
 
-/// Guards against quiet instances that learn each alone, and late, what others have seen.
-#[test]
-fn what_others_lost_counts_as_an_outcome_of_ones_own() {
-    let mut scene = TracedBalancer::new(parameters(0.0, 60.0), "a@x b@x c@x d@y e@y f@y");
-    scene.past(20).wait().trace.clear();
-    scene.others("a", DispatchOutcome::Done).others("a", DispatchOutcome::Reset).wait();
-    assert_eq!(scene.trace, "", "one loss is chance, for others as for us");
-    scene.others("a", DispatchOutcome::Reset).wait();
-    scene
-        .others("d", DispatchOutcome::Reset)
-        .others("e", DispatchOutcome::Reset)
-        .others("f", DispatchOutcome::Reset);
-    // The other site answers since.
-    scene.past(4).wait();
-    scene.others("nobody", DispatchOutcome::Reset).wait();
+/// Guards against instances with few requests that each detect a failed endpoint late, though others have seen its failures.
+#[test]
+fn outcomes_from_peers_count_like_own_outcomes() {
+    let mut balancer = TracedBalancer::new(parameters(0.0, 60.0), "a@x b@x c@x d@y e@y f@y");
+    balancer.warm_up(20).run_actions().trace.clear();
+    balancer
+        .report_from_peer("a", DispatchOutcome::Done)
+        .report_from_peer("a", DispatchOutcome::Reset)
+        .run_actions();
+    assert_eq!(balancer.trace, "", "one loss must not eject, whichever instance saw it");
+    balancer.report_from_peer("a", DispatchOutcome::Reset).run_actions();
+    balancer
+        .report_from_peer("d", DispatchOutcome::Reset)
+        .report_from_peer("e", DispatchOutcome::Reset)
+        .report_from_peer("f", DispatchOutcome::Reset);
+    // The other site has answered since.
+    balancer.warm_up(4).run_actions();
+    balancer.report_from_peer("nobody", DispatchOutcome::Reset).run_actions();
     check(
-        &mut scene,
+        &mut balancer,
         expect![[r#"
             2000 log: ejected endpoint a: 2 of its last 6 outcomes failed, failure ratio 0.05 over all endpoints
             2400 log: ejected site y: no response for 2.0 s, 0 dispatches overdue, 3 lost
@@ -501,54 +506,59 @@
     );
 }
 
-/// Guards against a whole site set aside for two of its srvs that are gone, of which all others tell.
+/// Guards against the ejection of a whole site because of two endpoints that are gone and that all peers report.
 #[test]
-fn what_others_lost_again_and_again_at_two_srvs_sets_no_site_aside() {
-    let mut scene = TracedBalancer::new(parameters(0.0, 60.0), "a@x b@x c@x d@y e@y f@y");
-    scene.past(20).wait().trace.clear();
+fn repeated_losses_from_peers_at_two_endpoints_do_not_eject_the_site() {
+    let mut balancer = TracedBalancer::new(parameters(0.0, 60.0), "a@x b@x c@x d@y e@y f@y");
+    balancer.warm_up(20).run_actions().trace.clear();
     for _ in 0..6 {
-        scene.others("d", DispatchOutcome::Reset).others("e", DispatchOutcome::Reset);
-        scene.past(1).wait();
+        balancer.report_from_peer("d", DispatchOutcome::Reset).report_from_peer("e", DispatchOutcome::Reset);
+        balancer.warm_up(1).run_actions();
     }
-    // No more than half of a site one by one.
-    assert!(scene.trace.contains("log: ejected endpoint d"), "{}", scene.trace);
-    assert!(!scene.trace.contains("ejected site"), "{}", scene.trace);
+    // One by one, at most half of a site is ejected.
+    assert!(balancer.trace.contains("log: ejected endpoint d"), "{}", balancer.trace);
+    assert!(!balancer.trace.contains("ejected site"), "{}", balancer.trace);
 }
 
 #[test]
-fn what_failed_of_one_rule_set_for_others_keeps_that_one_away() {
-    let mut scene = TracedBalancer::new(parameters(0.0, 60.0), "a@w b@x c@y d@z");
-    scene.past(20).wait().trace.clear();
-    // For others too the srv does well in another rule set, and then errs in this one.
+fn failures_of_one_rule_set_from_peers_eject_from_that_one_only() {
+    let mut balancer = TracedBalancer::new(parameters(0.0, 60.0), "a@w b@x c@y d@z");
+    balancer.warm_up(20).run_actions().trace.clear();
+    // At the peers too, the endpoint succeeds in another rule set and then fails in this one.
     for _ in 0..4 {
-        scene.others_of("read", "b", DispatchOutcome::Done);
+        balancer.report_from_peer_of("read", "b", DispatchOutcome::Done);
     }
-    scene.others("b", DispatchOutcome::Error).others("b", DispatchOutcome::Error).wait();
-    let mut went = Vec::new();
+    balancer
+        .report_from_peer("b", DispatchOutcome::Error)
+        .report_from_peer("b", DispatchOutcome::Error)
+        .run_actions();
+    let mut sent_to_b = Vec::new();
     for (id, rule_set) in (1..25).map(|id| (id, if id % 2 == 0 { "read" } else { "charge" })) {
-        scene.req(id, rule_set).pass(20);
-        went.push((rule_set, scene.went_to(&["b"])));
-        scene.end(id, DispatchOutcome::Done).wait();
+        balancer.submit(id, rule_set).advance(20);
+        sent_to_b.push((rule_set, balancer.was_last_sent_to(&["b"])));
+        balancer.end(id, DispatchOutcome::Done).run_actions();
     }
     assert!(
-        scene.trace.contains("log: ejected endpoint b from rule set charge: 2 of its last 2 outcomes failed"),
+        balancer
+            .trace
+            .contains("log: ejected endpoint b from rule set charge: 2 of its last 2 outcomes failed"),
         "{}",
-        scene.trace
+        balancer.trace
     );
-    assert!(went.contains(&("read", true)) && !went.contains(&("charge", true)), "{went:?}");
+    assert!(sent_to_b.contains(&("read", true)) && !sent_to_b.contains(&("charge", true)), "{sent_to_b:?}");
 }
 
 #[test]
-fn a_slow_srv_loses_its_turns() {
-    let mut scene = TracedBalancer::new(parameters(1.0, 8.0), "a@x b@x c@x");
-    scene.past(60);
+fn a_slow_endpoint_gets_no_more_requests() {
+    let mut balancer = TracedBalancer::new(parameters(1.0, 8.0), "a@x b@x c@x");
+    balancer.warm_up(60);
     for id in 1..13 {
-        scene.req(id, "charge");
-        let slow = scene.went_to(&["b"]);
-        scene.pass(if slow { 900 } else { 50 }).end(id, DispatchOutcome::Done);
+        balancer.submit(id, "charge");
+        let is_slow = balancer.was_last_sent_to(&["b"]);
+        balancer.advance(if is_slow { 900 } else { 50 }).end(id, DispatchOutcome::Done);
     }
     check(
-        &mut scene,
+        &mut balancer,
         expect![[r#"
         6000 1: to b
         6900 2: to a
@@ -567,17 +577,17 @@
 }
 
 #[test]
-fn a_silent_srv_leaves_room_for_the_others() {
-    let mut scene = TracedBalancer::new(parameters(1.0, 8.0), "a@x b@x");
-    scene.past(40);
+fn an_unresponsive_endpoint_leaves_capacity_to_the_others() {
+    let mut balancer = TracedBalancer::new(parameters(1.0, 8.0), "a@x b@x");
+    balancer.warm_up(40);
     for id in 1..9 {
-        scene.req(id, "charge").pass(400);
-        if scene.went_to(&["b"]) {
-            scene.end(id, DispatchOutcome::Done);
+        balancer.submit(id, "charge").advance(400);
+        if balancer.was_last_sent_to(&["b"]) {
+            balancer.end(id, DispatchOutcome::Done);
         }
     }
     check(
-        &mut scene,
+        &mut balancer,
         expect![[r#"
         4000 1: to b
         4400 2: to a
@@ -592,7 +602,7 @@
 }
 
 #[test]
-fn a_customer_over_its_share_is_denied_while_anyone_waits() {
+fn a_customer_over_its_share_is_denied_while_requests_wait() {
     let mut parameters = parameters(0.0, 1.0);
     let share = |name: &str, per_s| {
         Parameters::from([
@@ -601,13 +611,13 @@
         ])
     };
     parameters.insert("customers".into(), ParameterValue::List(vec![share("big", 0.5), share("small", 1e6)]));
-    let mut scene = TracedBalancer::new(parameters, "a@x");
-    scene.past(40);
+    let mut balancer = TracedBalancer::new(parameters, "a@x");
+    balancer.warm_up(40);
     for id in 1..13 {
-        scene.of(id, if id % 2 == 0 { "big" } else { "small" });
+        balancer.submit_read_of(id, if id % 2 == 0 { "big" } else { "small" });
     }
     check(
-        &mut scene,
+        &mut balancer,
         expect![[r#"
         4000 1: to a
         4000 2: to a
@@ -616,25 +626,33 @@
         4000 5: to a
         4000 6: to a
         4000 7: to a
-        4000 8: later, in 200 ms
-        4000 9: later, in 200 ms
+        4000 8: waits 200 ms
+        4000 9: waits 200 ms
         4000 10: deny
-        4000 11: later, in 200 ms
+        4000 11: waits 200 ms
         4000 12: deny
         "#]],
     );
 }
 
 #[test]
-fn over_the_level_utility_goes_first_and_a_long_wait_is_denied_at_once() {
-    let mut scene = TracedBalancer::new(parameters(0.0, 1.0), "a@x");
-    scene.past(40);
+fn over_the_limit_high_utility_goes_first_and_long_waits_are_denied_early() {
+    let mut balancer = TracedBalancer::new(parameters(0.0, 1.0), "a@x");
+    balancer.warm_up(40);
     for id in 1..9 {
-        scene.req(id, "read").pass(1);
+        balancer.submit(id, "read").advance(1);
     }
-    scene.req(9, "charge").wait().pass(40).end(1, DispatchOutcome::Done).wait().pass(200).place(7).wait();
+    balancer
+        .submit(9, "charge")
+        .run_actions()
+        .advance(40)
+        .end(1, DispatchOutcome::Done)
+        .run_actions()
+        .advance(200)
+        .route(7)
+        .run_actions();
     check(
-        &mut scene,
+        &mut balancer,
         expect![[r#"
         4000 1: to a
         4001 2: to a
@@ -643,12 +661,12 @@
         4004 5: to a
         4005 6: to a
         4006 7: to a
-        4007 8: later, in 200 ms
-        4008 9: later, in 200 ms
+        4007 8: waits 200 ms
+        4008 9: waits 200 ms
         4008 WatchEndpoints
         4008 log: requests queue: 7 in flight, 11 completed per second
         4048 9: to a
-        4248 7: later, in 2758 ms
+        4248 7: waits 2758 ms
         4248 8: deny
         4248 log: queue is empty: 7 in flight, 10 completed per second
         "#]],
@@ -656,13 +674,13 @@
 }
 
 #[test]
-fn the_list_is_watched_and_asked_for_again_after_a_pause() {
-    let mut scene = TracedBalancer::new(parameters(0.0, 1.0), "a@x");
-    scene.wait().pass(1_000).wait();
-    scene.balancer.handle_event(1_001_000 * traced_balancer::MS, ochreshed::Event::EndpointListFailed);
-    scene.wait().pass(2_000).wait();
+fn the_list_is_watched_again_some_time_after_a_failure() {
+    let mut balancer = TracedBalancer::new(parameters(0.0, 1.0), "a@x");
+    balancer.run_actions().advance(1_000).run_actions();
+    balancer.policy.handle_event(1_001_000 * traced_balancer::MS, ochreshed::Event::EndpointListFailed);
+    balancer.run_actions().advance(2_000).run_actions();
     check(
-        &mut scene,
+        &mut balancer,
         expect![[r#"
         1000 WatchEndpoints
         3000 WatchEndpoints
@@ -671,12 +689,12 @@
 }
 
 #[test]
-fn time_out_of_hand_is_answered_with_an_abort_where_it_may_have_run() {
-    let mut scene = TracedBalancer::new(parameters(0.0, 1.0), "a@x b@x");
-    scene.req(1, "charge").pass(3_000).end(1, DispatchOutcome::TimedOut);
-    scene.req(2, "read").pass(3_000).end(2, DispatchOutcome::TimedOut);
+fn a_request_past_its_deadline_is_aborted_if_it_must_not_run_twice() {
+    let mut balancer = TracedBalancer::new(parameters(0.0, 1.0), "a@x b@x");
+    balancer.submit(1, "charge").advance(3_000).end(1, DispatchOutcome::TimedOut);
+    balancer.submit(2, "read").advance(3_000).end(2, DispatchOutcome::TimedOut);
     check(
-        &mut scene,
+        &mut balancer,
         expect![[r#"
         0 1: to b
         3000 1: TimedOut
@@ -689,20 +707,20 @@
 }
 
 #[test]
-fn a_uniqued_req_whose_group_has_left_goes_nowhere_else() {
-    let mut scene = TracedBalancer::new(parameters(0.0, 1.0), "a@x b@y c@y");
-    scene.past(20);
+fn a_uniqued_request_is_not_retried_outside_its_group_once_that_is_gone() {
+    let mut balancer = TracedBalancer::new(parameters(0.0, 1.0), "a@x b@y c@y");
+    balancer.warm_up(20);
     let mut id = 1;
-    while !scene.req(id, "move").went_to(&["a"]) {
-        scene.end(id, DispatchOutcome::Done);
+    while !balancer.submit(id, "move").was_last_sent_to(&["a"]) {
+        balancer.end(id, DispatchOutcome::Done);
         id += 1;
     }
-    scene.trace.clear();
-    scene.fail(id, DispatchOutcome::Reset);
-    scene.list(true, "b@y c@y");
-    scene.place(id);
+    balancer.trace.clear();
+    balancer.end_without_routing(id, DispatchOutcome::Reset);
+    balancer.apply_list(true, "b@y c@y");
+    balancer.route(id);
     check(
-        &mut scene,
+        &mut balancer,
         expect![[r#"
         2000 3: Reset
         2000 3: abort
@@ -711,25 +729,26 @@
 }
 
 #[test]
-fn quiet_instances_turn_among_few_srvs_and_evenly_together() {
+fn instances_with_few_requests_use_small_subsets_and_together_spread_evenly() {
     let list = "a@x b@x c@x d@x e@x f@x g@x h@x i@y j@y k@y l@y m@y n@y o@y p@y";
     let mut sends = BTreeMap::<String, usize>::new();
     let mut trace = String::new();
     for me in 0..40 {
         let mut parameters = parameters(0.0, 40.0);
         parameters.insert("me".into(), ParameterValue::Number(f64::from(me)));
-        let mut scene = TracedBalancer::new(parameters, list);
+        let mut balancer = TracedBalancer::new(parameters, list);
         for id in 1..9 {
-            scene.done(id).pass(2_000);
+            balancer.run_read(id).advance(2_000);
         }
-        let srvs: Vec<&str> = scene.trace.lines().filter_map(|line| line.split("to ").nth(1)).collect();
+        let endpoints: Vec<&str> =
+            balancer.trace.lines().filter_map(|line| line.split("to ").nth(1)).collect();
         if me % 10 == 0 {
-            trace += &format!("{me}: {}\n", srvs.join(" "));
+            trace += &format!("{me}: {}\n", endpoints.join(" "));
         }
-        srvs.iter().for_each(|srv| *sends.entry((*srv).into()).or_default() += 1);
+        endpoints.iter().for_each(|endpoint| *sends.entry((*endpoint).into()).or_default() += 1);
     }
-    for (srv, count) in sends {
-        trace += &format!("{srv} {count} ");
+    for (endpoint, count) in sends {
+        trace += &format!("{endpoint} {count} ");
     }
     expect![[r#"
         0: b a c b a b a b
@@ -741,135 +760,138 @@
 }
 
 #[test]
-fn one_late_answer_does_not_make_room_at_a_quiet_instance() {
-    let mut scene = TracedBalancer::new(parameters(1.0, 60.0), "a@x b@x c@x d@x");
-    scene.past(8).wait();
+fn one_late_response_does_not_raise_the_limit_of_an_instance_with_few_requests() {
+    let mut balancer = TracedBalancer::new(parameters(1.0, 60.0), "a@x b@x c@x d@x");
+    balancer.warm_up(8).run_actions();
     for id in 1..7 {
-        scene.req(id, "charge").pass(300);
+        balancer.submit(id, "charge").advance(300);
     }
     check(
-        &mut scene,
+        &mut balancer,
         expect![[r#"
             800 WatchEndpoints
             800 1: to b
             1100 2: to a
             1400 3: to d
-            1700 4: later, in 200 ms
-            2000 5: later, in 200 ms
-            2300 6: later, in 200 ms
+            1700 4: waits 200 ms
+            2000 5: waits 200 ms
+            2300 6: waits 200 ms
         "#]],
     );
 }
 
 #[test]
-fn after_a_lost_site_prompt_answers_widen_the_level_but_not_in_overload() {
-    let mut told = String::new();
+fn after_a_lost_site_fast_responses_raise_the_limit_but_not_in_overload() {
+    let mut summary = String::new();
     for burst in [0, 30] {
-        let mut scene = TracedBalancer::new(parameters(0.0, 4.0), "a@x b@x d@y e@y");
-        scene.past(200).wait();
+        let mut balancer = TracedBalancer::new(parameters(0.0, 4.0), "a@x b@x d@y e@y");
+        balancer.warm_up(200).run_actions();
         for id in 1..5 {
-            scene.req(id, "read");
+            balancer.submit(id, "read");
         }
-        // Site x answers nothing, which shows right after the burst.
+        // Site x does not respond, which is detected right after the burst.
         for id in 11..20 {
-            scene.pass(100).req(id, "read");
-            if scene.went_to(&["d", "e"]) {
-                scene.pass(100).end(id, DispatchOutcome::Done);
+            balancer.advance(100).submit(id, "read");
+            if balancer.was_last_sent_to(&["d", "e"]) {
+                balancer.advance(100).end(id, DispatchOutcome::Done);
             }
             if id == 15 {
                 for id in 100..100 + burst {
-                    scene.req(id, "read");
+                    balancer.submit(id, "read");
                 }
             }
-            scene.wait();
+            balancer.run_actions();
         }
         for id in 61..71 {
-            scene.req(id, "read");
+            balancer.submit(id, "read");
         }
-        let denied = (61..71).filter(|id| scene.trace.contains(&format!(" {id}: deny"))).count();
-        let ejected = scene.trace.lines().find(|line| line.contains("ejected")).unwrap_or("none ejected");
-        told += &format!("burst of {burst}: {ejected}; {denied} of 10 denied\n");
+        let denied = (61..71).filter(|id| balancer.trace.contains(&format!(" {id}: deny"))).count();
+        let ejected = balancer.trace.lines().find(|line| line.contains("ejected")).unwrap_or("none ejected");
+        summary += &format!("burst of {burst}: {ejected}; {denied} of 10 denied\n");
     }
     expect![[r#"
         burst of 0: 20800 log: ejected site x: no response for 0.8 s, 2 dispatches overdue, 0 lost; 0 of 10 denied
         burst of 30: 20800 log: ejected site x: no response for 0.8 s, 2 dispatches overdue, 0 lost; 2 of 10 denied
     "#]]
-    .assert_eq(&told);
+    .assert_eq(&summary);
 }
 
 #[test]
-fn the_level_does_not_sink_with_what_clients_left() {
-    let mut told = String::new();
-    for left in [0, 2] {
-        let mut scene = TracedBalancer::new(parameters(0.0, 4.0), "a@x b@x d@y e@y");
+fn cancelled_requests_do_not_lower_the_limit() {
+    let mut summary = String::new();
+    for cancelled in [0, 2] {
+        let mut balancer = TracedBalancer::new(parameters(0.0, 4.0), "a@x b@x d@y e@y");
         for id in 1..321 {
-            let how =
-                if id > 160 && id % 3 < left { DispatchOutcome::Cancelled } else { DispatchOutcome::Done };
-            scene.req(id, "read").pass(25).end(id, how);
+            let outcome = if id > 160 && id % 3 < cancelled {
+                DispatchOutcome::Cancelled
+            } else {
+                DispatchOutcome::Done
+            };
+            balancer.submit(id, "read").advance(25).end(id, outcome);
         }
         for id in 401..417 {
-            scene.req(id, "read");
+            balancer.submit(id, "read");
         }
-        let sent = (401..417).filter(|id| scene.trace.contains(&format!(" {id}: to"))).count();
-        told += &format!("{left} of 3 left by their clients: {sent} of 16 sent at once\n");
+        let sent = (401..417).filter(|id| balancer.trace.contains(&format!(" {id}: to"))).count();
+        summary += &format!("{cancelled} of 3 cancelled by their clients: {sent} of 16 sent at once\n");
     }
     expect![[r#"
-        0 of 3 left by their clients: 16 of 16 sent at once
-        2 of 3 left by their clients: 16 of 16 sent at once
+        0 of 3 cancelled by their clients: 16 of 16 sent at once
+        2 of 3 cancelled by their clients: 16 of 16 sent at once
     "#]]
-    .assert_eq(&told);
+    .assert_eq(&summary);
 }
 
 #[test]
-fn a_silent_site_is_set_aside_by_the_time_of_its_tier() {
-    let mut told = String::new();
+fn the_time_until_an_unresponsive_site_is_ejected_depends_on_the_tier() {
+    let mut summary = String::new();
     for tier in [0.0, 1.0, 2.0] {
-        let mut scene = TracedBalancer::new(parameters(tier, 1.0), "a@x b@x c@y d@y");
-        scene.past(40).wait().trace.clear();
+        let mut balancer = TracedBalancer::new(parameters(tier, 1.0), "a@x b@x c@y d@y");
+        balancer.warm_up(40).run_actions().trace.clear();
         for id in 1..5 {
-            scene.req(id, "read").pass(10);
-            if scene.went_to(&["c", "d"]) {
-                scene.end(id, DispatchOutcome::Done);
+            balancer.submit(id, "read").advance(10);
+            if balancer.was_last_sent_to(&["c", "d"]) {
+                balancer.end(id, DispatchOutcome::Done);
             }
         }
-        while !scene.trace.contains("ejected site") {
-            scene.pass(10).wait();
+        while !balancer.trace.contains("ejected site") {
+            balancer.advance(10).run_actions();
         }
-        told += scene.trace.lines().find(|line| line.contains("ejected site")).unwrap_or_default();
-        told += "\n";
+        summary += balancer.trace.lines().find(|line| line.contains("ejected site")).unwrap_or_default();
+        summary += "\n";
     }
     expect![[r#"
         4700 log: ejected site x: no response for 0.8 s, 2 dispatches overdue, 0 lost
         4630 log: ejected site x: no response for 0.7 s, 2 dispatches overdue, 0 lost
         4330 log: ejected site x: no response for 0.4 s, 2 dispatches overdue, 0 lost
     "#]]
-    .assert_eq(&told);
+    .assert_eq(&summary);
 }
 
-/// As where balancers beside the srvs hold what those may have at once.
-fn doors() -> Parameters {
+/// Parameters with concurrency limits enforced by proxies beside the endpoints.
+fn limits_at_proxies() -> Parameters {
     let mut parameters = parameters(0.0, 1.0);
     parameters.insert("level".into(), ParameterValue::Text("doors".into()));
     parameters
 }
 
 #[test]
-fn so_many_doors_of_one_site_and_of_all_may_turn_a_req_away() {
-    let mut parameters = doors();
+fn rejections_by_proxies_are_limited_by_site_and_in_total() {
+    let mut parameters = limits_at_proxies();
     parameters.insert("most_turned".into(), ParameterValue::Number(3.0));
     parameters.insert("most_turned_by_site".into(), ParameterValue::Number(2.0));
-    let mut scene = TracedBalancer::new(parameters, "a@x b@x c@x d@y e@y f@y");
+    let mut balancer = TracedBalancer::new(parameters, "a@x b@x c@x d@y e@y f@y");
     for id in 1..4 {
-        scene
-            .req(id, "charge")
-            .pass(1)
+        balancer
+            .submit(id, "charge")
+            .advance(1)
             .end(id, DispatchOutcome::Rejected)
-            .pass(1)
+            .advance(1)
             .end(id, DispatchOutcome::Rejected);
-        scene.pass(1).end(id, DispatchOutcome::Rejected);
+        balancer.advance(1).end(id, DispatchOutcome::Rejected);
     }
     check(
-        &mut scene,
+        &mut balancer,
         expect![[r#"
         0 1: to d
         1 1: Rejected
@@ -897,26 +919,26 @@
 }
 
 #[test]
-fn a_req_that_doors_turn_away_goes_on_to_others_without_a_part_of_the_allowance() {
-    let mut scene = TracedBalancer::new(doors(), "a@x b@x c@x d@x");
-    // Nothing was sent before, so the allowance holds one at most.
+fn a_request_that_proxies_reject_is_sent_elsewhere_outside_the_retry_budget() {
+    let mut balancer = TracedBalancer::new(limits_at_proxies(), "a@x b@x c@x d@x");
+    // Nothing was sent before, so that the retry budget allows one retry at most.
     for id in 1..3 {
-        scene
-            .req(id, "charge")
-            .pass(1)
+        balancer
+            .submit(id, "charge")
+            .advance(1)
             .end(id, DispatchOutcome::Rejected)
-            .pass(1)
+            .advance(1)
             .end(id, DispatchOutcome::Rejected)
-            .pass(1);
-        scene.end(id, DispatchOutcome::Rejected).pass(100).end(id, DispatchOutcome::Done);
+            .advance(1);
+        balancer.end(id, DispatchOutcome::Rejected).advance(100).end(id, DispatchOutcome::Done);
     }
-    // When all have turned it away it is given up at once, and safely.
-    scene.req(3, "charge");
+    // Rejected by all proxies, the request is denied at once: it never ran.
+    balancer.submit(3, "charge");
     for _ in 0..4 {
-        scene.pass(1).end(3, DispatchOutcome::Rejected);
+        balancer.advance(1).end(3, DispatchOutcome::Rejected);
     }
     check(
-        &mut scene,
+        &mut balancer,
         expect![[r#"
         0 1: to d
         1 1: Rejected
@@ -946,13 +968,13 @@
 }
 
 #[test]
-fn where_doors_stand_nothing_is_held_for_a_level_nor_for_cold_srvs() {
-    let mut parameters = doors();
+fn with_limits_at_proxies_requests_wait_neither_for_capacity_nor_for_slow_start() {
+    let mut parameters = limits_at_proxies();
     parameters.insert("cold".into(), ParameterValue::Duration(4_000 * MS));
     parameters.insert("cold_share".into(), ParameterValue::Number(0.4));
-    let mut scene = TracedBalancer::new(parameters, "a@x* b@x*");
+    let mut balancer = TracedBalancer::new(parameters, "a@x* b@x*");
     for id in 1..40 {
-        scene.req(id, "read");
-        assert!(scene.holds_out(id), "{id} waits\n{}", scene.trace);
+        balancer.submit(id, "read");
+        assert!(balancer.is_in_flight(id), "{id} waits\n{}", balancer.trace);
     }
 }
