--- a/balancer/src/mesh/proxy/connection_pool.rs
+++ b/balancer/src/mesh/proxy/connection_pool.rs
@@ -2,7 +2,7 @@
 //!
 //! [`ConnectionPool::exchange`] writes a request on an idle or new connection and waits for the response, with one exchange at
 //! a time per connection. A long response is streamed while it arrives ([`ResponseBody`]); large responses to other nodes
-//! share the rate of the node's link ([`LargeResponseLane`], [`PacedBody`]). An error says whether the request may have run
+//! share the rate of the node's link ([`LargeResponseShaper`], [`PacedBody`]). An error says whether the request may have run
 //! ([`ExchangeError`]).
 //!
 //! Invariants:
@@ -353,7 +353,7 @@
 }
 
 /// State that all large responses of a node to other nodes share: the pacer of the link and the transmit permits.
-pub struct LargeResponseLane {
+pub struct LargeResponseShaper {
     pacer: Mutex<LargeResponsePacer>,
     /// Permits for concurrent transmission, granted in order of arrival. If all responses were sent concurrently, all would be
     /// late.
@@ -361,12 +361,12 @@
     clock: Clock,
 }
 
-impl LargeResponseLane {
+impl LargeResponseShaper {
     /// `link_mbps`: capacity of the node's network link, in Mbit/s.
-    pub fn new(link_mbps: f64, clock: Clock) -> Arc<LargeResponseLane> {
+    pub fn new(link_mbps: f64, clock: Clock) -> Arc<LargeResponseShaper> {
         let transmit_permits = Arc::new(Semaphore::new(MAX_CONCURRENT_LARGE_RESPONSES));
         let pacer = Mutex::new(LargeResponsePacer::new(link_mbps));
-        Arc::new(LargeResponseLane { pacer, transmit_permits, clock })
+        Arc::new(LargeResponseShaper { pacer, transmit_permits, clock })
     }
 
     /// The pacer, locked.
@@ -377,7 +377,7 @@
 
 /// Pacing state of a large response: it waits for a transmit permit and is sent at the rate of the link.
 pub struct PacedBody {
-    lane: Arc<LargeResponseLane>,
+    shaper: Arc<LargeResponseShaper>,
     /// Bytes that were announced to the pacer and have not been sent yet.
     announced_bytes: u64,
     transmit_permit: TransmitPermit,
@@ -392,12 +392,12 @@
 }
 
 impl PacedBody {
-    fn new(lane: &Arc<LargeResponseLane>, length: Option<u64>) -> Box<PacedBody> {
-        let (announced_bytes, permits) = (length.unwrap_or(0), lane.transmit_permits.clone());
-        lane.pacer().begin(announced_bytes);
+    fn new(shaper: &Arc<LargeResponseShaper>, length: Option<u64>) -> Box<PacedBody> {
+        let (announced_bytes, permits) = (length.unwrap_or(0), shaper.transmit_permits.clone());
+        shaper.pacer().begin(announced_bytes);
         let transmit_permit =
             TransmitPermit::Pending(Box::pin(async move { permits.acquire_owned().await.ok() }));
-        Box::new(PacedBody { lane: lane.clone(), announced_bytes, transmit_permit, delayed: None })
+        Box::new(PacedBody { shaper: shaper.clone(), announced_bytes, transmit_permit, delayed: None })
     }
 
     /// The next chunk, once it may be sent.
@@ -410,9 +410,9 @@
                 Some(Ok(chunk)) => chunk,
                 end => return Poll::Ready(end),
             };
-            let (now, chunk_bytes) = (self.lane.clock.now(), chunk.len() as u64);
+            let (now, chunk_bytes) = (self.shaper.clock.now(), chunk.len() as u64);
             let send_at = {
-                let mut pacer = self.lane.pacer();
+                let mut pacer = self.shaper.pacer();
                 pacer.done(chunk_bytes.min(self.announced_bytes));
                 self.announced_bytes = self.announced_bytes.saturating_sub(chunk_bytes);
                 pacer.reserve(now, chunk.len())
@@ -420,7 +420,7 @@
             if send_at <= now + MS {
                 return Poll::Ready(Some(Ok(chunk)));
             }
-            self.delayed = Some((chunk, Box::pin(sleep_until(self.lane.clock.instant(send_at)))));
+            self.delayed = Some((chunk, Box::pin(sleep_until(self.shaper.clock.instant(send_at)))));
         }
         if let Some((_, sleep)) = &mut self.delayed {
             ready!(sleep.as_mut().poll(cx));
@@ -431,7 +431,7 @@
 
 impl Drop for PacedBody {
     fn drop(&mut self) {
-        self.lane.pacer().done(self.announced_bytes);
+        self.shaper.pacer().done(self.announced_bytes);
     }
 }
 
@@ -445,10 +445,10 @@
     }
 
     /// Limits the body to the shared rate of large responses; a buffered one up to [`CHUNK_BYTES`] is sent at once.
-    pub fn with_pacing(self, lane: &Arc<LargeResponseLane>) -> ResponseBody {
+    pub fn with_pacing(self, shaper: &Arc<LargeResponseShaper>) -> ResponseBody {
         match self {
             ResponseBody::Streaming { chunks, guard, .. } => {
-                let pacing = Some(PacedBody::new(lane, chunks.length));
+                let pacing = Some(PacedBody::new(shaper, chunks.length));
                 ResponseBody::Streaming { chunks, guard, pacing }
             }
             ResponseBody::Buffered(body) if body.size_hint().lower() > CHUNK_BYTES as u64 => {
@@ -460,7 +460,7 @@
                     let _ = sender.try_send(Some(chunk));
                 }
                 let _ = sender.try_send(None);
-                let pacing = Some(PacedBody::new(lane, length));
+                let pacing = Some(PacedBody::new(shaper, length));
                 ResponseBody::Streaming { chunks, guard: None, pacing }
             }
             buffered => buffered,
--- a/balancer/src/mesh/proxy/inbound.rs
+++ b/balancer/src/mesh/proxy/inbound.rs
@@ -42,7 +42,7 @@
 use crate::clock::Clock;
 use crate::link::held;
 use crate::mesh::proxy::connection_limit::ConnectionLimit;
-use crate::mesh::proxy::connection_pool::{ConnectionPool, ExchangeError, LargeResponseLane, ResponseBody};
+use crate::mesh::proxy::connection_pool::{ConnectionPool, ExchangeError, LargeResponseShaper, ResponseBody};
 use crate::mesh::proxy::fencing::{FencingTable, FencingToken};
 use crate::mesh::proxy::headers::{
     ATTEMPT_OUTCOME, CALLER_SERVICE, EXECUTION_STAMP, FENCING_TOKEN, NOT_RUN, REQUEST_ID, REQUEST_TERMS,
@@ -211,7 +211,7 @@
     /// Members' shares of the concurrency limit, from the configuration in force on this node.
     shares: ArcSwap<RetryShares>,
     /// Paces large responses to other nodes.
-    large_responses: Arc<LargeResponseLane>,
+    large_response_shaper: Arc<LargeResponseShaper>,
     /// Moving average of the size of large responses, in bytes; 0 before the first.
     mean_large_bytes: Mutex<f64>,
     /// Requests for large responses to other nodes that are queued or running and have no response yet.
@@ -354,7 +354,7 @@
             admission: Mutex::default(),
             health: Mutex::default(),
             shares: ArcSwap::default(),
-            large_responses: LargeResponseLane::new(settings.link_mbps, clock),
+            large_response_shaper: LargeResponseShaper::new(settings.link_mbps, clock),
             mean_large_bytes: Mutex::new(0.0),
             pending_large: AtomicUsize::new(0),
             read_ahead: Arc::new(Semaphore::new(settings.read_ahead_bytes)),
@@ -531,10 +531,10 @@
         let (call_name, subject) = call_and_subject(&uri);
         match (call_name.as_str(), subject) {
             ("offices.beat", Some(upstream_id)) => {
-                let bodies = Arc::new(Semaphore::new(1 << 16));
+                let body_memory = Arc::new(Semaphore::new(1 << 16));
                 let read = listener::read_message(
                     received,
-                    &bodies,
+                    &body_memory,
                     self.clock,
                     MAX_HEARTBEAT_BYTES,
                     Duration::from_secs(1),
@@ -546,7 +546,7 @@
                 };
                 match heartbeat {
                     Ok(()) => listener::json_response(200, "{}".into()),
-                    Err(why) => plain_response(400, why),
+                    Err(reason) => plain_response(400, reason),
                 }
             }
             ("offices.sign_off", Some(upstream_id)) => {
@@ -611,7 +611,7 @@
         // An incarnation that has started to drain never serves again, whatever its heartbeats say.
         let upstream_state = if draining_since.is_some() { UpstreamState::Draining } else { reported_state };
         let draining_since = draining_since.or((upstream_state == UpstreamState::Draining).then_some(now));
-        let unchanged = previous.as_ref().is_some_and(|previous| {
+        let is_unchanged = previous.as_ref().is_some_and(|previous| {
             previous.id == upstream_id
                 && previous.state == upstream_state
                 && previous.concurrency_limit == concurrency_limit
@@ -631,7 +631,7 @@
             draining_since,
             connections,
         };
-        if !unchanged {
+        if !is_unchanged {
             log::info!(
                 "upstream state: upstream={} service={} state={} concurrency_limit={} zone={}",
                 upstream.id,
@@ -646,7 +646,7 @@
         if previous.is_none_or(|previous| previous.id != upstream_id) {
             held(&self.health).reset();
         }
-        if !unchanged {
+        if !is_unchanged {
             let mut admission = held(&self.admission);
             admission.set_limit(concurrency_limit);
             let granted = self.admit_waiting(&mut admission, now);
@@ -936,7 +936,7 @@
 
     /// Limits a response to another node to the rate that the node's link allows for large responses.
     fn paced_response(&self, body: ResponseBody) -> ResponseBody {
-        let body = body.with_pacing(&self.large_responses);
+        let body = body.with_pacing(&self.large_response_shaper);
         if let ResponseBody::Buffered(body) = &body {
             self.record_outgoing_bytes(body.size_hint().lower());
         }
@@ -948,13 +948,13 @@
     fn large_response_delay(&self, now: Nanos) -> (Nanos, Nanos) {
         let mean = *held(&self.mean_large_bytes);
         let pending_bytes = self.pending_large.load(Relaxed) as f64 * mean;
-        let pacer = self.large_responses.pacer();
+        let pacer = self.large_response_shaper.pacer();
         (pacer.wait(now) + pacer.transfer_time(pending_bytes), pacer.transfer_time(mean))
     }
 
     /// Reports bytes that go to other nodes unpaced to the pacer.
     pub fn record_outgoing_bytes(&self, bytes: u64) {
-        self.large_responses.pacer().note(self.clock.now(), bytes as usize + ESTIMATED_HEADER_BYTES);
+        self.large_response_shaper.pacer().note(self.clock.now(), bytes as usize + ESTIMATED_HEADER_BYTES);
     }
 
     /// The error is the current owner's term, if the session has moved to a later owner.
@@ -987,7 +987,7 @@
     pub async fn handle_request(
         self: Arc<Self>,
         received: ReceivedRequest,
-        bodies: Arc<Semaphore>,
+        body_memory: Arc<Semaphore>,
     ) -> Response<ResponseBody> {
         let received_at = received.received_at;
         let headers = received.request.headers();
@@ -1002,7 +1002,8 @@
             RequestTerms::from_headers(headers, left_ms);
         let caller = headers.get(&CALLER_SERVICE).cloned().unwrap_or(HeaderValue::from_static(""));
         let read =
-            listener::read_message(received, &bodies, self.clock, u64::MAX, Duration::from_secs(10)).await;
+            listener::read_message(received, &body_memory, self.clock, u64::MAX, Duration::from_secs(10))
+                .await;
         let (mut message, _permit) = match read {
             Ok(read) => read,
             Err(RequestError(status, reason)) => {
--- a/balancer/src/mesh/proxy/outbound.rs
+++ b/balancer/src/mesh/proxy/outbound.rs
@@ -414,7 +414,7 @@
                         self.count(OutcomeCounts { rejected: 1, ..OutcomeCounts::default() });
                     }
                     let duration = self.node.clock.now() - started_at;
-                    let how = match outcome {
+                    let dispatch_outcome = match outcome {
                         UpstreamOutcome::Responded(head, body) if is_success(&head) => {
                             scheduled.attempt_ended(
                                 attempt_number,
@@ -466,7 +466,7 @@
                             DispatchOutcome::TimedOut
                         }
                     };
-                    scheduled.attempt_ended(attempt_number, how, duration, false, load);
+                    scheduled.attempt_ended(attempt_number, dispatch_outcome, duration, false, load);
                 }
                 Some(SchedulerAction::Cancel) => {}
                 Some(SchedulerAction::Reject { retry_after }) => {
--- a/balancer/src/mesh/proxy/request_scheduler.rs
+++ b/balancer/src/mesh/proxy/request_scheduler.rs
@@ -586,17 +586,17 @@
     pub fn attempt_ended(
         &mut self,
         attempt_number: usize,
-        how: DispatchOutcome,
+        outcome: DispatchOutcome,
         duration: Nanos,
         is_final: bool,
         load: Option<f64>,
     ) {
         let mut state = held(&self.scheduler.state);
-        self.attempts.ended(how);
+        self.attempts.ended(outcome);
         self.finished |= is_final;
         let now = self.scheduler.clock.now();
         self.scheduler.update_retry_allowance(&mut state, now);
-        let end = End { how, took: duration, closed: is_final, report: load.as_slice() };
+        let end = End { how: outcome, took: duration, closed: is_final, report: load.as_slice() };
         state.decision_module.ended(now, self.id, attempt_number, end);
         self.scheduler.dispatch_and_wake(&mut state);
     }
--- a/balancer/src/mesh/proxy/tests/request_scheduler_tests.rs
+++ b/balancer/src/mesh/proxy/tests/request_scheduler_tests.rs
@@ -75,7 +75,7 @@
     scheduler.schedule(request)
 }
 
-/// Receives the next action: the number and the upstream of an attempt, or `None` if the request is given up.
+/// Receives the next action: the attempt_number and the upstream of an attempt, or `None` if the request is given up.
 async fn next_attempt(scheduled: &mut ScheduledRequest) -> Option<(usize, String)> {
     match scheduled.actions.recv().await {
         Some(SchedulerAction::Send { attempt_number, upstream_id, .. }) => {
@@ -91,10 +91,10 @@
 }
 
 /// Runs a request with one attempt that ends so, and returns the upstream that it was sent to.
-async fn run_request(scheduler: &Arc<RequestScheduler>, how: DispatchOutcome) -> String {
+async fn run_request(scheduler: &Arc<RequestScheduler>, outcome: DispatchOutcome) -> String {
     let mut scheduled = schedule(scheduler, false);
-    let (number, upstream_id) = next_attempt(&mut scheduled).await.expect("sent");
-    scheduled.attempt_ended(number, how, MS, how == DispatchOutcome::Done, None);
+    let (attempt_number, upstream_id) = next_attempt(&mut scheduled).await.expect("sent");
+    scheduled.attempt_ended(attempt_number, outcome, MS, outcome == DispatchOutcome::Done, None);
     upstream_id
 }
 
@@ -154,9 +154,9 @@
     for _ in 0..20 {
         let mut scheduled = schedule(&scheduler, false);
         let mut targets = BTreeSet::new();
-        while let Some((number, upstream_id)) = next_attempt(&mut scheduled).await {
+        while let Some((attempt_number, upstream_id)) = next_attempt(&mut scheduled).await {
             assert!(targets.insert(upstream_id), "twice to the same upstream");
-            scheduled.attempt_ended(number, DispatchOutcome::Rejected, MS, false, None);
+            scheduled.attempt_ended(attempt_number, DispatchOutcome::Rejected, MS, false, None);
         }
         assert!(targets.len() >= 2, "{targets:?}");
     }
@@ -186,11 +186,11 @@
     let mut norte = with_pool(scheduler(None, member_settings(2)));
     let fail_request = async |scheduler: &Arc<RequestScheduler>| {
         let mut scheduled = schedule(scheduler, false);
-        let (number, _) = next_attempt(&mut scheduled).await.expect("sent");
-        scheduled.attempt_ended(number, DispatchOutcome::Reset, MS, false, None);
+        let (attempt_number, _) = next_attempt(&mut scheduled).await.expect("sent");
+        scheduled.attempt_ended(attempt_number, DispatchOutcome::Reset, MS, false, None);
         let retry = next_attempt(&mut scheduled).await;
-        if let Some((number, _)) = retry {
-            scheduled.attempt_ended(number, DispatchOutcome::Reset, MS, true, None);
+        if let Some((attempt_number, _)) = retry {
+            scheduled.attempt_ended(attempt_number, DispatchOutcome::Reset, MS, true, None);
         }
         retry.is_some()
     };
@@ -221,8 +221,8 @@
     let records = [1, 2].map(|host| record(host, "a", UpstreamState::Serving));
     let fail_request = async |scheduler: &Arc<RequestScheduler>| {
         let mut scheduled = schedule(scheduler, false);
-        let (number, _) = next_attempt(&mut scheduled).await.expect("sent");
-        scheduled.attempt_ended(number, DispatchOutcome::Reset, MS, false, None);
+        let (attempt_number, _) = next_attempt(&mut scheduled).await.expect("sent");
+        scheduled.attempt_ended(attempt_number, DispatchOutcome::Reset, MS, false, None);
         next_attempt(&mut scheduled).await.is_some()
     };
     // A proxy that has sent little may make one retry in a window.
@@ -235,16 +235,16 @@
     let with_nested_call = scheduler(None, service_settings(1, false));
     update_endpoints(&with_nested_call, &records, &[]);
     let mut nested_call = schedule(&with_nested_call, true);
-    let (number, _) = next_attempt(&mut nested_call).await.expect("sent");
-    nested_call.attempt_ended(number, DispatchOutcome::Done, MS, true, None);
+    let (attempt_number, _) = next_attempt(&mut nested_call).await.expect("sent");
+    nested_call.attempt_ended(attempt_number, DispatchOutcome::Done, MS, true, None);
     assert!(!fail_request(&with_nested_call).await);
     assert_eq!(with_nested_call.attempt_counts(), AttemptCounts { first: 2, retried: 1, denied: 1 });
     // If the service calls others itself, its errors aren't retried, even within the budget.
     let calling_service = scheduler(Some(with_nested_call), service_settings(1, true));
     update_endpoints(&calling_service, &records, &[]);
     let mut scheduled = schedule(&calling_service, false);
-    let (number, _) = next_attempt(&mut scheduled).await.expect("sent");
-    scheduled.attempt_ended(number, DispatchOutcome::Error, MS, false, None);
+    let (attempt_number, _) = next_attempt(&mut scheduled).await.expect("sent");
+    scheduled.attempt_ended(attempt_number, DispatchOutcome::Error, MS, false, None);
     assert_eq!(next_attempt(&mut scheduled).await, None);
     // Attempts that were counted before the module was replaced are still reported.
     assert_eq!(calling_service.attempt_counts(), AttemptCounts { first: 3, retried: 1, denied: 1 });
