--- a/balancer/src/mesh/proxy/control_plane_watch.rs
+++ b/balancer/src/mesh/proxy/control_plane_watch.rs
@@ -24,6 +24,8 @@
 
 /// Delay before the next watch after one has failed or if no replica is known.
 const RETRY_INTERVAL: Duration = Duration::from_nanos(watch_client::RETRY_INTERVAL);
+/// Timeout of a watch request, which the replica may hold open for [`watch_client::MAX_WAIT`].
+const WATCH_TIMEOUT: Duration = Duration::from_nanos(watch_client::MAX_WAIT + watch_client::RESPONSE_GRACE);
 /// Timeout of a fetch. After it, the next watch response announces the version again.
 const FETCH_TIMEOUT: Duration = Duration::from_millis(900);
 
@@ -54,7 +56,7 @@
         let client = node.rpc.to(replica);
         let record_changed = node.inbound.record_changes.notified();
         let response = tokio::select! {
-            response = client.call(InternalRequest::Watch(request), Duration::from_nanos(watch_client::MAX_WAIT + watch_client::RESPONSE_GRACE)) => response,
+            response = client.call(InternalRequest::Watch(request), WATCH_TIMEOUT) => response,
             () = record_changed => continue,
         };
         match response {
--- a/balancer/src/mesh/proxy/outbound.rs
+++ b/balancer/src/mesh/proxy/outbound.rs
@@ -527,7 +527,10 @@
                 action = scheduled.actions.recv() => match action {
                     // A missing response alone is no reason to cancel an attempt: the replicas must suspect the node as
                     // well, and the route must be repeatable.
-                    Some(SchedulerAction::Cancel) if self.route.repeat_policy.repeatable() && self.node.is_suspected(&endpoint.inbound_proxy) => {
+                    Some(SchedulerAction::Cancel)
+                        if self.route.repeat_policy.repeatable()
+                            && self.node.is_suspected(&endpoint.inbound_proxy) =>
+                    {
                         return None;
                     }
                     None => return None,
--- a/balancer/src/mesh/proxy/tests/request_scheduler_tests.rs
+++ b/balancer/src/mesh/proxy/tests/request_scheduler_tests.rs
@@ -75,7 +75,7 @@
     scheduler.schedule(request)
 }
 
-/// Receives the next action: the attempt_number and the upstream of an attempt, or `None` if the request is given up.
+/// Receives the next action: the number and the upstream of an attempt, or `None` if the request is given up.
 async fn next_attempt(scheduled: &mut ScheduledRequest) -> Option<(usize, String)> {
     match scheduled.actions.recv().await {
         Some(SchedulerAction::Send { attempt_number, upstream_id, .. }) => {
