--- a/balancer/src/mesh/proxy/listener.rs
+++ b/balancer/src/mesh/proxy/listener.rs
@@ -30,12 +30,12 @@
 use tokio::task::JoinSet;
 use tokio::time::{sleep, timeout};
 
-use crate::body::{Long, Message};
+use crate::body::{BodyRemainder, RequestMessage};
 use crate::clock::Clock;
-use crate::figures::Coming;
-use crate::link::{MOST_HEAD, Meter, Wire, drop_hop_fields};
+use crate::connection::{MAX_HEAD_BYTES, MeteredStream, SocketMeter, remove_hop_by_hop_headers};
 use crate::mesh::proxy::connection_pool::{Permit, ResponseBody};
-use crate::start::{MOST_BODY, PER_LONG};
+use crate::metrics::InFlightState;
+use crate::start_facts::{MAX_BUFFERED_BODY_BYTES, STREAMED_BODY_BUFFER_BYTES};
 
 /// Delay before the next accept after one has failed, for instance because no file descriptor is left.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(50);
@@ -55,7 +55,7 @@
 pub struct ReceivedRequest {
     pub request: Request<Incoming>,
     /// Byte counts of the connection.
-    pub meter: Arc<Meter>,
+    pub meter: Arc<SocketMeter>,
     /// When its first byte arrived.
     pub received_at: Nanos,
 }
@@ -136,12 +136,12 @@
     F: Fn(ReceivedRequest) -> A + Clone + Send + Sync + 'static,
     A: Future<Output = Response<ResponseBody>> + Send + 'static,
 {
-    let (wire, meter) = Wire::new(Arc::new(stream), clock, None);
+    let (wire, meter) = MeteredStream::new(Arc::new(stream), clock, None);
     let current_state = state.clone();
     let in_flight = Arc::new(AtomicUsize::new(0));
     let requests_in_flight = in_flight.clone();
     let service = service_fn(move |request: Request<Incoming>| {
-        let received_at = meter.take_first().unwrap_or_else(|| clock.now());
+        let received_at = meter.take_first_read_at().unwrap_or_else(|| clock.now());
         let meter = meter.clone();
         let (handler, current_state, in_flight) = (handler.clone(), current_state.clone(), in_flight.clone());
         async move {
@@ -149,8 +149,8 @@
             let response = handler(ReceivedRequest { request, meter: meter.clone(), received_at }).await;
             // A long response counts as in flight until its last byte.
             let mut response = response.map(|body| body.with_guard(guard));
-            meter.take_first();
-            meter.next_message();
+            meter.take_first_read_at();
+            meter.start_next_message();
             if *current_state.borrow() >= ListenerState::Draining {
                 response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
             }
@@ -158,7 +158,7 @@
         }
     });
     let mut builder = http1::Builder::new();
-    builder.timer(TokioTimer::new()).header_read_timeout(limits.header_timeout).max_buf_size(MOST_HEAD);
+    builder.timer(TokioTimer::new()).header_read_timeout(limits.header_timeout).max_buf_size(MAX_HEAD_BYTES);
     let mut connection = pin!(builder.serve_connection(wire, service));
     tokio::select! {
         _ = connection.as_mut() => return,
@@ -173,7 +173,7 @@
 }
 
 /// Reads a request and returns it in the form in which it may be forwarded, without hop-by-hop headers, with the permit for the
-/// memory of its body. A body up to [`MOST_BODY`] is read completely, within `body_timeout`; of a longer one only the first
+/// memory of its body. A body up to [`MAX_BUFFERED_BODY_BYTES`] is read completely, within `body_timeout`; of a longer one only the first
 /// part. Errors: 400 if the request is malformed, 408 if its body is too slow, 413 above `max_bytes`, 503 while the process
 /// ends.
 pub async fn read_message(
@@ -182,10 +182,10 @@
     clock: Clock,
     max_bytes: u64,
     body_timeout: Duration,
-) -> Result<(Message, Permit), RequestError> {
+) -> Result<(RequestMessage, Permit), RequestError> {
     let ReceivedRequest { request, meter, .. } = received;
     let (mut head, mut body) = request.into_parts();
-    if head.headers.contains_key(TRANSFER_ENCODING) && meter.length_named() {
+    if head.headers.contains_key(TRANSFER_ENCODING) && meter.has_content_length() {
         // Two ways of framing could hide a second request from one of the servers on the path (request smuggling).
         return Err(RequestError(400, "both a length and a transfer encoding"));
     }
@@ -193,8 +193,9 @@
         return Err(RequestError(413, "body too large"));
     }
     let declared_length = body.size_hint().exact();
-    let reserved_bytes =
-        declared_length.filter(|length| *length <= MOST_BODY as u64).map_or(PER_LONG, |length| length as u32);
+    let reserved_bytes = declared_length
+        .filter(|length| *length <= MAX_BUFFERED_BODY_BYTES as u64)
+        .map_or(STREAMED_BODY_BUFFER_BYTES, |length| length as u32);
     let permit = body_memory
         .clone()
         .acquire_many_owned(reserved_bytes)
@@ -204,10 +205,10 @@
         Ok(read) => read?,
         Err(_) => return Err(RequestError(408, "body too slow")),
     };
-    let long = (!is_complete).then(|| Long::new(body, clock, Coming::apart()));
+    let long = (!is_complete).then(|| BodyRemainder::new(body, clock, InFlightState::untracked()));
     let length = if is_complete { Some(first.len() as u64) } else { declared_length };
     let has_length = head.headers.contains_key(CONTENT_LENGTH) || !first.is_empty();
-    drop_hop_fields(&mut head.headers);
+    remove_hop_by_hop_headers(&mut head.headers);
     head.headers.remove(EXPECT);
     head.headers.remove(CONTENT_LENGTH);
     if let Some(length) = length.filter(|_| has_length) {
@@ -224,13 +225,13 @@
         head.headers.insert(HOST, host);
     }
     *forwarded.headers_mut() = head.headers;
-    Ok((Message { head: forwarded, first, length, long }, permit))
+    Ok((RequestMessage { head: forwarded, first_bytes: first, body_length: length, remainder: long }, permit))
 }
 
 /// Reads a message's complete body, up to `max_bytes`.
-pub async fn read_body(message: Message, max_bytes: u64) -> Result<Vec<u8>, RequestError> {
+pub async fn read_body(message: RequestMessage, max_bytes: u64) -> Result<Vec<u8>, RequestError> {
     let message = Arc::new(message);
-    let load = message.load().ok_or(RequestError(400, "body cut short"))?;
+    let load = message.take_body().ok_or(RequestError(400, "body cut short"))?;
     let body = http_body_util::Limited::new(load, max_bytes.min(usize::MAX as u64) as usize).collect().await;
     Ok(body.map_err(|_| RequestError(400, "body cut short, or too large"))?.to_bytes().to_vec())
 }
@@ -241,7 +242,7 @@
         return Ok((bytes::Bytes::new(), true));
     }
     let mut bytes = BytesMut::new();
-    while bytes.len() <= MOST_BODY {
+    while bytes.len() <= MAX_BUFFERED_BODY_BYTES {
         let Some(frame) = body.frame().await else { return Ok((bytes.freeze(), true)) };
         if let Ok(data) = frame.map_err(|_| RequestError(400, "body cut short"))?.into_data() {
             bytes.extend_from_slice(&data);
--- a/balancer/src/mesh/proxy/tests/outbound_tests.rs
+++ b/balancer/src/mesh/proxy/tests/outbound_tests.rs
@@ -19,7 +19,7 @@
 use tokio::sync::watch;
 
 use crate::clock::Clock;
-use crate::link::held;
+use crate::connection::lock;
 use crate::mesh::proxy::listener::{self, ListenerLimits, ListenerState, ReceivedRequest};
 use crate::mesh::proxy::node::{AppliedConfiguration, Node, RequestGuard};
 use crate::mesh::proxy::outbound;
@@ -218,7 +218,7 @@
         let (replica_listener, replica) = listen().await;
         let replica_environment = environment.clone();
         tokio::spawn(rpc::answer(replica_listener, move |request| {
-            let response = replica_response(&mut held(&replica_environment), request);
+            let response = replica_response(&mut lock(&replica_environment), request);
             async move { response.map(InternalResponse::Core) }
         }));
         node.set_replicas(vec![replica]);
@@ -271,11 +271,11 @@
     }
 
     fn received(&self) -> Vec<(&'static str, Message)> {
-        held(&self.environment).received.clone()
+        lock(&self.environment).received.clone()
     }
 
     async fn wait_until(&self, condition: impl Fn(&Environment) -> bool) {
-        while !condition(&held(&self.environment)) {
+        while !condition(&lock(&self.environment)) {
             tokio::task::yield_now().await;
         }
     }
@@ -318,12 +318,12 @@
 ) {
     loop {
         let Some(message) = read_message(&mut stream).await else {
-            held(&environment).incomplete_requests += 1;
+            lock(&environment).incomplete_requests += 1;
             return;
         };
         let request_id = message.header("ochreshed-consignment-id").unwrap_or_default().to_owned();
         let behavior = {
-            let mut environment = held(&environment);
+            let mut environment = lock(&environment);
             let fails = environment
                 .failing_path
                 .is_some_and(|path| message.head.starts_with(&format!("POST {path}")));
@@ -337,7 +337,7 @@
             tokio::select! {
                 _ = released.wait_for(|released| *released) => {}
                 _ = stream.read(&mut byte) => {
-                    held(&environment).aborted_requests += 1;
+                    lock(&environment).aborted_requests += 1;
                     return;
                 }
             }
@@ -498,7 +498,7 @@
         let proxy = TestProxy::new(script, std::slice::from_ref(&lease_response)).await;
         let response = proxy.call("/keyed/", "Ochreshed-Tracking-Key: k-1\r\n").await;
         proxy.wait_until(|environment| environment.completed_leases.len() == 1).await;
-        let completion = match &held(&proxy.environment).completed_leases[0] {
+        let completion = match &lock(&proxy.environment).completed_leases[0] {
             None => "released".into(),
             Some(LeaseOutcome::Completed(stored)) => {
                 let stamp = stored.headers.iter().find(|(name, _)| name == "ochreshed-postmark");
@@ -542,7 +542,7 @@
     // Other routes ignore keys.
     let proxy = TestProxy::new(&[], &[]).await;
     assert_eq!(proxy.call("/once/", "Ochreshed-Tracking-Key: k-1\r\n").await.status(), "200");
-    assert_eq!(held(&proxy.environment).lease_requests, 0);
+    assert_eq!(lock(&proxy.environment).lease_requests, 0);
 }
 
 /// Guards against requests that wait until their deadline because the control plane accepts connections and doesn't respond:
@@ -651,7 +651,7 @@
     drop(proxy.send(truncated.as_bytes()).await);
     let chunked = request_text("/again/", "Transfer-Encoding: chunked\r\n") + "5\r\nhello\r\n";
     drop(proxy.send(chunked.as_bytes()).await);
-    let before = held(&proxy.environment).incomplete_requests;
+    let before = lock(&proxy.environment).incomplete_requests;
     drop(proxy.send(&bytes[..200_000]).await);
     proxy.wait_until(|environment| environment.incomplete_requests > before).await;
     assert_eq!(proxy.call("/again/", "").await.status(), "200");
@@ -698,7 +698,7 @@
     assert_eq!(proxy.call("/again/", "").await.status(), "200");
     proxy.release.send_replace(true);
     proxy.wait_until(|environment| !environment.completed_leases.is_empty()).await;
-    let environment = held(&proxy.environment);
+    let environment = lock(&proxy.environment);
     assert!(
         matches!(&environment.completed_leases[0], Some(LeaseOutcome::Completed(response)) if response.body == b"late"),
         "{:?}",
@@ -716,9 +716,9 @@
         Some(configuration_with_members(&[("norte", 0.2, 20_000), ("sul", 0.2, 20_000)])),
     )
     .await;
-    held(&proxy.environment).failing_path = Some("/norte/");
+    lock(&proxy.environment).failing_path = Some("/norte/");
     let call_successfully = async |path: &str, first_behavior: Option<Behavior>| {
-        held(&proxy.environment).script.extend(first_behavior);
+        lock(&proxy.environment).script.extend(first_behavior);
         assert_eq!(proxy.call(path, "").await.status(), "200", "{path}");
     };
     for _ in 0..60 {
