--- a/balancer/src/mesh/proxy/connection_pool.rs
+++ b/balancer/src/mesh/proxy/connection_pool.rs
@@ -70,7 +70,7 @@
 
 /// An open connection without a request.
 struct IdleConnection {
-    link: OutboundConnection,
+    connection: OutboundConnection,
     idle_since: Nanos,
     /// When the peer may close it.
     usable_until: Nanos,
@@ -133,19 +133,22 @@
     fn take_idle(&self) -> Option<(OutboundConnection, Nanos)> {
         let now = self.clock.now();
         loop {
-            let IdleConnection { mut link, idle_since, usable_until } = lock(&self.idle).pop()?;
+            let IdleConnection { mut connection, idle_since, usable_until } = lock(&self.idle).pop()?;
             let idle_time = now.saturating_sub(idle_since);
-            if now < usable_until && idle_time <= lock(&self.idle_limit).limit(now) && link.is_reusable() {
-                return Some((link, idle_time));
+            if now < usable_until
+                && idle_time <= lock(&self.idle_limit).limit(now)
+                && connection.is_reusable()
+            {
+                return Some((connection, idle_time));
             }
         }
     }
 
     /// Keeps a connection for the next request, up to [`MAX_IDLE_CONNECTIONS`].
-    fn return_idle(&self, link: OutboundConnection, usable_until: Nanos) {
+    fn return_idle(&self, connection: OutboundConnection, usable_until: Nanos) {
         let (mut idle, idle_since) = (lock(&self.idle), self.clock.now());
         if idle.len() < MAX_IDLE_CONNECTIONS && usable_until > idle_since {
-            idle.push(IdleConnection { link, idle_since, usable_until });
+            idle.push(IdleConnection { connection, idle_since, usable_until });
         }
     }
 
@@ -173,7 +176,7 @@
         match timeout(CONNECT_TIMEOUT, OutboundConnection::open(self.address, self.clock, Some(permit), None))
             .await
         {
-            Ok(Ok(link)) => Ok(link),
+            Ok(Ok(connection)) => Ok(connection),
             _ => Err(ExchangeError::ConnectFailed),
         }
     }
@@ -190,12 +193,12 @@
         is_match: impl Fn(&Parts) -> bool,
     ) -> Result<(Parts, ResponseBody), ExchangeError> {
         let deadline = self.clock.instant(deadline);
-        let (mut link, mut idle_time) = self.take_idle().unzip();
+        let (mut established, mut idle_time) = self.take_idle().unzip();
         loop {
-            let connection = match &mut link {
+            let connection = match &mut established {
                 Some(connection) => connection,
                 None => match timeout_at(deadline, self.open()).await {
-                    Ok(opened) => link.insert(opened?),
+                    Ok(opened) => established.insert(opened?),
                     Err(_) => return Err(ExchangeError::NotSent),
                 },
             };
@@ -208,12 +211,12 @@
             let response = timeout_at(deadline, exchange_on(connection, request, message)).await;
             match response {
                 Ok(Ok((head, _))) if !is_match(&head) => return Err(ExchangeError::Reset),
-                Ok(Ok((head, body))) => return Ok(self.response_body(link, head, body, guard)),
+                Ok(Ok((head, body))) => return Ok(self.response_body(established, head, body, guard)),
                 // The idle connection was closed before a byte of this request was written, so a new one is opened.
                 Ok(Err(()))
                     if idle_time.is_some() && !connection.has_written() && message.can_send_body() =>
                 {
-                    (link, idle_time) = (None, None)
+                    (established, idle_time) = (None, None)
                 }
                 Ok(Err(())) => {
                     if connection.last_read_at() < sent_at {
@@ -234,34 +237,34 @@
     /// Prepares the response for the caller, and keeps the connection once the response has been read completely.
     fn response_body(
         self: &Arc<Self>,
-        link: Option<OutboundConnection>,
+        connection: Option<OutboundConnection>,
         mut head: Parts,
         body: ReceivedBody,
         guard: Option<ResponseGuard>,
     ) -> (Parts, ResponseBody) {
-        let usable_until = self.idle_until(&head);
+        let usable_until = self.connection_expiry(&head);
         remove_hop_by_hop_headers(&mut head.headers);
-        match (body, link) {
-            (ReceivedBody::Complete(bytes), link) => {
+        match (body, connection) {
+            (ReceivedBody::Complete(bytes), connection) => {
                 head.headers.remove(CONTENT_LENGTH);
-                if let (Some(mut link), Some(usable_until)) = (link, usable_until)
-                    && link.is_request_sent()
-                    && link.finish_exchange(head.version)
+                if let (Some(mut connection), Some(usable_until)) = (connection, usable_until)
+                    && connection.is_request_sent()
+                    && connection.finish_exchange(head.version)
                 {
-                    self.return_idle(link, usable_until);
+                    self.return_idle(connection, usable_until);
                 }
                 (head, ResponseBody::Buffered(Full::new(bytes)))
             }
-            (ReceivedBody::Partial(first, length, rest), link) => {
+            (ReceivedBody::Partial(first, length, rest), connection) => {
                 head.headers.remove(CONTENT_LENGTH);
                 let max_chunks = if self.read_ahead.is_some() { MAX_READ_AHEAD_CHUNKS } else { 1 };
                 let (sender, chunks) = ResponseStream::with_capacity(first.clone(), length, max_chunks);
-                if let Some(link) = link {
+                if let Some(connection) = connection {
                     let remaining = length.map(|length| length.saturating_sub(first.len() as u64));
                     let (pool, version) = (self.clone(), head.version);
                     tokio::spawn(async move {
                         let _guard = guard;
-                        pool.stream_body(link, version, (remaining, rest), sender, usable_until).await
+                        pool.stream_body(connection, version, (remaining, rest), sender, usable_until).await
                     });
                 }
                 (head, ResponseBody::Streaming { chunks, guard: None, pacing: None })
@@ -272,7 +275,7 @@
     /// Streams the rest of a long response to its reader. `None` if it was aborted; the connection is then closed.
     async fn stream_body(
         self: Arc<Self>,
-        mut link: OutboundConnection,
+        mut connection: OutboundConnection,
         version: hyper::Version,
         (length, mut rest): (Option<u64>, Incoming),
         sender: ChunkSender,
@@ -281,16 +284,16 @@
         let mut remaining = length.unwrap_or(u64::MAX);
         loop {
             let chunk = tokio::select! {
-                chunk = timeout(UPSTREAM_READ_TIMEOUT, link.next_chunk(&mut rest)) => chunk.ok()?.ok()?,
+                chunk = timeout(UPSTREAM_READ_TIMEOUT, connection.next_chunk(&mut rest)) => chunk.ok()?.ok()?,
                 // A reader that knows the length stops listening after the last byte, which doesn't abort the response.
                 () = sender.closed(), if remaining > 0 => return None,
             };
             let Some(chunk) = chunk else {
                 let _ = sender.send_timeout(None, CLIENT_WRITE_TIMEOUT).await;
-                if let Some(usable_until) =
-                    usable_until.filter(|_| link.is_request_sent() && link.finish_exchange(version))
+                if let Some(usable_until) = usable_until
+                    .filter(|_| connection.is_request_sent() && connection.finish_exchange(version))
                 {
-                    self.return_idle(link, usable_until);
+                    self.return_idle(connection, usable_until);
                 }
                 return Some(());
             };
@@ -304,7 +307,7 @@
     }
 
     /// When the connection expires, from the response's headers; `None` if it must be closed.
-    fn idle_until(&self, head: &Parts) -> Option<Nanos> {
+    fn connection_expiry(&self, head: &Parts) -> Option<Nanos> {
         let header = |name: &str| head.headers.get(name).and_then(|value| value.to_str().ok());
         if header(CONNECTION.as_str()).is_some_and(|value| value.to_ascii_lowercase().contains("close")) {
             return None;
@@ -341,12 +344,12 @@
 
 /// Sends a request on a connection and reads the response, or the first part of a long one.
 async fn exchange_on(
-    link: &mut OutboundConnection,
+    connection: &mut OutboundConnection,
     request: Request<crate::body::RequestBody>,
     message: &Arc<RequestMessage>,
 ) -> Result<(Parts, ReceivedBody), ()> {
-    let (head, body) = link.send_request(request, Some(message)).await.map_err(drop)?.into_parts();
-    let body = link.read_body(body).await.map_err(drop)?;
+    let (head, body) = connection.send_request(request, Some(message)).await.map_err(drop)?.into_parts();
+    let body = connection.read_body(body).await.map_err(drop)?;
     Ok((head, body))
 }
 
