--- a/balancer/tests/command_line_fixtures.rs
+++ b/balancer/tests/command_line_fixtures.rs
@@ -208,7 +208,7 @@
             output_text += &transcripts(&[&format!("{command} {rest}")], "lines");
         }
     }
-    let at = "--at 127.0.0.1:1";
+    let at_option = "--at 127.0.0.1:1";
     output_text += &transcripts(
         &[
             "attendant --settings",
@@ -271,10 +271,10 @@
         "session forget p --to 127.0.0.1:1",
         "budget x",
     ] {
-        output_text += &transcripts(&[&format!("{line} {at}")], "lines");
+        output_text += &transcripts(&[&format!("{line} {at_option}")], "lines");
         output_text += &transcripts(
             &[&format!(
-                "{} {at} {}",
+                "{} {at_option} {}",
                 line.split(' ').next().expect("a word"),
                 line.split_once(' ').map_or("", |(_, rest)| rest)
             )],
--- a/balancer/tests/fleet_gossip.rs
+++ b/balancer/tests/fleet_gossip.rs
@@ -112,15 +112,16 @@
     let unknown_peer = UdpSocket::bind("127.0.0.3:0").expect("a socket");
     unknown_peer.set_read_timeout(Some(Duration::from_millis(300))).expect("a time-out");
     for length in [0usize, 1, 15, 60, 1_200, 9_000] {
-        let bytes: Vec<u8> = (0..length).map(|at| (at * 31 % 251) as u8).collect();
+        let bytes: Vec<u8> = (0..length).map(|index| (index * 31 % 251) as u8).collect();
         for _ in 0..50 {
             unknown_peer.send_to(&bytes, a).expect("sent");
         }
     }
     // Stream connections that send nothing, send invalid data, or end early.
-    let silent: Vec<TcpStream> = (0..4).map(|_| TcpStream::connect(a).expect("a connection")).collect();
+    let silent_streams: Vec<TcpStream> =
+        (0..4).map(|_| TcpStream::connect(a).expect("a connection")).collect();
     sleep(Duration::from_millis(100));
-    drop(silent);
+    drop(silent_streams);
     for bytes in [&b"GET / HTTP/1.1\r\n\r\n"[..], &[0xff; 64], &[0; 4]] {
         let mut stream = TcpStream::connect(a).expect("a connection");
         stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a time-out");
--- a/balancer/tests/fleet_opt_in.rs
+++ b/balancer/tests/fleet_opt_in.rs
@@ -68,14 +68,18 @@
 #[test]
 fn without_a_fleet_file_no_additional_socket_or_thread_exists() {
     let address = UdpSocket::bind("127.0.0.3:0").and_then(|socket| socket.local_addr()).expect("a port");
-    let (off, allowed) = (
+    let (disabled, allowed) = (
         count_sockets_and_threads(start_program(&write_facts(false), None)),
         count_sockets_and_threads(start_program(&write_facts(true), None)),
     );
     let fleet_file = write_fleet_file(&address.to_string());
-    let on = count_sockets_and_threads(start_program(&write_facts(true), Some(&fleet_file)));
-    assert_eq!((off, allowed.0), ((1, off.1), 1), "allowing gossip alone must not enable it");
-    assert_eq!(on, (off.0 + 2, off.1), "gossip adds two sockets: one for datagrams, one for streams");
+    let enabled = count_sockets_and_threads(start_program(&write_facts(true), Some(&fleet_file)));
+    assert_eq!((disabled, allowed.0), ((1, disabled.1), 1), "allowing gossip alone must not enable it");
+    assert_eq!(
+        enabled,
+        (disabled.0 + 2, disabled.1),
+        "gossip adds two sockets: one for datagrams, one for streams"
+    );
 }
 
 #[test]
--- a/balancer/tests/operator_api.rs
+++ b/balancer/tests/operator_api.rs
@@ -128,39 +128,40 @@
 fn evacuation_closes_connections_after_their_responses_and_rejoin_ends_it() {
     let (endpoint, mut trace) = (bind_listener(), Trace::default());
     let balancer = start_with_operator_api("a@x", &endpoint);
-    let mut idle = balancer.send_message(HEALTH_REQUEST);
-    trace.add_first_line("health", &read_message(&mut idle));
-    let mut busy = balancer.send_message(&request("POST", "/pay", "2.9", "x"));
+    let mut idle_client = balancer.send_message(HEALTH_REQUEST);
+    trace.add_first_line("health", &read_message(&mut idle_client));
+    let mut busy_client = balancer.send_message(&request("POST", "/pay", "2.9", "x"));
     let mut endpoint_stream = accept_stream(&endpoint);
     read_message(&mut endpoint_stream);
-    let mut half =
+    let mut half_sent_client =
         balancer.send_message(&request("POST", "/read", "2.9", "x").replace("c0ffee", "half")[..40]);
     let evacuated = Instant::now();
     assert_eq!(balancer.call_operator("PUT /api/evacuate").0, "200 OK");
     trace.add_message("health", &read_message(&mut balancer.send_message(HEALTH_REQUEST)));
     // Requests on a new connection and on one that was in use are both answered, and then the connections are closed.
-    let mut kept = balancer.send_message(&request("GET", "/read", "2.9", "").replace("c0ffee", "kept"));
+    let mut new_client = balancer.send_message(&request("GET", "/read", "2.9", "").replace("c0ffee", "kept"));
     let mut other_stream = accept_stream(&endpoint);
     read_message(&mut other_stream);
     write_message(&mut other_stream, OK_RESPONSE);
-    trace.add_message("new request", &read_message(&mut kept));
-    trace.add_message("its connection", &read_message(&mut kept));
+    trace.add_message("new request", &read_message(&mut new_client));
+    trace.add_message("its connection", &read_message(&mut new_client));
     write_message(&mut endpoint_stream, OK_RESPONSE);
-    trace.add_message("request in flight", &read_message(&mut busy));
-    trace.add_message("its connection", &read_message(&mut busy));
-    trace.add_message("an idle connection", &read_message(&mut idle));
+    trace.add_message("request in flight", &read_message(&mut busy_client));
+    trace.add_message("its connection", &read_message(&mut busy_client));
+    trace.add_message("an idle connection", &read_message(&mut idle_client));
     assert!(evacuated.elapsed().as_millis() < 3_500, "idle connection open for over 3.5 s");
-    half.write_all(&request("POST", "/read", "2.9", "x").replace("c0ffee", "half").as_bytes()[40..])
+    half_sent_client
+        .write_all(&request("POST", "/read", "2.9", "x").replace("c0ffee", "half").as_bytes()[40..])
         .expect("sent");
     read_message(&mut endpoint_stream);
     write_message(&mut endpoint_stream, OK_RESPONSE);
-    trace.add_first_line("half-sent request", &read_message(&mut half));
-    trace.add_message("its connection", &read_message(&mut half));
+    trace.add_first_line("half-sent request", &read_message(&mut half_sent_client));
+    trace.add_message("its connection", &read_message(&mut half_sent_client));
     assert_eq!(balancer.call_operator("PUT /api/rejoin").0, "200 OK");
-    let mut back = balancer.send_message(HEALTH_REQUEST);
-    trace.add_message("health", &read_message(&mut back));
-    write_message(&mut back, HEALTH_REQUEST);
-    trace.add_message("the same connection", &read_message(&mut back));
+    let mut rejoined_client = balancer.send_message(HEALTH_REQUEST);
+    trace.add_message("health", &read_message(&mut rejoined_client));
+    write_message(&mut rejoined_client, HEALTH_REQUEST);
+    trace.add_message("the same connection", &read_message(&mut rejoined_client));
     trace.assert_matches(expect![[r#"
         health: HTTP/1.1 200 OK
         health: HTTP/1.1 503 Service Unavailable | connection: close | content-length: 12 | not serving
--- a/balancer/tests/overload.rs
+++ b/balancer/tests/overload.rs
@@ -23,7 +23,7 @@
         &endpoint,
     );
     let message = |id: &str| request("GET", "/read", "2.9", "").replace("c0ffee", id);
-    let slow = {
+    let slow_client = {
         let (mut stream, message) = (balancer.open_connection(), message("slow"));
         thread::spawn(move || {
             for piece in message.as_bytes().chunks(4) {
@@ -55,5 +55,5 @@
         // About a thousand connections a second, so that the slow client sends its head among them.
         thread::sleep(Duration::from_millis(1));
     }
-    assert!(slow.join().expect("slow client").starts_with("HTTP/1.1 200"), "slow client");
+    assert!(slow_client.join().expect("slow client").starts_with("HTTP/1.1 200"), "slow client");
 }
--- a/balancer/tests/sockets.rs
+++ b/balancer/tests/sockets.rs
@@ -168,15 +168,15 @@
         trace.add_first_line("client", &read_message(&mut client));
     }
     write_message(&mut client, &request("GET", "/read", "2.5", ""));
-    let mut kept = trace.accept_and_add("new", &endpoint);
-    write_message(&mut kept, OK_RESPONSE);
+    let mut kept_stream = trace.accept_and_add("new", &endpoint);
+    write_message(&mut kept_stream, OK_RESPONSE);
     trace.add_first_line("client", &read_message(&mut client));
     write_message(&mut client, &request("POST", "/pay", "2.5", "x"));
-    let mut new = trace.accept_and_add("new", &endpoint);
-    write_message(&mut new, OK_RESPONSE);
+    let mut new_stream = trace.accept_and_add("new", &endpoint);
+    write_message(&mut new_stream, OK_RESPONSE);
     trace.add_first_line("client", &read_message(&mut client));
     write_message(&mut client, &request("GET", "/read", "2.5", ""));
-    trace.add_first_line("kept", &read_message(&mut new));
+    trace.add_first_line("kept", &read_message(&mut new_stream));
     trace.assert_matches(expect![[r#"
         kept: POST /pay HTTP/1.1
         client: HTTP/1.1 502 Bad Gateway
@@ -249,44 +249,48 @@
 fn invalid_requests_do_not_affect_other_clients() {
     let (endpoint, mut trace) = (bind_listener(), Trace::default());
     let balancer = Balancer::start("a@x", &endpoint);
-    let (mut silent, started) = (balancer.open_connection(), Instant::now());
-    let mut slow = balancer.send_message("POST /pay HTTP/1.1\r\nHost:");
-    let good = request("POST", "/pay", "2.5", "x");
-    let mut slow_body = balancer.send_message(&good.replace("Length: 1", "Length: 9"));
-    let smuggled = request("POST", "/pay", "2.5", &format!("0\r\n\r\n{good}"));
-    for bad in [
+    let (mut silent_client, started) = (balancer.open_connection(), Instant::now());
+    let mut slow_head_client = balancer.send_message("POST /pay HTTP/1.1\r\nHost:");
+    let valid_request = request("POST", "/pay", "2.5", "x");
+    let mut slow_body_client = balancer.send_message(&valid_request.replace("Length: 1", "Length: 9"));
+    let smuggled_request = request("POST", "/pay", "2.5", &format!("0\r\n\r\n{valid_request}"));
+    for invalid_request in [
         "who are you\r\n\r\n".to_owned(),
-        good.replace("X-Call-Id", "X-Other"),
-        good.replace("2.5", "soon"),
-        good.replace("2.5", "-5"),
-        good.replace("2.5", "1e23"),
-        good.replace("/pay", "/pays").replace("Class: pay", "Class: pays"),
-        good.replace("Length: 1", "Length: ten"),
-        good.replace("Length: 1", "Length: 33554433"),
-        format!("{good}y"),
-        good.repeat(300),
+        valid_request.replace("X-Call-Id", "X-Other"),
+        valid_request.replace("2.5", "soon"),
+        valid_request.replace("2.5", "-5"),
+        valid_request.replace("2.5", "1e23"),
+        valid_request.replace("/pay", "/pays").replace("Class: pay", "Class: pays"),
+        valid_request.replace("Length: 1", "Length: ten"),
+        valid_request.replace("Length: 1", "Length: 33554433"),
+        format!("{valid_request}y"),
+        valid_request.repeat(300),
         HEALTH_REQUEST.repeat(2),
-        smuggled.replacen("Content-Length", "Transfer-Encoding: chunked\r\ncontent-length", 1),
+        smuggled_request.replacen("Content-Length", "Transfer-Encoding: chunked\r\ncontent-length", 1),
         format!("GET /{} HTTP/1.1\r\n\r\n", "x".repeat(60_000)),
     ] {
-        let response = read_message(&mut balancer.send_message(&bad));
+        let response = read_message(&mut balancer.send_message(&invalid_request));
         let line = response.split("\r\n\r\n").nth(1).unwrap_or_default().trim();
         trace.add_first_line("invalid", &format!("{}, {line}", response.lines().next().unwrap_or("nothing")));
     }
-    let mut client = balancer.send_message(&good);
+    let mut client = balancer.send_message(&valid_request);
     let mut endpoint_stream = trace.accept_and_add("endpoint", &endpoint);
-    trace.add_first_line("duplicate id", &read_message(&mut balancer.send_message(&good)));
+    trace.add_first_line("duplicate id", &read_message(&mut balancer.send_message(&valid_request)));
     write_message(&mut endpoint_stream, OK_RESPONSE);
     trace.add_first_line("client", &read_message(&mut client));
-    for (name, stream) in [("silent", &mut silent), ("slow head", &mut slow), ("slow body", &mut slow_body)] {
+    for (name, stream) in [
+        ("silent", &mut silent_client),
+        ("slow head", &mut slow_head_client),
+        ("slow body", &mut slow_body_client),
+    ] {
         trace.add_first_line(name, &read_message(stream));
     }
     assert!(started.elapsed() < Duration::from_secs(3), "incomplete requests were kept open");
     // The error response arrives complete although the request's body is never read.
-    let mut large = balancer.send_message(&good.replace("Length: 1", "Length: 60000000"));
-    large.write_all(&vec![b'x'; 3 << 20]).expect("sent");
-    trace.add_first_line("large", &read_message(&mut large));
-    trace.add_first_line("large, then", &read_message(&mut large));
+    let mut large_client = balancer.send_message(&valid_request.replace("Length: 1", "Length: 60000000"));
+    large_client.write_all(&vec![b'x'; 3 << 20]).expect("sent");
+    trace.add_first_line("large", &read_message(&mut large_client));
+    trace.add_first_line("large, then", &read_message(&mut large_client));
     trace.assert_matches(expect![[r#"
         invalid: HTTP/1.1 400 Bad Request,
         invalid: HTTP/1.1 400 Bad Request, no X-Call-Id
@@ -330,10 +334,10 @@
     write_message(&mut clients[3], HEALTH_REQUEST);
     trace.add_first_line("kept", &read_message(&mut clients[3]));
     drop(clients);
-    let unfinished = request("POST", "/pay", "2.5", "x").replace("Length: 1", "Length: 9");
-    let slow: Vec<TcpStream> = (0..4).map(|_| balancer.send_message(&unfinished)).collect();
+    let incomplete_request = request("POST", "/pay", "2.5", "x").replace("Length: 1", "Length: 9");
+    let slow_clients: Vec<TcpStream> = (0..4).map(|_| balancer.send_message(&incomplete_request)).collect();
     trace.add_first_line("client", &read_message(&mut balancer.send_message(HEALTH_REQUEST)));
-    drop(slow);
+    drop(slow_clients);
     trace.assert_matches(expect![[r#"
         client: HTTP/1.1 200 OK
         client: HTTP/1.1 200 OK
@@ -383,12 +387,12 @@
 fn it_keeps_serving_when_out_of_file_descriptors() {
     let (endpoint, mut trace) = (bind_listener(), Trace::default());
     let mut balancer = Balancer::start_with_limits(1024, 24, "a@x", &endpoint);
-    let mut first = balancer.send_message(HEALTH_REQUEST);
-    trace.add_first_line("first", &read_message(&mut first));
+    let mut first_client = balancer.send_message(HEALTH_REQUEST);
+    trace.add_first_line("first", &read_message(&mut first_client));
     let connections: Vec<TcpStream> = (0..30).map(|_| balancer.open_connection()).collect();
     balancer.wait_for_log_line("accept: ");
-    write_message(&mut first, HEALTH_REQUEST);
-    trace.add_first_line("first, out of descriptors", &read_message(&mut first));
+    write_message(&mut first_client, HEALTH_REQUEST);
+    trace.add_first_line("first, out of descriptors", &read_message(&mut first_client));
     drop(connections);
     trace.add_first_line("afterwards", &read_message(&mut balancer.send_message(HEALTH_REQUEST)));
     trace.assert_matches(expect![[r#"
@@ -400,22 +404,22 @@
 
 #[test]
 fn the_endpoint_list_is_watched_and_kept_when_discovery_fails() {
-    let (endpoint, other, mut trace) = (bind_listener(), bind_listener(), Trace::default());
+    let (endpoint, other_endpoint, mut trace) = (bind_listener(), bind_listener(), Trace::default());
     let balancer = Balancer::start("a@x", &endpoint);
-    let mut watch = accept_stream(&balancer.discovery);
-    trace.add_first_line("discovery", &read_message(&mut watch));
-    write_message(&mut watch, &discovery_response(43, &endpoint_entries("b@x", &other)));
+    let mut watch_stream = accept_stream(&balancer.discovery);
+    trace.add_first_line("discovery", &read_message(&mut watch_stream));
+    write_message(&mut watch_stream, &discovery_response(43, &endpoint_entries("b@x", &other_endpoint)));
     // The next watch arrives on the same connection once the new list has been applied.
-    trace.add_first_line("discovery", &read_message(&mut watch));
+    trace.add_first_line("discovery", &read_message(&mut watch_stream));
     let mut client = balancer.send_message(&request("GET", "/read", "2.5", ""));
-    let mut other_stream = trace.accept_and_add("newly listed endpoint", &other);
+    let mut other_stream = trace.accept_and_add("newly listed endpoint", &other_endpoint);
     write_message(&mut other_stream, OK_RESPONSE);
     trace.add_first_line("client", &read_message(&mut client));
-    for bad in [&discovery_response(44, "{}"), ""] {
-        write_message(&mut watch, bad);
-        drop(watch);
-        watch = accept_stream(&balancer.discovery);
-        trace.add_first_line("discovery", &read_message(&mut watch));
+    for invalid_response in [&discovery_response(44, "{}"), ""] {
+        write_message(&mut watch_stream, invalid_response);
+        drop(watch_stream);
+        watch_stream = accept_stream(&balancer.discovery);
+        trace.add_first_line("discovery", &read_message(&mut watch_stream));
     }
     write_message(&mut client, &request("GET", "/read", "2.5", ""));
     trace.add_first_line("same endpoint", &read_message(&mut other_stream));
@@ -432,11 +436,11 @@
 
 #[test]
 fn sighup_changes_the_discovery_address_and_nothing_else() {
-    let (endpoint, other, moved, mut trace) =
+    let (endpoint, other_endpoint, new_discovery, mut trace) =
         (bind_listener(), bind_listener(), bind_listener(), Trace::default());
     let mut balancer = Balancer::start("a@x", &endpoint);
-    let mut watch = accept_stream(&balancer.discovery);
-    trace.add_first_line("discovery", &read_message(&mut watch));
+    let mut watch_stream = accept_stream(&balancer.discovery);
+    trace.add_first_line("discovery", &read_message(&mut watch_stream));
     let mut client = balancer.send_message(&request("POST", "/pay", "2.5", "x"));
     let mut endpoint_stream = trace.accept_and_add("endpoint", &endpoint);
     let facts = std::fs::read_to_string(&balancer.facts_path).expect("its facts");
@@ -444,17 +448,20 @@
     balancer.send_signal("-HUP");
     balancer.wait_for_log_line("facts stay as they were");
     let address = |listener: &TcpListener| listener.local_addr().expect("an address").to_string();
-    std::fs::write(&balancer.facts_path, facts.replace(&address(&balancer.discovery), &address(&moved)))
-        .expect("a good file");
+    std::fs::write(
+        &balancer.facts_path,
+        facts.replace(&address(&balancer.discovery), &address(&new_discovery)),
+    )
+    .expect("a good file");
     balancer.send_signal("-HUP");
-    let mut new_watch = trace.accept_and_add("discovery, new address", &moved);
-    trace.add_first_line("discovery, old address", &read_message(&mut watch));
-    write_message(&mut new_watch, &discovery_response(47, &endpoint_entries("b@x", &other)));
-    trace.add_first_line("discovery, new address", &read_message(&mut new_watch));
+    let mut new_watch_stream = trace.accept_and_add("discovery, new address", &new_discovery);
+    trace.add_first_line("discovery, old address", &read_message(&mut watch_stream));
+    write_message(&mut new_watch_stream, &discovery_response(47, &endpoint_entries("b@x", &other_endpoint)));
+    trace.add_first_line("discovery, new address", &read_message(&mut new_watch_stream));
     write_message(&mut endpoint_stream, OK_RESPONSE);
     trace.add_first_line("client", &read_message(&mut client));
     write_message(&mut client, &request("POST", "/pay", "2.5", "x"));
-    drop(trace.accept_and_add("endpoint from moved list", &other));
+    drop(trace.accept_and_add("endpoint from moved list", &other_endpoint));
     trace.assert_matches(expect![[r#"
         discovery: GET /catalog/members?after=41&wait_ms=1000 HTTP/1.1
         endpoint: POST /pay HTTP/1.1
@@ -470,28 +477,28 @@
 fn on_sigterm_all_requests_are_answered_and_the_process_exits_cleanly() {
     let (endpoint, mut trace) = (bind_listener(), Trace::default());
     let mut balancer = Balancer::start("a@x b@x", &endpoint);
-    let mut kept = balancer.send_message(HEALTH_REQUEST);
-    trace.add_first_line("health", &read_message(&mut kept));
-    let mut idle = balancer.send_message(HEALTH_REQUEST);
-    trace.add_first_line("health", &read_message(&mut idle));
+    let mut kept_client = balancer.send_message(HEALTH_REQUEST);
+    trace.add_first_line("health", &read_message(&mut kept_client));
+    let mut idle_client = balancer.send_message(HEALTH_REQUEST);
+    trace.add_first_line("health", &read_message(&mut idle_client));
     let mut client = balancer.send_message(&request("POST", "/pay", "2.5", "x"));
     let mut endpoint_stream = trace.accept_and_add("endpoint", &endpoint);
     balancer.send_signal("-TERM");
     balancer.wait_for_log_line("Leaving");
-    let mut health = balancer.send_message(HEALTH_REQUEST);
-    trace.add_message("health", &read_message(&mut health));
-    write_message(&mut kept, &request("POST", "/pay", "2.5", "x").replace("c0ffee", "c0c0a"));
+    let mut health_client = balancer.send_message(HEALTH_REQUEST);
+    trace.add_message("health", &read_message(&mut health_client));
+    write_message(&mut kept_client, &request("POST", "/pay", "2.5", "x").replace("c0ffee", "c0c0a"));
     let mut other_stream = trace.accept_and_add("endpoint, kept connection", &endpoint);
     write_message(&mut other_stream, OK_RESPONSE);
-    trace.add_message("client", &read_message(&mut kept));
-    write_message(&mut kept, &request("POST", "/pay", "2.9", "x").replace("c0ffee", "c0c0a"));
-    let _silent = trace.accept_and_add("endpoint that never responds", &endpoint);
+    trace.add_message("client", &read_message(&mut kept_client));
+    write_message(&mut kept_client, &request("POST", "/pay", "2.9", "x").replace("c0ffee", "c0c0a"));
+    let _unanswered_stream = trace.accept_and_add("endpoint that never responds", &endpoint);
     balancer.wait_for_log_line("Closing");
-    trace.add_first_line("idle connection", &read_message(&mut idle));
+    trace.add_first_line("idle connection", &read_message(&mut idle_client));
     write_message(&mut endpoint_stream, OK_RESPONSE);
     trace.add_message("client", &read_message(&mut client));
     balancer.wait_for_log_line("Ending");
-    trace.add_message("client", &read_message(&mut kept));
+    trace.add_message("client", &read_message(&mut kept_client));
     let status = balancer.process.wait().expect("its exit");
     writeln!(trace.0, "{status}").expect("a String takes it");
     trace.assert_matches(expect![[r#"
--- a/balancer/tests/streaming_bodies.rs
+++ b/balancer/tests/streaming_bodies.rs
@@ -30,7 +30,7 @@
 }
 
 fn body_bytes(count: usize) -> Vec<u8> {
-    (0..count).map(|at| (at * 7 + at / 251) as u8).collect()
+    (0..count).map(|index| (index * 7 + index / 251) as u8).collect()
 }
 
 fn read_bytes(stream: &mut TcpStream, count: usize) -> Vec<u8> {
@@ -232,17 +232,17 @@
     spawn_responder(&endpoint, OK_RESPONSE);
     let balancer = Balancer::start("a@x", &endpoint);
     // The body takes 3 s in all, longer than the time-out for a request head.
-    let mut slow = balancer.send_message(
+    let mut slow_client = balancer.send_message(
         &request_head("/read", "Content-Length: 60000").replace("X-Budget: 2.5", "X-Budget: 9"),
     );
-    let mut silent =
+    let mut silent_client =
         balancer.send_message(&request_head("/read", "Content-Length: 60000").replace("c0ffee", "silent"));
     for piece in body_bytes(60_000).chunks(3_000) {
-        slow.write_all(piece).expect("sent");
+        slow_client.write_all(piece).expect("sent");
         thread::sleep(std::time::Duration::from_millis(150));
     }
-    trace.add_first_line("slow", &read_message(&mut slow));
-    trace.add_message("silent", &read_message(&mut silent));
+    trace.add_first_line("slow", &read_message(&mut slow_client));
+    trace.add_message("silent", &read_message(&mut silent_client));
     trace.assert_matches(expect![[r#"
         slow: HTTP/1.1 200 OK
         silent: HTTP/1.1 408 Request Timeout | connection: close | content-length: 14 | body too slow
--- a/balancer/tests/upgrade.rs
+++ b/balancer/tests/upgrade.rs
@@ -37,8 +37,8 @@
 /// listener, closed before their response, or never read. Clients with new and with kept connections send throughout.
 #[test]
 fn no_request_is_lost_while_a_process_hands_over_to_the_next() {
-    let mut old = start_serving();
-    let address = old.address;
+    let mut old_process = start_serving();
+    let address = old_process.address;
     let (is_stopped, sent, lost) =
         (Arc::new(AtomicBool::new(false)), Arc::new(AtomicUsize::new(0)), Arc::new(AtomicUsize::new(0)));
     let spawn_client = |number: usize, is_kept: bool| {
@@ -66,10 +66,10 @@
     }
     let mut sent_before = sent.load(Relaxed);
     for _ in 0..3 {
-        let new_process = old.start_second_process();
+        let new_process = old_process.start_second_process();
         assert_eq!(new_process.call_operator("GET /api/ready").0, "200 OK");
-        old.send_signal("-TERM");
-        let status = old.process.wait().expect("its exit");
+        old_process.send_signal("-TERM");
+        let status = old_process.process.wait().expect("its exit");
         assert!(status.success(), "{status}");
         // Only the new process serves the address now.
         let mut stream = new_process.open_connection();
@@ -79,7 +79,7 @@
             thread::yield_now();
         }
         sent_before = sent.load(Relaxed);
-        old = new_process;
+        old_process = new_process;
     }
     is_stopped.store(true, Relaxed);
     clients.into_iter().for_each(|client| client.join().expect("a client"));
@@ -90,18 +90,18 @@
 /// never move to the new process.
 #[test]
 fn a_process_that_hands_over_stays_healthy_and_closes_each_connection_after_its_response() {
-    let (mut old, mut trace) = (start_serving(), Trace::default());
-    let (mut kept, mut idle) = (old.open_connection(), old.open_connection());
-    trace.add_first_line("kept", &exchange(&mut kept, "one"));
-    trace.add_first_line("idle", &exchange(&mut idle, "two"));
-    let new_process = old.start_second_process();
-    old.send_signal("-TERM");
-    old.wait_for_log_line("another process has taken over");
-    old.wait_for_log_line("Leaving");
-    write_message(&mut kept, HEALTH_REQUEST);
-    trace.add_message("kept", &read_message(&mut kept));
-    trace.add_message("idle", &exchange(&mut idle, "three"));
-    assert!(old.process.wait().expect("its exit").success());
+    let (mut old_process, mut trace) = (start_serving(), Trace::default());
+    let (mut kept_client, mut idle_client) = (old_process.open_connection(), old_process.open_connection());
+    trace.add_first_line("kept", &exchange(&mut kept_client, "one"));
+    trace.add_first_line("idle", &exchange(&mut idle_client, "two"));
+    let new_process = old_process.start_second_process();
+    old_process.send_signal("-TERM");
+    old_process.wait_for_log_line("another process has taken over");
+    old_process.wait_for_log_line("Leaving");
+    write_message(&mut kept_client, HEALTH_REQUEST);
+    trace.add_message("kept", &read_message(&mut kept_client));
+    trace.add_message("idle", &exchange(&mut idle_client, "three"));
+    assert!(old_process.process.wait().expect("its exit").success());
     trace.add_first_line("new", &exchange(&mut new_process.open_connection(), "four"));
     trace.assert_matches(expect_test::expect![[r#"
         kept: HTTP/1.1 200 OK
@@ -116,23 +116,23 @@
 /// for a live process. The first process keeps serving, and stops like a single process.
 #[test]
 fn a_failed_upgrade_leaves_the_first_process_serving() {
-    let mut old = start_serving();
-    let mut new_process = old.start_second_process();
+    let mut old_process = start_serving();
+    let mut new_process = old_process.start_second_process();
     new_process.process.kill().expect("killed");
     new_process.process.wait().expect("its exit");
     for number in 0..20 {
-        let mut stream = old.open_connection();
+        let mut stream = old_process.open_connection();
         assert!(exchange(&mut stream, &format!("u{number}")).contains("200 OK"));
     }
-    old.send_signal("-TERM");
-    old.wait_for_log_line("Leaving");
+    old_process.send_signal("-TERM");
+    old_process.wait_for_log_line("Leaving");
     // A single process reports through its health check that it is leaving.
-    let mut health = old.send_message(HEALTH_REQUEST);
+    let mut health = old_process.send_message(HEALTH_REQUEST);
     assert!(read_message(&mut health).contains("503"));
     drop(health);
-    assert!(old.process.wait().expect("its exit").success());
+    assert!(old_process.process.wait().expect("its exit").success());
     assert_eq!(
-        std::fs::read_dir(&old.temp_dir).expect("its temporary directory").count(),
+        std::fs::read_dir(&old_process.temp_dir).expect("its temporary directory").count(),
         0,
         "files left behind"
     );
@@ -141,13 +141,13 @@
 /// Guards against a start that fails or blocks when the processes' shared temporary directory is missing.
 #[test]
 fn a_third_process_and_one_without_a_temporary_directory_start_and_serve() {
-    let first = start_serving();
-    let mut second = first.start_second_process();
-    let third = second.start_second_process();
-    assert!(exchange(&mut third.open_connection(), "three").contains("200 OK"));
-    second.send_signal("-TERM");
-    assert!(second.process.wait().expect("its exit").success());
-    std::fs::remove_dir_all(&first.temp_dir).expect("removed");
-    let fourth = third.start_second_process();
-    assert!(exchange(&mut fourth.open_connection(), "four").contains("200 OK"));
+    let first_process = start_serving();
+    let mut second_process = first_process.start_second_process();
+    let third_process = second_process.start_second_process();
+    assert!(exchange(&mut third_process.open_connection(), "three").contains("200 OK"));
+    second_process.send_signal("-TERM");
+    assert!(second_process.process.wait().expect("its exit").success());
+    std::fs::remove_dir_all(&first_process.temp_dir).expect("removed");
+    let fourth_process = third_process.start_second_process();
+    assert!(exchange(&mut fourth_process.open_connection(), "four").contains("200 OK"));
 }
