--- a/balancer/benches/federation.rs
+++ b/balancer/benches/federation.rs
@@ -30,7 +30,7 @@
     for seed in SEEDS {
         for has_changes in [false, true] {
             let duration = Duration::from_secs(duration_s);
-            let scenario = FederationDrill {
+            let scenario = FederationScenario {
                 seed,
                 duration,
                 clients_per_proxy: CLIENTS_PER_PROXY,
--- a/balancer/tests/members.rs
+++ b/balancer/tests/members.rs
@@ -191,7 +191,7 @@
 fn one_members_changes_and_faults_do_not_affect_anothers_operations() {
     let duration = Duration::from_secs(6);
     let scenario =
-        FederationDrill { seed: 7, duration, clients_per_proxy: 2, has_changes: true, has_faults: true };
+        FederationScenario { seed: 7, duration, clients_per_proxy: 2, has_changes: true, has_faults: true };
     let result = scenario.run();
     assert_eq!((result.lost, result.duplicated, result.mismatched), (0, 0, 0), "{result:?}");
     assert!(
--- a/balancer/tests/mesh/federation.rs
+++ b/balancer/tests/mesh/federation.rs
@@ -112,7 +112,7 @@
 
 /// Parameters of the scenario.
 #[derive(Clone, Copy)]
-pub struct FederationDrill {
+pub struct FederationScenario {
     pub seed: u64,
     pub duration: Duration,
     /// Clients of `sul` at each outbound proxy.
@@ -133,7 +133,7 @@
     duration: Duration,
 }
 
-impl FederationDrill {
+impl FederationScenario {
     pub fn run(self) -> DrillResult {
         let services = ["alpha", "alpha", "alpha", "omega"];
         let mut cluster = MeshCluster::start_with(STEWARD_COUNT, &services);
