--- a/balancer/tests/mesh/federation.rs
+++ b/balancer/tests/mesh/federation.rs
@@ -89,7 +89,7 @@
 
 /// Results of `sul`'s operations and of `norte`'s changes.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct DrillResult {
+pub struct FederationResult {
     pub operations: usize,
     pub on_time: usize,
     /// Operations that did not run, or that got no response from a run.
@@ -104,7 +104,7 @@
     pub rejected_changes: usize,
 }
 
-impl DrillResult {
+impl FederationResult {
     pub fn on_time_share(&self) -> f64 {
         self.on_time as f64 / self.operations.max(1) as f64
     }
@@ -134,7 +134,7 @@
 }
 
 impl FederationScenario {
-    pub fn run(self) -> DrillResult {
+    pub fn run(self) -> FederationResult {
         let services = ["alpha", "alpha", "alpha", "omega"];
         let mut cluster = MeshCluster::start_with(STEWARD_COUNT, &services);
         let limits =
@@ -154,7 +154,7 @@
         }
         let is_over = AtomicBool::new(false);
         let operations: Mutex<Vec<Operation>> = Mutex::default();
-        let mut result = DrillResult::default();
+        let mut result = FederationResult::default();
         let proxies = cluster.outbound_proxies();
         thread::scope(|scope| {
             let is_over = &is_over;
@@ -204,7 +204,11 @@
 }
 
 /// Adds the results of `sul`'s operations, compared with the upstreams' run log.
-fn evaluate(cluster: &MeshCluster, operations: Vec<Operation>, mut result: DrillResult) -> DrillResult {
+fn evaluate(
+    cluster: &MeshCluster,
+    operations: Vec<Operation>,
+    mut result: FederationResult,
+) -> FederationResult {
     let mut stamps_by_key: HashMap<String, Vec<String>> = HashMap::new();
     for run in cluster.run_log.runs_where(|run| run.request.start_line.contains("/sul/")) {
         stamps_by_key
--- a/balancer/tests/mixed_settings.rs
+++ b/balancer/tests/mixed_settings.rs
@@ -1,5 +1,5 @@
 //! Test of a rolling change of settings: instances with the old and with the new deployment settings route to the same
-//! endpoints. The test plays the endpoints, discovery and the clients.
+//! endpoints. The test acts as the endpoints, discovery and the clients.
 
 mod helper;
 
--- a/balancer/tests/overload.rs
+++ b/balancer/tests/overload.rs
@@ -1,4 +1,4 @@
-//! Tests with large numbers of connections that never complete a request, beside clients that do. The tests play the
+//! Tests with large numbers of connections that never complete a request, beside clients that do. The tests act as the
 //! endpoints, as in `sockets.rs`.
 
 mod helper;
--- a/balancer/tests/streaming_bodies.rs
+++ b/balancer/tests/streaming_bodies.rs
@@ -1,5 +1,5 @@
 //! Tests of long messages on loopback sockets: bodies are streamed, memory stays bounded, and a truncated body is never
-//! delivered as complete. The tests play the endpoints, as in `sockets.rs`.
+//! delivered as complete. The tests act as the endpoints, as in `sockets.rs`.
 
 mod helper;
 
@@ -231,7 +231,7 @@
     let (endpoint, mut trace) = (bind_listener(), Trace::default());
     spawn_responder(&endpoint, OK_RESPONSE);
     let balancer = Balancer::start("a@x", &endpoint);
-    // The body takes 3 s in all, longer than the time-out for a request head.
+    // The body takes 3 s, longer than the time-out for a request head, which is extended for the bytes received.
     let mut slow_client = balancer.send_message(
         &request_head("/read", "Content-Length: 60000").replace("X-Budget: 2.5", "X-Budget: 9"),
     );
--- a/balancer/tests/upgrade.rs
+++ b/balancer/tests/upgrade.rs
@@ -1,5 +1,5 @@
 //! Tests of upgrades: a second process of the same balancer is started while the first one serves, and the first one is
-//! asked to stop. The tests play the endpoints, as in `sockets.rs`.
+//! asked to stop. The tests act as the endpoints, as in `sockets.rs`.
 
 mod helper;
 
