--- a/balancer/benches/claims.rs
+++ b/balancer/benches/claims.rs
@@ -1,9 +1,10 @@
-//! Measures the cost of acquiring a lease on a key from three stewards, with clients that speak to them as outbound proxies do:
-//! latency, CPU time of the stewards and writes to their disks, for sequential and for concurrent leases; the cost of
-//! completing a lease with a response of 1,000 bytes; and the additional latency of a keyed request at a proxy.
+//! Measures the cost of acquiring a lease on a key from three stewards, with clients that speak to them as outbound
+//! proxies do: latency, CPU time of the stewards and writes to their disks, for sequential and for concurrent leases;
+//! the cost of completing a lease with a response of 1,000 bytes; and the additional latency of a keyed request at a
+//! proxy.
 //!
-//! Run it on an otherwise idle machine: `cargo bench -p ochreshed-balancer --bench claims [DIRECTORY]`. Data directories are
-//! created in `DIRECTORY`, or in memory without it.
+//! Run it on an otherwise idle machine: `cargo bench -p ochreshed-balancer --bench claims [DIRECTORY]`. Data
+//! directories are created in `DIRECTORY`, or in memory without it.
 #![allow(dead_code)]
 
 #[path = "../tests/helper/mod.rs"]
@@ -68,8 +69,8 @@
     response
 }
 
-/// Acquires leases with concurrent clients, each of which sends its requests one after the other. Returns the latencies in
-/// ms, and the client, key and token of each lease.
+/// Acquires leases with concurrent clients, each of which sends its requests one after the other. Returns the latencies
+/// in ms, and the client, key and token of each lease.
 fn acquire_leases(
     cluster: &MeshCluster,
     client_count: usize,
--- a/balancer/benches/federation.rs
+++ b/balancer/benches/federation.rs
@@ -1,6 +1,6 @@
 //! Measures two members on one platform, as processes on loopback: the effect of one member's changes on the other's
-//! operations, with three seeds, while stewards are killed in turn; and the time from the acknowledgement of a member's change
-//! until the last node applies it, with 12 and with 75 attendants.
+//! operations, with three seeds, while stewards are killed in turn; and the time from the acknowledgement of a member's
+//! change until the last node applies it, with 12 and with 75 attendants.
 //!
 //! Run it on an otherwise idle machine: `cargo bench -p ochreshed-balancer --bench federation [SECONDS] [BINARY]`.
 #![allow(dead_code)]
--- a/balancer/benches/hollow.rs
+++ b/balancer/benches/hollow.rs
@@ -1,10 +1,10 @@
 //! Measures how the cost of the control plane grows with the mesh: four stewards as processes, and simulated attendants
-//! (`ochreshed hollow`) of which each process runs many, at each of the given sizes. It measures the CPU time and memory of a
-//! steward and of a simulated attendant, bytes on the loopback interface, and the time until all attendants have the first
-//! configuration and until the last one has a change; when idle, with changing records, and with leases.
+//! (`ochreshed hollow`) of which each process runs many, at each of the given sizes. It measures the CPU time and
+//! memory of a steward and of a simulated attendant, bytes on the loopback interface, and the time until all attendants
+//! have the first configuration and until the last one has a change; when idle, with changing records, and with leases.
 //!
-//! Run it on an otherwise idle machine: `cargo bench -p ochreshed-balancer --bench hollow [SIZE ...]`. Bytes include packet
-//! headers and are divided by the number of attendants. All processes share the cores of this machine.
+//! Run it on an otherwise idle machine: `cargo bench -p ochreshed-balancer --bench hollow [SIZE ...]`. Bytes include
+//! packet headers and are divided by the number of attendants. All processes share the cores of this machine.
 #![allow(dead_code)]
 
 #[path = "../tests/helper/mod.rs"]
--- a/balancer/benches/mesh.rs
+++ b/balancer/benches/mesh.rs
@@ -1,11 +1,12 @@
-//! Measures the cost of a request in a mesh on loopback sockets: CPU time and bytes at the outbound proxy, at the inbound proxy
-//! of the upstream that runs it and at the stewards, by kind of request; the CPU time of each role when idle; and memory. A
-//! second mesh of 75 attendants and 4 stewards measures memory, and the time from the acknowledgement of a configuration of
-//! 1,000 routes until the last attendant applies it. Stub upstreams respond at once.
+//! Measures the cost of a request in a mesh on loopback sockets: CPU time and bytes at the outbound proxy, at the
+//! inbound proxy of the upstream that runs it and at the stewards, by kind of request; the CPU time of each role when
+//! idle; and memory. A second mesh of 75 attendants and 4 stewards measures memory, and the time from the
+//! acknowledgement of a configuration of 1,000 routes until the last attendant applies it. Stub upstreams respond at
+//! once.
 //!
-//! Run it on an otherwise idle machine: `cargo bench -p ochreshed-balancer --bench mesh [BINARY]`. With `BINARY`, another
-//! build is measured instead of this one. Bytes are counted in both directions by `ss`, without packet headers, and are 0 if
-//! that program is missing.
+//! Run it on an otherwise idle machine: `cargo bench -p ochreshed-balancer --bench mesh [BINARY]`. With `BINARY`,
+//! another build is measured instead of this one. Bytes are counted in both directions by `ss`, without packet headers,
+//! and are 0 if that program is missing.
 #![allow(dead_code)]
 
 #[path = "../tests/helper/mod.rs"]
@@ -67,15 +68,16 @@
     bytes.filter_map(|(_, count)| count.parse::<u64>().ok()).sum()
 }
 
-/// Bytes between the clients and the outbound proxy, between the proxies, and between the inbound proxy and its upstream.
+/// Bytes between the clients and the outbound proxy, between the proxies, and between the inbound proxy and its
+/// upstream.
 fn transferred_bytes_by_hop(cluster: &MeshCluster) -> [u64; 3] {
     let ([outbound, ..], [_, inbound, upstream]) =
         (cluster.attendant_addresses(0), cluster.attendant_addresses(3));
     [outbound, inbound, upstream].map(transferred_bytes)
 }
 
-/// Sends requests of one kind to the first outbound proxy: first the warm-up, then `on_start` is called, then the measured
-/// ones. Returns the bytes by hop, read while the connections are still open.
+/// Sends requests of one kind to the first outbound proxy: first the warm-up, then `on_start` is called, then the
+/// measured ones. Returns the bytes by hop, read while the connections are still open.
 fn send_requests(cluster: &MeshCluster, kind: &str, count: usize, on_start: impl FnOnce()) -> [u64; 3] {
     let (proxy, warm_up_barrier, end_barrier) =
         (cluster.outbound_proxy(0), Barrier::new(CLIENT_COUNT + 1), Barrier::new(CLIENT_COUNT + 1));
--- a/balancer/benches/sockets.rs
+++ b/balancer/benches/sockets.rs
@@ -1,5 +1,5 @@
-//! Measures a balancer on loopback sockets by the length of its list of endpoints: requests per second from 64 clients, the
-//! share of requests that opened a new connection to an endpoint, and memory. Stub endpoints respond at once.
+//! Measures a balancer on loopback sockets by the length of its list of endpoints: requests per second from 64 clients,
+//! the share of requests that opened a new connection to an endpoint, and memory. Stub endpoints respond at once.
 //!
 //! Run it on an otherwise idle machine: `cargo bench -p ochreshed-balancer --bench sockets [BINARY] [ENDPOINTS]`. With
 //! `BINARY`, another build is measured instead of this one; with `ENDPOINTS`, only lists of that length are measured.
--- a/balancer/tests/command_line_fixtures.rs
+++ b/balancer/tests/command_line_fixtures.rs
@@ -1,5 +1,6 @@
-//! Tests that compare the program's command-line output word for word with files in `fixtures`: help pages, usage errors,
-//! and the results of checking valid and invalid files. A changed fixture is a change that users of the program see.
+//! Tests that compare the program's command-line output word for word with files in `fixtures`: help pages, usage
+//! errors, and the results of checking valid and invalid files. A changed fixture is a change that users of the program
+//! see.
 
 #[path = "helper/fixtures.rs"]
 mod fixtures;
@@ -89,8 +90,8 @@
 "RuleSets":[{"Name":"read","Effect":"repeatable","ResponseTarget":2000.0,"ClientTimeout":3000.0,"Utility":1.0,"TardyUtility":0.2}]},
 "limits":{"cores":1.0,"memory_mb":192,"sockets":1024}}"#;
 
-/// Runs the program with these arguments, in which `FILE` stands for a file with these bytes, and returns a transcript with
-/// the exit code and the output.
+/// Runs the program with these arguments, in which `FILE` stands for a file with these bytes, and returns a transcript
+/// with the exit code and the output.
 fn transcript(arguments: &[&str], file: Option<&[u8]>, test: &str) -> String {
     let path =
         PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("frozen-{test}-{}", std::process::id()));
--- a/balancer/tests/fault_injection.rs
+++ b/balancer/tests/fault_injection.rs
@@ -1,5 +1,6 @@
-//! Tests with faults of upstreams, clients and operators in the small mesh of `mesh/mesh_cluster.rs`: what clients may notice
-//! of a fault, and what must never follow from it. Checks must rely on the run log, never on how long something takes.
+//! Tests with faults of upstreams, clients and operators in the small mesh of `mesh/mesh_cluster.rs`: what clients may
+//! notice of a fault, and what must never follow from it. Checks must rely on the run log, never on how long something
+//! takes.
 #![allow(dead_code)]
 
 mod helper;
@@ -20,8 +21,8 @@
     cluster.run_log.runs_where(|run| run.upstream == name && run.started_at >= since).len()
 }
 
-/// Guards against one stalled upstream that blocks all clients: it gets no more requests than it has slots, other upstreams
-/// keep responding, and the requests that it has are answered once it resumes.
+/// Guards against one stalled upstream that blocks all clients: it gets no more requests than it has slots, other
+/// upstreams keep responding, and the requests that it has are answered once it resumes.
 #[test]
 fn a_stalled_upstream_holds_no_more_requests_than_its_slots() {
     let cluster = MeshCluster::start_default();
@@ -53,8 +54,8 @@
     assert_eq!(response_count.load(Relaxed), 800);
 }
 
-/// Guards against failures returned to clients although another upstream could have answered, against unbounded retries, and
-/// against a second run of a request that may run only once.
+/// Guards against failures returned to clients although another upstream could have answered, against unbounded
+/// retries, and against a second run of a request that may run only once.
 #[test]
 fn failures_of_a_half_failing_upstream_are_retried_within_the_budget_and_only_where_allowed() {
     let cluster = MeshCluster::start_default();
@@ -94,8 +95,8 @@
     assert!(failed >= 1, "{by_failing} by it");
 }
 
-/// Guards against requests lost to an upstream that repeatedly becomes unreachable and returns, under its old or a new name,
-/// and against one that is not used again.
+/// Guards against requests lost to an upstream that repeatedly becomes unreachable and returns, under its old or a new
+/// name, and against one that is not used again.
 #[test]
 fn a_flapping_upstream_loses_no_requests_and_is_used_again() {
     let cluster = MeshCluster::start_default();
@@ -154,8 +155,8 @@
     });
 }
 
-/// Guards against rejections that arrive after clients have given up, and against more concurrent requests than the upstreams
-/// have slots. While all upstreams are stalled, excess requests are rejected with a time to retry after.
+/// Guards against rejections that arrive after clients have given up, and against more concurrent requests than the
+/// upstreams have slots. While all upstreams are stalled, excess requests are rejected with a time to retry after.
 #[test]
 fn a_burst_beyond_the_slots_of_stalled_upstreams_is_rejected_with_retry_after() {
     let cluster = MeshCluster::start_default();
--- a/balancer/tests/fleet_gossip.rs
+++ b/balancer/tests/fleet_gossip.rs
@@ -1,5 +1,5 @@
-//! Tests of gossip between instances, as processes: state that differs widely is synchronized over a stream, a process takes
-//! over its predecessor's place in the fleet, and invalid messages do no harm.
+//! Tests of gossip between instances, as processes: state that differs widely is synchronized over a stream, a process
+//! takes over its predecessor's place in the fleet, and invalid messages do no harm.
 
 mod helper;
 
@@ -70,7 +70,8 @@
     assert!(n1.metric("fleet.meetings") + n3.metric("fleet.meetings") + n4.metric("fleet.meetings") > 0);
     n2.send_signal("-CONT");
     wait_until("caught up after the suspension", || n2.metric("fleet.worse") == 900);
-    // Routing uses the merged statuses: those endpoints are avoided although the instance's own list has them as serving.
+    // Routing uses the merged statuses: those endpoints are avoided although the instance's own list has them as
+    // serving.
     wait_until("avoided in routing", || n2.metric("targets_disabled") >= 900);
 }
 
--- a/balancer/tests/helper/fixtures.rs
+++ b/balancer/tests/helper/fixtures.rs
@@ -2,8 +2,8 @@
 
 use std::path::Path;
 
-/// Compares the text with the fixture of that name. With `WRITE_FIXTURES=1` the fixture is written instead, and the test
-/// still fails, so that it never passes against a fixture that it has just written.
+/// Compares the text with the fixture of that name. With `WRITE_FIXTURES=1` the fixture is written instead, and the
+/// test still fails, so that it never passes against a fixture that it has just written.
 pub fn assert_matches_fixture(name: &str, text: &str) {
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(name);
     if std::env::var_os("WRITE_FIXTURES").is_some_and(|value| value == "1") {
--- a/balancer/tests/interactive_mesh.rs
+++ b/balancer/tests/interactive_mesh.rs
@@ -1,6 +1,6 @@
-//! A mesh on the local machine for manual use, started with `make mesh`: three stewards, four attendants with stub upstreams
-//! of two services, a configuration, and the path of one request. It runs until Enter is pressed, and is not one of the tests
-//! that must pass.
+//! A mesh on the local machine for manual use, started with `make mesh`: three stewards, four attendants with stub
+//! upstreams of two services, a configuration, and the path of one request. It runs until Enter is pressed, and is not
+//! one of the tests that must pass.
 #![allow(dead_code)]
 
 mod helper;
--- a/balancer/tests/members.rs
+++ b/balancer/tests/members.rs
@@ -31,8 +31,8 @@
     page[field].clone()
 }
 
-/// Guards against a change that is in force at some proxies only, against a key that changes another member's routes, and
-/// against routes that exceed the platform's current grants or are lost when the stewards restart.
+/// Guards against a change that is in force at some proxies only, against a key that changes another member's routes,
+/// and against routes that exceed the platform's current grants or are lost when the stewards restart.
 #[test]
 fn a_members_change_is_in_force_everywhere_within_the_platforms_grants() {
     let mut cluster = MeshCluster::start_default();
@@ -186,7 +186,8 @@
 }
 
 /// Guards against operations of a member that are lost, run twice or answered with another run's response while another
-/// member changes its routes, partly with invalid documents, its requests fail and hang, and stewards are killed in turn.
+/// member changes its routes, partly with invalid documents, its requests fail and hang, and stewards are killed in
+/// turn.
 #[test]
 fn one_members_changes_and_faults_do_not_affect_anothers_operations() {
     let duration = Duration::from_secs(6);
--- a/balancer/tests/mesh.rs
+++ b/balancer/tests/mesh.rs
@@ -1,5 +1,5 @@
-//! Tests of the mesh's roles as processes on loopback: three stewards and four attendants with stub upstreams. The tests act
-//! as operators and clients.
+//! Tests of the mesh's roles as processes on loopback: three stewards and four attendants with stub upstreams. The
+//! tests act as operators and clients.
 
 mod helper;
 #[path = "mesh/mesh_cluster.rs"]
@@ -13,8 +13,8 @@
 use helper::wait_until;
 use mesh_cluster::*;
 
-/// Guards against a hop that alters a request or response, trusts identity headers sent by a client, or routes to the wrong
-/// service.
+/// Guards against a hop that alters a request or response, trusts identity headers sent by a client, or routes to the
+/// wrong service.
 #[test]
 fn requests_and_responses_are_forwarded_unchanged_at_every_proxy() {
     let cluster = MeshCluster::start_default();
@@ -129,7 +129,8 @@
     assert_eq!((repeated.header(STAMP_HEADER), runs.len()), (&*runs[0].stamp, 1));
 }
 
-/// Guards against requests lost by the planned shutdown of an upstream, and against requests sent to it after its drain time.
+/// Guards against requests lost by the planned shutdown of an upstream, and against requests sent to it after its drain
+/// time.
 #[test]
 fn a_closing_upstream_gets_no_requests_after_its_drain_time_and_none_are_lost() {
     let cluster = MeshCluster::start_default();
@@ -154,8 +155,8 @@
     load.stop_and_check();
 }
 
-/// Asserts that the control plane works with these stewards: a new configuration is accepted, read back and in force, and
-/// keyed requests run once at every outbound proxy.
+/// Asserts that the control plane works with these stewards: a new configuration is accepted, read back and in force,
+/// and keyed requests run once at every outbound proxy.
 fn assert_control_plane_works(cluster: &MeshCluster, alive: &[usize], version: u64) {
     let (prefix, name) = (format!("/v{version}/"), format!("v{version}"));
     let body = configuration(version, &route_entry(&prefix, "resendable", "alpha"));
@@ -170,8 +171,8 @@
     }
 }
 
-/// Guards against a control plane that needs all of its stewards, and against a restarted steward that is not recognized or
-/// has lost state that it had acknowledged.
+/// Guards against a control plane that needs all of its stewards, and against a restarted steward that is not
+/// recognized or has lost state that it had acknowledged.
 #[test]
 fn the_control_plane_survives_the_loss_of_a_steward_and_readmits_it_with_and_without_its_disk() {
     let mut cluster = MeshCluster::start_default();
@@ -385,9 +386,9 @@
     load.stop_and_check();
 }
 
-/// Guards against two operators who both get a 200 for different configurations with the same version. Of eight contents
-/// for each version, sent to three stewards in turn, one is accepted and the others are rejected, and reading returns the
-/// accepted one from then on.
+/// Guards against two operators who both get a 200 for different configurations with the same version. Of eight
+/// contents for each version, sent to three stewards in turn, one is accepted and the others are rejected, and reading
+/// returns the accepted one from then on.
 #[test]
 fn of_several_contents_with_one_version_only_one_is_accepted_and_read_back() {
     let cluster = MeshCluster::start_default();
--- a/balancer/tests/mesh/federation.rs
+++ b/balancer/tests/mesh/federation.rs
@@ -1,6 +1,7 @@
-//! A test scenario with two members on one platform: `sul` sends payments and bookings, `norte` sends traffic of which part
-//! fails, hangs or is too large, and may change its routes repeatedly, partly with invalid documents. The results of `sul` are
-//! checked against the upstreams' run log. The same seed draws the same changes, faults and order of requests.
+//! A test scenario with two members on one platform: `sul` sends payments and bookings, `norte` sends traffic of which
+//! part fails, hangs or is too large, and may change its routes repeatedly, partly with invalid documents. The results
+//! of `sul` are checked against the upstreams' run log. The same seed draws the same changes, faults and order of
+//! requests.
 
 use std::collections::HashMap;
 use std::sync::Mutex;
@@ -244,8 +245,8 @@
     }
 }
 
-/// Runs a client of `sul`, which sends one keyed operation after the other. It repeats each until the result is known, waits
-/// as long as responses ask it to, and moves on to the next proxy when one does not respond.
+/// Runs a client of `sul`, which sends one keyed operation after the other. It repeats each until the result is known,
+/// waits as long as responses ask it to, and moves on to the next proxy when one does not respond.
 fn run_operations(
     proxies: &[std::net::SocketAddr],
     home: usize,
--- a/balancer/tests/mesh/mesh_cluster.rs
+++ b/balancer/tests/mesh/mesh_cluster.rs
@@ -1,5 +1,5 @@
-//! A small mesh for tests: processes of the program, each with its own address in 127.0.0.0/8, stub upstreams that record
-//! which requests they ran, and functions for operators and clients.
+//! A small mesh for tests: processes of the program, each with its own address in 127.0.0.0/8, stub upstreams that
+//! record which requests they ran, and functions for operators and clients.
 
 use std::fs;
 use std::io::{self, BufRead, BufReader, Write};
@@ -156,8 +156,8 @@
     send_message(proxy, &message).expect("a response")
 }
 
-/// Sends a request again, each time with a new id, while the response is 503 (it has not run) or 409 (a request with the
-/// same key is still running). Returns the last id and response.
+/// Sends a request again, each time with a new id, while the response is 503 (it has not run) or 409 (a request with
+/// the same key is still running). Returns the last id and response.
 pub fn send_with_retries(
     proxy: SocketAddr,
     start_line: &str,
@@ -585,8 +585,8 @@
 const READINESS_PORT: usize = 4;
 const UPSTREAM_PORT: usize = 5;
 
-/// Picks addresses that no other cluster uses, and ports that are free at all of them. The ports are below the ephemeral
-/// range, because an ephemeral port may be in use at every address for a moment.
+/// Picks addresses that no other cluster uses, and ports that are free at all of them. The ports are below the
+/// ephemeral range, because an ephemeral port may be in use at every address for a moment.
 fn reserve_addresses(count: u8) -> (Vec<Ipv4Addr>, [u16; 6]) {
     static NEXT_CLUSTER: AtomicUsize = AtomicUsize::new(0);
     let cluster = std::process::id() as usize * 16 + NEXT_CLUSTER.fetch_add(1, Relaxed);
@@ -862,8 +862,8 @@
     }
 }
 
-/// Sends one request of the load, again after each 503 (it has not run). The error says what was received instead of its
-/// response.
+/// Sends one request of the load, again after each 503 (it has not run). The error says what was received instead of
+/// its response.
 fn send_load_request(
     proxy: SocketAddr,
     path: &str,
--- a/balancer/tests/mesh/session_load.rs
+++ b/balancer/tests/mesh/session_load.rs
@@ -1,6 +1,6 @@
-//! A load of payments in sessions, whose clients move between outbound proxies in the middle of an operation, while stewards
-//! are killed in turn and attendants are suspended and resumed. Moves and faults are drawn from a seed. The results are
-//! checked against the upstreams' run log: each operation runs once or is reported as not run.
+//! A load of payments in sessions, whose clients move between outbound proxies in the middle of an operation, while
+//! stewards are killed in turn and attendants are suspended and resumed. Moves and faults are drawn from a seed. The
+//! results are checked against the upstreams' run log: each operation runs once or is reported as not run.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -111,8 +111,8 @@
         result
     }
 
-    /// Runs a client's share of the operations. Each is started at the client's current proxy and completed there or, one
-    /// time in three, at another one.
+    /// Runs a client's share of the operations. Each is started at the client's current proxy and completed there or,
+    /// one time in three, at another one.
     fn run_client(
         self,
         proxies: &[SocketAddr],
@@ -164,8 +164,8 @@
     }
 }
 
-/// Sends an operation until its result is known, and moves on to the next proxy when one does not respond. Returns the stamp
-/// of the run, and whether all responses said that it had not run.
+/// Sends an operation until its result is known, and moves on to the next proxy when one does not respond. Returns the
+/// stamp of the run, and whether all responses said that it had not run.
 fn complete_payment(proxies: &[SocketAddr], target: usize, client: usize, key: &str) -> (String, bool) {
     let (started, mut current, mut is_not_run) = (Instant::now(), target, true);
     while started.elapsed() < TEST_TIMEOUT {
--- a/balancer/tests/mixed_settings.rs
+++ b/balancer/tests/mixed_settings.rs
@@ -12,8 +12,8 @@
 
 use helper::*;
 
-/// New settings: discovery pushes the list, utility is by work, and there are tenants, hedged requests (`SecondCopies`),
-/// probes and multiplexed streams.
+/// New settings: discovery pushes the list, utility is by work, and there are tenants, hedged requests
+/// (`SecondCopies`), probes and multiplexed streams.
 const NEW_SETTINGS: &str = r#""NInstances":4,"Me":2,"Tier":0,"Tiers":["one"],"Discovery":"push","UtilityBy":"work",
     "Tenants":[{"Name":"north","QuotaPerS":10000.0,"Share":0.5},{"Name":"south","QuotaPerS":10000.0,"Share":0.5}],
     "Report":{"Via":"on_probe","Fields":["tps","depth"]},
@@ -109,8 +109,8 @@
         .min(1.0)
 }
 
-/// Starts a stub of discovery for one balancer: it sends the complete list whenever that has changed, and records when it
-/// sent each generation.
+/// Starts a stub of discovery for one balancer: it sends the complete list whenever that has changed, and records when
+/// it sent each generation.
 fn spawn_long_poll_discovery(
     balancer: &Balancer,
     list: &Arc<Mutex<(u32, String)>>,
@@ -153,10 +153,10 @@
         .replace("\"startedAtMs\":0", &format!("\"startedAtMs\":{started_at_ms}"))
 }
 
-/// Guards a rolling change of settings. Two instances with the old and two with the new settings share their endpoints, of
-/// which one drains and one starts cold. Each request gets one response, no request runs twice, no denied request runs,
-/// the draining endpoint gets nothing after its grace period, the cold one is not overloaded by the instances together,
-/// and neither kind of instance crowds out the other.
+/// Guards a rolling change of settings. Two instances with the old and two with the new settings share their endpoints,
+/// of which one drains and one starts cold. Each request gets one response, no request runs twice, no denied request
+/// runs, the draining endpoint gets nothing after its grace period, the cold one is not overloaded by the instances
+/// together, and neither kind of instance crowds out the other.
 #[test]
 fn instances_with_old_and_new_settings_share_endpoints_correctly() {
     let run_counts = Arc::default();
--- a/balancer/tests/operator_api.rs
+++ b/balancer/tests/operator_api.rs
@@ -1,5 +1,5 @@
-//! Tests of the operator API on loopback sockets: its responses, its metrics, and how evacuation disconnects clients. The
-//! tests act as the endpoints, as in `sockets.rs`.
+//! Tests of the operator API on loopback sockets: its responses, its metrics, and how evacuation disconnects clients.
+//! The tests act as the endpoints, as in `sockets.rs`.
 
 mod helper;
 
--- a/balancer/tests/operator_api_fixtures.rs
+++ b/balancer/tests/operator_api_fixtures.rs
@@ -1,6 +1,6 @@
-//! Tests that compare the interface of the mesh's operators' and members' calls with files in `fixtures`: the fields of each
-//! response with the types of their values, and the names, types and labels of the metrics. Values are not compared, because
-//! they differ from run to run.
+//! Tests that compare the interface of the mesh's operators' and members' calls with files in `fixtures`: the fields of
+//! each response with the types of their values, and the names, types and labels of the metrics. Values are not
+//! compared, because they differ from run to run.
 
 #[allow(dead_code)]
 #[path = "mesh/federation.rs"]
--- a/balancer/tests/overload.rs
+++ b/balancer/tests/overload.rs
@@ -10,9 +10,9 @@
 
 use helper::*;
 
-/// Guards against incomplete requests that hold on to their connections: there is room for 32, and a thousand connections
-/// are opened and stay, some silent, some with half a request head, some after one response. Complete requests on new
-/// connections are still answered, and so is one that sends its head slowly.
+/// Guards against incomplete requests that hold on to their connections: there is room for 32, and a thousand
+/// connections are opened and stay, some silent, some with half a request head, some after one response. Complete
+/// requests on new connections are still answered, and so is one that sends its head slowly.
 #[test]
 fn a_thousand_incomplete_requests_do_not_block_complete_ones() {
     let endpoint = bind_listener();
--- a/balancer/tests/roaming_sessions.rs
+++ b/balancer/tests/roaming_sessions.rs
@@ -1,6 +1,6 @@
-//! Tests of sessions whose clients move between proxies at random while attendants are suspended and stewards are killed, and
-//! of the operators' session commands. The mesh runs as processes on loopback, and results are checked against the upstreams'
-//! run log.
+//! Tests of sessions whose clients move between proxies at random while attendants are suspended and stewards are
+//! killed, and of the operators' session commands. The mesh runs as processes on loopback, and results are checked
+//! against the upstreams' run log.
 #![allow(dead_code)]
 
 mod helper;
@@ -56,7 +56,8 @@
     }
 }
 
-/// Guards against operators' session commands that proxies ignore, and against a previous holder that keeps a moved session.
+/// Guards against operators' session commands that proxies ignore, and against a previous holder that keeps a moved
+/// session.
 #[test]
 fn an_operator_can_show_move_and_forget_a_session() {
     let cluster = MeshCluster::start_default();
--- a/balancer/tests/sessions.rs
+++ b/balancer/tests/sessions.rs
@@ -1,6 +1,6 @@
 //! Tests of sessions whose clients move between outbound proxies in the middle of payments: three stewards and four
-//! attendants with stub upstreams as processes on loopback, some of which are killed meanwhile. A payment that is started at
-//! one proxy and completed at another runs once, at the upstream that its session is tied to.
+//! attendants with stub upstreams as processes on loopback, some of which are killed meanwhile. A payment that is
+//! started at one proxy and completed at another runs once, at the upstream that its session is tied to.
 #![allow(dead_code)]
 
 mod helper;
@@ -48,8 +48,8 @@
     format!("pay-{client}-{payment}")
 }
 
-/// Sends a client's payments, each started at one proxy and completed at the next one, and returns the number of payments
-/// with an unknown outcome.
+/// Sends a client's payments, each started at one proxy and completed at the next one, and returns the number of
+/// payments with an unknown outcome.
 fn run_payments(proxies: &[SocketAddr], client: usize, payments: std::ops::Range<usize>) -> usize {
     let mut unknown = 0;
     for payment in payments {
@@ -78,8 +78,8 @@
     unknown
 }
 
-/// Counts the selected runs that follow another of the same client whose upstream is still alive. Returns how many of them
-/// ran at that upstream, and how many there are.
+/// Counts the selected runs that follow another of the same client whose upstream is still alive. Returns how many of
+/// them ran at that upstream, and how many there are.
 fn count_kept_ties(
     cluster: &MeshCluster,
     is_selected: impl Fn(&RunRecord) -> bool,
@@ -97,8 +97,8 @@
     (kept, total)
 }
 
-/// Waits until each proxy has sent a request to each upstream of the service, because no session is tied to an upstream that
-/// a proxy does not know yet.
+/// Waits until each proxy has sent a request to each upstream of the service, because no session is tied to an upstream
+/// that a proxy does not know yet.
 fn wait_until_upstreams_are_known(cluster: &MeshCluster) {
     for (nth, proxy) in cluster.outbound_proxies().into_iter().enumerate() {
         let path = format!("/look/from-{nth}");
@@ -188,8 +188,8 @@
     hash.finalize().iter().take(16).map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// Guards against a tie to a new upstream that the stewards learn of only after the response: the next proxy to take over the
-/// session would not know that upstream.
+/// Guards against a tie to a new upstream that the stewards learn of only after the response: the next proxy to take
+/// over the session would not know that upstream.
 #[test]
 fn a_new_tie_is_committed_before_its_first_response() {
     let mut cluster = MeshCluster::start_default();
@@ -218,8 +218,8 @@
     }
 }
 
-/// Guards against sessions that stay bound to a lost proxy or upstream. The outcome of requests in flight at a killed proxy
-/// may remain unknown, but nothing runs twice, and payments started later run once.
+/// Guards against sessions that stay bound to a lost proxy or upstream. The outcome of requests in flight at a killed
+/// proxy may remain unknown, but nothing runs twice, and payments started later run once.
 #[test]
 fn sessions_continue_elsewhere_when_their_proxy_and_upstream_are_lost() {
     let mut cluster = MeshCluster::start_default();
--- a/balancer/tests/snapshot_recovery.rs
+++ b/balancer/tests/snapshot_recovery.rs
@@ -62,8 +62,8 @@
     (output.status.success(), String::from_utf8_lossy(&text).into_owned())
 }
 
-/// Starts an instance with four endpoints, lets discovery report one as removed and one as draining, and kills the instance
-/// once its snapshot has that list. Returns the snapshot file.
+/// Starts an instance with four endpoints, lets discovery report one as removed and one as draining, and kills the
+/// instance once its snapshot has that list. Returns the snapshot file.
 fn snapshot_of_killed_start_instance(snapshot_dir: &Path) -> PathBuf {
     let first = start_instance(snapshot_dir, &entries("a b c d"));
     spawn_discovery(&first.discovery, discovery_response(42, &entries("a b c!")));
--- a/balancer/tests/sockets.rs
+++ b/balancer/tests/sockets.rs
@@ -1,5 +1,5 @@
-//! Tests of the balancer as a process on loopback sockets. Each test acts as the endpoints and the discovery service, on
-//! ports assigned by the system, and compares the messages exchanged with a short trace.
+//! Tests of the balancer as a process on loopback sockets. Each test acts as the endpoints and the discovery service,
+//! on ports assigned by the system, and compares the messages exchanged with a short trace.
 
 mod helper;
 
--- a/balancer/tests/streaming_bodies.rs
+++ b/balancer/tests/streaming_bodies.rs
@@ -60,8 +60,8 @@
     assert!(read_bytes(&mut client, BODY_BYTES - BODY_BYTES / 4) == body[BODY_BYTES / 4..]);
 }
 
-/// Guards against a framing that loses or adds bytes: chunks of odd sizes with extensions and trailers, from a client that
-/// writes in small pieces, and a response that is delimited by the end of its connection.
+/// Guards against a framing that loses or adds bytes: chunks of odd sizes with extensions and trailers, from a client
+/// that writes in small pieces, and a response that is delimited by the end of its connection.
 #[test]
 fn chunks_trailers_and_a_response_ended_by_close_are_forwarded_complete() {
     let (endpoint, body) = (bind_listener(), body_bytes(200_000));
--- a/balancer/tests/upgrade.rs
+++ b/balancer/tests/upgrade.rs
@@ -112,8 +112,8 @@
     "#]]);
 }
 
-/// Guards against a new process that takes the address with it when it is killed, and against its stale file being taken
-/// for a live process. The first process keeps serving, and stops like a single process.
+/// Guards against a new process that takes the address with it when it is killed, and against its stale file being
+/// taken for a live process. The first process keeps serving, and stops like a single process.
 #[test]
 fn a_failed_upgrade_leaves_the_first_process_serving() {
     let mut old_process = start_serving();
