--- a/balancer/tests/upgrade.rs
+++ b/balancer/tests/upgrade.rs
@@ -66,7 +66,9 @@
     }
     let mut sent_before = sent.load(Relaxed);
     for _ in 0..3 {
-        let new_process = old_process.start_second_process();
+        let mut new_process = old_process.start_second_process();
+        // The phase changes just after the line that names the address.
+        new_process.wait_for_log_line("Serving");
         assert_eq!(new_process.call_operator("GET /api/ready").0, "200 OK");
         old_process.send_signal("-TERM");
         let status = old_process.process.wait().expect("its exit");
