--- a/tests/many_instances.rs
+++ b/tests/many_instances.rs
@@ -238,7 +238,7 @@
         (0..6).map(|second| (second, &simulation.dispatch_counts[&(restarted_at / S + second)]))
     {
         let (in_slow_start, warm): (Vec<_>, Vec<_>) =
-            counts.iter().partition(|(name, _)| endpoint_number(name) % 4 == 0);
+            counts.iter().partition(|(name, _)| endpoint_number(name).is_multiple_of(4));
         let warm = warm.iter().map(|(_, sent)| **sent).sum::<u64>() as f64 / 12.0;
         let least = 0.2 + 0.04 * (second + 1) as f64;
         for (name, sent) in in_slow_start {
