--- a/adapter/tests/wire.rs
+++ b/adapter/tests/wire.rs
@@ -74,6 +74,19 @@
     );
 }
 
+#[test]
+fn a_stopped_instance_gets_no_more_requests() {
+    check_actions(
+        &batch_with_start(
+            "stop\tBalancer=3\nsubmit\tBalancer=3\tRequestId=7\tBudget=240.5\tKind=quote\nend\n",
+        ),
+        expect![[r#"
+            end
+            Ok(())
+        "#]],
+    );
+}
+
 #[test]
 fn invalid_settings_break_only_their_instance() {
     check_actions(
@@ -193,7 +206,13 @@
 }
 
 #[test]
-fn invalid_lists_and_lines_end_the_adapter() {
+fn invalid_lists_probes_and_lines_end_the_adapter() {
+    check_all_lines(
+        &batch_with_start("ping_result\tBalancer=3\tUpstream=10.0.0.1:80\tHow=Odd\tDuration=1\nend\n"),
+        expect![[r#"
+            Err("line 7: How=Odd is not a dispatch outcome")
+        "#]],
+    );
     check_all_lines(
         &batch_with_start("fleet\tBalancer=3\tHow=Odd\nend\n"),
         expect![[r#"
