--- a/tests/large_lists.rs
+++ b/tests/large_lists.rs
@@ -206,12 +206,12 @@
     for second in 0..20u64 {
         simulation.dispatch_counts.clear();
         simulation.run(4_000, MS / 4);
-        let least = 0.2 + 0.8 * (second + 1) as f64 / 20.0;
+        let max_capacity = 0.2 + 0.8 * (second + 1) as f64 / 20.0;
         let in_slow_start = simulation.sent_to(is_in_slow_start) as f64 / 333.0;
         let warm = simulation.sent_to(|n| !is_in_slow_start(n)) as f64 / 666.0;
         // Each may have had one unused request of its budget, and gets one a second in any case.
         assert!(
-            in_slow_start <= 1.5 * least * warm + 1.0,
+            in_slow_start <= 1.5 * max_capacity * warm + 1.0,
             "second {second}: {in_slow_start:.2} each, {warm:.2} at warm endpoints"
         );
         let expected = 0.5 * (0.2 + 0.8 * second as f64 / 20.0) * warm;
@@ -305,8 +305,8 @@
     simulation.dispatch_duration = |name| if endpoint_number(name) == 40 { 20 * MS } else { 2_500 * MS };
     simulation.run(2_000, 5 * MS);
     let (in_slow_start, all) = (simulation.sent_to(|n| n == 40), simulation.sent_to(|_| true));
-    // Its slow start allows one fifth to three fifths of an even share, plus half of that. An even share is one twentieth, since
-    // half of the warm endpoints may be ejected. It gets at least one request a second, and may have unused budget.
+    // Its slow start allows one fifth to three fifths of an even share, plus half of that. An even share is one twentieth,
+    // since half of the warm endpoints may be ejected. It gets at least one request a second, and may have unused budget.
     let most = (all as f64 / 20.0 * 0.6 * 1.5).max(10.0) + 2.0;
     assert!(all > 400 && in_slow_start as f64 <= most, "{in_slow_start} of {all}, {most:.0} at most");
 }
--- a/tests/many_instances.rs
+++ b/tests/many_instances.rs
@@ -1,5 +1,5 @@
-//! Many instances that use the same endpoints, in simulated time. Behavior that is harmless at one instance may do harm summed
-//! over all of them.
+//! Many instances that use the same endpoints, in simulated time. Behavior that is harmless at one instance may do harm
+//! in sum over all of them.
 
 mod traced_balancer;
 
@@ -185,8 +185,8 @@
 
 #[test]
 fn healthy_instances_with_few_requests_do_not_deny_their_bursts() {
-    // Each of 17 instances has 5 requests in flight on average, and twice the number in its own bursts. Each of 16 endpoints has
-    // 5 in flight, and little more at any time.
+    // Each of 17 instances has 5 requests in flight on average, and twice the number in its own bursts. Each of 16 endpoints
+    // has 5 in flight, and little more at any time.
     let mut simulation = Simulation::new(17, 16, |endpoint| matches!(endpoint, "s03" | "s10"));
     simulation.run(12.0, 30 * S);
     let (done, denied) = (simulation.count("done"), simulation.count("denied"));
@@ -233,17 +233,17 @@
     simulation.apply_list(&|number| (number % 4 == 0).then_some(restarted_at));
     simulation.dispatch_counts.clear();
     simulation.run(4.0, 6 * S);
-    // Warm endpoints get 25 requests a second. In slow start the least capacity is 0.2 of that and 0.04 more each second.
+    // Warm endpoints get 25 requests a second. In slow start the minimum capacity is 0.2 of that and 0.04 more each second.
     for (second, counts) in
         (0..6).map(|second| (second, &simulation.dispatch_counts[&(restarted_at / S + second)]))
     {
         let (in_slow_start, warm): (Vec<_>, Vec<_>) =
             counts.iter().partition(|(name, _)| endpoint_number(name).is_multiple_of(4));
         let warm = warm.iter().map(|(_, sent)| **sent).sum::<u64>() as f64 / 12.0;
-        let least = 0.2 + 0.04 * (second + 1) as f64;
+        let min_capacity = 0.2 + 0.04 * (second + 1) as f64;
         for (name, sent) in in_slow_start {
             assert!(
-                (*sent as f64) < 1.6 * least * warm + 4.0,
+                (*sent as f64) < 1.6 * min_capacity * warm + 4.0,
                 "{name}: {sent} in second {second}, mean of warm endpoints {warm:.0}"
             );
         }
@@ -255,8 +255,8 @@
 /// nothing here.
 #[test]
 fn slow_start_budgets_hold_in_sum_for_unevenly_and_changingly_loaded_instances() {
-    // For 2 s one half of the instances has 19 of 20 requests, then the other half. Within a half some have six times the rate of
-    // others.
+    // For 2 s one half of the instances has 19 of 20 requests, then the other half. Within a half some have six times the
+    // rate of others.
     let relative_rate = |at: Nanos, me: usize| {
         let half = if (at / (2 * S)).is_multiple_of(2) == (me < 30) { 1.9 } else { 0.1 };
         half * if me.is_multiple_of(5) { 3.0 } else { 0.5 }
@@ -277,9 +277,9 @@
                 matching.map(|(_, sent)| *sent).sum::<u64>() as f64
             };
             let (in_slow_start, warm) = (sent(true) / 3.0, sent(false) / 13.0);
-            let least = 0.2 + 0.04 * (second + 1) as f64;
+            let min_capacity = 0.2 + 0.04 * (second + 1) as f64;
             assert!(
-                in_slow_start < 1.6 * least * warm + 4.0,
+                in_slow_start < 1.6 * min_capacity * warm + 4.0,
                 "{in_slow_start:.0} in second {second} at {rate} requests per second, warm endpoints {warm:.0}"
             );
         }
--- a/tests/targets_and_limits.rs
+++ b/tests/targets_and_limits.rs
@@ -1,4 +1,5 @@
-//! Response targets that differ much between rule sets, expected costs, and concurrency limits of instances with few requests.
+//! Response targets that differ much between rule sets, expected costs, concurrency limits of instances with few requests,
+//! and idle connections.
 
 mod traced_balancer;
 
@@ -47,7 +48,7 @@
     assert!(!is_late(500));
 }
 
-/// Guards against concurrency limits of two or three that requests of the lowest utility fill as easily as those of the highest.
+/// Guards against concurrency limits of two or three that requests of low utility fill as easily as those of high utility.
 #[test]
 fn with_slow_responses_an_instance_with_few_requests_reserves_its_limit_for_high_utility() {
     let sent = |rule_set: &str| {
@@ -71,9 +72,9 @@
     assert!(sent("charge") > sent("read"), "{} charges, {} reads", sent("charge"), sent("read"));
 }
 
-/// Guards against overload of endpoints that can process one or two requests at once, by a least limit made for larger ones.
+/// Guards against a minimum limit, made for larger endpoints, that overloads those that process one or two requests at once.
 #[test]
-fn the_least_limit_depends_on_what_an_endpoint_processes_without_load() {
+fn the_minimum_limit_depends_on_what_an_endpoint_processes_without_load() {
     let sent = |concurrent: u64| {
         let mut balancer = TracedBalancer::new(single_tier_parameters(2.0), "a@x b@x c@y d@y");
         for second in 0..20 {
--- a/tests/traces.rs
+++ b/tests/traces.rs
@@ -433,8 +433,9 @@
     );
 }
 
-/// Guards against endpoints whose processes are gone and that are still used because their refusals are most of all failures:
-/// after a restart with a stale list, a balancer with a subset of six endpoints, four of them gone, denied half of its requests.
+/// Guards against endpoints whose processes are gone and that are still used because their refusals are most of all
+/// failures: after a restart with a stale list, a balancer with a subset of six endpoints, four of them gone, denied half of
+/// its requests.
 #[test]
 fn endpoints_that_refuse_all_connections_are_ejected_at_any_failure_ratio() {
     let mut parameters = parameters(0.0, 24.0);
