--- a/balancer/src/mesh/proxy/request_scheduler.rs
+++ b/balancer/src/mesh/proxy/request_scheduler.rs
@@ -414,19 +414,10 @@
             }
             for action in actions {
                 let (id, action) = match action {
-                    Action::Send {
-                        request_id: id,
-                        dispatch_index: number,
-                        endpoint: srv,
-                        give_up_at: give_up,
-                    } => (
-                        id,
-                        SchedulerAction::Send {
-                            attempt_number: number,
-                            upstream_id: srv,
-                            give_up_at: give_up,
-                        },
-                    ),
+                    Action::Send { request_id: id, dispatch_index, endpoint, give_up_at } => {
+                        let (attempt_number, upstream_id) = (dispatch_index, endpoint);
+                        (id, SchedulerAction::Send { attempt_number, upstream_id, give_up_at })
+                    }
                     Action::CancelDispatch { request_id: id, .. } => (id, SchedulerAction::Cancel),
                     Action::Deny { request_id: id, retry_after } => {
                         (id, SchedulerAction::Reject { retry_after })
@@ -442,8 +433,8 @@
                     | Action::Probe(_)
                     | Action::CloseIdleConnections(_) => continue,
                 };
-                if let Some(actions) = state.action_senders.get(&id) {
-                    let _ = actions.send(action);
+                if let Some(sender) = state.action_senders.get(&id) {
+                    let _ = sender.send(action);
                 }
             }
         }
@@ -597,18 +588,18 @@
     pub fn attempt_ended(
         &mut self,
         attempt_number: usize,
-        how: DispatchOutcome,
+        outcome: DispatchOutcome,
         duration: Nanos,
         is_final: bool,
         load: Option<f64>,
     ) {
         let mut state = lock(&self.scheduler.state);
-        self.attempts.ended(how);
+        self.attempts.ended(outcome);
         self.finished |= is_final;
         let now = self.scheduler.clock.now();
         self.scheduler.update_retry_allowance(&mut state, now);
-        let end = DispatchResult { outcome: how, duration, is_final, load_report: load.as_slice() };
-        state.decision_module.handle_dispatch_ended(now, self.id, attempt_number, end);
+        let result = DispatchResult { outcome, duration, is_final, load_report: load.as_slice() };
+        state.decision_module.handle_dispatch_ended(now, self.id, attempt_number, result);
         self.scheduler.dispatch_and_wake(&mut state);
     }
 
--- a/balancer/src/metrics.rs
+++ b/balancer/src/metrics.rs
@@ -72,7 +72,7 @@
     }
 
     /// Sets how many servers are listed and how many of them are currently excluded.
-    pub fn set_server_counts(&self, (listed, excluded): (usize, usize)) {
+    pub fn set_server_counts(&self, listed: usize, excluded: usize) {
         self.listed_servers.store(listed, Relaxed);
         self.excluded_servers.store(excluded, Relaxed);
     }
@@ -195,7 +195,7 @@
         drop(done);
         let _in_flight = metrics.begin_request("a.b:1|c\nx");
         metrics.count_dispatch();
-        metrics.set_server_counts((5, 2));
+        metrics.set_server_counts(5, 2);
         expect![[r#"
             app.replies.pay.success:1|c
             app.replies.pay.overload:0|c
@@ -225,8 +225,8 @@
                         started += 1;
                     }
                     2 if !in_flight.is_empty() => drop(in_flight.swap_remove(set % in_flight.len())),
-                    _ => if let Some(mut req) = in_flight.pop() {
-                        req.set_outcome(OUTCOMES[action % 3].0);
+                    _ => if let Some(mut request) = in_flight.pop() {
+                        request.set_outcome(OUTCOMES[action % 3].0);
                     },
                 }
                 let ended = |counts: &OutcomeCounts| counts.by_outcome.iter().map(|n| n.load(Relaxed)).sum::<u64>();
