--- a/balancer/tests/helper/mod.rs
+++ b/balancer/tests/helper/mod.rs
@@ -298,6 +298,13 @@
     }
 }
 
+/// A port that is taken but refuses all connections, for as long as the value lives.
+pub fn bind_without_listening() -> TcpListener {
+    let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
+    socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).expect("a port");
+    socket.into()
+}
+
 pub fn bind_listener() -> TcpListener {
     TcpListener::bind("127.0.0.1:0").expect("a port")
 }
--- a/balancer/tests/sockets.rs
+++ b/balancer/tests/sockets.rs
@@ -114,7 +114,11 @@
             read_message(&mut endpoint_stream);
         }
         write_message(&mut endpoint_stream, OK_RESPONSE);
-        assert!(read_message(&mut client).ends_with("good"), "the next request gets its own response");
+        let next_response = read_message(&mut client);
+        assert!(
+            next_response.ends_with("good"),
+            "{case}: the next request gets its own response, not {next_response:?}"
+        );
     }
     trace.assert_matches(expect![[r#"
         noise: 110 bytes, HTTP/1.1 502 Bad Gateway, next: none
@@ -235,9 +239,9 @@
 
 #[test]
 fn a_refused_connection_proves_that_a_request_never_ran() {
-    let (endpoint, mut trace) = (bind_listener(), Trace::default());
+    // It listens nowhere, but keeps its port, so that no other listener gets the port meanwhile.
+    let (endpoint, mut trace) = (bind_without_listening(), Trace::default());
     let balancer = Balancer::start("a@x b@x", &endpoint);
-    drop(endpoint);
     let mut client = balancer.send_message(&request("POST", "/pay", "2.5", "x"));
     trace.add_message("client", &read_message(&mut client));
     trace.assert_matches(expect![[r#"
