--- a/drill/benches/relay.rs
+++ b/drill/benches/relay.rs
@@ -6,7 +6,7 @@
 
 use hdrhistogram::Histogram;
 use ochreshed_drill::link::{Link, Relay};
-use ochreshed_emulator::chance::Span;
+use ochreshed_emulator::random::DurationDistribution;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
@@ -39,7 +39,7 @@
         let alive = watch::Sender::new(true);
         let mut ways = Vec::new();
         for number in 0..LINKS {
-            let link = Link::new(Span::Fixed { mean: 0 }, number as u64);
+            let link = Link::new(DurationDistribution::Fixed { mean: 0 }, number as u64);
             let relay = Relay::start(address, link, alive.subscribe(), Arc::new(|_, _| {})).expect("a relay");
             ways.push([connect(address).await, connect(relay.address).await]);
         }
--- a/drill/src/audit.rs
+++ b/drill/src/audit.rs
@@ -339,7 +339,7 @@
             // Sent again past its window; a dispatch that the network held may run at any time.
             Effect::Uniqued => {
                 let may = life.dispatches.iter().find(|dispatch| dispatch.whole.is_some());
-                let until = may.map_or(Nanos::MAX, |may| may.first + rule_set.window + SLACK);
+                let until = may.map_or(Nanos::MAX, |may| may.first + rule_set.dedup_window + SLACK);
                 if let Some(late) =
                     life.dispatches.iter().find(|dispatch| dispatch.first > until + self.late(until))
                 {
--- a/drill/src/client.rs
+++ b/drill/src/client.rs
@@ -7,7 +7,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use ochreshed_emulator::chance::Stream;
+use ochreshed_emulator::random::RandomStream;
 use ochreshed_emulator::scenario::{Effect, RuleSet};
 use ochreshed_emulator::{MS, Nanos};
 use tokio::io::AsyncWriteExt;
@@ -71,12 +71,14 @@
 
     /// Makes calls until then, and waits for the last of them.
     pub async fn run(self: Arc<Clients>, from: Nanos, until: Nanos, load: watch::Receiver<f64>) {
-        let mut arrivals = Stream::new(self.seed, "arrivals");
+        let mut arrivals = RandomStream::new(self.seed, "arrivals");
         let (mut calls, mut next, mut call) = (JoinSet::new(), from, 0u64);
         loop {
             // Gaps shrink with the load at the time they are drawn; with none, a look again soon.
-            let gap =
-                arrivals.gap(self.traffic.per_s * *load.borrow()).unwrap_or(100 * MS).min(100 * MS * 50);
+            let gap = arrivals
+                .sample_arrival_gap(self.traffic.per_s * *load.borrow())
+                .unwrap_or(100 * MS)
+                .min(100 * MS * 50);
             next += gap;
             if *load.borrow() == 0.0 {
                 sleep_until(self.log.instant(next.min(until)).into()).await;
@@ -104,16 +106,16 @@
         while calls.join_next().await.is_some() {}
     }
 
-    fn draw_set(&self, chance: &mut Stream) -> usize {
-        let parts: Vec<f64> = self.traffic.rule_sets.iter().map(|set| set.part).collect();
+    fn draw_set(&self, chance: &mut RandomStream) -> usize {
+        let parts: Vec<f64> = self.traffic.rule_sets.iter().map(|set| set.traffic_weight).collect();
         draw(&parts, chance)
     }
 
-    fn draw_balancer(&self, chance: &mut Stream) -> usize {
+    fn draw_balancer(&self, chance: &mut RandomStream) -> usize {
         draw(&self.traffic.weights, chance)
     }
 
-    fn draw_near(&self, zone: usize, chance: &mut Stream) -> usize {
+    fn draw_near(&self, zone: usize, chance: &mut RandomStream) -> usize {
         let near = self.traffic.weights.iter().zip(&self.front.zones);
         let near: Vec<f64> = near.map(|(weight, of)| if *of == zone { *weight } else { 0.0 }).collect();
         draw(&near, chance)
@@ -121,7 +123,7 @@
 
     /// The balancer that this call's connection is dealt to: the one drawn, or another of its zone where the front knows
     /// that it is gone.
-    fn deal(&self, drawn: usize, chance: &mut Stream) -> usize {
+    fn deal(&self, drawn: usize, chance: &mut RandomStream) -> usize {
         let zone = self.front.zones[drawn];
         let dealt = |number: usize| match *self.front.dealt[number].borrow() {
             Dealt::In => true,
@@ -141,11 +143,11 @@
         } else {
             others
         };
-        others.get(chance.below(others.len())).copied().unwrap_or(drawn)
+        others.get(chance.sample_below(others.len())).copied().unwrap_or(drawn)
     }
 
     async fn call(self: Arc<Clients>, call: u64, set: usize, drawn: usize, intended: Nanos) {
-        let mut chance = Stream::new(self.seed, &format!("call {call}"));
+        let mut chance = RandomStream::new(self.seed, &format!("call {call}"));
         let zone = self.front.zones[drawn];
         for number in 0..=self.traffic.tries_again.min(200) {
             let (id, again) = ((call << 8) | u64::from(number), number > 0);
@@ -274,8 +276,8 @@
     }
 }
 
-fn draw(parts: &[f64], chance: &mut Stream) -> usize {
-    let mut left = chance.part() * parts.iter().sum::<f64>();
+fn draw(parts: &[f64], chance: &mut RandomStream) -> usize {
+    let mut left = chance.sample_fraction() * parts.iter().sum::<f64>();
     let found = parts.iter().position(|part| {
         left -= part;
         left < 0.0
--- a/drill/src/discovery.rs
+++ b/drill/src/discovery.rs
@@ -9,7 +9,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use ochreshed_emulator::chance::{Span, Stream};
+use ochreshed_emulator::random::{DurationDistribution, RandomStream};
 use tokio::io::AsyncWriteExt;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
@@ -55,7 +55,7 @@
 
 #[derive(Clone, Debug)]
 pub struct Rules {
-    pub delay: Span,
+    pub delay: DurationDistribution,
     pub calls_per_s: f64,
     pub call_timeout: Duration,
 }
@@ -74,7 +74,7 @@
     list: Vec<Entry>,
     /// All lists there were, for processes that start with an old one.
     history: Vec<List>,
-    chance: Stream,
+    chance: RandomStream,
     /// When its queue of calls is worked off.
     free_at: Instant,
 }
@@ -86,7 +86,7 @@
             number: 1,
             history: vec![first.list.clone()],
             list,
-            chance: Stream::new(seed, "discovery"),
+            chance: RandomStream::new(seed, "discovery"),
             free_at: Instant::now(),
         };
         Discovery {
@@ -125,7 +125,7 @@
         inner.number += 1;
         let list = Arc::new(inner.list.clone());
         inner.history.push(list.clone());
-        let delays: Vec<u64> = self.told.iter().map(|_| self.rules.delay.draw(&mut inner.chance)).collect();
+        let delays: Vec<u64> = self.told.iter().map(|_| self.rules.delay.sample(&mut inner.chance)).collect();
         let version = Version { number: inner.number, list };
         drop(inner);
         for (told, delay) in self.told.iter().zip(delays) {
--- a/drill/src/file.rs
+++ b/drill/src/file.rs
@@ -5,8 +5,10 @@
 
 use std::collections::BTreeMap;
 
-use ochreshed_emulator::fleet::Fleet;
-use ochreshed_emulator::scenario::{Clients, Discovery, Network, RuleSet, Scenario, Tier, Trouble, span};
+use ochreshed_emulator::gossip_network::GossipConfig;
+use ochreshed_emulator::scenario::{
+    Clients, Discovery, Network, RuleSet, Scenario, ScenarioFault, Tier, deserialize_duration,
+};
 use ochreshed_emulator::{MS, Nanos, S};
 use serde::Deserialize;
 use serde::de::{Deserializer, Error as _};
@@ -20,7 +22,7 @@
     #[serde(default)]
     pub about: String,
     /// Arrivals come for so long, from when all processes are ready.
-    #[serde(deserialize_with = "span")]
+    #[serde(deserialize_with = "deserialize_duration")]
     pub lasts: Nanos,
     pub clients: Clients,
     pub network: Network,
@@ -29,7 +31,7 @@
     pub tiers: Vec<Tier>,
     /// Troubles that the emulator knows as well.
     #[serde(default)]
-    pub troubles: Vec<Trouble>,
+    pub troubles: Vec<ScenarioFault>,
     #[serde(default)]
     pub live: Live,
     #[serde(default)]
@@ -45,13 +47,13 @@
     /// Which zones a region holds; one region of all where absent.
     pub regions: BTreeMap<String, Vec<String>>,
     /// How long clients are dealt to a balancer that has died.
-    #[serde(deserialize_with = "span")]
+    #[serde(deserialize_with = "deserialize_duration")]
     pub notice: Nanos,
     /// The busiest balancer is asked so many times what the quietest one is.
     pub skew: f64,
     /// Calls a second that discovery can answer, and how long one may wait for its turn.
     pub calls_per_s: f64,
-    #[serde(deserialize_with = "span")]
+    #[serde(deserialize_with = "deserialize_duration")]
     pub call_timeout: Nanos,
     /// The balancers speak with each other (`serve --fleet`).
     pub fleet: bool,
@@ -64,10 +66,10 @@
     pub sockets: u64,
     /// Rules: how long after hearing of a drain the last dispatch goes out; and how far over what it can do a cold srv
     /// may be sent, within what span.
-    #[serde(deserialize_with = "span")]
+    #[serde(deserialize_with = "deserialize_duration")]
     pub drain_grace: Nanos,
     pub cold_multiple: f64,
-    #[serde(deserialize_with = "span")]
+    #[serde(deserialize_with = "deserialize_duration")]
     pub cold_span: Nanos,
 }
 
@@ -95,9 +97,9 @@
 /// A fault: when, for how long where it ends by itself, and what.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Fault {
-    #[serde(deserialize_with = "span")]
+    #[serde(deserialize_with = "deserialize_duration")]
     pub at: Nanos,
-    #[serde(default, deserialize_with = "span")]
+    #[serde(default, deserialize_with = "deserialize_duration")]
     pub lasts: Nanos,
     #[serde(flatten)]
     pub what: What,
@@ -131,7 +133,7 @@
     /// Killed again and again for as long as it lasts, and back at once.
     CrashLoop {
         who: Who,
-        #[serde(deserialize_with = "span")]
+        #[serde(deserialize_with = "deserialize_duration")]
         every: Nanos,
         #[serde(default)]
         list: List,
@@ -142,7 +144,7 @@
     Duty {
         who: Who,
         part: f64,
-        #[serde(default = "tenth", deserialize_with = "span")]
+        #[serde(default = "tenth", deserialize_with = "deserialize_duration")]
         period: Nanos,
     },
     /// What happens on all links from some parties to others, both ways unless `way` says otherwise.
@@ -159,9 +161,9 @@
         #[serde(default)]
         per_s: f64,
         /// Of `delay`: so much more, with up to so much by chance.
-        #[serde(default, deserialize_with = "span")]
+        #[serde(default, deserialize_with = "deserialize_duration")]
         more: Nanos,
-        #[serde(default, deserialize_with = "span")]
+        #[serde(default, deserialize_with = "deserialize_duration")]
         jitter: Nanos,
         /// Of `lossy`: the part of the packets that is lost; for UDP also doubled and reordered.
         #[serde(default)]
@@ -181,7 +183,7 @@
     /// What becomes of discovery.
     Discovery {
         how: Finds,
-        #[serde(default, deserialize_with = "span")]
+        #[serde(default, deserialize_with = "deserialize_duration")]
         by: Nanos,
     },
     /// So many times as many arrivals.
@@ -270,7 +272,7 @@
 }
 
 fn maybe_span<'de, D: Deserializer<'de>>(from: D) -> Result<Option<Nanos>, D::Error> {
-    span(from).map(Some)
+    deserialize_duration(from).map(Some)
 }
 
 impl<'de> Deserialize<'de> for Who {
@@ -284,7 +286,7 @@
     /// Reads and checks a file's text; the error says where and what.
     pub fn parse(text: &str) -> Result<Drill, String> {
         let drill: Drill = toml::from_str(text).map_err(|e| nearest(&e.to_string()))?;
-        let mut errors = drill.shared().errors();
+        let mut errors = drill.shared().validation_errors();
         errors.extend(drill.errors());
         if errors.is_empty() { Ok(drill) } else { Err(errors.join("\n")) }
     }
@@ -299,13 +301,13 @@
     }
 
     pub fn parties(&self) -> Parties {
-        let (sites, named) = (self.tier().sites, &self.live.zones);
+        let (sites, named) = (self.tier().site_count, &self.live.zones);
         let name = |at: usize| char::from(b'a' + (at % 26) as u8).to_string();
         let zones: Vec<String> =
             (0..sites).map(|at| named.get(at).cloned().unwrap_or_else(|| name(at))).collect();
         Parties {
             balancers: self.balancers(),
-            srvs: self.tier().srvs,
+            srvs: self.tier().server_count,
             zones,
             regions: self.live.regions.clone(),
         }
@@ -329,8 +331,17 @@
 
     fn shared(&self) -> Scenario {
         let Drill { lasts, clients, network, list, rule_sets, tiers, troubles, .. } = self.clone();
-        let fleet = self.live.fleet.then(|| Fleet { delay: network.between.clone(), loss: 0.0 });
-        Scenario { lasts, clients, network, list, fleet, rule_sets, tiers, troubles }
+        let fleet = self.live.fleet.then(|| GossipConfig { delay: network.between_sites.clone(), loss: 0.0 });
+        Scenario {
+            duration: lasts,
+            clients,
+            network,
+            discovery: list,
+            gossip: fleet,
+            rule_sets,
+            tiers,
+            faults: troubles,
+        }
     }
 
     fn errors(&self) -> Vec<String> {
@@ -346,13 +357,13 @@
         must(self.tiers.len() == 1, "tiers: a drill plays one tier; more are for the emulator".into());
         must(self.lasts <= 600 * S, "lasts: 10 minutes at most".into());
         must(self.balancers() <= 100, "clients.instances: 100 processes at most".into());
-        must(self.tier().srvs <= 200, "tiers.0.srvs: 200 at most".into());
-        must(self.clients.per_s <= 10_000.0, "clients.per_s: 10,000 at most".into());
+        must(self.tier().server_count <= 200, "tiers.0.srvs: 200 at most".into());
+        must(self.clients.requests_per_s <= 10_000.0, "clients.per_s: 10,000 at most".into());
         let live = &self.live;
         must((1.0..=100.0).contains(&live.skew), "live.skew: from 1 to 100".into());
         must(live.calls_per_s > 0.0, "live.calls_per_s: over 0".into());
         must(live.cold_multiple > 0.0 && live.cold_span > 0, "live.cold_multiple, cold_span: over 0".into());
-        must(live.zones.len() <= self.tier().sites, "live.zones: more than tiers.0.sites".into());
+        must(live.zones.len() <= self.tier().site_count, "live.zones: more than tiers.0.sites".into());
         let parties = self.parties();
         for zone in live.regions.values().flatten() {
             must(parties.zones.contains(zone), format!("live.regions: there is no zone {zone}"));
--- a/drill/src/link.rs
+++ b/drill/src/link.rs
@@ -14,7 +14,7 @@
 use std::time::Duration;
 
 use ochreshed_emulator::Nanos;
-use ochreshed_emulator::chance::{Span, Stream};
+use ochreshed_emulator::random::{DurationDistribution, RandomStream};
 use socket2::{Domain, SockRef, Socket, Type};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
@@ -79,14 +79,16 @@
 
     /// How much later what is sent that way comes, by chance; and whether the network lost it on the way, so that TCP has
     /// sent it again and UDP has not.
-    fn later(&self, to: To, base: &Span, chance: &mut Stream) -> (Duration, bool) {
-        let (mut span, mut lost) = (base.draw(chance), false);
+    fn later(&self, to: To, base: &DurationDistribution, chance: &mut RandomStream) -> (Duration, bool) {
+        let (mut span, mut lost) = (base.sample(chance), false);
         for (_, effect) in &self.0[to as usize] {
             match effect {
-                Effect::Delay { more, jitter } => span += more + (chance.part() * *jitter as f64) as Nanos,
+                Effect::Delay { more, jitter } => {
+                    span += more + (chance.sample_fraction() * *jitter as f64) as Nanos
+                }
                 Effect::Lossy(part) => {
                     let mut wait = SENT_AGAIN;
-                    while wait < SENT_AGAIN * 32 && chance.happens(*part) {
+                    while wait < SENT_AGAIN * 32 && chance.sample_bool(*part) {
                         lost = true;
                         span += wait.as_nanos() as Nanos;
                         wait *= 2;
@@ -119,7 +121,7 @@
 #[derive(Clone)]
 pub struct Link {
     ways: watch::Sender<Ways>,
-    base: Span,
+    base: DurationDistribution,
     seed: u64,
     connections: Arc<AtomicU64>,
     /// Bytes of datagrams that came to be carried there.
@@ -128,7 +130,7 @@
 
 impl Link {
     /// One whose packets take so long each way; chance comes from the seed.
-    pub fn new(base: Span, seed: u64) -> Link {
+    pub fn new(base: DurationDistribution, seed: u64) -> Link {
         Link {
             ways: watch::Sender::default(),
             base,
@@ -161,9 +163,9 @@
         self.datagrams.load(Ordering::Relaxed)
     }
 
-    fn chance(&self, what: &str) -> Stream {
+    fn chance(&self, what: &str) -> RandomStream {
         let number = self.connections.fetch_add(1, Ordering::Relaxed);
-        Stream::new(self.seed, &format!("{what} {number}"))
+        RandomStream::new(self.seed, &format!("{what} {number}"))
     }
 }
 
@@ -555,7 +557,7 @@
 fn datagram(
     link: &Link,
     to: To,
-    chance: &mut Stream,
+    chance: &mut RandomStream,
     room: &Arc<tokio::sync::Semaphore>,
     bytes: Vec<u8>,
     send: impl Fn(Vec<u8>) + Send + Sync + 'static,
@@ -570,7 +572,7 @@
         Effect::Lossy(part) => Some(*part),
         _ => None,
     });
-    let twice = lossy.is_some_and(|part| chance.happens(part / 2.0));
+    let twice = lossy.is_some_and(|part| chance.sample_bool(part / 2.0));
     for _ in 0..1 + usize::from(twice) {
         let (later, lost) = ways.later(to, &link.base, chance);
         let Ok(room) = room.clone().try_acquire_owned() else { continue };
--- a/drill/src/main.rs
+++ b/drill/src/main.rs
@@ -11,8 +11,8 @@
 use ochreshed_drill::file::Drill;
 use ochreshed_drill::play::Options;
 use ochreshed_drill::{Played, audit, beside, run};
-use ochreshed_emulator::chooser::Policy;
-use ochreshed_emulator::world;
+use ochreshed_emulator::routing::RoutingPolicy;
+use ochreshed_emulator::simulation;
 
 const HELP: &str = "\
 ochreshed-drill, many processes of the program on loopback with faults between them
@@ -137,7 +137,7 @@
     let mut text = read(Path::new(file))?;
     for change in set {
         let (path, value) = change.split_once('=').ok_or(format!("--set {change}: PATH=VALUE is wanted"))?;
-        text = ochreshed_emulator::scenario::Scenario::with(&text, path, value)?;
+        text = ochreshed_emulator::scenario::Scenario::with_override(&text, path, value)?;
     }
     Drill::parse(&text).map_err(|why| format!("{file}:\n{why}"))
 }
@@ -180,10 +180,10 @@
 
 fn check(file: &str, drill: &Drill) -> Result<ExitCode, String> {
     let (balancers, srvs, faults) =
-        (drill.balancers(), drill.tier().srvs, drill.faults.len() + drill.troubles.len());
+        (drill.balancers(), drill.tier().server_count, drill.faults.len() + drill.troubles.len());
     println!(
         "{file}: {balancers} processes before {srvs} srvs in {} zones, {faults} faults",
-        drill.tier().sites
+        drill.tier().site_count
     );
     match drill.scenario() {
         Ok(_) => println!("it can be played simulated as well"),
@@ -330,7 +330,7 @@
     let scenario =
         drill.scenario().map_err(|only| format!("{file}: only a drill has\n{}", only.join("\n")))?;
     for seed in seeds {
-        let day = world::play(&scenario, Policy::Module, *seed);
+        let day = simulation::simulate(&scenario, RoutingPolicy::Module, *seed);
         let (asked, in_time) = (day.asked, day.in_time);
         let part = in_time as f64 / asked.max(1) as f64;
         println!("simulated, seed {seed}: {asked} asked, {in_time} in time, service {part:.3}");
--- a/drill/src/party.rs
+++ b/drill/src/party.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use ochreshed_emulator::chance::Stream;
+use ochreshed_emulator::random::RandomStream;
 
 /// One end of a link. Clients stand by zone, for the front that deals them out does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -157,7 +157,7 @@
     }
 
     /// Those named, in order, each once.
-    pub fn of(&self, who: &Who, chance: &mut Stream) -> Vec<Party> {
+    pub fn of(&self, who: &Who, chance: &mut RandomStream) -> Vec<Party> {
         let mut found: Vec<Party> = Vec::new();
         for Term { kind, which } in &who.0 {
             let balancers = (0..self.balancers).map(Party::Balancer);
@@ -185,7 +185,7 @@
                     // Drawn without putting back; the count is rounded to the nearest.
                     let most = (of.len() * part + all / 2) / all;
                     for at in 0..most {
-                        let other = at + chance.below(of.len() - at);
+                        let other = at + chance.sample_below(of.len() - at);
                         of.swap(at, other);
                     }
                     of.truncate(most);
@@ -215,7 +215,7 @@
         let of = |text: &str, seed| {
             let who = Who::parse(text).expect(text);
             parties.check(&who).expect(text);
-            parties.of(&who, &mut Stream::new(seed, "script"))
+            parties.of(&who, &mut RandomStream::new(seed, "script"))
         };
         use Party::*;
         assert_eq!(of("balancers:0-1, srvs:8, balancers:1", 1), [Balancer(0), Balancer(1), Srv(8)]);
--- a/drill/src/play.rs
+++ b/drill/src/play.rs
@@ -14,8 +14,8 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use nix::sys::signal::Signal as Sig;
-use ochreshed_emulator::chance::Stream;
-use ochreshed_emulator::scenario::{Effect, What as Trouble};
+use ochreshed_emulator::random::RandomStream;
+use ochreshed_emulator::scenario::{Effect, FaultKind};
 use ochreshed_emulator::{MS, Nanos, S};
 use serde_json::{Value as Json, json};
 use tokio::sync::watch;
@@ -204,7 +204,7 @@
     /// Factors on the load, by fault.
     loads: HashMap<usize, f64>,
     load: watch::Sender<f64>,
-    chance: Stream,
+    chance: RandomStream,
 }
 
 impl<'a> Stage<'a> {
@@ -232,7 +232,7 @@
         let discovery = Discovery::new(parties.balancers, list.collect(), rules, seed, log.clone());
         let balancers = (0..parties.balancers).map(|number| Balancer::new(number, folder));
         let balancers: Balancers = Arc::new(balancers.collect::<Result<_, _>>()?);
-        let mut chance = Stream::new(seed, "script");
+        let mut chance = RandomStream::new(seed, "script");
         let others = drill.live.other.as_ref().filter(|_| options.other.is_some());
         let others = others.map(|who| parties.of(who, &mut chance)).unwrap_or_default();
         let number = |party| match party {
@@ -273,7 +273,7 @@
     fn link(&mut self, from: Party, to: Party) -> Link {
         let (a, b) = (self.parties.zone_of(from), self.parties.zone_of(to));
         let network = &self.drill.network;
-        let base = if a == b { &network.within } else { &network.between };
+        let base = if a == b { &network.within_site } else { &network.between_sites };
         let seed = self.options.seed.wrapping_mul(1_000_003).wrapping_add(self.links.len() as u64);
         let link = Link::new(base.clone(), seed);
         self.links.insert((from, to), link.clone());
@@ -431,17 +431,17 @@
     }
 
     fn traffic(&self) -> Traffic {
-        let mut chance = Stream::new(self.options.seed, "weights");
+        let mut chance = RandomStream::new(self.options.seed, "weights");
         let skew = self.drill.live.skew;
         // Evenly spread by their logarithm, from 1 up to the skew.
-        let weights = (0..self.parties.balancers).map(|_| skew.powf(chance.part())).collect();
+        let weights = (0..self.parties.balancers).map(|_| skew.powf(chance.sample_fraction())).collect();
         let clients = &self.drill.clients;
         Traffic {
             rule_sets: self.drill.rule_sets.clone(),
-            per_s: clients.per_s,
+            per_s: clients.requests_per_s,
             weights,
-            tries_again: clients.tries_again,
-            pause: Duration::from_nanos(clients.pause),
+            tries_again: clients.max_retries,
+            pause: Duration::from_nanos(clients.retry_delay),
             notice: Duration::from_nanos(self.drill.live.notice),
         }
     }
@@ -463,7 +463,7 @@
             Some(fault) => (fault.at, fault.lasts),
             None => {
                 let trouble = &self.drill.troubles[number - self.drill.faults.len()];
-                (trouble.at, trouble.lasts)
+                (trouble.starts_at, trouble.duration)
             }
         }
     }
@@ -562,7 +562,7 @@
                 let runs = (*period as f64 * part) as Nanos;
                 let duty = Some((runs, period - runs, now + lasts));
                 for balancer in numbers(self.draw(number, who)) {
-                    let phase = (self.chance.part() * *period as f64) as Nanos;
+                    let phase = (self.chance.sample_fraction() * *period as f64) as Nanos;
                     self.at(now + phase, Step::Stop { balancer, duty });
                 }
             }
@@ -645,60 +645,60 @@
     /// What the emulator's troubles are on sockets.
     async fn trouble(&mut self, now: Nanos, number: usize, begins: bool) {
         let trouble = self.drill.troubles[number - self.drill.faults.len()].clone();
-        let name = serde_json::to_value(trouble.what).ok().and_then(|name| name.as_str().map(str::to_owned));
+        let name = serde_json::to_value(trouble.kind).ok().and_then(|name| name.as_str().map(str::to_owned));
         self.note_fault(number, begins, &name.unwrap_or_default());
-        let srvs = trouble.srvs.min(self.srvs.len());
-        match trouble.what {
-            Trouble::SiteLost if begins => {
+        let srvs = trouble.target_count.min(self.srvs.len());
+        match trouble.kind {
+            FaultKind::SiteLost if begins => {
                 let in_site = |party: &Party| self.parties.zone_of(*party) == Some(trouble.site);
                 let from = (0..self.parties.balancers).map(Party::Balancer).filter(|party| !in_site(party));
                 let to = (0..self.parties.srvs).map(Party::Srv).filter(in_site);
                 let (from, to) = (from.collect(), to.collect());
                 self.change_links(number, &from, &to, Way::Both, LinkEffect::Cut);
             }
-            Trouble::SiteLost => self.heal_links(number),
-            Trouble::FastErrors => self.srvs[..srvs].iter().for_each(|srv| srv.fail(begins)),
-            Trouble::Pause if begins => {
+            FaultKind::SiteLost => self.heal_links(number),
+            FaultKind::FastErrors => self.srvs[..srvs].iter().for_each(|srv| srv.fail(begins)),
+            FaultKind::Pause if begins => {
                 for srv in 0..srvs {
-                    self.srvs[srv].pause(now + trouble.lasts);
-                    self.at(now + trouble.lasts, Step::Unpause(srv));
+                    self.srvs[srv].pause(now + trouble.duration);
+                    self.at(now + trouble.duration, Step::Unpause(srv));
                 }
             }
-            Trouble::FleetCut if begins => {
-                let cut = trouble.srvs.min(self.parties.balancers);
+            FaultKind::FleetCut if begins => {
+                let cut = trouble.target_count.min(self.parties.balancers);
                 let side = |of: std::ops::Range<usize>| of.map(Party::Balancer).collect();
                 let (from, to) = (side(0..cut), side(cut..self.parties.balancers));
                 self.change_links(number, &from, &to, Way::Both, LinkEffect::Cut);
             }
-            Trouble::FleetCut => self.heal_links(number),
-            Trouble::Drain => (0..srvs).for_each(|srv| self.drain(srv, begins, None)),
-            Trouble::Slow => {
-                let times = if begins { trouble.times } else { 1.0 };
+            FaultKind::FleetCut => self.heal_links(number),
+            FaultKind::Drain => (0..srvs).for_each(|srv| self.drain(srv, begins, None)),
+            FaultKind::Slow => {
+                let times = if begins { trouble.factor } else { 1.0 };
                 self.srvs.iter().for_each(|srv| srv.slow(times));
             }
-            Trouble::Resets => {
-                let part = if begins { trouble.part } else { 0.0 };
+            FaultKind::Resets => {
+                let part = if begins { trouble.fraction } else { 0.0 };
                 self.srvs.iter().for_each(|srv| srv.reset(part));
             }
-            Trouble::Burst => self.set_load(number, begins.then_some(trouble.times)),
-            Trouble::ListDown if begins => self.discovery.set(|state| state.old += 1),
-            Trouble::ListDown => self.discovery.set(|state| state.old -= 1),
-            Trouble::Crash if begins => {
+            FaultKind::Burst => self.set_load(number, begins.then_some(trouble.factor)),
+            FaultKind::ListDown if begins => self.discovery.set(|state| state.old += 1),
+            FaultKind::ListDown => self.discovery.set(|state| state.old -= 1),
+            FaultKind::Crash if begins => {
                 let most = srvs.min(self.parties.balancers);
                 let back = Some(Back { after: 0, list: List::Start, stored: Stored::Kept });
                 for balancer in 0..most {
-                    let at = now + trouble.lasts / most.max(1) as u64 * balancer as u64;
+                    let at = now + trouble.duration / most.max(1) as u64 * balancer as u64;
                     self.at(at, Step::Kill { balancer, signal: Signal::Kill, back });
                 }
             }
-            Trouble::Deploy if begins => {
-                let each = trouble.lasts / self.srvs.len() as u64;
+            FaultKind::Deploy if begins => {
+                let each = trouble.duration / self.srvs.len() as u64;
                 for srv in 0..self.srvs.len() {
                     self.at(now + each * srv as u64, Step::Drain(srv));
                     self.at(now + each * srv as u64 + 4 * S, Step::Replace(srv));
                 }
             }
-            Trouble::Pause | Trouble::Crash | Trouble::Deploy => {}
+            FaultKind::Pause | FaultKind::Crash | FaultKind::Deploy => {}
         }
     }
 
@@ -906,7 +906,8 @@
                 settings.insert(key.clone(), value.clone());
             }
         }
-        let seed = Stream::new(self.options.seed, &format!("balancer {balancer}")).below(usize::MAX);
+        let seed =
+            RandomStream::new(self.options.seed, &format!("balancer {balancer}")).sample_below(usize::MAX);
         json!({
             "name": format!("n{balancer}"),
             "listen": self.balancers[balancer].address.to_string(),
@@ -922,7 +923,7 @@
     fn settings(&self, balancer: usize) -> Json {
         let ms = |span: Nanos| span as f64 / MS as f64;
         let (tier, live) = (self.drill.tier(), &self.drill.live);
-        let cold = tier.cold.map_or((0.0, 1.0), |cold| (ms(cold.lasts), cold.share));
+        let cold = tier.slow_start.map_or((0.0, 1.0), |cold| (ms(cold.duration), cold.initial_speed));
         let rule_sets = self.drill.rule_sets.iter().map(|set| {
             let effect = match set.effect {
                 Effect::Replayable => "repeatable",
@@ -930,7 +931,7 @@
                 Effect::NonReplayable => "once",
             };
             json!({
-                "Name": set.name, "Effect": effect, "DedupScope": "all", "Window": ms(set.window),
+                "Name": set.name, "Effect": effect, "DedupScope": "all", "Window": ms(set.dedup_window),
                 "ResponseTarget": ms(set.response_target), "ClientTimeout": ms(set.client_timeout),
                 "Utility": set.utility, "TardyUtility": 0.0,
             })
--- a/drill/src/srv.rs
+++ b/drill/src/srv.rs
@@ -7,9 +7,9 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use ochreshed_emulator::chance::Stream;
+use ochreshed_emulator::random::RandomStream;
 use ochreshed_emulator::scenario::Tier;
-use ochreshed_emulator::station::{Offer, Station};
+use ochreshed_emulator::service_queue::{Admission, ServiceQueue};
 use ochreshed_emulator::{MS, Nanos};
 use tokio::io::AsyncWriteExt;
 use tokio::net::{TcpListener, TcpStream};
@@ -42,7 +42,7 @@
 }
 
 struct Inner {
-    station: Station,
+    station: ServiceQueue,
     /// The station's time, which never goes back.
     clock: Nanos,
     waiting: HashMap<u64, oneshot::Sender<Nanos>>,
@@ -56,7 +56,7 @@
     times: f64,
     failing: f64,
     resets: f64,
-    chance: Stream,
+    chance: RandomStream,
     /// The listener and the connections of its process.
     tasks: Vec<AbortHandle>,
 }
@@ -72,7 +72,7 @@
     ) -> io::Result<Srv> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let inner = Inner {
-            station: Station::new(tier.build(), 0),
+            station: ServiceQueue::new(tier.queue_config(), 0),
             clock: 0,
             waiting: HashMap::new(),
             moved: HashMap::new(),
@@ -81,9 +81,9 @@
             fails_at_once: false,
             cold_until: 0,
             times: 1.0,
-            failing: tier.failing,
+            failing: tier.failure_fraction,
             resets: 0.0,
-            chance: Stream::new(seed, &format!("srv {number}")),
+            chance: RandomStream::new(seed, &format!("srv {number}")),
             tasks: Vec::new(),
         };
         let address = listener.local_addr()?;
@@ -131,8 +131,8 @@
         let now = self.log.now();
         {
             let mut inner = held(&self.inner);
-            inner.station = Station::new(self.tier.build(), now);
-            inner.cold_until = now + self.tier.cold.map_or(0, |cold| cold.lasts);
+            inner.station = ServiceQueue::new(self.tier.queue_config(), now);
+            inner.cold_until = now + self.tier.slow_start.map_or(0, |cold| cold.duration);
         }
         self.serve(listener);
         self.alive.send_replace(true);
@@ -169,7 +169,7 @@
     pub fn go_on(&self) {
         let mut inner = held(&self.inner);
         let now = inner.now(self.log.now());
-        let started = inner.station.fill(now);
+        let started = inner.station.start_waiting_jobs(now);
         inner.tell(started);
     }
 
@@ -194,8 +194,8 @@
         let (job, mut ends) = {
             let mut inner = held(&self.inner);
             let now = inner.now(self.log.now());
-            let work = (self.tier.work.draw(&mut inner.chance) as f64 * inner.times) as Nanos;
-            let can = inner.station.speed(now) * self.tier.slots as f64;
+            let work = (self.tier.work_time.sample(&mut inner.chance) as f64 * inner.times) as Nanos;
+            let can = inner.station.speed_at(now) * self.tier.slots as f64;
             let cold = now < inner.cold_until;
             self.log.note(Event::Arrived { id, srv: self.number, work: work as f64 / 1e9, can, cold });
             if inner.fails_at_once {
@@ -207,10 +207,10 @@
             }
             inner.next += 1;
             let job = inner.next;
-            match inner.station.offer(now, job, work) {
-                Offer::Full => return turned_away(),
-                Offer::Starts { ends } => (job, Ok(ends)),
-                Offer::Waits => {
+            match inner.station.submit(now, job, work) {
+                Admission::Rejected => return turned_away(),
+                Admission::Started { ends_at: ends } => (job, Ok(ends)),
+                Admission::Queued => {
                     let (started, starts) = oneshot::channel();
                     inner.waiting.insert(job, started);
                     (job, Err(starts))
@@ -232,7 +232,7 @@
                     let now = inner.now(self.log.now());
                     // It may have started just now: then it runs.
                     if inner.waiting.remove(&job).is_some() {
-                        let (_, started) = inner.station.take_back(now, job);
+                        let (_, started) = inner.station.cancel_job(now, job);
                         inner.tell(started);
                         return turned_away();
                     }
@@ -253,13 +253,13 @@
         let mut inner = held(&self.inner);
         // Its slot is free from when it was to end: what a timer is late by must not cost the srv work.
         let now = inner.now(ended);
-        let started = inner.station.ended(now, job);
+        let started = inner.station.finish_job(now, job);
         inner.tell(started);
         let (resets, failing) = (inner.resets, inner.failing);
-        if inner.chance.happens(resets) {
+        if inner.chance.sample_bool(resets) {
             return None;
         }
-        let failed = inner.chance.happens(failing);
+        let failed = inner.chance.sample_bool(failing);
         Some(if failed { answer(500, "", "") } else { answer(200, "", &format!("{id:x}")) })
     }
 }
--- a/drill/tests/links.rs
+++ b/drill/tests/links.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use ochreshed_drill::link::{Effect, Link, Relay, To, UdpRelay};
-use ochreshed_emulator::chance::Span;
+use ochreshed_emulator::random::DurationDistribution;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream, UdpSocket};
 use tokio::sync::watch;
@@ -38,7 +38,7 @@
 
 async fn scene() -> Scene {
     let alive = watch::Sender::new(true);
-    let link = Link::new(Span::Fixed { mean: 0 }, 7);
+    let link = Link::new(DurationDistribution::Fixed { mean: 0 }, 7);
     let relay = Relay::start(echo().await, link, alive.subscribe(), Arc::new(|_, _| {})).expect("a relay");
     Scene { relay, alive }
 }
@@ -148,7 +148,7 @@
 #[tokio::test]
 async fn datagrams_are_lost_doubled_and_reordered() {
     let far = UdpSocket::bind("127.0.0.1:0").await.expect("a port");
-    let link = Link::new(Span::Fixed { mean: 0 }, 3);
+    let link = Link::new(DurationDistribution::Fixed { mean: 0 }, 3);
     let relay = UdpRelay::start(far.local_addr().expect("an address"), link).await.expect("a relay");
     let near = UdpSocket::bind("127.0.0.1:0").await.expect("a port");
     near.connect(relay.address).await.expect("connected");
--- a/emulator/src/fleet.rs
+++ b/emulator/src/gossip_network.rs
@@ -12,15 +12,15 @@
 use ochreshed_replica::outcomes::OutcomeCounts;
 use serde::Deserialize;
 
-use crate::chance::{Span, Stream};
+use crate::random::{DurationDistribution, RandomStream};
 use crate::{MS, Nanos, S};
 
 /// How the balancers speak, where they do.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Fleet {
+pub struct GossipConfig {
     /// One way between two of them.
-    pub delay: Span,
+    pub delay: DurationDistribution,
     /// The part of their messages that is lost; half as many come twice.
     #[serde(default)]
     pub loss: f64,
@@ -49,14 +49,14 @@
 }
 
 pub struct Net {
-    fleet: Fleet,
+    fleet: GossipConfig,
     peers: Vec<GossipNode>,
     known: Vec<EndpointList<()>>,
     wake: Vec<Nanos>,
     /// Balancers up to this number are cut off from the others.
     cut: usize,
     zones: usize,
-    chance: Stream,
+    chance: RandomStream,
     pub bytes: Vec<u64>,
     pub messages: u64,
 }
@@ -76,7 +76,7 @@
 }
 
 impl Net {
-    pub fn new(fleet: Fleet, seed: u64, instances: usize, zones: usize, now: Nanos) -> Net {
+    pub fn new(fleet: GossipConfig, seed: u64, instances: usize, zones: usize, now: Nanos) -> Net {
         let mut net = Net {
             fleet,
             peers: Vec::new(),
@@ -84,7 +84,7 @@
             wake: vec![Nanos::MAX; instances],
             cut: 0,
             zones,
-            chance: Stream::new(seed, "fleet"),
+            chance: RandomStream::new(seed, "fleet"),
             bytes: vec![0; instances],
             messages: 0,
         };
@@ -101,7 +101,7 @@
             name: format!("n{number}"),
             address: address(number),
             zone: format!("site-{}", number % self.zones.max(1)),
-            start_id: (self.chance.part() * 2f64.powi(60)) as u64,
+            start_id: (self.chance.sample_fraction() * 2f64.powi(60)) as u64,
             seeds: (0..3).map(address).collect(),
             membership: SwimConfig::default(),
         };
@@ -259,10 +259,11 @@
         let Some(to) = self.reach(from, to) else { return };
         self.bytes[from] += bytes.len() as u64;
         self.messages += 1;
-        let twice = self.fleet.loss > 0.0 && self.chance.happens(self.fleet.loss / 2.0);
+        let twice = self.fleet.loss > 0.0 && self.chance.sample_bool(self.fleet.loss / 2.0);
         for _ in 0..1 + usize::from(twice) {
-            let delay = self.fleet.delay.draw(&mut self.chance);
-            if !self.through(from, to) || (self.fleet.loss > 0.0 && self.chance.happens(self.fleet.loss)) {
+            let delay = self.fleet.delay.sample(&mut self.chance);
+            if !self.through(from, to) || (self.fleet.loss > 0.0 && self.chance.sample_bool(self.fleet.loss))
+            {
                 continue;
             }
             effects.push(Effect::Later(delay, Due::Datagram { to, from, bytes: bytes.clone() }));
--- a/emulator/src/lib.rs
+++ b/emulator/src/lib.rs
@@ -7,14 +7,14 @@
 //! Figures from here are simulated, and are called so wherever they are shown.
 
 pub mod audit;
-pub mod chance;
-pub mod chooser;
-pub mod fleet;
+pub mod event_queue;
+pub mod gossip_network;
 pub mod mesh;
+pub mod random;
+pub mod routing;
 pub mod scenario;
-pub mod station;
-pub mod time;
-pub mod world;
+pub mod service_queue;
+pub mod simulation;
 
 pub use ochreshed::Nanos;
 
--- a/emulator/src/main.rs
+++ b/emulator/src/main.rs
@@ -3,11 +3,11 @@
 use std::process::ExitCode;
 
 use lexopt::prelude::*;
-use ochreshed_emulator::chooser::Policy;
 use ochreshed_emulator::mesh;
 use ochreshed_emulator::mesh::scenario::Scenario as Mesh;
+use ochreshed_emulator::routing::RoutingPolicy;
 use ochreshed_emulator::scenario::Scenario;
-use ochreshed_emulator::world::{Result as Day, play, trace};
+use ochreshed_emulator::simulation::{SimulationReport, simulate, trace_request};
 use rayon::prelude::*;
 
 const HELP: &str = "\
@@ -34,12 +34,12 @@
     }
 }
 
-fn policy(text: &str) -> Result<Policy, String> {
-    Policy::parse(text).ok_or(format!("there is no policy {text}; see `ochreshed-rehearse help`"))
+fn policy(text: &str) -> Result<RoutingPolicy, String> {
+    RoutingPolicy::parse(text).ok_or(format!("there is no policy {text}; see `ochreshed-rehearse help`"))
 }
 
 fn run() -> Result<ExitCode, String> {
-    let (mut words, mut seed, mut seeds, mut policies) = (Vec::new(), 1, 10, vec![Policy::Module]);
+    let (mut words, mut seed, mut seeds, mut policies) = (Vec::new(), 1, 10, vec![RoutingPolicy::Module]);
     let mut names = vec!["module".to_owned()];
     let (mut traced, mut set, mut nodes, mut json) = (None, String::new(), String::new(), false);
     let mut args = lexopt::Parser::from_env();
@@ -75,7 +75,7 @@
     match command.as_str() {
         "check" => println!("{file}: {} tiers, {} rule sets", scenario.tiers.len(), scenario.rule_sets.len()),
         "run" if traced.is_some() => {
-            let lines = trace(&scenario, policies[0], seed, traced.unwrap_or_default());
+            let lines = trace_request(&scenario, policies[0], seed, traced.unwrap_or_default());
             if lines.is_empty() {
                 return Err("no req of that day has that number".into());
             }
@@ -84,17 +84,17 @@
         "sweep" => {
             let (path, values) = set.split_once('=').ok_or("--set PATH=V,V.. is missing")?;
             for value in values.split(',') {
-                let scenario = Scenario::parse(&Scenario::with(&text, path, value)?)?;
+                let scenario = Scenario::parse(&Scenario::with_override(&text, path, value)?)?;
                 println!("\n{path} = {value}");
                 compare(&scenario, &names, &policies, seeds);
             }
         }
         "run" if json => {
-            let day = play(&scenario, policies[0], seed);
+            let day = simulate(&scenario, policies[0], seed);
             println!("{}", serde_json::to_string_pretty(&day).map_err(|e| e.to_string())?);
             return Ok(if day.breaches.is_empty() { ExitCode::SUCCESS } else { ExitCode::from(2) });
         }
-        "run" => return Ok(show(&play(&scenario, policies[0], seed))),
+        "run" => return Ok(show(&simulate(&scenario, policies[0], seed))),
         "compare" => compare(&scenario, &names, &policies, seeds),
         other => return Err(format!("there is no command {other}")),
     }
@@ -117,7 +117,7 @@
         return Err(why);
     }
     let reports: Vec<_> =
-        scenarios.par_iter().map(|scenario| mesh::world::play(scenario, seed, None)).collect();
+        scenarios.par_iter().map(|scenario| mesh::simulation::simulate(scenario, seed, None)).collect();
     if json {
         println!("{}", serde_json::to_string_pretty(&reports).map_err(|e| e.to_string())?);
     } else if nodes.is_some() {
@@ -129,7 +129,7 @@
     Ok(if broken { ExitCode::from(2) } else { ExitCode::SUCCESS })
 }
 
-fn show(day: &Day) -> ExitCode {
+fn show(day: &SimulationReport) -> ExitCode {
     println!(
         "simulated: {} asked, {} in time, {} late; {} events",
         day.asked, day.in_time, day.late, day.events
@@ -162,20 +162,20 @@
 }
 
 /// Each policy on the same seeds, with the 95% interval of its difference to the first one, seed by seed.
-fn compare(scenario: &Scenario, names: &[String], policies: &[Policy], seeds: u64) {
+fn compare(scenario: &Scenario, names: &[String], policies: &[RoutingPolicy], seeds: u64) {
     println!(
         "simulated, {seeds} seeds\n| policy | score | worst 10 s | sends by tier | against {} | broken | heeded by 99%, s | by all, s | bytes a second |",
         names[0]
     );
     println!("| --- | --- | --- | --- | --- | --- | --- | --- | --- |");
-    let days = |policy: Policy| -> Vec<Day> {
-        (1..=seeds).into_par_iter().map(|seed| play(scenario, policy, seed)).collect()
+    let days = |policy: RoutingPolicy| -> Vec<SimulationReport> {
+        (1..=seeds).into_par_iter().map(|seed| simulate(scenario, policy, seed)).collect()
     };
     let mut first: Vec<f64> = Vec::new();
     for (name, policy) in names.iter().zip(policies) {
         let days = days(*policy);
         let number = days.len() as f64;
-        let mean = |of: &dyn Fn(&Day) -> f64| days.iter().map(of).sum::<f64>() / number;
+        let mean = |of: &dyn Fn(&SimulationReport) -> f64| days.iter().map(of).sum::<f64>() / number;
         let scores: Vec<f64> = days.iter().map(|day| day.score).collect();
         if first.is_empty() {
             first.clone_from(&scores);
--- a/emulator/src/mesh/scenario.rs
+++ b/emulator/src/mesh/scenario.rs
@@ -3,8 +3,8 @@
 
 use serde::Deserialize;
 
-use crate::chance::Span;
-use crate::scenario::span;
+use crate::random::DurationDistribution;
+use crate::scenario::deserialize_duration;
 use crate::{Nanos, S};
 
 #[derive(Clone, Debug, Deserialize)]
@@ -18,30 +18,30 @@
     /// So many attendants start a second at first.
     pub starts_per_s: f64,
     /// Nothing is counted until so long after the last of them.
-    #[serde(deserialize_with = "span")]
+    #[serde(deserialize_with = "deserialize_duration")]
     pub settles: Nanos,
     /// Counted for so long.
-    #[serde(deserialize_with = "span")]
+    #[serde(deserialize_with = "deserialize_duration")]
     pub lasts: Nanos,
     pub link: Link,
     pub processor: Processor,
     /// A write and its sync.
-    pub sync: Span,
+    pub sync: DurationDistribution,
     pub sheets: Sheets,
     pub upstreams: Upstreams,
     pub claims: Claims,
     #[serde(default)]
-    pub troubles: Vec<Trouble>,
+    pub troubles: Vec<Fault>,
 }
 
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Link {
     /// One way.
-    pub delay: Span,
+    pub delay: DurationDistribution,
     /// The part of messages that is lost and sent again by the system, so much later.
     pub loss: f64,
-    #[serde(deserialize_with = "span")]
+    #[serde(deserialize_with = "deserialize_duration")]
     pub again: Nanos,
     /// Of each machine, each way, in millions of bits a second.
     pub mbit: f64,
@@ -56,18 +56,18 @@
     pub steward_share: f64,
     pub attendant_share: f64,
     /// To send or to take a message, and each KiB of it.
-    #[serde(deserialize_with = "span")]
+    #[serde(deserialize_with = "deserialize_duration")]
     pub message: Nanos,
-    #[serde(deserialize_with = "span")]
+    #[serde(deserialize_with = "deserialize_duration")]
     pub kib: Nanos,
     /// A timer that goes off.
-    #[serde(deserialize_with = "span")]
+    #[serde(deserialize_with = "deserialize_duration")]
     pub wake: Nanos,
     /// An open ask that looks whether there is news for it.
-    #[serde(deserialize_with = "span")]
+    #[serde(deserialize_with = "deserialize_duration")]
     pub reader: Nanos,
     /// For each row that is gone through: by a steward's look, by its merges, by an attendant that lists them anew.
-    #[serde(deserialize_with = "span")]
+    #[serde(deserialize_with = "deserialize_duration")]
     pub row: Nanos,
 }
 
@@ -76,7 +76,7 @@
 pub struct Sheets {
     /// Bytes of a configuration, of which a line changes with each; one is sent every so often.
     pub bytes: usize,
-    #[serde(deserialize_with = "span")]
+    #[serde(deserialize_with = "deserialize_duration")]
     pub every: Nanos,
 }
 
@@ -86,7 +86,7 @@
     pub services: usize,
     /// Drains, ends and starts, for each attendant an hour.
     pub turns_per_h: f64,
-    #[serde(deserialize_with = "span")]
+    #[serde(deserialize_with = "deserialize_duration")]
     pub cold: Nanos,
 }
 
@@ -98,13 +98,13 @@
     /// The part that repeats one of the last keys of the mesh.
     pub repeats: f64,
     /// How long a granted req runs, and the bytes of its answer.
-    pub run: Span,
+    pub run: DurationDistribution,
     pub answer: usize,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum What {
+pub enum FaultKind {
     /// Processes end at once, one after the other over the time, and each starts again after `down`.
     Kill,
     /// They stand still for as long as it lasts.
@@ -117,31 +117,31 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Who {
+pub enum FaultTarget {
     Attendants,
     Stewards,
 }
 
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Trouble {
+pub struct Fault {
     /// From when it is counted on.
-    #[serde(deserialize_with = "span")]
+    #[serde(deserialize_with = "deserialize_duration")]
     pub at: Nanos,
-    #[serde(deserialize_with = "span")]
+    #[serde(deserialize_with = "deserialize_duration")]
     pub lasts: Nanos,
-    pub what: What,
-    pub who: Who,
+    pub what: FaultKind,
+    pub who: FaultTarget,
     /// So many, the first ones; or this part of all.
     #[serde(default)]
     pub number: usize,
     #[serde(default)]
     pub part: f64,
-    #[serde(default, deserialize_with = "span")]
+    #[serde(default, deserialize_with = "deserialize_duration")]
     pub down: Nanos,
 }
 
-impl Trouble {
+impl Fault {
     pub fn many(&self, of: usize) -> usize {
         self.number.max((self.part * of as f64).ceil() as usize).min(of)
     }
@@ -194,7 +194,7 @@
         for (name, span) in
             [("link.delay", &self.link.delay), ("sync", &self.sync), ("claims.run", &self.claims.run)]
         {
-            if let Err(why) = span.check() {
+            if let Err(why) = span.validate() {
                 must(false, &format!("{name}: {why}"));
             }
         }
--- a/emulator/src/mesh/world.rs
+++ b/emulator/src/mesh/simulation.rs
@@ -15,11 +15,11 @@
 use super::gate::Gate;
 use super::hand::{Hand, Note, Out, Step, Timer};
 use super::report::{Report, report};
-use super::scenario::{Scenario, Trouble, What, Who};
+use super::scenario::{Fault, FaultKind, FaultTarget, Scenario};
 use super::steward::{Kept, Start, Steward};
 use super::watch::{Kind, Watch};
-use crate::chance::Stream;
-use crate::time::Events;
+use crate::event_queue::Events;
+use crate::random::RandomStream;
 use crate::{MS, Nanos, S};
 
 const START: Nanos = 1_000 * S;
@@ -86,7 +86,7 @@
     books: Books,
 }
 
-pub struct World<'a> {
+pub struct Simulation<'a> {
     of: &'a Scenario,
     mutation: Option<Mutation>,
     events: Events<Event>,
@@ -96,8 +96,8 @@
     /// When the last message arrives, by both ends: a connection keeps its order.
     order: BTreeMap<(usize, usize), Nanos>,
     ids: u64,
-    net: Stream,
-    load: Stream,
+    net: RandomStream,
+    load: RandomStream,
     keys: VecDeque<LeaseKey>,
     sheets: Vec<Arc<RegisterValue>>,
     audit: Audit,
@@ -108,19 +108,27 @@
 }
 
 /// Plays a scenario; `mutation` breaks a rule of the core.
-pub fn play(scenario: &Scenario, seed: u64, mutation: Option<Mutation>) -> Report {
-    let mut world = World::new(scenario, seed, mutation);
+pub fn simulate(scenario: &Scenario, seed: u64, mutation: Option<Mutation>) -> Report {
+    let mut simulation = Simulation::new(scenario, seed, mutation);
     let end = START + scenario.warm() + scenario.lasts;
-    while let Some(event) = world.events.next(end) {
-        world.handled += 1;
-        world.happen(event);
+    while let Some(event) = simulation.events.next(end) {
+        simulation.handled += 1;
+        simulation.happen(event);
     }
     let seconds = scenario.lasts as f64 / 1e9;
     let split = scenario.stewards;
     let of = |nodes: &[Node]| nodes.iter().map(|node| node.books.clone()).collect::<Vec<_>>();
-    let (stewards, gates) = world.nodes.split_at(split);
-    let claims = (world.claims, std::mem::take(&mut world.claim_ms));
-    report(scenario, seconds, (of(stewards), of(gates)), &world.watch, &world.audit, claims, world.handled)
+    let (stewards, gates) = simulation.nodes.split_at(split);
+    let claims = (simulation.claims, std::mem::take(&mut simulation.claim_ms));
+    report(
+        scenario,
+        seconds,
+        (of(stewards), of(gates)),
+        &simulation.watch,
+        &simulation.audit,
+        claims,
+        simulation.handled,
+    )
 }
 
 /// A text that looks like a configuration; a line of it goes with the version.
@@ -140,8 +148,8 @@
     text.into_bytes()
 }
 
-impl World<'_> {
-    fn new(of: &Scenario, seed: u64, mutation: Option<Mutation>) -> World<'_> {
+impl Simulation<'_> {
+    fn new(of: &Scenario, seed: u64, mutation: Option<Mutation>) -> Simulation<'_> {
         let at = |node: usize| {
             let (tier, number) = if node < of.stewards { (0, node) } else { (1, node - of.stewards) };
             let ip = [10, tier + (number / 62_500) as u8, (number / 250) as u8, (number % 250) as u8 + 1];
@@ -159,7 +167,7 @@
             cut: false,
             books: Books::default(),
         };
-        let mut world = World {
+        let mut simulation = Simulation {
             of,
             mutation,
             events: Events::new(START),
@@ -167,8 +175,8 @@
             open: BTreeMap::new(),
             order: BTreeMap::new(),
             ids: 0,
-            net: Stream::new(seed, "mesh net"),
-            load: Stream::new(seed, "mesh load"),
+            net: RandomStream::new(seed, "mesh net"),
+            load: RandomStream::new(seed, "mesh load"),
             keys: VecDeque::new(),
             sheets: Vec::new(),
             audit: Audit::default(),
@@ -177,31 +185,31 @@
             claims: [0; 3],
             claim_ms: Vec::new(),
         };
-        for number in 0..world.nodes.len() {
+        for number in 0..simulation.nodes.len() {
             let spread = if number < of.stewards { 200 * MS } else { of.starts() };
-            let after = (world.load.part() * spread as f64) as Nanos;
-            world.events.after(after, Event::Start(number));
+            let after = (simulation.load.sample_fraction() * spread as f64) as Nanos;
+            simulation.events.after(after, Event::Start(number));
         }
-        world.events.after(S, Event::Configuration);
-        world.events.after(READS, Event::Read);
-        world.events.after(of.warm(), Event::Count);
-        for gate in of.stewards..world.nodes.len() {
+        simulation.events.after(S, Event::Configuration);
+        simulation.events.after(READS, Event::Read);
+        simulation.events.after(of.warm(), Event::Count);
+        for gate in of.stewards..simulation.nodes.len() {
             for event in [Event::Claim(gate), Event::Turn(gate)] {
-                world.again(of.starts(), event);
+                simulation.again(of.starts(), event);
             }
         }
         for (number, trouble) in of.troubles.iter().enumerate() {
-            let many = trouble.many(world.of_who(trouble.who).len());
-            let one_by_one = matches!(trouble.what, What::Kill | What::Roll);
+            let many = trouble.many(simulation.of_who(trouble.who).len());
+            let one_by_one = matches!(trouble.what, FaultKind::Kill | FaultKind::Roll);
             for step in 0..many {
                 let within = if one_by_one { trouble.lasts / many as u64 * step as u64 } else { 0 };
-                world.events.after(of.warm() + trouble.at + within, Event::Trouble(number, step));
+                simulation.events.after(of.warm() + trouble.at + within, Event::Trouble(number, step));
             }
             if !one_by_one {
-                world.events.after(of.warm() + trouble.at + trouble.lasts, Event::Over(number));
+                simulation.events.after(of.warm() + trouble.at + trouble.lasts, Event::Over(number));
             }
         }
-        world
+        simulation
     }
 
     /// A load's next time.
@@ -210,15 +218,15 @@
             Event::Claim(_) => self.of.claims.per_s,
             _ => self.of.upstreams.turns_per_h / 3_600.0,
         };
-        if let Some(gap) = self.load.gap(per_s) {
+        if let Some(gap) = self.load.sample_arrival_gap(per_s) {
             self.events.after(from + gap, event);
         }
     }
 
-    fn of_who(&self, who: Who) -> std::ops::Range<usize> {
+    fn of_who(&self, who: FaultTarget) -> std::ops::Range<usize> {
         match who {
-            Who::Stewards => 0..self.of.stewards,
-            Who::Attendants => self.of.stewards..self.nodes.len(),
+            FaultTarget::Stewards => 0..self.of.stewards,
+            FaultTarget::Attendants => self.of.stewards..self.nodes.len(),
         }
     }
 
@@ -282,7 +290,7 @@
             Event::Claim(node) => {
                 self.again(0, Event::Claim(node));
                 let key = self.key();
-                let token = self.load.below(usize::MAX >> 2) as LeaseToken + 1;
+                let token = self.load.sample_below(usize::MAX >> 2) as LeaseToken + 1;
                 self.claims[0] += 1;
                 self.with(node, |process, hand| {
                     if let Process::Gate(gate) = process {
@@ -302,10 +310,11 @@
     }
 
     fn key(&mut self) -> LeaseKey {
-        if !self.keys.is_empty() && self.load.happens(self.of.claims.repeats) {
-            return self.keys[self.load.below(self.keys.len())];
+        if !self.keys.is_empty() && self.load.sample_bool(self.of.claims.repeats) {
+            return self.keys[self.load.sample_below(self.keys.len())];
         }
-        let key = (self.load.below(usize::MAX) as LeaseKey) << 64 | self.load.below(usize::MAX) as LeaseKey;
+        let key = (self.load.sample_below(usize::MAX) as LeaseKey) << 64
+            | self.load.sample_below(usize::MAX) as LeaseKey;
         self.keys.push_back(key);
         if self.keys.len() > KEYS {
             self.keys.pop_front();
@@ -314,7 +323,7 @@
     }
 
     fn operate(&mut self, want: CoreRequest) {
-        let steward = self.load.below(self.of.stewards);
+        let steward = self.load.sample_below(self.of.stewards);
         let floor = self.audit.floor();
         self.with(steward, |process, hand| {
             if let Process::Steward(steward) = process {
@@ -331,7 +340,7 @@
         let (at, life) = (self.nodes[node].at, self.nodes[node].life);
         let mut hand = Hand { now: self.events.now(), ids: self.ids, out: Vec::new() };
         let process = if node < self.of.stewards {
-            let seed = self.load.below(usize::MAX) as u64;
+            let seed = self.load.sample_below(usize::MAX) as u64;
             let voters = 2 * self.of.tolerate + 1;
             let config = Config {
                 lease_ttl: KEEP,
@@ -374,7 +383,7 @@
         let broken: Vec<(u64, usize)> =
             self.open.iter().filter(|(_, (_, to))| *to == node).map(|(id, (from, _))| (*id, *from)).collect();
         for (id, from) in broken {
-            let after = self.of.link.delay.draw(&mut self.net);
+            let after = self.of.link.delay.sample(&mut self.net);
             self.events.after(after, Event::Broken(from, id));
         }
         self.open.retain(|_, (from, _)| *from != node);
@@ -382,19 +391,19 @@
     }
 
     fn trouble(&mut self, number: usize, step: usize) {
-        let trouble: &Trouble = &self.of.troubles[number];
+        let trouble: &Fault = &self.of.troubles[number];
         let node = self.of_who(trouble.who).start + step;
         match trouble.what {
-            What::Kill => self.kill(node, trouble.down),
-            What::Roll if node < self.of.stewards => self.kill(node, trouble.down),
-            What::Roll => {
+            FaultKind::Kill => self.kill(node, trouble.down),
+            FaultKind::Roll if node < self.of.stewards => self.kill(node, trouble.down),
+            FaultKind::Roll => {
                 if let Some(Process::Gate(gate)) = &mut self.nodes[node].process {
                     gate.leaves = true;
                 }
                 self.step(node, Step::Drain);
             }
-            What::Cut => self.nodes[node].cut = true,
-            What::Freeze => {
+            FaultKind::Cut => self.nodes[node].cut = true,
+            FaultKind::Freeze => {
                 let until = self.events.now() + trouble.lasts;
                 self.nodes[node].frozen = until;
                 self.nodes[node].free = self.nodes[node].free.max(until);
@@ -404,7 +413,7 @@
 
     fn step(&mut self, node: usize, step: Step) {
         if step == Step::Kill {
-            let down = self.of.troubles.iter().find(|trouble| trouble.what == What::Roll);
+            let down = self.of.troubles.iter().find(|trouble| trouble.what == FaultKind::Roll);
             self.kill(node, down.map_or(S, |trouble| trouble.down));
             return;
         }
@@ -452,8 +461,8 @@
         }
         let takes = (bytes as f64 * 8e3 / self.of.link.mbit) as Nanos;
         self.nodes[from].out = self.nodes[from].out.max(done) + takes;
-        let mut at = self.nodes[from].out + self.of.link.delay.draw(&mut self.net);
-        if self.net.happens(self.of.link.loss) {
+        let mut at = self.nodes[from].out + self.of.link.delay.sample(&mut self.net);
+        if self.net.sample_bool(self.of.link.loss) {
             at += self.of.link.again;
         }
         let last = self.order.entry((from, to)).or_default();
@@ -467,7 +476,7 @@
         if self.nodes[to].process.is_none() {
             // Its system says that nobody is there.
             if matches!(message.say, Say::Request(_)) && message.id != 0 {
-                let after = self.of.link.delay.draw(&mut self.net);
+                let after = self.of.link.delay.sample(&mut self.net);
                 self.events.after(after, Event::Broken(message.from, message.id));
             }
             return;
@@ -582,7 +591,7 @@
                     self.events.at(at, Event::Run(node, life, timer));
                 }
                 Out::Sync => {
-                    let takes = self.of.sync.draw(&mut self.net);
+                    let takes = self.of.sync.sample(&mut self.net);
                     self.events.after(takes, Event::Timer(node, life, Timer::Synced));
                 }
                 Out::Rows(cause, many) => {
@@ -627,7 +636,7 @@
                 self.claims[1] += 1;
                 self.claim_ms.push(took as f64 / 1e6);
                 self.audit.granted(now, key, token);
-                let run = self.of.claims.run.draw(&mut self.load);
+                let run = self.of.claims.run.sample(&mut self.load);
                 let life = self.nodes[node].life;
                 self.events.after(run, Event::Timer(node, life, Timer::Ran(claim)));
             }
--- a/emulator/src/chooser.rs
+++ b/emulator/src/routing.rs
@@ -10,12 +10,12 @@
 use ochreshed_policy_runtime::{Action, DispatchResult, PolicyRuntime};
 
 use crate::Nanos;
-use crate::chance::Stream;
+use crate::random::RandomStream;
 use crate::scenario::{Effect, Scenario};
 
 /// Which of them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Policy {
+pub enum RoutingPolicy {
     Module,
     Random {
         tries: usize,
@@ -33,30 +33,32 @@
     Breaks(u8),
 }
 
-impl Policy {
-    pub fn parse(text: &str) -> Option<Policy> {
+impl RoutingPolicy {
+    pub fn parse(text: &str) -> Option<RoutingPolicy> {
         let (name, tries) = match text.strip_suffix("+3") {
             Some(name) => (name, 4),
             None => (text, 1),
         };
         Some(match name {
-            "module" => Policy::Module,
-            "random" => Policy::Random { tries },
-            "round-robin" => Policy::RoundRobin { tries },
-            "least" => Policy::LeastInFlight { tries },
-            "two" => Policy::TwoChoices { tries },
+            "module" => RoutingPolicy::Module,
+            "random" => RoutingPolicy::Random { tries },
+            "round-robin" => RoutingPolicy::RoundRobin { tries },
+            "least" => RoutingPolicy::LeastInFlight { tries },
+            "two" => RoutingPolicy::TwoChoices { tries },
             _ => return None,
         })
     }
 
     /// An instance before a tier.
-    pub fn start(self, now: Nanos, seed: u64, scenario: &Scenario, seat: Seat) -> Box<dyn Chooser> {
+    pub fn build_router(self, now: Nanos, seed: u64, scenario: &Scenario, seat: Seat) -> Box<dyn Chooser> {
         match self {
-            Policy::Module => Box::new(PolicyRuntime::new(Balancer::new(now, seed, facts(scenario, seat)))),
+            RoutingPolicy::Module => {
+                Box::new(PolicyRuntime::new(Balancer::new(now, seed, facts(scenario, seat))))
+            }
             _ => Box::new(Plain {
                 policy: self,
                 replayable: replayable(scenario),
-                chance: Stream::new(seed, "baseline"),
+                chance: RandomStream::new(seed, "baseline"),
                 srvs: BTreeMap::new(),
                 next: 0,
                 reqs: BTreeMap::new(),
@@ -86,7 +88,7 @@
             ("name".into(), text(&set.name)),
             ("effect".into(), text(effect)),
             ("group".into(), text("all")),
-            ("window".into(), ParameterValue::Duration(set.window)),
+            ("window".into(), ParameterValue::Duration(set.dedup_window)),
             ("response_target".into(), ParameterValue::Duration(set.response_target)),
             ("client_timeout".into(), ParameterValue::Duration(set.client_timeout)),
             ("utility".into(), ParameterValue::Number(set.utility)),
@@ -102,9 +104,9 @@
         ("may_recall".into(), ParameterValue::Flag(true)),
         ("rule_sets".into(), ParameterValue::List(scenario.rule_sets.iter().map(set).collect())),
     ]);
-    if let Some(cold) = scenario.tiers[seat.tier].cold {
-        facts.insert("cold".into(), ParameterValue::Duration(cold.lasts));
-        facts.insert("cold_share".into(), ParameterValue::Number(cold.share));
+    if let Some(cold) = scenario.tiers[seat.tier].slow_start {
+        facts.insert("cold".into(), ParameterValue::Duration(cold.duration));
+        facts.insert("cold_share".into(), ParameterValue::Number(cold.initial_speed));
     }
     facts
 }
@@ -175,9 +177,9 @@
 
 /// A baseline: picks by a plain rule, and tries again after any failure until it has tried often enough.
 struct Plain {
-    policy: Policy,
+    policy: RoutingPolicy,
     replayable: BTreeSet<Name>,
-    chance: Stream,
+    chance: RandomStream,
     /// The srvs that are up, with what is in flight there.
     srvs: BTreeMap<Name, usize>,
     next: usize,
@@ -188,11 +190,11 @@
 impl Plain {
     fn tries(&self) -> usize {
         match self.policy {
-            Policy::Random { tries }
-            | Policy::RoundRobin { tries }
-            | Policy::LeastInFlight { tries }
-            | Policy::TwoChoices { tries } => tries,
-            Policy::Breaks(2) => 4,
+            RoutingPolicy::Random { tries }
+            | RoutingPolicy::RoundRobin { tries }
+            | RoutingPolicy::LeastInFlight { tries }
+            | RoutingPolicy::TwoChoices { tries } => tries,
+            RoutingPolicy::Breaks(2) => 4,
             _ => 1,
         }
     }
@@ -201,22 +203,23 @@
         let all = self.srvs.len();
         let nth = |srvs: &BTreeMap<Name, usize>, at: usize| srvs.keys().nth(at % all.max(1)).cloned();
         match self.policy {
-            Policy::RoundRobin { .. } => {
+            RoutingPolicy::RoundRobin { .. } => {
                 self.next += 1;
                 nth(&self.srvs, self.next)
             }
-            Policy::LeastInFlight { .. } => {
+            RoutingPolicy::LeastInFlight { .. } => {
                 let least = *self.srvs.values().min()?;
                 let fit: Vec<&Name> = self.srvs.iter().filter(|s| *s.1 == least).map(|s| s.0).collect();
-                Some(fit[self.chance.below(fit.len())].clone())
+                Some(fit[self.chance.sample_below(fit.len())].clone())
             }
-            Policy::TwoChoices { .. } => {
-                let two = [self.chance.below(all), self.chance.below(all)].map(|at| nth(&self.srvs, at));
+            RoutingPolicy::TwoChoices { .. } => {
+                let two = [self.chance.sample_below(all), self.chance.sample_below(all)]
+                    .map(|at| nth(&self.srvs, at));
                 two.into_iter().flatten().min_by_key(|name| self.srvs[name])
             }
             // Heaps all on one srv, cold or not.
-            Policy::Breaks(4) => nth(&self.srvs, 0),
-            _ => nth(&self.srvs, self.chance.below(all)),
+            RoutingPolicy::Breaks(4) => nth(&self.srvs, 0),
+            _ => nth(&self.srvs, self.chance.sample_below(all)),
         }
     }
 
@@ -250,7 +253,7 @@
     fn take(&mut self, now: Nanos, req: RequestContext) {
         let id = req.id;
         // The first rule broken: a req that is never answered.
-        if self.policy == Policy::Breaks(1) && id.is_multiple_of(50) {
+        if self.policy == RoutingPolicy::Breaks(1) && id.is_multiple_of(50) {
             return;
         }
         self.reqs.insert(id, req);
@@ -271,7 +274,7 @@
         // Even a naive one keeps to what may run twice, but for the one that breaks that rule.
         let once = !self.replayable.contains(&req.rule_set)
             && req.first_possible_run().is_some()
-            && self.policy != Policy::Breaks(2);
+            && self.policy != RoutingPolicy::Breaks(2);
         if req.dispatches.len() < tries && !once {
             return self.send(now, id);
         }
@@ -298,7 +301,7 @@
         for entry in entries {
             if entry.state == EndpointState::Up {
                 self.srvs.entry(entry.name.clone()).or_default();
-            } else if self.policy != Policy::Breaks(3) {
+            } else if self.policy != RoutingPolicy::Breaks(3) {
                 self.srvs.remove(&entry.name);
             }
         }
--- a/emulator/src/scenario.rs
+++ b/emulator/src/scenario.rs
@@ -4,55 +4,60 @@
 use serde::{Deserialize, Deserializer, Serialize, de};
 
 use crate::Nanos;
-use crate::chance::Span;
-use crate::fleet::Fleet;
-use crate::station::{Build, Cold, Fatigue};
+use crate::gossip_network::GossipConfig;
+use crate::random::DurationDistribution;
+use crate::service_queue::{OverloadDegradation, QueueConfig, SlowStart};
 
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
     /// Arrivals come for so long; what is under way then is still answered.
-    #[serde(deserialize_with = "span")]
-    pub lasts: Nanos,
+    #[serde(rename = "lasts", deserialize_with = "deserialize_duration")]
+    pub duration: Nanos,
     pub clients: Clients,
     pub network: Network,
-    pub list: Discovery,
+    #[serde(rename = "list")]
+    pub discovery: Discovery,
     /// The balancers before the first tier speak with each other.
-    pub fleet: Option<Fleet>,
+    #[serde(rename = "fleet")]
+    pub gossip: Option<GossipConfig>,
     pub rule_sets: Vec<RuleSet>,
     /// The first is the clients' own; each calls the next.
     pub tiers: Vec<Tier>,
-    #[serde(default)]
-    pub troubles: Vec<Trouble>,
+    #[serde(rename = "troubles", default)]
+    pub faults: Vec<ScenarioFault>,
 }
 
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Clients {
     /// First tries a second, from all clients together.
-    pub per_s: f64,
+    #[serde(rename = "per_s")]
+    pub requests_per_s: f64,
     /// Balancers that they call, at random.
     pub instances: usize,
     /// How often a client tries again after a deny, and how long it waits before.
-    #[serde(default)]
-    pub tries_again: u32,
-    #[serde(default, deserialize_with = "span")]
-    pub pause: Nanos,
+    #[serde(rename = "tries_again", default)]
+    pub max_retries: u32,
+    #[serde(rename = "pause", default, deserialize_with = "deserialize_duration")]
+    pub retry_delay: Nanos,
 }
 
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Network {
     /// One way, within a site and between two.
-    pub within: Span,
-    pub between: Span,
+    #[serde(rename = "within")]
+    pub within_site: DurationDistribution,
+    #[serde(rename = "between")]
+    pub between_sites: DurationDistribution,
 }
 
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Discovery {
     /// How long news takes to each balancer.
-    pub delay: Span,
+    pub delay: DurationDistribution,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
@@ -69,61 +74,68 @@
     pub name: String,
     pub effect: Effect,
     /// Its part of the first tries, against the others' parts.
-    pub part: f64,
-    #[serde(deserialize_with = "span")]
+    #[serde(rename = "part")]
+    pub traffic_weight: f64,
+    #[serde(deserialize_with = "deserialize_duration")]
     pub response_target: Nanos,
-    #[serde(deserialize_with = "span")]
+    #[serde(deserialize_with = "deserialize_duration")]
     pub client_timeout: Nanos,
     #[serde(default = "one")]
     pub utility: f64,
     /// For how long a uniqued req's repeat is known.
-    #[serde(default, deserialize_with = "span")]
-    pub window: Nanos,
+    #[serde(rename = "window", default, deserialize_with = "deserialize_duration")]
+    pub dedup_window: Nanos,
 }
 
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Tier {
     pub name: String,
-    pub srvs: usize,
-    #[serde(default = "one_site")]
-    pub sites: usize,
+    #[serde(rename = "srvs")]
+    pub server_count: usize,
+    #[serde(rename = "sites", default = "one_site")]
+    pub site_count: usize,
     pub slots: usize,
-    pub room: usize,
-    pub work: Span,
-    pub cold: Option<Cold>,
-    pub fatigue: Option<Fatigue>,
+    #[serde(rename = "room")]
+    pub queue_capacity: usize,
+    #[serde(rename = "work")]
+    pub work_time: DurationDistribution,
+    #[serde(rename = "cold")]
+    pub slow_start: Option<SlowStart>,
+    #[serde(rename = "fatigue")]
+    pub degradation: Option<OverloadDegradation>,
     /// The part of its jobs that fail of themselves.
-    #[serde(default)]
-    pub failing: f64,
+    #[serde(rename = "failing", default)]
+    pub failure_fraction: f64,
 }
 
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Trouble {
-    #[serde(deserialize_with = "span")]
-    pub at: Nanos,
-    #[serde(deserialize_with = "span")]
-    pub lasts: Nanos,
-    pub what: What,
+pub struct ScenarioFault {
+    #[serde(rename = "at", deserialize_with = "deserialize_duration")]
+    pub starts_at: Nanos,
+    #[serde(rename = "lasts", deserialize_with = "deserialize_duration")]
+    pub duration: Nanos,
+    #[serde(rename = "what")]
+    pub kind: FaultKind,
     pub tier: String,
     /// The site that is lost.
     #[serde(default)]
     pub site: usize,
     /// How many srvs, or balancers, are struck, from the first on.
-    #[serde(default)]
-    pub srvs: usize,
+    #[serde(rename = "srvs", default)]
+    pub target_count: usize,
     /// How many times as much work, or as many clients.
-    #[serde(default = "one")]
-    pub times: f64,
+    #[serde(rename = "times", default = "one")]
+    pub factor: f64,
     /// The part of the answers that is lost.
-    #[serde(default)]
-    pub part: f64,
+    #[serde(rename = "part", default)]
+    pub fraction: f64,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum What {
+pub enum FaultKind {
     /// Nothing goes to a site, and nothing comes from it.
     SiteLost,
     /// Srvs answer at once with errors.
@@ -158,13 +170,13 @@
 }
 
 /// Reads a span with its unit: `"250ms"`, `"1.5s"`.
-pub fn span<'de, D: Deserializer<'de>>(from: D) -> Result<Nanos, D::Error> {
+pub fn deserialize_duration<'de, D: Deserializer<'de>>(from: D) -> Result<Nanos, D::Error> {
     let text = String::deserialize(from)?;
-    parse_span(&text)
+    parse_duration(&text)
         .ok_or_else(|| de::Error::custom(format!("`{text}` is no span such as \"250ms\" or \"1.5s\"")))
 }
 
-fn parse_span(text: &str) -> Option<Nanos> {
+fn parse_duration(text: &str) -> Option<Nanos> {
     let unit = text.find(|c: char| c.is_ascii_alphabetic())?;
     let each = match &text[unit..] {
         "ns" => 1.0,
@@ -181,9 +193,9 @@
 }
 
 impl Tier {
-    pub fn build(&self) -> Build {
-        let Tier { slots, room, cold, fatigue, .. } = self.clone();
-        Build { slots, room, cold, fatigue }
+    pub fn queue_config(&self) -> QueueConfig {
+        let Tier { slots, queue_capacity: room, slow_start: cold, degradation: fatigue, .. } = self.clone();
+        QueueConfig { slots, queue_capacity: room, slow_start: cold, degradation: fatigue }
     }
 }
 
@@ -191,12 +203,12 @@
     /// Reads and checks a file's text; the error says where and what.
     pub fn parse(text: &str) -> Result<Scenario, String> {
         let scenario: Scenario = toml::from_str(text).map_err(|e| e.to_string())?;
-        let errors = scenario.errors();
+        let errors = scenario.validation_errors();
         if errors.is_empty() { Ok(scenario) } else { Err(errors.join("\n")) }
     }
 
     /// The text with another value at a path such as `clients.per_s` or `tiers.1.slots`.
-    pub fn with(text: &str, path: &str, value: &str) -> Result<String, String> {
+    pub fn with_override(text: &str, path: &str, value: &str) -> Result<String, String> {
         let mut table: toml::Value = toml::from_str(text).map_err(|e| e.to_string())?;
         let mut at = &mut table;
         for step in path.split('.') {
@@ -215,47 +227,59 @@
     }
 
     /// What of it can't be, each with its place.
-    pub fn errors(&self) -> Vec<String> {
+    pub fn validation_errors(&self) -> Vec<String> {
         let mut errors = Vec::new();
         let mut must = |right: bool, what: String| {
             if !right {
                 errors.push(what);
             }
         };
-        must(self.lasts > 0, "lasts: a day has to last".into());
-        must((0.0..1e6).contains(&self.clients.per_s), "clients.per_s: from 0 up to a million".into());
+        must(self.duration > 0, "lasts: a day has to last".into());
+        must(
+            (0.0..1e6).contains(&self.clients.requests_per_s),
+            "clients.per_s: from 0 up to a million".into(),
+        );
         must((1..=1_000).contains(&self.clients.instances), "clients.instances: from 1 to 1,000".into());
         must((1..=3).contains(&self.tiers.len()), "tiers: one to three".into());
-        if let Some(fleet) = &self.fleet {
+        if let Some(fleet) = &self.gossip {
             must((0.0..1.0).contains(&fleet.loss), "fleet.loss: a part under 1".into());
-            if let Err(why) = fleet.delay.check() {
+            if let Err(why) = fleet.delay.validate() {
                 must(false, format!("fleet.delay: {why}"));
             }
         }
         must(!self.rule_sets.is_empty(), "rule_sets: at least one".into());
         for set in &self.rule_sets {
-            let right = set.part > 0.0 && set.client_timeout > 0 && set.response_target <= set.client_timeout;
+            let right = set.traffic_weight > 0.0
+                && set.client_timeout > 0
+                && set.response_target <= set.client_timeout;
             must(right, format!("rule set {}: a part over 0 and a target within the timeout", set.name));
         }
         for tier in &self.tiers {
-            let right =
-                (1..=10_000).contains(&tier.srvs) && (1..=tier.srvs).contains(&tier.sites) && tier.slots > 0;
+            let right = (1..=10_000).contains(&tier.server_count)
+                && (1..=tier.server_count).contains(&tier.site_count)
+                && tier.slots > 0;
             must(right, format!("tier {}: srvs, as many sites at most, and slots", tier.name));
-            must((0.0..=1.0).contains(&tier.failing), format!("tier {}: failing is a part", tier.name));
-            if let Err(why) = tier.work.check() {
+            must(
+                (0.0..=1.0).contains(&tier.failure_fraction),
+                format!("tier {}: failing is a part", tier.name),
+            );
+            if let Err(why) = tier.work_time.validate() {
                 must(false, format!("tier {}: work: {why}", tier.name));
             }
         }
-        for trouble in &self.troubles {
+        for trouble in &self.faults {
             let tier = self.tiers.iter().find(|tier| tier.name == trouble.tier);
             must(
                 tier.is_some(),
-                format!("trouble at {} s: no tier {}", trouble.at / 1_000_000_000, trouble.tier),
+                format!("trouble at {} s: no tier {}", trouble.starts_at / 1_000_000_000, trouble.tier),
             );
-            let site = tier.is_none_or(|tier| trouble.site < tier.sites);
+            let site = tier.is_none_or(|tier| trouble.site < tier.site_count);
             must(site, format!("trouble in {}: there is no site {}", trouble.tier, trouble.site));
-            must(trouble.times > 0.0, format!("trouble in {}: times is over 0", trouble.tier));
-            must((0.0..=1.0).contains(&trouble.part), format!("trouble in {}: part is a part", trouble.tier));
+            must(trouble.factor > 0.0, format!("trouble in {}: times is over 0", trouble.tier));
+            must(
+                (0.0..=1.0).contains(&trouble.fraction),
+                format!("trouble in {}: part is a part", trouble.tier),
+            );
         }
         errors
     }
@@ -268,7 +292,7 @@
     #[test]
     fn spans_have_units() {
         let spans = ["250ms", "1.5s", "2 min", "10us", "1h", "5", "s", "-1s", "1 week", "1e400s"];
-        let read: Vec<Option<Nanos>> = spans.iter().map(|text| parse_span(text)).collect();
+        let read: Vec<Option<Nanos>> = spans.iter().map(|text| parse_duration(text)).collect();
         let some = [250_000_000, 1_500_000_000, 120_000_000_000, 10_000, 3_600_000_000_000].map(Some);
         assert_eq!(read, [&some[..], &[None; 5]].concat());
     }
--- a/emulator/src/station.rs
+++ b/emulator/src/service_queue.rs
@@ -10,57 +10,61 @@
 use serde::Deserialize;
 
 use crate::Nanos;
-use crate::scenario::span;
+use crate::scenario::deserialize_duration;
 
 /// What a srv is made of.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Build {
+pub struct QueueConfig {
     /// Jobs that are worked on at once.
     pub slots: usize,
     /// Jobs that may wait; one more is refused.
-    pub room: usize,
-    #[serde(default)]
-    pub cold: Option<Cold>,
-    #[serde(default)]
-    pub fatigue: Option<Fatigue>,
+    #[serde(rename = "room")]
+    pub queue_capacity: usize,
+    #[serde(rename = "cold", default)]
+    pub slow_start: Option<SlowStart>,
+    #[serde(rename = "fatigue", default)]
+    pub degradation: Option<OverloadDegradation>,
 }
 
 /// A cold srv works at a share of its speed, which grows evenly to the whole.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Cold {
-    pub share: f64,
-    #[serde(deserialize_with = "span")]
-    pub lasts: Nanos,
+pub struct SlowStart {
+    #[serde(rename = "share")]
+    pub initial_speed: f64,
+    #[serde(rename = "lasts", deserialize_with = "deserialize_duration")]
+    pub duration: Nanos,
 }
 
 /// A srv held crowded for long enough works at a share of its speed, until it has had nothing to do for a while.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Fatigue {
+pub struct OverloadDegradation {
     /// Crowded: at least so many wait.
-    pub waiting: usize,
-    #[serde(deserialize_with = "span")]
-    pub after: Nanos,
-    pub share: f64,
-    #[serde(deserialize_with = "span")]
-    pub rest: Nanos,
+    #[serde(rename = "waiting")]
+    pub min_waiting: usize,
+    #[serde(rename = "after", deserialize_with = "deserialize_duration")]
+    pub onset: Nanos,
+    #[serde(rename = "share")]
+    pub speed: f64,
+    #[serde(rename = "rest", deserialize_with = "deserialize_duration")]
+    pub recovery_idle_time: Nanos,
 }
 
 /// What became of a job that was offered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Offer {
+pub enum Admission {
     /// It is worked on and ends then.
-    Starts {
-        ends: Nanos,
+    Started {
+        ends_at: Nanos,
     },
-    Waits,
-    Full,
+    Queued,
+    Rejected,
 }
 
-pub struct Station {
-    build: Build,
+pub struct ServiceQueue {
+    build: QueueConfig,
     started: Nanos,
     /// Jobs under way, with when they end.
     working: BTreeMap<u64, Nanos>,
@@ -72,10 +76,10 @@
     idle_since: Option<Nanos>,
 }
 
-impl Station {
+impl ServiceQueue {
     /// One whose process started then.
-    pub fn new(build: Build, started: Nanos) -> Station {
-        Station {
+    pub fn new(build: QueueConfig, started: Nanos) -> ServiceQueue {
+        ServiceQueue {
             build,
             started,
             working: BTreeMap::new(),
@@ -88,33 +92,33 @@
     }
 
     /// Offers a job of so much work, the time it takes at full speed. Its number must not be in use here.
-    pub fn offer(&mut self, now: Nanos, job: u64, work: Nanos) -> Offer {
-        self.look(now);
+    pub fn submit(&mut self, now: Nanos, job: u64, work: Nanos) -> Admission {
+        self.update_state(now);
         if self.working.len() < self.build.slots && self.waiting.is_empty() && now >= self.paused_until {
-            return Offer::Starts { ends: self.start(now, job, work) };
+            return Admission::Started { ends_at: self.start_job(now, job, work) };
         }
-        if self.waiting.len() >= self.build.room {
-            return Offer::Full;
+        if self.waiting.len() >= self.build.queue_capacity {
+            return Admission::Rejected;
         }
         self.waiting.push_back((job, work));
-        self.look(now);
-        Offer::Waits
+        self.update_state(now);
+        Admission::Queued
     }
 
     /// A job under way has ended; what starts in its place, with when that ends.
-    pub fn ended(&mut self, now: Nanos, job: u64) -> Vec<(u64, Nanos)> {
+    pub fn finish_job(&mut self, now: Nanos, job: u64) -> Vec<(u64, Nanos)> {
         self.working.remove(&job);
-        self.fill(now)
+        self.start_waiting_jobs(now)
     }
 
     /// Takes a job back, waiting or under way: whether it was there, and what starts in its place.
-    pub fn take_back(&mut self, now: Nanos, job: u64) -> (bool, Vec<(u64, Nanos)>) {
+    pub fn cancel_job(&mut self, now: Nanos, job: u64) -> (bool, Vec<(u64, Nanos)>) {
         let waited = self.waiting.iter().position(|(waiting, _)| *waiting == job);
         let was = match waited {
             Some(at) => self.waiting.remove(at).is_some(),
             None => self.working.remove(&job).is_some(),
         };
-        (was, self.fill(now))
+        (was, self.start_waiting_jobs(now))
     }
 
     /// Stands still until then: nothing starts, and what is under way ends so much later than it would have. Answers
@@ -128,55 +132,55 @@
     }
 
     /// Starts what can be started: to be called when a pause is over.
-    pub fn fill(&mut self, now: Nanos) -> Vec<(u64, Nanos)> {
-        self.look(now);
+    pub fn start_waiting_jobs(&mut self, now: Nanos) -> Vec<(u64, Nanos)> {
+        self.update_state(now);
         let mut started = Vec::new();
         while now >= self.paused_until && self.working.len() < self.build.slots {
             let Some((job, work)) = self.waiting.pop_front() else { break };
-            started.push((job, self.start(now, job, work)));
+            started.push((job, self.start_job(now, job, work)));
         }
-        self.look(now);
+        self.update_state(now);
         started
     }
 
-    pub fn waiting(&self) -> usize {
+    pub fn waiting_count(&self) -> usize {
         self.waiting.len()
     }
 
-    pub fn working(&self) -> usize {
+    pub fn running_count(&self) -> usize {
         self.working.len()
     }
 
     /// The part of its full speed that a job starting now works at.
-    pub fn speed(&self, now: Nanos) -> f64 {
-        let warm = match self.build.cold {
-            Some(Cold { share, lasts }) if now < self.started + lasts => {
+    pub fn speed_at(&self, now: Nanos) -> f64 {
+        let warm = match self.build.slow_start {
+            Some(SlowStart { initial_speed: share, duration: lasts }) if now < self.started + lasts => {
                 share + (1.0 - share) * now.saturating_sub(self.started) as f64 / lasts as f64
             }
             _ => 1.0,
         };
-        let rested = self.build.fatigue.filter(|_| self.tired).map_or(1.0, |fatigue| fatigue.share);
+        let rested = self.build.degradation.filter(|_| self.tired).map_or(1.0, |fatigue| fatigue.speed);
         (warm * rested).max(1e-6)
     }
 
-    fn start(&mut self, now: Nanos, job: u64, work: Nanos) -> Nanos {
-        let ends = now + (work as f64 / self.speed(now)).ceil() as Nanos;
+    fn start_job(&mut self, now: Nanos, job: u64, work: Nanos) -> Nanos {
+        let ends = now + (work as f64 / self.speed_at(now)).ceil() as Nanos;
         self.working.insert(job, ends);
         self.idle_since = None;
         ends
     }
 
     /// Sees whether it is crowded or idle, and has been for long enough to tire or to recover.
-    fn look(&mut self, now: Nanos) {
+    fn update_state(&mut self, now: Nanos) {
         let idle = self.working.is_empty() && self.waiting.is_empty();
         self.idle_since = if idle { self.idle_since.or(Some(now)) } else { None };
-        let Some(fatigue) = self.build.fatigue else { return };
-        if self.idle_since.is_some_and(|since| now - since >= fatigue.rest) {
+        let Some(fatigue) = self.build.degradation else { return };
+        if self.idle_since.is_some_and(|since| now - since >= fatigue.recovery_idle_time) {
             self.tired = false;
         }
-        let crowded = self.waiting.len() >= fatigue.waiting;
+        let crowded = self.waiting.len() >= fatigue.min_waiting;
         self.crowded_since = if crowded { self.crowded_since.or(Some(now)) } else { None };
-        if self.crowded_since.is_some_and(|since| now - since >= fatigue.after) {
+        if self.crowded_since.is_some_and(|since| now - since >= fatigue.onset) {
             self.tired = true;
         }
     }
--- a/emulator/src/world.rs
+++ b/emulator/src/simulation.rs
@@ -12,12 +12,12 @@
 use ochreshed_replica::outcomes::OutcomeCounts;
 
 use crate::audit::{Answer, Audit, Breach, Key};
-use crate::chance::Stream;
-use crate::chooser::{Chooser, Policy, Seat};
-use crate::fleet::{Due, Effect, Heeded, HeededAfter, Net};
-use crate::scenario::{RuleSet, Scenario, Trouble, What};
-use crate::station::{Offer, Station};
-use crate::time::Events;
+use crate::event_queue::Events;
+use crate::gossip_network::{Due, Effect, Heeded, HeededAfter, Net};
+use crate::random::RandomStream;
+use crate::routing::{Chooser, RoutingPolicy, Seat};
+use crate::scenario::{FaultKind, RuleSet, Scenario, ScenarioFault};
+use crate::service_queue::{Admission, ServiceQueue};
 use crate::{MS, Nanos, S};
 
 const START: Nanos = 1_000 * S;
@@ -76,7 +76,7 @@
     name: Name,
     tier: usize,
     site: usize,
-    station: Station,
+    station: ServiceQueue,
     /// Its process: jobs of an earlier one are lost.
     started: Nanos,
     cold_until: Nanos,
@@ -115,7 +115,7 @@
 
 /// What a day came to.
 #[derive(Clone, Debug, Default, PartialEq, serde::Serialize)]
-pub struct Result {
+pub struct SimulationReport {
     pub asked: u64,
     pub in_time: u64,
     pub late: u64,
@@ -136,9 +136,9 @@
     pub breaches: Vec<String>,
 }
 
-pub struct World<'a> {
+pub struct Simulation<'a> {
     scenario: &'a Scenario,
-    policy: Policy,
+    policy: RoutingPolicy,
     events: Events<Event>,
     instances: Vec<Instance>,
     srvs: Vec<Srv>,
@@ -158,35 +158,35 @@
     burst: f64,
     audit: Audit,
     next_id: u64,
-    arrivals: Stream,
-    work: Stream,
-    net: Stream,
-    fate: Stream,
+    arrivals: RandomStream,
+    work: RandomStream,
+    net: RandomStream,
+    fate: RandomStream,
     seed: u64,
     taken: Vec<u64>,
     sent: Vec<u64>,
     /// Utility asked and answered in time by the second it was asked in, and by rule set.
     by_time: Vec<(f64, f64)>,
     by_set: Vec<(f64, f64)>,
-    result: Result,
+    result: SimulationReport,
 }
 
 /// Plays a day.
-pub fn play(scenario: &Scenario, policy: Policy, seed: u64) -> Result {
-    World::new(scenario, policy, seed).run().0
+pub fn simulate(scenario: &Scenario, policy: RoutingPolicy, seed: u64) -> SimulationReport {
+    Simulation::new(scenario, policy, seed).run().0
 }
 
 /// Plays a day and tells the life of one req of it, by the number that it has at its instance.
-pub fn trace(scenario: &Scenario, policy: Policy, seed: u64, id: u64) -> Vec<String> {
-    let mut world = World::new(scenario, policy, seed);
-    world.audit.traced = Some(id);
-    let lines = world.run().1.into_iter();
+pub fn trace_request(scenario: &Scenario, policy: RoutingPolicy, seed: u64, id: u64) -> Vec<String> {
+    let mut simulation = Simulation::new(scenario, policy, seed);
+    simulation.audit.traced = Some(id);
+    let lines = simulation.run().1.into_iter();
     lines.map(|(at, what)| format!("{:.3} s  {what}", (at - START) as f64 / 1e9)).collect()
 }
 
-impl<'a> World<'a> {
-    fn new(scenario: &'a Scenario, policy: Policy, seed: u64) -> World<'a> {
-        let mut world = World {
+impl<'a> Simulation<'a> {
+    fn new(scenario: &'a Scenario, policy: RoutingPolicy, seed: u64) -> Simulation<'a> {
+        let mut simulation = Simulation {
             scenario,
             policy,
             events: Events::new(START),
@@ -206,34 +206,34 @@
             burst: 1.0,
             audit: Audit::default(),
             next_id: 0,
-            arrivals: Stream::new(seed, "arrivals"),
-            work: Stream::new(seed, "work"),
-            net: Stream::new(seed, "net"),
-            fate: Stream::new(seed, "fate"),
+            arrivals: RandomStream::new(seed, "arrivals"),
+            work: RandomStream::new(seed, "work"),
+            net: RandomStream::new(seed, "net"),
+            fate: RandomStream::new(seed, "fate"),
             seed,
             taken: vec![0; scenario.tiers.len()],
             sent: vec![0; scenario.tiers.len()],
-            by_time: vec![(0.0, 0.0); (scenario.lasts / S) as usize + 1],
+            by_time: vec![(0.0, 0.0); (scenario.duration / S) as usize + 1],
             by_set: vec![(0.0, 0.0); scenario.rule_sets.len()],
-            result: Result::default(),
+            result: SimulationReport::default(),
         };
         for me in 0..scenario.clients.instances {
             let seat = Seat { tier: 0, me, instances: scenario.clients.instances };
-            world.instance(seat, me % scenario.tiers[0].sites);
+            simulation.instance(seat, me % scenario.tiers[0].site_count);
         }
         for (at, tier) in scenario.tiers.iter().enumerate() {
-            for number in 0..tier.srvs {
-                let site = number % tier.sites;
+            for number in 0..tier.server_count {
+                let site = number % tier.site_count;
                 let name: Name = format!("{}-{number:04}", tier.name).into();
-                let seat = Seat { tier: at + 1, me: number, instances: tier.srvs };
-                let below = (at + 1 < scenario.tiers.len()).then(|| world.instance(seat, site));
-                world.names.insert(name.clone(), world.srvs.len());
-                world.srvs.push(Srv {
+                let seat = Seat { tier: at + 1, me: number, instances: tier.server_count };
+                let below = (at + 1 < scenario.tiers.len()).then(|| simulation.instance(seat, site));
+                simulation.names.insert(name.clone(), simulation.srvs.len());
+                simulation.srvs.push(Srv {
                     name,
                     tier: at,
                     site,
                     // Those that stand at the start are warm.
-                    station: Station::new(tier.build(), 0),
+                    station: ServiceQueue::new(tier.queue_config(), 0),
                     started: START,
                     cold_until: 0,
                     draining: false,
@@ -242,14 +242,14 @@
                 });
             }
         }
-        world.fleet = scenario.fleet.clone().map(|fleet| {
-            let sites = scenario.tiers[0].sites;
+        simulation.fleet = scenario.gossip.clone().map(|fleet| {
+            let sites = scenario.tiers[0].site_count;
             Net::new(fleet, seed, scenario.clients.instances, sites, START)
         });
-        for instance in 0..world.instances.len() {
-            world.first_list(START, instance);
+        for instance in 0..simulation.instances.len() {
+            simulation.first_list(START, instance);
         }
-        world
+        simulation
     }
 
     /// The list as it stood at the day's start.
@@ -302,7 +302,7 @@
         let tier = self.instances[instance].tier;
         let seat = Seat { tier, me: instance, instances: self.scenario.clients.instances };
         let seed = self.seed.wrapping_mul(1_000_003).wrapping_add((instance + 1_000_000) as u64);
-        self.instances[instance].chooser = self.policy.start(now, seed, self.scenario, seat);
+        self.instances[instance].chooser = self.policy.build_router(now, seed, self.scenario, seat);
         self.instances[instance].wake = Nanos::MAX;
         if let Some(net) = self.fleet.as_mut().filter(|net| instance < net.instances()) {
             let effects = net.crash(now, instance);
@@ -315,7 +315,7 @@
                 let state = if self.srvs[srv].draining { EndpointState::Draining } else { EndpointState::Up };
                 let came_up = Some(self.srvs[srv].started).filter(|at| *at > START);
                 let entry = self.entry(&self.srvs[srv], state, came_up);
-                let delay = self.scenario.list.delay.draw(&mut self.net);
+                let delay = self.scenario.discovery.delay.sample(&mut self.net);
                 let version = self.version;
                 self.events.at(from + delay, Event::News { instance, version, entry });
             }
@@ -326,7 +326,7 @@
     fn instance(&mut self, seat: Seat, site: usize) -> usize {
         let number = self.instances.len();
         let seed = self.seed.wrapping_mul(1_000_003).wrapping_add(number as u64);
-        let chooser = self.policy.start(START, seed, self.scenario, seat);
+        let chooser = self.policy.build_router(START, seed, self.scenario, seat);
         self.instances.push(Instance { chooser, tier: seat.tier, site, wake: Nanos::MAX });
         number
     }
@@ -343,15 +343,15 @@
         }
     }
 
-    fn run(mut self) -> (Result, Vec<(Nanos, String)>) {
-        let ends = START + self.scenario.lasts;
+    fn run(mut self) -> (SimulationReport, Vec<(Nanos, String)>) {
+        let ends = START + self.scenario.duration;
         let longest = self.scenario.rule_sets.iter().map(|set| set.client_timeout).max().unwrap_or(S);
-        let last = ends + longest * u64::from(1 + self.scenario.clients.tries_again) + 2 * S;
+        let last = ends + longest * u64::from(1 + self.scenario.clients.max_retries) + 2 * S;
         self.events.at(START, Event::Client);
         self.events.at(START + S, Event::Books);
-        for (number, trouble) in self.scenario.troubles.iter().enumerate() {
-            self.events.at(START + trouble.at, Event::Trouble(number, true));
-            self.events.at(START + trouble.at + trouble.lasts, Event::Trouble(number, false));
+        for (number, trouble) in self.scenario.faults.iter().enumerate() {
+            self.events.at(START + trouble.starts_at, Event::Trouble(number, true));
+            self.events.at(START + trouble.starts_at + trouble.duration, Event::Trouble(number, false));
         }
         while let Some(event) = self.events.next(last) {
             self.result.events += 1;
@@ -368,7 +368,9 @@
             Event::Client => {
                 if now < ends {
                     self.client(now);
-                    if let Some(gap) = self.arrivals.gap(self.scenario.clients.per_s * self.burst) {
+                    if let Some(gap) =
+                        self.arrivals.sample_arrival_gap(self.scenario.clients.requests_per_s * self.burst)
+                    {
                         self.events.after(gap, Event::Client);
                     }
                 }
@@ -425,7 +427,7 @@
             }
             Event::Replace(srv) => self.replace(now, srv),
             Event::Unpause(srv) => {
-                let started = self.srvs[srv].station.fill(now);
+                let started = self.srvs[srv].station.start_waiting_jobs(now);
                 self.started(now, started);
             }
             Event::Crash(instance) => self.crash(now, instance),
@@ -443,10 +445,10 @@
     }
 
     fn client(&mut self, now: Nanos) {
-        let all: f64 = self.scenario.rule_sets.iter().map(|set| set.part).sum();
-        let mut left = self.arrivals.part() * all;
+        let all: f64 = self.scenario.rule_sets.iter().map(|set| set.traffic_weight).sum();
+        let mut left = self.arrivals.sample_fraction() * all;
         let set = self.scenario.rule_sets.iter().position(|set| {
-            left -= set.part;
+            left -= set.traffic_weight;
             left < 0.0
         });
         let set = set.unwrap_or(0);
@@ -459,7 +461,7 @@
     }
 
     fn attempt(&mut self, now: Nanos, call: usize, try_number: u32) {
-        let instance = self.arrivals.below(self.scenario.clients.instances);
+        let instance = self.arrivals.sample_below(self.scenario.clients.instances);
         let set = self.calls[call].set;
         let ends = now + self.set(set).client_timeout;
         self.take(now, instance, set, ends, Caller::Client { call, try_number });
@@ -469,7 +471,7 @@
         self.next_id += 1;
         let (key, rule_set) = ((instance, self.next_id), self.set(set));
         self.taken[self.instances[instance].tier] += 1;
-        self.audit.taken(now, key, ends, rule_set.effect, rule_set.window);
+        self.audit.taken(now, key, ends, rule_set.effect, rule_set.dedup_window);
         self.under.insert(key, Under { caller, set, ends, out: None });
         self.events.at(ends + MS, Event::Left(key));
         let req = RequestContext {
@@ -525,8 +527,8 @@
 
     fn delay(&mut self, site: usize, srv: usize) -> Nanos {
         let network = &self.scenario.network;
-        let way = if site == self.srvs[srv].site { &network.within } else { &network.between };
-        way.draw(&mut self.net)
+        let way = if site == self.srvs[srv].site { &network.within_site } else { &network.between_sites };
+        way.sample(&mut self.net)
     }
 
     fn send(&mut self, now: Nanos, key: Key, number: usize, name: &Name, give_up: Nanos) {
@@ -550,13 +552,13 @@
             return;
         };
         let (ends, tier) = (under.ends, &self.scenario.tiers[self.srvs[srv].tier]);
-        let work = (tier.work.draw(&mut self.work) as f64 * self.slow[self.srvs[srv].tier]) as Nanos;
+        let work = (tier.work_time.sample(&mut self.work) as f64 * self.slow[self.srvs[srv].tier]) as Nanos;
         if self.srvs[srv].failing_fast {
             self.audit.ran(now, key, &self.srvs[srv].name);
             return self.reply(srv, key, number, DispatchOutcome::Error);
         }
         if now < self.srvs[srv].cold_until {
-            let speed = self.srvs[srv].station.speed(now);
+            let speed = self.srvs[srv].station.speed_at(now);
             let (name, can) = (self.srvs[srv].name.clone(), tier.slots as f64 * speed);
             self.audit.cold(now, key, &name, work as f64 / 1e9, can);
         }
@@ -565,10 +567,10 @@
         }
         self.next_id += 1;
         let job = self.next_id;
-        match self.srvs[srv].station.offer(now, job, work) {
-            Offer::Full => self.reply(srv, key, number, DispatchOutcome::Full),
-            Offer::Waits => drop(self.jobs.insert(job, Job { key, number, srv, ends: 0 })),
-            Offer::Starts { ends } => {
+        match self.srvs[srv].station.submit(now, job, work) {
+            Admission::Rejected => self.reply(srv, key, number, DispatchOutcome::Full),
+            Admission::Queued => drop(self.jobs.insert(job, Job { key, number, srv, ends: 0 })),
+            Admission::Started { ends_at: ends } => {
                 self.jobs.insert(job, Job { key, number, srv, ends: 0 });
                 self.started(now, vec![(job, ends)]);
             }
@@ -592,13 +594,13 @@
 
     fn work_ends(&mut self, now: Nanos, number: u64) {
         let Some(Job { key, number: dispatch, srv, .. }) = self.jobs.remove(&number) else { return };
-        let started = self.srvs[srv].station.ended(now, number);
+        let started = self.srvs[srv].station.finish_job(now, number);
         self.started(now, started);
-        let failing = self.scenario.tiers[self.srvs[srv].tier].failing;
-        if self.fate.happens(self.resets[self.srvs[srv].tier]) {
+        let failing = self.scenario.tiers[self.srvs[srv].tier].failure_fraction;
+        if self.fate.sample_bool(self.resets[self.srvs[srv].tier]) {
             return self.reply(srv, key, dispatch, DispatchOutcome::Reset);
         }
-        if self.fate.happens(failing) {
+        if self.fate.sample_bool(failing) {
             return self.reply(srv, key, dispatch, DispatchOutcome::Error);
         }
         // The call below goes on even where the caller has given up: it can't be told from here.
@@ -661,7 +663,7 @@
         let waits = |job: &Job| job.srv == srv && (job.key, job.number, job.ends) == (key, number, 0);
         if let Some(job) = self.jobs.iter().find(|(_, job)| waits(job)).map(|(job, _)| *job) {
             self.jobs.remove(&job);
-            let (_, started) = self.srvs[srv].station.take_back(now, job);
+            let (_, started) = self.srvs[srv].station.cancel_job(now, job);
             self.started(now, started);
         }
     }
@@ -672,8 +674,8 @@
         match caller {
             Caller::Client { call, try_number } => match answer {
                 Answer::Done => self.served(now, call),
-                Answer::Denied if try_number < self.scenario.clients.tries_again => {
-                    let pause = self.scenario.clients.pause;
+                Answer::Denied if try_number < self.scenario.clients.max_retries => {
+                    let pause = self.scenario.clients.retry_delay;
                     self.events.after(pause, Event::Try { call, try_number: try_number + 1 });
                 }
                 _ => {}
@@ -703,7 +705,7 @@
         for instance in 0..self.instances.len() {
             if self.instances[instance].tier == tier {
                 let entry = self.entry(&self.srvs[srv], state, came_up);
-                let delay = self.scenario.list.delay.draw(&mut self.net);
+                let delay = self.scenario.discovery.delay.sample(&mut self.net);
                 let from = self.list_down_until.max(self.events.now());
                 let version = self.version;
                 self.events.at(from + delay, Event::News { instance, version, entry });
@@ -712,21 +714,32 @@
     }
 
     fn trouble(&mut self, now: Nanos, number: usize, begins: bool) {
-        let Trouble { what, tier, site, srvs, lasts, times, part, .. } = &self.scenario.troubles[number];
+        let ScenarioFault {
+            kind: what,
+            tier,
+            site,
+            target_count: srvs,
+            duration: lasts,
+            factor: times,
+            fraction: part,
+            ..
+        } = &self.scenario.faults[number];
         let Some(tier) = self.scenario.tiers.iter().position(|known| known.name == *tier) else { return };
         let of: Vec<usize> = (0..self.srvs.len()).filter(|srv| self.srvs[*srv].tier == tier).collect();
         match what {
-            What::SiteLost if begins => self.lost.push((tier, *site)),
-            What::SiteLost => self.lost.retain(|lost| *lost != (tier, *site)),
-            What::FastErrors => of.iter().take(*srvs).for_each(|srv| self.srvs[*srv].failing_fast = begins),
-            What::Pause if begins => {
+            FaultKind::SiteLost if begins => self.lost.push((tier, *site)),
+            FaultKind::SiteLost => self.lost.retain(|lost| *lost != (tier, *site)),
+            FaultKind::FastErrors => {
+                of.iter().take(*srvs).for_each(|srv| self.srvs[*srv].failing_fast = begins)
+            }
+            FaultKind::Pause if begins => {
                 for srv in of.into_iter().take(*srvs) {
                     let moved = self.srvs[srv].station.pause(now, now + lasts);
                     self.started(now, moved);
                     self.events.after(*lasts, Event::Unpause(srv));
                 }
             }
-            What::Deploy if begins => {
+            FaultKind::Deploy if begins => {
                 let all = of.len() as u64;
                 for (at, srv) in of.into_iter().enumerate() {
                     let from = lasts / all * at as u64;
@@ -734,28 +747,28 @@
                     self.events.after(from + 4 * S, Event::Replace(srv));
                 }
             }
-            What::FleetCut => {
+            FaultKind::FleetCut => {
                 let cut = if begins { *srvs } else { 0 };
                 if let Some(net) = &mut self.fleet {
                     net.cut(cut);
                 }
             }
-            What::Drain => {
+            FaultKind::Drain => {
                 for srv in of.into_iter().take(*srvs) {
                     self.srvs[srv].draining = begins;
                     self.tell(srv, if begins { EndpointState::Draining } else { EndpointState::Up }, None);
                 }
             }
-            What::Slow => self.slow[tier] = if begins { *times } else { 1.0 },
-            What::Resets => self.resets[tier] = if begins { *part } else { 0.0 },
-            What::ListDown if begins => self.list_down_until = now + lasts,
-            What::Burst => self.burst = if begins { *times } else { 1.0 },
-            What::Crash if begins && tier == 0 => {
+            FaultKind::Slow => self.slow[tier] = if begins { *times } else { 1.0 },
+            FaultKind::Resets => self.resets[tier] = if begins { *part } else { 0.0 },
+            FaultKind::ListDown if begins => self.list_down_until = now + lasts,
+            FaultKind::Burst => self.burst = if begins { *times } else { 1.0 },
+            FaultKind::Crash if begins && tier == 0 => {
                 for instance in 0..(*srvs).min(self.scenario.clients.instances) {
                     self.events.after(lasts / (*srvs as u64) * instance as u64, Event::Crash(instance));
                 }
             }
-            What::Pause | What::Deploy | What::ListDown | What::Crash => {}
+            FaultKind::Pause | FaultKind::Deploy | FaultKind::ListDown | FaultKind::Crash => {}
         }
     }
 
@@ -770,26 +783,28 @@
             }
         }
         let srv_ = &mut self.srvs[srv];
-        (srv_.station, srv_.started, srv_.draining) = (Station::new(tier.build(), now), now, false);
-        srv_.cold_until = now + tier.cold.map_or(0, |cold| cold.lasts);
+        (srv_.station, srv_.started, srv_.draining) =
+            (ServiceQueue::new(tier.queue_config(), now), now, false);
+        srv_.cold_until = now + tier.slow_start.map_or(0, |cold| cold.duration);
         self.tell(srv, EndpointState::Up, Some(now));
     }
 
-    fn finish(mut self) -> Result {
+    fn finish(mut self) -> SimulationReport {
         let part = |(asked, met): (f64, f64)| if asked > 0.0 { met / asked } else { 1.0 };
         let all = self.by_set.iter().fold((0.0, 0.0), |a, b| (a.0 + b.0, a.1 + b.1));
         self.result.score = part(all);
         let sum = |of: &[(f64, f64)]| of.iter().fold((0.0, 0.0), |a, b| (a.0 + b.0, a.1 + b.1));
         let seconds = &self.by_time[..self.by_time.len() - 1];
         self.result.worst_10s = seconds.windows(10).map(|ten| part(sum(ten))).fold(1.0, f64::min);
-        let recovery = |trouble: &Trouble| {
-            let (from, to) = ((trouble.at / S) as usize, ((trouble.at + trouble.lasts) / S) as usize);
+        let recovery = |trouble: &ScenarioFault| {
+            let (from, to) =
+                ((trouble.starts_at / S) as usize, ((trouble.starts_at + trouble.duration) / S) as usize);
             let before = part(sum(seconds.get(..from)?));
             let after = seconds.get(to..)?;
             let good = |three: &[(f64, f64)]| three.iter().all(|second| part(*second) >= 0.97 * before);
             after.windows(3).position(good).map(|seconds| seconds as u64)
         };
-        self.result.recovery = self.scenario.troubles.iter().map(recovery).collect();
+        self.result.recovery = self.scenario.faults.iter().map(recovery).collect();
         self.result.heeded = self.heeded.after();
         if let Some(net) = &self.fleet {
             let seconds = (self.events.now() - START) as f64 / S as f64;
--- a/emulator/tests/days.rs
+++ b/emulator/tests/days.rs
@@ -1,9 +1,9 @@
 //! Whole days: the same seed gives the same day, the module keeps the rules on each rehearsal, the auditor sees each
 //! rule when it is broken on purpose, and retries multiply as arithmetic says they must.
 
-use ochreshed_emulator::chooser::Policy;
+use ochreshed_emulator::routing::RoutingPolicy;
 use ochreshed_emulator::scenario::Scenario;
-use ochreshed_emulator::world::{play, trace};
+use ochreshed_emulator::simulation::{simulate, trace_request};
 
 const REHEARSALS: [&str; 9] = [
     include_str!("../../rehearsals/calm.toml"),
@@ -24,7 +24,7 @@
 #[test]
 fn the_module_keeps_the_rules_on_each_rehearsal() {
     for text in REHEARSALS {
-        let day = play(&read(text), Policy::Module, 3);
+        let day = simulate(&read(text), RoutingPolicy::Module, 3);
         assert!(day.breaches.is_empty(), "{}: {:?}", text.lines().next().unwrap_or_default(), day.breaches);
         assert!(day.sends.iter().all(|sends| *sends <= 1.1), "{:?} sends a req", day.sends);
     }
@@ -33,12 +33,12 @@
 #[test]
 fn a_seed_gives_one_day_on_any_thread_and_another_seed_another() {
     let scenario = read(REHEARSALS[3]);
-    let first = play(&scenario, Policy::Module, 5);
+    let first = simulate(&scenario, RoutingPolicy::Module, 5);
     let again = std::thread::scope(|scope| {
         let beside = [5, 6].map(|seed| {
             scope.spawn({
                 let scenario = &scenario;
-                move || play(scenario, Policy::Module, seed)
+                move || simulate(scenario, RoutingPolicy::Module, seed)
             })
         });
         beside.map(|day| day.join().expect("a day"))
@@ -83,10 +83,10 @@
 #[test]
 fn the_auditor_sees_each_rule_broken_and_by_its_number() {
     let scenario = read(ROUGH);
-    let kept = play(&scenario, Policy::Module, 1);
+    let kept = simulate(&scenario, RoutingPolicy::Module, 1);
     assert!(kept.breaches.is_empty(), "{:?}", kept.breaches);
     for rule in 1..=4u8 {
-        let day = play(&scenario, Policy::Breaks(rule), 1);
+        let day = simulate(&scenario, RoutingPolicy::Breaks(rule), 1);
         let of = format!("rule {rule} ");
         assert!(day.breaches.iter().any(|breach| breach.starts_with(&of)), "rule {rule} is not seen broken");
         let story = day.breaches.iter().find(|breach| breach.starts_with(&of)).expect("seen");
@@ -116,10 +116,10 @@
         tier("c", 1.0)
     );
     let scenario = read(&text);
-    let naive = play(&scenario, Policy::Random { tries: 4 }, 1);
+    let naive = simulate(&scenario, RoutingPolicy::Random { tries: 4 }, 1);
     // Four sends at each of three tiers: 64 at the last for each req of a client.
     assert!(naive.sends.iter().all(|sends| (sends - 4.0).abs() < 0.01), "{:?}", naive.sends);
-    let module = play(&scenario, Policy::Module, 1);
+    let module = simulate(&scenario, RoutingPolicy::Module, 1);
     // A tenth, and one in 10 s at each of the eight balancers before the last tier.
     assert!(module.sends.iter().all(|sends| *sends <= 1.1 + 16.0 / 1_000.0), "{:?}", module.sends);
     assert!(naive.breaches.is_empty() && module.breaches.is_empty());
@@ -131,7 +131,7 @@
         let text = ROUGH[..ROUGH.find("[[troubles]]").expect("its troubles")]
             .replace("failing = 0.1", "failing = 0.0");
         let trouble = trouble.replace("IT", "tier = \"only\"\nat = \"8s\"\nlasts = \"8s\"");
-        play(&read(&format!("{text}{trouble}")), Policy::Random { tries: 1 }, 2)
+        simulate(&read(&format!("{text}{trouble}")), RoutingPolicy::Random { tries: 1 }, 2)
     };
     let calm = day("");
     assert!(calm.score > 0.98, "{calm:?}");
@@ -162,7 +162,9 @@
 #[test]
 fn a_req_s_life_can_be_told() {
     let scenario = read(ROUGH);
-    let lives = (1..40).map(|id| trace(&scenario, Policy::Module, 1, id)).filter(|life| !life.is_empty());
+    let lives = (1..40)
+        .map(|id| trace_request(&scenario, RoutingPolicy::Module, 1, id))
+        .filter(|life| !life.is_empty());
     let lives: Vec<Vec<String>> = lives.collect();
     assert!(lives.len() > 10);
     for life in lives {
@@ -190,7 +192,8 @@
     let two =
         Scenario::parse(&ROUGH.replace("failing = 0.1", "failing = 1.5").replace("part = 1.0", "part = 0.0"));
     assert_eq!(two.expect_err("three errors").lines().count(), 3);
-    let with = |path, value| Scenario::with(ROUGH, path, value).map(|text| read(&text).tiers[0].slots);
+    let with =
+        |path, value| Scenario::with_override(ROUGH, path, value).map(|text| read(&text).tiers[0].slots);
     assert_eq!((with("tiers.0.slots", "3"), with("lasts", "9s")), (Ok(3), Ok(8)));
     assert_eq!(with("tiers.1.slots", "3"), Err("tiers.1.slots: there is no 1".into()));
 }
@@ -200,8 +203,8 @@
 fn balancers_that_speak_heed_what_one_of_them_heard() {
     let text = include_str!("../../rehearsals/news.toml");
     let speaking = Scenario::parse(text).expect("a scenario");
-    let alone = Scenario { fleet: None, ..speaking.clone() };
-    let heeded = |scenario: &Scenario| play(scenario, Policy::Module, 1).heeded;
+    let alone = Scenario { gossip: None, ..speaking.clone() };
+    let heeded = |scenario: &Scenario| simulate(scenario, RoutingPolicy::Module, 1).heeded;
     let (speaking, alone) = (heeded(&speaking), heeded(&alone));
     assert_eq!((speaking.news, alone.news), (6, 6));
     assert!(speaking.all_s < 1.0 && alone.all_s > 3.0, "{speaking:?}, {alone:?}");
--- a/emulator/tests/mesh.rs
+++ b/emulator/tests/mesh.rs
@@ -4,7 +4,7 @@
 use ochreshed_consensus::core::Mutation;
 use ochreshed_emulator::mesh::report::sweep_text;
 use ochreshed_emulator::mesh::scenario::Scenario;
-use ochreshed_emulator::mesh::world::play;
+use ochreshed_emulator::mesh::simulation::simulate;
 
 fn scenario(name: &str, change: impl FnOnce(&mut Scenario)) -> Scenario {
     let file = format!("{}/../rehearsals/{name}.toml", env!("CARGO_MANIFEST_DIR"));
@@ -18,7 +18,7 @@
 #[test]
 fn the_same_seed_gives_the_same_report_and_another_another() {
     let cut = scenario("mesh-cut", |cut| cut.link.loss = 0.01);
-    let text = |seed| serde_json::to_string(&play(&cut, seed, None)).expect("json");
+    let text = |seed| serde_json::to_string(&simulate(&cut, seed, None)).expect("json");
     assert_eq!(text(1), text(1));
     assert_ne!(text(1), text(2));
 }
@@ -33,10 +33,10 @@
             (trouble.at, trouble.lasts) = (at * 1_000_000_000, 2_000_000_000);
         }
     });
-    let whole = play(&day, 1, None);
+    let whole = simulate(&day, 1, None);
     assert_eq!(whole.breaches, Vec::<String>::new());
     assert!(whole.looked_at.iter().all(|looks| *looks > 20), "{:?}", whole.looked_at);
-    let broken = play(&day, 1, Some(Mutation::TakeHalfForMajority));
+    let broken = simulate(&day, 1, Some(Mutation::TakeHalfForMajority));
     assert!(broken.breaches.iter().any(|breach| breach.contains("granted")), "{:?}", broken.breaches);
 }
 
@@ -44,7 +44,7 @@
 #[test]
 fn news_are_known_at_all_gates_at_each_size() {
     let of = |nodes| {
-        play(
+        simulate(
             &scenario("mesh-calm", |calm| {
                 calm.nodes = nodes;
                 calm.upstreams.turns_per_h = 300.0;
--- a/emulator/tests/outer_names.rs
+++ b/emulator/tests/outer_names.rs
@@ -72,7 +72,7 @@
 #[test]
 fn keys_and_values_of_scenario_files_are_unchanged() {
     let parsed = Scenario::parse(include_str!("fixtures/every_key.toml")).expect("every key is known");
-    assert_eq!((parsed.tiers.len(), parsed.rule_sets.len(), parsed.troubles.len()), (2, 3, 11));
+    assert_eq!((parsed.tiers.len(), parsed.rule_sets.len(), parsed.faults.len()), (2, 3, 11));
     let parsed =
         MeshScenario::parse(include_str!("fixtures/mesh_every_key.toml")).expect("every key is known");
     assert_eq!((parsed.nodes, parsed.troubles.len()), (6, 4));
