--- a/catalog/src/endpoints.rs
+++ b/catalog/src/endpoints.rs
@@ -15,7 +15,7 @@
 use ochreshed::Nanos;
 use serde::{Deserialize, Serialize};
 
-pub use ochreshed_consensus::placement::place;
+pub use ochreshed_consensus::placement::placement_rank;
 
 /// A record is removed when its node has not been heard from for this long.
 const RECORD_TTL: Nanos = 90_000_000_000;
--- a/catalog/src/watch_client.rs
+++ b/catalog/src/watch_client.rs
@@ -13,7 +13,7 @@
 use ochreshed::Nanos;
 use ochreshed_consensus::messages::{LeaseKey, Revision};
 
-use crate::endpoints::{EndpointRecord, RecordVersion, TablePosition, place, watching_replicas};
+use crate::endpoints::{EndpointRecord, RecordVersion, TablePosition, placement_rank, watching_replicas};
 use crate::internal_rpc::{AppliedEditions, WatchRequest, WatchResponse};
 
 const MS: Nanos = 1_000_000;
@@ -290,7 +290,7 @@
         let mut replicas: Vec<&KnownReplica> = self.replicas.iter().collect();
         replicas.sort_by_cached_key(|known| {
             let is_avoided = known.avoided_until.is_some_and(|until| until > now);
-            (is_avoided, place(known.address, key), known.address)
+            (is_avoided, placement_rank(known.address, key), known.address)
         });
         replicas.into_iter().map(|known| known.address).collect()
     }
--- a/consensus/src/core/leases.rs
+++ b/consensus/src/core/leases.rs
@@ -115,7 +115,7 @@
             // Only as many members keep a response as it takes to survive the loss of the others: those that are
             // placed nearest to the key. A member that is asked for the lease later finds the response while it
             // collects votes.
-            others.sort_by_key(|replica| crate::placement::place(replica.address, completion.key));
+            others.sort_by_key(|replica| crate::placement::placement_rank(replica.address, completion.key));
             others.truncate(self.voting.membership.members.len() / 2);
         }
         for replica in others {
@@ -170,7 +170,7 @@
                 (
                     !is_self || !self.voting.voter,
                     !is_self && unreachable(replica),
-                    crate::placement::place(replica.address, key),
+                    crate::placement::placement_rank(replica.address, key),
                 )
             });
             voters.truncate(self.majority());
