--- a/consensus/src/core.rs
+++ b/consensus/src/core.rs
@@ -1,4 +1,4 @@
-//! One replica's part in what the control plane agrees on.
+//! The state machine of one control-plane replica.
 //!
 //! Main types: `Core` takes messages, requests and the time, and returns effects. Its parts are the membership
 //! (`membership`, `rollback`, `zone_spread`), the configuration and other registers (`registers`, `named_registers`,
@@ -6,15 +6,15 @@
 //! holds what they share: peers, heartbeats, pending calls and the outbox. It does no I/O and reads no clock.
 //!
 //! Invariants:
-//! - Nothing is promised or acknowledged before the write behind it is safe on disk; `Effect::SendAfterPersist` sees
-//!   to that.
+//! - Nothing is promised or acknowledged before the corresponding write is durable; `Effect::SendAfterPersist`
+//!   enforces this.
 //! - Answers of other replicas count only in the epoch in which they were given.
 //!
-//! Why it is safe: something is committed once a majority of an epoch's voters stores it. An epoch is followed by one
-//! that differs in one member, decided by a majority of its own voters, and a replica that has moved on answers
-//! nothing of the old epoch any more. The new member votes only after it has the snapshots of so many replicas that
-//! have moved on that nothing committed can be missing: the voters that don't store something that was committed are
-//! always fewer than the snapshots that it needs.
+//! Safety: a value is committed once a majority of an epoch's voters stores it. The next epoch differs in one member
+//! and is decided by a majority of the current epoch's voters. A replica that has entered the next epoch answers
+//! nothing for the earlier one. The new member votes only after it has received snapshots from enough replicas that
+//! have entered its epoch: the voters that lack a committed value are always fewer than the snapshots that it needs,
+//! so at least one snapshot contains the value.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -91,7 +91,7 @@
     rng: ChaCha8Rng,
     peers: Peers,
     next_heartbeat: Nanos,
-    /// State changed that the other replicas should learn of at once: the next `flush` sends a heartbeat.
+    /// The next `flush` sends a heartbeat, because state changed that the other replicas need at once.
     heartbeat_requested: bool,
     leaving: bool,
 
@@ -112,8 +112,8 @@
 
     /// The rule that this replica breaks, in tests only.
     mutation: Option<Mutation>,
-    /// Rolls back whenever it may be safe, though the new member may be reachable: tests use it to show that safety
-    /// does not depend on the choice of the moment.
+    /// Rolls back whenever that is safe, even if the new member is reachable. Tests use it to show that safety does
+    /// not depend on when a rollback starts.
     #[doc(hidden)]
     pub eager_rollback: bool,
 }
@@ -125,7 +125,7 @@
     pub fn new(options: StartOptions<'_>, out: &mut Vec<Effect>) -> Core {
         let StartOptions { now, seed, address, first_start, seeds, saved, config } = options;
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let fresh = saved.membership_ballot.is_none();
+        let is_empty_disk = saved.membership_ballot.is_none();
         let ballots = saved.membership_ballot.unwrap_or_else(|| {
             let disk_id = if first_start { 0 } else { rng.random_range(1..=u64::MAX) };
             let replica_id = ReplicaId { address, disk_id };
@@ -183,7 +183,7 @@
         }
         core.load_acceptors(saved.acceptors);
         core.lease_table.evict_responses(now, out);
-        if fresh || is_new_replica {
+        if is_empty_disk || is_new_replica {
             core.persist_ballot_state(out);
         }
         let (voter, membership) = (core.voting.voter, core.voting.membership.clone());
@@ -192,8 +192,8 @@
         core
     }
 
-    /// Handles a message from another replica or from this one itself. Messages of other epochs than the current one
-    /// count only where they can't do harm.
+    /// Handles a message from another replica or from this one itself. A message from another epoch counts only where
+    /// that can't violate safety.
     pub fn handle_message(&mut self, now: Nanos, message: Message, out: &mut Vec<Effect>) {
         self.now = self.now.max(now);
         let Message { from, epoch, body } = message;
@@ -334,14 +334,14 @@
         }
     }
 
-    /// Forgets a call whose caller has gone: it will not be answered. A lease that was requested may still be held.
+    /// Cancels a call whose caller has disconnected: it is not answered. A lease that it requested may still be held.
     pub fn cancel_request(&mut self, call: u64) {
         if let Some(Call::Session(_)) = self.pending_calls.remove(call) {
             self.forget_session_call(call);
         }
     }
 
-    /// Does everything that is due and flushes. Returns the time at which it must be called again at the latest.
+    /// Runs everything that is due and flushes. Returns the latest time of the next call.
     pub fn tick(&mut self, now: Nanos, out: &mut Vec<Effect>) -> Nanos {
         self.now = self.now.max(now);
         while let Some(call) = self.pending_calls.take_due(now) {
@@ -360,7 +360,7 @@
         if now >= self.next_heartbeat {
             self.heartbeat_requested = true;
             self.next_heartbeat = now.saturating_add(HEARTBEAT_INTERVAL);
-            self.peers.forget_silent(&self.voting.membership.members, now);
+            self.peers.remove_silent(&self.voting.membership.members, now);
         }
         self.flush(out);
         let next = self.pending_calls.next_timer();
@@ -391,7 +391,7 @@
         }
     }
 
-    /// Replaces the addresses that heartbeats are sent to although their replicas were never heard.
+    /// Replaces the seed addresses, which receive heartbeats even if their replicas were never heard.
     pub fn set_seeds(&mut self, seeds: &[SocketAddr]) {
         self.seeds = seeds.to_vec();
     }
@@ -511,7 +511,7 @@
         all.chain(sessions).collect()
     }
 
-    /// Makes this replica break a rule, for tests that show that they notice it.
+    /// Makes this replica break a rule, so that a test can show that it detects the violation.
     #[doc(hidden)]
     pub fn set_mutation(&mut self, mutation: Option<Mutation>) {
         self.mutation = mutation;
@@ -547,12 +547,12 @@
         Message { from: self.replica_id, epoch: self.voting.membership.epoch, body }
     }
 
-    /// Sends the message once all records written so far are safe on disk.
+    /// Sends the message once all records written so far are durable.
     fn send_after_persist(&self, address: SocketAddr, body: MessageBody, out: &mut Vec<Effect>) {
         out.push(Effect::SendAfterPersist(address, self.message(body)));
     }
 
-    /// Sends the message at once; only for what promises nothing.
+    /// Sends the message at once. Only for messages that promise nothing.
     fn send_now(&self, address: SocketAddr, body: MessageBody, out: &mut Vec<Effect>) {
         out.push(Effect::SendNow(address, self.message(body)));
     }
@@ -589,7 +589,8 @@
         all
     }
 
-    /// Records that a peer was heard, and arranges that the one with the earlier membership learns of the later one.
+    /// Records that a peer was heard, and sends what the replica with the earlier membership needs to learn of the
+    /// later one.
     fn record_contact(
         &mut self,
         now: Nanos,
@@ -599,7 +600,7 @@
         out: &mut Vec<Effect>,
     ) {
         let own_epoch = self.voting.membership.epoch;
-        let Some(peer) = self.peers.sender(from, now) else { return };
+        let Some(peer) = self.peers.get_or_add(from, now) else { return };
         let silent_since = peer.record_message(now);
         if let MessageBody::Heartbeat { voter, leaving, zone, .. } = body {
             peer.record_heartbeat(epoch, *voter, *leaving, zone);
--- a/consensus/src/core/calls.rs
+++ b/consensus/src/core/calls.rs
@@ -1,4 +1,4 @@
-//! Calls that wait for their answer, and when each is due again.
+//! Pending calls and their timers.
 //!
 //! Main types: `PendingCalls` holds a `Call` for each number; `PendingLease`, `PendingWrite`, `PendingRead` and
 //! `PendingSessionChange` are what the kinds of calls wait for.
@@ -19,11 +19,11 @@
 pub(super) struct PendingCalls {
     by_number: BTreeMap<u64, Call>,
     /// The calls that read or write registers.
-    of_registers: BTreeSet<u64>,
+    register_calls: BTreeSet<u64>,
     timers: BTreeSet<(Nanos, u64)>,
     by_key: BTreeMap<LeaseKey, Vec<u64>>,
-    /// Numbers of calls are combined with this random value on the wire, so that answers to an earlier incarnation match
-    /// no call of this one.
+    /// Call numbers are combined with this random value on the wire, so that answers to an earlier incarnation match no
+    /// call of this one.
     id_mask: u64,
 }
 
@@ -32,16 +32,16 @@
     pub fn new(id_mask: u64) -> PendingCalls {
         PendingCalls {
             by_number: BTreeMap::new(),
-            of_registers: BTreeSet::new(),
+            register_calls: BTreeSet::new(),
             timers: BTreeSet::new(),
             by_key: BTreeMap::new(),
             id_mask,
         }
     }
 
-    /// How many calls wait for something else than a register.
+    /// The number of calls that don't read or write a register.
     pub fn count_without_registers(&self) -> usize {
-        self.by_number.len() - self.of_registers.len()
+        self.by_number.len() - self.register_calls.len()
     }
 
     /// Whether a number is in use.
@@ -63,8 +63,8 @@
     pub fn insert(&mut self, number: u64, call: Call) {
         match &call {
             Call::Lease(pending) => self.by_key.entry(pending.key).or_default().push(number),
-            Call::Replace(_) | Call::Read(_) => {
-                self.of_registers.insert(number);
+            Call::Write(_) | Call::Read(_) => {
+                self.register_calls.insert(number);
             }
             Call::Session(_) => {}
         }
@@ -76,7 +76,7 @@
     pub fn remove(&mut self, number: u64) -> Option<Call> {
         let call = self.by_number.remove(&number)?;
         self.timers.remove(&(call.timer(), number));
-        self.of_registers.remove(&number);
+        self.register_calls.remove(&number);
         if let Call::Lease(pending) = &call
             && let Some(calls) = self.by_key.get_mut(&pending.key)
         {
@@ -109,17 +109,17 @@
     }
 
     /// The calls that read or write registers.
-    pub fn of_registers(&self) -> &BTreeSet<u64> {
-        &self.of_registers
+    pub fn register_calls(&self) -> &BTreeSet<u64> {
+        &self.register_calls
     }
 
-    /// The calls that wait for the lease of a key, the oldest first.
-    pub fn of_key(&self, key: LeaseKey) -> Vec<u64> {
+    /// The calls that wait for the lease of a key, oldest first.
+    pub fn lease_calls_for(&self, key: LeaseKey) -> Vec<u64> {
         self.by_key.get(&key).cloned().unwrap_or_default()
     }
 
     /// All calls that wait for leases, in the order of their keys.
-    pub fn of_leases(&self) -> Vec<u64> {
+    pub fn lease_calls(&self) -> Vec<u64> {
         self.by_key.values().flatten().copied().collect()
     }
 
@@ -128,7 +128,7 @@
         call ^ self.id_mask
     }
 
-    /// A number on the wire that belongs to no call.
+    /// A number on the wire that identifies no call.
     pub fn unused_wire_id(&self) -> u64 {
         !self.id_mask
     }
@@ -138,7 +138,7 @@
 #[derive(Clone, Debug)]
 pub(super) enum Call {
     Lease(PendingLease),
-    Replace(PendingWrite),
+    Write(PendingWrite),
     Read(PendingRead),
     Session(Box<PendingSessionChange>),
 }
@@ -148,7 +148,7 @@
     fn timer(&self) -> Nanos {
         match self {
             Call::Lease(pending) => pending.timer,
-            Call::Replace(write) => write.timer,
+            Call::Write(write) => write.timer,
             Call::Read(read) => read.timer,
             Call::Session(pending) => pending.timer,
         }
@@ -157,7 +157,7 @@
     fn timer_mut(&mut self) -> &mut Nanos {
         match self {
             Call::Lease(pending) => &mut pending.timer,
-            Call::Replace(write) => &mut write.timer,
+            Call::Write(write) => &mut write.timer,
             Call::Read(read) => &mut read.timer,
             Call::Session(pending) => &mut pending.timer,
         }
@@ -173,10 +173,10 @@
     pub started_at: Nanos,
     pub wait_until: Nanos,
     pub timer: Nanos,
-    /// Only as many members as a majority needs were asked so far.
+    /// Only as many members as a majority needs have been asked so far.
     pub quorum_only: bool,
     pub granted_by: BTreeSet<ReplicaId>,
-    /// Members that refused, with the lease that stands in the way if there is one.
+    /// Members that refused, with the lease that another token holds, if any.
     pub refused_by: BTreeMap<ReplicaId, Option<Lease>>,
 }
 
@@ -195,7 +195,7 @@
     pub name: RegisterName,
     pub deadline: Nanos,
     pub timer: Nanos,
-    /// What the voters reported since the read began.
+    /// The revisions that voters have reported since the read began.
     pub revisions: BTreeMap<ReplicaId, Revision>,
 }
 
@@ -212,7 +212,7 @@
     pub highest_term_seen: u64,
     pub rounds: u32,
     pub promises: BTreeMap<ReplicaId, Option<CommittedSession>>,
-    /// What acceptors are asked to accept, once a majority has promised.
+    /// The change that acceptors are asked to accept, once a majority has promised.
     pub change: Option<CommittedSession>,
     pub accepted_by: BTreeSet<ReplicaId>,
     pub preempted_by: BTreeSet<ReplicaId>,
--- a/consensus/src/core/config.rs
+++ b/consensus/src/core/config.rs
@@ -12,7 +12,7 @@
 /// Settings of one replica. All replicas should have the same, except for the zone.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// How long a lease is kept after a replica first stored it. Repeats of a request after that time run again.
+    /// How long a lease is kept after a replica first stored it. A request that is repeated later runs again.
     pub lease_ttl: Nanos,
     /// A member that was silent for this long may be replaced by another replica.
     pub member_timeout: Nanos,
--- a/consensus/src/core/lease_table.rs
+++ b/consensus/src/core/lease_table.rs
@@ -1,4 +1,4 @@
-//! Leases as this replica stores them, and what it remembers beside them.
+//! The leases that this replica stores, released tokens, and replicas that wait for an outcome.
 //!
 //! Main types: `LeaseTable` holds a `StoredLease` for each key; `LeaseUpdate`, `LeaseCounts`.
 //!
@@ -18,7 +18,7 @@
     expires_at: Nanos,
 }
 
-/// What the other members were told about a lease, to be sent again to peers that missed it.
+/// An update on a lease that was sent to the other members, kept to resend it to peers that missed it.
 #[derive(Clone, Debug)]
 pub(super) enum LeaseUpdate {
     Requested { key: LeaseKey, token: LeaseToken, time_left_ms: u32 },
@@ -36,7 +36,7 @@
 pub struct LeaseCounts {
     /// Leases whose request may be running.
     pub pending: usize,
-    /// Leases whose request may have run, with a response that is not known.
+    /// Leases whose request may have run, and whose response is not known.
     pub indeterminate: usize,
     /// Leases whose request ran, with its response.
     pub completed: usize,
@@ -57,25 +57,25 @@
 /// How many lease updates are kept at most.
 const MAX_LEASE_UPDATES: usize = 4096;
 
-/// How many released tokens are remembered; the oldest are forgotten first.
+/// How many released tokens are kept; the oldest are dropped first.
 const MAX_RELEASED_TOKENS: usize = 20_000;
 
-/// How many replicas are remembered that wait for the outcome of a pending lease.
+/// How many replicas may be registered to receive the outcomes of pending leases.
 const MAX_OUTCOME_WATCHERS: usize = 4_096;
 
-/// All leases that this replica stores, the tokens that were released, and who waits for an outcome.
+/// All leases that this replica stores, released tokens, and the replicas that wait for an outcome.
 #[derive(Clone, Debug)]
 pub(super) struct LeaseTable {
     ttl: Nanos,
     max_response_bytes: usize,
-    /// Responses are evicted together with their leases, which breaks a rule; in tests only.
+    /// Evicts leases together with their responses, which breaks a rule; in tests only.
     pub evicts_leases: bool,
     leases: BTreeMap<LeaseKey, StoredLease>,
     response_cache: ResponseCache,
     expiry: BTreeSet<(Nanos, LeaseKey)>,
     released_tokens: BTreeMap<LeaseToken, Nanos>,
     released_order: VecDeque<(Nanos, LeaseToken)>,
-    /// Replicas whose lease request was refused by a pending lease; they are told its outcome.
+    /// Replicas whose lease request was refused because of a pending lease; its outcome is sent to them.
     outcome_watchers: BTreeSet<(LeaseKey, SocketAddr)>,
     updates: VecDeque<(Nanos, LeaseUpdate)>,
 }
@@ -189,7 +189,7 @@
         }
     }
 
-    /// Removes leases and released tokens whose time is over.
+    /// Removes leases and released tokens whose TTL has passed.
     pub fn expire(&mut self, now: Nanos, out: &mut Vec<Effect>) {
         while let Some(&(expires_at, key)) = self.expiry.first() {
             if expires_at > now {
@@ -212,7 +212,7 @@
         self.released_tokens.contains_key(&token)
     }
 
-    /// Remembers that a token was released, so that votes for it that arrive late don't take the lease again.
+    /// Records that a token was released, so that a late vote request does not grant it the lease again.
     pub fn release_token(&mut self, now: Nanos, token: LeaseToken) {
         let expires_at = now.saturating_add(self.ttl);
         if self.released_tokens.insert(token, expires_at).is_none() {
@@ -225,7 +225,7 @@
         }
     }
 
-    /// Remembers that a replica waits for the outcome of a key's lease.
+    /// Records that a replica waits for the outcome of a key's lease.
     pub fn add_outcome_watcher(&mut self, key: LeaseKey, address: SocketAddr) {
         if self.outcome_watchers.len() < MAX_OUTCOME_WATCHERS {
             self.outcome_watchers.insert((key, address));
@@ -238,7 +238,7 @@
         let watchers: Vec<(LeaseKey, SocketAddr)> = self
             .outcome_watchers
             .range((key, lowest_address)..)
-            .take_while(|(of, _)| *of == key)
+            .take_while(|(watched_key, _)| *watched_key == key)
             .copied()
             .collect();
         for watcher in &watchers {
@@ -247,7 +247,7 @@
         watchers.into_iter().map(|(_, address)| address).collect()
     }
 
-    /// Drops a response that exceeds the cache by itself, so that it does not evict all others.
+    /// Drops a response that is larger than the whole cache, so that it does not evict all others.
     fn without_oversized_response(&mut self, mut lease: Lease) -> Lease {
         if cached_bytes(&lease.outcome) > self.max_response_bytes {
             lease.outcome = LeaseOutcome::Indeterminate;
@@ -272,12 +272,12 @@
         }
     }
 
-    /// What the other members were told, oldest first, with the time at which they were.
+    /// The retained updates with the times at which they were sent, oldest first.
     pub fn updates(&self) -> impl Iterator<Item = &(Nanos, LeaseUpdate)> {
         self.updates.iter()
     }
 
-    /// Retains what the other members were told, within bounds on age, number and bytes.
+    /// Retains an update that was sent to the other members, within bounds on age, number and bytes.
     pub fn retain_update(&mut self, now: Nanos, update: LeaseUpdate) {
         self.response_cache.lease_update_bytes += update.outcome().map_or(0, cached_bytes);
         self.updates.push_back((now, update));
--- a/consensus/src/core/leases.rs
+++ b/consensus/src/core/leases.rs
@@ -1,19 +1,21 @@
-//! Leases on idempotency keys: which request of a key may run, and what became of it.
+//! Leases on idempotency keys: which request for a key may run, and its outcome.
 //!
 //! Main types: `PendingLease` is a call that collects votes, `StoredLease` a lease as this replica stores it,
-//! `LeaseUpdate` what other members may have missed.
+//! `LeaseUpdate` an update that other members may have missed.
 //!
 //! Invariants:
 //! - A lease is granted to one token at a time, by a majority of the members.
-//! - A replica never releases a lease of its own accord, because the same token may have been granted it through
-//!   another replica.
+//! - A replica never releases a lease on its own initiative, because the same token may have been granted the lease
+//!   through another replica.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::core::Core;
 use crate::core::calls::{Call, PendingLease};
 use crate::core::lease_table::{LEASE_UPDATE_RETENTION, LeaseCounts, LeaseUpdate, outcome_rank};
-use crate::core::limits::{MAX_CALLS, MISSED_MESSAGES_AFTER, MS, NOBODY, Nanos, RETRY_INTERVAL};
+use crate::core::limits::{
+    MAX_NON_REGISTER_CALLS, MISSED_MESSAGES_AFTER, MS, NO_HOLDER, Nanos, RETRY_INTERVAL,
+};
 use crate::core::mutation::Mutation;
 use crate::core::response_cache::ResponseCacheUsage;
 use crate::messages::{
@@ -21,15 +23,15 @@
     LeaseVote, LeaseVoteReply, ReplicaId,
 };
 
-/// Members that were not asked for a vote at first are asked after this time.
+/// Members that were not asked for a vote in the first round are asked after this time.
 const HEDGE_DELAY: Nanos = 50 * MS;
 
 /// A lease request that gets no majority within this time is answered `Unavailable`.
 const LEASE_TIMEOUT: Nanos = 1000 * MS;
 
 /// A call waits for another lease's outcome no longer than this, and no longer than `1 / OUTCOME_WAIT_DIVISOR` of its
-/// request's time left. Both are shorter than outbound proxies wait for an answer (`traffic/src/lease_circuit_breaker.rs`), so
-/// that they learn that the key is in use.
+/// request's time left. Both are shorter than outbound proxies wait for an answer
+/// (`traffic/src/lease_circuit_breaker.rs`), so that proxies learn that the key is in use.
 const MAX_OUTCOME_WAIT: Nanos = 700 * MS;
 
 const OUTCOME_WAIT_DIVISOR: Nanos = 3;
@@ -77,7 +79,10 @@
         out: &mut Vec<Effect>,
     ) {
         let is_full = self.lease_table.len() >= self.config.max_leases && self.lease_table.get(key).is_none();
-        if token == NOBODY || is_full || self.pending_calls.count_without_registers() >= MAX_CALLS {
+        if token == NO_HOLDER
+            || is_full
+            || self.pending_calls.count_without_registers() >= MAX_NON_REGISTER_CALLS
+        {
             out.push(Effect::Respond { call, response: CoreResponse::Unavailable });
             return;
         }
@@ -112,7 +117,7 @@
     fn announce_completion(&mut self, now: Nanos, completion: LeaseCompletion) {
         let mut others: Vec<ReplicaId> = self.others().collect();
         if matches!(completion.outcome, Some(LeaseOutcome::Completed(_))) {
-            // Only as many members keep a response as it takes to survive the loss of the others: those that are
+            // The response goes to as many members as are needed to survive the loss of the others: those that are
             // placed nearest to the key. A member that is asked for the lease later finds the response while it
             // collects votes.
             others.sort_by_key(|replica| crate::placement::placement_rank(replica.address, completion.key));
@@ -148,9 +153,9 @@
         }
     }
 
-    /// Requests votes on a lease, first of all from this replica itself. At first it asks only as many members as a
-    /// majority needs, preferring reachable ones that are placed nearest to the key, since these will also keep its
-    /// response; later it asks all that have not granted the lease.
+    /// Requests votes on a lease, starting with this replica itself. The first round asks only as many members as a
+    /// majority needs, preferring reachable ones that are placed nearest to the key, since these also store its
+    /// response. Later rounds ask all members that have not granted the lease.
     fn request_votes(&mut self, call: u64, out: &mut Vec<Effect>) {
         let Some(Call::Lease(pending)) = self.pending_calls.get(call) else { return };
         let (key, token, time_left_ms) = (pending.key, pending.token, pending.time_left_ms);
@@ -188,7 +193,7 @@
     /// Votes on whether `token` holds the lease. A replica that may not vote stays silent.
     fn vote_on_lease(&mut self, request: LeaseRequest, to: ReplicaId, out: &mut Vec<Effect>) {
         let LeaseRequest { call, key, token, time_left_ms } = request;
-        if !self.voting.voter || token == NOBODY {
+        if !self.voting.voter || token == NO_HOLDER {
             return;
         }
         let vote = match self.lease_table.get(key) {
@@ -265,13 +270,13 @@
     fn resolve_lease_call(&mut self, now: Nanos, call: u64, out: &mut Vec<Effect>) {
         let Some(Call::Lease(pending)) = self.pending_calls.get(call) else { return };
         let (key, token) = (pending.key, pending.token);
-        let voters = self.voting.membership.members.len();
+        let member_count = self.voting.membership.members.len();
         if let Some(stored) = self.lease_table.get(key).filter(|lease| lease.outcome != LeaseOutcome::Pending)
         {
             let outcome = stored.outcome.clone();
             self.respond(call, CoreResponse::LeaseHeld(outcome), out);
-        } else if pending.granted_by.len() >= self.majority() && voters > 0 {
-            if pending.granted_by.len() < voters {
+        } else if pending.granted_by.len() >= self.majority() && member_count > 0 {
+            if pending.granted_by.len() < member_count {
                 let update = LeaseUpdate::Requested { key, token, time_left_ms: pending.time_left_ms };
                 self.lease_table.retain_update(now, update);
             }
@@ -283,9 +288,10 @@
             self.respond(call, CoreResponse::LeaseHeld(lease.outcome.clone()), out);
             let completion = LeaseCompletion { key, token: lease.token, outcome: Some(lease.outcome) };
             self.apply_completion(now, completion, out);
-        } else if voters > 0 && voters.saturating_sub(pending.refused_by.len()) < self.majority() {
-            let other = pending.refused_by.values().any(Option::is_some);
-            if !other {
+        } else if member_count > 0 && member_count.saturating_sub(pending.refused_by.len()) < self.majority()
+        {
+            let is_held = pending.refused_by.values().any(Option::is_some);
+            if !is_held {
                 self.respond(call, CoreResponse::Unavailable, out);
             } else if now >= pending.wait_until {
                 self.respond(call, CoreResponse::LeaseHeld(LeaseOutcome::Pending), out);
@@ -315,7 +321,7 @@
     /// Discards all votes after a change of the membership or of this replica's right to vote, because votes count
     /// only in the epoch in which they were given.
     pub(super) fn restart_lease_calls(&mut self, out: &mut Vec<Effect>) {
-        let calls: Vec<u64> = self.pending_calls.of_leases();
+        let calls: Vec<u64> = self.pending_calls.lease_calls();
         for call in calls {
             let keeps_votes = self.breaks(Mutation::CountStaleLeaseVotes);
             if let Some(Call::Lease(pending)) = self.pending_calls.get_mut(call)
@@ -329,7 +335,7 @@
         }
     }
 
-    /// Tells the replicas that were refused by a pending lease what became of it, since calls may wait there.
+    /// Sends the outcome of a lease to the replicas that were refused while it was pending, since calls may wait there.
     fn notify_outcome_watchers(&mut self, key: LeaseKey, token: LeaseToken, outcome: &LeaseOutcome) {
         for watcher in self.lease_table.take_outcome_watchers(key) {
             let completion = LeaseCompletion { key, token, outcome: Some(outcome.clone()) };
@@ -337,8 +343,8 @@
         }
     }
 
-    /// Applies what the holder of a lease reports. A report that the request ran proves that nobody else was granted
-    /// the lease.
+    /// Applies the report of a lease's holder. A report that the request ran proves that no other token was granted the
+    /// lease.
     pub(super) fn apply_completion(
         &mut self,
         now: Nanos,
@@ -347,16 +353,16 @@
     ) {
         let LeaseCompletion { key, token, outcome } = completion;
         let stored = self.lease_table.get(key).map(|lease| (lease.token, outcome_rank(&lease.outcome)));
-        let ours = stored.filter(|(holder, _)| {
+        let matching = stored.filter(|(holder, _)| {
             *holder == token || (self.breaks(Mutation::ReleaseUnderAnyToken) && outcome.is_none())
         });
         match (outcome, stored) {
-            _ if token == NOBODY => {}
+            _ if token == NO_HOLDER => {}
             (Some(LeaseOutcome::Pending), _) => {}
-            (None, _) if ours.is_some_and(|(_, outcome_rank)| outcome_rank > 0) => {}
+            (None, _) if matching.is_some_and(|(_, outcome_rank)| outcome_rank > 0) => {}
             (None, _) => {
                 self.lease_table.release_token(self.now, token);
-                if ours.is_some() {
+                if matching.is_some() {
                     self.lease_table.remove(key, out);
                     self.resume_lease_calls(now, key, out);
                 }
@@ -375,8 +381,9 @@
         }
     }
 
-    /// Takes over a lease from another voter's snapshot. Two different pending leases on one key leave the key to
-    /// nobody: either may have been granted, so no third one may be until both are known to be over.
+    /// Merges a lease from another voter's snapshot. Two different pending leases on one key are replaced by one
+    /// without a holder (`NO_HOLDER`): either may have been granted, so no third one may be until both are known to
+    /// have ended.
     pub(super) fn merge_lease(&mut self, key: LeaseKey, lease: Lease, out: &mut Vec<Effect>) {
         let is_pending = lease.outcome == LeaseOutcome::Pending;
         if is_pending && self.lease_table.is_released(lease.token) {
@@ -388,12 +395,12 @@
                 self.lease_table.store(self.now, key, lease, out)
             }
             Some(own) if is_pending && own.outcome == LeaseOutcome::Pending && own.token != lease.token => {
-                if own.token != NOBODY && !self.breaks(Mutation::KeepFirstOfConflictingLeases) {
+                if own.token != NO_HOLDER && !self.breaks(Mutation::KeepFirstOfConflictingLeases) {
                     let time_left_ms = lease.time_left_ms.max(own.time_left_ms);
                     self.lease_table.store(
                         self.now,
                         key,
-                        Lease { token: NOBODY, time_left_ms, outcome: LeaseOutcome::Pending },
+                        Lease { token: NO_HOLDER, time_left_ms, outcome: LeaseOutcome::Pending },
                         out,
                     );
                 }
@@ -404,7 +411,7 @@
 
     /// Re-evaluates the calls that wait for a key.
     fn resume_lease_calls(&mut self, now: Nanos, key: LeaseKey, out: &mut Vec<Effect>) {
-        for call in self.pending_calls.of_key(key) {
+        for call in self.pending_calls.lease_calls_for(key) {
             self.resolve_lease_call(now, call, out);
             if let Some(Call::Lease(pending)) = self.pending_calls.get(call) {
                 let request = LeaseRequest {
--- a/consensus/src/core/limits.rs
+++ b/consensus/src/core/limits.rs
@@ -6,8 +6,8 @@
 
 use crate::messages::LeaseToken;
 
-/// A point in time or a duration in nanoseconds. Points count from an epoch of the caller's choice, which stays the
-/// same while the core lives; the core never reads a clock.
+/// A point in time or a duration in nanoseconds. Points in time count from an origin that the caller chooses and keeps
+/// for the lifetime of the core; the core never reads a clock.
 pub type Nanos = u64;
 
 /// One millisecond.
@@ -25,7 +25,7 @@
 /// A peer counts as reachable if it was heard within this time.
 pub(super) const REACHABLE_WINDOW: Nanos = 1000 * MS;
 
-/// A peer that is not a member is forgotten after this silence.
+/// A peer that is not a member is removed after this silence.
 pub(super) const FORGET_PEER_AFTER: Nanos = 30_000 * MS;
 
 /// Requests that were not answered are sent again after this time.
@@ -34,14 +34,14 @@
 /// The same information is sent to the same peer no more often than this.
 pub(super) const MIN_SEND_INTERVAL: Nanos = 100 * MS;
 
-/// Further replicas are ignored once this many are known, so that memory stays bounded.
+/// Further replicas are ignored once this many are known, which bounds memory.
 pub(super) const MAX_PEERS: usize = 256;
 
-/// Longer names of zones are cut off.
+/// Longer zone names are truncated.
 pub(super) const MAX_ZONE_BYTES: usize = 255;
 
 /// Pending calls other than those on registers; further lease requests are answered `Unavailable`.
-pub(super) const MAX_CALLS: usize = 16_384;
+pub(super) const MAX_NON_REGISTER_CALLS: usize = 16_384;
 
 /// Pending calls on all registers together; further ones are answered `Unavailable`.
 pub(super) const MAX_REGISTER_CALLS: usize = 256;
@@ -49,11 +49,11 @@
 /// A message holds at most this many items.
 pub(super) const MAX_ITEMS_PER_MESSAGE: usize = 256;
 
-/// A message is closed once its items' payloads together would exceed this size; only one item alone may.
+/// The payloads of a message's items together don't exceed this size, unless it holds only one item.
 pub(super) const MAX_MESSAGE_BYTES: usize = 512 * 1024;
 
 /// The name of the register that holds the operator's configuration.
 pub(super) const CONFIGURATION: &str = "";
 
-/// The token that belongs to nobody.
-pub(super) const NOBODY: LeaseToken = 0;
+/// The token of a lease or term that has no holder.
+pub(super) const NO_HOLDER: LeaseToken = 0;
--- a/consensus/src/core/membership.rs
+++ b/consensus/src/core/membership.rs
@@ -24,11 +24,11 @@
 /// A proposal for the next membership is abandoned after this time.
 const PROPOSAL_TIMEOUT: Nanos = 400 * MS;
 
-/// A new member asks for the next chunk again after this time.
+/// A new member repeats its request for the next chunk after this time.
 const SNAPSHOT_REQUEST_INTERVAL: Nanos = 100 * MS;
 
-/// After this time a new member also asks reachable replicas that are no members any more.
-const ASK_ALL_DELAY: Nanos = 600 * MS;
+/// After this time a new member also requests snapshots from reachable replicas that are no longer members.
+const REQUEST_ALL_PEERS_DELAY: Nanos = 600 * MS;
 
 impl Core {
     pub(super) fn persist_ballot_state(&self, out: &mut Vec<Effect>) {
@@ -42,17 +42,19 @@
         }
         // Messages that were collected so far belong to the old epoch and have to carry its number.
         self.flush(out);
-        let follows = membership.epoch - 1 == self.voting.membership.epoch;
+        let is_next_epoch = membership.epoch - 1 == self.voting.membership.epoch;
         self.voting.membership = membership;
         self.voting.membership.members.sort();
         self.voting.membership.members.dedup();
         let member = self.is_member(&self.replica_id);
-        let returns =
-            self.voting.membership.rolled_back && follows && self.voting.stopped_voting_in.is_some();
+        let resumes_voting =
+            self.voting.membership.rolled_back && is_next_epoch && self.voting.stopped_voting_in.is_some();
         self.voting.stopped_voting_in =
-            (self.voting.voter && follows && !member).then_some(self.voting.membership.epoch);
+            (self.voting.voter && is_next_epoch && !member).then_some(self.voting.membership.epoch);
         self.voting.voter = member
-            && ((self.voting.voter && follows) || returns || self.breaks(Mutation::VoteBeforeCaughtUp));
+            && ((self.voting.voter && is_next_epoch)
+                || resumes_voting
+                || self.breaks(Mutation::VoteBeforeCaughtUp));
         (self.voting.served_snapshot, self.voting.barred_from_serving) = (false, false);
         self.voting.promised_ballot = Ballot::default();
         self.voting.accepted_membership = None;
@@ -60,7 +62,7 @@
         self.voting.change_wanted = false;
         self.clear_acknowledgements();
         if member && !self.voting.voter {
-            // Leases from an earlier membership may be outdated; the snapshots bring all that hold.
+            // Pending leases of an earlier membership may be outdated; the snapshots contain all that are still valid.
             self.lease_table.remove_pending(out);
         }
         self.persist_ballot_state(out);
@@ -89,7 +91,7 @@
                 id: self.rng.random(),
                 sources,
                 next_request: now,
-                ask_all_after: now.saturating_add(ASK_ALL_DELAY),
+                request_all_peers_at: now.saturating_add(REQUEST_ALL_PEERS_DELAY),
             });
         }
     }
@@ -101,7 +103,7 @@
             return;
         }
         catch_up.next_request = now.saturating_add(SNAPSHOT_REQUEST_INTERVAL);
-        if now >= catch_up.ask_all_after {
+        if now >= catch_up.request_all_peers_at {
             for (replica, peer) in self.peers.iter() {
                 if peer.is_reachable(now) {
                     catch_up.sources.entry(*replica).or_insert(CatchUpProgress::Leases(0));
@@ -122,7 +124,7 @@
     }
 
     /// Serves a chunk to a new member. Only replicas that voted in the previous epoch answer, and only in the epoch
-    /// that the request names, once that is on their disk: any quorum of them together holds everything that was
+    /// that the request names, once that epoch is durable: any quorum of them together holds everything that was
     /// committed in the previous epoch.
     pub(super) fn serve_snapshot(
         &mut self,
@@ -157,7 +159,7 @@
         leases.retain(|entry| next_key.is_none_or(|next| entry.key < next));
         let is_last_of_leases = next_key.is_none() && from_register.is_none();
         let configuration = self.configuration.stored.clone().filter(|_| is_last_of_leases);
-        let acceptors = if is_last_of_leases { self.accepted_acceptors() } else { Vec::new() };
+        let acceptors = if is_last_of_leases { self.acceptors_with_accepted_value() } else { Vec::new() };
         let (registers, next_register) = match next_key {
             None => self.named_registers.batch_from(from_register.as_deref().unwrap_or_default(), bytes),
             Some(_) => (Vec::new(), None),
@@ -175,7 +177,7 @@
         self.send_after_persist(from.address, chunk, out);
     }
 
-    /// Takes over a chunk. Once enough sources have sent everything, this replica votes.
+    /// Merges a chunk of a snapshot. Once enough sources have sent everything, this replica votes.
     pub(super) fn handle_snapshot_chunk(
         &mut self,
         now: Nanos,
@@ -199,7 +201,7 @@
             (None, Some(name)) => CatchUpProgress::Registers(name),
             (None, _) => CatchUpProgress::Complete,
         };
-        // A chunk that was requested earlier starts at an earlier position, so taking it over leaves nothing out.
+        // A chunk that was requested earlier starts at an earlier position, so merging it skips nothing.
         let advanced = next > *progress;
         if advanced {
             *progress = next.clone();
@@ -239,7 +241,7 @@
         }
     }
 
-    /// Whether this replica could become a member.
+    /// Whether a replica could become a member.
     pub(super) fn may_join(&self, replica: &ReplicaId, peer: &Peer) -> bool {
         peer.is_reachable(self.now) && !peer.leaving && !self.is_member(replica)
     }
@@ -253,7 +255,7 @@
         }
     }
 
-    /// Whether a member was silent for too long or came back without its disk.
+    /// Whether a member was silent for `member_timeout` or came back without its disk.
     fn is_lost(&self, now: Nanos, member: &ReplicaId) -> bool {
         if *member == self.replica_id {
             return false;
@@ -262,7 +264,7 @@
         peer.time_since_heard(now) >= self.config.member_timeout || self.peers.is_replaced(member, now)
     }
 
-    /// Whether a member said that it votes in this epoch.
+    /// Whether a member has reported that it votes in this epoch.
     pub(super) fn is_voter(&self, member: &ReplicaId) -> bool {
         match self.peers.get(member) {
             _ if *member == self.replica_id => self.voting.voter,
@@ -271,9 +273,9 @@
         }
     }
 
-    /// The membership that should follow. Where the change can wait, it waits until all remaining members vote, so
-    /// that only one at a time has to catch up. To replace a lost member it suffices that a majority of voters
-    /// remains reachable.
+    /// The next membership, if a change is needed. A change that is not urgent waits until all remaining members vote,
+    /// so that only one member at a time has to catch up. To replace a lost member it suffices that a majority of
+    /// voters remains reachable.
     fn wanted_change(&self, now: Nanos) -> Option<Membership> {
         let members = &self.voting.membership.members;
         let candidates: Vec<ReplicaId> = self
@@ -293,22 +295,25 @@
                 continue;
             }
             let same_address = candidates.iter().find(|replica| replica.address == leaving.address);
-            let others = candidates.iter().filter(|replica| self.fits(replica, Some(leaving)));
-            if let Some(joining) = same_address.or_else(|| self.best_zone_spread(Some(leaving), others)) {
-                return Some(self.membership_with(Some(leaving), *joining));
+            let other_addresses =
+                candidates.iter().filter(|replica| self.keeps_addresses_unique(replica, Some(leaving)));
+            if let Some(joining) =
+                same_address.or_else(|| self.best_zone_spread(Some(leaving), other_addresses))
+            {
+                return Some(self.next_membership(Some(leaving), *joining));
             }
         }
         if members.len() < self.config.target_members {
-            let fitting = candidates.iter().filter(|replica| self.fits(replica, None));
+            let eligible = candidates.iter().filter(|replica| self.keeps_addresses_unique(replica, None));
             let joining =
-                self.best_zone_spread(None, fitting).filter(|_| members.iter().all(|m| self.is_voter(m)));
-            return joining.map(|joining| self.membership_with(None, *joining));
+                self.best_zone_spread(None, eligible).filter(|_| members.iter().all(|m| self.is_voter(m)));
+            return joining.map(|joining| self.next_membership(None, *joining));
         }
-        self.zone_rebalance(now).map(|(leaving, joining)| self.membership_with(Some(&leaving), joining))
+        self.zone_rebalance(now).map(|(leaving, joining)| self.next_membership(Some(&leaving), joining))
     }
 
-    /// Whether the replica can take the other's place: no address may stand in a membership twice.
-    pub(super) fn fits(&self, joining: &ReplicaId, leaving: Option<&ReplicaId>) -> bool {
+    /// Whether each address still occurs once in the membership if `joining` replaces `leaving`.
+    pub(super) fn keeps_addresses_unique(&self, joining: &ReplicaId, leaving: Option<&ReplicaId>) -> bool {
         self.voting
             .membership
             .members
@@ -317,7 +322,7 @@
     }
 
     /// The next membership, in which one member is replaced or added.
-    fn membership_with(&self, leaving: Option<&ReplicaId>, joining: ReplicaId) -> Membership {
+    fn next_membership(&self, leaving: Option<&ReplicaId>, joining: ReplicaId) -> Membership {
         let members = &self.voting.membership.members;
         let mut next: Vec<ReplicaId> =
             members.iter().filter(|member| Some(*member) != leaving).copied().collect();
@@ -331,7 +336,7 @@
     pub(super) fn propose_membership(&mut self, now: Nanos, out: &mut Vec<Effect>) {
         if self.voting.membership_proposal.as_ref().is_some_and(|proposal| now >= proposal.deadline) {
             self.voting.membership_proposal = None;
-            self.back_off(now);
+            self.delay_next_proposal(now);
         }
         if !self.voting.voter || self.voting.membership_proposal.is_some() {
             return;
@@ -350,7 +355,7 @@
                 .iter()
                 .position(|member| *member == self.replica_id)
                 .unwrap_or(0);
-            // Members wait for a time that grows with their position, so that they rarely compete.
+            // The delay grows with the member's position, so that members rarely propose at the same time.
             let wait = (position as u64 * 80 + self.rng.random_range(0..40)) * MS;
             self.voting.next_proposal_at = self.voting.next_proposal_at.max(now.saturating_add(wait));
         }
@@ -368,7 +373,7 @@
         if ballot <= self.voting.promised_ballot {
             return;
         }
-        // The ballot is on disk before anybody hears of it, so that no later incarnation uses it again.
+        // The ballot is persisted before it is sent, so that no later incarnation uses it again.
         self.voting.promised_ballot = ballot;
         self.persist_ballot_state(out);
         self.voting.membership_proposal = Some(MembershipProposal {
@@ -389,8 +394,8 @@
         }
     }
 
-    /// Delays the next proposal by a random time, so that competing proposers get out of step.
-    fn back_off(&mut self, now: Nanos) {
+    /// Delays the next proposal by a random time, so that competing proposers don't retry at the same time.
+    fn delay_next_proposal(&mut self, now: Nanos) {
         let wait = self.rng.random_range(50..500) * MS;
         self.voting.next_proposal_at = self.voting.next_proposal_at.max(now.saturating_add(wait));
     }
@@ -478,9 +483,9 @@
         membership: Membership,
         out: &mut Vec<Effect>,
     ) {
-        // A replica that left the membership takes part if it has promised the rollback.
-        let takes_part = self.voting.voter || self.voting.barred_from_serving;
-        if !takes_part || membership.epoch.checked_sub(1) != Some(self.voting.membership.epoch) {
+        // A replica that left the membership is an acceptor if it has promised the rollback.
+        let is_acceptor = self.voting.voter || self.voting.barred_from_serving;
+        if !is_acceptor || membership.epoch.checked_sub(1) != Some(self.voting.membership.epoch) {
             return;
         }
         if ballot < self.voting.promised_ballot {
@@ -507,14 +512,14 @@
     ) {
         let Some(mut proposal) = self.voting.membership_proposal.take() else { return };
         let chosen = proposal.chosen.clone().filter(|_| proposal.ballot == ballot);
-        // For a rollback only replicas count that have promised it.
+        // For a rollback, only replicas that have promised it count.
         if chosen.is_some() && (self.is_member(&from) || proposal.rollback) {
             proposal.acceptances.insert(from);
         }
-        let counts = |replica: &&ReplicaId| !proposal.rollback || proposal.promises.contains_key(replica);
-        let decided = self.is_quorum_for(&proposal, proposal.acceptances.iter().filter(counts));
+        let is_counted = |replica: &&ReplicaId| !proposal.rollback || proposal.promises.contains_key(replica);
+        let is_decided = self.is_quorum_for(&proposal, proposal.acceptances.iter().filter(is_counted));
         self.voting.membership_proposal = Some(proposal);
-        let Some(membership) = chosen.filter(|_| decided) else { return };
+        let Some(membership) = chosen.filter(|_| is_decided) else { return };
         let mut recipients = self.known_addresses();
         recipients.extend(membership.members.iter().map(|replica| replica.address));
         recipients.remove(&self.replica_id.address);
@@ -524,12 +529,12 @@
         }
     }
 
-    /// Gives up the proposal because an acceptor has promised a higher ballot.
+    /// Abandons the proposal because an acceptor has promised a higher ballot.
     pub(super) fn handle_preempted(&mut self, now: Nanos, ballot: Ballot) {
         self.voting.highest_round = self.voting.highest_round.max(ballot.round);
         if self.voting.membership_proposal.as_ref().is_some_and(|proposal| proposal.ballot < ballot) {
             self.voting.membership_proposal = None;
-            self.back_off(now);
+            self.delay_next_proposal(now);
         }
     }
 }
--- a/consensus/src/core/membership_state.rs
+++ b/consensus/src/core/membership_state.rs
@@ -1,4 +1,4 @@
-//! Whether this replica votes and what it promised, proposals for the next membership, and the progress of a new member.
+//! Whether this replica votes, its promises, its proposals for the next membership, and the progress of a new member.
 //!
 //! Main types: `VotingState`, `MembershipProposal`, `CatchUp`, `CatchUpProgress`, `SnapshotContent`.
 //!
@@ -19,12 +19,12 @@
 #[derive(Clone, Debug)]
 pub(super) struct MembershipProposal {
     pub ballot: Ballot,
-    /// What is proposed unless a promise reports another accepted membership.
+    /// The membership to propose unless a promise reports another accepted one.
     pub wanted: Membership,
-    /// The proposal returns to the previous members, by a majority of these.
+    /// The proposal restores the previous members and is decided by a majority of them.
     pub rollback: bool,
     pub promises: BTreeMap<ReplicaId, Option<AcceptedMembership>>,
-    /// What acceptors are asked to accept, once a quorum has promised.
+    /// The membership that acceptors are asked to accept, once a quorum has promised.
     pub chosen: Option<Membership>,
     pub acceptances: BTreeSet<ReplicaId>,
     pub deadline: Nanos,
@@ -60,8 +60,9 @@
     /// How much each source has sent.
     pub sources: BTreeMap<ReplicaId, CatchUpProgress>,
     pub next_request: Nanos,
-    /// From then on replicas that left the membership are asked too: their snapshot is complete, but may be outdated.
-    pub ask_all_after: Nanos,
+    /// From then on, replicas that left the membership are asked too: their snapshots are complete, but may be
+    /// outdated.
+    pub request_all_peers_at: Nanos,
 }
 
 /// The content of one chunk of a snapshot.
@@ -79,7 +80,7 @@
     pub next_register: Option<RegisterName>,
 }
 
-/// This replica's part in its epoch.
+/// The voting state of this replica in its epoch.
 #[derive(Clone, Debug)]
 pub(super) struct VotingState {
     pub membership: Membership,
@@ -89,7 +90,8 @@
     pub accepted_membership: Option<AcceptedMembership>,
     pub membership_proposal: Option<MembershipProposal>,
     pub next_proposal_at: Nanos,
-    /// The last tick wanted a change of the membership too. The wait before the first proposal is drawn only once.
+    /// The previous tick also wanted a membership change, so the delay before the first proposal has been drawn
+    /// already.
     pub change_wanted: bool,
     pub highest_round: u64,
     /// Set while this replica is a member that has not caught up.
@@ -104,7 +106,7 @@
 }
 
 impl VotingState {
-    /// The state of `replica` that its disk held. If the disk is another replica's, it does not vote.
+    /// The state that the disk of `replica` held. A replica does not vote with the disk of another one.
     pub fn new(now: Nanos, replica: ReplicaId, ballots: MembershipBallotState) -> VotingState {
         let voted = ballots.voter && replica == ballots.replica;
         let member = ballots.membership.members.contains(&replica);
@@ -124,7 +126,7 @@
         }
     }
 
-    /// What the disk of `replica` has to hold of this.
+    /// The part of the state that the disk of `replica` has to hold.
     pub fn ballot_state(&self, replica: ReplicaId) -> MembershipBallotState {
         MembershipBallotState {
             replica,
--- a/consensus/src/core/mutation.rs
+++ b/consensus/src/core/mutation.rs
@@ -1,4 +1,4 @@
-//! Broken variants of the core for tests: each breaks one rule, and the tests show that they notice it.
+//! Deliberate violations of the core's rules. A test sets one of them to show that it detects the violation.
 //!
 //! Invariants: nothing outside tests sets a mutation; without one the core keeps every rule.
 
@@ -9,13 +9,13 @@
     CountStaleLeaseVotes,
     /// A new member votes before it has caught up.
     VoteBeforeCaughtUp,
-    /// Lease votes are sent before the lease is safe on disk.
+    /// Lease votes are sent before the lease is durable.
     SendLeaseVotesBeforePersist,
-    /// Half of the members is taken for a majority.
+    /// Half of the members counts as a majority.
     TakeHalfForMajority,
-    /// A replica that gets no majority in time releases the lease of its own accord.
+    /// A replica that gets no majority in time releases the lease on its own initiative.
     ReleaseOnTimeout,
-    /// Of two pending leases on one key, a new member keeps the one that it heard of first.
+    /// Of two pending leases on one key, a new member keeps the one that it received first.
     KeepFirstOfConflictingLeases,
     /// A read returns a value that is stored here and not known to be committed.
     ReadUncommittedValue,
@@ -39,7 +39,7 @@
     CountAcknowledgementsOfNonVoters,
     /// The acknowledgement of one register is counted for all of them.
     CountAcknowledgementForAllRegisters,
-    /// A replica acknowledges a register before it is safe on disk.
+    /// A replica acknowledges a register before it is durable.
     AcknowledgeBeforePersist,
     /// An acceptor gives one term of a session to two tokens.
     GiveSessionTermToTwoTokens,
@@ -49,7 +49,7 @@
     FollowEarliestSessionChange,
     /// A new member ignores the sessions of a snapshot.
     IgnoreSessionsOfSnapshot,
-    /// Replies about sessions are sent before the change is safe on disk.
+    /// Replies about sessions are sent before the change is durable.
     SendSessionRepliesBeforePersist,
     /// Content is stored that was not decided for its version.
     StoreUndecidedValue,
@@ -67,7 +67,7 @@
     ReadWithoutMajority,
     /// Acknowledgements of the configuration that were sent in another epoch are counted.
     CountStaleAcknowledgements,
-    /// A replica that leaves stops at once.
+    /// A leaving replica stops at once.
     StopAtOnce,
     /// Proposal numbers of registers leave out the epoch.
     NumberWithoutEpoch,
--- a/consensus/src/core/named_registers.rs
+++ b/consensus/src/core/named_registers.rs
@@ -1,8 +1,5 @@
-//! All registers but the configuration, their limits, and how replicas find out which of them differ.
-//!
-//! Heartbeats carry one digest of all stored registers. A voter with the same digest stores exactly what this replica
-//! stores, so that it acknowledges every register at once. A peer with another digest is asked for its revisions, and
-//! then for the values that are newer there.
+//! All registers except the configuration, their limits and the digest of their values. See `register_replication` for
+//! how replicas compare them.
 //!
 //! Main types: `NamedRegisters`; `RegisterStatus` for callers.
 //!
@@ -18,7 +15,7 @@
 use crate::core::register::Register;
 use crate::messages::{NamedRegister, RegisterName, RegisterRevision, RegisterValue, ReplicaId, Revision};
 
-/// How many registers may be written.
+/// The number of registers that may be written.
 pub const MAX_NAMES: usize = 4_096;
 
 /// The longest name of a register in bytes.
@@ -34,7 +31,7 @@
 /// multiple of the limits.
 pub(super) const REPLICATED_LIMIT_FACTOR: usize = 2;
 
-/// All registers but the configuration.
+/// All registers except the configuration.
 #[derive(Clone, Debug, Default)]
 pub(super) struct NamedRegisters {
     pub by_name: BTreeMap<RegisterName, Register>,
@@ -70,7 +67,7 @@
         self.by_name.get(name)
     }
 
-    /// Two replicas with the same digest store the same values.
+    /// The digest of all stored values. Replicas with the same digest store the same values.
     pub fn digest(&self) -> u128 {
         self.digest
     }
@@ -92,13 +89,14 @@
 
     /// Recomputes what a majority has acknowledged; returns whether it rose.
     pub fn update_committed(&mut self, name: &str, majority: usize) -> bool {
-        let grown = self.by_name.get_mut(name).is_some_and(|register| register.update_committed(majority));
-        self.changes += u64::from(grown);
-        grown
+        let has_risen =
+            self.by_name.get_mut(name).is_some_and(|register| register.update_committed(majority));
+        self.changes += u64::from(has_risen);
+        has_risen
     }
 
-    /// Whether a value fits the limits times `limit_factor`.
-    pub fn fits(&self, name: &str, value: &RegisterValue, limit_factor: usize) -> bool {
+    /// Whether the registers stay within `limit_factor` times the limits if this value is stored.
+    pub fn is_within_limits(&self, name: &str, value: &RegisterValue, limit_factor: usize) -> bool {
         let stored = self.by_name.get(name).and_then(|register| register.stored.as_ref());
         let before = stored.map_or(0, |stored| stored.bytes.len());
         (stored.is_some() || self.by_name.len() < limit_factor * MAX_NAMES)
@@ -110,7 +108,7 @@
 
     /// Whether a write may be admitted.
     pub fn has_room(&self, name: &str, value: &RegisterValue) -> bool {
-        self.fits(name, value, 1)
+        self.is_within_limits(name, value, 1)
     }
 
     /// Records that a voter of this epoch stores a revision. Registers that are unknown here are added, within the
--- a/consensus/src/core/outbox.rs
+++ b/consensus/src/core/outbox.rs
@@ -1,4 +1,4 @@
-//! Items for other replicas that are sent together by the next flush.
+//! Items for other replicas, batched until the next flush.
 //!
 //! Main types: `Outbox` holds `QueuedItems` for each address and turns them into `Batch`es.
 //!
@@ -12,7 +12,7 @@
     LeaseCompletion, LeaseOutcome, LeaseRequest, LeaseVote, LeaseVoteReply, MessageBody, SessionMessage,
 };
 
-/// What waits to be sent, by address.
+/// The queued items by destination address.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Outbox {
     by_address: BTreeMap<SocketAddr, QueuedItems>,
@@ -22,12 +22,12 @@
 pub(super) struct Batch {
     pub address: SocketAddr,
     pub body: MessageBody,
-    /// The batch promises something that is being written, so it has to wait until that is safe on disk.
+    /// The batch promises something that is being written, so it is sent once that is durable.
     pub after_persist: bool,
 }
 
 impl Outbox {
-    /// The items that wait for an address.
+    /// The queued items for an address.
     pub fn queue(&mut self, address: SocketAddr) -> &mut QueuedItems {
         self.by_address.entry(address).or_default()
     }
--- a/consensus/src/core/peers.rs
+++ b/consensus/src/core/peers.rs
@@ -1,9 +1,9 @@
-//! Failure detection: what a replica knows of the others, by the messages that it receives.
+//! Failure detection: what a replica knows of the others from the messages that it receives.
 //!
 //! Main types: `Peers` holds a `Peer` for each known replica; `PeerStatus` is for operators.
 //!
 //! Invariants:
-//! - At most `MAX_PEERS` replicas that are not members are known.
+//! - At most `MAX_PEERS` replicas that are not members are tracked.
 //! - Safety never depends on who counts as reachable, only progress does.
 
 use std::collections::BTreeMap;
@@ -30,11 +30,11 @@
     /// When it was last sent a heartbeat so that it answers with its later membership.
     pub heartbeat_sent_at: Option<Nanos>,
     /// When it was last asked for the newest value of each register.
-    pub fetched_at: BTreeMap<RegisterName, Nanos>,
+    pub fetch_requested_at: BTreeMap<RegisterName, Nanos>,
     /// When each register was last sent to it, and which revision.
-    pub replicated: BTreeMap<RegisterName, (Nanos, Revision)>,
+    pub last_sent_revisions: BTreeMap<RegisterName, (Nanos, Revision)>,
     /// When it was last asked for the revisions of all its registers.
-    pub listed_at: Option<Nanos>,
+    pub list_requested_at: Option<Nanos>,
     /// The digest of all registers for which it was last counted as storing the same.
     pub acknowledged_digest: u128,
     /// Registers that were requested from it and have not arrived, with the revisions that it offered.
@@ -52,9 +52,9 @@
             zone: String::new(),
             announced_at: None,
             heartbeat_sent_at: None,
-            fetched_at: BTreeMap::new(),
-            replicated: BTreeMap::new(),
-            listed_at: None,
+            fetch_requested_at: BTreeMap::new(),
+            last_sent_revisions: BTreeMap::new(),
+            list_requested_at: None,
             acknowledged_digest: 0,
             wanted_registers: BTreeMap::new(),
         }
@@ -100,7 +100,7 @@
     pub replica: ReplicaId,
     /// Whether it is a member in this replica's epoch.
     pub member: bool,
-    /// Whether it said that it votes.
+    /// Whether its last heartbeat said that it votes.
     pub voter: bool,
     /// The epoch of its last heartbeat.
     pub epoch: u64,
@@ -108,7 +108,7 @@
     pub heard_ago: Option<Nanos>,
     /// Whether it announced that it will stop.
     pub leaving: bool,
-    /// Its zone; empty if it has not told any.
+    /// Its zone; empty if it has not announced one.
     pub zone: String,
 }
 
@@ -153,8 +153,8 @@
         self.by_replica.entry(replica).or_insert_with(|| Peer::new(now));
     }
 
-    /// The peer that a message came from, added if there is room.
-    pub fn sender(&mut self, replica: ReplicaId, now: Nanos) -> Option<&mut Peer> {
+    /// A peer, which is added if there is room.
+    pub fn get_or_add(&mut self, replica: ReplicaId, now: Nanos) -> Option<&mut Peer> {
         if !self.by_replica.contains_key(&replica) && self.by_replica.len() >= MAX_PEERS {
             return None;
         }
@@ -177,8 +177,8 @@
         })
     }
 
-    /// Forgets replicas that are no members and were silent for `FORGET_PEER_AFTER`. `members` is sorted.
-    pub fn forget_silent(&mut self, members: &[ReplicaId], now: Nanos) {
+    /// Removes replicas that are not members and were silent for `FORGET_PEER_AFTER`. `members` is sorted.
+    pub fn remove_silent(&mut self, members: &[ReplicaId], now: Nanos) {
         self.by_replica.retain(|replica, peer| {
             members.binary_search(replica).is_ok() || peer.time_since_heard(now) < FORGET_PEER_AFTER
         });
--- a/consensus/src/core/register.rs
+++ b/consensus/src/core/register.rs
@@ -14,7 +14,7 @@
 /// How many earlier values are kept until a later one is committed.
 pub(super) const MAX_EARLIER_VALUES: usize = 8;
 
-/// How many decided revisions are remembered, to tell a write that is repeated from one with other content.
+/// How many decided revisions are kept, to distinguish a repeated write from one with other content.
 pub(super) const MAX_DECIDED_REVISIONS: usize = 64;
 
 /// The versions of one register that this replica knows of.
@@ -22,7 +22,7 @@
 pub(super) struct Register {
     /// The newest value that is stored here.
     pub stored: Option<Arc<RegisterValue>>,
-    /// Values that were stored before and may be the newest committed one.
+    /// Values that were stored before, one of which may be the newest committed one.
     pub earlier: VecDeque<Arc<RegisterValue>>,
     /// Revisions that were stored since the start, the oldest first.
     pub decided_revisions: VecDeque<Revision>,
@@ -93,11 +93,12 @@
     pub fn update_committed(&mut self, majority: usize) -> bool {
         let mut revisions: Vec<Revision> = self.acknowledged.values().copied().collect();
         revisions.sort_unstable_by(|a, b| b.cmp(a));
-        let grown = revisions.get(majority - 1).is_some_and(|revision| *revision > self.committed_revision);
-        if grown {
+        let has_risen =
+            revisions.get(majority - 1).is_some_and(|revision| *revision > self.committed_revision);
+        if has_risen {
             self.raise_committed_revision(revisions[majority - 1]);
         }
-        grown
+        has_risen
     }
 
     /// Chooses the newest known value that is not above the committed revision.
--- a/consensus/src/core/register_paxos.rs
+++ b/consensus/src/core/register_paxos.rs
@@ -1,26 +1,26 @@
 //! Single-decree Paxos (Paxos Made Simple) on the content of each version of a register: two operators may send
-//! different content under one version through two replicas, and at most one of them is ever stored, read or
+//! different content under one version through two replicas, and at most one of the two is ever stored, read or
 //! acknowledged.
 //!
-//! A replica that is asked to write proposes the content to the members under a number: a majority promises
-//! (`Prepare`), the accepted content of the highest number among the promises binds the proposer, and a majority
-//! accepts (`Accept`). Only then does any replica store it (`registers`), from where it is replicated.
+//! A replica that receives a write proposes the content to the members under a proposal number: a majority promises
+//! (`Prepare`), the proposer adopts the accepted content with the highest number among the promises, if any, and a
+//! majority accepts (`Accept`). Only then is the content stored and replicated (`registers`).
 //!
 //! Main types: `RegisterProposal`, `RegisterPaxos`.
 //!
 //! Invariants:
 //! - At most one content is decided for a version of a register.
 //!
-//! Why it is safe: for one version and one epoch this is Paxos. Across epochs: what a majority accepted is known to
-//! at least one of those replicas whose snapshots a new member needs, and their snapshots say what they accepted
-//! (`merge_acceptors`), so every majority of the next epoch includes one that accepted it or stores the version.
-//! Promises need not be in the snapshot: a proposer counts answers of its own epoch only and starts again in the next
-//! one, and a number begins with its epoch. Without the epoch, content that one replica accepted in an earlier epoch,
-//! and that no majority did, could come back with a higher round and win over what was decided since by replicas that
-//! never promised it anything. So the highest number that a majority reports is that of the decision or of a proposal
-//! that followed it. An acceptor state is dropped once the replica stores that version or a later one; from then on
-//! it refuses ballots on it for good, because a replica never stores less than before, so no second content can find
-//! a majority.
+//! Safety: within one epoch, this is Paxos on each version. Across epochs: content that a majority accepted is known
+//! to at least one of the replicas whose snapshots a new member needs, and snapshots contain accepted values
+//! (`merge_acceptors`), so every majority of the next epoch includes a replica that accepted the content or stores the
+//! version. Promises need not be in the snapshot: a proposer counts only answers of its own epoch and starts again in
+//! the next one, and a proposal number begins with its epoch. Without the epoch, content that one replica accepted in
+//! an earlier epoch, but no majority did, could come back with a higher round and win over what was decided since by
+//! replicas that never made a promise to its proposer. So the highest number that a majority reports is that of the
+//! decision or of a later proposal of the same content. An acceptor state is dropped once the replica stores that
+//! version or a later one. From then on the replica refuses all ballots on it, because the stored version never goes
+//! back, so no second content can get a majority.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -39,15 +39,15 @@
 };
 
 /// A message that was not answered is sent again after this time.
-const RESEND: Nanos = 120 * MS;
+const RESEND_INTERVAL: Nanos = 120 * MS;
 
-/// The shortest pause after a proposal that was preempted; it doubles with each further one.
+/// The shortest delay after a proposal was preempted; it doubles with each further preemption.
 const BASE_BACKOFF: Nanos = 10 * MS;
 
-/// How often the pause doubles at most.
+/// The delay doubles at most this often.
 const MAX_BACKOFF_DOUBLINGS: u32 = 5;
 
-/// How many undecided versions an acceptor keeps for all registers together. It stays silent on further ones.
+/// How many undecided versions an acceptor keeps for all registers together. It does not answer on further ones.
 const MAX_UNDECIDED_VERSIONS: usize = 1_024;
 
 /// How many bytes of accepted, undecided content an acceptor keeps.
@@ -58,7 +58,7 @@
         self.register(name).is_none_or(|register| register.is_newer(version))
     }
 
-    /// Takes over acceptor states from disk, except for versions that are stored.
+    /// Loads acceptor states from disk, except for versions that are stored.
     pub(super) fn load_acceptors(&mut self, saved: Vec<AcceptorState>) {
         for acceptor in saved {
             if self.is_newer(&acceptor.register, acceptor.version) {
@@ -77,16 +77,16 @@
         out.push(Effect::Persist(LogRecord::RegisterAcceptors(self.acceptor_states())));
     }
 
-    /// What a new member has to know of versions that may have been decided.
-    pub(super) fn accepted_acceptors(&self) -> Vec<AcceptorState> {
+    /// The acceptor states that a new member needs, because their versions may have been decided.
+    pub(super) fn acceptors_with_accepted_value(&self) -> Vec<AcceptorState> {
         let has_accepted = |acceptor: &&AcceptorState| {
             acceptor.accepted.is_some() && !self.breaks(Mutation::OmitAcceptedValuesFromSnapshot)
         };
         self.register_paxos.acceptors.values().filter(has_accepted).cloned().collect()
     }
 
-    /// Takes over what another replica accepted. Of several contents, the one with the highest number may have been
-    /// decided.
+    /// Merges accepted values of another replica. Of several contents, only the one with the highest number may have
+    /// been decided.
     pub(super) fn merge_acceptors(&mut self, theirs: Vec<AcceptorState>, out: &mut Vec<Effect>) {
         let mut changed = false;
         for AcceptorState { register: name, version, accepted, .. } in theirs {
@@ -115,8 +115,8 @@
         })
     }
 
-    /// Ends all ballots on versions up to this one, because it is stored now. The next write of acceptor states
-    /// leaves them out, and the next start ignores what the disk still holds of them.
+    /// Ends all ballots on versions up to this one, because it is stored now. The next write of acceptor states omits
+    /// them, and the next start ignores those that are still on disk.
     pub(super) fn retire_versions(&mut self, name: &str, version: u64) {
         self.register_paxos
             .acceptors
@@ -126,18 +126,19 @@
         }
     }
 
-    /// Proposes the highest version that a call waits for, unless a proposal for this register is under way. A
-    /// proposal that has begun is finished first, so that a sequence of ever higher versions can't keep all of them
-    /// from being decided.
+    /// Proposes the highest version that a call waits for, unless a proposal for this register is in progress. A
+    /// proposal that has started is finished first, so that a sequence of ever higher versions can't prevent all of
+    /// them from being decided.
     pub(super) fn propose_value(&mut self, now: Nanos, name: &RegisterName, out: &mut Vec<Effect>) {
         if self.register_paxos.proposals.contains_key(name) {
             return;
         }
-        let calls =
-            self.pending_calls.of_registers().iter().filter_map(|call| match self.pending_calls.get(*call) {
-                Some(Call::Replace(write)) if write.name == *name => Some(&write.value),
+        let calls = self.pending_calls.register_calls().iter().filter_map(|call| {
+            match self.pending_calls.get(*call) {
+                Some(Call::Write(write)) if write.name == *name => Some(&write.value),
                 _ => None,
-            });
+            }
+        });
         let newer = calls.filter(|value| self.is_newer(name, value.version));
         let Some(value) = newer.max_by_key(|value| value.version).cloned() else { return };
         let proposal = RegisterProposal {
@@ -154,7 +155,7 @@
         self.drive_register_proposal(now, name, out);
     }
 
-    /// The epoch that numbers of proposals begin with.
+    /// The epoch that proposal numbers begin with.
     fn proposal_epoch(&self) -> u64 {
         if self.breaks(Mutation::NumberWithoutEpoch) { 0 } else { self.voting.membership.epoch }
     }
@@ -165,16 +166,15 @@
     }
 
     pub(super) fn drive_register_proposals(&mut self, now: Nanos, out: &mut Vec<Effect>) {
-        let mark_if_due =
-            self.register_paxos.proposals.iter().filter(|(_, proposal)| proposal.next_send <= now);
-        let mark_if_due: Vec<RegisterName> = mark_if_due.map(|(name, _)| name.clone()).collect();
-        for name in mark_if_due {
+        let due = self.register_paxos.proposals.iter().filter(|(_, proposal)| proposal.next_send <= now);
+        let due_names: Vec<RegisterName> = due.map(|(name, _)| name.clone()).collect();
+        for name in due_names {
             self.drive_register_proposal(now, &name, out);
         }
     }
 
-    /// Starts all proposals again after a change of the membership, because answers count only in the epoch in which
-    /// they were given.
+    /// Restarts all proposals after a change of the membership, because answers count only in the epoch in which they
+    /// were given.
     pub(super) fn restart_register_proposals(&mut self, now: Nanos, out: &mut Vec<Effect>) {
         for proposal in self.register_paxos.proposals.values_mut() {
             (proposal.preempted, proposal.next_send) = (true, now);
@@ -185,13 +185,13 @@
     /// Whether a call still waits for that version.
     fn is_wanted(&self, name: &RegisterName, version: u64) -> bool {
         let wants = |call: &u64| {
-            matches!(self.pending_calls.get(*call), Some(Call::Replace(write))
+            matches!(self.pending_calls.get(*call), Some(Call::Write(write))
                 if write.name == *name && write.value.version == version)
         };
-        self.pending_calls.of_registers().iter().any(wants)
+        self.pending_calls.register_calls().iter().any(wants)
     }
 
-    /// Starts a ballot, or sends again what was not answered.
+    /// Starts a ballot, or resends messages that were not answered.
     fn drive_register_proposal(&mut self, now: Nanos, name: &RegisterName, out: &mut Vec<Effect>) {
         let Some(mut proposal) = self.register_paxos.proposals.remove(name) else { return };
         if !self.is_wanted(name, proposal.value.version) {
@@ -210,7 +210,7 @@
             proposal.promises.clear();
             proposal.acceptances.clear();
         }
-        proposal.next_send = now.saturating_add(RESEND);
+        proposal.next_send = now.saturating_add(RESEND_INTERVAL);
         let (number, version) = (proposal.number, proposal.value.version);
         let message = match &proposal.chosen {
             None => RegisterPaxosMessage::Prepare { register: name.clone(), version, number },
@@ -222,8 +222,8 @@
             None => proposal.promises.contains_key(replica),
             Some(_) => proposal.acceptances.contains(replica),
         };
-        // A proposal promises nothing about this replica's disk, and its number is drawn anew in each incarnation, so
-        // other replicas need not wait for the writes here. Messages to itself are answered by its own acceptor.
+        // A proposal promises nothing about this replica's disk, and each incarnation draws new numbers, so messages to
+        // other replicas need not wait for writes here. Messages to itself are answered by its own acceptor.
         for replica in self.voting.membership.members.iter().filter(|replica| !has_answered(replica)) {
             if *replica == self.replica_id {
                 self.send_register_paxos(*replica, message.clone(), out);
@@ -278,8 +278,8 @@
         }
     }
 
-    /// Handles a request to promise a number, or to accept `value` under it. A replica that may not vote stays
-    /// silent.
+    /// Handles a request to promise a number, or to accept `value` under it. A replica that may not vote does not
+    /// answer.
     fn handle_acceptor_request(
         &mut self,
         from: ReplicaId,
@@ -360,9 +360,9 @@
         if proposal.chosen.is_some() || proposal.promises.len() < majority {
             return;
         }
-        let binding = proposal.promises.values().flatten().max_by_key(|accepted| accepted.number);
-        let binding = binding.map(|accepted| accepted.value.clone()).filter(|_| !ignores_accepted);
-        proposal.chosen = Some(binding.unwrap_or_else(|| proposal.value.clone()));
+        let accepted = proposal.promises.values().flatten().max_by_key(|accepted| accepted.number);
+        let accepted_value = accepted.map(|accepted| accepted.value.clone()).filter(|_| !ignores_accepted);
+        proposal.chosen = Some(accepted_value.unwrap_or_else(|| proposal.value.clone()));
         self.drive_register_proposal(now, &id.name, out);
     }
 
@@ -395,7 +395,8 @@
         proposal.next_send = now.saturating_add((BASE_BACKOFF + jitter) << doublings);
     }
 
-    /// Handles the news that a member stores this version or a later one: fetches its value and resolves calls by it.
+    /// Handles the answer of a member that stores this version or a later one: rejects conflicting writes and fetches
+    /// its value.
     fn handle_register_superseded(
         &mut self,
         now: Nanos,
@@ -421,12 +422,12 @@
         decided: u64,
         out: &mut Vec<Effect>,
     ) {
-        let others = self.pending_calls.of_registers().iter().copied().filter(|call| {
-            matches!(self.pending_calls.get(*call), Some(Call::Replace(write))
+        let conflicting = self.pending_calls.register_calls().iter().copied().filter(|call| {
+            matches!(self.pending_calls.get(*call), Some(Call::Write(write))
                 if write.name == *name && write.value.version == version
                     && write.value.digest != decided)
         });
-        for call in others.collect::<Vec<u64>>() {
+        for call in conflicting.collect::<Vec<u64>>() {
             self.respond(call, CoreResponse::Conflict, out);
         }
     }
--- a/consensus/src/core/register_proposals.rs
+++ b/consensus/src/core/register_proposals.rs
@@ -21,10 +21,10 @@
 #[derive(Clone, Debug)]
 pub(super) struct RegisterProposal {
     pub number: ProposalNumber,
-    /// The content that a call wants; another one may be chosen.
+    /// The content that a call writes; other content may be chosen.
     pub value: Arc<RegisterValue>,
     pub promises: BTreeMap<ReplicaId, Option<AcceptedValue>>,
-    /// What acceptors are asked to accept, once a majority has promised.
+    /// The content that acceptors are asked to accept, once a majority has promised.
     pub chosen: Option<Arc<RegisterValue>>,
     pub acceptances: BTreeSet<ReplicaId>,
     /// An acceptor has promised a higher number; the next ballot starts at `next_send`.
@@ -38,7 +38,7 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct RegisterPaxos {
     pub proposals: BTreeMap<RegisterName, RegisterProposal>,
-    /// What this replica promised and accepted, for versions above the stored ones.
+    /// This replica's promises and accepted values, for versions above the stored ones.
     pub acceptors: BTreeMap<(RegisterName, u64), AcceptorState>,
     /// The highest round of any ballot that was seen.
     pub highest_round: u64,
--- a/consensus/src/core/register_replication.rs
+++ b/consensus/src/core/register_replication.rs
@@ -1,8 +1,8 @@
-//! How replicas find out which of their named registers differ, and fetch the newer ones.
+//! Anti-entropy for named registers: replicas find out which of them differ, and fetch the newer ones.
 //!
 //! Heartbeats carry one digest of all stored registers. A voter with the same digest stores exactly what this replica
-//! stores, so that it acknowledges every register at once. A peer with another digest is asked for its revisions, and
-//! then for the values that are newer there.
+//! stores, so it acknowledges every register at once. A peer with another digest is asked for its revisions, and then
+//! for the values that are newer there.
 //!
 //! Invariants:
 //! - The value of one name never counts for another.
@@ -23,7 +23,7 @@
 };
 
 impl Core {
-    /// All registers but the configuration, by name.
+    /// All registers except the configuration, by name.
     pub fn registers(&self) -> impl Iterator<Item = RegisterStatus> {
         self.named_registers.by_name.iter().map(|(name, register)| RegisterStatus {
             name: name.clone(),
@@ -37,7 +37,7 @@
         self.named_registers.changes
     }
 
-    /// Discards what voters acknowledged in the last epoch.
+    /// Discards the acknowledgements of the previous epoch.
     pub(super) fn clear_acknowledgements(&mut self) {
         self.configuration.clear_acknowledgements();
         self.named_registers.clear_acknowledgements();
@@ -59,7 +59,7 @@
         }
         let Some(peer) = self.peers.get_mut(&from) else { return };
         if digest != self.named_registers.digest {
-            if mark_if_due(&mut peer.listed_at, now, MIN_SEND_INTERVAL) {
+            if mark_if_due(&mut peer.list_requested_at, now, MIN_SEND_INTERVAL) {
                 self.send_now(from.address, MessageBody::ListRegisters(CONFIGURATION.into()), out);
             }
         } else if from_voter && peer.acknowledged_digest != digest {
@@ -90,7 +90,7 @@
     ) {
         let names: Vec<RegisterName> = registers.iter().map(|named| named.name.clone()).collect();
         for NamedRegister { name, value } in registers {
-            if self.named_registers.fits(&name, &value, REPLICATED_LIMIT_FACTOR) {
+            if self.named_registers.is_within_limits(&name, &value, REPLICATED_LIMIT_FACTOR) {
                 self.store_value(&name, value, out);
             }
         }
@@ -101,7 +101,7 @@
         names.iter().for_each(|name| self.resolve_register_calls(name, out));
     }
 
-    /// Asks again for requested registers that have not arrived, because a message holds only so many.
+    /// Requests the wanted registers that have not arrived yet, because a message holds a limited number of them.
     pub fn fetch_remaining(&mut self, from: ReplicaId, arrived: &[RegisterName], out: &mut Vec<Effect>) {
         let Some(peer) = self.peers.get_mut(&from) else { return };
         if !arrived.iter().any(|name| peer.wanted_registers.contains_key(name)) {
@@ -142,12 +142,12 @@
                 Some(NamedRegister { name: name.clone(), value })
             });
         // Values that don't fit are requested again.
-        let fits = |named: &NamedRegister| {
+        let fits_message = |named: &NamedRegister| {
             let before = bytes;
             bytes += named.value.bytes.len();
             before < MAX_MESSAGE_BYTES
         };
-        let newer: Vec<NamedRegister> = newer.take_while(fits).collect();
+        let newer: Vec<NamedRegister> = newer.take_while(fits_message).collect();
         if !newer.is_empty() {
             self.send_now(from.address, MessageBody::StoreRegisters(newer), out);
         }
--- a/consensus/src/core/registers.rs
+++ b/consensus/src/core/registers.rs
@@ -72,22 +72,23 @@
         self.register(name).map_or(Revision::NONE, Register::stored_revision)
     }
 
-    /// Whether one more call on this register may wait. Otherwise answers it.
+    /// Whether one more call on this register may wait. If not, answers it with `Unavailable`.
     fn admit_register_call(&self, call: u64, name: &str, out: &mut Vec<Effect>) -> bool {
-        let of_name = |call: &&u64| self.register_of_call(**call).is_some_and(|of| **of == *name);
-        let admitted = self.pending_calls.of_registers().len() < MAX_REGISTER_CALLS
+        let is_on_register = |call: &&u64| self.register_of_call(**call).is_some_and(|on| **on == *name);
+        let admitted = self.pending_calls.register_calls().len() < MAX_REGISTER_CALLS
             && (name == CONFIGURATION
-                || self.pending_calls.of_registers().iter().filter(of_name).count() < MAX_CALLS_PER_REGISTER);
+                || self.pending_calls.register_calls().iter().filter(is_on_register).count()
+                    < MAX_CALLS_PER_REGISTER);
         if !admitted {
             out.push(Effect::Respond { call, response: CoreResponse::Unavailable });
         }
         admitted
     }
 
-    /// The register that a call is on.
+    /// The register that a call reads or writes.
     fn register_of_call(&self, call: u64) -> Option<&RegisterName> {
         match self.pending_calls.get(call)? {
-            Call::Replace(write) => Some(&write.name),
+            Call::Write(write) => Some(&write.name),
             Call::Read(read) => Some(&read.name),
             Call::Lease(_) | Call::Session(_) => None,
         }
@@ -110,7 +111,7 @@
         }
         let (timer, deadline) = (now.saturating_add(RETRY_INTERVAL), now.saturating_add(WRITE_TIMEOUT));
         self.pending_calls
-            .insert(call, Call::Replace(PendingWrite { name: name.clone(), value, deadline, timer }));
+            .insert(call, Call::Write(PendingWrite { name: name.clone(), value, deadline, timer }));
         self.propose_value(now, &name, out);
         self.replicate_value(now, &name, out);
         self.resolve_register_calls(&name, out);
@@ -141,9 +142,9 @@
             let named = NamedRegister { name: name.into(), value };
             out.push(Effect::Persist(LogRecord::Register(named.clone())));
             self.named_registers.store(named);
-            // The replica that sent the value may have no vote, and other replicas go by what voters acknowledge; a
-            // heartbeat at once spares them the wait. For the configuration, the replica that learns that it is
-            // committed sends one.
+            // The replica that sent the value may have no vote, and replicas learn of the commit from voters'
+            // acknowledgements, so an immediate heartbeat saves them the wait for the next one. For the configuration,
+            // the replica that learns that it is committed sends a heartbeat.
             self.heartbeat_requested |= self.voting.voter;
         }
         if self.voting.voter {
@@ -152,7 +153,7 @@
         self.retire_versions(name, revision.version);
     }
 
-    /// Sends the stored value to members that have not acknowledged one as new.
+    /// Sends the stored value to members that have acknowledged neither it nor a newer one.
     pub(super) fn replicate_value(&mut self, now: Nanos, name: &str, out: &mut Vec<Effect>) {
         let Some(register) = self.register(name) else { return };
         let Some(value) = register.stored.clone() else { return };
@@ -163,13 +164,13 @@
         let behind: Vec<ReplicaId> = self.others().filter(|replica| !has_acknowledged(replica)).collect();
         for replica in behind {
             let Some(peer) = self.peers.get_mut(&replica) else { continue };
-            let last_sent = peer.replicated.get(name);
+            let last_sent = peer.last_sent_revisions.get(name);
             if last_sent
                 .is_some_and(|(at, sent)| *sent == revision && now < at.saturating_add(MIN_SEND_INTERVAL))
             {
                 continue;
             }
-            peer.replicated.insert(name.into(), (now, revision));
+            peer.last_sent_revisions.insert(name.into(), (now, revision));
             self.send_now(replica.address, store_message(name, value.clone()), out);
         }
     }
@@ -285,10 +286,10 @@
     /// Whether a peer may be asked for a register again; if so, records that it is asked now.
     pub(super) fn may_fetch(&mut self, now: Nanos, from: ReplicaId, name: &str) -> bool {
         let Some(peer) = self.peers.get_mut(&from) else { return false };
-        let mut last = peer.fetched_at.get(name).copied();
+        let mut last = peer.fetch_requested_at.get(name).copied();
         let may_fetch = mark_if_due(&mut last, now, MIN_SEND_INTERVAL);
         if may_fetch {
-            peer.fetched_at.insert(name.into(), now);
+            peer.fetch_requested_at.insert(name.into(), now);
         }
         may_fetch
     }
@@ -296,25 +297,25 @@
     /// Recomputes what a majority stores, and answers the calls that depend on it.
     pub(super) fn update_committed(&mut self, name: &str, out: &mut Vec<Effect>) {
         let majority = self.majority();
-        let grown = if name == CONFIGURATION {
+        let has_risen = if name == CONFIGURATION {
             self.configuration.update_committed(majority)
         } else {
             self.named_registers.update_committed(name, majority)
         };
-        self.heartbeat_requested |= grown && !self.pending_calls.of_registers().is_empty();
+        self.heartbeat_requested |= has_risen && !self.pending_calls.register_calls().is_empty();
         self.resolve_register_calls(name, out);
     }
 
     /// Answers the calls on a register that can be answered now.
     pub(super) fn resolve_register_calls(&mut self, name: &str, out: &mut Vec<Effect>) {
-        let calls = self.pending_calls.of_registers().iter().copied();
+        let calls = self.pending_calls.register_calls().iter().copied();
         let calls: Vec<u64> =
-            calls.filter(|call| self.register_of_call(*call).is_some_and(|of| **of == *name)).collect();
+            calls.filter(|call| self.register_of_call(*call).is_some_and(|on| **on == *name)).collect();
         for call in calls {
             let empty = Register::default();
             let register = self.register(name).unwrap_or(&empty);
             match self.pending_calls.get(call) {
-                Some(Call::Replace(write)) => {
+                Some(Call::Write(write)) => {
                     let Revision { version, digest } = write.value.revision();
                     let committed = Some(register.committed_revision)
                         .filter(|committed| committed.version == version && committed.digest != 0);
@@ -356,16 +357,16 @@
                 _ => {}
             }
         }
-        if !self.pending_calls.of_registers().is_empty() {
+        if !self.pending_calls.register_calls().is_empty() {
             self.propose_value(self.now, &name.into(), out);
         }
     }
 
-    /// Retries a call on a register or gives it up at its deadline.
+    /// Retries a call on a register, or answers it with `Unavailable` at its deadline.
     pub(super) fn handle_register_timer(&mut self, now: Nanos, call: u64, out: &mut Vec<Effect>) {
         let next_retry = now.saturating_add(RETRY_INTERVAL);
         let (name, deadline) = match self.pending_calls.get(call) {
-            Some(Call::Replace(write)) => (write.name.clone(), write.deadline),
+            Some(Call::Write(write)) => (write.name.clone(), write.deadline),
             Some(Call::Read(read)) => (read.name.clone(), read.deadline),
             _ => return,
         };
@@ -378,9 +379,10 @@
         self.request_revisions(call, out);
     }
 
-    /// Asks again after a change of the membership, because reports count only in the epoch in which they were given.
+    /// Restarts calls after a change of the membership, because reports count only in the epoch in which they were
+    /// given.
     pub(super) fn restart_register_calls(&mut self, now: Nanos, out: &mut Vec<Effect>) {
-        for call in self.pending_calls.of_registers().clone() {
+        for call in self.pending_calls.register_calls().clone() {
             if let Some(Call::Read(read)) = self.pending_calls.get_mut(call) {
                 read.revisions.clear();
             }
@@ -389,7 +391,7 @@
         self.restart_register_proposals(now, out);
         let names: BTreeSet<RegisterName> = self
             .pending_calls
-            .of_registers()
+            .register_calls()
             .iter()
             .filter_map(|call| self.register_of_call(*call))
             .cloned()
@@ -399,17 +401,17 @@
         }
     }
 
-    /// A voter counts its own acknowledgement once its records are safe on disk.
+    /// Sends a voter's acknowledgements to itself, which count once its records are durable.
     pub(super) fn acknowledge_to_self(&self, out: &mut Vec<Effect>) {
         self.send_after_persist(
             self.replica_id.address,
             stored_message(CONFIGURATION, 0, self.configuration.stored_revision()),
             out,
         );
-        let mut place: Option<RegisterName> = Some(CONFIGURATION.into());
-        while let Some(name) = place {
+        let mut next_name: Option<RegisterName> = Some(CONFIGURATION.into());
+        while let Some(name) = next_name {
             let (revisions, next) = self.named_registers.revisions_from(&name);
-            place = next;
+            next_name = next;
             if !revisions.is_empty() {
                 let list = MessageBody::RegistersStored { read_id: 0, voter: true, revisions, next: None };
                 self.send_after_persist(self.replica_id.address, list, out);
--- a/consensus/src/core/response_cache.rs
+++ b/consensus/src/core/response_cache.rs
@@ -1,5 +1,4 @@
-//! The size of the responses that are kept in leases, and which of them are evicted: the one whose lease expires
-//! first.
+//! Accounting for the responses that are stored in leases. The response whose lease expires first is evicted first.
 //!
 //! Main types: `ResponseCache`.
 //!
@@ -12,12 +11,13 @@
 use crate::core::outbox::payload_bytes;
 use crate::messages::{LeaseKey, LeaseOutcome};
 
-/// Memory that a response takes beside its bytes, and that each of its headers takes beside its own.
+/// Memory that a response takes in addition to its payload.
 pub(super) const RESPONSE_OVERHEAD_BYTES: usize = 160;
 
+/// Memory that a header takes in addition to its name and value.
 pub(super) const HEADER_OVERHEAD_BYTES: usize = 64;
 
-/// Responses in retained lease updates may take this fraction of the cache's size.
+/// Responses in retained lease updates may take `1 / LEASE_UPDATES_DIVISOR` of the cache's size.
 pub(super) const LEASE_UPDATES_DIVISOR: usize = 8;
 
 /// How full the response cache is.
@@ -41,7 +41,7 @@
     pub lease_update_bytes: usize,
 }
 
-/// The bytes of memory for which an outcome counts.
+/// The bytes of memory that an outcome is accounted for.
 pub(super) fn cached_bytes(outcome: &LeaseOutcome) -> usize {
     match outcome {
         LeaseOutcome::Pending | LeaseOutcome::Indeterminate => 0,
--- a/consensus/src/core/session_table.rs
+++ b/consensus/src/core/session_table.rs
@@ -1,4 +1,4 @@
-//! Sessions as this replica stores them, and what a request makes of an ownership.
+//! The sessions that this replica stores, and how requests change an ownership.
 //!
 //! Main types: `Sessions`, `SessionCounts`.
 //!
@@ -7,13 +7,13 @@
 use std::cmp::Ordering;
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::core::limits::{MAX_ITEMS_PER_MESSAGE, MS, NOBODY, Nanos};
+use crate::core::limits::{MAX_ITEMS_PER_MESSAGE, MS, NO_HOLDER, Nanos};
 use crate::messages::{
     CommittedSession, Effect, LogRecord, SessionEntry, SessionId, SessionOwner, SessionOwnership,
     SessionRecord, SessionRequest,
 };
 
-/// A session that nobody has used for this long is forgotten.
+/// A session that has been idle for this long is removed.
 pub const SESSION_IDLE: Nanos = 900_000 * MS;
 
 /// The sessions that this replica stores, and the calls that change them.
@@ -28,7 +28,7 @@
     counts: SessionCounts,
 }
 
-/// Figures about sessions since the start of this replica.
+/// Counters of sessions since the start of this replica.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SessionCounts {
     /// Sessions that are stored now.
@@ -37,7 +37,7 @@
     pub owner_changes: u64,
     /// Committed changes of a binding that were requested through this replica.
     pub binding_changes: u64,
-    /// Sessions that were removed for want of room; those that were not used for longest go first.
+    /// Sessions that were evicted because the table was full, least recently used first.
     pub evicted: u64,
 }
 
@@ -63,7 +63,7 @@
         self.records.iter().map(|(session, (record, _))| (*session, record))
     }
 
-    /// Figures about sessions.
+    /// The session counters.
     pub fn counts(&self) -> SessionCounts {
         SessionCounts { sessions: self.records.len(), ..self.counts }
     }
@@ -89,14 +89,14 @@
         (batch, to)
     }
 
-    /// Takes over what another voter stores: the higher term, and the change that was accepted later.
+    /// Merges the record of another voter: the higher term wins, and the change that was accepted in the later term.
     pub fn merge(&mut self, now: Nanos, session: SessionId, theirs: SessionRecord, out: &mut Vec<Effect>) {
         let own = self.get(session).cloned().unwrap_or_default();
         let token = match theirs.term.cmp(&own.term) {
             Ordering::Greater => theirs.token,
-            // The token's proposer asked in an earlier epoch, where its messages count; the term belongs to nobody
-            // now.
-            Ordering::Equal if theirs.token != own.token => NOBODY,
+            // The proposers of both tokens asked in an earlier epoch and their messages count only there, so the term
+            // has no holder now.
+            Ordering::Equal if theirs.token != own.token => NO_HOLDER,
             _ => own.token,
         };
         let accepted_term =
@@ -113,7 +113,7 @@
         }
     }
 
-    /// Writes a record to disk and memory; the sessions that were not used for longest make room.
+    /// Writes a record to disk and memory. Evicts the least recently used sessions if there are too many.
     pub fn store(&mut self, now: Nanos, session: SessionId, record: SessionRecord, out: &mut Vec<Effect>) {
         out.push(Effect::Persist(LogRecord::Session(session, record.clone())));
         self.insert(now, session, record);
@@ -161,37 +161,41 @@
 /// The ownership that a request leads to; `None` if the session has none and gets none.
 pub(super) fn apply_request(
     request: &SessionRequest,
-    was: Option<&SessionOwnership>,
+    previous: Option<&SessionOwnership>,
     term: u64,
 ) -> Option<SessionOwnership> {
     match request {
-        SessionRequest::Acquire { outbound_proxy, above_term } => Some(match was {
-            Some(was)
-                if was.owner.is_some_and(|owner| {
+        SessionRequest::Acquire { outbound_proxy, above_term } => Some(match previous {
+            Some(previous)
+                if previous.owner.is_some_and(|owner| {
                     owner.outbound_proxy == *outbound_proxy && owner.since_term >= *above_term
                 }) =>
             {
-                was.clone()
+                previous.clone()
             }
-            was => SessionOwnership {
-                binding: was.and_then(|was| was.binding.clone()),
+            previous => SessionOwnership {
+                binding: previous.and_then(|previous| previous.binding.clone()),
                 owner: Some(SessionOwner { outbound_proxy: *outbound_proxy, since_term: term }),
-                previous_owner: was.and_then(|was| was.owner.or(was.previous_owner)),
+                previous_owner: previous.and_then(|previous| previous.owner.or(previous.previous_owner)),
             },
         }),
-        SessionRequest::Bind { owner, current_upstream_id, binding } => was.map(|was| {
-            let is_owner = was.owner == Some(*owner);
+        SessionRequest::Bind { owner, current_upstream_id, binding } => previous.map(|previous| {
+            let is_owner = previous.owner == Some(*owner);
             let is_current =
-                was.binding.as_ref().map(|binding| &binding.upstream_id) == current_upstream_id.as_ref();
+                previous.binding.as_ref().map(|binding| &binding.upstream_id) == current_upstream_id.as_ref();
             SessionOwnership {
-                binding: if is_owner && is_current { Some(binding.clone()) } else { was.binding.clone() },
-                ..was.clone()
+                binding: if is_owner && is_current {
+                    Some(binding.clone())
+                } else {
+                    previous.binding.clone()
+                },
+                ..previous.clone()
             }
         }),
-        SessionRequest::Forget => was.map(|was| SessionOwnership {
-            previous_owner: was.owner.or(was.previous_owner),
+        SessionRequest::Forget => previous.map(|previous| SessionOwnership {
+            previous_owner: previous.owner.or(previous.previous_owner),
             ..SessionOwnership::default()
         }),
-        SessionRequest::Read | SessionRequest::Renew(_) => was.cloned(),
+        SessionRequest::Read | SessionRequest::Renew(_) => previous.cloned(),
     }
 }
--- a/consensus/src/core/sessions.rs
+++ b/consensus/src/core/sessions.rs
@@ -6,20 +6,20 @@
 //! - An ownership is reported only if a majority stores it.
 //! - No two tokens have the same term of a session.
 //!
-//! Why it is safe: a change first asks a majority to accept nothing of a lower term, and learns what they accepted
-//! last; it changes the latest of that. Then a majority has to store the change. An acceptor gives a term to one
-//! token, so at most one of two concurrent changes gets it; the other one learns of the result and continues above
-//! it. Whatever a majority stores is therefore among what each later change learns. A new member takes over the
-//! highest of what it receives, promises included; otherwise what one voter alone accepted in an earlier epoch could
-//! come back with a higher term than what was committed since. If it receives two tokens for one term, it gives the
-//! term to neither.
+//! Safety: a change first asks a majority to promise to accept no lower term, and learns which change each of them
+//! accepted last. It builds on the latest of these, and then a majority has to store the new change. An acceptor grants
+//! a term to one token, so at most one of two concurrent changes gets it; the other one learns of the result and
+//! continues in a higher term. So whatever a majority stores is reported to each later change. A new member keeps the
+//! highest term that it receives, from promises as well; otherwise a change that one voter alone accepted in an earlier
+//! epoch could come back with a higher term than what was committed since. If it receives two tokens for one term, it
+//! grants the term to neither.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use rand::Rng;
 
 use crate::core::calls::{Call, PendingSessionChange};
-use crate::core::limits::{MS, NOBODY, Nanos, RETRY_INTERVAL};
+use crate::core::limits::{MS, NO_HOLDER, Nanos, RETRY_INTERVAL};
 use crate::core::mutation::Mutation;
 use crate::core::session_table::{SessionCounts, apply_request};
 use crate::core::{Core, Sender};
@@ -38,7 +38,7 @@
 const MAX_SESSION_CALLS: usize = 4_096;
 
 impl Core {
-    /// Figures about sessions.
+    /// Session counters.
     pub fn session_counts(&self) -> SessionCounts {
         self.sessions.counts()
     }
@@ -57,8 +57,8 @@
                 self.outbox.queue(replica.address).session_requests.push(SessionMessage::Renew(session));
             }
             self.sessions.renew(self.now, session);
-            let taken = self.sessions.get(session).and_then(|record| record.accepted.clone());
-            out.push(Effect::Respond { call, response: CoreResponse::Session(taken) });
+            let accepted = self.sessions.get(session).and_then(|record| record.accepted.clone());
+            out.push(Effect::Respond { call, response: CoreResponse::Session(accepted) });
             return;
         }
         if self.sessions.calls.len() >= MAX_SESSION_CALLS {
@@ -74,7 +74,7 @@
             started_at: now,
             timer,
             term: 0,
-            token: NOBODY,
+            token: NO_HOLDER,
             highest_term_seen,
             rounds: 0,
             promises: BTreeMap::new(),
@@ -93,16 +93,16 @@
         self.sessions.calls.remove(&call);
     }
 
-    /// Starts a round in a term above all that are known, which nobody has used.
+    /// Starts a round in a new term above all known ones.
     fn begin_session_round(&mut self, call: u64, out: &mut Vec<Effect>) {
         let token = self.rng.random_range(1..=u64::MAX);
         let Some(Call::Session(pending)) = self.pending_calls.get_mut(call) else { return };
         let own_term = self.sessions.get(pending.session).map_or(0, |record| record.term);
-        let last_round = pending.highest_term_seen.max(own_term).max(pending.term);
-        if last_round == u64::MAX {
-            return; // Nobody gets so far; its time will be over.
+        let last_term = pending.highest_term_seen.max(own_term).max(pending.term);
+        if last_term == u64::MAX {
+            return; // All terms are used up; the call ends at its timeout.
         }
-        pending.term = last_round + 1;
+        pending.term = last_term + 1;
         pending.token = token;
         pending.rounds += 1;
         pending.promises.clear();
@@ -164,7 +164,8 @@
         }
     }
 
-    /// Handles a request to promise a term, or to accept a change. A replica that may not vote stays silent.
+    /// Handles a request to promise a term, or to accept a change. A replica that may not vote does not
+    /// answer.
     fn handle_session_acceptor_request(
         &mut self,
         from: ReplicaId,
@@ -182,13 +183,14 @@
             _ => return,
         };
         let known = self.sessions.get(session);
-        let last = known.map_or((0, NOBODY), |record| (record.term, record.token));
-        let may_accept = term > last.0
-            || term == last.0 && (token == last.1 || self.breaks(Mutation::GiveSessionTermToTwoTokens))
+        let (last_term, last_token) = known.map_or((0, NO_HOLDER), |record| (record.term, record.token));
+        let may_accept = term > last_term
+            || term == last_term
+                && (token == last_token || self.breaks(Mutation::GiveSessionTermToTwoTokens))
             || self.breaks(Mutation::AcceptLowerSessionTerm) && change.is_some();
         let accepted = known.and_then(|record| record.accepted.clone());
-        let reply = if !may_accept || token == NOBODY {
-            SessionMessage::Preempted { call, term: last.0 }
+        let reply = if !may_accept || token == NO_HOLDER {
+            SessionMessage::Preempted { call, term: last_term }
         } else {
             let is_change = change.is_some();
             let stored = change.or_else(|| accepted.clone());
@@ -202,7 +204,7 @@
         self.outbox.queue(from.address).session_replies.push(reply);
     }
 
-    /// Counts a promise; proposes the change of the latest reported ownership once a majority has promised.
+    /// Counts a promise. Once a majority has promised, proposes a change of the latest reported ownership.
     fn handle_session_promise(
         &mut self,
         call: u64,
@@ -230,9 +232,9 @@
             self.respond(call, CoreResponse::Session(None), out);
             return;
         };
-        let was = last.map(|last| &last.ownership);
-        pending.changes_owner = was.is_some_and(|was| was.owner != ownership.owner);
-        pending.changes_binding = was.is_some_and(|was| was.binding != ownership.binding);
+        let previous = last.map(|last| &last.ownership);
+        pending.changes_owner = previous.is_some_and(|previous| previous.owner != ownership.owner);
+        pending.changes_binding = previous.is_some_and(|previous| previous.binding != ownership.binding);
         let change = CommittedSession { term, token: pending.token, ownership };
         pending.change = Some(change.clone());
         pending.preempted_by.clear();
@@ -258,8 +260,8 @@
         }
     }
 
-    /// Counts a refusal. Once a majority can't be reached any more, the next round starts above the terms that were
-    /// seen, with a delay if that has failed repeatedly.
+    /// Counts a preemption. Once a majority can't be reached any more, the next round starts above all terms seen,
+    /// after a random delay if more than `MAX_IMMEDIATE_ROUNDS` rounds have failed.
     fn handle_session_preempted(
         &mut self,
         now: Nanos,
@@ -271,7 +273,7 @@
         let (majority, voters) = (self.majority(), self.voting.membership.members.len());
         let backoff = self.rng.random_range(2..40) * MS;
         let Some(Call::Session(pending)) = self.pending_calls.get_mut(call) else { return };
-        // A refusal of an earlier round says nothing about this one.
+        // A preemption of an earlier round says nothing about this one.
         if term < pending.term {
             return;
         }
@@ -297,15 +299,15 @@
         self.begin_session_round(call, out);
     }
 
-    /// Starts all calls again after a change of the membership, because answers count only in the epoch in which they
-    /// were given.
+    /// Restarts all calls after a change of the membership, because answers count only in the epoch in which they were
+    /// given.
     pub(super) fn restart_session_calls(&mut self, out: &mut Vec<Effect>) {
         for call in self.sessions.calls.clone() {
             self.begin_session_round(call, out);
         }
     }
 
-    /// Takes over a session from another voter's snapshot.
+    /// Merges a session from another voter's snapshot.
     pub(super) fn merge_session(&mut self, session: SessionId, theirs: SessionRecord, out: &mut Vec<Effect>) {
         if self.breaks(Mutation::IgnoreSessionsOfSnapshot)
             || self.breaks(Mutation::IgnoreSessionPromises) && theirs.accepted.is_none()
--- a/consensus/src/core/zone_spread.rs
+++ b/consensus/src/core/zone_spread.rs
@@ -20,29 +20,29 @@
         }
     }
 
-    /// How many members are lost together with the zones that hold most of them. A member of an unknown zone counts
-    /// as a zone of its own.
+    /// How many members are lost with the `tolerated_zone_losses` zones that hold most of them. A member whose zone is
+    /// unknown counts as a zone of its own.
     fn members_lost_with_zones<'a>(&'a self, members: impl Iterator<Item = &'a ReplicaId>) -> usize {
         let mut zones: BTreeMap<&str, usize> = BTreeMap::new();
-        let mut alone = 0;
+        let mut unknown_zones = 0;
         for member in members {
             match self.zone_of(member) {
-                "" => alone += 1,
+                "" => unknown_zones += 1,
                 zone => *zones.entry(zone).or_default() += 1,
             }
         }
-        let mut counts: Vec<usize> = zones.into_values().chain((0..alone).map(|_| 1)).collect();
+        let mut counts: Vec<usize> = zones.into_values().chain((0..unknown_zones).map(|_| 1)).collect();
         counts.sort_unstable_by(|a, b| b.cmp(a));
         counts.iter().take(self.config.tolerated_zone_losses).sum()
     }
 
-    /// The same after one member was replaced or added.
+    /// Like `members_lost_with_zones`, after one member is replaced or added.
     fn members_lost_after_swap(&self, leaving: Option<&ReplicaId>, joining: &ReplicaId) -> usize {
         let remaining = self.voting.membership.members.iter().filter(|member| Some(*member) != leaving);
         self.members_lost_with_zones(remaining.chain([joining]))
     }
 
-    /// The candidate that spreads the members best in the place of `leaving`, or the first one if zones don't matter.
+    /// The candidate that spreads the members best if it replaces `leaving`, or the first one if zones are ignored.
     pub(super) fn best_zone_spread<'a>(
         &self,
         leaving: Option<&ReplicaId>,
@@ -55,8 +55,8 @@
         candidates.min_by_key(|replica| self.members_lost_after_swap(leaving, replica))
     }
 
-    /// A replacement that spreads the members better. It is wanted only while all members are healthy and the loss of
-    /// zones would cost the quorum.
+    /// The leaving and the joining replica of a replacement that spreads the members better. It is made only while all
+    /// members are healthy and the loss of zones would cost the quorum.
     pub(super) fn zone_rebalance(&self, now: Nanos) -> Option<(ReplicaId, ReplicaId)> {
         let members = &self.voting.membership.members;
         let lost = self.members_lost_with_zones(members.iter());
@@ -72,20 +72,19 @@
         if !members.iter().all(|member| is_healthy(member) && is_known(member)) {
             return None;
         }
-        // Candidates have to be known for a while, because memberships would follow each other if candidates came and
-        // went.
-        let is_steady = |peer: &Peer| now.saturating_sub(peer.first_seen) >= self.config.member_timeout;
-        let candidates = self
-            .peers
-            .iter()
-            .filter(|(replica, peer)| self.may_join(replica, peer) && is_steady(peer) && is_known(replica));
+        // Candidates must have been known for `member_timeout`; otherwise candidates that come and go would cause one
+        // membership change after another.
+        let is_long_known = |peer: &Peer| now.saturating_sub(peer.first_seen) >= self.config.member_timeout;
+        let candidates = self.peers.iter().filter(|(replica, peer)| {
+            self.may_join(replica, peer) && is_long_known(peer) && is_known(replica)
+        });
         let candidates: Vec<&ReplicaId> = candidates.map(|(replica, _)| replica).collect();
         let mut best = None;
         for leaving in members {
-            let fits = |joining: &&&ReplicaId| self.fits(joining, Some(leaving));
-            for joining in candidates.iter().filter(fits) {
+            let is_eligible = |joining: &&&ReplicaId| self.keeps_addresses_unique(joining, Some(leaving));
+            for joining in candidates.iter().filter(is_eligible) {
                 let after = self.members_lost_after_swap(Some(leaving), joining);
-                if after < best.map_or(lost, |(least, _)| least) {
+                if after < best.map_or(lost, |(lowest, _)| lowest) {
                     best = Some((after, (*leaving, **joining)));
                 }
             }
--- a/consensus/src/messages.rs
+++ b/consensus/src/messages.rs
@@ -1,10 +1,10 @@
 //! Types that replicas of the control plane exchange with each other, with proxies and operators, and keep on disk.
 //!
 //! Main types: `Message` between replicas, `CoreRequest` and `CoreResponse` for callers, `LogRecord` on disk, `Effect`
-//! for whoever runs a core.
+//! for the caller of a core.
 //!
 //! Invariants: everything here is encoded as CBOR by serde, by the names of fields and variants. Disks and processes of
-//! earlier versions hold the tags given by `serde(rename)`, so a tag never changes; `tests/frozen_forms.rs` holds them.
+//! earlier versions use the tags given by `serde(rename)`, so a tag never changes; `tests/frozen_forms.rs` checks them.
 
 /// Converts a struct to and from a tuple of its fields, which is the form in which it is encoded.
 macro_rules! encoded_as_tuple {
--- a/consensus/src/messages/effects.rs
+++ b/consensus/src/messages/effects.rs
@@ -1,4 +1,4 @@
-//! What the caller of the core has to carry out.
+//! The effects that the caller of the core has to carry out.
 //!
 //! Main types: `Effect`, `CoreEvent`.
 //!
@@ -17,13 +17,13 @@
 pub enum Effect {
     /// Writes the record to the log. Later effects of the same batch need not wait for it unless they say so.
     Persist(LogRecord),
-    /// Sends the message once all records persisted before are safe on disk. The receiver may be the replica itself.
+    /// Sends the message once all records persisted before are durable. The receiver may be the replica itself.
     SendAfterPersist(SocketAddr, Message),
     /// Sends the message at once.
     SendNow(SocketAddr, Message),
-    /// Answers the request that was handed in under this number.
+    /// Answers the request with this call number.
     Respond {
-        /// The number under which the request was handed in.
+        /// The call number of the request.
         call: u64,
         /// The answer.
         response: CoreResponse,
@@ -32,7 +32,7 @@
     Log(CoreEvent),
 }
 
-/// What happened in a core, for logs.
+/// An event in a core, for logs.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CoreEvent {
     /// The replica started with what its disk held.
@@ -84,8 +84,8 @@
 
 impl fmt::Display for MemberList<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for (nth, member) in self.0.iter().enumerate() {
-            if nth > 0 {
+        for (index, member) in self.0.iter().enumerate() {
+            if index > 0 {
                 f.write_str(",")?;
             }
             write!(f, "{member}")?;
--- a/consensus/src/messages/leases.rs
+++ b/consensus/src/messages/leases.rs
@@ -12,10 +12,10 @@
 pub type LeaseKey = u128;
 
 /// Identifies one lease on a key, and fences its holder. Drawn at random for each request and never used again after it
-/// was released. 0 belongs to nobody: a replica stores it for a key if two others reported different pending leases.
+/// was released. 0 stands for no holder: a replica stores it for a key if two others reported different pending leases.
 pub type LeaseToken = u64;
 
-/// The response of the one run of a request, kept for repeats of the request.
+/// The response of the only run of a request, kept to answer repeated requests.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoredResponse {
     /// The HTTP status code.
@@ -27,7 +27,7 @@
     pub body: Vec<u8>,
 }
 
-/// What became of the request under a lease.
+/// The outcome of the request under a lease.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LeaseOutcome {
     /// The holder may have forwarded the request; nothing more is known.
@@ -44,12 +44,12 @@
 /// The right to run the request of a key, as a replica stores it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Lease {
-    /// Whose lease it is.
+    /// The token that holds the lease.
     pub token: LeaseToken,
     /// Milliseconds that the request had left when the lease was requested.
     #[serde(rename = "left_ms")]
     pub time_left_ms: u32,
-    /// What is known of the request.
+    /// The known outcome of the request.
     pub outcome: LeaseOutcome,
 }
 
@@ -71,7 +71,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(u64, LeaseKey, LeaseToken, u32)", into = "(u64, LeaseKey, LeaseToken, u32)")]
 pub struct LeaseRequest {
-    /// The number of the call, which comes back with the vote.
+    /// The number of the call, which is returned with the vote.
     pub call: u64,
     /// The key that the lease is taken on.
     pub key: LeaseKey,
@@ -95,7 +95,7 @@
 
 encoded_as_tuple!(LeaseVoteReply { call: u64, vote: LeaseVote });
 
-/// What became of the request under a lease.
+/// A report of the holder on the outcome of the request under a lease.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(
     from = "(LeaseKey, LeaseToken, Option<LeaseOutcome>)",
--- a/consensus/src/messages/membership.rs
+++ b/consensus/src/messages/membership.rs
@@ -17,7 +17,7 @@
     /// Where other replicas reach it.
     #[serde(rename = "at")]
     pub address: SocketAddr,
-    /// 0 for a disk of the very first start, otherwise drawn at random when the disk is found empty.
+    /// 0 for a disk from the first start of the cluster, otherwise drawn at random when the disk is found empty.
     #[serde(rename = "disk")]
     pub disk_id: u64,
 }
@@ -31,7 +31,7 @@
 
 /// The replicas that vote, and the epoch in which they do.
 ///
-/// Invariants: epochs only go up, and no two memberships with the same epoch are ever decided.
+/// Invariants: epochs only increase, and no two memberships with the same epoch are ever decided.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Membership {
     /// Number of the epoch; 0 stands for no membership.
@@ -59,13 +59,14 @@
 /// A replica's state as an acceptor of the membership that follows its own.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MembershipBallotState {
-    /// Whose state it is.
+    /// The replica whose state this is.
     #[serde(rename = "me")]
     pub replica: ReplicaId,
     /// The membership of the replica's epoch.
     #[serde(rename = "view")]
     pub membership: Membership,
-    /// The replica has caught up in this membership and may vote. If it is not a member: it voted until this epoch began.
+    /// The replica has caught up in this membership and may vote. If it is not a member: it voted until this epoch
+    /// began.
     pub voter: bool,
     /// The replica accepts nothing under a lower ballot.
     pub promised: Ballot,
@@ -74,7 +75,8 @@
     /// The replica has sent its snapshot to another one in this epoch.
     #[serde(rename = "told_new", default, skip_serializing_if = "std::ops::Not::not")]
     pub served_snapshot: bool,
-    /// The replica promised never to send its snapshot to another one in this epoch, so that the epoch can be rolled back.
+    /// The replica promised not to send its snapshot to another one in this epoch, so that the epoch can be rolled
+    /// back.
     #[serde(rename = "barred", default, skip_serializing_if = "std::ops::Not::not")]
     pub barred_from_serving: bool,
 }
@@ -82,9 +84,9 @@
 /// The number of a proposal for a membership (Paxos). A higher one wins, and no two replicas use the same.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Ballot {
-    /// Goes up with each attempt.
+    /// Increases with each attempt.
     pub round: u64,
-    /// Tells apart the proposals that replicas make in the same round.
+    /// Distinguishes proposals that replicas make in the same round.
     #[serde(rename = "by")]
     pub proposer: u64,
 }
--- a/consensus/src/messages/records.rs
+++ b/consensus/src/messages/records.rs
@@ -1,4 +1,4 @@
-//! What a replica keeps on disk.
+//! The records that a replica keeps on disk.
 //!
 //! Main types: `LogRecord`, `PersistedState`.
 //!
@@ -22,26 +22,26 @@
     /// A configuration that was decided for its version.
     #[serde(rename = "Sheet")]
     Configuration(Arc<RegisterValue>),
-    /// The present state of a key's lease.
+    /// The current state of a key's lease.
     #[serde(rename = "Claim")]
     Lease(LeaseKey, Lease),
-    /// The key's lease is gone, if it still has this token.
+    /// The key's lease is removed if it still has this token.
     #[serde(rename = "Free")]
     LeaseReleased(LeaseKey, LeaseToken),
     /// A register's value that was decided for its version.
     #[serde(rename = "Paper")]
     Register(NamedRegister),
-    /// The present state of a session.
+    /// The current state of a session.
     Session(SessionId, SessionRecord),
-    /// The session is forgotten.
+    /// The session is removed.
     #[serde(rename = "SessionOver")]
     SessionEnded(SessionId),
-    /// All undecided versions of registers; replaces those written before.
+    /// The acceptor states of all undecided versions of registers; replaces the previous record.
     #[serde(rename = "VersionBallots")]
     RegisterAcceptors(Vec<AcceptorState>),
 }
 
-/// What a replica's disk held when the replica started.
+/// The state that a replica's disk held when the replica started.
 #[derive(Clone, Debug, Default)]
 pub struct PersistedState {
     /// The state as an acceptor of the next membership; `None` on an empty disk.
--- a/consensus/src/messages/registers.rs
+++ b/consensus/src/messages/registers.rs
@@ -12,11 +12,11 @@
 
 /// The version of a register together with the digest of its content. Ordered by version, then by digest.
 ///
-/// At most one digest is ever decided for a version; digests only tell apart what was sent under one number.
+/// At most one digest is ever decided for a version; digests distinguish contents that were sent under one version.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(from = "(u64, u64)", into = "(u64, u64)")]
 pub struct Revision {
-    /// The version, which operators count up.
+    /// The version, which operators increment.
     pub version: u64,
     /// XXH3 (64 bits) of the content.
     pub digest: u64,
@@ -38,7 +38,7 @@
 /// The content of a register at one version, as an operator sent it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RegisterValue {
-    /// The version, which operators count up.
+    /// The version, which operators increment.
     pub version: u64,
     /// XXH3 (64 bits) of `bytes`.
     pub digest: u64,
@@ -80,8 +80,9 @@
 
 /// The number of a proposal for a version of a register.
 ///
-/// A number of a later epoch is higher than all of earlier epochs, whatever their rounds: the quorums of two epochs that
-/// don't follow each other need not intersect, so that a ballot of the earlier one may bind nobody in the later one.
+/// A number of a later epoch is higher than all of earlier epochs, whatever their rounds: the quorums of two epochs
+/// that don't follow each other need not intersect, so a ballot of the earlier one may not bind any voter of the later
+/// one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ProposalNumber {
     /// The epoch in which the proposal was made.
@@ -96,11 +97,11 @@
     /// Empty for the operator's configuration.
     #[serde(rename = "name")]
     pub register: RegisterName,
-    /// The version, which operators count up.
+    /// The version, which operators increment.
     pub version: u64,
     /// The number that was promised; the acceptor accepts nothing under a lower one.
     pub promised: ProposalNumber,
-    /// What the acceptor accepted last, if anything.
+    /// The content that the acceptor accepted last, if any.
     pub accepted: Option<AcceptedValue>,
 }
 
@@ -112,21 +113,21 @@
         /// The register; empty for the operator's configuration.
         #[serde(rename = "name")]
         register: RegisterName,
-        /// The version, which operators count up.
+        /// The version, which operators increment.
         version: u64,
         /// The number of the proposal.
         number: ProposalNumber,
     },
-    /// The promise, with what the sender accepted so far.
+    /// The promise, with the content that the sender accepted last.
     Promise {
         /// The register; empty for the operator's configuration.
         #[serde(rename = "name")]
         register: RegisterName,
-        /// The version, which operators count up.
+        /// The version, which operators increment.
         version: u64,
         /// The number of the proposal.
         number: ProposalNumber,
-        /// What the acceptor accepted last, if anything.
+        /// The content that the acceptor accepted last, if any.
         accepted: Option<AcceptedValue>,
     },
     /// Asks the receiver to accept this content.
@@ -145,7 +146,7 @@
         /// The register; empty for the operator's configuration.
         #[serde(rename = "name")]
         register: RegisterName,
-        /// The version, which operators count up.
+        /// The version, which operators increment.
         version: u64,
         /// The number of the proposal.
         number: ProposalNumber,
@@ -156,7 +157,7 @@
         /// The register; empty for the operator's configuration.
         #[serde(rename = "name")]
         register: RegisterName,
-        /// The version, which operators count up.
+        /// The version, which operators increment.
         version: u64,
         /// The number of the proposal.
         number: ProposalNumber,
@@ -168,7 +169,7 @@
         /// The register; empty for the operator's configuration.
         #[serde(rename = "name")]
         register: RegisterName,
-        /// The version, which operators count up.
+        /// The version, which operators increment.
         version: u64,
         /// The number of the proposal.
         number: ProposalNumber,
--- a/consensus/src/messages/replicas.rs
+++ b/consensus/src/messages/replicas.rs
@@ -25,14 +25,14 @@
     /// The sender's epoch.
     #[serde(rename = "view")]
     pub epoch: u64,
-    /// What it says.
+    /// The content.
     pub body: MessageBody,
 }
 
-/// What a message between replicas says.
+/// The content of a message between replicas.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum MessageBody {
-    /// Sent at intervals: the sender is up, and what it stores.
+    /// Sent at intervals: the sender is alive and stores these revisions.
     #[serde(rename = "Beat")]
     Heartbeat {
         /// Whether the sender votes in its epoch.
@@ -57,32 +57,32 @@
     MembershipAnnouncement(Membership),
     /// Paxos on the membership that follows the one of the message's epoch.
     Prepare(Ballot),
-    /// Promise to accept no lower ballot, with what the sender accepted last.
+    /// Promise to accept no lower ballot, with the membership that the sender accepted last.
     Promise {
         /// The ballot that is promised.
         ballot: Ballot,
-        /// What the sender accepted last, if anything.
+        /// The membership that the sender accepted last, if any.
         accepted: Option<AcceptedMembership>,
     },
     /// Asks the receiver to accept this membership under this ballot.
     Accept(Ballot, Membership),
     /// The sender accepted the membership of this ballot.
     Accepted(Ballot),
-    /// Like `Prepare`, to return to the previous members.
+    /// Like `Prepare`, for a rollback to the previous members.
     #[serde(rename = "Bar")]
     PrepareRollback(Ballot),
-    /// Promise of a replica that has sent its snapshot to nobody in this epoch, and won't.
+    /// Promise of a replica that has not sent its snapshot in this epoch, and will not.
     #[serde(rename = "Barred")]
     RollbackPromise {
         /// The ballot that is promised.
         ballot: Ballot,
-        /// What the sender accepted last, if anything.
+        /// The membership that the sender accepted last, if any.
         accepted: Option<AcceptedMembership>,
     },
     /// The sender has promised a higher ballot.
     #[serde(rename = "Outbid")]
     Preempted(Ballot),
-    /// Leases to be stored, each with the number of the call that wants it.
+    /// Leases to be stored, each with the number of the call that requests it.
     #[serde(rename = "Grant")]
     RequestLeases(Vec<LeaseRequest>),
     /// Votes on leases, by the number of the call.
@@ -94,7 +94,7 @@
     /// A configuration to be stored.
     #[serde(rename = "Hold")]
     StoreConfiguration(Arc<RegisterValue>),
-    /// Asks for a configuration newer than this revision. A voter also answers what it stores, with the same `read_id`.
+    /// Requests a configuration newer than this revision. A voter also reports its revision, with the same `read_id`.
     #[serde(rename = "WantSheet")]
     FetchConfiguration {
         /// Identifies the read that the answer is for; 0 if there is none.
@@ -104,7 +104,7 @@
         #[serde(rename = "have")]
         known: Revision,
     },
-    /// The revision that a voter stores, safe on disk. `read_id` is 0 if nobody asked.
+    /// The revision that a voter has stored durably. `read_id` is 0 if the message answers no read.
     #[serde(rename = "Held")]
     ConfigurationStored {
         /// Identifies the read that the answer is for; 0 if there is none.
@@ -114,16 +114,16 @@
         #[serde(rename = "rank")]
         revision: Revision,
     },
-    /// A member that catches up asks for the next chunk of the receiver's state.
+    /// A member that is catching up requests the next chunk of the receiver's snapshot.
     #[serde(rename = "WantState")]
     FetchSnapshot {
-        /// The key from which on leases and sessions are wanted.
+        /// The first key of the leases and sessions that are wanted.
         #[serde(rename = "from")]
         from_key: u128,
-        /// Tells apart the attempts of one replica to catch up.
+        /// Distinguishes the attempts of one replica to catch up.
         #[serde(rename = "round")]
         catch_up_id: u64,
-        /// Set once all leases have arrived: the register from which on registers are wanted.
+        /// Set once all leases have arrived: the name of the first register that is wanted.
         #[serde(rename = "papers", default, skip_serializing_if = "Option::is_none")]
         from_register: Option<RegisterName>,
     },
@@ -136,7 +136,7 @@
         /// Leases in the order of their keys.
         #[serde(rename = "part")]
         leases: Vec<LeaseEntry>,
-        /// The key from which on leases and sessions are still to be sent.
+        /// The first key of the leases and sessions that are still to be sent.
         #[serde(rename = "next")]
         next_key: Option<u128>,
         /// The stored configuration; sent with the last chunk of leases.
@@ -148,10 +148,10 @@
         /// Registers in the order of their names; sent after all leases.
         #[serde(rename = "papers", default, skip_serializing_if = "Vec::is_empty")]
         registers: Vec<NamedRegister>,
-        /// The name from which on registers are still to be sent; set with and after the last chunk of leases.
+        /// The name of the first register that is still to be sent; set from the last chunk of leases on.
         #[serde(rename = "next_paper", default, skip_serializing_if = "Option::is_none")]
         next_register: Option<RegisterName>,
-        /// What the sender accepted for undecided versions; sent with the last chunk of leases.
+        /// The sender's accepted values for undecided versions; sent with the last chunk of leases.
         #[serde(rename = "version_ballots", default, skip_serializing_if = "Vec::is_empty")]
         acceptors: Vec<AcceptorState>,
     },
@@ -163,7 +163,7 @@
     /// Registers to be stored.
     #[serde(rename = "HoldPapers")]
     StoreRegisters(Vec<NamedRegister>),
-    /// Asks for registers newer than these revisions. A voter also answers what it stores, with the same `read_id`.
+    /// Requests registers newer than these revisions. A voter also reports its revisions, with the same `read_id`.
     #[serde(rename = "WantPapers")]
     FetchRegisters {
         /// Identifies the read that the answer is for; 0 if there is none.
@@ -173,7 +173,7 @@
         #[serde(rename = "have")]
         known: Vec<RegisterRevision>,
     },
-    /// The revisions of registers that the sender stores, safe on disk. `read_id` is 0 if nobody asked.
+    /// The revisions of registers that the sender has stored durably. `read_id` is 0 if the message answers no read.
     #[serde(rename = "PapersHeld")]
     RegistersStored {
         /// Identifies the read that the answer is for; 0 if there is none.
@@ -184,18 +184,18 @@
         /// The revisions that are stored.
         #[serde(rename = "ranks")]
         revisions: Vec<RegisterRevision>,
-        /// If a list was asked for: the name from which on there are more.
+        /// If a list was requested: the name at which the rest of the list begins.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         next: Option<RegisterName>,
     },
-    /// Asks for the revisions of all registers from this name on, as many as fit in a message.
+    /// Requests the revisions of all registers from this name on, as many as fit in a message.
     #[serde(rename = "ListPapers")]
     ListRegisters(RegisterName),
 }
 
 impl Message {
-    /// Whether every value in the message matches its digest. To be checked for each message from another process before
-    /// it is handled: values are stored under their digests and sent on.
+    /// Whether every value in the message matches its digest. To be checked for each message from another process
+    /// before it is handled, because values are stored and forwarded under their digests.
     pub fn is_intact(&self) -> bool {
         let intact = |value: &Arc<RegisterValue>| value.is_intact();
         let registers_intact =
--- a/consensus/src/messages/requests.rs
+++ b/consensus/src/messages/requests.rs
@@ -1,4 +1,4 @@
-//! What proxies and operators ask of the core, and its answers.
+//! Requests of proxies and operators to the core, and its responses.
 //!
 //! Main types: `CoreRequest`, `CoreResponse`.
 //!
@@ -15,8 +15,8 @@
 /// A request of a proxy or an operator to the replicated core.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum CoreRequest {
-    /// Asks for the right to run the request of a key. Answered by `LeaseGranted`, or `LeaseHeld` with the outcome of the
-    /// lease that was granted first.
+    /// Requests the right to run the request of a key. Answered by `LeaseGranted`, or `LeaseHeld` with the outcome of
+    /// the lease that was granted first.
     #[serde(rename = "Claim")]
     AcquireLease {
         /// The hashed idempotency key.
@@ -27,15 +27,16 @@
         #[serde(rename = "left_ms")]
         time_left_ms: u32,
     },
-    /// The holder reports the outcome. `None` releases the lease: the request has not run and never will under this token;
-    /// sent after `LeaseHeld` and `Unavailable` as well. Any other outcome is taken as proof that the lease was granted.
+    /// The holder reports the outcome. `None` releases the lease: the request has not run and never will under this
+    /// token; sent after `LeaseHeld` and `Unavailable` as well. Any other outcome is taken as proof that the lease was
+    /// granted.
     #[serde(rename = "Settle")]
     CompleteLease {
         /// The hashed idempotency key.
         key: LeaseKey,
         /// Identifies this lease; drawn at random for the request.
         token: LeaseToken,
-        /// What became of the request.
+        /// The outcome of the request.
         outcome: Option<LeaseOutcome>,
     },
     /// Replaces the configuration by one that was parsed and validated.
@@ -44,8 +45,8 @@
     /// Reads the newest committed configuration. Answered by `Register`, or `Unavailable` without a quorum.
     #[serde(rename = "Read")]
     ReadConfiguration,
-    /// Replaces a register by a document that was parsed and validated. Answered by `CapacityExceeded` if the document is
-    /// too long or there are too many.
+    /// Replaces a register by a document that was parsed and validated. Answered by `CapacityExceeded` if the document
+    /// is too long or there are too many.
     #[serde(rename = "Paper")]
     ReplaceRegister(NamedRegister),
     /// Reads the newest committed value of a register. Answered like `ReadConfiguration`.
@@ -61,18 +62,18 @@
     /// A quorum stores the lease on disk: no other token can be granted it.
     #[serde(rename = "Granted")]
     LeaseGranted,
-    /// Another token holds the lease; `Pending` if its outcome did not become known in time.
+    /// Another token holds the lease; `Pending` if its outcome was not known in time.
     #[serde(rename = "Held")]
     LeaseHeld(LeaseOutcome),
-    /// The outcome was noted, or the value was committed.
+    /// The outcome was recorded, or the value was committed.
     #[serde(rename = "Taken")]
     Accepted,
     /// The newest committed value of a register.
     #[serde(rename = "Newest")]
     Register(Option<Arc<RegisterValue>>),
-    /// Other content was decided under that version; this content is not and never will be in force.
+    /// Other content was decided for that version; this content never takes effect.
     Conflict,
-    /// There is no room for the document. It was not stored here; another replica may store it if it was sent there.
+    /// The document exceeds the limits. It was not stored here; another replica may store it if it was sent there.
     #[serde(rename = "Full")]
     CapacityExceeded,
     /// The committed state of a session; `None` if nobody owns it.
--- a/consensus/src/messages/sessions.rs
+++ b/consensus/src/messages/sessions.rs
@@ -1,5 +1,5 @@
-//! Types of travelling sessions: which outbound proxy owns a session and which upstream it is bound to, requests that
-//! change that, and messages between replicas about it.
+//! Sessions that move between outbound proxies: which proxy owns a session, which upstream it is bound to, requests
+//! that change either, and messages between replicas.
 
 use std::net::SocketAddr;
 
@@ -7,7 +7,8 @@
 
 use super::leases::LeaseToken;
 
-/// Identifies a session: a hash of its service, the header's name and the header's value. The value itself is never sent.
+/// Identifies a session: a hash of its service, the header's name and the header's value. The value itself is never
+/// sent.
 pub type SessionId = u128;
 
 /// The upstream that a session's requests go to.
@@ -32,40 +33,40 @@
     pub since_term: u64,
 }
 
-/// Who owns a session, and what it is bound to.
+/// The owner of a session, and the upstream that it is bound to.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SessionOwnership {
     /// The upstream that the session is bound to, if any.
     #[serde(rename = "tie", default, skip_serializing_if = "Option::is_none")]
     pub binding: Option<SessionBinding>,
-    /// `None` after an operator made the control plane forget the session.
+    /// `None` after an operator removed the session.
     #[serde(rename = "holder", default, skip_serializing_if = "Option::is_none")]
     pub owner: Option<SessionOwner>,
-    /// Who owned the session before, if anybody.
+    /// The previous owner, if any.
     #[serde(rename = "before", default, skip_serializing_if = "Option::is_none")]
     pub previous_owner: Option<SessionOwner>,
 }
 
-/// A committed change of a session. Terms go up with each change; each term belongs to one token.
+/// A committed change of a session. Each change has a higher term than the one before; each term belongs to one token.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CommittedSession {
     /// The term of the change.
     #[serde(rename = "epoch")]
     pub term: u64,
-    /// Whose proposal has the term.
+    /// The token of the proposal that has the term.
     pub token: LeaseToken,
-    /// What the change led to.
+    /// The ownership after the change.
     #[serde(rename = "holding")]
     pub ownership: SessionOwnership,
 }
 
-/// What a replica stores of a session.
+/// A replica's record of a session.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SessionRecord {
     /// The replica accepts nothing of a lower term, and in this term nothing of another token.
     #[serde(rename = "epoch")]
     pub term: u64,
-    /// 0 belongs to nobody.
+    /// The token that the term belongs to; 0 stands for none.
     pub token: LeaseToken,
     /// The change accepted last, whether or not it was committed.
     #[serde(rename = "taken", default, skip_serializing_if = "Option::is_none")]
@@ -81,11 +82,11 @@
         /// The proxy that wants to own the session.
         #[serde(rename = "gate")]
         outbound_proxy: SocketAddr,
-        /// Inbound proxies know of an owner since this term.
+        /// The latest term of an owner that inbound proxies know of.
         #[serde(rename = "above")]
         above_term: u64,
     },
-    /// The owner wants the session bound to another upstream, provided that it is still bound to the current one.
+    /// The owner binds the session to another upstream, provided that it is still bound to the current one.
     #[serde(rename = "Tie")]
     Bind {
         /// The owner, with the term in which it acquired the session.
@@ -94,15 +95,15 @@
         /// Id of the upstream that the owner believes the session to be bound to, if any.
         #[serde(rename = "was")]
         current_upstream_id: Option<String>,
-        /// The upstream that the session is bound to, if any.
+        /// The upstream that the session is to be bound to.
         #[serde(rename = "tie")]
         binding: SessionBinding,
     },
-    /// The owner has used the session lately. Answered by what the asked replica stores, which may be outdated.
+    /// The owner has used the session. Answered from the state of the receiving replica, which may be outdated.
     Renew(SessionOwner),
     /// Reads the committed state.
     Read,
-    /// Removes owner and binding: the next proxy begins anew, in a later term.
+    /// Removes the owner and the binding: the next proxy acquires the session unbound, in a later term.
     #[serde(rename = "Drop")]
     Forget,
 }
@@ -110,7 +111,7 @@
 /// A message between replicas about a session. Answers carry the `call` of the request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum SessionMessage {
-    /// Asks for the promise to accept nothing of a lower term.
+    /// Requests the promise to accept no lower term.
     #[serde(rename = "Ask")]
     Prepare {
         /// The number of the call that the answer belongs to.
@@ -120,7 +121,7 @@
         /// The term of the change.
         #[serde(rename = "epoch")]
         term: u64,
-        /// Whose proposal has the term.
+        /// The token of the proposal that has the term.
         token: LeaseToken,
     },
     /// The promise, with the change that the sender accepted last.
@@ -146,7 +147,7 @@
         #[serde(rename = "agreed")]
         change: CommittedSession,
     },
-    /// The change is safe on the sender's disk.
+    /// The change is durable on the sender's disk.
     #[serde(rename = "Held")]
     Accepted {
         /// The number of the call that the answer belongs to.
@@ -174,7 +175,7 @@
 pub struct SessionEntry {
     /// The session.
     pub session: SessionId,
-    /// What the replica stores of it.
+    /// The replica's record of it.
     pub record: SessionRecord,
 }
 
