--- a/consensus/tests/fault_scenarios.rs
+++ b/consensus/tests/fault_scenarios.rs
@@ -115,7 +115,8 @@
         match (away.contains(node), response, value) {
             (true, Some(CoreResponse::Unavailable), _) => came.unsure += 1,
             (false, Some(CoreResponse::Accepted), _) => came.taken_by_majority += 1,
-            // What is not above a version that was known as safe before the cut alters nothing, and may be said anywhere.
+            // What is not above a version that was known as safe before the cut alters nothing, and may be said
+            // anywhere.
             (true, Some(CoreResponse::Accepted | CoreResponse::Conflict), Some(value))
                 if value.version <= known.version => {}
             (true, Some(_), _) => came.well += 1,
--- a/consensus/tests/frozen/mod.rs
+++ b/consensus/tests/frozen/mod.rs
@@ -1,6 +1,6 @@
 //! Fixtures of encoded values: files of lines `name hex`, committed, against which tests hold what the present code
-//! writes and reads. A run with `WRITE_FIXTURES=1` writes the files anew and always fails, so that it can't be taken for
-//! a test. Names in the files are those of main before the first rename and stay as they are.
+//! writes and reads. A run with `WRITE_FIXTURES=1` writes the files anew and always fails, so that it can't be taken
+//! for a test. Names in the files are those of main before the first rename and stay as they are.
 
 use std::fmt::Write;
 use std::path::PathBuf;
--- a/storage/tests/frozen_data_dir.rs
+++ b/storage/tests/frozen_data_dir.rs
@@ -1,5 +1,5 @@
-//! The layout of a replica's data directory and the bytes of its files, compared with a directory that was written before
-//! types were renamed.
+//! The layout of a replica's data directory and the bytes of its files, compared with a directory that was written
+//! before types were renamed.
 //!
 //! A run with `WRITE_FIXTURES=1` writes the fixture anew and always fails, so that it can't be taken for a test.
 
--- a/storage/tests/store/compaction.rs
+++ b/storage/tests/store/compaction.rs
@@ -6,7 +6,8 @@
 use crate::replica_state::ReplicaState;
 use crate::simulated_disk::SimulatedDisk;
 
-/// A record that comes in the very write that compacts a lease comes after it, and the latest of a segment is compacted.
+/// A record that comes in the very write that compacts a lease comes after it, and the latest of a segment is
+/// compacted.
 #[test]
 fn a_relocated_lease_precedes_the_records_of_its_write() {
     for change_at in 0..24 {
--- a/storage/tests/store/damaged_files.rs
+++ b/storage/tests/store/damaged_files.rs
@@ -8,8 +8,8 @@
 use crate::simulated_disk::SimulatedDisk;
 use crate::workload::{KEYS, Workload};
 
-/// Nothing that a disk returns makes the store panic or recover what was never written. Only state of the damaged file's
-/// kind is affected.
+/// Nothing that a disk returns makes the store panic or recover what was never written. Only state of the damaged
+/// file's kind is affected.
 #[test]
 fn a_flipped_bit_affects_only_its_kind_of_state() {
     let disk = SimulatedDisk::reliable();
--- a/storage/tests/store/replica_state.rs
+++ b/storage/tests/store/replica_state.rs
@@ -55,8 +55,8 @@
         records.iter().for_each(|record| self.apply(record));
     }
 
-    /// Asserts that this state, which was recovered, holds what is durable. Of the records that were not acknowledged, each
-    /// thing is as it was or as one of them left it.
+    /// Asserts that this state, which was recovered, holds what is durable. Of the records that were not acknowledged,
+    /// each thing is as it was or as one of them left it.
     pub fn assert_recovers(&self, durable: &ReplicaState, unacknowledged: &[LogRecord], context: &str) {
         let states = possible_states(durable, unacknowledged);
         assert!(
