--- a/storage/tests/frozen_data_dir.rs
+++ b/storage/tests/frozen_data_dir.rs
@@ -20,7 +20,7 @@
 
 use temp_directory::TempDirectory;
 
-/// All files of the fixture. No other file is in it.
+/// All files of the fixture.
 const FILES: [&str; 14] = [
     "ballots.0",
     "ballots.1",
@@ -114,15 +114,11 @@
     LeaseOutcome::Completed(Arc::new(StoredResponse { status: 201, headers, body: vec![0, 1, 255] }))
 }
 
-fn session_record(epoch: u64) -> SessionRecord {
-    let owner = |last| Some(SessionOwner { outbound_proxy: address(last), since_term: epoch });
+fn session_record(term: u64) -> SessionRecord {
+    let owner = |last| Some(SessionOwner { outbound_proxy: address(last), since_term: term });
     let binding = Some(SessionBinding { upstream_id: "life-1".into(), inbound_proxy: address(8) });
     let ownership = SessionOwnership { binding, owner: owner(5), previous_owner: owner(6) };
-    SessionRecord {
-        term: epoch,
-        token: 78,
-        accepted: Some(CommittedSession { term: epoch, token: 77, ownership }),
-    }
+    SessionRecord { term, token: 78, accepted: Some(CommittedSession { term, token: 77, ownership }) }
 }
 
 /// The records of each write. The store is opened anew for each list of writes, which begins new segments.
@@ -175,7 +171,7 @@
 }
 
 fn collect_files(root: &Path, directory: &Path, files: &mut BTreeMap<String, Vec<u8>>) {
-    for entry in fs::read_dir(directory).unwrap_or_else(|why| panic!("{}: {why}", directory.display())) {
+    for entry in fs::read_dir(directory).unwrap_or_else(|error| panic!("{}: {error}", directory.display())) {
         let path = entry.expect("an entry").path();
         if path.is_dir() {
             collect_files(root, &path, files);
@@ -201,7 +197,7 @@
     let directory = TempDirectory::new(name);
     for (path, bytes) in files_of(&fixture()) {
         let path = directory.join(path);
-        fs::create_dir_all(path.parent().expect("a parent")).expect("made");
+        fs::create_dir_all(path.parent().expect("a parent")).expect("directory created");
         fs::write(path, bytes).expect("written");
     }
     directory
@@ -238,7 +234,7 @@
     assert_eq!(names(&files_of(directory.path())), FILES);
 }
 
-/// Each slot alone is enough: one holds the newest state, the other the state before.
+/// Each slot can be read alone: one holds the newest state, the other the previous one.
 #[test]
 fn either_ballot_slot_is_read_alone() {
     for (removed, remaining) in [("ballots.0", "ballots.1"), ("ballots.1", "ballots.0")] {
--- a/storage/tests/store/compaction.rs
+++ b/storage/tests/store/compaction.rs
@@ -1,4 +1,4 @@
-//! Live records of the oldest segment are written again.
+//! Compaction of the oldest segment's live records.
 
 use ochreshed_consensus::messages::LogRecord;
 
@@ -6,8 +6,8 @@
 use crate::replica_state::ReplicaState;
 use crate::simulated_disk::SimulatedDisk;
 
-/// A record that comes in the very write that compacts a lease comes after it, and the latest of a segment is
-/// compacted.
+/// Guards against a compacted lease that replaces a newer record of the same write, and against compaction of a record
+/// that is not the latest one of its key in the segment.
 #[test]
 fn a_relocated_lease_precedes_the_records_of_its_write() {
     for change_at in 0..24 {
--- a/storage/tests/store/crash_points.rs
+++ b/storage/tests/store/crash_points.rs
@@ -6,14 +6,14 @@
 use crate::simulated_disk::{NEVER, SimulatedDisk};
 use crate::workload::{BATCHES, Workload};
 
-/// How often the whole workload calls a disk without faults.
+/// The number of calls that the whole workload makes to a disk without faults.
 fn calls_of_workload() -> u64 {
     let disk = SimulatedDisk::reliable();
-    Workload::new(disk.clone()).run(BATCHES).expect("no trouble");
+    Workload::new(disk.clone()).run(BATCHES).expect("no fault");
     disk.call_counts().calls
 }
 
-/// Wherever power is lost, what was durable is recovered, nothing else appears, and the store goes on from there.
+/// Wherever power is lost, what was durable is recovered, nothing else appears, and the store can be written again.
 #[test]
 fn acknowledged_records_survive_a_power_loss_at_every_call() {
     let calls = calls_of_workload();
@@ -28,7 +28,7 @@
             workload.kill_process();
             let mut durable = workload.durable.clone();
             if (power_loss_call + seed) % 3 == 0 {
-                // At first only the process is killed. What the next one recovers is durable, whatever comes.
+                // First only the process is killed. What the next process recovers must be durable.
                 disk.restart_process();
                 let recovered = disk.reopen().state;
                 recovered.assert_recovers(&workload.durable, &workload.unacknowledged, &context);
@@ -43,7 +43,7 @@
                 LogRecord::MembershipBallot(membership_ballot(900)),
                 configuration(900),
             ];
-            reopened.store.persist(&more).expect("no trouble");
+            reopened.store.persist(&more).expect("no fault");
             let mut durable = reopened.state;
             durable.apply_all(&more);
             disk.restart_machine();
@@ -52,14 +52,14 @@
     }
 }
 
-/// Wherever calls are refused for a while, all is written in the end, and nothing that was durable is lost.
+/// Wherever calls are refused for a while, all records are written in the end, and nothing durable is lost.
 #[test]
 fn acknowledged_records_survive_refusals_at_every_call() {
     for first_refused in 1..=calls_of_workload() {
         let refused_calls = first_refused..first_refused + 1 + first_refused % 4;
         let disk = SimulatedDisk::new(first_refused, NEVER, refused_calls);
         let mut workload = Workload::new(disk.clone());
-        // Every third one loses power soon after.
+        // Every third run loses power soon after.
         let loses_power = first_refused % 3 == 0;
         disk.set_power_loss_call(if loses_power { first_refused + 9 } else { NEVER });
         let ended = workload.run(BATCHES);
--- a/storage/tests/store/damaged_files.rs
+++ b/storage/tests/store/damaged_files.rs
@@ -1,4 +1,4 @@
-//! Files that rot.
+//! Files with damaged bytes.
 
 use ochreshed_consensus::messages::{LeaseKey, LogRecord};
 use ochreshed_storage::file_system::FileSystem;
@@ -14,7 +14,7 @@
 fn a_flipped_bit_affects_only_its_kind_of_state() {
     let disk = SimulatedDisk::reliable();
     let mut workload = Workload::new(disk.clone());
-    workload.run(30).expect("no trouble");
+    workload.run(30).expect("no fault");
     let paths = disk.paths();
     let intact = disk.reopen().state;
     let mut random = SeededRandom::new(1);
@@ -26,7 +26,7 @@
             damaged[offset] ^= 1 << random.below(8);
             disk.set_content(&path, damaged);
             let names = disk.save_names();
-            // Recovery may rename the file, and then its content is restored under the name that it had.
+            // Recovery may rename the file, so its name is restored before its content.
             let recovered = disk.reopen().state;
             assert!(recovered.leases == intact.leases || kind == "claims", "{path} {offset}");
             assert!(
@@ -48,7 +48,7 @@
     }
 }
 
-/// Both ballots are lost, as if the disk was, but for the leases.
+/// Both ballots are lost, as with the disk; only the leases remain.
 #[test]
 fn damaged_ballot_slots_are_quarantined() {
     let disk = SimulatedDisk::reliable();
@@ -72,7 +72,7 @@
     assert_eq!(disk.reopen().state.membership_ballot, Some(membership_ballot(9)));
 }
 
-/// A segment rots while it is in use: its live leases can't be compacted, all others are.
+/// A segment is damaged while it is in use: its live leases can't be compacted, all others are.
 #[test]
 fn a_damaged_segment_loses_only_its_own_leases() {
     let disk = SimulatedDisk::reliable();
--- a/storage/tests/store/disk_full.rs
+++ b/storage/tests/store/disk_full.rs
@@ -1,4 +1,4 @@
-//! A disk that runs full.
+//! A full disk.
 
 use ochreshed_consensus::messages::LogRecord;
 
@@ -33,7 +33,7 @@
             durable = recovered;
         } else {
             disk.set_capacity_bytes(usize::MAX);
-            store.persist(&failed).expect("there is room");
+            store.persist(&failed).expect("the disk has space");
             durable.apply_all(&failed);
         }
         disk.restart_machine();
--- a/storage/tests/store/main.rs
+++ b/storage/tests/store/main.rs
@@ -1,4 +1,4 @@
-//! The store on a simulated disk that loses power, refuses calls, runs full and rots, and on a real directory.
+//! The store on a simulated disk that loses power, refuses calls, fills up and damages files, and on a real directory.
 
 mod compaction;
 mod crash_points;
--- a/storage/tests/store/os_directory.rs
+++ b/storage/tests/store/os_directory.rs
@@ -21,12 +21,12 @@
     long
 }
 
-/// The operator's configuration is there to be read, long records are recovered, and unknown files do no harm.
+/// The operator's configuration is readable in its file, long records are recovered, and unknown files are ignored.
 #[test]
-fn a_real_directory_recovers_and_passes_over_unknown_files() {
+fn a_real_directory_recovers_and_ignores_unknown_files() {
     let dir = TempDirectory::new("store");
     let (mut store, persisted) = Store::open(dir.path()).expect("opens");
-    assert_eq!(ReplicaState::of(&persisted), ReplicaState::default());
+    assert_eq!(ReplicaState::from_persisted(&persisted), ReplicaState::default());
     let mut durable = ReplicaState::default();
     let mut records =
         vec![LogRecord::Lease(u128::MAX, long_lease()), LogRecord::MembershipBallot(membership_ballot(1))];
@@ -44,15 +44,15 @@
     }
     let revision = durable.configuration.as_ref().map(|value| value.revision()).unwrap_or_default();
     let newest = format!("timetable/r{}-{:016x}.json", revision.version, revision.digest);
-    assert_eq!(fs::read(dir.join(&newest)).expect("there"), b"{\"version\":19}");
-    assert_eq!(fs::read_dir(dir.join("timetable")).expect("there").count(), RETAINED_VERSIONS);
-    assert!(!dir.join("papers").exists(), "nobody named a member");
+    assert_eq!(fs::read(dir.join(&newest)).expect("exists"), b"{\"version\":19}");
+    assert_eq!(fs::read_dir(dir.join("timetable")).expect("exists").count(), RETAINED_VERSIONS);
+    assert!(!dir.join("papers").exists(), "no named register was persisted");
     for version in 1..9 {
         let records = ["members", "m/A_b", "m/A_62"].map(|name| named_register(name, version));
         store.persist(&records).expect("written");
         durable.apply_all(&records);
     }
-    let history = read_register_history(dir.path(), "m/A_b").expect("there");
+    let history = read_register_history(dir.path(), "m/A_b").expect("exists");
     let versions: Vec<u64> = history.iter().map(|value| value.version).collect();
     assert_eq!(versions, [8, 7, 6, 5, 4]);
     drop(store);
@@ -68,13 +68,13 @@
         fs::write(dir.join(path), b"\0\0\0\0\0\0\0\0\0\0\0\0\0\0\0\0").expect("written");
     }
     let (mut store, persisted) = Store::open(dir.path()).expect("opens");
-    assert_eq!(ReplicaState::of(&persisted), durable);
+    assert_eq!(ReplicaState::from_persisted(&persisted), durable);
     assert_eq!(store.findings().len(), 3, "{:?}", store.findings());
     store.persist(&[LogRecord::LeaseReleased(7, 9)]).expect("written");
     assert!(dir.join("claims/000010").exists());
 }
 
-/// An earlier version must not find in the lease log what it can't read: it would take the rest for torn.
+/// Earlier versions must not find records in the lease log that they can't decode: they would treat the rest as torn.
 #[test]
 fn sessions_have_a_log_of_their_own() {
     let dir = TempDirectory::new("sessions");
@@ -96,7 +96,7 @@
         persisted.sessions.iter().map(|entry| (entry.session, entry.record.term)).collect();
     assert_eq!(terms, [(0, 3_995), (1, 3_996), (3, 3_998), (4, 3_999)]);
     assert_eq!(persisted.leases.len(), 2);
-    // Without the subdirectory, the lease log is all that is left.
+    // Without the subdirectory, only the leases are recovered.
     fs::rename(dir.join("sessions"), dir.join("elsewhere")).expect("renamed");
     let (_, alone) = Store::open(dir.path()).expect("opens");
     assert_eq!((alone.leases.len(), alone.sessions.len()), (2, 0));
--- a/storage/tests/store/random.rs
+++ b/storage/tests/store/random.rs
@@ -1,4 +1,4 @@
-//! Random numbers that are the same in each run.
+//! Reproducible random numbers.
 
 /// A xorshift generator.
 pub struct SeededRandom(u64);
@@ -16,7 +16,7 @@
         (self.0 >> 11) % bound
     }
 
-    /// True in one of `cases`.
+    /// True with a probability of one in `cases`.
     pub fn one_in(&mut self, cases: u64) -> bool {
         self.below(cases) == 0
     }
--- a/storage/tests/store/replica_state.rs
+++ b/storage/tests/store/replica_state.rs
@@ -1,4 +1,4 @@
-//! The state that a disk should hold.
+//! The state that a disk is expected to hold.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -7,7 +7,7 @@
     AcceptorState, Lease, LeaseKey, LogRecord, MembershipBallotState, PersistedState, RegisterValue,
 };
 
-/// All that is recovered but sessions.
+/// The recovered state without sessions.
 #[derive(Clone, Default, Debug, PartialEq)]
 pub struct ReplicaState {
     pub membership_ballot: Option<MembershipBallotState>,
@@ -18,7 +18,7 @@
 }
 
 impl ReplicaState {
-    pub fn of(persisted: &PersistedState) -> ReplicaState {
+    pub fn from_persisted(persisted: &PersistedState) -> ReplicaState {
         let registers = persisted.registers.iter();
         ReplicaState {
             membership_ballot: persisted.membership_ballot.clone(),
@@ -55,8 +55,8 @@
         records.iter().for_each(|record| self.apply(record));
     }
 
-    /// Asserts that this state, which was recovered, holds what is durable. Of the records that were not acknowledged,
-    /// each thing is as it was or as one of them left it.
+    /// Asserts that this recovered state holds everything durable. For records that were not acknowledged, each item
+    /// may be as before or as one of these records left it.
     pub fn assert_recovers(&self, durable: &ReplicaState, unacknowledged: &[LogRecord], context: &str) {
         let states = possible_states(durable, unacknowledged);
         assert!(
--- a/storage/tests/store/session_crash_points.rs
+++ b/storage/tests/store/session_crash_points.rs
@@ -40,13 +40,13 @@
     records.iter().for_each(|record| apply(sessions, record));
 }
 
-/// What a run has left: the sessions that were acknowledged, and the batch that was not.
+/// The result of a run: the acknowledged sessions, and the batch that was not acknowledged.
 struct Run {
     durable: Sessions,
     unacknowledged: Vec<LogRecord>,
 }
 
-/// Persists all batches, up to a loss of power. What is refused is tried again.
+/// Persists all batches, up to a loss of power. Refused writes are retried.
 fn run(disk: &SimulatedDisk) -> Run {
     let mut run = Run { durable: Sessions::new(), unacknowledged: Vec::new() };
     let mut store = None;
@@ -62,7 +62,7 @@
     run
 }
 
-/// Whether the records were acknowledged.
+/// Returns whether the records were acknowledged.
 fn persist_with_retries(disk: &SimulatedDisk, store: &mut Option<Store>, records: &[LogRecord]) -> bool {
     for _ in 0..MAX_ATTEMPTS {
         if store.is_none() {
@@ -79,11 +79,11 @@
 }
 
 fn recovered_sessions(disk: &SimulatedDisk) -> Sessions {
-    let (_, persisted) = disk.open().expect("a disk without trouble opens");
+    let (_, persisted) = disk.open().expect("a disk without faults opens");
     persisted.sessions.into_iter().map(|entry| (entry.session, entry.record)).collect()
 }
 
-/// Each session is as it was acknowledged, or as one of the later records left it.
+/// Asserts that each session is as acknowledged, or as one of the unacknowledged records left it.
 fn assert_recovers(recovered: &Sessions, run: &Run, context: &str) {
     let mut states = vec![run.durable.clone()];
     for record in &run.unacknowledged {
@@ -99,7 +99,7 @@
     assert!(recovered.keys().all(|id| *id < SessionId::from(SESSIONS)), "{context}: {recovered:?}");
 }
 
-/// How often all batches call a disk without faults, and what they leave there.
+/// The number of calls that all batches make to a disk without faults, and the sessions that they leave.
 fn run_without_faults() -> (u64, Sessions) {
     let disk = SimulatedDisk::reliable();
     let run = run(&disk);
@@ -121,7 +121,7 @@
             assert_recovers(&recovered, &run, &context);
             let (mut store, _) = disk.open().expect("opens");
             let more = batch(BATCHES);
-            store.persist(&more).expect("no trouble");
+            store.persist(&more).expect("no fault");
             apply_all(&mut recovered, &more);
             disk.restart_machine();
             assert_eq!(recovered_sessions(&disk), recovered, "{context}");
--- a/storage/tests/store/simulated_disk.rs
+++ b/storage/tests/store/simulated_disk.rs
@@ -1,7 +1,7 @@
-//! A disk that loses power, refuses calls or runs full when told to.
+//! A simulated disk that loses power, refuses calls or is full on demand.
 //!
-//! It tells apart what a process sees and what is durable: content of files and names in directories each have changes
-//! that no sync has made durable yet. A loss of power keeps any of them, wholly or in part.
+//! It separates what a process sees from what is durable: the content of files and the names in directories both have
+//! changes that no sync has made durable yet. A loss of power keeps any of them, completely or in part.
 
 use std::collections::BTreeMap;
 use std::io::{self, ErrorKind};
@@ -15,7 +15,7 @@
 use crate::random::SeededRandom;
 use crate::replica_state::ReplicaState;
 
-/// Limits that make segments end and move on within a few writes.
+/// Limits that make segments end and be compacted within a few writes.
 pub const SMALL_LIMITS: LogLimits = LogLimits {
     max_segment_bytes: 600,
     quarter_live_above_bytes: 1_200,
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Whether it leaves nothing of what the other one wrote.
+    /// Whether it overwrites all of the other change.
     fn covers(&self, other: &FileChange) -> bool {
         use FileChange::{SetLength, Write};
         match (self, other) {
@@ -56,7 +56,7 @@
         }
     }
 
-    /// A part of a write, cut short or with holes.
+    /// A part of a write, truncated or with zeroed sectors.
     fn torn(self, random: &mut SeededRandom) -> FileChange {
         let FileChange::Write { offset, mut bytes } = self else { return self };
         if random.one_in(2) {
@@ -133,9 +133,9 @@
     path.rsplit_once('/').unwrap_or((ROOT_DIRECTORY, path))
 }
 
-/// What becomes of a call.
+/// The result of a call.
 struct CallResult {
-    /// Whether it is carried out. If not, a write may be in part.
+    /// Whether it is carried out. If not, a write may still be carried out in part.
     carried_out: bool,
     returned: io::Result<()>,
 }
@@ -213,7 +213,7 @@
         }
     }
 
-    /// A sync of a new file makes its name durable as well, and what became of that name before.
+    /// A sync of a new file also makes its name durable, together with earlier changes of that name.
     fn sync_name_of_new_file(&mut self, path: &str, inode: usize) {
         let Some(created) = self.unsynced_names.iter().position(|change| change.creates(inode)) else {
             return;
@@ -224,24 +224,24 @@
         synced.iter().for_each(|change| change.apply_to(&mut self.durable_names));
     }
 
-    /// Keeps any of the changes to content that were not synced: none, all, or each one wholly, in part or not.
+    /// Keeps any of the unsynced changes: none, all, or each one completely, in part or not at all.
     fn lose_power(&mut self) {
-        const NOTHING_IS_KEPT: u64 = 0;
-        const ALL_IS_KEPT: u64 = 1;
+        const KEEP_NOTHING: u64 = 0;
+        const KEEP_ALL: u64 = 1;
         let outcome = self.random.below(4);
         for inode in &mut self.inodes {
             for unsynced in std::mem::take(&mut inode.unsynced) {
-                let fate = if outcome <= ALL_IS_KEPT { outcome } else { self.random.below(3) };
-                match fate {
-                    NOTHING_IS_KEPT => {}
-                    ALL_IS_KEPT => unsynced.change.apply_to(&mut inode.durable),
+                let change_outcome = if outcome <= KEEP_ALL { outcome } else { self.random.below(3) };
+                match change_outcome {
+                    KEEP_NOTHING => {}
+                    KEEP_ALL => unsynced.change.apply_to(&mut inode.durable),
                     _ => unsynced.change.torn(&mut self.random).apply_to(&mut inode.durable),
                 }
             }
             inode.visible = inode.durable.clone();
         }
         for change in std::mem::take(&mut self.unsynced_names) {
-            if outcome == ALL_IS_KEPT || outcome > ALL_IS_KEPT && self.random.below(2) == 1 {
+            if outcome == KEEP_ALL || outcome > KEEP_ALL && self.random.below(2) == 1 {
                 change.apply_to(&mut self.durable_names);
             }
         }
@@ -249,28 +249,28 @@
     }
 }
 
-/// How often the store called the disk.
+/// The number of calls that the store made to the disk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallCounts {
     pub calls: u64,
-    /// The syncs of files and directories among them.
+    /// How many of them were syncs of files and directories.
     pub syncs: u64,
 }
 
-/// The names on a disk, to be put back by [`SimulatedDisk::restore_names`].
+/// The names on a disk, to be restored by [`SimulatedDisk::restore_names`].
 pub struct SavedNames(BTreeMap<String, usize>);
 
-/// A store that was opened anew, and the state that it recovered.
+/// A reopened store, and the state that it recovered.
 pub struct Reopened {
     pub store: Store,
     pub state: ReplicaState,
 }
 
-/// A handle of the disk. Clones share it.
+/// A handle of the disk. Clones share the disk.
 #[derive(Clone)]
 pub struct SimulatedDisk {
     state: Arc<Mutex<DiskState>>,
-    /// What paths begin with: empty, or a subdirectory and a slash.
+    /// The prefix of all paths: empty, or a subdirectory and a slash.
     prefix: String,
 }
 
@@ -316,10 +316,10 @@
         Store::open_in(Box::new(self.clone()), limits)
     }
 
-    /// Opens a store on a disk that has no faults any more.
+    /// Opens a store on a disk that has no faults at present.
     pub fn reopen(&self) -> Reopened {
-        let (store, persisted) = self.open().expect("a disk without trouble opens");
-        Reopened { store, state: ReplicaState::of(&persisted) }
+        let (store, persisted) = self.open().expect("a disk without faults opens");
+        Reopened { store, state: ReplicaState::from_persisted(&persisted) }
     }
 
     pub fn is_off(&self) -> bool {
@@ -339,7 +339,7 @@
         self.lock().capacity_bytes = bytes;
     }
 
-    /// Ends all faults. Files are as the process that was killed saw them.
+    /// Ends all faults. Files are as the killed process saw them.
     pub fn restart_process(&self) {
         let mut state = self.lock();
         state.power_loss_call = NEVER;
@@ -375,7 +375,7 @@
         state.inodes[state.visible_names[path]].visible.clone()
     }
 
-    /// Changes what a process sees of a file, not by a call that is counted.
+    /// Changes what a process sees of a file, without counting a call.
     pub fn set_content(&self, path: &str, content: Vec<u8>) {
         let mut state = self.lock();
         let inode = state.visible_names[path];
--- a/storage/tests/store/workload.rs
+++ b/storage/tests/store/workload.rs
@@ -1,4 +1,4 @@
-//! A replica that persists records of all kinds, tries again what is refused, and is killed at times.
+//! A replica that persists records of all kinds, retries refused writes, and is killed now and then.
 
 use ochreshed_consensus::messages::{LeaseKey, LeaseToken, LogRecord};
 use ochreshed_storage::{Store, StoreError};
@@ -8,11 +8,11 @@
 use crate::replica_state::ReplicaState;
 use crate::simulated_disk::SimulatedDisk;
 
-/// The batches of a whole run.
+/// The number of batches of a complete run.
 pub const BATCHES: u64 = 60;
-/// Leases have as many different keys.
+/// The number of different lease keys.
 pub const KEYS: u64 = 14;
-/// The keys below are hardly ever released, so that their records have to be compacted.
+/// Keys with a lower index are rarely released, so that their records have to be compacted.
 const LONG_HELD_KEYS: u128 = 4;
 const MAX_ATTEMPTS: u32 = 21;
 const SEED: u64 = 5;
@@ -22,7 +22,7 @@
     store: Option<Store>,
     random: SeededRandom,
     pub last_token: LeaseToken,
-    /// What was acknowledged.
+    /// The state after all acknowledged records.
     pub durable: ReplicaState,
     /// The batch that is being written.
     pub unacknowledged: Vec<LogRecord>,
@@ -44,12 +44,12 @@
         self.store = None;
     }
 
-    /// Persists these batches, up to a loss of power. What is refused is tried again.
+    /// Persists this many batches, up to a loss of power. Refused writes are retried.
     pub fn run(&mut self, batches: u64) -> Result<(), StoreError> {
         let mut written = ReplicaState::default();
         for number in 0..batches {
             let batch = self.next_batch(number, &mut written);
-            // The process dies at times, and the next one must not recover what isn't durable.
+            // The process is killed now and then, and the next one must not recover what is not durable.
             if number % 25 == 24 {
                 self.kill_process();
             }
@@ -61,7 +61,7 @@
         Ok(())
     }
 
-    /// The records don't depend on the disk, so that every run is the same up to its end.
+    /// The records don't depend on the disk, so all runs write the same ones.
     fn next_batch(&mut self, number: u64, written: &mut ReplicaState) -> Vec<LogRecord> {
         let mut records = Vec::new();
         for _ in 0..1 + self.random.below(4) {
@@ -92,9 +92,9 @@
         let key: LeaseKey = index << 64 | 1;
         let action = self.random.below(5);
         let response_bytes = self.random.below(90) as usize;
-        let stays = index < LONG_HELD_KEYS && !self.random.one_in(12);
+        let is_kept = index < LONG_HELD_KEYS && !self.random.one_in(12);
         match written.leases.get(&key) {
-            Some(_) if stays => None,
+            Some(_) if is_kept => None,
             Some(held) if action < 3 => Some(LogRecord::LeaseReleased(key, held.token)),
             Some(held) if action == 3 => Some(LogRecord::Lease(key, lease(held.token, Some(response_bytes)))),
             _ => {
@@ -119,7 +119,7 @@
     fn persist(&mut self, batch: &[LogRecord]) -> Result<(), StoreError> {
         if self.store.is_none() {
             let (store, persisted) = self.disk.open()?;
-            let recovered = ReplicaState::of(&persisted);
+            let recovered = ReplicaState::from_persisted(&persisted);
             recovered.assert_recovers(&self.durable, &self.unacknowledged, "after a kill");
             self.store = Some(store);
         }
--- a/storage/tests/store/write_cost.rs
+++ b/storage/tests/store/write_cost.rs
@@ -1,4 +1,4 @@
-//! What a write costs in calls and bytes.
+//! The cost of a write in calls and bytes.
 
 use ochreshed_consensus::messages::{LeaseKey, LogRecord};
 use ochreshed_storage::LogLimits;
@@ -7,7 +7,7 @@
 use crate::replica_state::ReplicaState;
 use crate::simulated_disk::{CallCounts, SMALL_LIMITS, SimulatedDisk};
 
-/// A write of leases is one write and one sync, and the disk is bounded, however long it goes on.
+/// A write of leases takes one write and one sync, and the space on disk stays bounded however many writes there are.
 #[test]
 fn a_write_of_leases_costs_one_sync_and_bounded_space() {
     let disk = SimulatedDisk::reliable();
@@ -31,7 +31,7 @@
     let mut max_disk_bytes = 0;
     let mut durable = ReplicaState::default();
     for token in 0..3_000 {
-        // One in a hundred stays for long.
+        // One in a hundred leases is kept for long.
         let key = u128::from(if token % 100 == 0 { token % 500 } else { token % 7 + 1_000 });
         let record = LogRecord::Lease(key, lease(token, Some(50)));
         durable.apply(&record);
--- a/storage/tests/temp_directory/mod.rs
+++ b/storage/tests/temp_directory/mod.rs
@@ -1,13 +1,13 @@
-//! Directories that tests write to.
+//! Temporary directories for tests.
 
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// A path at which no directory is at first, and which is removed at the end of a test, also of one that failed.
+/// A path at which no directory exists at first. It is removed at the end of a test, even if the test fails.
 pub struct TempDirectory(PathBuf);
 
 impl TempDirectory {
-    /// `name` tells apart the directories of tests that run at once.
+    /// `name` distinguishes the directories of tests that run concurrently.
     pub fn new(name: &str) -> TempDirectory {
         let path = std::env::temp_dir().join(format!("ochreshed-{name}-{}", std::process::id()));
         let _ = fs::remove_dir_all(&path);
