--- a/storage/src/error.rs
+++ b/storage/src/error.rs
@@ -35,7 +35,7 @@
         source: io::Error,
     },
     /// A file can't be renamed, or a directory can't be created.
-    #[error("{path} can't be made, renamed or removed: {source}")]
+    #[error("{path} can't be created, renamed or removed: {source}")]
     ChangeEntry {
         /// The file or directory.
         path: String,
@@ -44,16 +44,16 @@
         source: io::Error,
     },
     /// The records of one call don't fit a log segment.
-    #[error("more records in one go than a segment takes")]
+    #[error("the records of one write don't fit in a log segment")]
     BatchTooLarge,
     /// A record can't be encoded.
-    #[error("a record can't be written: {source}")]
+    #[error("a record can't be encoded: {source}")]
     Encode {
         /// The error of the encoder.
         #[source]
         source: ciborium::ser::Error<io::Error>,
     },
     /// Register acceptors were persisted before any membership ballot, which is stored in the same file.
-    #[error("a record can't be written: ballots on versions of nobody")]
+    #[error("register acceptors can't be written before the first membership ballot")]
     AcceptorsWithoutMembership,
 }
--- a/storage/src/recovery_finding.rs
+++ b/storage/src/recovery_finding.rs
@@ -35,7 +35,7 @@
         match self {
             RecoveryFinding::DamagedBallotSlot { path } => write!(f, "{path}: not whole"),
             RecoveryFinding::TornSegment { path, intact_bytes, total_bytes } => {
-                write!(f, "{path}: {intact_bytes} of {total_bytes} bytes are whole")
+                write!(f, "{path}: {intact_bytes} of {total_bytes} bytes are intact, the rest is ignored")
             }
             RecoveryFinding::Quarantined { path, bytes } => {
                 write!(f, "{path}: {bytes} bytes can't be read, put aside")
