--- a/consensus/src/core.rs
+++ b/consensus/src/core.rs
@@ -404,9 +404,9 @@
         self.flush(out);
     }
 
-    /// Whether this replica may stop for good after `announce_departure`, because enough others store what it stores.
-    /// A member waits until another replica has its place and votes, or until no replica can take its place and all
-    /// others vote: one that is still catching up may need this replica's snapshot.
+    /// Whether this replica may stop permanently after `announce_departure`, because enough others store what it
+    /// stores. A member waits until another replica has its place and votes, or until no replica can take its place and
+    /// all others vote: one that is still catching up may need this replica's snapshot.
     pub fn may_stop(&self) -> bool {
         if !self.leaving || self.breaks(Mutation::StopAtOnce) {
             return self.leaving;
@@ -466,8 +466,9 @@
             .filter(|(_, peer)| peer.is_reachable(self.now))
             .map(|(replica, _)| replica.address);
         let members = self.voting.membership.members.iter().map(|replica| replica.address);
-        let all: BTreeSet<SocketAddr> = reachable.chain(members).chain([self.replica_id.address]).collect();
-        all.into_iter().collect()
+        let addresses: BTreeSet<SocketAddr> =
+            reachable.chain(members).chain([self.replica_id.address]).collect();
+        addresses.into_iter().collect()
     }
 
     /// The status of this replica and of all replicas that it knows, sorted by replica.
@@ -491,9 +492,9 @@
             leaving: peer.leaving,
             zone: peer.zone.clone(),
         });
-        let mut all: Vec<PeerStatus> = [own_status].into_iter().chain(others).collect();
-        all.sort_by_key(|known| known.replica);
-        all
+        let mut statuses: Vec<PeerStatus> = [own_status].into_iter().chain(others).collect();
+        statuses.sort_by_key(|status| status.replica);
+        statuses
     }
 
     /// All records that the disk should hold, for rewriting the log.
@@ -505,10 +506,9 @@
             self.configuration.stored.iter().map(|value| LogRecord::Configuration(value.clone()));
         let registers = self.named_registers.iter_from("").map(LogRecord::Register);
         let acceptors = LogRecord::RegisterAcceptors(self.acceptor_states());
-        let all =
+        let ballots =
             [LogRecord::MembershipBallot(self.voting.ballot_state(self.replica_id)), acceptors].into_iter();
-        let all = all.chain(configuration).chain(registers).chain(leases);
-        all.chain(sessions).collect()
+        ballots.chain(configuration).chain(registers).chain(leases).chain(sessions).collect()
     }
 
     /// Makes this replica break a rule, so that a test can show that it detects the violation.
@@ -582,11 +582,12 @@
     fn known_addresses(&self) -> BTreeSet<SocketAddr> {
         let members = self.voting.membership.members.iter().map(|replica| replica.address);
         let peers = self.peers.iter().map(|(replica, _)| replica.address);
-        let mut all: BTreeSet<SocketAddr> = members.chain(peers).chain(self.seeds.iter().copied()).collect();
+        let mut addresses: BTreeSet<SocketAddr> =
+            members.chain(peers).chain(self.seeds.iter().copied()).collect();
         if !self.voting.voter {
-            all.remove(&self.replica_id.address);
+            addresses.remove(&self.replica_id.address);
         }
-        all
+        addresses
     }
 
     /// Records that a peer was heard, and sends what the replica with the earlier membership needs to learn of the
--- a/consensus/src/core/config.rs
+++ b/consensus/src/core/config.rs
@@ -1,4 +1,4 @@
-//! Settings of a replica, and what it starts with.
+//! Settings of a replica, and the options of its start.
 //!
 //! Main types: `Config`, `StartOptions`.
 //!
@@ -30,7 +30,7 @@
     pub zone: String,
 }
 
-/// What a replica starts with.
+/// The options of a replica's start.
 #[derive(Debug)]
 pub struct StartOptions<'a> {
     /// The time of the start.
@@ -41,9 +41,9 @@
     pub address: SocketAddr,
     /// No replica of this cluster has ever run.
     pub first_start: bool,
-    /// The addresses of the first members. They receive heartbeats although they were never heard.
+    /// The addresses of the first members. They receive heartbeats even before they were heard.
     pub seeds: &'a [SocketAddr],
-    /// What the disk held.
+    /// The state that the disk held.
     pub saved: PersistedState,
     /// Settings.
     pub config: Config,
--- a/consensus/src/core/leases.rs
+++ b/consensus/src/core/leases.rs
@@ -190,7 +190,7 @@
         }
     }
 
-    /// Votes on whether `token` holds the lease. A replica that may not vote stays silent.
+    /// Votes on whether `token` holds the lease. A replica that may not vote does not answer.
     fn vote_on_lease(&mut self, request: LeaseRequest, to: ReplicaId, out: &mut Vec<Effect>) {
         let LeaseRequest { call, key, token, time_left_ms } = request;
         if !self.voting.voter || token == NO_HOLDER {
--- a/consensus/src/core/membership.rs
+++ b/consensus/src/core/membership.rs
@@ -27,7 +27,7 @@
 /// A new member repeats its request for the next chunk after this time.
 const SNAPSHOT_REQUEST_INTERVAL: Nanos = 100 * MS;
 
-/// After this time a new member also requests snapshots from reachable replicas that are no longer members.
+/// After this time a new member requests snapshots from all reachable replicas, so also from former members.
 const REQUEST_ALL_PEERS_DELAY: Nanos = 600 * MS;
 
 impl Core {
--- a/consensus/src/core/membership_state.rs
+++ b/consensus/src/core/membership_state.rs
@@ -3,7 +3,7 @@
 //! Main types: `VotingState`, `MembershipProposal`, `CatchUp`, `CatchUpProgress`, `SnapshotContent`.
 //!
 //! Invariants:
-//! - The epoch only goes up, and promises and accepted memberships belong to the current epoch.
+//! - The epoch only increases, and promises and accepted memberships belong to the current epoch.
 //! - A source's progress only moves forward.
 
 use std::collections::{BTreeMap, BTreeSet};
--- a/consensus/src/core/named_registers.rs
+++ b/consensus/src/core/named_registers.rs
@@ -39,7 +39,7 @@
     pub digest: u128,
     /// The size of all stored values.
     pub bytes: usize,
-    /// Goes up with every change of what is stored or committed.
+    /// Increases with every change of what is stored or committed.
     pub changes: u64,
 }
 
--- a/consensus/src/core/register_replication.rs
+++ b/consensus/src/core/register_replication.rs
@@ -32,7 +32,7 @@
         })
     }
 
-    /// A counter that goes up with every change of what `registers` returns.
+    /// A counter that increases with every change of what `registers` returns.
     pub fn register_changes(&self) -> u64 {
         self.named_registers.changes
     }
--- a/consensus/src/messages/membership.rs
+++ b/consensus/src/messages/membership.rs
@@ -11,7 +11,7 @@
 
 /// A replica of the control plane: the address at which other replicas reach it, and the identity of its disk.
 ///
-/// A replica that comes back with an empty disk is another replica, because it has forgotten what it promised.
+/// A replica that comes back with an empty disk is another replica, because it has lost its promises.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ReplicaId {
     /// Where other replicas reach it.
--- a/consensus/src/messages/requests.rs
+++ b/consensus/src/messages/requests.rs
@@ -76,7 +76,7 @@
     /// The document exceeds the limits. It was not stored here; another replica may store it if it was sent there.
     #[serde(rename = "Full")]
     CapacityExceeded,
-    /// The committed state of a session; `None` if nobody owns it.
+    /// The committed state of a session; `None` if the session has none.
     Session(Option<CommittedSession>),
     /// No quorum answered in time. A lease may or may not be held under the token.
     #[serde(rename = "Unsure")]
--- a/consensus/tests/fault_scenarios.rs
+++ b/consensus/tests/fault_scenarios.rs
@@ -55,9 +55,11 @@
 }
 
 fn cut_links(cluster: &mut SimulatedCluster, cut: LinkCut) {
-    let (LinkCut::Both(away) | LinkCut::Outbound(away) | LinkCut::Inbound(away)) = cut;
-    for isolated in away {
-        for other in (0..cluster.nodes.len()).filter(|other| !away.contains(other)) {
+    let (LinkCut::Both(isolated_nodes)
+    | LinkCut::Outbound(isolated_nodes)
+    | LinkCut::Inbound(isolated_nodes)) = cut;
+    for isolated in isolated_nodes {
+        for other in (0..cluster.nodes.len()).filter(|other| !isolated_nodes.contains(other)) {
             if !matches!(cut, LinkCut::Inbound(_)) {
                 cluster.cut_links.insert((address_of(*isolated), other));
             }
@@ -71,9 +73,9 @@
 /// How requests were answered while links were cut.
 #[derive(Default, Debug)]
 struct PartitionOutcome {
-    /// Writes and reads at isolated replicas that were answered otherwise than by `Unavailable`.
+    /// Reads and writes of new versions at isolated replicas that got another answer than `Unavailable`.
     isolated_answers: usize,
-    /// Writes and reads at isolated replicas that were answered `Unavailable`.
+    /// Reads and writes at isolated replicas that were answered `Unavailable`.
     isolated_unavailable: usize,
     /// Writes that were accepted at the other replicas.
     majority_accepted: usize,
@@ -85,7 +87,9 @@
     cut: LinkCut,
     mutation: Option<Mutation>,
 ) -> (PartitionOutcome, Option<String>) {
-    let (LinkCut::Both(away) | LinkCut::Outbound(away) | LinkCut::Inbound(away)) = cut;
+    let (LinkCut::Both(isolated_nodes)
+    | LinkCut::Outbound(isolated_nodes)
+    | LinkCut::Inbound(isolated_nodes)) = cut;
     let mut cluster = SimulatedCluster::new(seed, 4, 3, 3, mutation);
     run_for(&mut cluster, 600, |_| {});
     let mut outcome = PartitionOutcome::default();
@@ -120,11 +124,11 @@
     run_for(&mut cluster, 3_500, |_| {});
     for (call, node, value) in &calls[first_call..] {
         let response = cluster.responses.get(call);
-        match (away.contains(node), response, value) {
+        match (isolated_nodes.contains(node), response, value) {
             (true, Some(CoreResponse::Unavailable), _) => outcome.isolated_unavailable += 1,
             (false, Some(CoreResponse::Accepted), _) => outcome.majority_accepted += 1,
-            // What is not above a version that was known as safe before the cut alters nothing, and may be said
-            // anywhere.
+            // A write whose version was committed before the cut, or an earlier one, changes nothing, and any replica
+            // may answer it.
             (true, Some(CoreResponse::Accepted | CoreResponse::Conflict), Some(value))
                 if value.version <= known_before_cut.version => {}
             (true, Some(_), _) => outcome.isolated_answers += 1,
--- a/consensus/tests/protocol_scenarios.rs
+++ b/consensus/tests/protocol_scenarios.rs
@@ -572,13 +572,13 @@
     cluster.run_without_faults(300 * MS);
     cluster.wipe(2);
     cluster.run_without_faults(1500 * MS);
-    let back = core(&cluster, 2);
-    assert!(back.is_voting());
-    assert_eq!(back.membership().epoch, 2);
-    assert_ne!(back.replica().disk_id, 0);
-    assert_eq!(back.lease_counts(), counts(600, 0, 0));
-    assert_eq!(back.committed_configuration(), Some(&value));
-    assert!((0..3).all(|node| core(&cluster, node).membership() == back.membership()));
+    let rejoined = core(&cluster, 2);
+    assert!(rejoined.is_voting());
+    assert_eq!(rejoined.membership().epoch, 2);
+    assert_ne!(rejoined.replica().disk_id, 0);
+    assert_eq!(rejoined.lease_counts(), counts(600, 0, 0));
+    assert_eq!(rejoined.committed_configuration(), Some(&value));
+    assert!((0..3).all(|node| core(&cluster, node).membership() == rejoined.membership()));
     // Now another member may lose its disk.
     cluster.wipe(0);
     cluster.run_without_faults(1500 * MS);
@@ -695,14 +695,14 @@
         acquire_lease(&mut cluster, 0, key, 50 + key as u64);
         cluster.deliver_everything();
     }
-    let more = acquire_lease(&mut cluster, 0, 9, 60);
-    assert_eq!(cluster.responses[&more], CoreResponse::Unavailable);
+    let call = acquire_lease(&mut cluster, 0, 9, 60);
+    assert_eq!(cluster.responses[&call], CoreResponse::Unavailable);
     let nobody = acquire_lease(&mut cluster, 0, 1, 0);
     assert_eq!(cluster.responses[&nobody], CoreResponse::Unavailable);
     complete_lease(&mut cluster, 0, 0, 50, None);
-    let more = acquire_lease(&mut cluster, 0, 9, 60);
+    let call = acquire_lease(&mut cluster, 0, 9, 60);
     cluster.deliver_everything();
-    assert_eq!(cluster.responses[&more], CoreResponse::LeaseGranted);
+    assert_eq!(cluster.responses[&call], CoreResponse::LeaseGranted);
 }
 
 #[test]
@@ -806,7 +806,7 @@
         (&CoreResponse::LeaseGranted, 2),
         "rebalanced only once"
     );
-    // The member in zone b is lost: the spare in zone a replaces it, until it is back.
+    // The member in zone b is lost: the spare in zone a replaces it, until that member is back.
     cluster.crash(2);
     for _ in 0..80 {
         cluster.now += 50 * MS;
--- a/storage/src/record_log/compaction.rs
+++ b/storage/src/record_log/compaction.rs
@@ -29,8 +29,8 @@
 ) -> Relocation {
     let no_relocation = Relocation { records: Vec::new(), compacted_bytes };
     let Some(oldest) = index.oldest() else { return no_relocation };
-    let is_done = oldest.live_records == 0 || compacted_bytes >= oldest.intact_bytes;
-    if !is_needed(index, limits) || oldest.number == target_segment || is_done {
+    let is_compacted = oldest.live_records == 0 || compacted_bytes >= oldest.intact_bytes;
+    if !needs_compaction(index, limits) || oldest.number == target_segment || is_compacted {
         return no_relocation;
     }
     let Ok(bytes) = read_next_frames(directory, &oldest, compacted_bytes, limits.compaction_step_bytes)
@@ -40,7 +40,7 @@
     relocate_frames(index, &oldest, compacted_bytes, &bytes)
 }
 
-fn is_needed(index: &SegmentIndex, limits: &LogLimits) -> bool {
+fn needs_compaction(index: &SegmentIndex, limits: &LogLimits) -> bool {
     let disk_bytes = index.disk_bytes();
     let live_bytes = index.live_bytes();
     let is_mostly_dead = disk_bytes > limits.quarter_live_above_bytes && disk_bytes / 4 > live_bytes;
--- a/storage/tests/frozen_data_dir.rs
+++ b/storage/tests/frozen_data_dir.rs
@@ -1,7 +1,7 @@
 //! The layout of a replica's data directory and the bytes of its files, compared with a directory that was written
 //! before types were renamed.
 //!
-//! A run with `WRITE_FIXTURES=1` writes the fixture anew and always fails, so that it can't be taken for a test.
+//! A run with `WRITE_FIXTURES=1` rewrites the fixture and always fails, so that it can't be taken for a test.
 
 mod temp_directory;
 
@@ -121,7 +121,7 @@
     SessionRecord { term, token: 78, accepted: Some(CommittedSession { term, token: 77, ownership }) }
 }
 
-/// The records of each write. The store is opened anew for each list of writes, which begins new segments.
+/// The records of each write. The store is reopened for each list of writes, which begins new segments.
 fn writes() -> [Vec<Vec<LogRecord>>; 2] {
     let mut first: Vec<Vec<LogRecord>> =
         (1..=6).map(|version| vec![LogRecord::Configuration(configuration(version))]).collect();
@@ -230,7 +230,7 @@
     assert_eq!(saved.sessions, sessions.map(SessionEntry::from));
     let versions: Vec<RegisterValue> = read_register_history(directory.path(), "members").expect("read");
     assert_eq!(versions, [2, 1].map(|version| RegisterValue::clone(&named("members", version).value)));
-    // Recovery writes the ballots once more and changes no name.
+    // Recovery rewrites the ballots and changes no name.
     assert_eq!(names(&files_of(directory.path())), FILES);
 }
 
