--- a/consensus/src/core/config.rs
+++ b/consensus/src/core/config.rs
@@ -1,4 +1,4 @@
-//! Settings of a replica, and what it starts with.
+//! Settings of a replica, and the options of its start.
 //!
 //! Main types: `Config`, `StartOptions`.
 //!
@@ -12,7 +12,7 @@
 /// Settings of one replica. All replicas should have the same, except for the zone.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// How long a lease is kept after a replica first stored it. Repeats of a request after that time run again.
+    /// How long a lease is kept after a replica first stored it. A request that is repeated later runs again.
     pub lease_ttl: Nanos,
     /// A member that was silent for this long may be replaced by another replica.
     pub member_timeout: Nanos,
@@ -30,7 +30,7 @@
     pub zone: String,
 }
 
-/// What a replica starts with.
+/// The options of a replica's start.
 #[derive(Debug)]
 pub struct StartOptions<'a> {
     /// The time of the start.
@@ -41,9 +41,9 @@
     pub address: SocketAddr,
     /// No replica of this cluster has ever run.
     pub first_start: bool,
-    /// The addresses of the first members. They receive heartbeats although they were never heard.
+    /// The addresses of the first members. They receive heartbeats even before they were heard.
     pub seeds: &'a [SocketAddr],
-    /// What the disk held.
+    /// The state that the disk held.
     pub saved: PersistedState,
     /// Settings.
     pub config: Config,
