--- a/balancer/src/mesh/control/admin_api/member_calls.rs
+++ b/balancer/src/mesh/control/admin_api/member_calls.rs
@@ -174,7 +174,7 @@
         settled.insert(member.clone(), document.clone());
     }
     let (configuration, register) = (&committed.configuration, &committed.member_register);
-    let plan = overlay::plan(configuration, register, &settled, member, document);
+    let plan = overlay::plan_change(configuration, register, &settled, member, document);
     // What is cut off others' documents is none of this member's business.
     let own_trims = plan.current_violations.iter().filter(|trim| trim.member == *member);
     json!({
@@ -236,7 +236,8 @@
         return Vec::new();
     };
     let own_document = documents.settled_documents().into_iter().filter(|(name, _)| name == member);
-    let effective = overlay::overlay(&configuration, &documents.member_register, &own_document.collect());
+    let effective =
+        overlay::apply_overlay(&configuration, &documents.member_register, &own_document.collect());
     effective.violations.iter().map(|violation| violation.violation.to_string()).collect()
 }
 
--- a/balancer/src/mesh/control/canary_monitor.rs
+++ b/balancer/src/mesh/control/canary_monitor.rs
@@ -15,7 +15,7 @@
 use ochreshed::Name;
 use ochreshed_catalog::overlay;
 use ochreshed_catalog::traffic_reports::{OutcomeCounts, RouteEdition};
-use ochreshed_traffic::canary::{RequestOutcomes, Verdict, verdict};
+use ochreshed_traffic::canary::{CanaryVerdict, RequestOutcomes, evaluate_canary};
 use tokio::time::{Instant, sleep};
 
 use super::member_changes::{self, CommittedMember, DocumentChange};
@@ -123,7 +123,7 @@
     let collected = server.collect_reports(server.clock.now()).await;
     let outcomes = collected.reports.outcome_totals(|_| true);
     let verdict = canary_verdict(&outcomes, &canary.member, canary.version, over);
-    if verdict == Verdict::Continue {
+    if verdict == CanaryVerdict::Continue {
         return;
     }
     let Ok(committed) = member_changes::load_committed(server, &canary.member).await else { return };
@@ -150,13 +150,13 @@
     server: &ReplicaServer,
     canary: &CanaryId,
     committed: &CommittedMember,
-    verdict: Verdict,
+    verdict: CanaryVerdict,
 ) -> Result<DocumentChange, MemberError> {
     let exceeds_limits = committed.state.running_canary().is_some_and(|document| {
         let (configuration, register) = (&committed.configuration, &committed.member_register);
-        !overlay::check(configuration, register, &canary.member, document).is_empty()
+        !overlay::check_document(configuration, register, &canary.member, document).is_empty()
     });
-    if verdict == Verdict::RollBack || exceeds_limits {
+    if verdict == CanaryVerdict::RollBack || exceeds_limits {
         member_changes::withdraw_canary(server, committed, &canary.member).await
     } else {
         member_changes::promote_canary(server, committed, &canary.member).await
@@ -170,11 +170,11 @@
     member: &str,
     version: u64,
     over: bool,
-) -> Verdict {
+) -> CanaryVerdict {
     let of_member = || outcomes.iter().filter(|(edition, _)| *edition.member == *member);
     let canary = of_member().filter(|(edition, _)| edition.canary && edition.version == version);
     let settled = of_member().filter(|(edition, _)| !edition.canary);
-    verdict(
+    evaluate_canary(
         sum_outcomes(canary.map(|(_, counts)| counts)),
         sum_outcomes(settled.map(|(_, counts)| counts)),
         over,
--- a/balancer/src/mesh/control/member_changes.rs
+++ b/balancer/src/mesh/control/member_changes.rs
@@ -172,7 +172,8 @@
     document: &MemberDocument,
     bytes: Vec<u8>,
 ) -> Result<DocumentChange, MemberError> {
-    let violations = overlay::check(&committed.configuration, &committed.member_register, member, document);
+    let violations =
+        overlay::check_document(&committed.configuration, &committed.member_register, member, document);
     if !violations.is_empty() {
         return Err(MemberError::invalid(violations));
     }
--- a/balancer/src/mesh/control/replica_server.rs
+++ b/balancer/src/mesh/control/replica_server.rs
@@ -145,7 +145,7 @@
 
     /// Asks the proxy of an upstream to drain it.
     pub fn request_drain(&self, inbound_proxy: SocketAddr, upstream_id: &str) {
-        let is_new = lock(&self.watches).table.drain(inbound_proxy, upstream_id);
+        let is_new = lock(&self.watches).table.request_drain(inbound_proxy, upstream_id);
         if is_new {
             self.notify_change();
         }
@@ -267,7 +267,7 @@
     async fn configuration_update(self: &Arc<Self>, known: Revision) -> Option<Arc<ConfigurationUpdate>> {
         let _encoding = self.encoding.lock().await;
         let server = self.clone();
-        tokio::task::spawn_blocking(move || server.updates.newest(known)).await.ok()?
+        tokio::task::spawn_blocking(move || server.updates.update_from(known)).await.ok()?
     }
 
     /// Answers a watch at once if there is something new for the watcher, otherwise when there is or after its maximal
--- a/balancer/src/mesh/control/tests/canary_monitor_tests.rs
+++ b/balancer/src/mesh/control/tests/canary_monitor_tests.rs
@@ -1,7 +1,7 @@
 //! The verdict on a canary.
 
 use ochreshed_catalog::traffic_reports::{OutcomeCounts, RouteEdition};
-use ochreshed_traffic::canary::Verdict;
+use ochreshed_traffic::canary::CanaryVerdict;
 
 use super::canary_verdict;
 
@@ -18,8 +18,8 @@
         ];
         [false, true].map(|over| canary_verdict(&outcomes.clone().into_iter().collect(), "a", 8, over))
     };
-    let promoted_at_the_end = [Verdict::Continue, Verdict::Promote];
-    assert_eq!(verdicts(counts(90, 10), counts(300, 3)), [Verdict::RollBack; 2]);
+    let promoted_at_the_end = [CanaryVerdict::Continue, CanaryVerdict::Promote];
+    assert_eq!(verdicts(counts(90, 10), counts(300, 3)), [CanaryVerdict::RollBack; 2]);
     assert_eq!(verdicts(counts(90, 10), counts(270, 30)), promoted_at_the_end, "no worse than before");
     assert_eq!(verdicts(counts(1, 1), counts(300, 0)), promoted_at_the_end, "too few");
     assert_eq!(verdicts(counts(0, 0), counts(0, 9)), promoted_at_the_end, "no requests");
--- a/balancer/src/mesh/proxy/connection_pool.rs
+++ b/balancer/src/mesh/proxy/connection_pool.rs
@@ -155,7 +155,7 @@
     /// Records a request that was reset before any byte of a response, on a connection that had been idle for this long, or on
     /// a new one. It is unknown whether the request ran; a shorter idle limit prevents further losses.
     fn record_lost_request(&self, idle_time: Option<Nanos>) {
-        if lock(&self.idle_limit).lost(self.clock.now(), idle_time) {
+        if lock(&self.idle_limit).record_loss(self.clock.now(), idle_time) {
             log::info!(
                 "idle connection was dropped by its peer, idle limit lowered: address={} idle_ms={}",
                 self.address,
@@ -403,7 +403,7 @@
 impl PacedBody {
     fn new(shaper: &Arc<LargeResponseShaper>, length: Option<u64>) -> Box<PacedBody> {
         let (announced_bytes, permits) = (length.unwrap_or(0), shaper.transmit_permits.clone());
-        shaper.pacer().begin(announced_bytes);
+        shaper.pacer().announce_response(announced_bytes);
         let transmit_permit =
             TransmitPermit::Pending(Box::pin(async move { permits.acquire_owned().await.ok() }));
         Box::new(PacedBody { shaper: shaper.clone(), announced_bytes, transmit_permit, delayed: None })
@@ -426,7 +426,7 @@
             let (now, chunk_bytes) = (self.shaper.clock.now(), chunk.len() as u64);
             let send_at = {
                 let mut pacer = self.shaper.pacer();
-                pacer.done(chunk_bytes.min(self.announced_bytes));
+                pacer.release_pending(chunk_bytes.min(self.announced_bytes));
                 self.announced_bytes = self.announced_bytes.saturating_sub(chunk_bytes);
                 pacer.reserve(now, chunk.len())
             };
@@ -444,7 +444,7 @@
 
 impl Drop for PacedBody {
     fn drop(&mut self) {
-        self.shaper.pacer().done(self.announced_bytes);
+        self.shaper.pacer().release_pending(self.announced_bytes);
     }
 }
 
--- a/balancer/src/mesh/proxy/control_plane_watch.rs
+++ b/balancer/src/mesh/proxy/control_plane_watch.rs
@@ -63,7 +63,7 @@
             Ok(InternalResponse::Watch(mut response)) => {
                 if let Some(RegisterList { digest, revisions }) = response.registers.take() {
                     if fetch_registers(&node, replica, revisions).await {
-                        watcher.registers_applied(replica, digest);
+                        watcher.record_applied_registers(replica, digest);
                     } else {
                         sleep(RETRY_INTERVAL).await;
                     }
@@ -80,7 +80,7 @@
                 apply_response(&node, (watch_index, replica), *response, suspected);
             }
             _ => {
-                watcher.request_failed(node.clock.now(), replica, has_configuration(), replicas.len());
+                watcher.record_failure(node.clock.now(), replica, has_configuration(), replicas.len());
                 reporter.request_finished(false);
                 node.watch_lost(watch_index);
                 sleep(RETRY_INTERVAL).await;
@@ -138,7 +138,7 @@
         let request = InternalRequest::Configuration(base_revision);
         let response = node.rpc.to(replica).call(request, FETCH_TIMEOUT).await;
         let Ok(InternalResponse::Configuration(Some(update))) = response else { break };
-        match update.open(base) {
+        match update.apply_to(base) {
             Ok(configuration) => {
                 node.apply_configuration(configuration);
                 break;
--- a/balancer/src/mesh/proxy/inbound.rs
+++ b/balancer/src/mesh/proxy/inbound.rs
@@ -272,7 +272,7 @@
         let run_time = (self.started_at > 0).then(|| now.saturating_sub(self.started_at));
         match &self.member {
             None => admission.release(run_time),
-            Some(member) => admission.release_for_member(member, run_time),
+            Some(member) => admission.release_member(member, run_time),
         }
         let granted = self.proxy.admit_waiting(&mut admission, now);
         drop(admission);
@@ -308,14 +308,14 @@
 impl UpstreamRun {
     fn finish(self, outcome: RunOutcome) {
         let now = self.proxy.clock.now();
-        lock(&self.proxy.health).end(now, self.run_id, outcome);
+        lock(&self.proxy.health).end_run(now, self.run_id, outcome);
         self.proxy.update_health(now);
     }
 }
 
 impl Drop for UpstreamRun {
     fn drop(&mut self) {
-        lock(&self.proxy.health).end(self.proxy.clock.now(), self.run_id, RunOutcome::Abandoned);
+        lock(&self.proxy.health).end_run(self.proxy.clock.now(), self.run_id, RunOutcome::Abandoned);
     }
 }
 
@@ -750,7 +750,7 @@
     /// Number of requests that run at the upstream or are queued. Outbound proxies get it with each response.
     pub fn load(&self) -> usize {
         let admission = lock(&self.admission);
-        admission.in_flight() as usize + admission.queued()
+        admission.in_flight() as usize + admission.queue_length()
     }
 
     /// Admits queued requests up to the concurrency limit. The caller delivers the permits after it releases the lock on the
@@ -812,7 +812,7 @@
                 target,
                 deadline,
             };
-            let decision = lock(&self.admission).request_for_member(
+            let decision = lock(&self.admission).request_member_admission(
                 now,
                 &admission_request,
                 member_share.as_ref(),
@@ -918,7 +918,7 @@
 
     /// Registers a run with the outlier detector.
     fn begin_run(self: &Arc<Self>, now: Nanos, class: RequestClass) -> UpstreamRun {
-        let run_id = lock(&self.health).begin(now, class);
+        let run_id = lock(&self.health).start_run(now, class);
         self.update_health(now);
         UpstreamRun { proxy: self.clone(), run_id }
     }
@@ -954,12 +954,14 @@
         let mean = *lock(&self.mean_large_bytes);
         let pending_bytes = self.pending_large.load(Relaxed) as f64 * mean;
         let pacer = self.large_response_shaper.pacer();
-        (pacer.wait(now) + pacer.transfer_time(pending_bytes), pacer.transfer_time(mean))
+        (pacer.queue_delay(now) + pacer.transfer_time(pending_bytes), pacer.transfer_time(mean))
     }
 
     /// Reports bytes that go to other nodes unpaced to the pacer.
     pub fn record_outgoing_bytes(&self, bytes: u64) {
-        self.large_response_shaper.pacer().note(self.clock.now(), bytes as usize + ESTIMATED_HEADER_BYTES);
+        self.large_response_shaper
+            .pacer()
+            .record_unpaced(self.clock.now(), bytes as usize + ESTIMATED_HEADER_BYTES);
     }
 
     /// The error is the current owner's term, if the session has moved to a later owner.
--- a/balancer/src/mesh/proxy/lease_client.rs
+++ b/balancer/src/mesh/proxy/lease_client.rs
@@ -58,12 +58,12 @@
 
     /// Records that a replica gave no usable response: others are preferred for a while.
     pub fn request_failed(&self, replica: SocketAddr) {
-        lock(&self.directory).failed(self.clock.now(), replica);
+        lock(&self.directory).mark_unresponsive(self.clock.now(), replica);
     }
 
     /// Records that a replica has responded.
     pub fn response_received(&self, replica: SocketAddr) {
-        lock(&self.directory).replied(replica);
+        lock(&self.directory).mark_responsive(replica);
     }
 
     /// The replicas in the order in which they are called for a key.
--- a/balancer/src/mesh/proxy/node.rs
+++ b/balancer/src/mesh/proxy/node.rs
@@ -113,7 +113,7 @@
             .into_iter()
             .map(|plan| (plan.key(), plan))
             .collect();
-        let shares = Arc::new(retry_shares::shares_of(&configuration));
+        let shares = Arc::new(retry_shares::member_shares(&configuration));
         AppliedConfiguration { configuration, plans, shares, editions }
     }
 
@@ -238,7 +238,9 @@
             records: Mutex::default(),
             suspected: ArcSwap::default(),
             schedulers: Mutex::default(),
-            outcomes: Mutex::new(OutcomeCounter::over(settings.bounds.retry_window.as_nanos() as Nanos)),
+            outcomes: Mutex::new(OutcomeCounter::with_window(
+                settings.bounds.retry_window.as_nanos() as Nanos
+            )),
             max_times_left: Mutex::default(),
             connection_pools: Mutex::default(),
             connection_permits: Arc::new(Semaphore::new(max_sockets / 4)),
@@ -606,7 +608,7 @@
 
     /// To be called when a watch has failed: the nodes that it reported as suspected are no longer suspected because of it.
     pub fn watch_lost(&self, watch_index: usize) {
-        lock(&self.records).watch_lost(watch_index);
+        lock(&self.records).clear_suspects(watch_index);
     }
 
     /// Updates the schedulers to the current configuration and endpoint records.
--- a/balancer/src/mesh/proxy/outbound.rs
+++ b/balancer/src/mesh/proxy/outbound.rs
@@ -196,7 +196,7 @@
     let token: LeaseToken = node.new_token();
     let now = node.clock.now();
     let time_left = in_flight.deadline.saturating_sub(now);
-    let wait = lock(&node.lease_breaker).wait(now, time_left, node.quorum_unreachable());
+    let wait = lock(&node.lease_breaker).max_wait(now, time_left, node.quorum_unreachable());
     let left_ms = (time_left / MS).min(u64::from(u32::MAX)) as u32;
     let timeout = Duration::from_nanos(wait);
     let response =
@@ -204,9 +204,9 @@
     match response {
         CoreResponse::Unavailable => {
             let ended_at = node.clock.now();
-            lock(&node.lease_breaker).unanswered(ended_at, ended_at - now);
+            lock(&node.lease_breaker).record_timeout(ended_at, ended_at - now);
         }
-        _ => lock(&node.lease_breaker).answered(),
+        _ => lock(&node.lease_breaker).record_answer(),
     }
     let complete = |outcome| {
         lease_client::complete_lease(node.replicas.clone(), node.rpc.clone(), (key, token), outcome)
--- a/balancer/src/mesh/proxy/request_scheduler.rs
+++ b/balancer/src/mesh/proxy/request_scheduler.rs
@@ -371,7 +371,9 @@
     pub fn set_pool(&self, pool: Option<&Arc<Mutex<RetryPool>>>) {
         let mut state = lock(&self.state);
         match pool {
-            Some(pool) => lock(pool).adopt(self.settings.plan.member.as_ref(), &state.retry_account),
+            Some(pool) => {
+                lock(pool).import_attempts(self.settings.plan.member.as_ref(), &state.retry_account)
+            }
             None if state.retry_pool.is_none() => return,
             None => {
                 let RetryLimits { ratio, floor, .. } = self.settings.retry_limits();
@@ -386,7 +388,7 @@
     fn update_retry_allowance(&self, state: &mut SchedulerState, now: Nanos) {
         let Some(pool) = &state.retry_pool else { return };
         let RetryLimits { ratio, floor, .. } = self.settings.retry_limits();
-        let remaining = lock(pool).remaining(now, self.settings.plan.member.as_ref(), ratio, floor);
+        let remaining = lock(pool).remaining_retries(now, self.settings.plan.member.as_ref(), ratio, floor);
         // The module's limit covers all retries that it has made since it was created, so these are added to what remains.
         let floor = remaining + f64::from(state.retry_account.policy_counts(now).retried);
         state.decision_module.set_retry_budget(0.0, floor);
@@ -459,7 +461,7 @@
         let now = self.clock.now();
         let attempts = RequestAttempts::new(self.settings.is_repeatable(&request.rule_set), request.deadline);
         if request.is_client_retry {
-            state.retry_account.nested_call_retried(now);
+            state.retry_account.record_nested_retry(now);
             self.count_in_pool(&state, now, AttemptCounts { retried: 1, ..AttemptCounts::default() });
         }
         self.update_retry_allowance(&mut state, now);
@@ -578,7 +580,7 @@
     /// To be called when an attempt is sent. Returns what it counts as: a first attempt or a retry.
     pub fn attempt_started(&self) -> AttemptCounts {
         let (mut state, now) = (lock(&self.scheduler.state), self.scheduler.clock.now());
-        let counted = state.retry_account.attempt_started(now, &self.attempts);
+        let counted = state.retry_account.record_attempt(now, &self.attempts);
         self.scheduler.count_in_pool(&state, now, counted);
         counted
     }
@@ -594,7 +596,7 @@
         load: Option<f64>,
     ) {
         let mut state = lock(&self.scheduler.state);
-        self.attempts.ended(outcome);
+        self.attempts.record_outcome(outcome);
         self.finished |= is_final;
         let now = self.scheduler.clock.now();
         self.scheduler.update_retry_allowance(&mut state, now);
@@ -607,7 +609,7 @@
     /// as: a denied retry, if any.
     pub fn finish(&mut self) -> AttemptCounts {
         self.finished = true;
-        lock(&self.scheduler.state).retry_account.request_given_up(self.scheduler.clock.now(), &self.attempts)
+        lock(&self.scheduler.state).retry_account.record_give_up(self.scheduler.clock.now(), &self.attempts)
     }
 }
 
--- a/balancer/src/mesh/proxy/scheduler_set.rs
+++ b/balancer/src/mesh/proxy/scheduler_set.rs
@@ -125,7 +125,7 @@
         let mut counts: HashMap<Name, AttemptCounts> = HashMap::new();
         for (key, scheduler) in &self.schedulers {
             let sum = counts.entry(key.service.clone()).or_default();
-            *sum = sum.and(scheduler.attempt_counts());
+            *sum = sum.saturating_add(scheduler.attempt_counts());
         }
         counts
     }
--- a/balancer/src/mesh/proxy/tests/inbound_tests.rs
+++ b/balancer/src/mesh/proxy/tests/inbound_tests.rs
@@ -205,7 +205,7 @@
     wait_for_requests_in_flight(&proxy, 4).await;
     respond(hanging.remove(0)).await;
     assert_eq!(runs.remove(0).await.expect("no panic"), "ran");
-    assert_eq!((proxy.load(), lock(&proxy.admission).queued()), (3, 2));
+    assert_eq!((proxy.load(), lock(&proxy.admission).queue_length()), (3, 2));
     respond(hanging.remove(0)).await;
     for id in ["f", "c"] {
         let received = accept_request(&upstream).await;
--- a/balancer/src/mesh/proxy/tests/outbound_tests.rs
+++ b/balancer/src/mesh/proxy/tests/outbound_tests.rs
@@ -11,7 +11,7 @@
 use ochreshed_catalog::configuration::Configuration;
 use ochreshed_catalog::endpoints::{EndpointRecord, UpstreamState};
 use ochreshed_catalog::members::{MemberDocument, MemberRegister};
-use ochreshed_catalog::overlay::overlay;
+use ochreshed_catalog::overlay::apply_overlay;
 use ochreshed_catalog::traffic_reports::{OutcomeCounts, RouteEdition};
 use ochreshed_consensus::messages::{CoreRequest, CoreResponse, LeaseOutcome, RegisterValue, StoredResponse};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -160,7 +160,7 @@
         (Name::from(*name), Arc::new(MemberDocument::read(text.as_bytes()).expect("a document")))
     };
     let base = Configuration::read(&configuration().bytes).expect("a configuration");
-    let overlaid = overlay(&base, &register, &members.iter().map(document).collect());
+    let overlaid = apply_overlay(&base, &register, &members.iter().map(document).collect());
     assert_eq!(overlaid.violations, []);
     AppliedConfiguration::new(
         overlaid.configuration,
--- a/balancer/src/mesh/rpc.rs
+++ b/balancer/src/mesh/rpc.rs
@@ -16,7 +16,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use ochreshed_catalog::internal_rpc::{Frame, MAX_FRAME_BYTES, encode};
+use ochreshed_catalog::internal_rpc::{Frame, MAX_FRAME_BYTES, encode_frame};
 pub use ochreshed_catalog::internal_rpc::{InternalRequest, InternalResponse, WatchRequest, WatchResponse};
 use ochreshed_consensus::messages::Message;
 use serde::de::DeserializeOwned;
@@ -125,7 +125,7 @@
         let work = async {
             let open = self.open().await.ok_or(RpcError::NotSent)?;
             let id = self.ids.fetch_add(1, Relaxed);
-            let bytes = encode(&Frame { id, payload: ask }).ok_or(RpcError::NotSent)?;
+            let bytes = encode_frame(&Frame { id, payload: ask }).ok_or(RpcError::NotSent)?;
             let (reply, replied) = oneshot::channel();
             lock(&open.pending).insert(id, reply);
             let _waits = PendingReply { id, pending: open.pending.clone() };
@@ -137,7 +137,8 @@
 
     /// Sends a message between replicas, which may be lost: if the queue is full or no connection comes up, it is dropped.
     pub fn post(self: &Arc<Self>, letter: Message) {
-        let Some(bytes) = encode(&Frame { id: 0, payload: InternalRequest::ReplicaMessage(letter) }) else {
+        let Some(bytes) = encode_frame(&Frame { id: 0, payload: InternalRequest::ReplicaMessage(letter) })
+        else {
             return;
         };
         let open = lock(&self.open).clone().filter(|open| !open.frames.is_closed());
@@ -259,7 +260,7 @@
         }
         while calls.try_join_next().is_some() {}
         calls.spawn(async move {
-            if let Some(bytes) = reply.await.and_then(|say| encode(&Frame { id, payload: say })) {
+            if let Some(bytes) = reply.await.and_then(|say| encode_frame(&Frame { id, payload: say })) {
                 let _ = frames.send(bytes).await;
             }
         });
--- a/balancer/src/mesh/shared/member_documents.rs
+++ b/balancer/src/mesh/shared/member_documents.rs
@@ -175,7 +175,7 @@
             editions.insert(member.clone(), MemberEdition { version: document.version, canary });
             documents.insert(member.clone(), document.clone());
         }
-        let effective = overlay::overlay(base, &self.member_register, &documents);
+        let effective = overlay::apply_overlay(base, &self.member_register, &documents);
         NodeConfiguration { effective, editions }
     }
 
--- a/catalog/src/configuration.rs
+++ b/catalog/src/configuration.rs
@@ -7,11 +7,11 @@
 
 pub(crate) mod differences;
 pub(crate) mod document;
+pub(crate) mod field_names;
 mod model;
 pub(crate) mod read;
 pub(crate) mod refusal;
 mod routing;
-pub(crate) mod words;
 
 pub use differences::{differences, differences_by_location};
 pub use model::{Limits, MemberShares, Name, RepeatPolicy, Route, Service, WeightedService};
--- a/catalog/src/configuration/differences.rs
+++ b/catalog/src/configuration/differences.rs
@@ -5,10 +5,10 @@
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 
+use super::field_names;
 use super::model::{Limits, Name, Route, Service};
 use super::read::repeat_policy_word;
 use super::routing::Configuration;
-use super::words;
 
 /// What changes from one configuration to another, one line for each field.
 pub fn differences(old: &Configuration, new: &Configuration) -> Vec<String> {
@@ -59,7 +59,7 @@
 
     /// The version of a document.
     pub(crate) fn version(version: u64) -> DisplayedField {
-        DisplayedField::new(words::VERSION, format!("r{version}"))
+        DisplayedField::new(field_names::VERSION, format!("r{version}"))
     }
 }
 
@@ -145,17 +145,18 @@
     let services: Vec<String> =
         route.services.iter().map(|service| format!("{} {}", service.name, service.weight)).collect();
     let mut fields = vec![
-        DisplayedField::new(words::HOST, &route.host),
-        DisplayedField::new(words::PREFIX, &route.prefix),
-        DisplayedField::new(words::REPEAT_POLICY, repeat_policy_word(route.repeat_policy)),
-        DisplayedField::new(words::DEADLINE, route.deadline_ms),
-        DisplayedField::new(words::LATENCY_TARGET, route.latency_target_ms),
-        DisplayedField::new(words::PRIORITY, route.priority),
-        DisplayedField::new(words::MAX_ATTEMPTS, route.max_attempts),
+        DisplayedField::new(field_names::HOST, &route.host),
+        DisplayedField::new(field_names::PREFIX, &route.prefix),
+        DisplayedField::new(field_names::REPEAT_POLICY, repeat_policy_word(route.repeat_policy)),
+        DisplayedField::new(field_names::DEADLINE, route.deadline_ms),
+        DisplayedField::new(field_names::LATENCY_TARGET, route.latency_target_ms),
+        DisplayedField::new(field_names::PRIORITY, route.priority),
+        DisplayedField::new(field_names::MAX_ATTEMPTS, route.max_attempts),
         DisplayedField::new("lines", format!("[{}]", services.join(", "))),
     ];
-    fields
-        .extend(route.session_header.iter().map(|header| DisplayedField::new(words::SESSION_HEADER, header)));
+    fields.extend(
+        route.session_header.iter().map(|header| DisplayedField::new(field_names::SESSION_HEADER, header)),
+    );
     fields
 }
 
@@ -164,23 +165,23 @@
     let member = route.share.as_ref().map_or("-", |share| &share.member);
     let mut fields = vec![DisplayedField::new("member", member), DisplayedField::new("name", &route.name)];
     fields.extend(route_fields(route));
-    fields.retain(|field| ![words::HOST, words::PREFIX].contains(&field.name));
+    fields.retain(|field| ![field_names::HOST, field_names::PREFIX].contains(&field.name));
     fields
 }
 
 fn service_fields(service: &Service) -> Vec<DisplayedField> {
     vec![
-        DisplayedField::new(words::HEALTH_PATH, &service.health_path),
-        DisplayedField::new(words::MAX_CONNECTIONS, service.max_connections),
-        DisplayedField::new(words::DEDUPLICATES, service.deduplicates),
+        DisplayedField::new(field_names::HEALTH_PATH, &service.health_path),
+        DisplayedField::new(field_names::MAX_CONNECTIONS, service.max_connections),
+        DisplayedField::new(field_names::DEDUPLICATES, service.deduplicates),
     ]
 }
 
 fn limit_fields(limits: &Limits) -> Vec<DisplayedField> {
     vec![
-        DisplayedField::new(words::MAX_HEADER_BYTES, limits.max_header_bytes),
-        DisplayedField::new(words::MAX_BODY_BYTES, limits.max_body_bytes),
-        DisplayedField::new(words::HEADER_TIMEOUT, limits.header_timeout_ms),
-        DisplayedField::new(words::IDLE_TIMEOUT, limits.idle_timeout_ms),
+        DisplayedField::new(field_names::MAX_HEADER_BYTES, limits.max_header_bytes),
+        DisplayedField::new(field_names::MAX_BODY_BYTES, limits.max_body_bytes),
+        DisplayedField::new(field_names::HEADER_TIMEOUT, limits.header_timeout_ms),
+        DisplayedField::new(field_names::IDLE_TIMEOUT, limits.idle_timeout_ms),
     ]
 }
--- a/catalog/src/configuration/document.rs
+++ b/catalog/src/configuration/document.rs
@@ -12,9 +12,9 @@
 
 use jzon::JsonValue;
 
+use super::field_names;
 use super::model::Name;
 use super::refusal::{Refusal, RefusalReason, escaped_name, quoted};
-use super::words;
 
 /// The greatest size of a document.
 const MAX_DOCUMENT_BYTES: usize = 32 << 20;
@@ -206,7 +206,7 @@
         if !document.is_object() {
             return self.refuse(RefusalReason::WrongType("an object"), || "document".into());
         }
-        let version = self.version(field(document, words::VERSION));
+        let version = self.version(field(document, field_names::VERSION));
         let Some(entries) = field(document, list) else {
             return self.refuse(RefusalReason::Missing, || list.into());
         };
@@ -220,7 +220,7 @@
     }
 
     fn version(&mut self, value: Option<&JsonValue>) -> Option<u64> {
-        let location = || words::VERSION.to_string();
+        let location = || field_names::VERSION.to_string();
         let Some(value) = value else { return self.refuse(RefusalReason::Missing, location) };
         let Some(text) = value.as_str() else {
             return self.refuse(RefusalReason::WrongType("text"), location);
--- a/catalog/src/configuration/read.rs
+++ b/catalog/src/configuration/read.rs
@@ -11,10 +11,10 @@
 use jzon::JsonValue;
 
 use super::document::{DocumentEntries, DocumentReader, Entry, MAX_ENTRIES, field, read_document};
+use super::field_names;
 use super::model::{Limits, Name, RepeatPolicy, Route, Service, WeightedService};
 use super::refusal::{Refusal, RefusalReason, quoted};
 use super::routing::{Configuration, normalized_host};
-use super::words;
 
 const MAX_WEIGHTED_SERVICES: usize = 1_000;
 const MAX_SESSION_HEADER_BYTES: usize = 64;
@@ -190,22 +190,27 @@
     known_services: Option<&HashSet<Name>>,
 ) -> Option<Route> {
     // Each field is read before any is missed, so that all errors are told.
-    let host = read_host(reader, entry, words::HOST, entry.get(words::HOST));
-    let prefix = read_prefix(reader, entry, words::PREFIX, entry.get(words::PREFIX));
+    let host = read_host(reader, entry, field_names::HOST, entry.get(field_names::HOST));
+    let prefix = read_prefix(reader, entry, field_names::PREFIX, entry.get(field_names::PREFIX));
     let repeat_policy = read_repeat_policy(reader, entry);
-    let deadline_ms = reader.duration_ms(entry, words::DEADLINE, entry.get(words::DEADLINE));
-    let latency_target_ms = match entry.get(words::LATENCY_TARGET) {
+    let deadline_ms = reader.duration_ms(entry, field_names::DEADLINE, entry.get(field_names::DEADLINE));
+    let latency_target_ms = match entry.get(field_names::LATENCY_TARGET) {
         None => deadline_ms,
-        target => reader.duration_ms(entry, words::LATENCY_TARGET, target),
+        target => reader.duration_ms(entry, field_names::LATENCY_TARGET, target),
     };
-    let priority = match entry.get(words::PRIORITY) {
+    let priority = match entry.get(field_names::PRIORITY) {
         None => Some(0),
-        class => reader.whole_number(entry, words::PRIORITY, class, 0, u32::MAX.into()),
+        class => reader.whole_number(entry, field_names::PRIORITY, class, 0, u32::MAX.into()),
     };
-    let max_attempts =
-        reader.whole_number(entry, words::MAX_ATTEMPTS, entry.get(words::MAX_ATTEMPTS), 1, u32::MAX.into());
+    let max_attempts = reader.whole_number(
+        entry,
+        field_names::MAX_ATTEMPTS,
+        entry.get(field_names::MAX_ATTEMPTS),
+        1,
+        u32::MAX.into(),
+    );
     let services = read_services(reader, entry, known_services);
-    let session_header = match entry.get(words::SESSION_HEADER) {
+    let session_header = match entry.get(field_names::SESSION_HEADER) {
         None => Some(None),
         header => read_session_header(reader, entry, header).map(Some),
     };
@@ -230,7 +235,7 @@
     entry: &Entry,
     value: Option<&JsonValue>,
 ) -> Option<Name> {
-    const FIELD: &str = words::SESSION_HEADER;
+    const FIELD: &str = field_names::SESSION_HEADER;
     let text = reader.name(entry, FIELD, value)?.to_ascii_lowercase();
     let is_token_byte = |byte: u8| byte.is_ascii_alphanumeric() || b"!#$%&'*+-.^_`|~".contains(&byte);
     if text.is_empty() || text.len() > MAX_SESSION_HEADER_BYTES || !text.bytes().all(is_token_byte) {
@@ -274,7 +279,7 @@
 
 /// Reads the path of a health check, which goes into the first line of a request as it is.
 fn read_health_path(reader: &mut DocumentReader, entry: &Entry) -> Option<String> {
-    const FIELD: &str = words::HEALTH_PATH;
+    const FIELD: &str = field_names::HEALTH_PATH;
     let text = read_path(reader, entry, FIELD, entry.get(FIELD))?;
     if !text.bytes().all(|byte| byte.is_ascii_graphic()) {
         return reader.refuse_field(entry, FIELD, RefusalReason::InvalidPath);
@@ -299,7 +304,7 @@
 }
 
 fn read_repeat_policy(reader: &mut DocumentReader, entry: &Entry) -> Option<RepeatPolicy> {
-    const FIELD: &str = words::REPEAT_POLICY;
+    const FIELD: &str = field_names::REPEAT_POLICY;
     let text = reader.text(entry, FIELD, entry.get(FIELD))?;
     repeat_policy(text)
         .or_else(|| reader.refuse_field(entry, FIELD, RefusalReason::UnknownRouteKind(quoted(text))))
@@ -312,14 +317,14 @@
     entry: &Entry,
     known_services: Option<&HashSet<Name>>,
 ) -> Option<Vec<WeightedService>> {
-    let (line, split) = (entry.get(words::SINGLE_SERVICE), entry.get(words::WEIGHTED_SERVICES));
+    let (line, split) = (entry.get(field_names::SINGLE_SERVICE), entry.get(field_names::WEIGHTED_SERVICES));
     if line.is_none() && split.is_none() {
         return reader.refuse_field(entry, "", RefusalReason::NoService);
     }
     let single = match line {
         None => None,
         line => {
-            let name = read_service_name(reader, entry, words::SINGLE_SERVICE, line, known_services)?;
+            let name = read_service_name(reader, entry, field_names::SINGLE_SERVICE, line, known_services)?;
             Some(WeightedService { name, weight: 1.0 })
         }
     };
@@ -351,7 +356,7 @@
     value: &JsonValue,
     known_services: Option<&HashSet<Name>>,
 ) -> Option<Vec<WeightedService>> {
-    const FIELD: &str = words::WEIGHTED_SERVICES;
+    const FIELD: &str = field_names::WEIGHTED_SERVICES;
     let Some(parts) = value.as_array() else {
         return reader.refuse_field(entry, FIELD, RefusalReason::WrongType("a list"));
     };
@@ -398,7 +403,7 @@
         reader,
         entry,
         &format!("{path}.line"),
-        field(part, words::SINGLE_SERVICE),
+        field(part, field_names::SINGLE_SERVICE),
         known_services,
     );
     let weight = reader.number(entry, &format!("{path}.share"), field(part, "share"), MAX_WEIGHT);
@@ -409,15 +414,15 @@
     let health_path = read_health_path(reader, entry);
     let max_connections = reader.whole_number(
         entry,
-        words::MAX_CONNECTIONS,
-        entry.get(words::MAX_CONNECTIONS),
+        field_names::MAX_CONNECTIONS,
+        entry.get(field_names::MAX_CONNECTIONS),
         1,
         u32::MAX.into(),
     );
-    let deduplicates = match entry.get(words::DEDUPLICATES) {
+    let deduplicates = match entry.get(field_names::DEDUPLICATES) {
         None => Some(false),
         Some(value) => value.as_bool().or_else(|| {
-            reader.refuse_field(entry, words::DEDUPLICATES, RefusalReason::WrongType("true or false"))
+            reader.refuse_field(entry, field_names::DEDUPLICATES, RefusalReason::WrongType("true or false"))
         }),
     };
     Some(Service {
@@ -431,20 +436,20 @@
 /// Reads the limits. A field that is invalid is refused, and its default stands in for it.
 fn read_limits(reader: &mut DocumentReader, entry: &Entry) -> Limits {
     let mut limits = Limits::default();
-    if let size @ Some(_) = entry.get(words::MAX_HEADER_BYTES) {
-        let read = reader.whole_number(entry, words::MAX_HEADER_BYTES, size, 1, MAX_SIZE_BYTES);
+    if let size @ Some(_) = entry.get(field_names::MAX_HEADER_BYTES) {
+        let read = reader.whole_number(entry, field_names::MAX_HEADER_BYTES, size, 1, MAX_SIZE_BYTES);
         limits.max_header_bytes = read.unwrap_or(limits.max_header_bytes);
     }
-    if let size @ Some(_) = entry.get(words::MAX_BODY_BYTES) {
-        let read = reader.whole_number(entry, words::MAX_BODY_BYTES, size, 0, MAX_SIZE_BYTES);
+    if let size @ Some(_) = entry.get(field_names::MAX_BODY_BYTES) {
+        let read = reader.whole_number(entry, field_names::MAX_BODY_BYTES, size, 0, MAX_SIZE_BYTES);
         limits.max_body_bytes = read.unwrap_or(limits.max_body_bytes);
     }
-    if let time @ Some(_) = entry.get(words::HEADER_TIMEOUT) {
-        let read = reader.duration_ms(entry, words::HEADER_TIMEOUT, time);
+    if let time @ Some(_) = entry.get(field_names::HEADER_TIMEOUT) {
+        let read = reader.duration_ms(entry, field_names::HEADER_TIMEOUT, time);
         limits.header_timeout_ms = read.unwrap_or(limits.header_timeout_ms);
     }
-    if let time @ Some(_) = entry.get(words::IDLE_TIMEOUT) {
-        let read = reader.duration_ms(entry, words::IDLE_TIMEOUT, time);
+    if let time @ Some(_) = entry.get(field_names::IDLE_TIMEOUT) {
+        let read = reader.duration_ms(entry, field_names::IDLE_TIMEOUT, time);
         limits.idle_timeout_ms = read.unwrap_or(limits.idle_timeout_ms);
     }
     limits
--- a/catalog/src/configuration/routing.rs
+++ b/catalog/src/configuration/routing.rs
@@ -90,7 +90,7 @@
     }
 
     /// Whether a request for this host and path may run at this service.
-    pub fn allows(&self, host: &str, path: &str, service: &str) -> bool {
+    pub fn allows_service(&self, host: &str, path: &str, service: &str) -> bool {
         self.route(host, path).is_some_and(|route| {
             route.services.iter().any(|weighted| &*weighted.name == service && weighted.weight > 0.0)
         })
--- a/catalog/src/configuration_update.rs
+++ b/catalog/src/configuration_update.rs
@@ -1,7 +1,7 @@
 //! Configurations on their way from the control plane to nodes, compressed and as differences.
 //!
 //! A replica keeps the newest configurations in an [`UpdateCache`] and makes one [`ConfigurationUpdate`] for all nodes that
-//! have the same version. A node makes the new configuration out of the one it has with [`ConfigurationUpdate::open`].
+//! have the same version. A node makes the new configuration out of the one it has with [`ConfigurationUpdate::apply_to`].
 //!
 //! Invariants: an update never opens to another configuration than the one that was committed, which is checked by its
 //! digest.
@@ -57,7 +57,7 @@
     /// The update to a configuration from an older one, or to the whole of it where there is none.
     fn new(configuration: &RegisterValue, base: Option<&RegisterValue>) -> Option<ConfigurationUpdate> {
         let ops = match base {
-            Some(base) => delta::between(&base.bytes, &configuration.bytes),
+            Some(base) => delta::compute_delta(&base.bytes, &configuration.bytes),
             None => vec![DeltaOp::Insert(configuration.bytes.clone())],
         };
         let mut encoded = Vec::new();
@@ -72,14 +72,14 @@
     }
 
     /// The configuration that the update makes out of the one that is here.
-    pub fn open(&self, current: Option<&RegisterValue>) -> Result<RegisterValue, UpdateError> {
+    pub fn apply_to(&self, current: Option<&RegisterValue>) -> Result<RegisterValue, UpdateError> {
         let old = match current {
             _ if self.base == Revision::NONE => &[][..],
             Some(current) if current.revision() == self.base => &current.bytes,
             _ => return Err(UpdateError::BaseMismatch),
         };
         let Revision { version, digest } = self.revision;
-        let bytes = delta::apply(old, &self.ops()?, digest).ok_or(UpdateError::Corrupt)?;
+        let bytes = delta::apply_delta(old, &self.ops()?, digest).ok_or(UpdateError::Corrupt)?;
         Ok(RegisterValue { version, digest, bytes })
     }
 
@@ -141,7 +141,7 @@
     /// The update to the newest configuration for a node that has the one of this revision; none if that is the newest.
     ///
     /// Takes time where no node with this revision has asked before, so that it should not run where others wait.
-    pub fn newest(&self, current: Revision) -> Option<Arc<ConfigurationUpdate>> {
+    pub fn update_from(&self, current: Revision) -> Option<Arc<ConfigurationUpdate>> {
         let (configuration, base) = {
             let state = self.lock();
             let configuration = state.configurations.back().filter(|newest| newest.revision() > current)?;
--- a/catalog/src/delta.rs
+++ b/catalog/src/delta.rs
@@ -1,10 +1,10 @@
 //! The difference between two texts: the operations that make the new one out of the old one.
 //!
 //! Both texts are cut into chunks at boundaries that depend on the bytes before them, so that a change moves only the
-//! boundaries near it. [`between`] finds the chunks of the new text in the old one, and [`apply`] puts the new text
+//! boundaries near it. [`compute_delta`] finds the chunks of the new text in the old one, and [`apply_delta`] puts the new text
 //! together.
 //!
-//! Invariants: [`apply`] never returns a text with another digest than the one that is meant.
+//! Invariants: [`apply_delta`] never returns a text with another digest than the one that is meant.
 
 use std::collections::HashMap;
 
@@ -15,7 +15,7 @@
 const BOUNDARY_MASK: u64 = 0xFF00_0000_0000_0000;
 const MIN_CHUNK_BYTES: usize = 64;
 const MAX_CHUNK_BYTES: usize = 2_048;
-/// The greatest size of a text that [`apply`] makes.
+/// The greatest size of a text that [`apply_delta`] makes.
 const MAX_TEXT_BYTES: usize = 64 << 20;
 
 /// An operation that makes the next bytes of the new text.
@@ -104,7 +104,7 @@
 }
 
 /// The operations that make `new` out of `old`.
-pub fn between(old: &[u8], new: &[u8]) -> Vec<DeltaOp> {
+pub fn compute_delta(old: &[u8], new: &[u8]) -> Vec<DeltaOp> {
     let old_chunks: HashMap<u64, Chunk> = chunks(old).map(|chunk| (xxh3_64(chunk.bytes), chunk)).collect();
     let mut ops: Vec<DeltaOp> = Vec::new();
     for chunk in chunks(new) {
@@ -144,7 +144,7 @@
 /// The text that the operations make out of `old`. None where an operation does not fit it, or the new text is longer
 /// than 64 MiB or has another digest.
 #[must_use]
-pub fn apply(old: &[u8], ops: &[DeltaOp], digest: u64) -> Option<Vec<u8>> {
+pub fn apply_delta(old: &[u8], ops: &[DeltaOp], digest: u64) -> Option<Vec<u8>> {
     let mut new = Vec::new();
     for op in ops {
         let bytes = match op {
--- a/catalog/src/endpoints.rs
+++ b/catalog/src/endpoints.rs
@@ -232,7 +232,7 @@
 
     /// Takes an operator's request to drain an upstream, directly or from another replica. Returns whether it is new; it
     /// then goes to readers with the record.
-    pub fn drain(&mut self, inbound_proxy: SocketAddr, upstream_id: &str) -> bool {
+    pub fn request_drain(&mut self, inbound_proxy: SocketAddr, upstream_id: &str) -> bool {
         let is_new = self.entries.get(&inbound_proxy).is_some_and(|entry| {
             !upstream_id.is_empty()
                 && entry.record.may_be_upstream(upstream_id)
@@ -277,7 +277,7 @@
     }
 
     /// The records that changed after a position; all of them where it is a position of another table.
-    pub fn since(&self, position: TablePosition) -> Vec<EndpointRecord> {
+    pub fn records_since(&self, position: TablePosition) -> Vec<EndpointRecord> {
         self.entries_since(position).map(|entry| entry.record.clone()).collect()
     }
 
--- a/catalog/src/internal_rpc.rs
+++ b/catalog/src/internal_rpc.rs
@@ -1,6 +1,6 @@
 //! The requests and responses between the system's own processes, and their frames.
 //!
-//! A process sends an [`InternalRequest`] and gets an [`InternalResponse`]; each goes in a [`Frame`] that [`encode`] writes
+//! A process sends an [`InternalRequest`] and gets an [`InternalResponse`]; each goes in a [`Frame`] that [`encode_frame`] writes
 //! as CBOR after its length. [`WatchRequest`] and [`WatchResponse`] carry all that changes often: endpoint records, the
 //! versions of the configuration and of registers, suspects, drains and reports.
 //!
@@ -318,7 +318,7 @@
 /// The bytes of a frame: its length as four bytes in network order, then CBOR. None where it would be longer than
 /// [`MAX_FRAME_BYTES`].
 #[must_use]
-pub fn encode<T: Serialize>(frame: &T) -> Option<Vec<u8>> {
+pub fn encode_frame<T: Serialize>(frame: &T) -> Option<Vec<u8>> {
     const LENGTH_BYTES: usize = size_of::<u32>();
     let mut bytes = vec![0; LENGTH_BYTES];
     ciborium::into_writer(frame, &mut bytes).ok()?;
--- a/catalog/src/members.rs
+++ b/catalog/src/members.rs
@@ -12,7 +12,7 @@
 use std::sync::Arc;
 
 use crate::configuration::differences::{DisplayedField, pair_by_key, push_differences};
-use crate::configuration::{Name, Route, words};
+use crate::configuration::{Name, Route, field_names};
 
 pub use read::{MAX_MEMBERS, MAX_ROUTES};
 
@@ -143,16 +143,16 @@
     let key: String = member.key_sha256.iter().take(4).map(|byte| format!("{byte:02x}")).collect();
     let limits = &member.limits;
     vec![
-        DisplayedField::new(words::KEY_DIGEST, format!("{key}...")),
-        DisplayedField::new(words::SCOPES, list(scopes)),
-        DisplayedField::new(words::ALLOWED_SERVICES, list(services)),
-        DisplayedField::new(words::MAX_ROUTES, limits.max_routes),
-        DisplayedField::new(words::MAX_ATTEMPTS, limits.max_attempts),
-        DisplayedField::new(words::DEADLINE, limits.max_deadline_ms),
-        DisplayedField::new(words::HIGHEST_PRIORITY, limits.highest_priority),
-        DisplayedField::new(words::RETRY_SHARE, limits.retry_share),
-        DisplayedField::new(words::CONCURRENCY_SHARE, limits.concurrency_share),
-        DisplayedField::new(words::CHANGES_PER_MINUTE, limits.changes_per_minute),
-        DisplayedField::new(words::CANARY_DURATION, limits.canary_duration_s),
+        DisplayedField::new(field_names::KEY_DIGEST, format!("{key}...")),
+        DisplayedField::new(field_names::SCOPES, list(scopes)),
+        DisplayedField::new(field_names::ALLOWED_SERVICES, list(services)),
+        DisplayedField::new(field_names::MAX_ROUTES, limits.max_routes),
+        DisplayedField::new(field_names::MAX_ATTEMPTS, limits.max_attempts),
+        DisplayedField::new(field_names::DEADLINE, limits.max_deadline_ms),
+        DisplayedField::new(field_names::HIGHEST_PRIORITY, limits.highest_priority),
+        DisplayedField::new(field_names::RETRY_SHARE, limits.retry_share),
+        DisplayedField::new(field_names::CONCURRENCY_SHARE, limits.concurrency_share),
+        DisplayedField::new(field_names::CHANGES_PER_MINUTE, limits.changes_per_minute),
+        DisplayedField::new(field_names::CANARY_DURATION, limits.canary_duration_s),
     ]
 }
--- a/catalog/src/members/read.rs
+++ b/catalog/src/members/read.rs
@@ -14,7 +14,7 @@
 };
 use crate::configuration::read::{read_host, read_prefix, read_route};
 use crate::configuration::refusal::escaped_name;
-use crate::configuration::{Name, Refusal, RefusalReason, words};
+use crate::configuration::{Name, Refusal, RefusalReason, field_names};
 
 /// The most members of a register.
 pub const MAX_MEMBERS: usize = 1_000;
@@ -41,22 +41,22 @@
 }
 
 fn read_member_document(reader: &mut DocumentReader, document: &JsonValue) -> Option<MemberDocument> {
-    let DocumentEntries { version, entries } = reader.entries(document, words::ROUTES, MAX_ENTRIES)?;
+    let DocumentEntries { version, entries } = reader.entries(document, field_names::ROUTES, MAX_ENTRIES)?;
     let whole_document = Entry::new("", 0, document);
     // An invalid share is refused, and the routes are read all the same.
-    let canary_share = match whole_document.get(words::CANARY_SHARE) {
+    let canary_share = match whole_document.get(field_names::CANARY_SHARE) {
         None => None,
-        share => read_share(reader, &whole_document, words::CANARY_SHARE, share),
+        share => read_share(reader, &whole_document, field_names::CANARY_SHARE, share),
     };
     let mut routes = Vec::with_capacity(entries.len());
     let mut locations = HashMap::new();
     for (index, value) in entries.iter().enumerate() {
-        let Some(entry) = read_named_entry(reader, words::ROUTES, index, value) else { continue };
+        let Some(entry) = read_named_entry(reader, field_names::ROUTES, index, value) else { continue };
         let Some(route) = read_route(reader, &entry, None) else { continue };
         match locations.insert(route.location(), index) {
             Some(other) => {
-                let reason = RefusalReason::Duplicate { list: words::ROUTES, entry: other };
-                reader.refuse_field::<()>(&entry, words::PREFIX, reason);
+                let reason = RefusalReason::Duplicate { list: field_names::ROUTES, entry: other };
+                reader.refuse_field::<()>(&entry, field_names::PREFIX, reason);
             }
             None => routes.push(Arc::new(route)),
         }
@@ -65,16 +65,16 @@
 }
 
 fn read_register(reader: &mut DocumentReader, document: &JsonValue) -> Option<MemberRegister> {
-    let DocumentEntries { version, entries } = reader.entries(document, words::MEMBERS, MAX_MEMBERS)?;
+    let DocumentEntries { version, entries } = reader.entries(document, field_names::MEMBERS, MAX_MEMBERS)?;
     let mut members: BTreeMap<Name, Arc<Member>> = BTreeMap::new();
     let mut indices: HashMap<Name, usize> = HashMap::new();
     let mut scopes = ScopeOwners::default();
     let mut allowed_routes = 0;
     for (index, value) in entries.iter().enumerate() {
-        let Some(entry) = read_named_entry(reader, words::MEMBERS, index, value) else { continue };
+        let Some(entry) = read_named_entry(reader, field_names::MEMBERS, index, value) else { continue };
         let Some(member) = read_member(reader, &entry) else { continue };
         if let Some(other) = indices.insert(member.name.clone(), index) {
-            let reason = RefusalReason::Duplicate { list: words::MEMBERS, entry: other };
+            let reason = RefusalReason::Duplicate { list: field_names::MEMBERS, entry: other };
             reader.refuse_field::<()>(&entry, "name", reason);
             continue;
         }
@@ -132,7 +132,7 @@
 }
 
 fn read_digest(reader: &mut DocumentReader, entry: &Entry) -> Option<[u8; 32]> {
-    const FIELD: &str = words::KEY_DIGEST;
+    const FIELD: &str = field_names::KEY_DIGEST;
     let text = reader.text(entry, FIELD, entry.get(FIELD))?;
     if text.len() != DIGEST_HEX_DIGITS || !text.bytes().all(|byte| byte.is_ascii_hexdigit()) {
         return reader.refuse_field(entry, FIELD, RefusalReason::InvalidDigest);
@@ -165,7 +165,7 @@
 }
 
 fn read_scopes(reader: &mut DocumentReader, entry: &Entry) -> Option<Vec<RouteScope>> {
-    let values = read_list(reader, entry, words::SCOPES, MAX_SCOPES)?;
+    let values = read_list(reader, entry, field_names::SCOPES, MAX_SCOPES)?;
     let mut scopes = Vec::with_capacity(values.len());
     for (index, value) in values.iter().enumerate() {
         scopes.extend(read_scope(reader, entry, &format!("places[{index}]"), value));
@@ -195,7 +195,7 @@
 }
 
 fn read_service_names(reader: &mut DocumentReader, entry: &Entry) -> Option<BTreeSet<Name>> {
-    let values = read_list(reader, entry, words::ALLOWED_SERVICES, MAX_SERVICES)?;
+    let values = read_list(reader, entry, field_names::ALLOWED_SERVICES, MAX_SERVICES)?;
     let mut services = BTreeSet::new();
     for (index, value) in values.iter().enumerate() {
         if let Some(name) = reader.name(entry, &format!("services[{index}]"), Some(value)) {
@@ -217,22 +217,23 @@
         None => default,
         value => reader.whole_number(entry, key, value, min, max).unwrap_or(default),
     };
-    limits.max_routes = whole_number(words::MAX_ROUTES, 1, 10_000, limits.max_routes as u64) as usize;
+    limits.max_routes = whole_number(field_names::MAX_ROUTES, 1, 10_000, limits.max_routes as u64) as usize;
     limits.max_attempts =
-        whole_number(words::MAX_ATTEMPTS, 1, u32::MAX.into(), limits.max_attempts.into()) as u32;
-    limits.max_deadline_ms = whole_number(words::DEADLINE, 1, MAX_DURATION_MS, limits.max_deadline_ms);
+        whole_number(field_names::MAX_ATTEMPTS, 1, u32::MAX.into(), limits.max_attempts.into()) as u32;
+    limits.max_deadline_ms = whole_number(field_names::DEADLINE, 1, MAX_DURATION_MS, limits.max_deadline_ms);
     limits.highest_priority =
-        whole_number(words::HIGHEST_PRIORITY, 0, u32::MAX.into(), limits.highest_priority.into()) as u32;
+        whole_number(field_names::HIGHEST_PRIORITY, 0, u32::MAX.into(), limits.highest_priority.into())
+            as u32;
     limits.changes_per_minute =
-        whole_number(words::CHANGES_PER_MINUTE, 1, 10_000, limits.changes_per_minute.into()) as u32;
+        whole_number(field_names::CHANGES_PER_MINUTE, 1, 10_000, limits.changes_per_minute.into()) as u32;
     limits.canary_duration_s =
-        whole_number(words::CANARY_DURATION, 1, 86_400, limits.canary_duration_s.into()) as u32;
+        whole_number(field_names::CANARY_DURATION, 1, 86_400, limits.canary_duration_s.into()) as u32;
     let mut share = |key: &str, default: f64| match entry.get(key) {
         None => default,
         value => read_share(reader, entry, key, value).unwrap_or(default),
     };
-    limits.retry_share = share(words::RETRY_SHARE, limits.retry_share);
-    limits.concurrency_share = share(words::CONCURRENCY_SHARE, limits.concurrency_share);
+    limits.retry_share = share(field_names::RETRY_SHARE, limits.retry_share);
+    limits.concurrency_share = share(field_names::CONCURRENCY_SHARE, limits.concurrency_share);
     Some(limits)
 }
 
--- a/catalog/src/overlay.rs
+++ b/catalog/src/overlay.rs
@@ -1,6 +1,6 @@
 //! Overlays the routes of members on the platform's configuration.
 //!
-//! [`overlay`] makes the [`EffectiveConfiguration`] of a node. [`check`] and [`plan`] tell before a change is taken what it
+//! [`apply_overlay`] makes the [`EffectiveConfiguration`] of a node. [`check_document`] and [`plan_change`] tell before a change is taken what it
 //! would do, and [`effective_document`] which version of a member's document is in force on a node while a canary runs.
 //!
 //! Invariants: a member's document never alters another member's routes, nor the platform's outside the member's scopes;
@@ -16,7 +16,7 @@
 
 use crate::configuration::refusal::escaped_name;
 use crate::configuration::{
-    Configuration, MemberShares, Name, Route, WeightedService, differences_by_location, words,
+    Configuration, MemberShares, Name, Route, WeightedService, differences_by_location, field_names,
 };
 use crate::members::{Member, MemberDocument, MemberRegister};
 
@@ -37,7 +37,7 @@
 
 /// A part of a member's document that is in force otherwise than it is written, or not at all.
 ///
-/// None arises from a document that [`check`] passed under the same configuration and register.
+/// None arises from a document that [`check_document`] passed under the same configuration and register.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MemberViolation {
     /// The member's name.
@@ -135,7 +135,7 @@
 ///
 /// A member's route replaces one of the platform's at the same host and prefix. What goes beyond the member's limits is
 /// lowered to them or left out, and listed among the violations. The result depends on the arguments alone.
-pub fn overlay(
+pub fn apply_overlay(
     base: &Configuration,
     register: &MemberRegister,
     documents: &MemberDocuments,
@@ -153,7 +153,7 @@
 
 /// All that goes beyond what the member is allowed by this configuration and register. A change is taken only if there is
 /// nothing.
-pub fn check(
+pub fn check_document(
     base: &Configuration,
     register: &MemberRegister,
     member: &str,
@@ -174,20 +174,20 @@
 }
 
 /// Compares what is in force now with what would be after a change of one member's document.
-pub fn plan(
+pub fn plan_change(
     base: &Configuration,
     register: &MemberRegister,
     documents: &MemberDocuments,
     member: &str,
     document: &Arc<MemberDocument>,
 ) -> OverlayPlan {
-    let before = overlay(base, register, documents);
+    let before = apply_overlay(base, register, documents);
     let mut changed = documents.clone();
     changed.insert(member.into(), document.clone());
-    let after = overlay(base, register, &changed);
+    let after = apply_overlay(base, register, &changed);
     OverlayPlan {
         changes: differences_by_location(before.configuration.routes(), after.configuration.routes()),
-        new_violations: check(base, register, member, document),
+        new_violations: check_document(base, register, member, document),
         current_violations: before.violations,
     }
 }
@@ -317,7 +317,7 @@
     let limits = &member.limits;
     if !member.owns(&route.host, &route.prefix) {
         let location = format!("{}{}", route.host, route.prefix);
-        add_violation(words::PREFIX, ExceededLimit::OutsideScopes(location));
+        add_violation(field_names::PREFIX, ExceededLimit::OutsideScopes(location));
         return None;
     }
     let mut at_most = |field, value: u64, max: u64| {
@@ -326,16 +326,18 @@
         }
         value.min(max)
     };
-    let max_attempts = at_most(words::MAX_ATTEMPTS, route.max_attempts.into(), limits.max_attempts.into());
-    let deadline_ms = at_most(words::DEADLINE, route.deadline_ms, limits.max_deadline_ms);
-    let latency_target_ms = at_most(words::LATENCY_TARGET, route.latency_target_ms, limits.max_deadline_ms);
+    let max_attempts =
+        at_most(field_names::MAX_ATTEMPTS, route.max_attempts.into(), limits.max_attempts.into());
+    let deadline_ms = at_most(field_names::DEADLINE, route.deadline_ms, limits.max_deadline_ms);
+    let latency_target_ms =
+        at_most(field_names::LATENCY_TARGET, route.latency_target_ms, limits.max_deadline_ms);
     if route.priority < limits.highest_priority {
         let (priority, highest) = (route.priority, limits.highest_priority);
-        add_violation(words::PRIORITY, ExceededLimit::PriorityTooHigh { priority, highest });
+        add_violation(field_names::PRIORITY, ExceededLimit::PriorityTooHigh { priority, highest });
     }
     let services = allowed_services(base, member, route, &mut add_violation);
     if !services.iter().any(|service| service.weight > 0.0) {
-        add_violation(words::WEIGHTED_SERVICES, ExceededLimit::NoService);
+        add_violation(field_names::WEIGHTED_SERVICES, ExceededLimit::NoService);
         return None;
     }
     Some(Route {
@@ -359,9 +361,9 @@
     for service in &route.services {
         let name = &service.name;
         if !member.services.contains(name) {
-            add_violation(words::WEIGHTED_SERVICES, ExceededLimit::ServiceNotAllowed(name.clone()));
+            add_violation(field_names::WEIGHTED_SERVICES, ExceededLimit::ServiceNotAllowed(name.clone()));
         } else if base.service(name).is_none() {
-            add_violation(words::WEIGHTED_SERVICES, ExceededLimit::UnknownService(name.clone()));
+            add_violation(field_names::WEIGHTED_SERVICES, ExceededLimit::UnknownService(name.clone()));
         } else {
             allowed.push(service.clone());
         }
--- a/catalog/src/traffic_reports.rs
+++ b/catalog/src/traffic_reports.rs
@@ -31,7 +31,7 @@
 
     /// The sum of both.
     #[must_use]
-    pub fn and(self, other: AttemptCounts) -> AttemptCounts {
+    pub fn saturating_add(self, other: AttemptCounts) -> AttemptCounts {
         AttemptCounts {
             first: self.first.saturating_add(other.first),
             retried: self.retried.saturating_add(other.retried),
@@ -132,7 +132,7 @@
 impl OutcomeCounts {
     /// The sum of both.
     #[must_use]
-    pub fn and(self, other: OutcomeCounts) -> OutcomeCounts {
+    pub fn saturating_add(self, other: OutcomeCounts) -> OutcomeCounts {
         OutcomeCounts {
             first: self.first.saturating_add(other.first),
             retried: self.retried.saturating_add(other.retried),
--- a/catalog/src/watch_client.rs
+++ b/catalog/src/watch_client.rs
@@ -135,12 +135,12 @@
     }
 
     /// Notes that the node has the registers of this digest, of which the replica told.
-    pub fn registers_applied(&mut self, replica: SocketAddr, digest: u64) {
+    pub fn record_applied_registers(&mut self, replica: SocketAddr, digest: u64) {
         self.replicas.entry(replica).or_default().registers_digest = digest;
     }
 
     /// Notes that a replica did not respond.
-    pub fn request_failed(
+    pub fn record_failure(
         &mut self,
         now: Nanos,
         replica: SocketAddr,
@@ -200,7 +200,7 @@
     }
 
     /// Notes that a watcher gets no response; its suspects do not count any more.
-    pub fn watch_lost(&mut self, watcher: usize) {
+    pub fn clear_suspects(&mut self, watcher: usize) {
         self.suspects.remove(&watcher);
     }
 
@@ -267,14 +267,14 @@
     }
 
     /// Notes that a replica did not respond.
-    pub fn failed(&mut self, now: Nanos, replica: SocketAddr) {
+    pub fn mark_unresponsive(&mut self, now: Nanos, replica: SocketAddr) {
         if let Some(known) = self.find(replica) {
             known.avoided_until = Some(now + LEASE_AVOID_TIME);
         }
     }
 
     /// Notes that a replica has responded.
-    pub fn replied(&mut self, replica: SocketAddr) {
+    pub fn mark_responsive(&mut self, replica: SocketAddr) {
         if let Some(known) = self.find(replica) {
             known.avoided_until = None;
         }
--- a/catalog/src/watch_server.rs
+++ b/catalog/src/watch_server.rs
@@ -197,7 +197,7 @@
         reports: Option<Box<CollectedReports>>,
     ) -> WatchResponse {
         let changed_records =
-            if pending.reports_only { Vec::new() } else { self.table.since(pending.position) };
+            if pending.reports_only { Vec::new() } else { self.table.records_since(pending.position) };
         let suspects = pending.lacks_suspects(&self.suspects).then(|| self.suspects.clone());
         let registers = pending.lacks_registers(state).then(|| register_list(state.registers));
         let known_incarnation = pending.inbound_proxy.and_then(|node| self.table.known_incarnation(node));
@@ -248,7 +248,7 @@
             self.table.note_heard(now, inbound_proxy, Nanos::from(age_ms) * MS);
         }
         for drain in &response.drains {
-            changed |= self.table.drain(drain.inbound_proxy, &drain.upstream_id);
+            changed |= self.table.request_drain(drain.inbound_proxy, &drain.upstream_id);
         }
         changed
     }
--- a/catalog/tests/configuration.rs
+++ b/catalog/tests/configuration.rs
@@ -421,12 +421,12 @@
         ("/lepu270/deep/2f", "kafi81c", true),
         ("/gone/", "huvo11a", false),
     ] {
-        assert_eq!(configuration.allows("jepu9.example:80", path, line), allowed, "{path} {line}");
+        assert_eq!(configuration.allows_service("jepu9.example:80", path, line), allowed, "{path} {line}");
     }
     // A split holds over a line, and a service named twice in it has both shares.
     let both = altered(r#""split":["#, r#""line":"wuno96b","split":[{"line":"kafi81c","share":0.5},"#);
     let both = read(&both);
-    assert!(!both.allows("jepu9.example", "/lepu270/", "wuno96b"));
+    assert!(!both.allows_service("jepu9.example", "/lepu270/", "wuno96b"));
     let route = both.route("jepu9.example", "/lepu270/").expect("a route");
     assert!(route.services.iter().any(|service| &*service.name == "kafi81c" && service.weight == 10.5));
 }
--- a/catalog/tests/configuration_update.rs
+++ b/catalog/tests/configuration_update.rs
@@ -18,21 +18,21 @@
         (1..8).map(|version| configuration(version, 500 + version as usize)).collect();
     all.iter().for_each(|configuration| cache.add(configuration));
     let newest = all.last().expect("one");
-    assert!(cache.newest(newest.revision()).is_none());
+    assert!(cache.update_from(newest.revision()).is_none());
     // A node without a version, or with one that is no longer kept, gets the whole configuration.
     for (have, whole) in [(None, true), (Some(&all[0]), true), (Some(&all[4]), false), (Some(&all[5]), false)]
     {
         let current = have.map_or(Revision::NONE, |have| have.revision());
-        let update = cache.newest(current).expect("an update");
+        let update = cache.update_from(current).expect("an update");
         assert_eq!(update.base == Revision::NONE, whole);
         assert!(whole || update.compressed.len() < 300, "{} bytes", update.compressed.len());
-        assert_eq!(update.open(have.map(|have| &**have)).as_ref(), Ok(&**newest));
+        assert_eq!(update.apply_to(have.map(|have| &**have)).as_ref(), Ok(&**newest));
     }
-    let update = cache.newest(all[5].revision()).expect("an update");
-    assert_eq!(update.open(Some(&all[4])), Err(UpdateError::BaseMismatch));
+    let update = cache.update_from(all[5].revision()).expect("an update");
+    assert_eq!(update.apply_to(Some(&all[4])), Err(UpdateError::BaseMismatch));
     let mut corrupt = (*update).clone();
     corrupt.revision.digest ^= 1;
-    assert_eq!(corrupt.open(Some(&all[5])), Err(UpdateError::Corrupt));
+    assert_eq!(corrupt.apply_to(Some(&all[5])), Err(UpdateError::Corrupt));
     corrupt.compressed.truncate(5);
-    assert_eq!(corrupt.open(Some(&all[5])), Err(UpdateError::Corrupt));
+    assert_eq!(corrupt.apply_to(Some(&all[5])), Err(UpdateError::Corrupt));
 }
--- a/catalog/tests/delta.rs
+++ b/catalog/tests/delta.rs
@@ -2,7 +2,7 @@
 
 use proptest::prelude::*;
 
-use ochreshed_catalog::delta::{DeltaOp, apply, between};
+use ochreshed_catalog::delta::{DeltaOp, apply_delta, compute_delta};
 use xxhash_rust::xxh3::xxh3_64;
 
 fn text(routes: std::ops::Range<u32>) -> String {
@@ -18,11 +18,11 @@
 fn a_small_change_of_a_large_text_is_a_small_delta() {
     let old = text(0..2_000);
     let new = format!("r8{}{}", text(0..1_000).replacen("500", "700", 1), text(1_001..2_001));
-    let ops = between(old.as_bytes(), new.as_bytes());
-    assert_eq!(apply(old.as_bytes(), &ops, xxh3_64(new.as_bytes())).as_deref(), Some(new.as_bytes()));
+    let ops = compute_delta(old.as_bytes(), new.as_bytes());
+    assert_eq!(apply_delta(old.as_bytes(), &ops, xxh3_64(new.as_bytes())).as_deref(), Some(new.as_bytes()));
     assert!(size(&ops) < 8_000, "{} of {}", size(&ops), new.len());
     // Applied to another text, the operations make nothing.
-    assert_eq!(apply(text(1..2_000).as_bytes(), &ops, xxh3_64(new.as_bytes())), None);
+    assert_eq!(apply_delta(text(1..2_000).as_bytes(), &ops, xxh3_64(new.as_bytes())), None);
 }
 
 proptest! {
@@ -34,7 +34,7 @@
         keep in 0..4_000usize,
     ) {
         let new = [&old[keep.min(old.len())..], &new].concat();
-        let ops = between(&old, &new);
-        prop_assert_eq!(apply(&old, &ops, xxh3_64(&new)), Some(new));
+        let ops = compute_delta(&old, &new);
+        prop_assert_eq!(apply_delta(&old, &ops, xxh3_64(&new)), Some(new));
     }
 }
--- a/catalog/tests/endpoints.rs
+++ b/catalog/tests/endpoints.rs
@@ -29,11 +29,11 @@
 
 /// One replica takes what has changed in the table of another since a position.
 fn sync(from: &EndpointTable, to: &mut EndpointTable, position: &mut TablePosition) {
-    for record in from.since(*position) {
+    for record in from.records_since(*position) {
         to.merge(1, &record, 0);
     }
     for (inbound_proxy, id) in from.drains_since(*position) {
-        to.drain(inbound_proxy, &id);
+        to.request_drain(inbound_proxy, &id);
     }
     *position = from.position();
 }
@@ -42,13 +42,13 @@
 fn a_drain_is_requested_again_of_a_node_that_restarted_and_ends_with_the_upstream() {
     let (mut one, mut other) = (EndpointTable::new(1), EndpointTable::new(2));
     let mut position = TablePosition::default();
-    assert!(!one.drain(inbound_proxy(), "i-1"), "no such record");
+    assert!(!one.request_drain(inbound_proxy(), "i-1"), "no such record");
     one.merge(1, &record(7, 1, "i-1", UpstreamState::Serving), 0);
     sync(&one, &mut other, &mut position);
-    assert!(one.drain(inbound_proxy(), "i-1") && !one.drain(inbound_proxy(), "i-1"));
+    assert!(one.request_drain(inbound_proxy(), "i-1") && !one.request_drain(inbound_proxy(), "i-1"));
     assert_eq!(one.requested_drain(inbound_proxy()), Some("i-1"));
     // Only the changed record is sent, with the request.
-    assert_eq!(one.since(position).len(), 1);
+    assert_eq!(one.records_since(position).len(), 1);
     sync(&one, &mut other, &mut position);
     assert_eq!(other.requested_drain(inbound_proxy()), Some("i-1"));
     // The node drains, so that it is not asked any more.
@@ -71,7 +71,7 @@
         (other.requested_drain(inbound_proxy()), third.requested_drain(inbound_proxy())),
         (None, None)
     );
-    assert!(!other.drain(inbound_proxy(), "i-1"), "it is over");
+    assert!(!other.request_drain(inbound_proxy(), "i-1"), "it is over");
     // The request is removed with the record.
     one.update_suspects(100_000_000_000, 1);
     one.merge(100_000_000_000, &record(7, 9, "i-1", UpstreamState::Serving), 0);
@@ -101,7 +101,7 @@
                     latest = record(incarnation, number, &format!("i-{upstream}"), UpstreamState::Serving);
                 }
                 3 => {
-                    tables[one].drain(inbound_proxy(), &id);
+                    tables[one].request_drain(inbound_proxy(), &id);
                 }
                 _ if one != other => {
                     let [to, from] = tables.get_disjoint_mut([one, other]).expect("two of them");
--- a/catalog/tests/frozen_forms.rs
+++ b/catalog/tests/frozen_forms.rs
@@ -18,7 +18,7 @@
 use ochreshed_catalog::endpoints::{EndpointRecord, TablePosition, UpstreamState};
 use ochreshed_catalog::internal_rpc::{
     CollectedReport, CollectedReports, DrainRequest, Frame, InternalRequest, InternalResponse, NodeEdition,
-    RegisterList, SuspectList, WatchRequest, WatchResponse, encode,
+    RegisterList, SuspectList, WatchRequest, WatchResponse, encode_frame,
 };
 use ochreshed_catalog::members::{MemberDocument, MemberRegister};
 use ochreshed_catalog::traffic_reports::{AttemptCounts, BudgetReport};
@@ -229,7 +229,7 @@
     ciborium::into_writer(&frame, &mut bytes).expect("written");
     let mut expected = (bytes.len() as u32).to_be_bytes().to_vec();
     expected.extend(bytes);
-    assert_eq!(encode(&frame), Some(expected));
+    assert_eq!(encode_frame(&frame), Some(expected));
 }
 
 #[test]
@@ -270,11 +270,11 @@
     updates.add(&new);
     for (name, here) in [("parcel_whole", None), ("parcel_delta", Some(&*old))] {
         let written =
-            updates.newest(here.map_or(Revision::NONE, RegisterValue::revision)).expect("an update");
+            updates.update_from(here.map_or(Revision::NONE, RegisterValue::revision)).expect("an update");
         // Another version of the compressor may write other bytes, so these are read and not compared.
         let read = forms.read_fixture(name, &*written);
         assert_eq!((read.revision, read.base), (written.revision, written.base));
-        assert_eq!(read.open(here).as_ref(), Ok(&*new), "{name}");
+        assert_eq!(read.apply_to(here).as_ref(), Ok(&*new), "{name}");
     }
     forms.finish();
 }
--- a/catalog/tests/internal_rpc.rs
+++ b/catalog/tests/internal_rpc.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use ochreshed_catalog::endpoints::TablePosition;
-use ochreshed_catalog::internal_rpc::{Frame, InternalRequest, WatchRequest, encode};
+use ochreshed_catalog::internal_rpc::{Frame, InternalRequest, WatchRequest, encode_frame};
 use ochreshed_catalog::traffic_reports::{
     AttemptCounts, BudgetReport, EditionOutcomes, OutcomeCounts, RouteEdition, ServiceAttempts,
 };
@@ -62,10 +62,10 @@
         },
     ];
     for (older, newer) in older.iter().zip(&newer) {
-        let bytes = encode(older).expect("a frame");
-        assert_eq!(encode(newer).as_ref(), Some(&bytes));
+        let bytes = encode_frame(older).expect("a frame");
+        assert_eq!(encode_frame(newer).as_ref(), Some(&bytes));
         let read: MessageBody = ciborium::from_reader(&bytes[4..]).expect("read");
-        assert_eq!(encode(&read), Some(bytes));
+        assert_eq!(encode_frame(&read), Some(bytes));
     }
 }
 
@@ -93,7 +93,7 @@
             applied_editions: None,
             reports_only: false,
         };
-        encode(&Frame { id: 9_000, payload: InternalRequest::Watch(request) }).map(|bytes| bytes.len())
+        encode_frame(&Frame { id: 9_000, payload: InternalRequest::Watch(request) }).map(|bytes| bytes.len())
     };
     let counts = AttemptCounts { first: 2_000, retried: 20, denied: 0 };
     let services = ["huvo11a", "kafi81c", "wuno96b"].map(|name| (name.into(), counts));
--- a/catalog/tests/overlay.rs
+++ b/catalog/tests/overlay.rs
@@ -8,7 +8,9 @@
 use expect_test::expect;
 use ochreshed_catalog::configuration::{Configuration, Name, Route, WeightedService};
 use ochreshed_catalog::members::{MemberDocument, MemberRegister};
-use ochreshed_catalog::overlay::{MemberDocuments, check, effective_document, is_in_canary, overlay, plan};
+use ochreshed_catalog::overlay::{
+    MemberDocuments, apply_overlay, check_document, effective_document, is_in_canary, plan_change,
+};
 use proptest::collection::vec;
 use proptest::prelude::*;
 
@@ -169,7 +171,7 @@
     #[test]
     fn no_member_goes_beyond_what_it_is_allowed(scenario in scenario()) {
         let (base, register, docs) = (scenario.configuration(), scenario.register([0, 1, 2]), scenario.docs());
-        let effective = overlay(&base, &register, &docs);
+        let effective = apply_overlay(&base, &register, &docs);
         let mut counts = [0; 3];
         for route in effective.configuration.routes() {
             let Some(member) = of(route) else {
@@ -215,7 +217,7 @@
         let mut changed = scenario.clone();
         changed.docs[who] = Some(doc);
         let changed_docs = changed.docs();
-        let (before, after) = (overlay(&base, &register, &docs), overlay(&base, &register, &changed_docs));
+        let (before, after) = (apply_overlay(&base, &register, &docs), apply_overlay(&base, &register, &changed_docs));
         let others = |configuration: &Configuration| {
             let mut routes = all(configuration);
             routes.retain(|route| !scenario.holds(who, &route.host, &route.prefix));
@@ -227,10 +229,10 @@
         }
         // Nor do its limits.
         changed.limits[who] = limit_spec;
-        let given = overlay(&base, &changed.register([0, 1, 2]), &changed_docs);
+        let given = apply_overlay(&base, &changed.register([0, 1, 2]), &changed_docs);
         prop_assert_eq!(others(&before.configuration), others(&given.configuration));
         // The plan lists changes where there are any.
-        let plan = plan(&base, &register, &docs, MEMBERS[who], &changed_docs[MEMBERS[who]]);
+        let plan = plan_change(&base, &register, &docs, MEMBERS[who], &changed_docs[MEMBERS[who]]);
         prop_assert_eq!(plan.changes.is_empty(), {
             let sorted = |configuration: &Configuration| {
                 let mut routes = all(configuration);
@@ -244,9 +246,9 @@
     #[test]
     fn equal_documents_give_equal_configurations(scenario in scenario()) {
         let base = scenario.configuration();
-        let one = overlay(&base, &scenario.register([0, 1, 2]), &scenario.docs());
+        let one = apply_overlay(&base, &scenario.register([0, 1, 2]), &scenario.docs());
         let docs: MemberDocuments = scenario.docs().into_iter().rev().collect();
-        let other = overlay(&base, &scenario.register([2, 0, 1]), &docs);
+        let other = apply_overlay(&base, &scenario.register([2, 0, 1]), &docs);
         prop_assert_eq!(all(&one.configuration), all(&other.configuration));
         prop_assert_eq!(one.violations, other.violations);
     }
@@ -255,8 +257,8 @@
     fn what_passes_the_check_is_in_force_as_written(scenario in scenario(), who in 0usize..3) {
         let (base, register, docs) = (scenario.configuration(), scenario.register([0, 1, 2]), scenario.docs());
         let Some(doc) = docs.get(MEMBERS[who]) else { return Ok(()) };
-        let effective = overlay(&base, &register, &docs);
-        let violations_of_check = check(&base, &register, MEMBERS[who], doc);
+        let effective = apply_overlay(&base, &register, &docs);
+        let violations_of_check = check_document(&base, &register, MEMBERS[who], doc);
         let violations: Vec<_> = effective.violations.iter().filter(|violation| *violation.member == *MEMBERS[who]).map(|violation| violation.violation.clone()).collect();
         prop_assert_eq!(&violations_of_check, &violations);
         for (index, route) in doc.routes.iter().enumerate() {
@@ -360,7 +362,7 @@
     let (base, register) = (base.expect("a configuration"), register.expect("a register"));
     let gone = doc(&[route("x", "/x/", good)]);
     let docs: MemberDocuments = [(Name::from("norte"), held), (Name::from("gone"), gone)].into();
-    let plan = plan(&base, &register, &docs, "norte", &new);
+    let plan = plan_change(&base, &register, &docs, "norte", &new);
     let list = |all: Vec<String>| all.join("\n");
     let page = [
         list(plan.changes),
@@ -403,7 +405,7 @@
         let docs = example[2..].iter().map(|doc| Arc::new(MemberDocument::read(doc).expect("a document")));
         let docs: MemberDocuments = register.members().map(|member| member.name.clone()).zip(docs).collect();
         assert_eq!(docs.len(), 2);
-        let effective = overlay(&base, &register, &docs);
+        let effective = apply_overlay(&base, &register, &docs);
         assert_eq!(effective.violations, []);
         let written: usize = docs.values().map(|doc| doc.routes.len()).sum();
         assert_eq!(effective.configuration.routes().filter(|route| route.share.is_some()).count(), written);
--- a/catalog/tests/watch_client.rs
+++ b/catalog/tests/watch_client.rs
@@ -20,7 +20,7 @@
             let mut now = 0;
             let asked = (0..4).map(|_| {
                 let replica = watcher.next_replica(now, inbound_proxy, &replicas).expect("a replica");
-                watcher.request_failed(now, replica, false, replicas.len());
+                watcher.record_failure(now, replica, false, replicas.len());
                 // A refused connection takes no longer than the pause after it.
                 now += RETRY_INTERVAL + MS;
                 replica
--- a/catalog/tests/watch_server.rs
+++ b/catalog/tests/watch_server.rs
@@ -63,7 +63,7 @@
         assert_eq!(server.due_at(&pending, state_with(None)), Some((2 + interval_ms) * MS));
         // A newer configuration does not wait, nor does a request to drain the node itself.
         assert_eq!(server.due_at(&pending, state_with(Some(Revision::new(2, 0)))), Some(2 * MS));
-        assert!(server.table.drain(reader.inbound_proxy, "i-0"));
+        assert!(server.table.request_drain(reader.inbound_proxy, "i-0"));
         assert_eq!(server.due_at(&pending, state_with(None)), Some(2 * MS));
     }
 }
--- a/emulator/src/mesh/gate.rs
+++ b/emulator/src/mesh/gate.rs
@@ -218,7 +218,7 @@
                     steward,
                     rank,
                     whole,
-                    parcel.and_then(|p| p.open(self.sheet.as_deref()).ok()),
+                    parcel.and_then(|p| p.apply_to(self.sheet.as_deref()).ok()),
                     hand,
                 );
             }
@@ -238,9 +238,9 @@
         match self.open.remove(&id) {
             Some(Open::News { which, steward, .. }) => {
                 let stewards = self.known.replicas().len();
-                self.turns[which].asker.request_failed(hand.now, steward, self.sheet.is_some(), stewards);
+                self.turns[which].asker.record_failure(hand.now, steward, self.sheet.is_some(), stewards);
                 self.turns[which].open = None;
-                self.listing.watch_lost(which);
+                self.listing.clear_suspects(which);
                 hand.timer(watch_client::RETRY_INTERVAL, Timer::Request(which));
             }
             Some(Open::Configuration { rank, .. }) => self.fetched(rank),
@@ -372,15 +372,15 @@
         }
         claim.silent.retain(|silent| *silent != steward);
         if got == CoreResponse::Unavailable {
-            self.known.failed(hand.now, steward);
+            self.known.mark_unresponsive(hand.now, steward);
             if claim.out == 0 {
                 self.claim_next(number, hand);
             }
             return;
         }
-        self.known.replied(steward);
+        self.known.mark_responsive(steward);
         let silent = std::mem::take(&mut claim.silent);
-        silent.into_iter().for_each(|silent| self.known.failed(hand.now, silent));
+        silent.into_iter().for_each(|silent| self.known.mark_unresponsive(hand.now, silent));
         self.decided(number, got, hand);
     }
 
@@ -434,7 +434,7 @@
         if taken {
             self.claims.remove(&number);
         } else {
-            self.known.failed(hand.now, steward);
+            self.known.mark_unresponsive(hand.now, steward);
             hand.timer(150 * MS, Timer::Settle(number));
         }
     }
--- a/emulator/src/mesh/steward.rs
+++ b/emulator/src/mesh/steward.rs
@@ -198,7 +198,7 @@
             }
             InternalRequest::Core(want) => self.want(want, Call::Of(from, id), hand),
             InternalRequest::Configuration(have) => {
-                let parcel = self.parcels.newest(have);
+                let parcel = self.parcels.update_from(have);
                 hand.reply(from, id, InternalResponse::Configuration(parcel), Cause::Configurations);
             }
             InternalRequest::Registers(_) | InternalRequest::AppliedEditions(_) => {}
--- a/emulator/src/mesh/world.rs
+++ b/emulator/src/mesh/world.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use ochreshed_catalog::internal_rpc::{Frame, InternalRequest, InternalResponse, encode};
+use ochreshed_catalog::internal_rpc::{Frame, InternalRequest, InternalResponse, encode_frame};
 use ochreshed_consensus::core::{Config, Mutation};
 use ochreshed_consensus::messages::{CoreRequest, LeaseKey, LeaseToken, RegisterValue};
 
@@ -439,8 +439,8 @@
 
     fn send(&mut self, from: usize, to: usize, id: u64, cause: Cause, say: Say) {
         let frame = match &say {
-            Say::Request(ask) => encode(&Frame { id, payload: &**ask }),
-            Say::Response(reply) => encode(&Frame { id, payload: reply }),
+            Say::Request(ask) => encode_frame(&Frame { id, payload: &**ask }),
+            Say::Response(reply) => encode_frame(&Frame { id, payload: reply }),
         };
         let Some(frame) = frame else { return };
         let bytes = frame.len() as u64 + self.of.link.head;
--- a/traffic/src/admission.rs
+++ b/traffic/src/admission.rs
@@ -1,6 +1,6 @@
 //! Which requests an inbound proxy admits to its upstream, and which wait.
 //!
-//! [`AdmissionQueue::request`] admits a request, queues it or rejects it; [`AdmissionQueue::release`] notes that a run has
+//! [`AdmissionQueue::request_admission`] admits a request, queues it or rejects it; [`AdmissionQueue::release`] notes that a run has
 //! ended, and [`AdmissionQueue::admit_next`] then returns the queued request that may run.
 //!
 //! Nested calls go first: each keeps a run elsewhere waiting, and if it fails that run is thrown away. Among the others,
@@ -155,17 +155,17 @@
     }
 
     /// Takes a request on one of the platform's own routes. `waiter` is called where the request is queued.
-    pub fn request(
+    pub fn request_admission(
         &mut self,
         now: Nanos,
         request: &AdmissionRequest,
         waiter: impl FnOnce() -> T,
     ) -> Admission {
-        self.request_for_member(now, request, None, waiter)
+        self.request_member_admission(now, request, None, waiter)
     }
 
     /// Takes a request on a route of a member, or on one of the platform's own where there is none.
-    pub fn request_for_member(
+    pub fn request_member_admission(
         &mut self,
         now: Nanos,
         request: &AdmissionRequest,
@@ -358,7 +358,7 @@
     }
 
     /// Notes that a run on a member's route has ended. Its time counts for that member alone.
-    pub fn release_for_member(&mut self, member: &Name, run_time: Option<Nanos>) {
+    pub fn release_member(&mut self, member: &Name, run_time: Option<Nanos>) {
         self.in_flight = self.in_flight.saturating_sub(1);
         if let Some(member) = self.members.get_mut(member) {
             member.in_flight = member.in_flight.saturating_sub(1);
@@ -392,7 +392,7 @@
     }
 
     /// The number of queued requests.
-    pub fn queued(&self) -> usize {
+    pub fn queue_length(&self) -> usize {
         self.queue.len()
     }
 
--- a/traffic/src/budget_reports.rs
+++ b/traffic/src/budget_reports.rs
@@ -93,7 +93,7 @@
             totals.proxies += 1;
             for (service, counts) in &report.services {
                 let sum = totals.services.entry(service.clone()).or_default();
-                *sum = sum.and(*counts);
+                *sum = sum.saturating_add(*counts);
             }
         }
         totals
@@ -108,7 +108,7 @@
         for report in self.reports_of(counts) {
             for (edition, outcomes) in &report.outcomes {
                 let sum = totals.entry(edition.clone()).or_default();
-                *sum = sum.and(*outcomes);
+                *sum = sum.saturating_add(*outcomes);
             }
         }
         totals
--- a/traffic/src/canary.rs
+++ b/traffic/src/canary.rs
@@ -1,6 +1,6 @@
 //! The verdict on a canary: whether a new version of a member's document is promoted or rolled back.
 //!
-//! [`verdict`] compares the outcomes of the member's requests on nodes with the canary to those on all other nodes.
+//! [`evaluate_canary`] compares the outcomes of the member's requests on nodes with the canary to those on all other nodes.
 //!
 //! Invariants: only the member's own requests count; no clock is read, the caller says whether the canary's time is over.
 
@@ -25,7 +25,7 @@
 
 /// What becomes of a canary.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum CanaryVerdict {
     /// Nothing speaks against the canary, and its time is not over.
     Continue,
     /// The version comes into force on all nodes.
@@ -45,13 +45,13 @@
 /// The verdict on a canary from the outcomes with and without it. A canary is rolled back as soon as requests clearly fail
 /// more with it than without; else it is promoted once its time is over, even if there were no requests.
 #[must_use]
-pub fn verdict(canary: RequestOutcomes, baseline: RequestOutcomes, is_over: bool) -> Verdict {
+pub fn evaluate_canary(canary: RequestOutcomes, baseline: RequestOutcomes, is_over: bool) -> CanaryVerdict {
     if is_worse(canary, baseline) {
-        Verdict::RollBack
+        CanaryVerdict::RollBack
     } else if is_over {
-        Verdict::Promote
+        CanaryVerdict::Promote
     } else {
-        Verdict::Continue
+        CanaryVerdict::Continue
     }
 }
 
--- a/traffic/src/idle_limit.rs
+++ b/traffic/src/idle_limit.rs
@@ -63,7 +63,7 @@
 
     /// Notes that a request was lost without a word on a connection that had been idle for so long, or on a new one.
     /// Returns whether the server is taken to have forgotten the connection.
-    pub fn lost(&mut self, now: Nanos, idle: Option<Nanos>) -> bool {
+    pub fn record_loss(&mut self, now: Nanos, idle: Option<Nanos>) -> bool {
         let Some(idle) = idle.filter(|idle| *idle >= IN_USE_BELOW) else {
             self.lost_in_use_at = Some(now);
             self.lowered_until = 0;
--- a/traffic/src/large_response_pacer.rs
+++ b/traffic/src/large_response_pacer.rs
@@ -37,23 +37,23 @@
     }
 
     /// Notes that something small is sent at once, for which large responses make room.
-    pub fn note(&mut self, now: Nanos, bytes: usize) {
+    pub fn record_unpaced(&mut self, now: Nanos, bytes: usize) {
         self.reserve(now, bytes);
     }
 
     /// Notes that a large response of this size begins.
-    pub fn begin(&mut self, bytes: u64) {
+    pub fn announce_response(&mut self, bytes: u64) {
         self.pending_bytes = self.pending_bytes.saturating_add(bytes);
     }
 
     /// Notes that so many bytes of large responses have been reserved or never will be.
-    pub fn done(&mut self, bytes: u64) {
+    pub fn release_pending(&mut self, bytes: u64) {
         self.pending_bytes = self.pending_bytes.saturating_sub(bytes);
     }
 
     /// How long a response that begins now would wait for all that is to be sent before it.
     #[must_use]
-    pub fn wait(&self, now: Nanos) -> Nanos {
+    pub fn queue_delay(&self, now: Nanos) -> Nanos {
         let reserved = self.free_at.saturating_sub(now);
         reserved.saturating_add(self.transfer_time(self.pending_bytes as f64))
     }
--- a/traffic/src/lease_circuit_breaker.rs
+++ b/traffic/src/lease_circuit_breaker.rs
@@ -30,7 +30,7 @@
     /// How long a request with so much time left may wait for a lease. `no_quorum` says that no replica in touch with a
     /// majority has been heard from of late.
     #[must_use]
-    pub fn wait(&mut self, now: Nanos, time_left: Nanos, no_quorum: bool) -> Nanos {
+    pub fn max_wait(&mut self, now: Nanos, time_left: Nanos, no_quorum: bool) -> Nanos {
         let full_wait = MAX_WAIT.min(time_left / 100 * MAX_WAIT_PERCENT);
         let short_wait = SHORT_WAIT.min(full_wait);
         if no_quorum {
@@ -47,12 +47,12 @@
     }
 
     /// Notes that the control plane answered a request for a lease.
-    pub fn answered(&mut self) {
+    pub fn record_answer(&mut self) {
         self.open = false;
     }
 
     /// Notes that a request for a lease was left unanswered for as long as it waited.
-    pub fn unanswered(&mut self, now: Nanos, waited: Nanos) {
+    pub fn record_timeout(&mut self, now: Nanos, waited: Nanos) {
         // A request that had hardly any time says nothing of the control plane.
         if !self.open && waited > SHORT_WAIT {
             self.open = true;
--- a/traffic/src/outcome_counts.rs
+++ b/traffic/src/outcome_counts.rs
@@ -21,7 +21,7 @@
 
 impl OutcomeCounter {
     /// An empty counter over this window.
-    pub fn over(window: Nanos) -> OutcomeCounter {
+    pub fn with_window(window: Nanos) -> OutcomeCounter {
         OutcomeCounter { window, editions: BTreeMap::new() }
     }
 
@@ -34,7 +34,7 @@
             self.editions.retain(|_, window| window.sum(now) != OutcomeCounts::default());
         }
         if self.editions.len() < MAX_EDITIONS {
-            let mut window = SlidingWindow::over(self.window);
+            let mut window = SlidingWindow::with_span(self.window);
             window.add(now, outcomes);
             self.editions.insert(edition.clone(), window);
         }
--- a/traffic/src/outlier_detection.rs
+++ b/traffic/src/outlier_detection.rs
@@ -221,15 +221,15 @@
         *self = OutlierDetector { last_run_id: self.last_run_id, ..OutlierDetector::default() };
     }
 
-    /// Notes that a run begins at the upstream. Returns its id for [`OutlierDetector::end`].
-    pub fn begin(&mut self, now: Nanos, class: RequestClass) -> u64 {
+    /// Notes that a run begins at the upstream. Returns its id for [`OutlierDetector::end_run`].
+    pub fn start_run(&mut self, now: Nanos, class: RequestClass) -> u64 {
         self.last_run_id += 1;
         self.runs.insert(self.last_run_id, Run { started_at: now, is_overdue: false, class });
         self.last_run_id
     }
 
     /// Notes that a run has ended. A run that was counted as overdue is not counted as failed again.
-    pub fn end(&mut self, now: Nanos, run_id: u64, outcome: RunOutcome) {
+    pub fn end_run(&mut self, now: Nanos, run_id: u64, outcome: RunOutcome) {
         let Some(run) = self.runs.remove(&run_id) else { return };
         let failed = match outcome {
             RunOutcome::Abandoned => return,
--- a/traffic/src/retry_budget.rs
+++ b/traffic/src/retry_budget.rs
@@ -47,7 +47,7 @@
     }
 
     /// Notes the outcome of an attempt.
-    pub fn ended(&mut self, outcome: DispatchOutcome) {
+    pub fn record_outcome(&mut self, outcome: DispatchOutcome) {
         self.last_outcome = Some(outcome);
         // What an inbound proxy rejected does not count as sent.
         self.attempts += u32::from(outcome != DispatchOutcome::Rejected);
@@ -70,8 +70,8 @@
     pub fn new(window: Nanos, limits: RetryLimits) -> RetryAccount {
         RetryAccount {
             limits,
-            reported: SlidingWindow::over(window),
-            policy: SlidingWindow::over(POLICY_WINDOW),
+            reported: SlidingWindow::with_span(window),
+            policy: SlidingWindow::with_span(POLICY_WINDOW),
         }
     }
 
@@ -79,7 +79,7 @@
     #[must_use]
     pub fn restart(&self, window: Nanos, limits: RetryLimits) -> RetryAccount {
         let mut account = RetryAccount::new(window, limits);
-        if self.reported.has_span_of(&account.reported) {
+        if self.reported.has_same_span(&account.reported) {
             account.reported = self.reported.clone();
         }
         account
@@ -101,7 +101,7 @@
     }
 
     /// Notes that a nested call of a running request was retried.
-    pub fn nested_call_retried(&mut self, now: Nanos) {
+    pub fn record_nested_retry(&mut self, now: Nanos) {
         self.add(now, AttemptCounts { retried: 1, ..AttemptCounts::NONE });
     }
 
@@ -112,7 +112,7 @@
     }
 
     /// Notes that a request is sent. Returns what was counted for it.
-    pub fn attempt_started(&mut self, now: Nanos, request: &RequestAttempts) -> AttemptCounts {
+    pub fn record_attempt(&mut self, now: Nanos, request: &RequestAttempts) -> AttemptCounts {
         let counts = match request.last_outcome {
             None => AttemptCounts { first: 1, ..AttemptCounts::NONE },
             Some(DispatchOutcome::Rejected) => return AttemptCounts::NONE,
@@ -124,7 +124,7 @@
 
     /// Notes that the policy gives a request up. Returns what was counted for it: a denied retry, where nothing but the
     /// budget stood against one.
-    pub fn request_given_up(&mut self, now: Nanos, request: &RequestAttempts) -> AttemptCounts {
+    pub fn record_give_up(&mut self, now: Nanos, request: &RequestAttempts) -> AttemptCounts {
         if !self.could_retry(now, request) || !self.lacks_budget(now) {
             return AttemptCounts::NONE;
         }
--- a/traffic/src/retry_shares.rs
+++ b/traffic/src/retry_shares.rs
@@ -19,7 +19,7 @@
 pub type RetryShares = BTreeMap<Name, Arc<MemberShares>>;
 
 /// The shares of all members that have routes in a configuration.
-pub fn shares_of(configuration: &Configuration) -> RetryShares {
+pub fn member_shares(configuration: &Configuration) -> RetryShares {
     let shares = configuration.routes().filter_map(|route| route.share.as_ref());
     shares.map(|share| (share.member.clone(), share.clone())).collect()
 }
@@ -41,7 +41,7 @@
         RetryPool {
             shares: Arc::default(),
             attempts: BTreeMap::new(),
-            total: SlidingWindow::over(POLICY_WINDOW),
+            total: SlidingWindow::with_span(POLICY_WINDOW),
             shares_in_use: 0.0,
         }
     }
@@ -57,7 +57,7 @@
     }
 
     /// Takes over the attempts that an account has counted so far, if none of the same member or platform are known.
-    pub fn adopt(&mut self, member: Option<&Name>, account: &RetryAccount) {
+    pub fn import_attempts(&mut self, member: Option<&Name>, account: &RetryAccount) {
         let member = member.cloned();
         if !self.attempts.contains_key(&member) {
             self.total.merge(&account.policy);
@@ -78,7 +78,7 @@
         if let Some(window) = self.attempts.get_mut(&member) {
             return window.add(now, counts);
         }
-        let mut window = SlidingWindow::over(POLICY_WINDOW);
+        let mut window = SlidingWindow::with_span(POLICY_WINDOW);
         window.add(now, counts);
         self.attempts.insert(member, window);
         self.update_shares_in_use();
@@ -95,7 +95,7 @@
     /// least, since a proxy with little traffic has no more than one. Shares that come to more than the whole are lowered
     /// alike.
     #[must_use]
-    pub fn remaining(&self, now: Nanos, member: Option<&Name>, ratio: f64, floor: f64) -> f64 {
+    pub fn remaining_retries(&self, now: Nanos, member: Option<&Name>, ratio: f64, floor: f64) -> f64 {
         let total = self.total.sum(now);
         let own_retries = self.attempts.get(&member.cloned()).map_or(0, |window| window.sum(now).retried);
         let budget = f64::from(total.first) * ratio + floor;
--- a/traffic/src/sliding_window.rs
+++ b/traffic/src/sliding_window.rs
@@ -13,18 +13,18 @@
 /// Counts that can be added.
 pub(crate) trait Counts: Copy + Default {
     /// The sum of both.
-    fn plus(self, other: Self) -> Self;
+    fn combine(self, other: Self) -> Self;
 }
 
 impl Counts for AttemptCounts {
-    fn plus(self, other: AttemptCounts) -> AttemptCounts {
-        self.and(other)
+    fn combine(self, other: AttemptCounts) -> AttemptCounts {
+        self.saturating_add(other)
     }
 }
 
 impl Counts for OutcomeCounts {
-    fn plus(self, other: OutcomeCounts) -> OutcomeCounts {
-        self.and(other)
+    fn combine(self, other: OutcomeCounts) -> OutcomeCounts {
+        self.saturating_add(other)
     }
 }
 
@@ -39,7 +39,7 @@
 impl<T: Counts> Bucket<T> {
     /// Adds counts of the bucket with this number, and drops older ones.
     fn add(&mut self, number: u64, counts: T) {
-        self.counts = if self.number == number { self.counts.plus(counts) } else { counts };
+        self.counts = if self.number == number { self.counts.combine(counts) } else { counts };
         self.number = number;
     }
 }
@@ -53,13 +53,13 @@
 
 impl<T: Counts> SlidingWindow<T> {
     /// An empty window over this span.
-    pub(crate) fn over(span: Nanos) -> SlidingWindow<T> {
+    pub(crate) fn with_span(span: Nanos) -> SlidingWindow<T> {
         let bucket_width = (span / BUCKETS).max(1);
         SlidingWindow { bucket_width, buckets: [Bucket::default(); BUCKETS as usize] }
     }
 
     /// Whether both are over the same span.
-    pub(crate) fn has_span_of(&self, other: &SlidingWindow<T>) -> bool {
+    pub(crate) fn has_same_span(&self, other: &SlidingWindow<T>) -> bool {
         self.bucket_width == other.bucket_width
     }
 
@@ -84,6 +84,6 @@
     pub(crate) fn sum(&self, now: Nanos) -> T {
         let current = now / self.bucket_width;
         let live = self.buckets.iter().filter(|bucket| bucket.number + BUCKETS > current);
-        live.fold(T::default(), |sum, bucket| sum.plus(bucket.counts))
+        live.fold(T::default(), |sum, bucket| sum.combine(bucket.counts))
     }
 }
--- a/traffic/tests/admission.rs
+++ b/traffic/tests/admission.rs
@@ -52,7 +52,7 @@
                     let target = if soon { now + MS } else { now + 100 * S };
                     let request = AdmissionRequest { is_nested, rejections, has_affinity: nth % 3 == 0, target, deadline: target + 100 * S };
                     let allowed = model.of(member) < max_for(member, limit);
-                    match queue.request_for_member(now, &request, share_of_member(member).as_ref(), || (nth, member)) {
+                    match queue.request_member_admission(now, &request, share_of_member(member).as_ref(), || (nth, member)) {
                         Admission::Admitted => {
                             prop_assert!(allowed);
                             model.inside.push((nth, member));
@@ -67,7 +67,7 @@
                     let run_time = soon.then_some(if is_nested { 400 * MS } else { 5 * MS });
                     match share_of_member(of) {
                         None => queue.release(run_time),
-                        Some(share) => queue.release_for_member(&share.member, run_time),
+                        Some(share) => queue.release_member(&share.member, run_time),
                     }
                 }
                 _ => {
@@ -83,7 +83,7 @@
                 model.inside.push((who, of));
             }
             queue.remove_waiters(|(who, _)| !model.waiting.contains_key(who));
-            prop_assert_eq!((queue.in_flight() as usize, queue.queued()), (model.inside.len(), model.waiting.len()));
+            prop_assert_eq!((queue.in_flight() as usize, queue.queue_length()), (model.inside.len(), model.waiting.len()));
             prop_assert!(queue.in_flight() <= limit);
             for member in 0..MEMBERS.len() {
                 prop_assert!(model.of(member) <= max_for(member, limit));
@@ -111,20 +111,23 @@
     let mut queue = AdmissionQueue::default();
     queue.set_limit(6);
     for _ in 0..200 {
-        assert_eq!(queue.request(0, &request(0), || ""), Admission::Admitted);
+        assert_eq!(queue.request_admission(0, &request(0), || ""), Admission::Admitted);
         queue.release(Some(50 * MS));
     }
     let bad = share_of_member(0);
     for _ in 0..20 {
-        assert_eq!(queue.request_for_member(S, &request(0), bad.as_ref(), || "bad"), Admission::Admitted);
-        queue.release_for_member(&"a".into(), Some(run_time));
+        assert_eq!(
+            queue.request_member_admission(S, &request(0), bad.as_ref(), || "bad"),
+            Admission::Admitted
+        );
+        queue.release_member(&"a".into(), Some(run_time));
     }
     let answers: Vec<Admission> =
-        (0..40).map(|_| queue.request_for_member(S, &request(3), bad.as_ref(), || "bad")).collect();
+        (0..40).map(|_| queue.request_member_admission(S, &request(3), bad.as_ref(), || "bad")).collect();
     assert_eq!(answers.iter().filter(|way| **way == Admission::Admitted).count(), 3);
     // Requests that could be in time wait.
     let waits = if run_time > S { 0..=1 } else { 2..=9 };
-    assert!(queue.in_flight() == 3 && waits.contains(&queue.queued()), "{}", queue.queued());
+    assert!(queue.in_flight() == 3 && waits.contains(&queue.queue_length()), "{}", queue.queue_length());
     queue
 }
 
@@ -135,24 +138,24 @@
         let mut queue = flooded_queue(run_time);
         // Its own next request is not admitted while there is room; those of the platform and of other members are.
         assert!(!matches!(
-            queue.request_for_member(S, &request(0), share_of_member(0).as_ref(), || "bad"),
+            queue.request_member_admission(S, &request(0), share_of_member(0).as_ref(), || "bad"),
             Admission::Admitted
         ));
         assert_eq!(
-            queue.request_for_member(S, &request(0), share_of_member(1).as_ref(), || "good"),
+            queue.request_member_admission(S, &request(0), share_of_member(1).as_ref(), || "good"),
             Admission::Admitted
         );
-        assert_eq!(queue.request(S, &request(0), || "plain"), Admission::Admitted);
-        assert_eq!(queue.request(S, &request(0), || "plain"), Admission::Admitted);
+        assert_eq!(queue.request_admission(S, &request(0), || "plain"), Admission::Admitted);
+        assert_eq!(queue.request_admission(S, &request(0), || "plain"), Admission::Admitted);
         // There is no room. The member's run times say nothing of others', and its requests that wait for its share are
         // ahead of nobody.
         assert!(
-            matches!(queue.request(S, &request(0), || "first"), Admission::Queued(last) if last > S + 300 * MS)
+            matches!(queue.request_admission(S, &request(0), || "first"), Admission::Queued(last) if last > S + 300 * MS)
         );
-        assert!(matches!(queue.request(S, &request(1), || "second"), Admission::Queued(_)));
+        assert!(matches!(queue.request_admission(S, &request(1), || "second"), Admission::Queued(_)));
         queue.release(Some(50 * MS));
         assert_eq!((queue.admit_next(S + MS), queue.admit_next(S + MS)), (Some("first"), None));
-        queue.release_for_member(&"b".into(), None);
+        queue.release_member(&"b".into(), None);
         assert_eq!(queue.admit_next(S + MS), Some("second"));
     }
 }
@@ -164,13 +167,13 @@
     queue.set_limit(10);
     let told = |share| Some(MemberShare { member: "a".into(), share });
     let request_slot = |queue: &mut AdmissionQueue<()>, share| {
-        queue.request_for_member(S, &request(3), told(share).as_ref(), || ())
+        queue.request_member_admission(S, &request(3), told(share).as_ref(), || ())
     };
     (0..5).for_each(|_| assert_eq!(request_slot(&mut queue, 0.5), Admission::Admitted));
     assert!(matches!(request_slot(&mut queue, 0.2), Admission::Queued(_)));
-    (0..3).for_each(|_| queue.release_for_member(&"a".into(), None));
+    (0..3).for_each(|_| queue.release_member(&"a".into(), None));
     assert_eq!(queue.admit_next(S), None, "its share is two of ten now");
-    queue.release_for_member(&"a".into(), None);
+    queue.release_member(&"a".into(), None);
     assert_eq!((queue.admit_next(S), queue.in_flight()), (Some(()), 2));
     // A share that is no number, or of which nothing is left, leaves one.
     for share in [f64::NAN, -1.0, 0.0] {
@@ -187,21 +190,21 @@
     let mut queue: AdmissionQueue<&'static str> = AdmissionQueue::default();
     queue.set_limit(2);
     for _ in 0..200 {
-        assert_eq!(queue.request(0, &request(0), || ""), Admission::Admitted);
+        assert_eq!(queue.request_admission(0, &request(0), || ""), Admission::Admitted);
         queue.release(Some(50 * MS));
     }
     for _ in 0..2 {
-        assert_eq!(queue.request(S, &request(0), || ""), Admission::Admitted);
+        assert_eq!(queue.request_admission(S, &request(0), || ""), Admission::Admitted);
     }
     let late = AdmissionRequest { has_affinity: true, target: S - MS, deadline: 3 * S, ..request(0) };
     // Half of its time is left for another upstream.
-    assert_eq!(queue.request(S, &late, || "tied, first"), Admission::Queued(2 * S));
-    assert_eq!(queue.request(S, &late, || "tied, second"), Admission::Queued(2 * S));
+    assert_eq!(queue.request_admission(S, &late, || "tied, first"), Admission::Queued(2 * S));
+    assert_eq!(queue.request_admission(S, &late, || "tied, second"), Admission::Queued(2 * S));
     assert_eq!(
-        queue.request(S, &AdmissionRequest { has_affinity: false, ..late }, || "untied"),
+        queue.request_admission(S, &AdmissionRequest { has_affinity: false, ..late }, || "untied"),
         Admission::Rejected
     );
-    assert!(matches!(queue.request(S, &request(3), || "in time"), Admission::Queued(_)));
+    assert!(matches!(queue.request_admission(S, &request(3), || "in time"), Admission::Queued(_)));
     let mut admitted = Vec::new();
     for _ in 0..3 {
         queue.release(None);
@@ -211,7 +214,7 @@
     // No more wait than the upstream can serve in time.
     let short = AdmissionRequest { deadline: S + 120 * MS, ..late };
     assert_eq!(
-        queue.request(S, &AdmissionRequest { deadline: S + 40 * MS, ..short }, || "in vain"),
+        queue.request_admission(S, &AdmissionRequest { deadline: S + 40 * MS, ..short }, || "in vain"),
         Admission::Rejected
     );
 }
--- a/traffic/tests/admission_order.rs
+++ b/traffic/tests/admission_order.rs
@@ -19,11 +19,11 @@
     let mut all = AdmissionQueue::default();
     all.set_limit(limit);
     for _ in 0..200 {
-        assert_eq!(all.request(0, &request(false, 0, 1_000), || 0), Admission::Admitted);
+        assert_eq!(all.request_admission(0, &request(false, 0, 1_000), || 0), Admission::Admitted);
         all.release(Some(100 * MS));
     }
     for _ in 0..limit {
-        assert_eq!(all.request(0, &request(false, 0, 1_000), || 0), Admission::Admitted);
+        assert_eq!(all.request_admission(0, &request(false, 0, 1_000), || 0), Admission::Admitted);
     }
     all
 }
@@ -33,7 +33,7 @@
     let mut queue = full_queue(4);
     for (id, is_nested, target) in [(1, false, 900), (2, false, 500), (3, true, 700), (4, true, 600)] {
         assert!(
-            matches!(queue.request(0, &request(is_nested, 3, target), || id), Admission::Queued(_)),
+            matches!(queue.request_admission(0, &request(is_nested, 3, target), || id), Admission::Queued(_)),
             "{id}"
         );
     }
@@ -49,15 +49,15 @@
 fn the_limit_holds_and_no_request_waits_in_vain() {
     let mut queue = full_queue(4);
     // A request that would be late waits only if it is the only one and its client still waits.
-    assert_eq!(queue.request(0, &request(false, 3, 110), || 1), Admission::Queued(595 * MS));
-    assert_eq!(queue.request(0, &request(false, 3, 110), || 2), Admission::Rejected);
-    assert_eq!(queue.request(0, &request(false, 0, 50), || 3), Admission::Rejected);
+    assert_eq!(queue.request_admission(0, &request(false, 3, 110), || 1), Admission::Queued(595 * MS));
+    assert_eq!(queue.request_admission(0, &request(false, 3, 110), || 2), Admission::Rejected);
+    assert_eq!(queue.request_admission(0, &request(false, 0, 50), || 3), Admission::Rejected);
     // Few requests wait at their first inbound proxy, more at later ones.
-    assert!(matches!(queue.request(0, &request(false, 0, 1_000), || 4), Admission::Queued(_)));
-    assert_eq!(queue.request(0, &request(false, 0, 1_000), || 5), Admission::Rejected);
-    assert!(matches!(queue.request(0, &request(false, 1, 1_000), || 6), Admission::Queued(_)));
+    assert!(matches!(queue.request_admission(0, &request(false, 0, 1_000), || 4), Admission::Queued(_)));
+    assert_eq!(queue.request_admission(0, &request(false, 0, 1_000), || 5), Admission::Rejected);
+    assert!(matches!(queue.request_admission(0, &request(false, 1, 1_000), || 6), Admission::Queued(_)));
     assert_eq!((queue.in_flight(), queue.admit_next(MS)), (4, None));
     queue.release(None);
     // A request that has expired is dropped.
-    assert_eq!((queue.admit_next(980 * MS), queue.in_flight(), queue.queued()), (None, 3, 0));
+    assert_eq!((queue.admit_next(980 * MS), queue.in_flight(), queue.queue_length()), (None, 3, 0));
 }
--- a/traffic/tests/canary.rs
+++ b/traffic/tests/canary.rs
@@ -1,6 +1,6 @@
 //! When a canary is rolled back.
 
-use ochreshed_traffic::canary::{RequestOutcomes, Verdict, verdict};
+use ochreshed_traffic::canary::{CanaryVerdict, RequestOutcomes, evaluate_canary};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -11,19 +11,19 @@
 #[test]
 fn a_canary_is_rolled_back_only_for_failures_that_the_baseline_lacks() {
     for (canary, baseline, is_over, expected) in [
-        (ended(0, 0), ended(0, 0), false, Verdict::Continue),
-        (ended(0, 0), ended(900, 900), true, Verdict::Promote),
-        (ended(2, 2), ended(900, 0), true, Verdict::Promote),
-        (ended(3, 3), ended(900, 0), false, Verdict::RollBack),
-        (ended(90, 9), ended(900, 90), true, Verdict::Promote),
-        (ended(90, 90), ended(900, 900), true, Verdict::Promote),
-        (ended(90, 9), ended(900, 900), true, Verdict::Promote),
-        (ended(90, 30), ended(900, 90), false, Verdict::RollBack),
-        (ended(90, 45), ended(0, 0), true, Verdict::Promote),
-        (ended(90, 46), ended(0, 0), true, Verdict::RollBack),
-        (ended(u64::MAX, u64::MAX / 2), ended(u64::MAX, 0), false, Verdict::RollBack),
+        (ended(0, 0), ended(0, 0), false, CanaryVerdict::Continue),
+        (ended(0, 0), ended(900, 900), true, CanaryVerdict::Promote),
+        (ended(2, 2), ended(900, 0), true, CanaryVerdict::Promote),
+        (ended(3, 3), ended(900, 0), false, CanaryVerdict::RollBack),
+        (ended(90, 9), ended(900, 90), true, CanaryVerdict::Promote),
+        (ended(90, 90), ended(900, 900), true, CanaryVerdict::Promote),
+        (ended(90, 9), ended(900, 900), true, CanaryVerdict::Promote),
+        (ended(90, 30), ended(900, 90), false, CanaryVerdict::RollBack),
+        (ended(90, 45), ended(0, 0), true, CanaryVerdict::Promote),
+        (ended(90, 46), ended(0, 0), true, CanaryVerdict::RollBack),
+        (ended(u64::MAX, u64::MAX / 2), ended(u64::MAX, 0), false, CanaryVerdict::RollBack),
     ] {
-        assert_eq!(verdict(canary, baseline, is_over), expected, "{canary:?} {baseline:?}");
+        assert_eq!(evaluate_canary(canary, baseline, is_over), expected, "{canary:?} {baseline:?}");
     }
 }
 
@@ -42,7 +42,7 @@
                     ended.failed += failed;
                     ended.succeeded += requests - failed;
                 }
-                if verdict(canary, baseline, false) == Verdict::RollBack {
+                if evaluate_canary(canary, baseline, false) == CanaryVerdict::RollBack {
                     return true;
                 }
             }
--- a/traffic/tests/idle_limit.rs
+++ b/traffic/tests/idle_limit.rs
@@ -15,7 +15,7 @@
     let (mut now, mut durations) = (100_000 * MS, Vec::new());
     for _ in 0..4 {
         assert_eq!(idle_limit.limit(now), MAX_LIMIT);
-        assert!(idle_limit.lost(now, Some(400 * MS)));
+        assert!(idle_limit.record_loss(now, Some(400 * MS)));
         assert_eq!(idle_limit.limit(now), 100 * MS);
         let from = now;
         while idle_limit.limit(now) < MAX_LIMIT {
@@ -26,7 +26,7 @@
     assert_eq!(durations, [1, 2, 4, 8]);
     // After a long time without a loss the duration is as at first; a shorter idle time lowers the limit further.
     now += RECURRENCE_WINDOW;
-    assert!(idle_limit.lost(now, Some(400 * MS)) && idle_limit.lost(now, Some(80 * MS)));
+    assert!(idle_limit.record_loss(now, Some(400 * MS)) && idle_limit.record_loss(now, Some(80 * MS)));
     assert_eq!(idle_limit.limit(now), MIN_LIMIT);
     assert_eq!(idle_limit.limit(now + 2 * BASE_DURATION), MAX_LIMIT);
 }
@@ -36,15 +36,15 @@
     let mut idle_limit = IdleLimit::new(MAX_LIMIT);
     let mut now = 100_000 * MS;
     for lost in [Some(3 * MS), None, Some(700 * MS), Some(100 * MS), Some(0)] {
-        assert!(!idle_limit.lost(now, lost));
+        assert!(!idle_limit.record_loss(now, lost));
         assert_eq!(idle_limit.limit(now), MAX_LIMIT, "{lost:?}");
         now += 100 * MS;
     }
     // A loss on a connection in use takes a lower limit back.
     now += AGE_IRRELEVANT_DURATION;
-    assert!(idle_limit.lost(now, Some(100 * MS)));
+    assert!(idle_limit.record_loss(now, Some(100 * MS)));
     assert_eq!(idle_limit.limit(now), MIN_LIMIT);
-    assert!(!idle_limit.lost(now + MS, Some(MS)));
+    assert!(!idle_limit.record_loss(now + MS, Some(MS)));
     assert_eq!(idle_limit.limit(now + MS), MAX_LIMIT);
 }
 
@@ -56,7 +56,7 @@
         let mut now = 0;
         for (after, lost) in losses {
             now += after * MS;
-            idle_limit.lost(now, lost.map(|ms| ms * MS));
+            idle_limit.record_loss(now, lost.map(|ms| ms * MS));
             prop_assert!((MIN_LIMIT..=MAX_LIMIT).contains(&idle_limit.limit(now)));
         }
         prop_assert_eq!(idle_limit.limit(now + BASE_DURATION * 2u64.pow(MAX_DOUBLINGS)), MAX_LIMIT);
--- a/traffic/tests/outlier_detection.rs
+++ b/traffic/tests/outlier_detection.rs
@@ -16,9 +16,9 @@
     outcomes: impl IntoIterator<Item = RunOutcome>,
 ) -> UpstreamHealth {
     for outcome in outcomes {
-        let id = detector.begin(*now, RequestClass::default());
+        let id = detector.start_run(*now, RequestClass::default());
         *now += took_ms * MS;
-        detector.end(*now, id, outcome);
+        detector.end_run(*now, id, outcome);
         detector.update(*now);
     }
     detector.health()
@@ -75,12 +75,12 @@
 #[test]
 fn overdue_runs_count_as_failed_once() {
     let (mut detector, mut now) = healthy();
-    let runs: Vec<u64> = (0..6).map(|_| detector.begin(now, RequestClass::default())).collect();
+    let runs: Vec<u64> = (0..6).map(|_| detector.start_run(now, RequestClass::default())).collect();
     now += 400 * MS;
     let health = detector.update(now);
     assert!(health.failure_level >= 1, "{health:?}");
     let failing = detector.failure_rate(&RequestClass::default());
-    runs.into_iter().for_each(|run| detector.end(now, run, RunOutcome::Failed));
+    runs.into_iter().for_each(|run| detector.end_run(now, run, RunOutcome::Failed));
     assert_eq!(detector.failure_rate(&RequestClass::default()), failing);
 }
 
@@ -108,9 +108,9 @@
     let mut both = |outcome: RunOutcome, others: RunOutcome| {
         for _ in 0..60 {
             for (class, outcome) in [(&norte, outcome), (&RequestClass::default(), others)] {
-                let id = detector.begin(now, class.clone());
+                let id = detector.start_run(now, class.clone());
                 now += 25 * MS;
-                detector.end(now, id, outcome);
+                detector.end_run(now, id, outcome);
                 detector.update(now);
             }
         }
@@ -131,17 +131,17 @@
         for (what, ms, member) in steps {
             now += ms * MS;
             match what {
-                0 | 1 => open.push(detector.begin(now, classes[usize::from(member)].clone())),
+                0 | 1 => open.push(detector.start_run(now, classes[usize::from(member)].clone())),
                 _ => if let Some(run) = open.pop() {
                     let outcome = [RunOutcome::Succeeded, RunOutcome::Failed, RunOutcome::NoConnection, RunOutcome::Abandoned][usize::from(what - 2)];
-                    detector.end(now, run, outcome);
+                    detector.end_run(now, run, outcome);
                 }
             }
             let health = detector.update(now);
             prop_assert!(health.failure_level <= MAX_FAILURE_LEVEL && usize::from(health.latency_level) <= LATENCY_THRESHOLDS.len());
             prop_assert_eq!(detector.open_runs(), open.len());
         }
-        open.into_iter().for_each(|run| detector.end(now, run, RunOutcome::Abandoned));
+        open.into_iter().for_each(|run| detector.end_run(now, run, RunOutcome::Abandoned));
         for _ in 0..12 {
             now += PROBATION_INTERVAL * 16;
             detector.update(now);
--- a/traffic/tests/retry_budget.rs
+++ b/traffic/tests/retry_budget.rs
@@ -31,12 +31,12 @@
     is_retried: bool,
 ) {
     let mut request = RequestAttempts::new(repeatable, now + 100 * MS);
-    account.attempt_started(now, &request);
-    request.ended(how);
+    account.record_attempt(now, &request);
+    request.record_outcome(how);
     if is_retried {
-        account.attempt_started(now, &request);
+        account.record_attempt(now, &request);
     } else {
-        account.request_given_up(now, &request);
+        account.record_give_up(now, &request);
     }
 }
 
@@ -55,7 +55,7 @@
     run_request(&mut account, now, false, DispatchOutcome::Reset, false);
     run_request(&mut account, now, false, DispatchOutcome::Full, false);
     assert_eq!(account.reported_counts(now), counts(6, 1, 2));
-    account.nested_call_retried(now);
+    account.record_nested_retry(now);
     assert_eq!(account.reported_counts(now), counts(6, 2, 2));
     // Where there is budget the policy had another reason.
     (0..20).for_each(|_| run_request(&mut account, now, true, DispatchOutcome::Done, false));
@@ -65,9 +65,9 @@
     let mut middle = RetryAccount::new(WINDOW, RetryLimits { last_tier: false, floor: 0.0, ..LIMITS });
     run_request(&mut middle, now, true, DispatchOutcome::Error, false);
     let mut late = RequestAttempts::new(true, now);
-    middle.attempt_started(now, &late);
-    late.ended(DispatchOutcome::Full);
-    middle.request_given_up(now, &late);
+    middle.record_attempt(now, &late);
+    late.record_outcome(DispatchOutcome::Full);
+    middle.record_give_up(now, &late);
     assert_eq!(middle.reported_counts(now), counts(2, 0, 0));
     assert_eq!(account.restart(WINDOW, LIMITS).reported_counts(now), account.reported_counts(now));
     assert_eq!(account.reported_counts(now + WINDOW), AttemptCounts::default());
--- a/traffic/tests/retry_shares.rs
+++ b/traffic/tests/retry_shares.rs
@@ -49,7 +49,7 @@
                 pool.set_shares(now, &shares(&current_shares));
             }
             let mut retries = 0;
-            while pool.remaining(now, name(member).as_ref(), 0.1, floor) >= 1.0 {
+            while pool.remaining_retries(now, name(member).as_ref(), 0.1, floor) >= 1.0 {
                 retries += 1;
                 pool.add(now, name(member).as_ref(), RETRY);
                 sent.push((now, member, RETRY));
@@ -76,7 +76,7 @@
     pool.set_shares(NOW, &shares(&[0.2, 0.5]));
     let (a, b) = (name(0), name(1));
     let remaining = |pool: &RetryPool, member: &Option<Name>| {
-        (pool.remaining(NOW, member.as_ref(), 0.1, 1.0) * 10.0).round() / 10.0
+        (pool.remaining_retries(NOW, member.as_ref(), 0.1, 1.0) * 10.0).round() / 10.0
     };
     // While no member has sent anything the platform has the whole budget.
     pool.add(NOW, None, FIRST_ATTEMPT);
@@ -99,5 +99,5 @@
     let later = NOW + 10_000 * MS;
     pool.set_shares(later, &Arc::new(BTreeMap::new()));
     assert!(pool.has_no_members());
-    assert_eq!(pool.remaining(later, None, 0.1, 1.0), 1.0);
+    assert_eq!(pool.remaining_retries(later, None, 0.1, 1.0), 1.0);
 }
