--- a/traffic/src/admission.rs
+++ b/traffic/src/admission.rs
@@ -1,47 +1,48 @@
-//! Which requests an inbound proxy admits to its upstream, and which wait.
+//! Admission control of an inbound proxy: which requests run at its upstream, wait in the queue or are rejected.
 //!
-//! [`AdmissionQueue::request_admission`] admits a request, queues it or rejects it; [`AdmissionQueue::release`] notes that a run has
-//! ended, and [`AdmissionQueue::admit_next`] then returns the queued request that may run.
+//! [`AdmissionQueue::request_admission`] admits a request, queues it or rejects it; [`AdmissionQueue::release`] records
+//! the end of a run, after which [`AdmissionQueue::admit_next`] returns the next queued request that may run.
 //!
-//! Nested calls go first: each keeps a run elsewhere waiting, and if it fails that run is thrown away. Among the others,
-//! the one whose latency target comes first goes first. Those that can't meet it come last, and wait only where nobody
-//! else does or where their session has its upstream.
+//! Nested calls are admitted first: each holds up a run at another upstream, whose work is lost if the call fails.
+//! Other requests are admitted by earliest latency target. Requests that can't meet their target come last; they are
+//! queued only if the queue is empty or their session is bound to this upstream.
 //!
-//! The requests of a member take at most the member's share of the concurrency limit and of the queue. Those that wait
-//! for their member's share don't hold up others, the time of a member's runs is measured apart, and what a member leaves
-//! free is for all.
+//! A member's requests use at most the member's share of the concurrency limit and of the queue. Requests that wait for
+//! their member's share do not block others, run times are averaged per member, and capacity that a member does not use
+//! is available to all.
 //!
-//! Invariants: never more requests run than the concurrency limit; none is queued that is unlikely to be answered in time
-//! while others could be.
+//! Invariants: the number of admitted requests never exceeds the concurrency limit; a request that is unlikely to be
+//! answered in time is not queued ahead of requests that can be.
 
 use std::collections::{HashMap, VecDeque};
 
 use ochreshed_catalog::configuration::Name;
 use ochreshed_consensus::core::Nanos;
 
-/// The weight of one run in the mean run time.
+/// The weight of one run in the moving average of run times.
 const RUN_TIME_GAIN: f64 = 0.05;
-/// A queued request is not admitted with less time than this until its deadline.
+/// A queued request is admitted only if at least this much time is left until its deadline.
 const MIN_TIME_LEFT: Nanos = 15_000_000;
 /// The greatest length of the queue, as a multiple of the concurrency limit.
 const MAX_QUEUE_FACTOR: u32 = 3;
-/// The greatest length of the queue with the requests that wait for their members' shares, as a multiple of the above.
+/// The greatest length of the queue with the requests that wait for their members' shares, as a multiple of
+/// [`MAX_QUEUE_FACTOR`] times the concurrency limit.
 const MAX_SHARED_QUEUE_FACTOR: u32 = 2;
-/// Above this number of members, those without running or queued requests are dropped.
+/// Above this number of members, the state of members without running or queued requests is dropped.
 const MAX_MEMBERS: usize = 64;
 
-/// What counts for the admission of a request.
+/// The properties of a request that decide on its admission.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AdmissionRequest {
-    /// Whether a run elsewhere waits for the response.
+    /// Whether a run at another upstream waits for the response.
     pub is_nested: bool,
-    /// The number of inbound proxies that have rejected the request before.
+    /// The number of inbound proxies that have already rejected the request.
     pub rejections: u32,
-    /// Whether the request's session has its upstream here, so that a later response is better than another upstream.
+    /// Whether the request's session is bound to this upstream, so that waiting is better than another upstream.
     pub has_affinity: bool,
-    /// When the latency target ends.
+    /// The time by which the response should be sent.
     pub target: Nanos,
-    /// When the client stops waiting.
+    /// The time at which the client stops waiting.
     pub deadline: Nanos,
 }
 
@@ -49,7 +50,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct QueueOrder {
     priority: Priority,
-    /// The time before which the response is wanted; the earliest goes first.
+    /// The time by which the response is due; the earliest is admitted first.
     due_at: Nanos,
 }
 
@@ -61,14 +62,14 @@
     Late,
 }
 
-/// The answer to a request for admission.
+/// The result of a request for admission.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Admission {
     /// The request may run.
     Admitted,
-    /// The request waits, at the longest until this time.
+    /// The request is queued until this time at the latest.
     Queued(Nanos),
-    /// Waiting here is of no use.
+    /// The request is neither admitted nor queued.
     Rejected,
 }
 
@@ -77,13 +78,14 @@
 pub struct MemberShare {
     /// The member's name.
     pub member: Name,
-    /// The share of the concurrency limit and of the queue, from 0 to 1; rounded up, and one request at least.
+    /// The share of the concurrency limit and of the queue, from 0 to 1. It is rounded up and allows at least one
+    /// request.
     pub share: f64,
 }
 
-/// The share of `total` as a whole number.
-fn share_of(total: u32, share: f64) -> u32 {
-    // A product such as a third of three may come out slightly above a whole number.
+/// Returns the share of `total`, rounded up and at least 1.
+fn round_up_share(total: u32, share: f64) -> u32 {
+    // Floating-point products such as a third of three can be slightly above the exact whole number.
     const TOLERANCE: f64 = 1e-9;
     let part = (f64::from(total) * share - TOLERANCE).ceil();
     if part >= 1.0 { (part as u32).min(total.max(1)) } else { 1 }
@@ -91,7 +93,7 @@
 
 struct QueuedRequest<T> {
     order: QueueOrder,
-    /// After this time the request is not admitted any more.
+    /// The request is no longer admitted after this time.
     expires_at: Nanos,
     member: Option<Name>,
     waiter: T,
@@ -105,30 +107,30 @@
     mean_run_s: f64,
 }
 
-/// The place of a queued request and how long it may have it.
-struct QueuePlace {
+/// The position of a request in the queue and the time until which it may wait.
+struct QueuePosition {
     order: QueueOrder,
     expires_at: Nanos,
 }
 
-/// The queue as a new request finds it.
+/// The lengths of the queue as seen by a new request.
 #[derive(Default)]
 struct QueueLengths {
-    /// The requests that don't wait for their member's share.
+    /// The requests that do not wait for their member's share.
     total: u32,
-    /// Those of them that would be admitted before the new one.
+    /// The requests of `total` that would be admitted before the new one.
     ahead: u32,
-    /// The requests of the new one's member.
+    /// The requests of the same member as the new one.
     of_member: u32,
-    /// Those of them that would be admitted before the new one.
+    /// The requests of `of_member` that would be admitted before the new one.
     of_member_ahead: u32,
 }
 
-/// The admitted and queued requests of one upstream. `T` is what the caller keeps for a queued request.
+/// The admitted and queued requests of one upstream. `T` is the caller's data for a queued request.
 pub struct AdmissionQueue<T> {
     concurrency_limit: u32,
     in_flight: u32,
-    /// In the order in which they are admitted.
+    /// In order of admission.
     queue: VecDeque<QueuedRequest<T>>,
     /// The mean run time, in seconds.
     mean_run_s: f64,
@@ -148,13 +150,12 @@
 }
 
 impl<T> AdmissionQueue<T> {
-    /// Sets how many requests may run at once. Where the limit is raised, queued requests are admitted by
-    /// [`AdmissionQueue::admit_next`].
+    /// Sets the concurrency limit. After an increase, call [`AdmissionQueue::admit_next`] to admit queued requests.
     pub fn set_limit(&mut self, concurrency_limit: u32) {
         self.concurrency_limit = concurrency_limit;
     }
 
-    /// Takes a request on one of the platform's own routes. `waiter` is called where the request is queued.
+    /// Admits, queues or rejects a request on one of the platform's own routes. `waiter` is called if it is queued.
     pub fn request_admission(
         &mut self,
         now: Nanos,
@@ -164,7 +165,7 @@
         self.request_member_admission(now, request, None, waiter)
     }
 
-    /// Takes a request on a route of a member, or on one of the platform's own where there is none.
+    /// Admits, queues or rejects a request on a member's route, or on one of the platform's own if `share` is `None`.
     pub fn request_member_admission(
         &mut self,
         now: Nanos,
@@ -173,30 +174,32 @@
         waiter: impl FnOnce() -> T,
     ) -> Admission {
         let member = share.map(|share| self.update_member(share));
-        if self.may_run_now(now, request, member) {
+        if self.can_run_now(now, request, member) {
             self.admit(share.map(|share| &share.member));
             return Admission::Admitted;
         }
         let name = share.map(|share| &share.member);
-        let Some(place) = self.queue_place(now, request, name, member) else { return Admission::Rejected };
-        let QueuePlace { order, expires_at } = place;
+        let Some(position) = self.queue_position(now, request, name, member) else {
+            return Admission::Rejected;
+        };
+        let QueuePosition { order, expires_at } = position;
         let index = self.queue.partition_point(|queued| queued.order <= order);
         let queued = QueuedRequest { order, expires_at, member: name.cloned(), waiter: waiter() };
         self.queue.insert(index, queued);
         Admission::Queued(expires_at)
     }
 
-    fn may_run_now(&self, now: Nanos, request: &AdmissionRequest, member: Option<MemberState>) -> bool {
+    fn can_run_now(&self, now: Nanos, request: &AdmissionRequest, member: Option<MemberState>) -> bool {
         let mean_run_s = member.map_or(self.mean_run_s, |member| member.mean_run_s);
         let is_late = !request.is_nested && now + nanos(mean_run_s) > request.target;
-        // A late request leaves room for one that can still be in time.
+        // One slot is kept free of late requests for those that can still meet their target.
         let reserved = u32::from(is_late && self.concurrency_limit > 1);
         self.in_flight < self.concurrency_limit.saturating_sub(reserved)
-            && member.is_none_or(|member| self.member_room(&member) > 0)
+            && member.is_none_or(|member| self.free_member_slots(&member) > 0)
             && !self.queue.iter().any(|queued| self.may_admit(queued))
     }
 
-    /// The state of a member, with the share that it has now.
+    /// Updates a member's share and returns its state.
     fn update_member(&mut self, share: &MemberShare) -> MemberState {
         if self.members.len() > MAX_MEMBERS && !self.members.contains_key(&share.member) {
             self.drop_inactive_members();
@@ -213,15 +216,15 @@
         self.members.retain(|name, member| member.in_flight > 0 || is_queued(name));
     }
 
-    /// How many more requests of a member may run.
-    fn member_room(&self, member: &MemberState) -> u32 {
-        share_of(self.concurrency_limit, member.share).saturating_sub(member.in_flight)
+    /// The number of further requests of a member that may run.
+    fn free_member_slots(&self, member: &MemberState) -> u32 {
+        round_up_share(self.concurrency_limit, member.share).saturating_sub(member.in_flight)
     }
 
-    /// Whether a queued request may run as soon as the upstream has room.
+    /// Whether a queued request may run as far as its member's share is concerned.
     fn may_admit(&self, queued: &QueuedRequest<T>) -> bool {
         let member = queued.member.as_ref().and_then(|name| self.members.get(name));
-        member.is_none_or(|member| self.member_room(member) > 0)
+        member.is_none_or(|member| self.free_member_slots(member) > 0)
     }
 
     fn admit(&mut self, member: Option<&Name>) {
@@ -253,7 +256,8 @@
         lengths
     }
 
-    /// Whether a queued request waits for its member's share, as `counted` of the same member before it don't.
+    /// Whether a queued request waits for its member's share. `counted` holds the number of requests of each member
+    /// that come before it in the queue.
     fn waits_for_share<'q>(
         &self,
         queued: &'q QueuedRequest<T>,
@@ -263,17 +267,17 @@
         let Some(member) = self.members.get(name) else { return false };
         let counted = counted.entry(name).or_default();
         *counted += 1;
-        *counted > self.member_room(member)
+        *counted > self.free_member_slots(member)
     }
 
-    /// The place of a request in the queue; none where waiting is of no use.
-    fn queue_place(
+    /// The position of a request in the queue; `None` if it is to be rejected.
+    fn queue_position(
         &self,
         now: Nanos,
         request: &AdmissionRequest,
         member_name: Option<&Name>,
         member: Option<MemberState>,
-    ) -> Option<QueuePlace> {
+    ) -> Option<QueuePosition> {
         let priority = if request.is_nested { Priority::Nested } else { Priority::InTime };
         let order = QueueOrder { priority, due_at: request.target };
         let lengths = self.queue_lengths(order, member_name);
@@ -284,23 +288,23 @@
         let wait = self.expected_wait(lengths.ahead, lengths.of_member_ahead, member);
         let last_start = request.deadline.saturating_sub(MIN_TIME_LEFT);
         if now + wait + run_time <= request.target {
-            // A request that would wait in vain is rejected while there is time to go elsewhere.
+            // The request expires while there is still time to send it to another upstream.
             let expires_at = last_start.min(request.target - run_time);
             let may_wait = self.may_wait_in_time(request, &lengths, member);
-            return may_wait.then_some(QueuePlace { order, expires_at });
+            return may_wait.then_some(QueuePosition { order, expires_at });
         }
         let wait = self.expected_wait(lengths.total, lengths.of_member, member);
         let meets_deadline = now + wait + run_time <= last_start;
         let order = QueueOrder { priority: Priority::Late, due_at: request.deadline };
         if request.has_affinity {
-            // Half of its time is left for another upstream.
+            // Half of the remaining time is reserved for an attempt at another upstream.
             let half_time = now + request.deadline.saturating_sub(now) / 2;
             let may_wait = meets_deadline && now + wait <= half_time;
-            return may_wait.then_some(QueuePlace { order, expires_at: last_start.min(half_time) });
+            return may_wait.then_some(QueuePosition { order, expires_at: last_start.min(half_time) });
         }
         let is_alone = lengths.total == 0 && lengths.of_member == 0;
         let may_wait = request.rejections > 0 && is_alone && meets_deadline;
-        may_wait.then_some(QueuePlace { order, expires_at: last_start })
+        may_wait.then_some(QueuePosition { order, expires_at: last_start })
     }
 
     fn is_full(&self, lengths: &QueueLengths, member: Option<MemberState>) -> bool {
@@ -309,65 +313,66 @@
             return true;
         }
         member.is_some_and(|member| {
-            lengths.of_member >= share_of(max_length, member.share)
+            lengths.of_member >= round_up_share(max_length, member.share)
                 || self.queue.len() as u32 >= max_length.saturating_mul(MAX_SHARED_QUEUE_FACTOR)
         })
     }
 
-    /// How long it takes until a request is admitted that has so many before it, of all and of its member.
+    /// The expected wait of a request with this number of requests before it, in total and of its member.
     fn expected_wait(&self, ahead: u32, of_member_ahead: u32, member: Option<MemberState>) -> Nanos {
         let release_interval = self.mean_run_time() / Nanos::from(self.concurrency_limit.max(1));
         let wait = Nanos::from(ahead + 1) * release_interval;
         let Some(member) = member else { return wait };
-        let releases = (of_member_ahead + 1).saturating_sub(self.member_room(&member));
-        let member_limit = share_of(self.concurrency_limit, member.share);
+        let releases = (of_member_ahead + 1).saturating_sub(self.free_member_slots(&member));
+        let member_limit = round_up_share(self.concurrency_limit, member.share);
         let member_release_interval = nanos(member.mean_run_s) / Nanos::from(member_limit);
         wait.max(Nanos::from(releases) * member_release_interval)
     }
 
-    /// Whether a request that can meet its latency target may wait here.
+    /// Whether a request that can meet its latency target may be queued here.
     fn may_wait_in_time(
         &self,
         request: &AdmissionRequest,
         lengths: &QueueLengths,
         member: Option<MemberState>,
     ) -> bool {
-        // The first inbound proxy leaves most requests to others, which may have room; after some rejections this one is
-        // as good as any.
+        // The first inbound proxy rejects most requests because others may have room. After some rejections, another
+        // proxy is unlikely to be better.
         let max_ahead = match request.rejections {
             _ if request.is_nested || request.has_affinity => self.concurrency_limit * 2,
             0 | 2 => self.concurrency_limit / 4,
             1 => self.concurrency_limit / 2,
             _ => self.concurrency_limit * 2,
         };
-        let member_may_wait = member
-            .is_none_or(|member| lengths.of_member_ahead < max_ahead.min(share_of(max_ahead, member.share)));
+        let member_may_wait = member.is_none_or(|member| {
+            lengths.of_member_ahead < max_ahead.min(round_up_share(max_ahead, member.share))
+        });
         lengths.ahead < max_ahead && member_may_wait
     }
 
-    /// The mean time of recent runs.
+    /// The moving average of run times.
     pub fn mean_run_time(&self) -> Nanos {
         nanos(self.mean_run_s)
     }
 
-    /// Notes that a run on one of the platform's own routes has ended, after `run_time` where that says how long runs
-    /// take.
+    /// Records the end of a run on one of the platform's own routes. `run_time` is `None` if the run is not
+    /// representative of run times.
     pub fn release(&mut self, run_time: Option<Nanos>) {
         self.in_flight = self.in_flight.saturating_sub(1);
-        learn_run_time(&mut self.mean_run_s, run_time);
+        update_mean_run_time(&mut self.mean_run_s, run_time);
     }
 
-    /// Notes that a run on a member's route has ended. Its time counts for that member alone.
+    /// Records the end of a run on a member's route. Its run time counts for that member only.
     pub fn release_member(&mut self, member: &Name, run_time: Option<Nanos>) {
         self.in_flight = self.in_flight.saturating_sub(1);
         if let Some(member) = self.members.get_mut(member) {
             member.in_flight = member.in_flight.saturating_sub(1);
-            learn_run_time(&mut member.mean_run_s, run_time);
+            update_mean_run_time(&mut member.mean_run_s, run_time);
         }
     }
 
-    /// Admits the first queued request that may run, and returns its waiter. Requests that have expired are dropped, and
-    /// those that wait for their member's share are passed over.
+    /// Admits the first queued request that may run, and returns its waiter. Expired requests are dropped; requests
+    /// that wait for their member's share are skipped.
     pub fn admit_next(&mut self, now: Nanos) -> Option<T> {
         let mut index = 0;
         while self.in_flight < self.concurrency_limit
@@ -386,7 +391,7 @@
         None
     }
 
-    /// Removes the queued requests whose waiters are gone.
+    /// Removes the queued requests for which `is_gone` returns true.
     pub fn remove_waiters(&mut self, is_gone: impl Fn(&T) -> bool) {
         self.queue.retain(|queued| !is_gone(&queued.waiter));
     }
@@ -396,7 +401,7 @@
         self.queue.len()
     }
 
-    /// The number of requests that run.
+    /// The number of running requests.
     pub fn in_flight(&self) -> u32 {
         self.in_flight
     }
@@ -406,7 +411,7 @@
     (seconds * 1e9) as Nanos
 }
 
-fn learn_run_time(mean_s: &mut f64, run_time: Option<Nanos>) {
+fn update_mean_run_time(mean_s: &mut f64, run_time: Option<Nanos>) {
     if let Some(run_time) = run_time {
         *mean_s += (run_time as f64 / 1e9 - *mean_s) * RUN_TIME_GAIN;
     }
--- a/traffic/src/budget_reports.rs
+++ b/traffic/src/budget_reports.rs
@@ -1,9 +1,9 @@
-//! The reports of all outbound proxies, as one replica of the control plane holds them.
+//! The reports of outbound proxies that one replica of the control plane holds.
 //!
-//! Each outbound proxy reports to one replica. [`BudgetReports`] keeps the newest report of each proxy and can be merged
-//! with that of another replica ([`BudgetReports::collect`], [`BudgetReports::store`]).
+//! Each outbound proxy reports to one replica. [`BudgetReports`] keeps the newest report of each proxy and can be
+//! merged with those of another replica ([`BudgetReports::collect`], [`BudgetReports::store`]).
 //!
-//! Invariants: of two reports of one proxy the later one is kept; the number of entries of all reports is bounded.
+//! Invariants: only the latest report of each proxy is kept; the total number of entries is bounded.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -14,11 +14,11 @@
     AttemptCounts, BudgetReport, MAX_EDITIONS, OutcomeCounts, RouteEdition,
 };
 
-/// The most services of one report. A proxy with more reports those with the most retries.
+/// The maximum number of services in a report. A proxy with more services reports those with the most retries.
 pub const MAX_SERVICES: usize = 64;
-/// The greatest length of a service's or member's name; entries with longer ones are dropped.
+/// The maximum length of the name of a service or member; entries with longer names are dropped.
 const MAX_NAME_BYTES: usize = 256;
-/// The most entries of all reports, and the most reports.
+/// The maximum total number of entries, and the maximum number of reports.
 const MAX_ENTRIES: usize = 200_000;
 const NANOS_PER_MS: Nanos = 1_000_000;
 
@@ -34,7 +34,7 @@
 pub struct AttemptTotals {
     /// The attempts at each service.
     pub services: BTreeMap<Name, AttemptCounts>,
-    /// The number of reports in the sums.
+    /// The number of proxies whose reports are summed.
     pub proxies: usize,
 }
 
@@ -42,15 +42,15 @@
 #[derive(Clone, Debug, Default)]
 pub struct BudgetReports {
     reports: HashMap<SocketAddr, StoredReport>,
-    /// The number of entries of all reports.
+    /// The total number of entries in all reports.
     entries: usize,
 }
 
 impl BudgetReports {
-    /// Stores the report that a proxy sent `age` before `now`, unless there is a later one or no room.
+    /// Stores the report that a proxy sent `age` before `now`, unless a later one is stored or the table is full.
     pub fn store(&mut self, now: Nanos, inbound_proxy: SocketAddr, mut report: BudgetReport, age: Nanos) {
         let sent_at = now.saturating_sub(age);
-        bound_report(&mut report);
+        enforce_limits(&mut report);
         let previous = self.reports.get(&inbound_proxy);
         let previous_entries = previous.map_or(0, |previous| previous.report.entry_count());
         let entries = self.entries - previous_entries + report.entry_count();
@@ -75,7 +75,7 @@
         self.reports.iter().map(collected).collect()
     }
 
-    /// Removes the reports of proxies that are not known any more.
+    /// Keeps only the reports of known proxies.
     pub fn retain(&mut self, is_known: impl Fn(SocketAddr) -> bool) {
         self.reports.retain(|inbound_proxy, _| is_known(*inbound_proxy));
         self.entries = self.reports.values().map(|stored| stored.report.entry_count()).sum();
@@ -86,10 +86,10 @@
         self.reports.get(&inbound_proxy).map(|stored| &stored.report)
     }
 
-    /// The sums by service over the proxies that count.
-    pub fn attempt_totals(&self, counts: impl Fn(SocketAddr) -> bool) -> AttemptTotals {
+    /// Sums the attempts at each service over the proxies selected by `is_counted`.
+    pub fn attempt_totals(&self, is_counted: impl Fn(SocketAddr) -> bool) -> AttemptTotals {
         let mut totals = AttemptTotals::default();
-        for report in self.reports_of(counts) {
+        for report in self.selected_reports(is_counted) {
             totals.proxies += 1;
             for (service, counts) in &report.services {
                 let sum = totals.services.entry(service.clone()).or_default();
@@ -99,13 +99,13 @@
         totals
     }
 
-    /// The outcomes of members' requests over the proxies that count, by the edition that was in force there.
+    /// Sums the outcomes of each edition of members' routes over the proxies selected by `is_counted`.
     pub fn outcome_totals(
         &self,
-        counts: impl Fn(SocketAddr) -> bool,
+        is_counted: impl Fn(SocketAddr) -> bool,
     ) -> BTreeMap<RouteEdition, OutcomeCounts> {
         let mut totals: BTreeMap<RouteEdition, OutcomeCounts> = BTreeMap::new();
-        for report in self.reports_of(counts) {
+        for report in self.selected_reports(is_counted) {
             for (edition, outcomes) in &report.outcomes {
                 let sum = totals.entry(edition.clone()).or_default();
                 *sum = sum.saturating_add(*outcomes);
@@ -114,14 +114,17 @@
         totals
     }
 
-    fn reports_of(&self, counts: impl Fn(SocketAddr) -> bool) -> impl Iterator<Item = &BudgetReport> {
-        let counted = self.reports.iter().filter(move |(inbound_proxy, _)| counts(**inbound_proxy));
-        counted.map(|(_, stored)| &stored.report)
+    fn selected_reports(
+        &self,
+        is_counted: impl Fn(SocketAddr) -> bool,
+    ) -> impl Iterator<Item = &BudgetReport> {
+        let selected = self.reports.iter().filter(move |(inbound_proxy, _)| is_counted(**inbound_proxy));
+        selected.map(|(_, stored)| &stored.report)
     }
 }
 
-/// Drops what a report has beyond its bounds.
-fn bound_report(report: &mut BudgetReport) {
+/// Drops the entries of a report that exceed the limits.
+fn enforce_limits(report: &mut BudgetReport) {
     report.services.retain(|(service, _)| service.len() <= MAX_NAME_BYTES);
     report.services.truncate(MAX_SERVICES);
     report.outcomes.retain(|(edition, _)| edition.member.len() <= MAX_NAME_BYTES);
--- a/traffic/src/canary.rs
+++ b/traffic/src/canary.rs
@@ -1,15 +1,15 @@
-//! The verdict on a canary: whether a new version of a member's document is promoted or rolled back.
+//! Canary analysis: decides whether a new version of a member's document is promoted or rolled back.
 //!
-//! [`evaluate_canary`] compares the outcomes of the member's requests on nodes with the canary to those on all other nodes.
+//! [`evaluate_canary`] compares the member's request outcomes on canary nodes with those on all other nodes.
 //!
-//! Invariants: only the member's own requests count; no clock is read, the caller says whether the canary's time is over.
+//! Invariants: only the member's own requests count; the caller determines whether the canary period has ended.
 
 /// The outcomes of one member's requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RequestOutcomes {
-    /// The requests that were answered well.
+    /// Requests that were answered successfully.
     pub succeeded: u64,
-    /// The requests that were answered otherwise or not at all.
+    /// Requests that were answered with an error or not at all.
     pub failed: u64,
 }
 
@@ -23,27 +23,27 @@
     }
 }
 
-/// What becomes of a canary.
+/// The decision on a canary.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CanaryVerdict {
-    /// Nothing speaks against the canary, and its time is not over.
+    /// The canary shows no excess of failures, and its period has not ended.
     Continue,
-    /// The version comes into force on all nodes.
+    /// The new version takes effect on all nodes.
     Promote,
-    /// The version before is in force again on all nodes.
+    /// The previous version takes effect again on all nodes.
     RollBack,
 }
 
-/// With fewer failures, a canary is never rolled back.
+/// A canary with fewer failures than this is never rolled back.
 const MIN_FAILURES: u64 = 3;
-/// The number of standard errors by which a canary's failure rate must exceed that of the other nodes. A canary that is as
-/// good as these and looked at ten times is rolled back by chance in about one of a hundred cases (5 of 400, simulated).
+/// The number of standard errors by which a canary's failure rate must exceed the baseline. With 3, a canary that is as
+/// good as the baseline and is evaluated ten times is rolled back in about 1% of cases (5 of 400 in a simulation).
 const MIN_STANDARD_ERRORS: f64 = 3.0;
-/// The failure rate above which a canary is rolled back where no request ran without it.
+/// The failure rate above which a canary is rolled back if the baseline has no requests.
 const MAX_FAILURE_RATE: f64 = 0.5;
 
-/// The verdict on a canary from the outcomes with and without it. A canary is rolled back as soon as requests clearly fail
-/// more with it than without; else it is promoted once its time is over, even if there were no requests.
+/// Decides on a canary from the outcomes with and without it. The canary is rolled back as soon as its failure rate
+/// significantly exceeds the baseline. Otherwise it is promoted when its period ends, even if there were no requests.
 #[must_use]
 pub fn evaluate_canary(canary: RequestOutcomes, baseline: RequestOutcomes, is_over: bool) -> CanaryVerdict {
     if is_worse(canary, baseline) {
@@ -66,8 +66,8 @@
     excess > MIN_STANDARD_ERRORS * standard_error(canary, baseline)
 }
 
-/// The standard error of the difference between two failure rates if both had the same cause.
-fn standard_error(one: RequestOutcomes, other: RequestOutcomes) -> f64 {
-    let pooled = (one.failed as f64 + other.failed as f64) / (one.total() + other.total());
-    (pooled * (1.0 - pooled) * (1.0 / one.total() + 1.0 / other.total())).sqrt()
+/// The standard error of the difference between two failure rates under the hypothesis that both are equal.
+fn standard_error(first: RequestOutcomes, second: RequestOutcomes) -> f64 {
+    let pooled = (first.failed as f64 + second.failed as f64) / (first.total() + second.total());
+    (pooled * (1.0 - pooled) * (1.0 / first.total() + 1.0 / second.total())).sqrt()
 }
--- a/traffic/src/idle_limit.rs
+++ b/traffic/src/idle_limit.rs
@@ -1,42 +1,42 @@
-//! For how long an idle connection to one address may carry another request.
+//! Adaptive limit on the idle time after which a connection to one address is not reused.
 //!
-//! Some servers forget connections without a word: the next request there is reset, and whether it ran can't be known.
-//! Others lose responses whatever the age of the connection. A loss on a connection that was idle makes [`IdleLimit`] give
-//! up idle connections earlier for a short while, and for longer where that happens again. A loss on a connection that was
-//! in use says that the age does not matter.
+//! Some servers drop idle connections without closing them: the next request on such a connection is reset, and the
+//! proxy can't know whether it ran. Other servers lose responses regardless of the connection's idle time. After a loss
+//! on an idle connection, [`IdleLimit`] lowers the limit for a short time, and for longer if the loss recurs. A loss on
+//! a connection that was in use shows that idle time is not the cause, and restores the limit.
 //!
-//! Invariants: where requests are also lost on connections in use, no loss is taken for a forgotten connection; every
-//! conclusion ends after its time.
+//! Invariants: shortly after a loss on a connection in use, no loss is attributed to idle time; each lowered limit
+//! expires.
 
 use ochreshed_consensus::core::Nanos;
 
 const MS: Nanos = 1_000_000;
-/// A connection that was idle for less than this was in use.
+/// A connection with a shorter idle time than this counts as in use.
 const IN_USE_BELOW: Nanos = 50 * MS;
-/// After a loss, the limit is this part of the time for which the connection was idle.
+/// After a loss, the limit is the idle time of the lost connection divided by this.
 const LIMIT_DIVISOR: Nanos = 4;
-/// The least limit.
+/// The minimum limit.
 #[doc(hidden)]
 pub const MIN_LIMIT: Nanos = 25 * MS;
-/// How long a lower limit lasts; it doubles with each loss that comes soon after.
+/// How long a lowered limit lasts at first; it doubles with each recurrence.
 #[doc(hidden)]
 pub const BASE_DURATION: Nanos = 2_000 * MS;
-/// A loss within this time of the end of the last lower limit doubles the duration.
+/// A loss within this time of the end of the last lowered limit is a recurrence.
 #[doc(hidden)]
 pub const RECURRENCE_WINDOW: Nanos = 10_000 * MS;
-/// The most times that the duration doubles.
+/// The maximum number of doublings of the duration.
 #[doc(hidden)]
 pub const MAX_DOUBLINGS: u32 = 5;
-/// For this long after a loss on a connection in use, the age of a connection is no reason for a loss.
+/// For this long after a loss on a connection in use, no loss is attributed to idle time.
 #[doc(hidden)]
-pub const AGE_IRRELEVANT_DURATION: Nanos = 3_000 * MS;
+pub const IDLE_UNRELATED_DURATION: Nanos = 3_000 * MS;
 
 /// The limit on the idle time of connections to one address.
 #[derive(Clone, Debug)]
 pub struct IdleLimit {
     max_limit: Nanos,
     lowered_limit: Nanos,
-    /// Until when the lower limit is in force; 0 where there was none.
+    /// When the lowered limit expires; 0 if there was none.
     lowered_until: Nanos,
     doublings: u32,
     /// When a request was last lost on a connection that was in use.
@@ -44,7 +44,7 @@
 }
 
 impl IdleLimit {
-    /// A limit that is never above `max_limit`.
+    /// Creates a limit of `max_limit`, which is also its maximum.
     pub fn new(max_limit: Nanos) -> IdleLimit {
         IdleLimit {
             max_limit,
@@ -55,27 +55,27 @@
         }
     }
 
-    /// The limit now: a connection that has been idle for longer carries no other request.
+    /// The current limit: a connection that has been idle for longer is not reused.
     #[must_use]
     pub fn limit(&self, now: Nanos) -> Nanos {
         if now < self.lowered_until { self.lowered_limit } else { self.max_limit }
     }
 
-    /// Notes that a request was lost without a word on a connection that had been idle for so long, or on a new one.
-    /// Returns whether the server is taken to have forgotten the connection.
-    pub fn record_loss(&mut self, now: Nanos, idle: Option<Nanos>) -> bool {
-        let Some(idle) = idle.filter(|idle| *idle >= IN_USE_BELOW) else {
+    /// Records that a request was lost without a response. `idle` is the idle time of its connection, `None` for a new
+    /// connection. Returns whether the loss is attributed to idle time.
+    pub fn record_loss(&mut self, now: Nanos, idle_time: Option<Nanos>) -> bool {
+        let Some(idle_time) = idle_time.filter(|idle_time| *idle_time >= IN_USE_BELOW) else {
             self.lost_in_use_at = Some(now);
             self.lowered_until = 0;
             return false;
         };
-        if self.lost_in_use_at.is_some_and(|lost_at| now < lost_at + AGE_IRRELEVANT_DURATION) {
+        if self.lost_in_use_at.is_some_and(|lost_at| now < lost_at + IDLE_UNRELATED_DURATION) {
             return false;
         }
         let current_limit = self.limit(now);
         let is_recurrence = self.lowered_until > 0 && now < self.lowered_until + RECURRENCE_WINDOW;
         self.doublings = if is_recurrence { self.doublings + 1 } else { 0 };
-        self.lowered_limit = (idle / LIMIT_DIVISOR).max(MIN_LIMIT).min(current_limit);
+        self.lowered_limit = (idle_time / LIMIT_DIVISOR).max(MIN_LIMIT).min(current_limit);
         self.lowered_until = now + BASE_DURATION * 2u64.pow(self.doublings.min(MAX_DOUBLINGS));
         true
     }
--- a/traffic/src/lease_circuit_breaker.rs
+++ b/traffic/src/lease_circuit_breaker.rs
@@ -1,25 +1,25 @@
-//! How long an outbound proxy waits for a lease: a circuit breaker over the requests for leases that the control plane
-//! left unanswered.
+//! Circuit breaker that bounds how long an outbound proxy waits for a lease from the control plane.
 //!
-//! Invariants: a request never waits for so long that its client has no time left to go elsewhere; the breaker closes
-//! again once the control plane answers, however slowly.
+//! Invariants: the wait always leaves the client time to retry at another proxy; the breaker closes once the control
+//! plane answers, however slowly.
 
 use ochreshed_consensus::core::Nanos;
 
 const MS: Nanos = 1_000_000;
-/// The longest wait for a lease.
+/// The maximum wait for a lease.
 const MAX_WAIT: Nanos = 900 * MS;
-/// The part of a request's remaining time for which it waits for a lease, in hundredths. The rest is for an answer while
-/// the client can still go elsewhere.
+/// The maximum wait for a lease, as a percentage of the request's remaining time. The rest leaves time to return an
+/// error while the client can still retry elsewhere.
 const MAX_WAIT_PERCENT: Nanos = 40;
-/// The wait while the control plane is not expected to answer. One that works answers in a few milliseconds.
+/// The maximum wait while the breaker is open or there is no quorum. A healthy control plane answers in a few
+/// milliseconds.
 const SHORT_WAIT: Nanos = 60 * MS;
-/// The time between two requests that wait in full while the breaker is open.
+/// The interval between requests that wait for the full time while the breaker is open.
 const PROBE_INTERVAL: Nanos = 250 * MS;
 
 /// Limits the wait for leases while the control plane does not answer.
 ///
-/// The breaker is open from a request that was left unanswered until the control plane answers one.
+/// The breaker opens when a request times out and closes when the control plane answers one.
 #[derive(Clone, Debug, Default)]
 pub struct LeaseCircuitBreaker {
     open: bool,
@@ -27,8 +27,8 @@
 }
 
 impl LeaseCircuitBreaker {
-    /// How long a request with so much time left may wait for a lease. `no_quorum` says that no replica in touch with a
-    /// majority has been heard from of late.
+    /// The maximum wait for a lease of a request with this remaining time. `no_quorum` is true if no recently heard
+    /// replica was in contact with a majority.
     #[must_use]
     pub fn max_wait(&mut self, now: Nanos, time_left: Nanos, no_quorum: bool) -> Nanos {
         let full_wait = MAX_WAIT.min(time_left / 100 * MAX_WAIT_PERCENT);
@@ -46,14 +46,14 @@
         full_wait
     }
 
-    /// Notes that the control plane answered a request for a lease.
+    /// Records that the control plane answered a request for a lease.
     pub fn record_answer(&mut self) {
         self.open = false;
     }
 
-    /// Notes that a request for a lease was left unanswered for as long as it waited.
+    /// Records that a request for a lease timed out after `waited`.
     pub fn record_timeout(&mut self, now: Nanos, waited: Nanos) {
-        // A request that had hardly any time says nothing of the control plane.
+        // A very short wait does not show that the control plane is unavailable.
         if !self.open && waited > SHORT_WAIT {
             self.open = true;
             self.next_probe = now.saturating_add(PROBE_INTERVAL);
--- a/traffic/src/lib.rs
+++ b/traffic/src/lib.rs
@@ -1,11 +1,12 @@
-//! What proxies count and decide about the requests that pass through them.
+//! Request accounting and traffic decisions of proxies.
 //!
-//! - [`retry_budget`], [`retry_shares`], [`outcome_counts`] and [`budget_reports`]: attempts, retries and outcomes;
-//! - [`admission`], [`large_response_pacer`] and [`idle_limit`]: which requests wait, run or are sent first;
-//! - [`outlier_detection`], [`lease_circuit_breaker`] and [`canary`]: verdicts on upstreams, on the control plane and on
-//!   new editions of members' routes.
+//! - [`retry_budget`], [`retry_shares`], [`outcome_counts`] and [`budget_reports`]: counts of attempts, retries and
+//!   outcomes;
+//! - [`admission`], [`large_response_pacer`] and [`idle_limit`]: admission, pacing and reuse of connections;
+//! - [`outlier_detection`], [`lease_circuit_breaker`] and [`canary`]: judge the health of upstreams, the
+//!   availability of the control plane, and new versions of members' routes.
 //!
-//! Invariants: this crate does no I/O, reads no clock and draws no randomness; callers pass the time in.
+//! Invariants: this crate does no I/O, reads no clock and draws no randomness; callers pass in the current time.
 
 #![warn(missing_docs)]
 
--- a/traffic/src/outcome_counts.rs
+++ b/traffic/src/outcome_counts.rs
@@ -1,9 +1,9 @@
-//! The outcomes of requests on members' routes at one outbound proxy.
+//! Counts the outcomes of requests on members' routes at one outbound proxy.
 //!
-//! [`OutcomeCounter`] counts them by the edition of the routes that was in force for each request, so that a canary can be
-//! compared with the version before it.
+//! [`OutcomeCounter`] counts them by the edition of the routes in effect for each request, so that a canary can be
+//! compared with the previous version.
 //!
-//! Invariants: nothing is decided here; the number of editions is bounded whatever members do.
+//! Invariants: this module only counts; the number of editions is bounded.
 
 use std::collections::BTreeMap;
 
@@ -12,7 +12,7 @@
 
 use crate::sliding_window::SlidingWindow;
 
-/// The outcomes over a window of time by edition.
+/// Outcome counts by edition over a sliding window.
 #[derive(Clone, Debug)]
 pub struct OutcomeCounter {
     window: Nanos,
@@ -20,12 +20,12 @@
 }
 
 impl OutcomeCounter {
-    /// An empty counter over this window.
+    /// Creates an empty counter over this window.
     pub fn with_window(window: Nanos) -> OutcomeCounter {
         OutcomeCounter { window, editions: BTreeMap::new() }
     }
 
-    /// Adds outcomes. Those of a new edition are lost where [`MAX_EDITIONS`] have outcomes in the window.
+    /// Adds outcomes. Those of a new edition are dropped if [`MAX_EDITIONS`] editions have outcomes in the window.
     pub fn add(&mut self, now: Nanos, edition: &RouteEdition, outcomes: OutcomeCounts) {
         if let Some(window) = self.editions.get_mut(edition) {
             return window.add(now, outcomes);
@@ -40,7 +40,7 @@
         }
     }
 
-    /// The editions that have outcomes in the window, in their order.
+    /// The counts of the editions with outcomes in the window, ordered by edition.
     pub fn counts(&self, now: Nanos) -> EditionOutcomes {
         let counts = self.editions.iter().map(|(edition, window)| (edition.clone(), window.sum(now)));
         counts.filter(|(_, counts)| *counts != OutcomeCounts::default()).collect()
--- a/traffic/src/outlier_detection.rs
+++ b/traffic/src/outlier_detection.rs
@@ -1,12 +1,12 @@
-//! The health of an upstream, judged by the inbound proxy before it from the outcomes of requests.
+//! Passive health checking: an inbound proxy derives the health of its upstream from the outcomes of requests.
 //!
-//! An outbound proxy among many sees few requests to each upstream, the inbound proxy sees all of them. It tells
-//! [`OutlierDetector`] when a run begins and ends, and puts the [`UpstreamHealth`] into its endpoint record. The levels are
-//! coarse, so that records seldom change. Requests are judged by their [`RequestClass`]: what fails for one member's
-//! requests, for nested calls or for large responses, while others succeed, is not the upstream's fault.
+//! Each outbound proxy sees only a few requests to an upstream, but the inbound proxy sees all of them. It reports the
+//! start and end of each run to [`OutlierDetector`] and publishes the [`UpstreamHealth`] in its endpoint record. The
+//! levels are coarse, so that records rarely change. Outcomes are evaluated per [`RequestClass`]: failures of only one
+//! member's requests, of nested calls or of large responses, while others succeed, are not attributed to the upstream.
 //!
-//! Invariants: health checks and the verdicts of other proxies do not count; an upstream that gets no requests is healthy
-//! again in the end.
+//! Invariants: active health checks and the findings of other proxies do not count; an upstream without requests
+//! eventually becomes healthy again.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -15,78 +15,78 @@
 use ochreshed_consensus::core::Nanos;
 
 const MS: Nanos = 1_000_000;
-/// The weight of one outcome in the failure rate.
+/// The weight of one outcome in the moving average of failures.
 const FAILURE_RATE_GAIN: f64 = 1.0 / 16.0;
-/// The weight of one run in the recent latency.
+/// The weight of one run in the moving average of recent latency.
 const RECENT_LATENCY_GAIN: f64 = 1.0 / 24.0;
-/// The weight of one run in the long-term latency.
+/// The weight of one run in the moving average of long-term latency.
 const BASELINE_LATENCY_GAIN: f64 = 1.0 / 400.0;
-/// The number of failures that a refused connection counts as, since it says more than an error.
+/// The number of failures that a refused connection counts as, since it is stronger evidence than an error response.
 const CONNECT_FAILURE_WEIGHT: u32 = 4;
-/// The failure rate at which the first level begins; each further level begins at twice the one before.
+/// The failure rate at which the first level begins; the threshold doubles with each further level.
 const FIRST_FAILURE_THRESHOLD: f64 = 0.3;
-/// The highest level of failures.
+/// The highest failure level.
 #[doc(hidden)]
 pub const MAX_FAILURE_LEVEL: u8 = 2;
 /// The ratios of recent to long-term latency at which the first and the second level begin.
 #[doc(hidden)]
 pub const LATENCY_THRESHOLDS: [f64; 2] = [2.5, 5.0];
-/// A level ends below this part of the value at which it begins.
+/// A level ends when the value falls below this fraction of its threshold.
 const HYSTERESIS: f64 = 0.6;
-/// A run is overdue after this multiple of the long-term latency.
+/// A run is overdue when it has taken this multiple of the long-term latency.
 const OVERDUE_FACTOR: f64 = 7.0;
-/// No run is overdue earlier than this.
+/// The minimum time after which a run is overdue.
 const MIN_OVERDUE: Nanos = 100 * MS;
-/// The number of runs from which on latencies are compared with the long-term latency.
+/// The minimum number of runs before latencies are compared with the long-term latency.
 const MIN_LATENCY_SAMPLES: u32 = 30;
-/// The time without a failure after which an unhealthy upstream is put one level better and so gets more requests again:
-/// by the few that it gets, it can't show that it is healthy.
+/// The time without a failure after which the levels of an unhealthy upstream are lowered by one. It then gets more
+/// requests, as the few that an unhealthy upstream gets are not enough to show that it has recovered.
 #[doc(hidden)]
 pub const PROBATION_INTERVAL: Nanos = 1_200 * MS;
-/// The most times that the interval doubles, once for each probation in a row that ended in a relapse.
+/// The maximum number of doublings of the interval, one for each consecutive probation that ended in a relapse.
 const MAX_PROBATION_DOUBLINGS: u32 = 4;
-/// The interval is this many times as long while fewer than [`PROBATION_SUCCESSES`] runs succeeded since the last failure.
+/// The factor on the interval while fewer than [`PROBATION_SUCCESSES`] runs have succeeded since the last failure.
 const UNPROVEN_PROBATION_FACTOR: u64 = 3;
 const PROBATION_SUCCESSES: u32 = 2;
-/// An upstream that gets worse within this time after a probation has relapsed.
+/// An upstream whose health worsens within this time after the start of a probation has relapsed.
 const RELAPSE_WINDOW: Nanos = 8_000 * MS;
-/// The least time from a change of the levels to a better one.
+/// The minimum time between a change of the levels and an improvement.
 const MIN_IMPROVEMENT_INTERVAL: Nanos = 500 * MS;
-/// The time constant with which the activity of a class fades, in seconds.
+/// The time constant of the exponential decay of the activity of a class, in seconds.
 const ACTIVITY_DECAY_S: f64 = 3.0;
-/// The activity, in runs, from which on a class can show that the upstream is healthy.
+/// The minimum activity, in runs, at which a class is evidence of the health of the upstream.
 const MIN_ACTIVITY: f64 = 6.0;
-/// Above this number of classes, those without recent runs are dropped.
+/// Above this number of classes, classes without recent runs are dropped.
 const MAX_CLASSES: usize = 64;
 
-/// How a run at the upstream ended, as the inbound proxy saw it.
+/// The outcome of a run at the upstream, as seen by the inbound proxy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RunOutcome {
-    /// The upstream answered well.
+    /// The upstream answered successfully.
     Succeeded,
     /// The upstream answered with an error or with bytes that are no response, reset the connection, or rejected the
     /// request though it was below its concurrency limit.
     Failed,
-    /// The upstream took no connection.
+    /// The upstream refused the connection.
     NoConnection,
-    /// The client went away or the deadline passed, which says nothing of the upstream.
+    /// The client disconnected or the deadline passed; the outcome does not count.
     Abandoned,
 }
 
-/// A kind of requests, whose runs take about as long.
+/// A class of requests with similar latency.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct RequestClass {
-    /// The member whose route it is; none for the platform's own routes.
+    /// The member whose route the requests use; `None` for the platform's own routes.
     pub member: Option<Name>,
-    /// Whether other requests wait for them.
+    /// Whether the requests are nested calls, for which other requests wait.
     pub is_nested: bool,
-    /// Whether their responses are large.
+    /// Whether the responses are large.
     pub is_large: bool,
 }
 
 struct Run {
     started_at: Nanos,
-    /// Whether the run has been counted as a failure because it takes too long.
+    /// Whether the run has been counted as a failure because it is overdue.
     is_overdue: bool,
     class: RequestClass,
 }
@@ -95,12 +95,12 @@
 #[derive(Default)]
 struct ClassHistory {
     failure_rate: f64,
-    /// The mean logarithm of recent latencies in seconds. The logarithm keeps the work of different requests comparable.
+    /// The mean logarithm of recent latencies, in seconds. The logarithm makes requests of different cost comparable.
     recent_latency: f64,
-    /// The mean logarithm of latencies over the long term.
+    /// The mean logarithm of long-term latencies, in seconds.
     baseline_latency: f64,
     latency_samples: u32,
-    /// The number of runs that ended of late, at the time of the last one.
+    /// The exponentially decayed number of ended runs, as of the last one.
     activity: f64,
     last_run_at: Nanos,
 }
@@ -117,19 +117,19 @@
         self.activity * (-seconds / ACTIVITY_DECAY_S).exp()
     }
 
-    /// Adds a latency. Returns whether it is far above the long-term latency.
+    /// Adds a latency. Returns whether it is above the first threshold over the long-term latency.
     fn add_latency(&mut self, latency: Nanos) -> bool {
         let latency = (latency.max(1) as f64 / 1e9).ln();
         self.latency_samples = self.latency_samples.saturating_add(1);
         let samples = f64::from(self.latency_samples);
-        let learn = |mean: &mut f64, latency: f64, gain: f64| {
+        let update_mean = |mean: &mut f64, latency: f64, gain: f64| {
             *mean += (latency - *mean) * gain.max(1.0 / samples);
         };
-        learn(&mut self.recent_latency, latency, RECENT_LATENCY_GAIN);
-        // A latency far above the long-term latency is judged by that and must not soon become it.
+        update_mean(&mut self.recent_latency, latency, RECENT_LATENCY_GAIN);
+        // High latencies are capped, so that they do not soon become the baseline with which they are compared.
         let is_known = self.latency_samples > MIN_LATENCY_SAMPLES;
         let max_latency = if is_known { self.baseline_latency + 2f64.ln() } else { f64::MAX };
-        learn(&mut self.baseline_latency, latency.min(max_latency), BASELINE_LATENCY_GAIN);
+        update_mean(&mut self.baseline_latency, latency.min(max_latency), BASELINE_LATENCY_GAIN);
         latency > self.baseline_latency + LATENCY_THRESHOLDS[0].ln()
     }
 
@@ -137,13 +137,13 @@
         self.latency_samples >= MIN_LATENCY_SAMPLES
     }
 
-    /// The duration after which a run is overdue; none while the long-term latency isn't known.
+    /// The duration after which a run is overdue; `None` until the long-term latency is known.
     fn overdue_after(&self) -> Option<Nanos> {
         let overdue_after = (self.baseline_latency.exp() * OVERDUE_FACTOR * 1e9) as Nanos;
         self.has_known_latency().then(|| overdue_after.max(MIN_OVERDUE))
     }
 
-    /// The health by this class, where it was `current` before.
+    /// The health according to this class, given the `current` health.
     fn health(&self, current: UpstreamHealth) -> UpstreamHealth {
         let latency_ratio =
             if self.has_known_latency() { (self.recent_latency - self.baseline_latency).exp() } else { 1.0 };
@@ -163,7 +163,7 @@
         }
     }
 
-    /// Forgets what makes the health worse than this, so that the next outcomes decide.
+    /// Lowers the averages to what corresponds to this health, so that the next outcomes decide.
     fn cap(&mut self, health: UpstreamHealth) {
         self.failure_rate = self.failure_rate.min(failure_threshold(health.failure_level) * HYSTERESIS);
         let max_ratio = match health.latency_level {
@@ -174,31 +174,32 @@
     }
 }
 
-/// The failure rate at which the level above this one begins.
+/// The failure rate at which the next level begins.
 fn failure_threshold(level: u8) -> f64 {
     FIRST_FAILURE_THRESHOLD * 2f64.powi(i32::from(level))
 }
 
-/// The level of a value: up where it reaches the threshold of the next one, down only well below that of its own.
+/// The level of a value, with hysteresis: it rises at the threshold of the next level and falls only well below its
+/// own.
 fn level(value: f64, current: u8, threshold: impl Fn(u8) -> f64, max_level: u8) -> u8 {
     let reached = (0..max_level).filter(|level| value >= threshold(*level)).count() as u8;
-    let kept =
+    let retained =
         (0..current.min(max_level)).filter(|level| value >= threshold(*level) * HYSTERESIS).count() as u8;
-    reached.max(kept)
+    reached.max(retained)
 }
 
-fn better_of(one: UpstreamHealth, other: UpstreamHealth) -> UpstreamHealth {
+fn better_of(left: UpstreamHealth, right: UpstreamHealth) -> UpstreamHealth {
     UpstreamHealth {
-        failure_level: one.failure_level.min(other.failure_level),
-        latency_level: one.latency_level.min(other.latency_level),
+        failure_level: left.failure_level.min(right.failure_level),
+        latency_level: left.latency_level.min(right.latency_level),
     }
 }
 
-fn is_worse(one: UpstreamHealth, other: UpstreamHealth) -> bool {
-    one.failure_level > other.failure_level || one.latency_level > other.latency_level
+fn is_worse(left: UpstreamHealth, right: UpstreamHealth) -> bool {
+    left.failure_level > right.failure_level || left.latency_level > right.latency_level
 }
 
-/// Judges one upstream from the start of its process on.
+/// Evaluates the health of one upstream from the start of its process.
 #[derive(Default)]
 pub struct OutlierDetector {
     runs: BTreeMap<u64, Run>,
@@ -207,28 +208,28 @@
     health: UpstreamHealth,
     health_changed_at: Nanos,
     last_failure_at: Nanos,
-    /// When the levels were last lowered without evidence; none once they have been raised since.
+    /// When the last probation began; `None` once the levels have risen since.
     probation_at: Option<Nanos>,
-    /// The number of probations in a row that ended in a relapse.
+    /// The number of consecutive probations that ended in a relapse.
     relapses: u32,
-    /// The number of runs that succeeded since the last failure or change of the levels.
+    /// The number of successful runs since the last failure or change of the levels.
     successes: u32,
 }
 
 impl OutlierDetector {
-    /// Forgets all runs and outcomes, because the upstream's process is another one.
+    /// Discards all runs and outcomes because the upstream's process was replaced.
     pub fn reset(&mut self) {
         *self = OutlierDetector { last_run_id: self.last_run_id, ..OutlierDetector::default() };
     }
 
-    /// Notes that a run begins at the upstream. Returns its id for [`OutlierDetector::end_run`].
+    /// Records the start of a run. Returns its id for [`OutlierDetector::end_run`].
     pub fn start_run(&mut self, now: Nanos, class: RequestClass) -> u64 {
         self.last_run_id += 1;
         self.runs.insert(self.last_run_id, Run { started_at: now, is_overdue: false, class });
         self.last_run_id
     }
 
-    /// Notes that a run has ended. A run that was counted as overdue is not counted as failed again.
+    /// Records the end of a run. A run that was counted as overdue is not counted as failed again.
     pub fn end_run(&mut self, now: Nanos, run_id: u64, outcome: RunOutcome) {
         let Some(run) = self.runs.remove(&run_id) else { return };
         let failed = match outcome {
@@ -237,7 +238,7 @@
             RunOutcome::Failed | RunOutcome::NoConnection => true,
         };
         if failed {
-            self.note_failure(now);
+            self.record_failure(now);
         } else {
             self.successes = self.successes.saturating_add(1);
         }
@@ -246,19 +247,19 @@
             history.add_outcome(now, failed);
         }
         if outcome == RunOutcome::Succeeded && history.add_latency(now.saturating_sub(run.started_at)) {
-            self.note_failure(now);
+            self.record_failure(now);
         }
         if outcome == RunOutcome::NoConnection {
             self.add_connect_failure(now);
         }
     }
 
-    fn note_failure(&mut self, now: Nanos) {
+    fn record_failure(&mut self, now: Nanos) {
         self.last_failure_at = now;
         self.successes = 0;
     }
 
-    /// Counts a refused connection for all classes, as no kind of request can have caused it.
+    /// Counts a refused connection for all classes, since it does not depend on the request.
     fn add_connect_failure(&mut self, now: Nanos) {
         for history in self.classes.values_mut() {
             for _ in 0..CONNECT_FAILURE_WEIGHT {
@@ -274,7 +275,7 @@
         self.classes.entry(class).or_default()
     }
 
-    /// Counts the runs that have become overdue, and returns the health from now on.
+    /// Counts the runs that have become overdue, updates the health and returns it.
     pub fn update(&mut self, now: Nanos) -> UpstreamHealth {
         self.count_overdue_runs(now);
         let mut observed = self.observed_health(now);
@@ -306,11 +307,11 @@
             }
         }
         if any_overdue {
-            self.note_failure(now);
+            self.record_failure(now);
         }
     }
 
-    /// The best health by any class with enough activity; where there is none, the health by the most active class.
+    /// The best health according to any class with enough activity; if there is none, that of the most active class.
     fn observed_health(&self, now: Nanos) -> UpstreamHealth {
         let active = self.classes.values().filter(|history| history.activity_at(now) >= MIN_ACTIVITY);
         if let Some(best) = active.map(|history| history.health(self.health)).reduce(better_of) {
@@ -328,7 +329,7 @@
         self.last_failure_at.max(self.health_changed_at) + interval
     }
 
-    /// Lowers both levels by one, so that the next outcomes decide. Returns the new health.
+    /// Begins a probation: lowers both levels by one. Returns the new health.
     fn begin_probation(&mut self, now: Nanos) -> UpstreamHealth {
         let health = UpstreamHealth {
             failure_level: self.health.failure_level.saturating_sub(1),
@@ -339,7 +340,7 @@
         health
     }
 
-    /// Notes whether the upstream has relapsed, where it gets worse.
+    /// Ends the probation when the health worsens, and records whether this is a relapse.
     fn end_probation(&mut self, now: Nanos) {
         if let Some(probation_at) = self.probation_at.take() {
             let has_relapsed = now < probation_at + RELAPSE_WINDOW;
@@ -352,13 +353,13 @@
         self.health
     }
 
-    /// The number of runs that have not ended; for tests.
+    /// The number of runs that have not ended. For tests.
     #[doc(hidden)]
     pub fn open_runs(&self) -> usize {
         self.runs.len()
     }
 
-    /// The failure rate of a class, from 0 to 1; none where the class isn't known. For tests.
+    /// The failure rate of a class, from 0 to 1; `None` if the class is unknown. For tests.
     #[doc(hidden)]
     pub fn failure_rate(&self, class: &RequestClass) -> Option<f64> {
         self.classes.get(class).map(|history| history.failure_rate)
--- a/traffic/src/retry_budget.rs
+++ b/traffic/src/retry_budget.rs
@@ -1,29 +1,29 @@
-//! The attempts at one service and the use of its retry budget.
+//! Counts the attempts at one service and the use of its retry budget.
 //!
-//! [`RetryAccount`] counts what one outbound proxy sends to a service; [`RequestAttempts`] follows one request. Whether a
-//! request is retried is decided by the policy (crate `ochreshed`); the account tells by the same rules whether a request
-//! was given up only for want of budget.
+//! [`RetryAccount`] counts the attempts of one outbound proxy at a service; [`RequestAttempts`] tracks one request.
+//! Whether a request is retried is decided by the policy (crate `ochreshed`); the account applies the same rules to
+//! determine whether a retry was denied only for lack of budget.
 //!
-//! Invariants: nothing is decided here, and the memory of an account does not depend on what is counted.
+//! Invariants: this module only counts, and the size of an account in memory is constant.
 
 use ochreshed::{DispatchOutcome, Nanos};
 use ochreshed_catalog::traffic_reports::AttemptCounts;
 
 use crate::sliding_window::SlidingWindow;
 
-/// The span over which the policy reckons the retry budget.
+/// The window over which the policy calculates the retry budget.
 pub(crate) const POLICY_WINDOW: Nanos = 10_000_000_000;
 
-/// What bounds the retries of the policy for one service.
+/// The policy's limits on retries for one service.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryLimits {
-    /// The most attempts of one request.
+    /// The maximum number of attempts of one request.
     pub max_attempts: u32,
-    /// Whether errors and time-outs of the service are retried too, because no other service stands behind it.
+    /// Whether errors and timeouts are also retried, because the service has no fallback service.
     pub last_tier: bool,
-    /// The part of the first attempts that may be retried.
+    /// The number of allowed retries as a fraction of first attempts.
     pub ratio: f64,
-    /// The number of retries that are allowed beside that part.
+    /// The number of retries that are allowed in addition to that fraction.
     pub floor: f64,
 }
 
@@ -34,22 +34,22 @@
     pub repeatable: bool,
     /// The deadline of the request.
     pub deadline: Nanos,
-    /// The attempts that an inbound proxy has not rejected.
+    /// The number of attempts that no inbound proxy rejected.
     attempts: u32,
     may_have_run: bool,
     last_outcome: Option<DispatchOutcome>,
 }
 
 impl RequestAttempts {
-    /// A request that has not been sent.
+    /// Creates the state of a request that has not been sent.
     pub fn new(repeatable: bool, deadline: Nanos) -> RequestAttempts {
         RequestAttempts { repeatable, deadline, attempts: 0, may_have_run: false, last_outcome: None }
     }
 
-    /// Notes the outcome of an attempt.
+    /// Records the outcome of an attempt.
     pub fn record_outcome(&mut self, outcome: DispatchOutcome) {
         self.last_outcome = Some(outcome);
-        // What an inbound proxy rejected does not count as sent.
+        // An attempt that an inbound proxy rejected does not count.
         self.attempts += u32::from(outcome != DispatchOutcome::Rejected);
         self.may_have_run |= !outcome.never_ran();
     }
@@ -59,14 +59,14 @@
 #[derive(Clone, Debug)]
 pub struct RetryAccount {
     limits: RetryLimits,
-    /// The counts that are reported.
+    /// The counts for reports.
     reported: SlidingWindow<AttemptCounts>,
-    /// The counts as the policy has them, since it was last started.
+    /// The counts since the policy was last started, over its own window.
     pub(crate) policy: SlidingWindow<AttemptCounts>,
 }
 
 impl RetryAccount {
-    /// An empty account whose reports are over this window.
+    /// Creates an empty account whose reports cover this window.
     pub fn new(window: Nanos, limits: RetryLimits) -> RetryAccount {
         RetryAccount {
             limits,
@@ -75,7 +75,7 @@
         }
     }
 
-    /// The account for a policy that starts anew. What is reported goes on if the window is the same.
+    /// Returns the account for a restarted policy. The counts for reports are kept if the window is the same.
     #[must_use]
     pub fn restart(&self, window: Nanos, limits: RetryLimits) -> RetryAccount {
         let mut account = RetryAccount::new(window, limits);
@@ -85,7 +85,7 @@
         account
     }
 
-    /// The counts to report.
+    /// The counts for reports.
     pub fn reported_counts(&self, now: Nanos) -> AttemptCounts {
         self.reported.sum(now)
     }
@@ -100,18 +100,18 @@
         self.policy.add(now, counts);
     }
 
-    /// Notes that a nested call of a running request was retried.
+    /// Records that a nested call of a running request was retried.
     pub fn record_nested_retry(&mut self, now: Nanos) {
         self.add(now, AttemptCounts { retried: 1, ..AttemptCounts::NONE });
     }
 
-    /// Changes the retries that the policy is allowed.
+    /// Sets the allowed retries.
     pub fn set_allowance(&mut self, ratio: f64, floor: f64) {
         self.limits.ratio = ratio;
         self.limits.floor = floor;
     }
 
-    /// Notes that a request is sent. Returns what was counted for it.
+    /// Records that a request is sent. Returns the counts that were added for it.
     pub fn record_attempt(&mut self, now: Nanos, request: &RequestAttempts) -> AttemptCounts {
         let counts = match request.last_outcome {
             None => AttemptCounts { first: 1, ..AttemptCounts::NONE },
@@ -122,8 +122,8 @@
         counts
     }
 
-    /// Notes that the policy gives a request up. Returns what was counted for it: a denied retry, where nothing but the
-    /// budget stood against one.
+    /// Records that the policy does not retry a request. Returns the counts that were added for it: a denied retry if
+    /// only the budget prevented a retry.
     pub fn record_give_up(&mut self, now: Nanos, request: &RequestAttempts) -> AttemptCounts {
         if !self.could_retry(now, request) || !self.lacks_budget(now) {
             return AttemptCounts::NONE;
@@ -133,7 +133,7 @@
         denied
     }
 
-    /// Whether a request could be retried if there were budget.
+    /// Whether a request could be retried apart from the budget.
     fn could_retry(&self, now: Nanos, request: &RequestAttempts) -> bool {
         let is_retried_here = match request.last_outcome {
             Some(DispatchOutcome::NoConnection | DispatchOutcome::Reset | DispatchOutcome::Full) => true,
--- a/traffic/tests/admission.rs
+++ b/traffic/tests/admission.rs
@@ -106,7 +106,8 @@
     }
 }
 
-/// The queue of an upstream with a limit of six and runs of 50 ms, after a flood of a member whose own runs take so long.
+/// The queue of an upstream with a limit of six and runs of 50 ms, after a flood of a member whose own runs take so
+/// long.
 fn flooded_queue(run_time: u64) -> AdmissionQueue<&'static str> {
     let mut queue = AdmissionQueue::default();
     queue.set_limit(6);
@@ -184,7 +185,8 @@
     }
 }
 
-/// Guards against sessions that lose their upstream because the control plane did not answer for longer than their requests' target.
+/// Guards against sessions that lose their upstream because the control plane did not answer for longer than their
+/// requests' target.
 #[test]
 fn a_late_request_waits_where_its_session_lives_and_behind_those_in_time() {
     let mut queue: AdmissionQueue<&'static str> = AdmissionQueue::default();
--- a/traffic/tests/idle_limit.rs
+++ b/traffic/tests/idle_limit.rs
@@ -1,7 +1,7 @@
 //! For how long idle connections are used again.
 
 use ochreshed_traffic::idle_limit::{
-    AGE_IRRELEVANT_DURATION, BASE_DURATION, IdleLimit, MAX_DOUBLINGS, MIN_LIMIT, RECURRENCE_WINDOW,
+    BASE_DURATION, IDLE_UNRELATED_DURATION, IdleLimit, MAX_DOUBLINGS, MIN_LIMIT, RECURRENCE_WINDOW,
 };
 use proptest::prelude::*;
 
@@ -41,7 +41,7 @@
         now += 100 * MS;
     }
     // A loss on a connection in use takes a lower limit back.
-    now += AGE_IRRELEVANT_DURATION;
+    now += IDLE_UNRELATED_DURATION;
     assert!(idle_limit.record_loss(now, Some(100 * MS)));
     assert_eq!(idle_limit.limit(now), MIN_LIMIT);
     assert!(!idle_limit.record_loss(now + MS, Some(MS)));
--- a/traffic/tests/outlier_detection.rs
+++ b/traffic/tests/outlier_detection.rs
@@ -122,7 +122,8 @@
 }
 
 proptest! {
-    /// Whatever happens in whatever order, no ended run is kept, and an upstream without failures is healthy in the end.
+    /// Whatever happens in whatever order, no ended run is kept, and an upstream without failures is healthy in the
+    /// end.
     #[test]
     fn an_upstream_recovers(steps in prop::collection::vec((0u8..6, 0u64..400, 0u8..3), 0..200)) {
         let (mut detector, mut now, mut open) = (OutlierDetector::default(), MS, Vec::new());
--- a/traffic/tests/retry_shares.rs
+++ b/traffic/tests/retry_shares.rs
@@ -26,8 +26,8 @@
 }
 
 proptest! {
-    /// Members and the platform send requests and retry as often as they may, while members come, go and have their shares
-    /// changed.
+    /// Members and the platform send requests and retry as often as they may, while members come, go and have their
+    /// shares changed.
     #[test]
     fn all_together_have_no_more_retries_than_one_sender(
         steps in proptest::collection::vec((0usize..6, 0usize..4, 0u64..400, 0u8..6), 1..400),
