--- a/catalog/src/configuration.rs
+++ b/catalog/src/configuration.rs
@@ -1,9 +1,9 @@
-//! The operators' configuration: routes, services and limits of one version.
+//! The operators' configuration: routes, services and limits.
 //!
-//! [`Configuration::read`] reads the operators' document as a whole or returns each [`Refusal`], and
-//! [`Configuration::route`] finds the [`Route`] of a request. [`differences`] shows operators what a change would do.
+//! [`Configuration::read`] parses the operators' document or returns every [`Refusal`], and [`Configuration::route`]
+//! finds the [`Route`] of a request. [`differences`] describes a change for operators.
 //!
-//! Invariants: a document is taken as a whole or not at all, and a configuration does not change once it is read.
+//! Invariants: a document is accepted as a whole or refused, and a configuration is immutable once it is read.
 
 pub(crate) mod differences;
 pub(crate) mod document;
--- a/catalog/src/configuration/differences.rs
+++ b/catalog/src/configuration/differences.rs
@@ -1,20 +1,20 @@
-//! What changes from one configuration to another, as text for operators in the words of their documents.
+//! Describes the differences between two configurations for operators, with the field names of their documents.
 //!
-//! Invariants: nothing is decided here, and equal configurations have no differences.
+//! Invariants: equal configurations have no differences.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 
 use super::field_names;
 use super::model::{Limits, Name, Route, Service};
-use super::read::repeat_policy_word;
+use super::read::repeat_policy_name;
 use super::routing::Configuration;
 
-/// What changes from one configuration to another, one line for each field.
+/// Lists the differences between two configurations, one line per changed field.
 pub fn differences(old: &Configuration, new: &Configuration) -> Vec<String> {
     let mut lines = Vec::new();
-    let edition = |configuration: &Configuration| vec![DisplayedField::version(configuration.version)];
-    push_differences(&mut lines, "timetable", Some(edition(old)), Some(edition(new)));
+    let version_field = |configuration: &Configuration| vec![DisplayedField::version(configuration.version)];
+    push_differences(&mut lines, "timetable", Some(version_field(old)), Some(version_field(new)));
     for (key, old, new) in pair_by_key(routes_by_name(old), routes_by_name(new)) {
         let subject = format!("route {}", key.name);
         push_differences(&mut lines, &subject, old.map(route_fields), new.map(route_fields));
@@ -28,8 +28,8 @@
     lines
 }
 
-/// What changes in the handling of requests, one line for each field, by host and prefix because a name may pass from one
-/// route to another.
+/// Lists the differences between two sets of routes, one line per changed field. Routes are matched by host and prefix,
+/// because a name may move from one route to another.
 pub fn differences_by_location<'r>(
     old: impl Iterator<Item = &'r Arc<Route>>,
     new: impl Iterator<Item = &'r Arc<Route>>,
@@ -46,7 +46,7 @@
     lines
 }
 
-/// A field of a document with its value, as an operator reads them.
+/// A field of a document with its value, formatted for operators.
 pub(crate) struct DisplayedField {
     name: &'static str,
     value: String,
@@ -63,7 +63,7 @@
     }
 }
 
-/// The values of two maps by key, in the order of the keys.
+/// Pairs the values of two maps by key, in key order.
 pub(crate) fn pair_by_key<K: Ord + Clone, V>(
     mut old: BTreeMap<K, V>,
     mut new: BTreeMap<K, V>,
@@ -74,7 +74,7 @@
     keys.into_iter().map(|key| (key.clone(), old.remove(&key), new.remove(&key))).collect()
 }
 
-/// Adds a line for each field of the subject that changes, or one line where the subject as a whole comes or goes.
+/// Adds a line for each changed field of the subject, or one line if the subject as a whole was added or removed.
 pub(crate) fn push_differences(
     lines: &mut Vec<String>,
     subject: &str,
@@ -83,8 +83,8 @@
 ) {
     match (old, new) {
         (Some(old), Some(new)) => push_changed_fields(lines, subject, old, new),
-        (Some(old), None) => lines.push(format!("{subject} removed: {}", joined(old))),
-        (None, Some(new)) => lines.push(format!("{subject} added: {}", joined(new))),
+        (Some(old), None) => lines.push(format!("{subject} removed: {}", join_fields(old))),
+        (None, Some(new)) => lines.push(format!("{subject} added: {}", join_fields(new))),
         (None, None) => {}
     }
 }
@@ -95,7 +95,7 @@
     old: Vec<DisplayedField>,
     mut new: Vec<DisplayedField>,
 ) {
-    /// Stands for a field that is not given.
+    /// Stands for an absent field.
     const ABSENT: &str = "none";
     let mut push_change = |name: &str, old: &str, new: &str| {
         if old != new {
@@ -112,13 +112,13 @@
     }
 }
 
-fn joined(fields: Vec<DisplayedField>) -> String {
+fn join_fields(fields: Vec<DisplayedField>) -> String {
     let fields: Vec<String> =
         fields.into_iter().map(|field| format!("{} {}", field.name, field.value)).collect();
     fields.join(", ")
 }
 
-/// Identifies a route by its name, and several of one name by their order.
+/// Identifies a route by its name and, among routes of the same name, by its position.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord)]
 struct NamedRouteKey {
     name: Name,
@@ -147,7 +147,7 @@
     let mut fields = vec![
         DisplayedField::new(field_names::HOST, &route.host),
         DisplayedField::new(field_names::PREFIX, &route.prefix),
-        DisplayedField::new(field_names::REPEAT_POLICY, repeat_policy_word(route.repeat_policy)),
+        DisplayedField::new(field_names::REPEAT_POLICY, repeat_policy_name(route.repeat_policy)),
         DisplayedField::new(field_names::DEADLINE, route.deadline_ms),
         DisplayedField::new(field_names::LATENCY_TARGET, route.latency_target_ms),
         DisplayedField::new(field_names::PRIORITY, route.priority),
@@ -160,7 +160,7 @@
     fields
 }
 
-/// The fields of a route that is named by its host and prefix, and whose route it is.
+/// The fields of a route that is identified by its host and prefix, with the route's member.
 fn located_fields(route: &Arc<Route>) -> Vec<DisplayedField> {
     let member = route.share.as_ref().map_or("-", |share| &share.member);
     let mut fields = vec![DisplayedField::new("member", member), DisplayedField::new("name", &route.name)];
--- a/catalog/src/configuration/document.rs
+++ b/catalog/src/configuration/document.rs
@@ -1,12 +1,12 @@
-//! Reads values out of documents in JSON and collects all that is wrong with them.
+//! Reads values from JSON documents and collects all errors.
 //!
-//! [`read_document`] parses the bytes within fixed bounds and hands a [`DocumentReader`] to the code that knows the form of
-//! the document. The reader's methods return `None` for a value that is invalid or missing and record a [`Refusal`] for
-//! it, so that an operator is told of all errors at once. An [`Entry`] is the object being read and names the locations
-//! of its fields.
+//! [`read_document`] parses the bytes within fixed bounds and passes a [`DocumentReader`] to the code that knows the
+//! schema of the document. The reader's methods return `None` for a value that is invalid or missing and record a
+//! [`Refusal`] for it, so that an operator sees all errors at once. An [`Entry`] is the object being read and provides
+//! the locations of its fields.
 //!
-//! Invariants: nothing here panics, whatever the bytes are; a document with any refusal is refused as a whole; refusals
-//! are in the document's order.
+//! Invariants: no input causes a panic; a document with any refusal is refused as a whole; refusals are in document
+//! order.
 
 use std::collections::HashSet;
 
@@ -16,21 +16,22 @@
 use super::model::Name;
 use super::refusal::{Refusal, RefusalReason, escaped_name, quoted};
 
-/// The greatest size of a document.
+/// The maximum size of a document.
 const MAX_DOCUMENT_BYTES: usize = 32 << 20;
-/// The most entries of a document's list.
+/// The maximum number of entries in a document's list.
 pub(crate) const MAX_ENTRIES: usize = 20_000;
-/// Parsed values take far more memory than their text, so their number is bounded before the text is parsed.
+/// The maximum number of values in a document. It is checked before parsing, because parsed values take far more memory
+/// than their text.
 const MAX_VALUES: usize = 1_000_000;
-/// The parser's exponent can overflow on longer numbers.
+/// The maximum number of digits in a row; the parser's exponent can overflow on longer numbers.
 const MAX_DIGITS: usize = 400;
 /// Refusals beyond this number are only counted.
 const MAX_REFUSALS: usize = 100;
 const MAX_NAME_BYTES: usize = 256;
-/// The longest duration, about 31 years; sums of such durations stay far from overflow.
+/// The maximum duration, about 31 years; sums of such durations stay far from overflow.
 pub(crate) const MAX_DURATION_MS: u64 = 1_000_000_000_000;
 
-/// Parses a document and reads it with `read`. Returns it if it is valid as a whole, else all refusals in its order.
+/// Parses a document and reads it with `read`. Returns it if it is valid, otherwise all refusals in document order.
 pub(crate) fn read_document<D>(
     bytes: &[u8],
     read: impl FnOnce(&mut DocumentReader, &JsonValue) -> Option<D>,
@@ -97,30 +98,30 @@
     value.as_object()?.get(key).filter(|found| !found.is_null())
 }
 
-/// An object of a document, with what is needed to name the location of one of its fields.
+/// An object of a document, with the information for describing the locations of its fields.
 #[derive(Clone, Copy)]
 pub(crate) struct Entry<'v> {
-    /// The list in which the entry is; empty for the document itself.
+    /// The name of the list that contains the entry; empty for the document itself.
     pub list: &'static str,
     /// The position in that list.
     pub index: usize,
-    /// The kind of entry; empty in lists of one kind.
+    /// The category of the entry; empty in lists of a single category.
     pub category: &'v str,
-    /// The entry's name; empty before it is known.
+    /// The entry's name; empty until it has been read.
     pub name: &'v str,
-    /// The path from the entry to the object with its fields; empty where they are in the entry itself.
+    /// The path from the entry to the object that holds its fields; empty if that is the entry itself.
     pub path: &'static str,
     /// The object with the entry's fields.
     pub fields: &'v JsonValue,
 }
 
 impl<'v> Entry<'v> {
-    /// An entry without category and name whose fields are in itself.
+    /// Creates an entry without category and name that holds its own fields.
     pub fn new(list: &'static str, index: usize, fields: &'v JsonValue) -> Entry<'v> {
         Entry { list, index, category: "", name: "", path: "", fields }
     }
 
-    /// The entry as a whole, for an error that is in none of its fields.
+    /// The entry itself, for an error that concerns none of its fields.
     pub fn whole(self) -> Entry<'v> {
         Entry { path: "", ..self }
     }
@@ -146,15 +147,15 @@
 
 /// The version of a document and the entries of its list.
 pub(crate) struct DocumentEntries<'v> {
-    /// None where it is invalid; the entries are read all the same, so that their errors are told too.
+    /// `None` if the version is invalid; the entries are read nevertheless, so that their errors are reported too.
     pub version: Option<u64>,
-    /// At most as many as were asked for.
+    /// The entries, at most the requested maximum.
     pub entries: &'v [JsonValue],
 }
 
-/// Collects refusals and shares equal names among the values that are read.
+/// Collects refusals and interns names.
 ///
-/// A method that returns `None` has recorded why.
+/// A method that returns `None` has recorded a refusal.
 #[derive(Default)]
 pub(crate) struct DocumentReader {
     names: HashSet<Name>,
@@ -171,7 +172,7 @@
         self.refusals
     }
 
-    /// Records a refusal; `location` is called only if it is kept.
+    /// Records a refusal; `location` is called only if the refusal is kept.
     pub fn refuse<T>(&mut self, reason: RefusalReason, location: impl FnOnce() -> String) -> Option<T> {
         if self.refusals.len() < MAX_REFUSALS {
             self.refusals.push(Refusal { location: location(), reason });
@@ -186,7 +187,7 @@
         self.refuse(reason, || entry.location(field))
     }
 
-    /// The name with this text, which all values of the document share.
+    /// Returns the shared name with this text.
     pub fn intern(&mut self, text: &str) -> Name {
         if let Some(name) = self.names.get(text) {
             return name.clone();
@@ -196,7 +197,7 @@
         name
     }
 
-    /// Reads the version of a document and the entries of its list, of which there are `max_entries` at most.
+    /// Reads the version of a document and the entries of its list, which has at most `max_entries`.
     pub fn entries<'v>(
         &mut self,
         document: &'v JsonValue,
@@ -226,7 +227,7 @@
             return self.refuse(RefusalReason::WrongType("text"), location);
         };
         let digits = text.strip_prefix('r').unwrap_or_default();
-        // `parse` alone would take a plus sign.
+        // `parse` alone would accept a plus sign.
         let version = digits.bytes().all(|byte| byte.is_ascii_digit()).then(|| digits.parse().ok()).flatten();
         version.or_else(|| self.refuse(RefusalReason::InvalidVersion(quoted(text)), location))
     }
@@ -240,7 +241,7 @@
         }
     }
 
-    /// Reads a text that names something: neither empty nor long, and without control characters.
+    /// Reads a name: a non-empty text of limited length without control characters.
     pub fn name<'v>(&mut self, entry: &Entry, field: &str, value: Option<&'v JsonValue>) -> Option<&'v str> {
         let text = self.text(entry, field, value)?;
         if text.is_empty() {
@@ -264,11 +265,11 @@
         let Ok(size) = format!("{mantissa}e{exponent}").parse::<f64>() else {
             return self.refuse_field(entry, field, RefusalReason::WrongType("a number"));
         };
-        // A number too close to 0 for a float still has a sign.
+        // A negative number that rounds to 0 as a float is still refused.
         if !positive && mantissa > 0 {
             return self.refuse_field(entry, field, RefusalReason::Negative);
         }
-        // Every maximum is far below the whole numbers that a float can't represent.
+        // Every maximum is far below the first integer that a float can't represent.
         if size > max as f64 {
             return self.refuse_field(entry, field, RefusalReason::AboveMaximum(max));
         }
@@ -294,7 +295,7 @@
         Some(number as u64)
     }
 
-    /// Reads a duration above 0 in milliseconds. A fraction is dropped, and less than 1 ms counts as 1 ms.
+    /// Reads a duration above 0, in milliseconds. Fractions are truncated, and less than 1 ms counts as 1 ms.
     pub fn duration_ms(&mut self, entry: &Entry, field: &str, value: Option<&JsonValue>) -> Option<u64> {
         let number = self.number(entry, field, value, MAX_DURATION_MS)?;
         if number <= 0.0 {
--- a/catalog/src/configuration/model.rs
+++ b/catalog/src/configuration/model.rs
@@ -1,10 +1,10 @@
-//! What a configuration is made of: routes, services and limits.
+//! The types of a configuration: routes, services and limits.
 //!
-//! Invariants: these are plain values; that a configuration is valid as a whole is checked where it is read.
+//! Invariants: these are plain values; the reader checks that a configuration is valid as a whole.
 
 use std::sync::Arc;
 
-/// A text of a document that all values with the same text share.
+/// An interned text of a document.
 pub type Name = Arc<str>;
 
 /// Whether a request on a route may run more than once.
@@ -16,7 +16,7 @@
     OnceOnly,
     /// The request carries a key, and at most one run per key is granted by a lease of the control plane.
     Keyed,
-    /// The request may run any number of times and its response is large, so that it is scheduled and paced apart.
+    /// The request may run any number of times and its response is large, so it is scheduled and paced separately.
     LargeResponse,
 }
 
@@ -27,10 +27,10 @@
     }
 }
 
-/// Where the requests for one host and path prefix go, and what bounds them.
+/// The services and limits for requests to one host and path prefix.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
-    /// The name that operators gave; several routes may share it.
+    /// The name given by operators; several routes may share it.
     pub name: Name,
     /// The host in lowercase, without a port.
     pub host: Name,
@@ -42,19 +42,19 @@
     pub deadline_ms: u64,
     /// The time within which a request should be answered, in milliseconds; above 0, by default the deadline.
     pub latency_target_ms: u64,
-    /// The priority of its requests, of which 0 is the highest and the default.
+    /// The priority of its requests; 0 is the highest and the default.
     pub priority: u32,
-    /// The most upstreams to which one request of a client is sent; above 0.
+    /// The maximum number of upstreams to which one client request is sent; above 0.
     pub max_attempts: u32,
-    /// Each service once; the sum of the weights is above 0.
+    /// The services, each listed once; the sum of the weights is above 0.
     pub services: Vec<WeightedService>,
-    /// The header that names a person's session, in lowercase; none where requests have no session affinity.
+    /// The header that identifies a user session, in lowercase; `None` if requests have no session affinity.
     pub session_header: Option<Name>,
-    /// The member whose route this is, with its shares of common resources; none for the platform's own routes.
+    /// The member that owns the route, with its shares of common resources; `None` for the platform's own routes.
     pub share: Option<Arc<MemberShares>>,
 }
 
-/// A service that takes a part of a route's requests.
+/// A service that receives a share of a route's requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WeightedService {
     /// The name of the service.
@@ -63,7 +63,7 @@
     pub weight: f64,
 }
 
-/// The greatest shares of common resources that the requests on one member's routes may take.
+/// The maximum shares of common resources for requests on one member's routes.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MemberShares {
     /// The member's name.
@@ -81,29 +81,29 @@
     }
 }
 
-/// What is known of a service and its upstreams.
+/// The settings of a service and its upstreams.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Service {
     /// The name by which routes refer to the service.
     pub name: Name,
     /// The path of the health check.
     pub health_path: String,
-    /// The most connections that one upstream takes from all callers together; above 0.
+    /// The maximum number of connections that one upstream accepts from all callers together; above 0.
     pub max_connections: u32,
-    /// Whether the service itself recognizes a request with the same key; false by default.
+    /// Whether the service itself deduplicates requests with the same key; false by default.
     pub deduplicates: bool,
 }
 
-/// The bounds on what a client may send, and how long it may take or stay idle.
+/// The size limits and timeouts for client requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// The greatest size of a request's header, in bytes; by default 16 KiB.
+    /// The maximum size of a request's header, in bytes; by default 16 KiB.
     pub max_header_bytes: u64,
-    /// The greatest size of a request's body, in bytes; by default 64 MiB.
+    /// The maximum size of a request's body, in bytes; by default 64 MiB.
     pub max_body_bytes: u64,
     /// The time within which a request's header must be complete, in milliseconds; by default 3 s.
     pub header_timeout_ms: u64,
-    /// The time that a connection may stay without a request, in milliseconds; by default 15 s.
+    /// The time that a connection may stay idle, in milliseconds; by default 15 s.
     pub idle_timeout_ms: u64,
 }
 
--- a/catalog/src/configuration/read.rs
+++ b/catalog/src/configuration/read.rs
@@ -1,9 +1,9 @@
-//! Reads the operators' configuration, and the routes that members' documents share with it.
+//! Reads the operators' configuration, and routes, which members' documents contain as well.
 //!
-//! The words of those documents (`depot`, `lane_prefix`, `post_class` and so on) are in `words`, in this module and in the
-//! texts for operators alone; the types that are read have the terms of the field.
+//! The field names of the documents (`depot`, `lane_prefix`, `post_class` and so on) occur only in `field_names`, in
+//! this module and in texts for operators; the resulting types use standard terms.
 //!
-//! Invariants: a document is taken as a whole or not at all; nothing here panics, whatever the bytes are.
+//! Invariants: a document is accepted as a whole or refused; no input causes a panic.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::sync::Arc;
@@ -18,7 +18,7 @@
 
 const MAX_WEIGHTED_SERVICES: usize = 1_000;
 const MAX_SESSION_HEADER_BYTES: usize = 64;
-/// Headers of a connection or of a body, which do not identify a session.
+/// Headers that describe a connection or a body and cannot identify a session.
 const RESERVED_HEADERS: [&str; 11] = [
     "connection",
     "keep-alive",
@@ -42,8 +42,8 @@
 const SERVICES: &str = "mail_lines";
 const LIMITS: &str = "limits";
 
-/// The word of the documents for a repeat policy.
-pub(super) fn repeat_policy_word(policy: RepeatPolicy) -> &'static str {
+/// The name of a repeat policy in the documents.
+pub(super) fn repeat_policy_name(policy: RepeatPolicy) -> &'static str {
     match policy {
         RepeatPolicy::Repeatable => "resendable",
         RepeatPolicy::OnceOnly => "once_only",
@@ -52,15 +52,15 @@
     }
 }
 
-/// The repeat policy for a word of the documents.
-fn repeat_policy(word: &str) -> Option<RepeatPolicy> {
+/// The repeat policy with this name in the documents.
+fn repeat_policy(name: &str) -> Option<RepeatPolicy> {
     let policies =
         [RepeatPolicy::Repeatable, RepeatPolicy::OnceOnly, RepeatPolicy::Keyed, RepeatPolicy::LargeResponse];
-    policies.into_iter().find(|policy| repeat_policy_word(*policy) == word)
+    policies.into_iter().find(|policy| repeat_policy_name(*policy) == name)
 }
 
 impl Configuration {
-    /// Reads a whole configuration, or returns all that is wrong with it in the document's order.
+    /// Reads a configuration, or returns all errors in document order.
     pub fn read(bytes: &[u8]) -> Result<Configuration, Vec<Refusal>> {
         read_document(bytes, read_configuration)
     }
@@ -78,7 +78,7 @@
     Some(Configuration::new(version?, builder.routes, builder.services, limits))
 }
 
-/// The names of all services, which may come after the routes that name them.
+/// The names of all services. They are collected first because services may be listed after the routes that use them.
 fn known_services(reader: &mut DocumentReader, entries: &[JsonValue]) -> HashSet<Name> {
     let mut known = HashSet::new();
     for entry in entries {
@@ -96,7 +96,7 @@
 struct ConfigurationBuilder {
     known_services: HashSet<Name>,
     routes: Vec<Arc<Route>>,
-    /// The entry that has each host and prefix.
+    /// The index of the entry with each host and prefix.
     route_locations: HashMap<(Name, Name), usize>,
     services: BTreeMap<Name, Service>,
     limits: Option<Limits>,
@@ -132,7 +132,7 @@
         }
     }
 
-    /// A service may be given again if it is the same.
+    /// Adds a service. A duplicate is accepted if it is equal.
     fn add_service(&mut self, reader: &mut DocumentReader, entry: &Entry) {
         let Some(service) = read_service(reader, entry) else { return };
         match self.services.get(&service.name) {
@@ -145,7 +145,7 @@
         }
     }
 
-    /// The limits may be given again if they are the same.
+    /// Sets the limits. Duplicate limits are accepted if they are equal.
     fn add_limits(&mut self, reader: &mut DocumentReader, entry: &Entry) {
         let limits = read_limits(reader, entry);
         if self.limits.is_some_and(|known| known != limits) {
@@ -155,7 +155,7 @@
     }
 }
 
-/// Reads what every entry has in common. Returns `None` too for a category that isn't known here.
+/// Reads the parts that all entries have in common. Also returns `None` for an unknown category, which is ignored.
 fn read_entry<'v>(reader: &mut DocumentReader, index: usize, value: &'v JsonValue) -> Option<Entry<'v>> {
     let mut entry = Entry::new("consignments", index, value);
     if !value.is_object() {
@@ -183,13 +183,13 @@
     }
 }
 
-/// Reads a route. Where `known_services` is given, the route may name no others.
+/// Reads a route. If `known_services` is given, the route may refer to no other services.
 pub(crate) fn read_route(
     reader: &mut DocumentReader,
     entry: &Entry,
     known_services: Option<&HashSet<Name>>,
 ) -> Option<Route> {
-    // Each field is read before any is missed, so that all errors are told.
+    // All fields are read before the first `?`, so that all errors are reported.
     let host = read_host(reader, entry, field_names::HOST, entry.get(field_names::HOST));
     let prefix = read_prefix(reader, entry, field_names::PREFIX, entry.get(field_names::PREFIX));
     let repeat_policy = read_repeat_policy(reader, entry);
@@ -229,7 +229,7 @@
     })
 }
 
-/// Reads the name of a header that clients set and that is forwarded to the upstream unchanged.
+/// Reads the name of a header that is set by clients and forwarded to the upstream unchanged.
 fn read_session_header(
     reader: &mut DocumentReader,
     entry: &Entry,
@@ -248,7 +248,7 @@
     Some(reader.intern(&text))
 }
 
-/// Reads a host as routes have it.
+/// Reads and normalizes a host.
 pub(crate) fn read_host(
     reader: &mut DocumentReader,
     entry: &Entry,
@@ -263,7 +263,7 @@
     Some(reader.intern(&host))
 }
 
-/// Reads a path prefix, which begins with a slash.
+/// Reads a path prefix.
 pub(crate) fn read_prefix(
     reader: &mut DocumentReader,
     entry: &Entry,
@@ -277,7 +277,7 @@
     Some(reader.intern(text))
 }
 
-/// Reads the path of a health check, which goes into the first line of a request as it is.
+/// Reads the path of a health check, which is copied verbatim into the request line.
 fn read_health_path(reader: &mut DocumentReader, entry: &Entry) -> Option<String> {
     const FIELD: &str = field_names::HEALTH_PATH;
     let text = read_path(reader, entry, FIELD, entry.get(FIELD))?;
@@ -310,8 +310,8 @@
         .or_else(|| reader.refuse_field(entry, FIELD, RefusalReason::UnknownRouteKind(quoted(text))))
 }
 
-/// Reads the services of a route with their weights. Where both `line` and `split` are given the split holds, but the
-/// service of the line must be known all the same.
+/// Reads the services of a route with their weights. If both `line` and `split` are given, the split takes precedence,
+/// but the service of the line must still be known.
 fn read_services(
     reader: &mut DocumentReader,
     entry: &Entry,
@@ -349,7 +349,7 @@
     }
 }
 
-/// Reads the parts of a split. The weights of a service that is given more than once are added.
+/// Reads the parts of a split. The weights of a repeated service are added.
 fn read_split(
     reader: &mut DocumentReader,
     entry: &Entry,
@@ -433,7 +433,7 @@
     })
 }
 
-/// Reads the limits. A field that is invalid is refused, and its default stands in for it.
+/// Reads the limits. An invalid field is refused and replaced by its default.
 fn read_limits(reader: &mut DocumentReader, entry: &Entry) -> Limits {
     let mut limits = Limits::default();
     if let size @ Some(_) = entry.get(field_names::MAX_HEADER_BYTES) {
--- a/catalog/src/configuration/refusal.rs
+++ b/catalog/src/configuration/refusal.rs
@@ -1,36 +1,36 @@
-//! Why a document of the operators or of a member is refused, and where in it the error is.
+//! The reasons for refusing an operators' or a member's document, with the location of each error.
 //!
-//! The texts are for operators and speak the words of the documents.
+//! The texts are for operators and use the field names of the documents.
 //!
-//! Invariants: texts of a document are shortened and escaped before they go into a message.
+//! Invariants: texts from a document are shortened and escaped before they are included in a message.
 
 use std::fmt::Write;
 
 use thiserror::Error;
 
-/// Something that makes a document invalid.
+/// An error that makes a document invalid.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 #[error("{location}: {reason}")]
 pub struct Refusal {
     /// The path to the invalid value in the document.
     pub location: String,
-    /// What is wrong with that value.
+    /// The error in that value.
     pub reason: RefusalReason,
 }
 
-/// What is wrong with a value of a document.
+/// The error in a value of a document.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum RefusalReason {
     /// The text is too long.
     #[error("is longer than {max_bytes} bytes")]
     TooLong {
-        /// The greatest length, in bytes.
+        /// The maximum length, in bytes.
         max_bytes: usize,
     },
     /// There are too many entries or values.
     #[error("holds more than {max}")]
     TooMany {
-        /// The greatest number.
+        /// The maximum number.
         max: usize,
     },
     /// The document is not UTF-8.
@@ -42,7 +42,7 @@
     /// The document is not JSON.
     #[error("is no JSON: {ch:?} at line {line}, column {column}")]
     UnexpectedCharacter {
-        /// The character that no JSON has there.
+        /// The unexpected character.
         ch: char,
         /// The line, counted from 1.
         line: usize,
@@ -55,49 +55,49 @@
     /// A number is too long.
     #[error("has a number of more than {max} digits")]
     TooManyDigits {
-        /// The most digits of a number.
+        /// The maximum number of digits.
         max: usize,
     },
     /// The value is absent.
     #[error("is missing")]
     Missing,
-    /// The value is not of the type named here with its article.
+    /// The value is not of this type, which is given with its article.
     #[error("is not {0}")]
     WrongType(&'static str),
     /// The text or list is empty.
     #[error("is empty")]
     Empty,
-    /// The text has a control character.
+    /// The text contains a control character.
     #[error("holds a control character")]
     ControlCharacter,
-    /// The version, quoted here, is not `r` with a number.
+    /// The version, quoted here, is not `r` followed by a number.
     #[error("is {0}, not r and a number")]
     InvalidVersion(String),
     /// The path does not begin with a slash.
     #[error("does not begin with a slash")]
     NoLeadingSlash,
-    /// The text is no header name, or too long for one.
+    /// The text is not a valid header name, or is too long.
     #[error("is no header's name of up to {max_bytes} characters")]
     InvalidHeaderName {
-        /// The greatest length, in bytes.
+        /// The maximum length, in bytes.
         max_bytes: usize,
     },
     /// The header is set by proxies or belongs to the connection.
     #[error("is a header that no client sets for itself")]
     ReservedHeader,
-    /// The path of the health check can't be in a request.
+    /// The path of the health check is not valid in a request line.
     #[error("is no path that can be asked for")]
     InvalidPath,
-    /// The kind of route, quoted here, isn't known.
+    /// The repeat policy, quoted here, is unknown.
     #[error("is {0}, none of resendable, once_only, registered, outbound_post")]
     UnknownRouteKind(String),
-    /// The number is 0, or below the least that is allowed.
+    /// The number is 0, or below the allowed minimum.
     #[error("is not above 0")]
     NotPositive,
     /// The number is below 0.
     #[error("is below 0")]
     Negative,
-    /// The number is not whole.
+    /// The number is not an integer.
     #[error("is not a whole number")]
     NotWhole,
     /// The number is above the maximum.
@@ -109,7 +109,7 @@
     /// The weights of a split are all 0.
     #[error("has shares that come to 0")]
     ZeroWeights,
-    /// The service, quoted here, is not among the document's.
+    /// The service, quoted here, is not defined in the document.
     #[error("names {0}, which is not among the mail_lines")]
     UnknownService(String),
     /// Another route has the same host and prefix.
@@ -126,30 +126,30 @@
         /// The position of the other entry.
         entry: usize,
     },
-    /// The text is no name of a member.
+    /// The text is not a valid member name.
     #[error("is not 1 to 60 letters, digits, dots, dashes and underscores")]
     InvalidMemberName,
     /// The prefix does not end with a slash.
     #[error("does not end with a slash")]
     NoTrailingSlash,
-    /// The text is no SHA-256 digest.
+    /// The text is not a SHA-256 digest.
     #[error("is not a SHA-256 in 64 hex digits")]
     InvalidDigest,
-    /// The scope lies within the scope of another member that is named here.
+    /// The scope lies within the scope of another member, given by its location.
     #[error("lies within {0}")]
     OverlapsScope(String),
-    /// The entry is given twice with different contents.
+    /// The entry occurs twice with different contents.
     #[error("is given twice, and not alike")]
     Conflict,
-    /// The number of refusals that were left out.
+    /// The number of omitted refusals.
     #[error("has {0} more errors")]
     MoreRefusals(usize),
 }
 
-/// The most characters of a document's text that go into a message.
+/// The maximum number of characters of a document's text in a message.
 const MAX_SHOWN_CHARS: usize = 64;
 
-/// A text of a document in quotes, shortened, for a message or a line of a log.
+/// Quotes and shortens a text of a document for an error message or a log line.
 pub(crate) fn quoted(text: &str) -> String {
     match text.char_indices().nth(MAX_SHOWN_CHARS) {
         Some((end, _)) => format!("{:?}...", text.get(..end).unwrap_or_default()),
@@ -157,7 +157,7 @@
     }
 }
 
-/// A name of a document without quotes, shortened and escaped, for the location of an error.
+/// Shortens and escapes a name of a document, without quotes, for the location of an error.
 pub(crate) fn escaped_name(name: &str) -> String {
     let mut shown = String::new();
     for character in name.chars().take(MAX_SHOWN_CHARS) {
--- a/catalog/src/configuration/routing.rs
+++ b/catalog/src/configuration/routing.rs
@@ -1,6 +1,6 @@
-//! A configuration that is valid as a whole, and the search for the route of a request.
+//! A validated configuration and the lookup of the route for a request.
 //!
-//! Invariants: a configuration does not change once it is read; no two of its routes have the same host and prefix.
+//! Invariants: a configuration is immutable once it is read; no two of its routes have the same host and prefix.
 
 use std::borrow::Cow;
 use std::cmp::Reverse;
@@ -9,20 +9,20 @@
 
 use super::model::{Limits, Name, Route, Service};
 
-/// One version of the operators' configuration, checked as a whole.
+/// One validated version of the operators' configuration.
 #[derive(Clone, Debug)]
 pub struct Configuration {
-    /// The version, which goes up with each change.
+    /// The version, which increases with each change.
     pub version: u64,
     routes: Vec<Arc<Route>>,
     services: BTreeMap<Name, Service>,
     limits: Limits,
-    /// The routes by host, shared with configurations that are overlaid on this one and have the same routes for a host.
+    /// The routes by host. Overlaid configurations share the entries of hosts whose routes are unchanged.
     hosts: HashMap<Name, Arc<HostRoutes>>,
 }
 
 impl Configuration {
-    /// A configuration of routes of which no two have the same host and prefix.
+    /// Creates a configuration. No two routes may have the same host and prefix.
     pub(super) fn new(
         version: u64,
         mut routes: Vec<Arc<Route>>,
@@ -37,8 +37,9 @@
         Configuration { version, routes, services, limits, hosts }
     }
 
-    /// This configuration with further routes, of which no two have the same host and prefix. A route replaces the one of
-    /// this configuration at its host and prefix; all others are added at the end. The routes of other hosts are shared.
+    /// Returns this configuration with additional routes, of which no two may have the same host and prefix. A route
+    /// replaces the existing one with its host and prefix; all others are appended. The routes of other hosts are
+    /// shared.
     #[must_use]
     pub(crate) fn overlaid(&self, overlay: Vec<Arc<Route>>) -> Configuration {
         let mut configuration = self.clone();
@@ -56,40 +57,42 @@
             .routes
             .extend(overlay.into_iter().filter(|route| added.contains_key(&route.location())));
         for (host, routes) in overlay_by_host {
-            let mut host_routes =
-                self.hosts.get(&host).map_or_else(HostRoutes::default, |known| HostRoutes::clone(known));
+            let mut host_routes = self
+                .hosts
+                .get(&host)
+                .map_or_else(HostRoutes::default, |existing| HostRoutes::clone(existing));
             host_routes.replace(&routes);
             configuration.hosts.insert(host, Arc::new(host_routes));
         }
         configuration
     }
 
-    /// The route of this host with the longest prefix of the path, which is given without its query.
+    /// Finds the route of this host with the longest matching prefix of the path. The path must not include the query.
     pub fn route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         self.hosts.get(&*normalized_host(host))?.find(path)
     }
 
-    /// All routes in the document's order.
+    /// All routes in document order.
     pub fn routes(&self) -> impl Iterator<Item = &Arc<Route>> {
         self.routes.iter()
     }
 
-    /// The service of this name.
+    /// The service with this name.
     pub fn service(&self, name: &str) -> Option<&Service> {
         self.services.get(name)
     }
 
-    /// All services in the order of their names.
+    /// All services, ordered by name.
     pub fn services(&self) -> impl Iterator<Item = &Service> {
         self.services.values()
     }
 
-    /// The limits on what clients send.
+    /// The limits on client requests.
     pub fn limits(&self) -> &Limits {
         &self.limits
     }
 
-    /// Whether a request for this host and path may run at this service.
+    /// Whether a request for this host and path may be sent to this service.
     pub fn allows_service(&self, host: &str, path: &str, service: &str) -> bool {
         self.route(host, path).is_some_and(|route| {
             route.services.iter().any(|weighted| &*weighted.name == service && weighted.weight > 0.0)
@@ -105,14 +108,14 @@
     by_host
 }
 
-/// The routes of one host, in the order in which they are searched.
+/// The routes of one host, in lookup order.
 #[derive(Clone, Debug, Default)]
 struct HostRoutes {
-    /// The routes whose prefix ends with a slash, in the order of their prefixes.
+    /// The routes whose prefix ends with a slash, ordered by prefix.
     directories: Vec<Arc<Route>>,
-    /// All other routes, the longest prefix first. The operators' documents are said to have none.
+    /// All other routes, longest prefix first. Operators' documents are not expected to contain any.
     partial: Vec<Arc<Route>>,
-    /// An upper bound on the length of the directories' prefixes.
+    /// An upper bound on the prefix length of `directories`.
     max_directory_bytes: usize,
 }
 
@@ -123,10 +126,10 @@
         host_routes
     }
 
-    /// Adds routes in place of those with the same prefixes.
+    /// Adds routes and replaces those with the same prefixes.
     fn replace(&mut self, routes: &[Arc<Route>]) {
         let prefixes: HashSet<&str> = routes.iter().map(|route| &*route.prefix).collect();
-        // The bound stays as it is: a larger one only costs time.
+        // The bound is not lowered: a larger one only costs time.
         self.directories.retain(|route| !prefixes.contains(&*route.prefix));
         self.partial.retain(|route| !prefixes.contains(&*route.prefix));
         for route in routes {
@@ -155,7 +158,7 @@
         self.partial.iter().find(is_longer).or(directory)
     }
 
-    /// Looks up the path up to each of its slashes, the last one first.
+    /// Looks up the part of the path up to each slash, starting with the last.
     fn find_directory(&self, path: &[u8]) -> Option<&Arc<Route>> {
         let mut rest = &path[..path.len().min(self.max_directory_bytes)];
         while let Some(slash) = rest.iter().rposition(|byte| *byte == b'/') {
@@ -170,11 +173,11 @@
     }
 }
 
-/// A host as routes have it: in lowercase, without a port.
+/// Normalizes a host: lowercase, without a port.
 pub(super) fn normalized_host(host: &str) -> Cow<'_, str> {
     let name = match host.rsplit_once(':') {
         Some((name, port)) if port.bytes().all(|byte| byte.is_ascii_digit()) => {
-            // The last colon of an IPv6 address without brackets does not begin a port.
+            // In an IPv6 address without brackets, the last colon is not followed by a port.
             if name.contains(':') && !name.ends_with(']') { host } else { name }
         }
         _ => host,
--- a/catalog/src/configuration_update.rs
+++ b/catalog/src/configuration_update.rs
@@ -1,10 +1,10 @@
-//! Configurations on their way from the control plane to nodes, compressed and as differences.
+//! Distribution of configurations from the control plane to nodes as compressed deltas.
 //!
-//! A replica keeps the newest configurations in an [`UpdateCache`] and makes one [`ConfigurationUpdate`] for all nodes that
-//! have the same version. A node makes the new configuration out of the one it has with [`ConfigurationUpdate::apply_to`].
+//! A replica keeps the newest configurations in an [`UpdateCache`] and creates one [`ConfigurationUpdate`] for all
+//! nodes with the same version. A node derives the new configuration from its current one with
+//! [`ConfigurationUpdate::apply_to`].
 //!
-//! Invariants: an update never opens to another configuration than the one that was committed, which is checked by its
-//! digest.
+//! Invariants: applying an update yields exactly the committed configuration, which is verified by its digest.
 
 use std::collections::VecDeque;
 use std::io::{Read, Write};
@@ -19,22 +19,22 @@
 
 use crate::delta::{self, DeltaOp};
 
-/// The most versions that are kept, with the newest one.
+/// The maximum number of kept versions, including the newest.
 const MAX_CONFIGURATIONS: usize = 4;
-/// The most bytes of all versions that are kept, unless the newest alone has more.
+/// The maximum total size of kept versions, unless the newest alone is larger.
 const MAX_CONFIGURATION_BYTES: usize = 16 << 20;
-/// The most updates to the newest version that are kept.
+/// The maximum number of kept updates to the newest version.
 const MAX_UPDATES: usize = 6;
-/// The greatest size of an update's operations once they are decompressed.
+/// The maximum decompressed size of an update's operations.
 const MAX_DECOMPRESSED_BYTES: u64 = 64 << 20;
 
-/// A configuration, or its difference from an older one.
+/// A configuration, or its delta from an older one.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ConfigurationUpdate {
     /// The revision of the configuration.
     #[serde(rename = "rank")]
     pub revision: Revision,
-    /// The revision of the older configuration; [`Revision::NONE`] where the update has the whole configuration.
+    /// The revision of the older configuration; [`Revision::NONE`] if the update holds the whole configuration.
     #[serde(rename = "from")]
     pub base: Revision,
     /// The [`DeltaOp`]s as CBOR, deflated.
@@ -42,19 +42,20 @@
     pub compressed: Vec<u8>,
 }
 
-/// Why an update can't be opened.
+/// Why an update can't be applied.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub enum UpdateError {
-    /// The update is a difference from another configuration than the one given.
-    #[error("goes out from another one")]
+    /// The update is a delta from a different configuration than the given one.
+    #[error("the update is based on a different configuration")]
     BaseMismatch,
-    /// The update can't be decoded, or makes another configuration than was meant.
-    #[error("can't be opened")]
+    /// The update can't be decoded, or its result does not match the digest.
+    #[error("the update is corrupt")]
     Corrupt,
 }
 
 impl ConfigurationUpdate {
-    /// The update to a configuration from an older one, or to the whole of it where there is none.
+    /// Creates the update to a configuration from an older one, or one with the whole configuration if `base` is
+    /// `None`.
     fn new(configuration: &RegisterValue, base: Option<&RegisterValue>) -> Option<ConfigurationUpdate> {
         let ops = match base {
             Some(base) => delta::compute_delta(&base.bytes, &configuration.bytes),
@@ -71,7 +72,7 @@
         })
     }
 
-    /// The configuration that the update makes out of the one that is here.
+    /// Applies the update to the current configuration and returns the new one.
     pub fn apply_to(&self, current: Option<&RegisterValue>) -> Result<RegisterValue, UpdateError> {
         let old = match current {
             _ if self.base == Revision::NONE => &[][..],
@@ -95,7 +96,7 @@
     configuration.map_or(Revision::NONE, RegisterValue::revision)
 }
 
-/// The newest configurations of a replica, and the updates that nodes have asked for.
+/// The newest configurations of a replica, and the updates that nodes have requested.
 #[derive(Default)]
 pub struct UpdateCache {
     state: Mutex<CacheState>,
@@ -103,9 +104,9 @@
 
 #[derive(Default)]
 struct CacheState {
-    /// The newest configurations, the newest last.
+    /// The newest configurations, newest last.
     configurations: VecDeque<Arc<RegisterValue>>,
-    /// Updates to the newest configuration, the latest last.
+    /// Updates to the newest configuration, most recently created last.
     updates: VecDeque<Arc<ConfigurationUpdate>>,
 }
 
@@ -124,7 +125,7 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes a configuration that has been committed.
+    /// Adds a committed configuration.
     pub fn add(&self, configuration: &Arc<RegisterValue>) {
         let mut state = self.lock();
         let newest = configuration.revision();
@@ -138,18 +139,18 @@
         state.updates.retain(|update| update.revision == newest);
     }
 
-    /// The update to the newest configuration for a node that has the one of this revision; none if that is the newest.
+    /// Returns the update from this revision to the newest configuration; `None` if there is no newer one.
     ///
-    /// Takes time where no node with this revision has asked before, so that it should not run where others wait.
+    /// Computes the update if it is not cached, which can take long, so this should not be called on an async executor.
     pub fn update_from(&self, current: Revision) -> Option<Arc<ConfigurationUpdate>> {
         let (configuration, base) = {
             let state = self.lock();
             let configuration = state.configurations.back().filter(|newest| newest.revision() > current)?;
-            let base = state.configurations.iter().find(|known| known.revision() == current);
+            let base = state.configurations.iter().find(|kept| kept.revision() == current);
             let base_revision = revision_of(base.map(|base| &**base));
-            let ready = state.updates.iter().find(|update| update.base == base_revision);
-            if let Some(ready) = ready.filter(|ready| ready.revision == configuration.revision()) {
-                return Some(ready.clone());
+            let cached = state.updates.iter().find(|update| update.base == base_revision);
+            if let Some(cached) = cached.filter(|cached| cached.revision == configuration.revision()) {
+                return Some(cached.clone());
             }
             (configuration.clone(), base.cloned())
         };
--- a/catalog/src/delta.rs
+++ b/catalog/src/delta.rs
@@ -1,35 +1,34 @@
-//! The difference between two texts: the operations that make the new one out of the old one.
+//! Delta encoding: the operations that produce a new text from an old one.
 //!
-//! Both texts are cut into chunks at boundaries that depend on the bytes before them, so that a change moves only the
-//! boundaries near it. [`compute_delta`] finds the chunks of the new text in the old one, and [`apply_delta`] puts the new text
-//! together.
+//! Both texts are split by content-defined chunking, so that a change moves only nearby chunk boundaries.
+//! [`compute_delta`] finds the chunks of the new text in the old one, and [`apply_delta`] assembles the new text.
 //!
-//! Invariants: [`apply_delta`] never returns a text with another digest than the one that is meant.
+//! Invariants: [`apply_delta`] returns only a text with the expected digest.
 
 use std::collections::HashMap;
 
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// A chunk ends where these bits of the rolling hash are clear: on average every 256 bytes.
+/// A chunk ends where these bits of the rolling hash are 0, on average every 256 bytes.
 const BOUNDARY_MASK: u64 = 0xFF00_0000_0000_0000;
 const MIN_CHUNK_BYTES: usize = 64;
 const MAX_CHUNK_BYTES: usize = 2_048;
-/// The greatest size of a text that [`apply_delta`] makes.
+/// The maximum size of a text that [`apply_delta`] produces.
 const MAX_TEXT_BYTES: usize = 64 << 20;
 
-/// An operation that makes the next bytes of the new text.
+/// An operation that produces the next bytes of the new text.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum DeltaOp {
     /// Copies bytes of the old text.
     #[serde(rename = "Old")]
     Copy(ByteRange),
-    /// Inserts bytes that the old text does not have.
+    /// Inserts bytes that are not in the old text.
     #[serde(rename = "New")]
     Insert(#[serde(with = "serde_bytes")] Vec<u8>),
 }
 
-/// A run of bytes of the old text.
+/// A range of bytes in the old text.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(u32, u32)", into = "(u32, u32)")]
 pub struct ByteRange {
@@ -52,21 +51,21 @@
 }
 
 impl ByteRange {
-    /// The bytes in this range of a text; none where it is shorter.
+    /// The bytes of this range in a text; `None` if the text is too short.
     fn slice(self, text: &[u8]) -> Option<&[u8]> {
         let start = self.offset as usize;
         text.get(start..start.checked_add(self.length as usize)?)
     }
 }
 
-/// Adds a byte to a rolling hash, in whose upper bits the last 64 bytes count.
+/// Adds a byte to a gear rolling hash, which depends on the last 64 bytes.
 fn roll(hash: u64, byte: u8) -> u64 {
     let mixed = (u64::from(byte) + 1).wrapping_mul(0x9E37_79B9_7F4A_7C15);
     let gear = (mixed ^ (mixed >> 29)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
     (hash << 1).wrapping_add(gear)
 }
 
-/// The positions at which the chunks of a text end.
+/// The end offsets of the chunks of a text.
 fn chunk_ends(text: &[u8]) -> Vec<usize> {
     let mut ends = Vec::new();
     let mut start = 0;
@@ -88,7 +87,7 @@
     ends
 }
 
-/// A chunk of a text with its position.
+/// A chunk of a text with its offset.
 struct Chunk<'t> {
     offset: usize,
     bytes: &'t [u8],
@@ -103,16 +102,16 @@
     })
 }
 
-/// The operations that make `new` out of `old`.
+/// Computes the operations that produce `new` from `old`.
 pub fn compute_delta(old: &[u8], new: &[u8]) -> Vec<DeltaOp> {
     let old_chunks: HashMap<u64, Chunk> = chunks(old).map(|chunk| (xxh3_64(chunk.bytes), chunk)).collect();
     let mut ops: Vec<DeltaOp> = Vec::new();
     for chunk in chunks(new) {
-        // Chunks of equal hash are compared, and a position must fit in a range.
+        // Chunks with equal hashes are compared, since hashes can collide; the offset must fit into a range.
         let offset = old_chunks
             .get(&xxh3_64(chunk.bytes))
-            .filter(|known| known.bytes == chunk.bytes)
-            .and_then(|known| u32::try_from(known.offset).ok());
+            .filter(|candidate| candidate.bytes == chunk.bytes)
+            .and_then(|candidate| u32::try_from(candidate.offset).ok());
         match offset {
             Some(offset) => push_copy(&mut ops, ByteRange { offset, length: chunk.bytes.len() as u32 }),
             None => push_insert(&mut ops, chunk.bytes),
@@ -121,7 +120,7 @@
     ops
 }
 
-/// Adds a copy, joined with the last one where it continues that.
+/// Adds a copy, merged with the previous one if they are adjacent.
 fn push_copy(ops: &mut Vec<DeltaOp>, range: ByteRange) {
     if let Some(DeltaOp::Copy(last)) = ops.last_mut()
         && last.offset as usize + last.length as usize == range.offset as usize
@@ -132,7 +131,7 @@
     }
 }
 
-/// Adds an insertion, joined with the last one.
+/// Adds an insertion, merged with a directly preceding one.
 fn push_insert(ops: &mut Vec<DeltaOp>, bytes: &[u8]) {
     if let Some(DeltaOp::Insert(last)) = ops.last_mut() {
         last.extend_from_slice(bytes);
@@ -141,8 +140,8 @@
     }
 }
 
-/// The text that the operations make out of `old`. None where an operation does not fit it, or the new text is longer
-/// than 64 MiB or has another digest.
+/// Applies the operations to `old`. Returns `None` if an operation is out of range, or if the new text is longer than
+/// 64 MiB or does not match the digest.
 #[must_use]
 pub fn apply_delta(old: &[u8], ops: &[DeltaOp], digest: u64) -> Option<Vec<u8>> {
     let mut new = Vec::new();
--- a/catalog/src/endpoints.rs
+++ b/catalog/src/endpoints.rs
@@ -1,12 +1,12 @@
-//! The table of all nodes of the mesh and their upstreams, as one replica of the control plane holds it.
+//! The table of all nodes of the mesh and their upstreams, as held by one replica of the control plane.
 //!
-//! Each node writes one [`EndpointRecord`] about itself, and the record with the higher [`RecordVersion`] replaces the
-//! other wherever both are known. A replica keeps the records in an [`EndpointTable`], which numbers its changes: a reader
-//! names the [`TablePosition`] up to which it has them and gets what came after. An operator's request to drain an upstream
-//! is kept beside the record, because a node that restarts forgets it.
+//! Each node publishes one [`EndpointRecord`] about itself; of two records, the one with the higher [`RecordVersion`]
+//! wins. A replica stores the records in an [`EndpointTable`], which numbers its changes: a reader sends the
+//! [`TablePosition`] up to which it has them and receives the later ones. An operator's request to drain an upstream is
+//! stored with the record, because the node loses it when it restarts.
 //!
-//! Invariants: a table never goes back to a lower version of a record; whether an upstream should get requests is not
-//! decided here but by the sender.
+//! Invariants: a record is never replaced by one with a lower version; the sender of a request, not this module,
+//! decides whether an upstream is eligible.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::fmt;
@@ -17,27 +17,27 @@
 
 pub use ochreshed_consensus::placement::place;
 
-/// A record is removed when its node has not been heard from for this long.
+/// A record is removed if its node has not been heard from for this long.
 const RECORD_TTL: Nanos = 90_000_000_000;
-/// The most records of a table; records of further nodes are not taken.
+/// The maximum number of records in a table; records of further nodes are ignored.
 const MAX_RECORDS: usize = 20_000;
 const NANOS_PER_MS: Nanos = 1_000_000;
 
-/// Whether an upstream takes requests.
+/// Whether an upstream accepts requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum UpstreamState {
-    /// The upstream takes requests.
+    /// The upstream accepts requests.
     #[serde(rename = "Open")]
     Serving,
-    /// The upstream finishes its requests and takes no new ones.
+    /// The upstream finishes running requests and accepts no new ones.
     #[serde(rename = "Closing")]
     Draining,
-    /// The node has no upstream, or it has ended.
+    /// The node has no upstream, or its process has ended.
     #[serde(rename = "None")]
     Absent,
 }
 
-/// The state as log lines show it.
+/// The state as shown in log lines.
 impl fmt::Display for UpstreamState {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
@@ -48,36 +48,36 @@
     }
 }
 
-/// The health of an upstream as its inbound proxy judges it from the outcomes of requests.
+/// The health of an upstream, derived by its inbound proxy from the outcomes of requests.
 ///
-/// Both levels are 0 for a healthy upstream. Older programs neither send nor read this value.
+/// Both levels are 0 for a healthy upstream. Older versions neither send nor read this value.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct UpstreamHealth {
-    /// How many requests fail: 0, then 1 from 30% and 2 from 60% on.
+    /// The level of failures: 1 from a failure rate of 30%, 2 from 60%, otherwise 0.
     #[serde(rename = "fails")]
     pub failure_level: u8,
-    /// How much longer requests run than they did over the long term: 0, then 1 from 2.5 times and 2 from 5 times on.
+    /// The level of latency: 1 from 2.5 times the long-term latency, 2 from 5 times, otherwise 0.
     #[serde(rename = "slow")]
     pub latency_level: u8,
 }
 
 impl UpstreamHealth {
-    /// Whether neither failures nor latency are raised.
+    /// Whether both levels are 0.
     pub fn is_healthy(&self) -> bool {
         *self == UpstreamHealth::default()
     }
 }
 
-/// What a node says of itself and of its upstream.
+/// The information that a node publishes about itself and its upstream.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndpointRecord {
     /// The address of the inbound proxy, which identifies the node.
     #[serde(rename = "door")]
     pub inbound_proxy: SocketAddr,
-    /// The incarnation of the node's process; a process that starts takes a higher one than any before it.
+    /// The incarnation of the node's process, higher than that of any earlier process of the node.
     #[serde(rename = "life")]
     pub incarnation: u64,
-    /// Goes up with each change within one incarnation.
+    /// Increases with each change within one incarnation.
     #[serde(rename = "number")]
     pub sequence: u64,
     /// The zone of the node.
@@ -85,7 +85,7 @@
     /// The service of the upstream.
     #[serde(rename = "line")]
     pub service: String,
-    /// The identity of the upstream's process; empty where no upstream is known.
+    /// The identity of the upstream's process; empty if no upstream is known.
     #[serde(rename = "id")]
     pub upstream_id: String,
     /// The version of the upstream's software.
@@ -94,83 +94,84 @@
     /// Whether the upstream takes requests.
     #[serde(rename = "stand")]
     pub state: UpstreamState,
-    /// The most requests that the upstream runs at once.
+    /// The maximum number of concurrent requests at the upstream.
     #[serde(rename = "slots")]
     pub concurrency_limit: u32,
-    /// How much longer the upstream is warming up, in milliseconds from the time at which the record was sent.
+    /// The remaining slow-start time of the upstream, in milliseconds from when the record was sent.
     #[serde(rename = "cold_ms")]
     pub warming_up_ms: u64,
-    /// Whether the upstream has been seen to call other services.
+    /// Whether the upstream has been observed calling other services.
     #[serde(rename = "calls")]
     pub calls_services: bool,
-    /// Whether the node's outbound proxy takes requests of clients.
+    /// Whether the node's outbound proxy accepts client requests.
     #[serde(rename = "serving")]
     pub accepts_clients: bool,
-    /// The health of the upstream. Older programs neither send nor read it.
+    /// The health of the upstream. Older versions neither send nor read it.
     #[serde(rename = "ill", default, skip_serializing_if = "UpstreamHealth::is_healthy")]
     pub health: UpstreamHealth,
 }
 
 impl EndpointRecord {
-    /// The version of the record, by which two records of one node are compared.
+    /// The version of the record, by which records of one node are compared.
     pub fn record_version(&self) -> RecordVersion {
         RecordVersion { incarnation: self.incarnation, sequence: self.sequence }
     }
 
-    /// Whether the upstream may be the one with this identity: it is, or the node does not know its upstream yet.
+    /// Whether the upstream may be the one with this identity: it is that one, or the node does not know its upstream
+    /// yet.
     fn may_be_upstream(&self, upstream_id: &str) -> bool {
         let is_running = self.upstream_id == upstream_id && self.state != UpstreamState::Absent;
         is_running || self.upstream_id.is_empty()
     }
 }
 
-/// The version of a node's record; the default is below that of any record.
+/// The version of a node's record; the default is lower than that of any record.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RecordVersion {
     /// The incarnation of the node's process.
     pub incarnation: u64,
-    /// The number of the change within the incarnation.
+    /// The sequence number of the change within the incarnation.
     pub sequence: u64,
 }
 
-/// How far a reader has the changes of a table.
+/// The position of a reader in the changes of a table.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TablePosition {
-    /// The incarnation of the table; positions of another incarnation say nothing.
+    /// The incarnation of the table; positions of different incarnations are not comparable.
     #[serde(rename = "life")]
     pub incarnation: u64,
-    /// The number of the last change that the reader has; 0 for none.
+    /// The sequence number of the last change that the reader has; 0 for none.
     #[serde(rename = "number")]
     pub sequence: u64,
 }
 
-/// A record with what the table knows of its node.
+/// A record with the state that the table keeps for its node.
 struct TableEntry {
     record: EndpointRecord,
-    /// The number of the last change of the entry.
+    /// The sequence number of the last change of the entry.
     sequence: u64,
     last_heard: Nanos,
     suspected: bool,
-    /// The identity of the upstream that an operator wants drained. It is kept as long as that upstream runs, also while a
-    /// node that has just started does not know of the request.
+    /// The identity of the upstream that an operator has requested to drain. It is kept as long as that upstream runs,
+    /// because the node loses the request when it restarts.
     drain_request: Option<String>,
 }
 
-/// The records of all nodes that a replica knows.
+/// The records of all nodes known to a replica.
 pub struct EndpointTable {
     position: TablePosition,
     entries: HashMap<SocketAddr, TableEntry>,
-    /// The node of each change; of each node only the last one.
+    /// The node of each change by sequence number; only the last change of each node is kept.
     changes: BTreeMap<u64, SocketAddr>,
-    /// The nodes whose records were removed while they seemed to take requests. Readers keep those records, so these nodes
-    /// stay suspected until they return.
+    /// The nodes whose records were removed while they appeared to accept requests. Readers keep those records, so
+    /// these nodes stay suspected until they return.
     removed: BTreeSet<SocketAddr>,
-    /// Whether a removed node has returned since the suspects were last updated.
+    /// Whether a removed node has returned since the last update of the suspects.
     has_returned: bool,
 }
 
 impl EndpointTable {
-    /// An empty table. The incarnation differs from that of any table that this replica had before.
+    /// Creates an empty table. The incarnation must differ from that of any earlier table of this replica.
     pub fn new(incarnation: u64) -> EndpointTable {
         EndpointTable {
             position: TablePosition { incarnation, sequence: 0 },
@@ -192,8 +193,8 @@
         self.position.sequence
     }
 
-    /// Takes a record if it is newer than the one in the table, and returns whether it was. The node was last heard from
-    /// `age` before `now`.
+    /// Stores a record if it is newer than the one in the table, and returns whether it was. The node was last heard
+    /// from `age` before `now`.
     pub fn merge(&mut self, now: Nanos, record: &EndpointRecord, age: Nanos) -> bool {
         let last_heard = now.saturating_sub(age);
         if let Some(entry) = self.entries.get_mut(&record.inbound_proxy) {
@@ -221,7 +222,7 @@
             record: record.clone(),
             sequence,
             last_heard,
-            // A suspected node stays so until the next update, which then tells readers that it is not any more.
+            // A suspected node stays suspected until the next update, which detects the change and informs readers.
             suspected: previous.as_ref().is_some_and(|previous| previous.suspected),
             drain_request: previous
                 .and_then(|previous| previous.drain_request)
@@ -230,8 +231,8 @@
         self.entries.insert(record.inbound_proxy, entry);
     }
 
-    /// Takes an operator's request to drain an upstream, directly or from another replica. Returns whether it is new; it
-    /// then goes to readers with the record.
+    /// Stores an operator's request to drain an upstream, received directly or from another replica. Returns whether
+    /// the request is new; a new request is sent to readers with the record.
     pub fn request_drain(&mut self, inbound_proxy: SocketAddr, upstream_id: &str) -> bool {
         let is_new = self.entries.get(&inbound_proxy).is_some_and(|entry| {
             !upstream_id.is_empty()
@@ -250,7 +251,7 @@
         true
     }
 
-    /// The upstream that a node is to drain and does not drain yet.
+    /// The upstream that the node has been requested to drain but still reports as serving.
     pub fn requested_drain(&self, inbound_proxy: SocketAddr) -> Option<&str> {
         let entry = self.entries.get(&inbound_proxy)?;
         let is_serving =
@@ -258,7 +259,7 @@
         entry.drain_request.as_deref().filter(is_serving)
     }
 
-    /// The upstreams to be drained among the records that changed after a position.
+    /// The drain requests of the entries that changed after a position.
     pub fn drains_since(&self, position: TablePosition) -> Vec<(SocketAddr, String)> {
         let drain = |entry: &TableEntry| Some((entry.record.inbound_proxy, entry.drain_request.clone()?));
         self.entries_since(position).filter_map(drain).collect()
@@ -271,17 +272,17 @@
         changes.filter_map(|(_, inbound_proxy)| self.entries.get(inbound_proxy))
     }
 
-    /// The incarnation under which a node is known here; a process that starts there must take a higher one.
+    /// The known incarnation of a node; a restarted process must use a higher one.
     pub fn known_incarnation(&self, inbound_proxy: SocketAddr) -> Option<u64> {
         self.entries.get(&inbound_proxy).map(|entry| entry.record.incarnation)
     }
 
-    /// The records that changed after a position; all of them where it is a position of another table.
+    /// The records that changed after a position; all records if the position is of another table.
     pub fn records_since(&self, position: TablePosition) -> Vec<EndpointRecord> {
         self.entries_since(position).map(|entry| entry.record.clone()).collect()
     }
 
-    /// How long ago each node was last heard from, in milliseconds.
+    /// The time since each node was last heard from, in milliseconds.
     pub fn last_heard_ms_ago(&self, now: Nanos) -> Vec<(SocketAddr, u32)> {
         let age_ms = |entry: &TableEntry| {
             let age_ms = now.saturating_sub(entry.last_heard) / NANOS_PER_MS;
@@ -290,15 +291,15 @@
         self.entries.iter().map(|(inbound_proxy, entry)| (*inbound_proxy, age_ms(entry))).collect()
     }
 
-    /// Notes that a node was last heard from `age` before `now`.
+    /// Records that a node was heard from `age` before `now`.
     pub fn note_heard(&mut self, now: Nanos, inbound_proxy: SocketAddr, age: Nanos) {
         if let Some(entry) = self.entries.get_mut(&inbound_proxy) {
             entry.last_heard = entry.last_heard.max(now.saturating_sub(age));
         }
     }
 
-    /// Suspects the nodes that have not been heard from for `suspect_after`, and no others. Returns whether the suspects
-    /// have changed.
+    /// Marks exactly the nodes that have not been heard from for `suspect_after` as suspected. Returns whether the list
+    /// of suspects has changed.
     pub fn update_suspects(&mut self, now: Nanos, suspect_after: Nanos) -> bool {
         self.remove_expired(now);
         let mut changed = std::mem::take(&mut self.has_returned);
@@ -321,15 +322,15 @@
         for inbound_proxy in expired {
             let Some(entry) = self.entries.remove(&inbound_proxy) else { continue };
             self.changes.remove(&entry.sequence);
-            let seemed_to_serve =
+            let appeared_to_serve =
                 entry.record.accepts_clients && entry.record.state == UpstreamState::Serving;
-            if seemed_to_serve && self.removed.len() < MAX_RECORDS {
+            if appeared_to_serve && self.removed.len() < MAX_RECORDS {
                 self.removed.insert(inbound_proxy);
             }
         }
     }
 
-    /// The nodes that have not been heard from of late, in the order of their addresses.
+    /// The suspected nodes, ordered by address.
     pub fn suspects(&self) -> Vec<SocketAddr> {
         let suspected = self.entries.iter().filter(|(_, entry)| entry.suspected);
         let mut suspects: Vec<SocketAddr> = suspected.map(|(inbound_proxy, _)| *inbound_proxy).collect();
@@ -353,13 +354,13 @@
         self.entries.is_empty()
     }
 
-    /// All records, in no order.
+    /// All records, in no particular order.
     pub fn records(&self) -> impl Iterator<Item = &EndpointRecord> {
         self.entries.values().map(|entry| &entry.record)
     }
 }
 
-/// The replicas that a node watches: the first `count` at or after the node's place on the hash ring.
+/// The replicas that a node watches: the first `count` at or after the node's position on the hash ring.
 pub fn watching_replicas(node: SocketAddr, replicas: &[SocketAddr], count: usize) -> Vec<SocketAddr> {
     let ring_hash = |address: &SocketAddr| xxhash_rust::xxh3::xxh3_64(address.to_string().as_bytes());
     let mut ring: Vec<(u64, SocketAddr)> =
--- a/catalog/src/internal_rpc.rs
+++ b/catalog/src/internal_rpc.rs
@@ -1,11 +1,12 @@
-//! The requests and responses between the system's own processes, and their frames.
+//! Requests and responses between the processes of the mesh, and their framing.
 //!
-//! A process sends an [`InternalRequest`] and gets an [`InternalResponse`]; each goes in a [`Frame`] that [`encode_frame`] writes
-//! as CBOR after its length. [`WatchRequest`] and [`WatchResponse`] carry all that changes often: endpoint records, the
-//! versions of the configuration and of registers, suspects, drains and reports.
+//! A process sends an [`InternalRequest`] and receives an [`InternalResponse`]. Each is sent in a [`Frame`], which
+//! [`encode_frame`] writes as a length followed by CBOR. [`WatchRequest`] and [`WatchResponse`] carry frequently
+//! changing state: endpoint records, versions of the configuration and of registers, suspects, drain requests and
+//! reports.
 //!
-//! Invariants: the encoding stays one that older programs read. Fields and variants keep the names with which they were
-//! first sent, and newer fields are left out where they have their default.
+//! Invariants: the encoding stays compatible with older versions. Fields and variants keep the names under which they
+//! were first sent, and newer fields are omitted if they have their default value.
 
 use std::net::SocketAddr;
 use std::ops::Not;
@@ -20,27 +21,27 @@
 use crate::endpoints::{EndpointRecord, TablePosition};
 use crate::traffic_reports::{BudgetReport, EditionOutcomes, RouteEdition};
 
-/// The greatest size of a frame, without its length.
+/// The maximum size of a frame, excluding the length prefix.
 pub const MAX_FRAME_BYTES: usize = 40 << 20;
 
-/// A request of one process to another.
+/// A request from one process to another.
 #[derive(Debug, Serialize, Deserialize)]
 pub enum InternalRequest {
-    /// Asks a replica for what has changed; answered when there is something.
+    /// Long-polls a replica for changes.
     #[serde(rename = "News")]
     Watch(WatchRequest),
-    /// Asks for a decision of the control plane.
+    /// Requests a decision of the control plane.
     Core(CoreRequest),
-    /// Carries a message between replicas; it has no response.
+    /// Carries a message between replicas; there is no response.
     #[serde(rename = "Letter")]
     ReplicaMessage(Message),
-    /// Asks for the newest configuration, from a process that has the one of this revision.
+    /// Requests the newest configuration. The sender has this revision.
     #[serde(rename = "Sheet")]
     Configuration(Revision),
-    /// Asks for the registers of these names that are newer than these revisions.
+    /// Requests the registers with these names that are newer than these revisions.
     #[serde(rename = "Papers")]
     Registers(RegisterRevisions),
-    /// Asks which nodes have reported which edition of a member's routes in force.
+    /// Requests the edition of a member's routes that each node has reported as applied.
     #[serde(rename = "Carried")]
     AppliedEditions(RegisterName),
 }
@@ -48,15 +49,15 @@
 /// The response to the [`InternalRequest`] of the same name.
 #[derive(Debug, Serialize, Deserialize)]
 pub enum InternalResponse {
-    /// What has changed.
+    /// The changes.
     #[serde(rename = "News")]
     Watch(Box<WatchResponse>),
     /// The control plane's answer.
     Core(CoreResponse),
-    /// The newest configuration; none where the sender of the request has it.
+    /// The newest configuration; `None` if the requester has it.
     #[serde(rename = "Sheet")]
     Configuration(Option<Arc<ConfigurationUpdate>>),
-    /// As many registers as fit in one response, and at least one if any is newer.
+    /// As many newer registers as fit into one response, at least one if there is any.
     #[serde(rename = "Papers")]
     Registers(Vec<NamedRegister>),
     /// The edition of the member's routes on each node.
@@ -67,10 +68,10 @@
 /// Revisions of registers by name.
 pub type RegisterRevisions = Vec<(RegisterName, Revision)>;
 
-/// The editions of members' routes that are in force on one node.
+/// The editions of members' routes that are applied on one node.
 pub type AppliedEditions = Vec<RouteEdition>;
 
-/// The edition of one member's routes that is in force on a node.
+/// The edition of one member's routes that is applied on a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(SocketAddr, u64, bool)", into = "(SocketAddr, u64, bool)")]
 pub struct NodeEdition {
@@ -78,7 +79,7 @@
     pub inbound_proxy: SocketAddr,
     /// The version of the member's document.
     pub version: u64,
-    /// Whether it is a canary there.
+    /// Whether it runs as a canary on this node.
     pub canary: bool,
 }
 
@@ -94,52 +95,52 @@
     }
 }
 
-/// What a process has, so that it is answered as soon as there is more.
+/// A long poll for changes, with the state that the requester already has.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct WatchRequest {
-    /// A node's own record, where the replica may not have it.
+    /// The requesting node's record, if the replica may not have it.
     #[serde(rename = "row")]
     pub record: Option<EndpointRecord>,
-    /// A node's inbound proxy, where the replica has its record.
+    /// The requesting node's inbound proxy, if the replica has its record.
     #[serde(rename = "door")]
     pub inbound_proxy: Option<SocketAddr>,
-    /// The changes of the replica's table that the sender of the request has.
+    /// The position of the requester in the changes of the replica's table.
     #[serde(rename = "mark")]
     pub position: TablePosition,
-    /// The revision of the configuration that the sender of the request has or is fetching.
+    /// The revision of the configuration that the requester has or is fetching.
     #[serde(rename = "sheet")]
     pub configuration: Revision,
-    /// The version of the [`SuspectList`] that the sender of the request has.
+    /// The version of the [`SuspectList`] that the requester has.
     #[serde(rename = "quiet")]
     pub suspects_version: u64,
-    /// The time after which the request is answered though nothing has changed, in milliseconds.
+    /// The time after which the request is answered even if nothing has changed, in milliseconds.
     #[serde(rename = "hold_ms")]
     pub max_wait_ms: u32,
-    /// Whether a replica asks, which is then told how long ago nodes were heard from.
+    /// Whether the requester is a replica; the response then has the times since nodes were last heard from.
     #[serde(rename = "steward")]
     pub from_replica: bool,
-    /// A node's report, where it has changed.
+    /// The requesting node's report, if it has changed.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub report: Option<BudgetReport>,
-    /// The outcomes that belong to the report.
+    /// The outcomes of the report.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     #[serde(rename = "members")]
     pub outcomes: EditionOutcomes,
-    /// The digest of the [`RegisterList`] that the sender of the request was last sent; 0 where there was none.
+    /// The digest of the last [`RegisterList`] that the requester received; 0 for none.
     #[serde(default, skip_serializing_if = "is_zero")]
     #[serde(rename = "papers")]
     pub registers_digest: u64,
-    /// The editions of members' routes in force on a node, where these have changed.
+    /// The editions of members' routes that are applied on the requesting node, if they have changed.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[serde(rename = "carried")]
     pub applied_editions: Option<AppliedEditions>,
-    /// Whether a replica wants the reports alone.
+    /// Whether the requester is a replica that needs only the reports.
     #[serde(default, skip_serializing_if = "Not::not")]
     #[serde(rename = "gather")]
     pub reports_only: bool,
 }
 
-/// What has changed since the state in a [`WatchRequest`].
+/// The changes since the state in a [`WatchRequest`].
 #[derive(Debug, Serialize, Deserialize)]
 pub struct WatchResponse {
     /// The position in the replica's table after these records.
@@ -148,37 +149,37 @@
     /// The records that have changed.
     #[serde(rename = "rows")]
     pub records: Vec<EndpointRecord>,
-    /// The revision of the newest committed configuration, where the sender of the request has an older one.
+    /// The revision of the newest committed configuration, if the requester has an older one.
     #[serde(rename = "sheet")]
     pub configuration: Option<Revision>,
     /// The replicas of the control plane.
     #[serde(rename = "stewards")]
     pub replicas: Vec<SocketAddr>,
-    /// The suspected nodes, where these have changed.
+    /// The suspected nodes, if they have changed.
     #[serde(rename = "quiet")]
     pub suspects: Option<SuspectList>,
-    /// Whether the replica is in touch with a majority of the control plane.
+    /// Whether the replica is in contact with a majority of the control plane.
     #[serde(rename = "settled")]
     pub has_quorum: bool,
-    /// The incarnation under which the asking node is known.
+    /// The known incarnation of the requesting node.
     #[serde(rename = "life")]
     pub known_incarnation: Option<u64>,
-    /// How long ago each node was heard from, in milliseconds; for replicas only.
+    /// The time since each node was last heard from, in milliseconds; only sent to replicas.
     #[serde(rename = "ages")]
     pub last_heard_ms_ago: Vec<(SocketAddr, u32)>,
-    /// The upstreams that an operator wants drained: for replicas those of the records that changed, for a node its own
-    /// until its record says that it is draining.
+    /// Requests to drain upstreams. Replicas are sent those of the changed records; a node is sent its own until its
+    /// record reports that the upstream is draining.
     #[serde(default)]
     pub drains: Vec<DrainRequest>,
-    /// What nodes have reported, where the request was for reports.
+    /// The reports of nodes, if they were requested.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[serde(rename = "told")]
     pub reports: Option<Box<CollectedReports>>,
-    /// The committed registers, where their digest is not the sender's.
+    /// The committed registers, if the requester has a different digest.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[serde(rename = "papers")]
     pub registers: Option<RegisterList>,
-    /// The outcomes that belong to the reports, by inbound proxy.
+    /// The outcomes of the reports, by inbound proxy.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     #[serde(rename = "members")]
     pub outcomes: Vec<(SocketAddr, EditionOutcomes)>,
@@ -188,11 +189,11 @@
     *digest == 0
 }
 
-/// The nodes that a replica has not heard from of late.
+/// The nodes that a replica has not heard from recently.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(u64, Vec<SocketAddr>)", into = "(u64, Vec<SocketAddr>)")]
 pub struct SuspectList {
-    /// Goes up with each change of the list.
+    /// Increases with each change of the list.
     pub version: u64,
     /// The inbound proxies of the nodes.
     pub inbound_proxies: Vec<SocketAddr>,
@@ -210,7 +211,7 @@
     }
 }
 
-/// An operator's request that an upstream be drained.
+/// An operator's request to drain an upstream.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(SocketAddr, String, u32)", into = "(SocketAddr, String, u32)")]
 pub struct DrainRequest {
@@ -218,7 +219,7 @@
     pub inbound_proxy: SocketAddr,
     /// The identity of the upstream's process.
     pub upstream_id: String,
-    /// How long an older program keeps the request, in milliseconds.
+    /// How long an older version keeps the request, in milliseconds.
     pub ttl_ms: u32,
 }
 
@@ -238,7 +239,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(u64, RegisterRevisions)", into = "(u64, RegisterRevisions)")]
 pub struct RegisterList {
-    /// The digest of the list, by which two lists are told apart.
+    /// The digest of the list, for detecting changes.
     pub digest: u64,
     /// The revision of each register.
     pub revisions: RegisterRevisions,
@@ -262,11 +263,11 @@
 pub struct CollectedReports {
     /// The newest report of each node.
     pub reports: Vec<CollectedReport>,
-    /// The time from the start of the replica's process to full service, in milliseconds; none before that.
+    /// The time from the start of the replica's process to full service, in milliseconds; `None` until then.
     pub recovery_ms: Option<u32>,
 }
 
-/// The form in which [`CollectedReports`] are sent.
+/// The serialized form of [`CollectedReports`].
 type CollectedReportsForm = (Vec<CollectedReport>, Option<u32>);
 
 impl From<CollectedReportsForm> for CollectedReports {
@@ -287,7 +288,7 @@
 pub struct CollectedReport {
     /// The node's inbound proxy.
     pub inbound_proxy: SocketAddr,
-    /// How long ago the node sent the report, in milliseconds.
+    /// The time since the node sent the report, in milliseconds.
     pub age_ms: u32,
     /// The report.
     pub report: BudgetReport,
@@ -305,18 +306,18 @@
     }
 }
 
-/// A request or response with the number that joins the two.
+/// A request or response with a correlation ID.
 #[derive(Serialize, Deserialize)]
 pub struct Frame<T> {
-    /// The same for a request and its response; 0 where no response is wanted.
+    /// The same for a request and its response; 0 if no response is expected.
     pub id: u64,
     /// The request or response.
     #[serde(rename = "say")]
     pub payload: T,
 }
 
-/// The bytes of a frame: its length as four bytes in network order, then CBOR. None where it would be longer than
-/// [`MAX_FRAME_BYTES`].
+/// Encodes a frame: its length as four bytes in network byte order, then CBOR. Returns `None` if it would be longer
+/// than [`MAX_FRAME_BYTES`].
 #[must_use]
 pub fn encode_frame<T: Serialize>(frame: &T) -> Option<Vec<u8>> {
     const LENGTH_BYTES: usize = size_of::<u32>();
--- a/catalog/src/lib.rs
+++ b/catalog/src/lib.rs
@@ -1,12 +1,12 @@
-//! The configuration and the endpoint table that all processes of the mesh share, and the messages about both.
+//! The configuration and the endpoint table shared by all processes of the mesh, and the messages that distribute them.
 //!
-//! - [`configuration`], [`members`] and [`overlay`]: the operators' and members' documents, read and checked, and the
-//!   routes that follow from them;
-//! - [`configuration_update`] and [`delta`]: configurations on their way to nodes, as differences;
-//! - [`endpoints`], [`watch_server`] and [`watch_client`]: the table of upstreams and how changes of it are watched;
+//! - [`configuration`], [`members`] and [`overlay`]: parsing and validation of operators' and members' documents, and
+//!   the resulting routes;
+//! - [`configuration_update`] and [`delta`]: distribution of configurations to nodes as deltas;
+//! - [`endpoints`], [`watch_server`] and [`watch_client`]: the table of upstreams and watches for its changes;
 //! - [`internal_rpc`] and [`traffic_reports`]: the messages between the processes.
 //!
-//! Invariants: this crate does no I/O, reads no clock and draws no randomness; callers pass the time in.
+//! Invariants: this crate does no I/O, reads no clock and draws no randomness; callers pass in the current time.
 
 #![warn(missing_docs)]
 
--- a/catalog/src/members.rs
+++ b/catalog/src/members.rs
@@ -1,10 +1,10 @@
-//! The members of a platform: the register of what the platform allows each of them, and the documents in which members
-//! keep their own routes.
+//! The members of a platform: the register with the permissions and limits of each member, and the documents with
+//! members' own routes.
 //!
-//! [`MemberRegister::read`] and [`MemberDocument::read`] check each document by itself. Whether a member's routes stay
-//! within what the register allows is decided in [`crate::overlay`].
+//! [`MemberRegister::read`] and [`MemberDocument::read`] validate each document on its own. [`crate::overlay`] checks a
+//! member's routes against the register.
 //!
-//! Invariants: a document is taken as a whole or not at all, and no scope of a member lies within another member's.
+//! Invariants: a document is accepted as a whole or refused, and no scope of a member lies within another member's.
 
 mod read;
 
@@ -16,22 +16,23 @@
 
 pub use read::{MAX_MEMBERS, MAX_ROUTES};
 
-/// The bounds on one member's routes and changes. They hold on every node at all times.
+/// The limits on one member's routes and changes, which every node enforces.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct MemberLimits {
-    /// The most routes in force at once, 1 to 10,000; by default 100.
+    /// The maximum number of routes in effect at once, 1 to 10,000; by default 100.
     pub max_routes: usize,
-    /// The most attempts of one request, 1 or above; by default 2.
+    /// The maximum number of attempts of one request, 1 or above; by default 2.
     pub max_attempts: u32,
-    /// The longest deadline and latency target, in milliseconds; by default 2 s.
+    /// The maximum deadline and latency target, in milliseconds; by default 2 s.
     pub max_deadline_ms: u64,
-    /// The highest priority, of which 0 is the highest of all: the least number that a route may have; by default 1.
+    /// The highest priority that a route may have, which is the lowest allowed number, as 0 is the highest priority; by
+    /// default 1.
     pub highest_priority: u32,
     /// The share of each service's retry budget, 0 to 1; by default 0.2.
     pub retry_share: f64,
     /// The share of each upstream's concurrency limit, 0 to 1; by default 0.5.
     pub concurrency_share: f64,
-    /// The most changes that are taken in a minute, 1 to 10,000; by default 30.
+    /// The maximum number of accepted changes per minute, 1 to 10,000; by default 30.
     pub changes_per_minute: u32,
     /// How long a canary runs before it is promoted or rolled back, in seconds, 1 to 86,400; by default 30.
     pub canary_duration_s: u32,
@@ -68,18 +69,18 @@
     }
 }
 
-/// A member of the platform with what the platform allows it.
+/// A member of the platform with its permissions and limits.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Member {
-    /// 1 to 60 letters, digits, dots, dashes and underscores.
+    /// The name: 1 to 60 letters, digits, dots, dashes and underscores.
     pub name: Name,
     /// The SHA-256 digest of the key that authenticates the member's calls.
     pub key_sha256: [u8; 32],
-    /// The scopes of its routes in the document's order. None of them lies within another member's.
+    /// The scopes of its routes in document order. None of them lies within another member's.
     pub scopes: Vec<RouteScope>,
-    /// The services that its routes may name.
+    /// The services that its routes may use.
     pub services: BTreeSet<Name>,
-    /// The bounds on its routes and changes.
+    /// The limits on its routes and changes.
     pub limits: MemberLimits,
 }
 
@@ -90,40 +91,40 @@
     }
 }
 
-/// One version of the register of members, checked as a whole.
+/// One validated version of the register of members.
 #[derive(Clone, Debug, Default)]
 pub struct MemberRegister {
-    /// The version, which goes up with each change.
+    /// The version, which increases with each change.
     pub version: u64,
     members: BTreeMap<Name, Arc<Member>>,
 }
 
 impl MemberRegister {
-    /// The member of this name.
+    /// The member with this name.
     pub fn member(&self, name: &str) -> Option<&Arc<Member>> {
         self.members.get(name)
     }
 
-    /// All members in the order of their names.
+    /// All members, ordered by name.
     pub fn members(&self) -> impl Iterator<Item = &Arc<Member>> {
         self.members.values()
     }
 }
 
-/// One version of the routes of one member, valid by itself.
+/// One version of one member's routes, valid on its own.
 #[derive(Clone, Debug)]
 pub struct MemberDocument {
-    /// The version, above that of the member's document before.
+    /// The version, higher than that of the member's previous document.
     pub version: u64,
-    /// The share of nodes on which the document runs as a canary first, 0 to 1; none where it is in force everywhere at
-    /// once.
+    /// The share of nodes on which the document first runs as a canary, 0 to 1; `None` if it takes effect on all nodes
+    /// at once.
     pub canary_share: Option<f64>,
-    /// The routes in the document's order, of which no two have the same host and prefix. Their services are names only,
-    /// and none has [`Route::share`].
+    /// The routes in document order, of which no two have the same host and prefix. Their services are not checked for
+    /// existence, and [`Route::share`] is not set.
     pub routes: Vec<Arc<Route>>,
 }
 
-/// What changes from one register to another as text for operators, one line for each field.
+/// Lists the differences between two registers for operators, one line per changed field.
 pub fn differences(old: &MemberRegister, new: &MemberRegister) -> Vec<String> {
     let mut lines = Vec::new();
     let version = |register: &MemberRegister| vec![DisplayedField::version(register.version)];
@@ -139,7 +140,7 @@
     let list = |values: Vec<String>| format!("[{}]", values.join(", "));
     let scopes = member.scopes.iter().map(|scope| format!("{}{}", scope.host, scope.prefix)).collect();
     let services = member.services.iter().map(ToString::to_string).collect();
-    // The beginning of the digest is enough to tell two keys apart.
+    // The first bytes of the digest are enough to distinguish keys.
     let key: String = member.key_sha256.iter().take(4).map(|byte| format!("{byte:02x}")).collect();
     let limits = &member.limits;
     vec![
--- a/catalog/src/members/read.rs
+++ b/catalog/src/members/read.rs
@@ -1,7 +1,7 @@
 //! Reads the register of members and the members' documents.
 //!
-//! Invariants: a document is taken as a whole or not at all; nothing here panics, whatever the bytes are. Whether a
-//! member's routes stay within what the register allows is decided in `overlay`.
+//! Invariants: a document is accepted as a whole or refused; no input causes a panic. A member's routes are checked
+//! against the register in `overlay`, not here.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
@@ -16,9 +16,9 @@
 use crate::configuration::refusal::escaped_name;
 use crate::configuration::{Name, Refusal, RefusalReason, field_names};
 
-/// The most members of a register.
+/// The maximum number of members in a register.
 pub const MAX_MEMBERS: usize = 1_000;
-/// The most routes that a register may allow to all its members together.
+/// The maximum sum of the route limits of all members in a register.
 pub const MAX_ROUTES: u64 = 200_000;
 const MAX_SCOPES: usize = 1_000;
 const MAX_SERVICES: usize = 1_000;
@@ -26,15 +26,15 @@
 const DIGEST_HEX_DIGITS: usize = 64;
 
 impl MemberRegister {
-    /// Reads a whole register, or returns all that is wrong with it. A register has at most 32 MiB and [`MAX_MEMBERS`]
-    /// members, and allows at most [`MAX_ROUTES`] routes to all of them together.
+    /// Reads a register, or returns all errors. A register has at most 32 MiB and [`MAX_MEMBERS`] members, whose route
+    /// limits add up to at most [`MAX_ROUTES`].
     pub fn read(bytes: &[u8]) -> Result<MemberRegister, Vec<Refusal>> {
         read_document(bytes, read_register)
     }
 }
 
 impl MemberDocument {
-    /// Reads a whole document, or returns all that is wrong with it. A document has at most 32 MiB and 20,000 routes.
+    /// Reads a document, or returns all errors. A document has at most 32 MiB and 20,000 routes.
     pub fn read(bytes: &[u8]) -> Result<MemberDocument, Vec<Refusal>> {
         read_document(bytes, read_member_document)
     }
@@ -43,7 +43,7 @@
 fn read_member_document(reader: &mut DocumentReader, document: &JsonValue) -> Option<MemberDocument> {
     let DocumentEntries { version, entries } = reader.entries(document, field_names::ROUTES, MAX_ENTRIES)?;
     let whole_document = Entry::new("", 0, document);
-    // An invalid share is refused, and the routes are read all the same.
+    // After an invalid share, the routes are still read, so that their errors are reported too.
     let canary_share = match whole_document.get(field_names::CANARY_SHARE) {
         None => None,
         share => read_share(reader, &whole_document, field_names::CANARY_SHARE, share),
@@ -107,7 +107,7 @@
 }
 
 fn read_member(reader: &mut DocumentReader, entry: &Entry) -> Option<Member> {
-    // Each field is read before any is missed, so that all errors are told.
+    // All fields are read before the first `?`, so that all errors are reported.
     let name = read_member_name(reader, entry);
     let key_sha256 = read_digest(reader, entry);
     let scopes = read_scopes(reader, entry);
@@ -122,7 +122,7 @@
     })
 }
 
-/// Reads the member's name, which is a part of URLs and of the names of registers.
+/// Reads the member's name, which is used in URLs and in names of registers.
 fn read_member_name(reader: &mut DocumentReader, entry: &Entry) -> Option<Name> {
     let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || b".-_".contains(&byte);
     if entry.name.len() > MAX_MEMBER_NAME_BYTES || !entry.name.bytes().all(is_allowed) {
@@ -205,7 +205,7 @@
     Some(services)
 }
 
-/// Reads the limits. A field that is invalid is refused, and its default stands in for it.
+/// Reads the limits. An invalid field is refused and replaced by its default.
 fn read_limits(reader: &mut DocumentReader, entry: &Entry) -> Option<MemberLimits> {
     let mut limits = MemberLimits::default();
     let Some(fields) = entry.get("limits") else { return Some(limits) };
@@ -247,12 +247,12 @@
     reader.number(entry, field, value, 1)
 }
 
-/// A scope of a member as it stands in the register.
+/// A scope of a member with its location in the register.
 #[derive(Clone, Copy)]
 struct OwnedScope<'v> {
     /// The member's entry.
     entry: Entry<'v>,
-    /// The position among the member's scopes.
+    /// The index among the member's scopes.
     index: usize,
 }
 
@@ -262,7 +262,7 @@
         format!("members[{}] ({}).places[{}]", self.entry.index, escaped_name(self.entry.name), self.index)
     }
 
-    fn refuse_as_part_of(&self, reader: &mut DocumentReader, location: String) {
+    fn refuse_overlap(&self, reader: &mut DocumentReader, location: String) {
         let field = format!("places[{}]", self.index);
         reader.refuse_field::<()>(&self.entry, &field, RefusalReason::OverlapsScope(location));
     }
@@ -275,14 +275,14 @@
 }
 
 impl<'v> ScopeOwners<'v> {
-    /// Adds a member's scopes; those that another member has as well are refused.
+    /// Adds a member's scopes and refuses those that are equal to another member's.
     fn add(&mut self, reader: &mut DocumentReader, entry: &Entry<'v>, member: &Member) {
         for (index, scope) in member.scopes.iter().enumerate() {
             let owned = OwnedScope { entry: *entry, index };
             let by_prefix = self.by_host.entry(scope.host.clone()).or_default();
             match by_prefix.get(&scope.prefix) {
                 Some(other) if other.entry.index != entry.index => {
-                    owned.refuse_as_part_of(reader, other.location());
+                    owned.refuse_overlap(reader, other.location());
                 }
                 _ => {
                     by_prefix.insert(scope.prefix.clone(), owned);
@@ -291,12 +291,12 @@
         }
     }
 
-    /// Refuses each scope that lies within a larger one of another member, and names the smallest of these.
+    /// Refuses each scope that lies within a larger one of another member, and reports the smallest of these.
     fn check_nesting(&self, reader: &mut DocumentReader) {
         let mut nested: Vec<(OwnedScope, String)> = self.by_host.values().flat_map(nested_scopes).collect();
         nested.sort_by_key(|(scope, _)| (scope.entry.index, scope.index));
         for (scope, outer) in nested {
-            scope.refuse_as_part_of(reader, outer);
+            scope.refuse_overlap(reader, outer);
         }
     }
 }
@@ -304,12 +304,13 @@
 /// The scopes of one host that lie within another member's scope, with the location of the smallest such scope.
 fn nested_scopes<'v>(by_prefix: &BTreeMap<Name, OwnedScope<'v>>) -> Vec<(OwnedScope<'v>, String)> {
     let mut nested = Vec::new();
-    // In the order of the prefixes, each comes after all that begin it, and all between them have the same beginning.
+    // Prefixes are sorted, so a scope follows all scopes that enclose it, and all scopes in between are enclosed by
+    // them too.
     let mut enclosing: Vec<(&Name, &OwnedScope)> = Vec::new();
     for (prefix, scope) in by_prefix {
         while enclosing.pop_if(|(outer, _)| !prefix.starts_with(&***outer)).is_some() {}
-        let of_others = |(_, outer): &&(&Name, &OwnedScope)| outer.entry.index != scope.entry.index;
-        if let Some((_, outer)) = enclosing.iter().rev().find(of_others) {
+        let is_of_other_member = |(_, outer): &&(&Name, &OwnedScope)| outer.entry.index != scope.entry.index;
+        if let Some((_, outer)) = enclosing.iter().rev().find(is_of_other_member) {
             nested.push((*scope, outer.location()));
         }
         enclosing.push((prefix, scope));
--- a/catalog/src/overlay.rs
+++ b/catalog/src/overlay.rs
@@ -1,10 +1,11 @@
-//! Overlays the routes of members on the platform's configuration.
+//! Applies members' routes as an overlay on the platform's configuration.
 //!
-//! [`apply_overlay`] makes the [`EffectiveConfiguration`] of a node. [`check_document`] and [`plan_change`] tell before a change is taken what it
-//! would do, and [`effective_document`] which version of a member's document is in force on a node while a canary runs.
+//! [`apply_overlay`] produces the [`EffectiveConfiguration`] of a node. [`check_document`] and [`plan_change`] evaluate
+//! a change before it is accepted, and [`effective_document`] selects the version of a member's document that a node
+//! applies while a canary runs.
 //!
-//! Invariants: a member's document never alters another member's routes, nor the platform's outside the member's scopes;
-//! all nodes with the same documents come to the same configuration.
+//! Invariants: a member's document never changes another member's routes, nor the platform's routes outside the
+//! member's scopes; all nodes with the same documents derive the same configuration.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -20,29 +21,29 @@
 };
 use crate::members::{Member, MemberDocument, MemberRegister};
 
-/// The documents in force, by the names of their members.
+/// The documents in effect, by member name.
 pub type MemberDocuments = BTreeMap<Name, Arc<MemberDocument>>;
 
-/// The most violations of one member that are listed; any more are only counted.
+/// The maximum number of listed violations of one member; further ones are only counted.
 const MAX_VIOLATIONS: usize = 100;
 
-/// The configuration in force, with the routes of members.
+/// The configuration in effect, including members' routes.
 #[derive(Clone, Debug)]
 pub struct EffectiveConfiguration {
-    /// The platform's configuration with the members' routes in it.
+    /// The platform's configuration with the members' routes overlaid.
     pub configuration: Configuration,
-    /// What was left out of the members' documents, in the order of the members' names and of each document.
+    /// The violations in the members' documents, ordered by member name and then in document order.
     pub violations: Vec<MemberViolation>,
 }
 
-/// A part of a member's document that is in force otherwise than it is written, or not at all.
+/// A part of a member's document that is applied with restrictions, or not at all.
 ///
-/// None arises from a document that [`check_document`] passed under the same configuration and register.
+/// There is none for a document that [`check_document`] accepted under the same configuration and register.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MemberViolation {
     /// The member's name.
     pub member: Name,
-    /// What is not in force.
+    /// The violation.
     pub violation: OverlayViolation,
 }
 
@@ -52,21 +53,21 @@
     }
 }
 
-/// A part of a document that goes beyond what its member is allowed.
+/// A part of a document that exceeds the member's permissions or limits.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OverlayViolation {
-    /// The route; none where it is the document as a whole.
+    /// The route; `None` if the violation concerns the document as a whole.
     pub route: Option<RoutePosition>,
-    /// The field of the route as the documents call it; empty for the route as a whole.
+    /// The field of the route by its name in the documents; empty for the route as a whole.
     pub field: &'static str,
-    /// What is exceeded.
+    /// The exceeded limit.
     pub exceeded: ExceededLimit,
 }
 
 /// A route of a member's document.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RoutePosition {
-    /// The position in the document.
+    /// The index in the document.
     pub index: usize,
     /// The route's name.
     pub name: Name,
@@ -86,22 +87,22 @@
     }
 }
 
-/// The limit of a member that a document exceeds, and what is in force instead.
+/// The limit of a member that a document exceeds, and the consequence.
 #[derive(Clone, Debug, Error, PartialEq)]
 pub enum ExceededLimit {
-    /// The register has no such member; none of its routes is in force.
+    /// The register has no such member; none of its routes is applied.
     #[error("is of no member that the register names")]
     UnknownMember,
-    /// The route, of this host and prefix, is outside the member's scopes and not in force.
+    /// The route, with this host and prefix, is outside the member's scopes and is not applied.
     #[error("{0:?} is in no place of this member")]
     OutsideScopes(String),
-    /// The member has as many routes already; this one is not in force.
+    /// The member's maximum number of routes is reached; this one is not applied.
     #[error("comes after this member's limit of {max} routes")]
     TooManyRoutes {
         /// The member's limit.
         max: usize,
     },
-    /// The value is above the maximum, which is in force instead.
+    /// The value is above the maximum, which is applied instead.
     #[error("{value} is above this member's limit of {max}")]
     AboveMaximum {
         /// The value in the document.
@@ -109,32 +110,32 @@
         /// The member's limit.
         max: u64,
     },
-    /// The priority is higher than the member's highest, which is in force instead.
+    /// The priority is higher than the member's highest, which is applied instead.
     #[error("{priority} is a higher rank than this member's, {highest} (0 is the highest)")]
     PriorityTooHigh {
         /// The priority in the document.
         priority: u32,
-        /// The member's highest priority, which is a greater number.
+        /// The member's highest priority, which is a higher number.
         highest: u32,
     },
-    /// The service is not among the member's and gets no requests.
+    /// The member may not use the service, which gets no requests.
     #[error("{:?} is not among this member's services", &**.0)]
     ServiceNotAllowed(Name),
-    /// The platform has no such service; it gets no requests.
+    /// The platform has no such service.
     #[error("{:?} is not among the platform's services", &**.0)]
     UnknownService(Name),
-    /// No service with a weight above 0 is left; the route is not in force.
+    /// No service with a weight above 0 is left; the route is not applied.
     #[error("no service is left with a share")]
     NoService,
-    /// The number of violations that were left out of the list.
+    /// The number of violations that are not listed.
     #[error("has {0} more like these")]
     MoreViolations(usize),
 }
 
-/// Overlays the members' documents on the platform's configuration, as far as the register allows.
+/// Overlays the members' documents on the platform's configuration, restricted by the register.
 ///
-/// A member's route replaces one of the platform's at the same host and prefix. What goes beyond the member's limits is
-/// lowered to them or left out, and listed among the violations. The result depends on the arguments alone.
+/// A member's route replaces the platform's route with the same host and prefix. Values that exceed the member's limits
+/// are lowered to the limit or omitted, and reported as violations. The result depends only on the arguments.
 pub fn apply_overlay(
     base: &Configuration,
     register: &MemberRegister,
@@ -143,7 +144,7 @@
     let mut routes = Vec::new();
     let mut violations = Vec::new();
     for (name, document) in documents {
-        let restricted = restrict(base, register, name, document);
+        let restricted = restrict_document(base, register, name, document);
         routes.extend(restricted.routes);
         let of_member = |violation| MemberViolation { member: name.clone(), violation };
         violations.extend(restricted.violations.into_list().into_iter().map(of_member));
@@ -151,29 +152,29 @@
     EffectiveConfiguration { configuration: base.overlaid(routes), violations }
 }
 
-/// All that goes beyond what the member is allowed by this configuration and register. A change is taken only if there is
-/// nothing.
+/// Returns all violations of a member's document under this configuration and register. A change is accepted only if
+/// there are none.
 pub fn check_document(
     base: &Configuration,
     register: &MemberRegister,
     member: &str,
     document: &MemberDocument,
 ) -> Vec<OverlayViolation> {
-    restrict(base, register, member, document).violations.into_list()
+    restrict_document(base, register, member, document).violations.into_list()
 }
 
-/// What a change of a member's document would do if it were in force everywhere now.
+/// The effect that a change of a member's document would have if it were applied on all nodes now.
 #[derive(Clone, Debug)]
 pub struct OverlayPlan {
-    /// The changes as text for operators, one line for each field of a route.
+    /// The changes as text for operators, one line per changed field of a route.
     pub changes: Vec<String>,
-    /// Why the change would be refused; empty if it would be taken.
+    /// The violations for which the change would be refused; empty if it would be accepted.
     pub new_violations: Vec<OverlayViolation>,
     /// The violations of all members before the change.
     pub current_violations: Vec<MemberViolation>,
 }
 
-/// Compares what is in force now with what would be after a change of one member's document.
+/// Compares the effective configurations before and after a change of one member's document.
 pub fn plan_change(
     base: &Configuration,
     register: &MemberRegister,
@@ -194,8 +195,8 @@
 
 /// Whether the node with this inbound proxy runs a version of a member's document as a canary.
 ///
-/// The nodes of a smaller share are among those of a larger one; a share of 1 has all nodes, 0 none. The answer is the same
-/// on every node and in every version of this program.
+/// The nodes of a smaller share are a subset of those of a larger one; a share of 1 includes all nodes, 0 none. The
+/// result is the same on every node and in every version of this program.
 pub fn is_in_canary(inbound_proxy: SocketAddr, member: &str, version: u64, share: f64) -> bool {
     let ip = match inbound_proxy.ip() {
         IpAddr::V4(ip) => ip.to_ipv6_mapped(),
@@ -206,17 +207,17 @@
     bytes.extend(inbound_proxy.port().to_be_bytes());
     bytes.extend(version.to_be_bytes());
     bytes.extend(member.as_bytes());
-    // As many bits as the mantissa of a float has, so that the fraction is below 1.
+    // Only as many bits as the mantissa of a float holds are used, so that the fraction is below 1.
     const MANTISSA_BITS: u32 = f64::MANTISSA_DIGITS;
     let hash = xxh3_64(&bytes) >> (u64::BITS - MANTISSA_BITS);
     let fraction = hash as f64 / (1u64 << MANTISSA_BITS) as f64;
     fraction < share
 }
 
-/// The version of a member's document that is in force on the node with this inbound proxy.
+/// Selects the version of a member's document that the node with this inbound proxy applies.
 ///
-/// The `promoted` version is in force on all nodes, except on the nodes of a `canary` that is newer and was not rolled
-/// back. `rolled_back` is the highest version that was.
+/// All nodes apply the `promoted` version, except the nodes of a `canary` that is newer and was not rolled back.
+/// `rolled_back` is the highest version that was rolled back.
 pub fn effective_document<'d>(
     inbound_proxy: SocketAddr,
     member: &str,
@@ -237,7 +238,7 @@
 #[derive(Default)]
 struct Violations {
     listed: Vec<OverlayViolation>,
-    /// How many were left out.
+    /// The number of violations that are not listed.
     omitted: usize,
 }
 
@@ -268,14 +269,14 @@
     }
 }
 
-/// A member's routes within what the register allows, and what was left out.
+/// A member's routes as restricted by the register, with the violations.
 #[derive(Default)]
 struct RestrictedRoutes {
     routes: Vec<Arc<Route>>,
     violations: Violations,
 }
 
-fn restrict(
+fn restrict_document(
     base: &Configuration,
     register: &MemberRegister,
     name: &str,
@@ -307,7 +308,7 @@
     restricted
 }
 
-/// The route within what its member is allowed; none where nothing of it may be in force.
+/// Restricts a route to the member's limits. Returns `None` if the route may not be applied at all.
 fn restrict_route(
     base: &Configuration,
     member: &Member,
@@ -320,17 +321,17 @@
         add_violation(field_names::PREFIX, ExceededLimit::OutsideScopes(location));
         return None;
     }
-    let mut at_most = |field, value: u64, max: u64| {
+    let mut cap_value = |field, value: u64, max: u64| {
         if value > max {
             add_violation(field, ExceededLimit::AboveMaximum { value, max });
         }
         value.min(max)
     };
     let max_attempts =
-        at_most(field_names::MAX_ATTEMPTS, route.max_attempts.into(), limits.max_attempts.into());
-    let deadline_ms = at_most(field_names::DEADLINE, route.deadline_ms, limits.max_deadline_ms);
+        cap_value(field_names::MAX_ATTEMPTS, route.max_attempts.into(), limits.max_attempts.into());
+    let deadline_ms = cap_value(field_names::DEADLINE, route.deadline_ms, limits.max_deadline_ms);
     let latency_target_ms =
-        at_most(field_names::LATENCY_TARGET, route.latency_target_ms, limits.max_deadline_ms);
+        cap_value(field_names::LATENCY_TARGET, route.latency_target_ms, limits.max_deadline_ms);
     if route.priority < limits.highest_priority {
         let (priority, highest) = (route.priority, limits.highest_priority);
         add_violation(field_names::PRIORITY, ExceededLimit::PriorityTooHigh { priority, highest });
@@ -350,7 +351,7 @@
     })
 }
 
-/// The services of the route that the member may name and the platform has.
+/// The services of the route that the member may use and the platform has.
 fn allowed_services(
     base: &Configuration,
     member: &Member,
--- a/catalog/src/traffic_reports.rs
+++ b/catalog/src/traffic_reports.rs
@@ -1,35 +1,35 @@
-//! The counts that outbound proxies report to the control plane, in the form in which they are sent.
+//! The counts that outbound proxies report to the control plane, in their serialized form.
 //!
-//! [`AttemptCounts`] counts the attempts at one service, [`OutcomeCounts`] the requests on one member's routes by the
-//! [`RouteEdition`] in force, and [`BudgetReport`] is what one proxy sends. The counting itself is in the crate
-//! `ochreshed-traffic`.
+//! [`AttemptCounts`] holds the attempts at one service, [`OutcomeCounts`] the outcomes of requests under one
+//! [`RouteEdition`], and [`BudgetReport`] is the report of one proxy. The crate `ochreshed-traffic` does the counting.
 //!
-//! Invariants: each type keeps the encoding of the older programs, a sequence of numbers without field names; counts are
-//! added with saturation and never wrap.
+//! Invariants: each type keeps the encoding of older versions, a sequence of numbers without field names; additions
+//! saturate and never wrap.
 
 use ochreshed::Name;
 use serde::{Deserialize, Serialize};
 
-/// The most [`RouteEdition`]s that one outbound proxy counts and reports; the counts of any more are lost.
+/// The maximum number of [`RouteEdition`]s that one outbound proxy counts and reports; the counts of others are
+/// dropped.
 pub const MAX_EDITIONS: usize = 64;
 
-/// The attempts at one service in one window of time.
+/// The attempts at one service in a time window.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(u32, u32, u32)", into = "(u32, u32, u32)")]
 pub struct AttemptCounts {
     /// First attempts.
     pub first: u32,
-    /// Further attempts, and calls of running requests that were attempted again.
+    /// Retries, including those of nested calls of running requests.
     pub retried: u32,
-    /// Retries that the budget did not allow.
+    /// Retries denied by the retry budget.
     pub denied: u32,
 }
 
 impl AttemptCounts {
-    /// No attempt at all.
+    /// No attempts.
     pub const NONE: AttemptCounts = AttemptCounts { first: 0, retried: 0, denied: 0 };
 
-    /// The sum of both.
+    /// Returns the sum of both; each count saturates.
     #[must_use]
     pub fn saturating_add(self, other: AttemptCounts) -> AttemptCounts {
         AttemptCounts {
@@ -52,24 +52,24 @@
     }
 }
 
-/// The counts of one outbound proxy by service.
+/// The attempts of one outbound proxy by service.
 pub type ServiceAttempts = Vec<(Name, AttemptCounts)>;
 
-/// What one outbound proxy reports of itself, for operators to look at.
+/// The report of one outbound proxy, which is shown to operators.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(ServiceAttempts, Option<u32>)", into = "(ServiceAttempts, Option<u32>)")]
 pub struct BudgetReport {
     /// The attempts at each service.
     pub services: ServiceAttempts,
-    /// The time from the start of the process to full service, in milliseconds; none before that.
+    /// The time from the start of the process to full service, in milliseconds; `None` until then.
     pub recovery_ms: Option<u32>,
-    /// The outcomes of requests on members' routes. They are sent in a field of their own beside the report, because older
-    /// programs read no more than the two fields above.
+    /// The outcomes of requests on members' routes. They are sent in a separate field next to the report, because older
+    /// versions read only the two fields above.
     pub outcomes: EditionOutcomes,
 }
 
 impl BudgetReport {
-    /// The number of services and editions in the report, by which the memory for reports is bounded.
+    /// The number of services and editions in the report, for limiting the memory for reports.
     pub fn entry_count(&self) -> usize {
         self.services.len() + self.outcomes.len()
     }
@@ -87,15 +87,15 @@
     }
 }
 
-/// The edition of a member's routes that was in force for a request.
+/// The edition of a member's routes that was in effect for a request.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(from = "(Name, u64, bool)", into = "(Name, u64, bool)")]
 pub struct RouteEdition {
     /// The member whose routes these are.
     pub member: Name,
-    /// The version of the member's document; 0 where it isn't known.
+    /// The version of the member's document; 0 if unknown.
     pub version: u64,
-    /// Whether the edition is a canary on the reporting node.
+    /// Whether the edition runs as a canary on the reporting node.
     pub canary: bool,
 }
 
@@ -111,26 +111,26 @@
     }
 }
 
-/// The attempts and outcomes of requests under one [`RouteEdition`] in one window of time.
+/// The attempts and outcomes of requests under one [`RouteEdition`] in a time window.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "[u32; 6]", into = "[u32; 6]")]
 pub struct OutcomeCounts {
     /// First attempts.
     pub first: u32,
-    /// Further attempts.
+    /// Retries.
     pub retried: u32,
-    /// Retries that the budget did not allow.
+    /// Retries denied by the retry budget.
     pub denied: u32,
     /// Attempts that an inbound proxy rejected.
     pub rejected: u32,
-    /// Requests that were answered well.
+    /// Requests that were answered successfully.
     pub succeeded: u32,
-    /// Requests that were answered otherwise or did not run.
+    /// Requests that were answered with an error or did not run.
     pub failed: u32,
 }
 
 impl OutcomeCounts {
-    /// The sum of both.
+    /// Returns the sum of both; each count saturates.
     #[must_use]
     pub fn saturating_add(self, other: OutcomeCounts) -> OutcomeCounts {
         OutcomeCounts {
@@ -167,5 +167,5 @@
     }
 }
 
-/// Counts by edition.
+/// Outcomes by edition.
 pub type EditionOutcomes = Vec<(RouteEdition, OutcomeCounts)>;
--- a/catalog/src/watch_client.rs
+++ b/catalog/src/watch_client.rs
@@ -1,11 +1,11 @@
-//! The watches of a node: which replicas it asks, and what it knows from their responses.
+//! The client side of watches: the replicas that a node polls, and the state from their responses.
 //!
-//! A node keeps several [`Watcher`]s, each of which asks one replica at a time and passes over those that do not respond.
-//! [`EndpointView`] joins what they were told of endpoint records and suspected nodes. [`ReplicaDirectory`] orders the
+//! A node runs several [`Watcher`]s, each of which polls one replica at a time and skips unresponsive ones.
+//! [`EndpointView`] merges the endpoint records and suspected nodes that they receive. [`ReplicaDirectory`] orders the
 //! replicas for requests about a key.
 //!
-//! Invariants: a view never goes back to a lower version of a record; a node is suspected only if every watcher that gets
-//! responses was told so.
+//! Invariants: a record is never replaced by one with a lower version; a node is suspected only if the replica of every
+//! watcher that gets responses suspects it.
 
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
@@ -17,39 +17,40 @@
 use crate::internal_rpc::{AppliedEditions, WatchRequest, WatchResponse};
 
 const MS: Nanos = 1_000_000;
-/// How long a node's request waits for a change.
+/// The long-poll duration of a node's request.
 pub const MAX_WAIT: Nanos = 500 * MS;
-/// A request has failed when there is no response for this long after its wait.
+/// The additional time after the long-poll duration until a request without a response has failed.
 pub const RESPONSE_GRACE: Nanos = 600 * MS;
-/// The pause after a request that failed.
+/// The delay after a failed request.
 pub const RETRY_INTERVAL: Nanos = 80 * MS;
-/// How long watches pass over a replica that did not respond.
+/// How long watches skip a replica that did not respond.
 const WATCH_AVOID_TIME: Nanos = 1_500 * MS;
-/// How long requests for leases pass over a replica that did not respond.
+/// How long requests for leases try a replica that did not respond only after the others.
 const LEASE_AVOID_TIME: Nanos = 2_000 * MS;
 
-/// What one replica and this node know of each other.
+/// The watch state of one replica.
 #[derive(Default)]
 struct ReplicaState {
-    /// The changes of the replica's table that this node has.
+    /// The position of this node in the changes of the replica's table.
     position: TablePosition,
     suspects_version: u64,
     suspects: HashSet<SocketAddr>,
     /// The version of this node's record that the replica has.
     known_record: RecordVersion,
-    /// Until when the replica is passed over.
+    /// The time until which the replica is skipped.
     avoided_until: Option<Nanos>,
-    /// The digest of the registers that the replica told of, once this node has them.
+    /// The digest of the replica's registers, once this node has applied them.
     registers_digest: u64,
     /// The editions that the replica has.
     known_editions: AppliedEditions,
-    /// The editions in force when the open request was sent.
+    /// The editions that were applied when the pending request was sent.
     requested_editions: AppliedEditions,
 }
 
-/// One of the watches of a node.
+/// One watch of a node.
 ///
-/// The replicas are divided among a node's watchers, so that no two ask the same one while all respond.
+/// The replicas are partitioned among a node's watchers, so that no two poll the same replica while all replicas
+/// respond.
 pub struct Watcher {
     index: usize,
     watcher_count: usize,
@@ -57,13 +58,13 @@
 }
 
 impl Watcher {
-    /// The watcher at this index, counted from 0, among so many of one node.
+    /// Creates the watcher with this index, counted from 0, of `watcher_count` watchers of a node.
     pub fn new(index: usize, watcher_count: usize) -> Watcher {
         Watcher { index, watcher_count: watcher_count.max(1), replicas: HashMap::new() }
     }
 
-    /// The replica to ask now: one of the watcher's own part of the ring if any responds, else any other, else the one
-    /// that has been avoided longest. None where there are no replicas.
+    /// The replica to poll now: one of the watcher's own partition of the ring, else any other, else the one whose
+    /// avoidance ends first. `None` if there are no replicas.
     pub fn next_replica(
         &mut self,
         now: Nanos,
@@ -75,12 +76,12 @@
         let avoided_until =
             |replica: &SocketAddr| self.replicas.get(replica).and_then(|state| state.avoided_until);
         let is_avoided = |replica: &SocketAddr| avoided_until(replica).is_some_and(|until| until > now);
-        let own_part = ring.iter().skip(self.index).step_by(self.watcher_count);
-        let preferred = own_part.chain(ring.iter()).find(|replica| !is_avoided(replica));
+        let own_partition = ring.iter().skip(self.index).step_by(self.watcher_count);
+        let preferred = own_partition.chain(ring.iter()).find(|replica| !is_avoided(replica));
         preferred.or(ring.iter().min_by_key(|replica| avoided_until(replica))).copied()
     }
 
-    /// The request to a replica. The node's record and editions are in it where the replica may not have them.
+    /// The request to a replica. It includes the node's record and editions if the replica may not have them.
     pub fn request(
         &mut self,
         replica: SocketAddr,
@@ -107,8 +108,8 @@
         }
     }
 
-    /// Takes the response to a request that had this version of the node's record. Returns the nodes that the replica
-    /// suspects.
+    /// Handles the response to a request that was made with this version of the node's record. Returns the nodes that
+    /// the replica suspects.
     pub fn handle_response(
         &mut self,
         now: Nanos,
@@ -118,10 +119,10 @@
         response: &WatchResponse,
     ) -> HashSet<SocketAddr> {
         let state = self.replicas.entry(replica).or_default();
-        // A replica without a majority may not know the newest configuration, so that others are asked first.
+        // A replica without a majority may not have the newest configuration, so others are polled first.
         let avoid_time = if has_configuration { WATCH_AVOID_TIME } else { RETRY_INTERVAL };
         state.avoided_until = (!response.has_quorum).then_some(now + avoid_time);
-        // A replica that has forgotten the node must be sent its record and editions again.
+        // A replica that does not know the node must be sent its record and editions again.
         let is_known = response.known_incarnation.is_some();
         let sent_editions = std::mem::take(&mut state.requested_editions);
         state.known_record = if is_known { sent_record } else { RecordVersion::default() };
@@ -134,12 +135,12 @@
         state.suspects.clone()
     }
 
-    /// Notes that the node has the registers of this digest, of which the replica told.
+    /// Records that the node has applied the replica's registers with this digest.
     pub fn record_applied_registers(&mut self, replica: SocketAddr, digest: u64) {
         self.replicas.entry(replica).or_default().registers_digest = digest;
     }
 
-    /// Notes that a replica did not respond.
+    /// Records that a replica did not respond.
     pub fn record_failure(
         &mut self,
         now: Nanos,
@@ -148,11 +149,11 @@
         replica_count: usize,
     ) {
         let state = self.replicas.entry(replica).or_default();
-        // A node without a configuration asks all replicas in turn until it has one.
-        let one_turn = RETRY_INTERVAL * (replica_count as Nanos + 1);
-        let avoid_time = if has_configuration { WATCH_AVOID_TIME } else { one_turn };
+        // A node without a configuration polls all replicas in turn until it has one.
+        let full_cycle = RETRY_INTERVAL * (replica_count as Nanos + 1);
+        let avoid_time = if has_configuration { WATCH_AVOID_TIME } else { full_cycle };
         state.avoided_until = Some(now + avoid_time);
-        // The replica may have restarted and have forgotten the node.
+        // The replica may have restarted and lost the node's record.
         state.known_record = RecordVersion::default();
         state.known_editions.clear();
     }
@@ -167,16 +168,16 @@
     pub received_at: Nanos,
 }
 
-/// The endpoint records that a node knows, and the nodes that each watcher was told to suspect.
+/// The endpoint records known to a node, and the suspected nodes as received by each watcher.
 #[derive(Default)]
 pub struct EndpointView {
     records: HashMap<SocketAddr, ReceivedRecord>,
-    /// By the index of the watcher.
+    /// The suspected nodes by watcher index.
     suspects: HashMap<usize, HashSet<SocketAddr>>,
 }
 
 impl EndpointView {
-    /// Takes what the watcher at this index was told. Returns whether anything has changed.
+    /// Merges the records and suspects received by the watcher with this index. Returns whether anything has changed.
     pub fn merge(
         &mut self,
         now: Nanos,
@@ -199,23 +200,23 @@
         changed
     }
 
-    /// Notes that a watcher gets no response; its suspects do not count any more.
+    /// Drops the suspects of a watcher that gets no responses.
     pub fn clear_suspects(&mut self, watcher: usize) {
         self.suspects.remove(&watcher);
     }
 
-    /// The nodes that every watcher with responses was told to suspect.
+    /// The nodes that are suspected according to every watcher that gets responses.
     pub fn suspects(&self) -> HashSet<SocketAddr> {
         let intersection = |all: HashSet<SocketAddr>, one: HashSet<SocketAddr>| &all & &one;
         self.suspects.values().cloned().reduce(intersection).unwrap_or_default()
     }
 
-    /// The number of nodes whose outbound proxy takes requests of clients.
+    /// The number of nodes whose outbound proxy accepts client requests.
     pub fn client_proxies(&self) -> usize {
         self.records.values().filter(|received| received.record.accepts_clients).count()
     }
 
-    /// All records, in no order.
+    /// All records, in no particular order.
     pub fn records(&self) -> impl Iterator<Item = &ReceivedRecord> {
         self.records.values()
     }
@@ -236,21 +237,21 @@
     }
 }
 
-/// A replica that a node knows.
+/// A replica that is known to the node.
 struct KnownReplica {
     address: SocketAddr,
-    /// Until when it is passed over because it did not respond.
+    /// The time until which the replica is tried last because it did not respond.
     avoided_until: Option<Nanos>,
 }
 
-/// The replicas that a node knows, in the order in which requests go to them.
+/// The replicas known to a node, for selecting the order in which requests are sent to them.
 #[derive(Default)]
 pub struct ReplicaDirectory {
     replicas: Vec<KnownReplica>,
 }
 
 impl ReplicaDirectory {
-    /// Replaces the replicas by these. Those that were known keep their state.
+    /// Replaces the list of replicas. Replicas that were already known keep their state.
     pub fn set_replicas(&mut self, replicas: impl IntoIterator<Item = SocketAddr>) {
         let addresses: Vec<SocketAddr> = replicas.into_iter().collect();
         self.replicas.retain(|known| addresses.contains(&known.address));
@@ -266,14 +267,14 @@
         self.replicas.iter().map(|known| known.address).collect()
     }
 
-    /// Notes that a replica did not respond.
+    /// Marks a replica that did not respond.
     pub fn mark_unresponsive(&mut self, now: Nanos, replica: SocketAddr) {
         if let Some(known) = self.find(replica) {
             known.avoided_until = Some(now + LEASE_AVOID_TIME);
         }
     }
 
-    /// Notes that a replica has responded.
+    /// Marks a replica that has responded.
     pub fn mark_responsive(&mut self, replica: SocketAddr) {
         if let Some(known) = self.find(replica) {
             known.avoided_until = None;
@@ -284,8 +285,8 @@
         self.replicas.iter_mut().find(|known| known.address == replica)
     }
 
-    /// The replicas in the order in which requests about a key go to them: by the key's placement, and those that did not
-    /// respond of late last.
+    /// The replicas in the order in which to send requests about a key: by the key's placement, with replicas that did
+    /// not respond recently last.
     pub fn replicas_for_key(&self, now: Nanos, key: LeaseKey) -> Vec<SocketAddr> {
         let mut replicas: Vec<&KnownReplica> = self.replicas.iter().collect();
         replicas.sort_by_cached_key(|known| {
--- a/catalog/src/watch_server.rs
+++ b/catalog/src/watch_server.rs
@@ -1,11 +1,11 @@
-//! The watches of a replica of the control plane: when a waiting request is answered and with what.
+//! The server side of watches: when a replica of the control plane answers a pending request, and with what response.
 //!
-//! [`WatchServer::register`] takes a request and makes a [`PendingWatch`] of it; [`WatchServer::due_at`] says from when on it
-//! is to be answered and [`WatchServer::respond`] makes the response. The server also takes what other replicas know
-//! ([`WatchServer::merge`]) and keeps the list of suspected nodes.
+//! [`WatchServer::register`] turns a request into a [`PendingWatch`]; [`WatchServer::due_at`] determines when it is to
+//! be answered, and [`WatchServer::respond`] creates the response. The server also merges the state of other replicas
+//! ([`WatchServer::merge`]) and maintains the list of suspected nodes.
 //!
-//! Invariants: a request is answered at once when there is a change that can't wait, and otherwise no later than after
-//! [`WatchServer::min_interval`]; a watch never loses a change.
+//! Invariants: a request is answered at once if there is an urgent change; other changes wait until
+//! [`WatchServer::min_interval`] after the request was received; a watch never loses a change.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -19,37 +19,37 @@
 };
 
 const MS: Nanos = 1_000_000;
-/// A node is suspected when it has not been heard from for this long.
+/// A node is suspected if it has not been heard from for this long.
 pub const SUSPECT_AFTER: Nanos = 1_700 * MS;
-/// The time between two updates of the suspects.
+/// The interval between updates of the suspects.
 pub const SUSPECT_CHECK_INTERVAL: Nanos = 200 * MS;
-/// How long a replica's request to another one waits for a change.
+/// The long-poll duration of requests between replicas.
 pub const REPLICA_MAX_WAIT: Nanos = 400 * MS;
-/// The least time from a response between replicas to the next request.
+/// The minimum time from a response to the next request between replicas.
 const MIN_REPLICA_WATCH_INTERVAL: Nanos = 20 * MS;
-/// A request between replicas has failed when there is no response for this long after its wait.
+/// The additional time after the long-poll duration until a request between replicas without a response has failed.
 pub const RESPONSE_GRACE: Nanos = 600 * MS;
-/// The pause after a request between replicas that failed.
+/// The delay after a failed request between replicas.
 pub const RETRY_INTERVAL: Nanos = 200 * MS;
-/// Up to this number of records, changes of records are sent at once.
+/// Up to this number of records in the table, changes of records are sent without delay.
 const UNPACED_RECORDS: usize = 100;
-/// How much longer changes of records wait for each further record.
+/// The additional delay of changes of records for each further record in the table.
 const INTERVAL_PER_RECORD: Nanos = MS;
-/// The longest time that changes of records wait for more.
+/// The maximum delay of changes of records.
 const MAX_CHANGE_INTERVAL: Nanos = 400 * MS;
-/// The longest time that a request waits, whatever it asks for.
+/// The upper limit on the long-poll duration that a request can ask for.
 const MAX_WAIT_MS: u32 = 5_000;
-/// How long an older program keeps a request to drain.
+/// How long an older version keeps a drain request.
 const DRAIN_TTL_MS: u32 = 30_000;
 
-/// What the control plane has committed, as far as watches tell it.
+/// The committed state of the control plane that watches distribute.
 #[derive(Clone, Copy, Debug)]
 pub struct CommittedState<'a> {
     /// The revision of the newest committed configuration.
     pub configuration: Option<Revision>,
     /// The addresses of the replicas.
     pub replicas: &'a [SocketAddr],
-    /// Whether this replica is in touch with a majority.
+    /// Whether this replica is in contact with a majority.
     pub has_quorum: bool,
     /// The committed registers.
     pub registers: CommittedRegisters<'a>,
@@ -58,13 +58,13 @@
 /// The committed registers with their digest.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct CommittedRegisters<'a> {
-    /// Tells two lists of registers apart; 0 where there are none.
+    /// The digest of the list of registers; 0 if there are none.
     pub digest: u64,
     /// The registers.
     pub registers: &'a [NamedRegister],
 }
 
-/// A request that waits for a change.
+/// A pending request that waits for a change.
 pub struct PendingWatch {
     position: TablePosition,
     configuration: Revision,
@@ -73,32 +73,32 @@
     from_replica: bool,
     reports_only: bool,
     inbound_proxy: Option<SocketAddr>,
-    /// The replicas that were known when the request came.
+    /// The replicas that were known when the request was received.
     replicas: Vec<SocketAddr>,
-    /// The record of the node's earlier incarnation, which a node that has just started does not know.
+    /// The record of the node's previous incarnation, which a restarted node does not know.
     previous_record: Option<EndpointRecord>,
     received_at: Nanos,
-    /// The time after which the request is answered though nothing has changed.
+    /// The time after which the request is answered even if nothing has changed.
     pub max_wait: Nanos,
 }
 
 impl PendingWatch {
-    /// Whether a node has other registers than the committed ones.
+    /// Whether the request is from a node whose registers differ from the committed ones.
     fn lacks_registers(&self, state: CommittedState) -> bool {
         !self.from_replica && state.registers.digest != self.registers_digest
     }
 
-    /// Whether a node has another list of suspects than this one.
+    /// Whether the request is from a node whose list of suspects differs from this one.
     fn lacks_suspects(&self, suspects: &SuspectList) -> bool {
         !self.from_replica && suspects.version != self.suspects_version
     }
 }
 
-/// A request that [`WatchServer::register`] has taken.
+/// The result of [`WatchServer::register`].
 pub struct RegisteredWatch {
-    /// The request, which waits for a change.
+    /// The pending request.
     pub pending: PendingWatch,
-    /// Whether the request has changed the table, so that others are to be answered.
+    /// Whether the request has changed the table, so that other pending requests may be due.
     pub table_changed: bool,
 }
 
@@ -110,12 +110,13 @@
 }
 
 impl WatchServer {
-    /// A server with an empty table. The incarnation differs from that of any table that this replica had before.
+    /// Creates a server with an empty table. The incarnation must differ from that of any earlier table of this
+    /// replica.
     pub fn new(incarnation: u64) -> WatchServer {
         WatchServer { table: EndpointTable::new(incarnation), suspects: SuspectList::default() }
     }
 
-    /// Takes a request and the record that comes with it.
+    /// Registers a request and merges the record that it contains.
     pub fn register(&mut self, now: Nanos, request: &WatchRequest, state: CommittedState) -> RegisteredWatch {
         let mut previous_record = None;
         let mut table_changed = false;
@@ -144,27 +145,27 @@
         RegisteredWatch { pending, table_changed }
     }
 
-    /// The record of an earlier incarnation of a node that has just started and knows no upstream.
+    /// The record of the previous incarnation of a restarted node that does not know its upstream yet.
     fn previous_record(&self, record: &EndpointRecord) -> Option<EndpointRecord> {
         let known = self.table.record(record.inbound_proxy)?;
         let has_restarted = known.incarnation != record.incarnation && record.upstream_id.is_empty();
         (has_restarted && !known.upstream_id.is_empty()).then(|| known.clone())
     }
 
-    /// The least time between two responses to one reader that only have changes of records.
+    /// The minimum interval between responses to one reader that contain only changes of records.
     ///
-    /// Each change of a record goes to every node, so that the cost of all changes grows with the square of the nodes.
+    /// Each change of a record is sent to every node, so the total cost grows quadratically with the number of nodes.
     pub fn min_interval(&self) -> Nanos {
         let paced_records = self.table.len().saturating_sub(UNPACED_RECORDS) as Nanos;
         (paced_records * INTERVAL_PER_RECORD).min(MAX_CHANGE_INTERVAL)
     }
 
-    /// The time that a replica waits before it asks another one again, so that many small changes go together.
+    /// The delay before a replica polls another one again, so that small changes are batched.
     pub fn replica_watch_interval(&self) -> Nanos {
         MIN_REPLICA_WATCH_INTERVAL.max(self.min_interval() / 4)
     }
 
-    /// From when on a request is to be answered; none while nothing has changed.
+    /// When a request is to be answered; `None` while nothing has changed.
     pub fn due_at(&self, pending: &PendingWatch, state: CommittedState) -> Option<Nanos> {
         let records_changed = self.table.position() != pending.position;
         if self.has_urgent_change(pending, state) {
@@ -174,7 +175,7 @@
         changed.then(|| pending.received_at + self.min_interval())
     }
 
-    /// Whether there is a change that does not wait for others.
+    /// Whether there is a change that must be sent without delay.
     fn has_urgent_change(&self, pending: &PendingWatch, state: CommittedState) -> bool {
         let position = self.table.position();
         let records_changed = position != pending.position;
@@ -188,7 +189,7 @@
             || records_changed && (is_new_table || must_drain())
     }
 
-    /// The response to a request; `reports` is for one that asks for them.
+    /// Creates the response to a request. `reports` is given if the request asks for them.
     pub fn respond(
         &self,
         now: Nanos,
@@ -220,7 +221,7 @@
         }
     }
 
-    /// The requests to drain: a node's own, and for a replica those of the records that changed.
+    /// The drain requests for a response: a node's own, and for a replica those of the changed records.
     fn drains(&self, pending: &PendingWatch) -> Vec<DrainRequest> {
         let own =
             pending.inbound_proxy.and_then(|node| Some((node, self.table.requested_drain(node)?.to_owned())));
@@ -231,12 +232,12 @@
         own.into_iter().chain(changed).map(request).collect()
     }
 
-    /// The nodes that have not been heard from of late.
+    /// The nodes that have not been heard from recently.
     pub fn suspects(&self) -> &[SocketAddr] {
         &self.suspects.inbound_proxies
     }
 
-    /// Takes what another replica knows. Returns whether that has changed the table.
+    /// Merges a response of another replica. Returns whether the table has changed.
     pub fn merge(&mut self, now: Nanos, response: &WatchResponse) -> bool {
         let ages_ms: HashMap<SocketAddr, u32> = response.last_heard_ms_ago.iter().copied().collect();
         let mut changed = false;
@@ -253,7 +254,7 @@
         changed
     }
 
-    /// Updates the suspected nodes. Returns their number where they have changed.
+    /// Updates the list of suspected nodes. Returns its length if it has changed.
     pub fn update_suspects(&mut self, now: Nanos) -> Option<usize> {
         if !self.table.update_suspects(now, SUSPECT_AFTER) {
             return None;
@@ -269,13 +270,14 @@
     RegisterList { digest: committed.digest, revisions: committed.registers.iter().map(revision).collect() }
 }
 
-/// The request with which a replica asks another one for the changes of its table after a position.
+/// The request of a replica to another one for the changes of its table after a position.
 pub fn replica_watch_request(position: TablePosition) -> WatchRequest {
     WatchRequest {
         record: None,
         inbound_proxy: None,
         position,
-        // Replicas get the configuration and the suspects otherwise: what they have counts as the newest.
+        // Replicas receive the configuration and determine the suspects by other means, so this request claims to have
+        // the newest of both.
         configuration: Revision::new(u64::MAX, 0),
         suspects_version: u64::MAX,
         max_wait_ms: (REPLICA_MAX_WAIT / MS) as u32,
--- a/catalog/tests/endpoints.rs
+++ b/catalog/tests/endpoints.rs
@@ -79,8 +79,8 @@
 }
 
 proptest! {
-    /// Whatever is taken where and in whatever order replicas sync, in the end all have the latest record, and none asks
-    /// for a drain of another upstream than was meant.
+    /// Whatever is taken where and in whatever order replicas sync, in the end all have the latest record, and none
+    /// asks for a drain of another upstream than was meant.
     #[test]
     fn replicas_converge(steps in proptest::collection::vec((0usize..3, 0usize..3, 0u8..5), 1..60)) {
         let mut tables: Vec<EndpointTable> = (1..4).map(EndpointTable::new).collect();
--- a/catalog/tests/frozen_forms.rs
+++ b/catalog/tests/frozen_forms.rs
@@ -1,5 +1,5 @@
-//! The bytes of calls between the system's processes and the texts in which documents are refused, against fixtures that
-//! were written before types were renamed.
+//! The bytes of calls between the system's processes and the texts in which documents are refused, against fixtures
+//! that were written before types were renamed.
 
 #[path = "../../consensus/tests/frozen/mod.rs"]
 mod frozen;
