--- a/traffic/tests/admission_order.rs
+++ b/traffic/tests/admission_order.rs
@@ -1,4 +1,4 @@
-//! The order of queued requests, and which are not queued.
+//! Tests of the order of queued requests, and of which requests are rejected.
 
 use ochreshed_traffic::admission::{Admission, AdmissionQueue, AdmissionRequest};
 
@@ -14,22 +14,22 @@
     }
 }
 
-/// A queue whose upstream has no room, and whose runs take 100 ms.
+/// The queue of an upstream at its concurrency limit whose runs take 100 ms.
 fn full_queue(limit: u32) -> AdmissionQueue<u32> {
-    let mut all = AdmissionQueue::default();
-    all.set_limit(limit);
+    let mut queue = AdmissionQueue::default();
+    queue.set_limit(limit);
     for _ in 0..200 {
-        assert_eq!(all.request_admission(0, &request(false, 0, 1_000), || 0), Admission::Admitted);
-        all.release(Some(100 * MS));
+        assert_eq!(queue.request_admission(0, &request(false, 0, 1_000), || 0), Admission::Admitted);
+        queue.release(Some(100 * MS));
     }
     for _ in 0..limit {
-        assert_eq!(all.request_admission(0, &request(false, 0, 1_000), || 0), Admission::Admitted);
+        assert_eq!(queue.request_admission(0, &request(false, 0, 1_000), || 0), Admission::Admitted);
     }
-    all
+    queue
 }
 
 #[test]
-fn nested_calls_go_first_then_the_earliest_target() {
+fn nested_calls_are_admitted_first_then_the_earliest_target() {
     let mut queue = full_queue(4);
     for (id, is_nested, target) in [(1, false, 900), (2, false, 500), (3, true, 700), (4, true, 600)] {
         assert!(
@@ -46,18 +46,18 @@
 }
 
 #[test]
-fn the_limit_holds_and_no_request_waits_in_vain() {
+fn the_limit_holds_and_late_requests_are_not_queued() {
     let mut queue = full_queue(4);
-    // A request that would be late waits only if it is the only one and its client still waits.
+    // A request that would miss its target is queued only if the queue is empty and it can meet its deadline.
     assert_eq!(queue.request_admission(0, &request(false, 3, 110), || 1), Admission::Queued(595 * MS));
     assert_eq!(queue.request_admission(0, &request(false, 3, 110), || 2), Admission::Rejected);
     assert_eq!(queue.request_admission(0, &request(false, 0, 50), || 3), Admission::Rejected);
-    // Few requests wait at their first inbound proxy, more at later ones.
+    // The first inbound proxy queues fewer requests than later ones.
     assert!(matches!(queue.request_admission(0, &request(false, 0, 1_000), || 4), Admission::Queued(_)));
     assert_eq!(queue.request_admission(0, &request(false, 0, 1_000), || 5), Admission::Rejected);
     assert!(matches!(queue.request_admission(0, &request(false, 1, 1_000), || 6), Admission::Queued(_)));
     assert_eq!((queue.in_flight(), queue.admit_next(MS)), (4, None));
     queue.release(None);
-    // A request that has expired is dropped.
+    // Expired requests are dropped.
     assert_eq!((queue.admit_next(980 * MS), queue.in_flight(), queue.queue_length()), (None, 3, 0));
 }
--- a/traffic/tests/retry_budget.rs
+++ b/traffic/tests/retry_budget.rs
@@ -1,4 +1,4 @@
-//! The counts of attempts at one service, and the reports of all outbound proxies.
+//! Tests of the counts of attempts at one service, and of the reports of outbound proxies.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -22,17 +22,17 @@
     BudgetReport { services: attempts, ..BudgetReport::default() }
 }
 
-/// A request with this outcome that the policy retries or gives up.
+/// Records a request with this outcome that the policy retries or does not retry.
 fn run_request(
     account: &mut RetryAccount,
     now: u64,
     repeatable: bool,
-    how: DispatchOutcome,
+    outcome: DispatchOutcome,
     is_retried: bool,
 ) {
     let mut request = RequestAttempts::new(repeatable, now + 100 * MS);
     account.record_attempt(now, &request);
-    request.record_outcome(how);
+    request.record_outcome(outcome);
     if is_retried {
         account.record_attempt(now, &request);
     } else {
@@ -41,27 +41,28 @@
 }
 
 #[test]
-fn a_request_counts_by_its_outcome() {
+fn requests_are_counted_by_outcome() {
     let mut account = RetryAccount::new(WINDOW, LIMITS);
     let now = 50_000 * MS;
     run_request(&mut account, now, true, DispatchOutcome::Done, false);
     run_request(&mut account, now, true, DispatchOutcome::Full, true);
     assert_eq!(account.reported_counts(now), counts(2, 1, 0));
-    // Two first attempts and a floor of one leave no second retry.
+    // Three first attempts at a ratio of 0.1 and a floor of one do not allow a second retry.
     run_request(&mut account, now, true, DispatchOutcome::Reset, false);
     assert_eq!(account.reported_counts(now), counts(3, 1, 1));
-    // A rejected request was not sent; one that may have run is not denied for want of budget.
+    // A retry after a rejection does not count. A request that may have run is not retried for that reason, not for
+    // lack of budget.
     run_request(&mut account, now, true, DispatchOutcome::Rejected, true);
     run_request(&mut account, now, false, DispatchOutcome::Reset, false);
     run_request(&mut account, now, false, DispatchOutcome::Full, false);
     assert_eq!(account.reported_counts(now), counts(6, 1, 2));
     account.record_nested_retry(now);
     assert_eq!(account.reported_counts(now), counts(6, 2, 2));
-    // Where there is budget the policy had another reason.
+    // While there is budget, the policy had another reason for not retrying.
     (0..20).for_each(|_| run_request(&mut account, now, true, DispatchOutcome::Done, false));
     run_request(&mut account, now, true, DispatchOutcome::Full, false);
     assert_eq!(account.reported_counts(now), counts(27, 2, 2));
-    // The failure is another service's, or the deadline has passed.
+    // No retry is denied if the fallback service gets the request, or if the deadline has passed.
     let mut middle = RetryAccount::new(WINDOW, RetryLimits { last_tier: false, floor: 0.0, ..LIMITS });
     run_request(&mut middle, now, true, DispatchOutcome::Error, false);
     let mut late = RequestAttempts::new(true, now);
@@ -74,47 +75,47 @@
 }
 
 proptest! {
-    /// The counts have what happened within the window and nothing else.
+    /// The counts cover exactly the window, up to the width of one bucket.
     #[test]
-    fn the_window_holds_what_happened_in_it(steps in proptest::collection::vec((0u64..3_000, any::<bool>()), 1..60)) {
+    fn counts_cover_the_window(steps in proptest::collection::vec((0u64..3_000, any::<bool>()), 1..60)) {
         let mut account = RetryAccount::new(WINDOW, LIMITS);
-        let (mut now, mut all) = (100_000 * MS, Vec::new());
-        for (wait, is_retried) in steps {
-            now += wait * MS;
+        let (mut now, mut requests) = (100_000 * MS, Vec::new());
+        for (delay_ms, is_retried) in steps {
+            now += delay_ms * MS;
             run_request(&mut account, now, true, DispatchOutcome::Full, is_retried);
-            all.push((now, is_retried));
-            let within = |span: u64| all.iter().filter(|(at, _)| now - at < span).count() as u32;
+            requests.push((now, is_retried));
+            let within = |span: u64| requests.iter().filter(|(sent_at, _)| now - sent_at < span).count() as u32;
             let reported = account.reported_counts(now).first;
             prop_assert!(reported <= within(WINDOW) && reported >= within(WINDOW - WINDOW / 10));
         }
     }
 
-    /// However often and in whatever order replicas merge their reports, the latest one of each proxy is kept.
+    /// After replicas merge their reports in any order, the latest report of each proxy is kept.
     #[test]
     fn the_latest_report_of_a_proxy_is_kept(reports in proptest::collection::vec((0u8..4, 0u64..50, 0u32..9), 1..40)) {
         let inbound_proxy = |proxy: u8| SocketAddr::from(([10, 1, 0, proxy], 8300));
         let now = 100_000 * MS;
-        let (mut first_table, mut other, mut last) = (BudgetReports::default(), BudgetReports::default(), BTreeMap::new());
+        let (mut first_table, mut second_table, mut latest) = (BudgetReports::default(), BudgetReports::default(), BTreeMap::new());
         for (proxy, age, first) in &reports {
             let attempts = report(vec![("a".into(), counts(*first, 0, 0))]);
-            let at = if first % 2 == 0 { &mut first_table } else { &mut other };
-            at.store(now, inbound_proxy(*proxy), attempts, age * MS);
-            let newest = last.entry(*proxy).or_insert((*age, *first));
-            if *age <= newest.0 && (*age < newest.0 || at.collect(now).iter().any(|of| of.inbound_proxy == inbound_proxy(*proxy))) {
+            let table = if first % 2 == 0 { &mut first_table } else { &mut second_table };
+            table.store(now, inbound_proxy(*proxy), attempts, age * MS);
+            let newest = latest.entry(*proxy).or_insert((*age, *first));
+            if *age <= newest.0 && (*age < newest.0 || table.collect(now).iter().any(|collected| collected.inbound_proxy == inbound_proxy(*proxy))) {
                 *newest = (*age, *first);
             }
         }
-        for CollectedReport { inbound_proxy: proxy, age_ms: age, report } in other.collect(now) {
+        for CollectedReport { inbound_proxy: proxy, age_ms: age, report } in second_table.collect(now) {
             first_table.store(now, proxy, report, u64::from(age) * MS);
         }
         for CollectedReport { inbound_proxy: proxy, age_ms: age, report } in first_table.collect(now) {
-            let SocketAddr::V4(at) = proxy else { continue };
-            let (newest, _) = last[&at.ip().octets()[3]];
+            let SocketAddr::V4(address) = proxy else { continue };
+            let (newest, _) = latest[&address.ip().octets()[3]];
             prop_assert_eq!(u64::from(age), newest);
             prop_assert_eq!(report.services.len(), 1);
         }
         let AttemptTotals { services: sums, proxies: proxy_count } = first_table.attempt_totals(|at| at != inbound_proxy(0));
-        prop_assert_eq!(proxy_count, last.keys().filter(|proxy| **proxy != 0).count());
+        prop_assert_eq!(proxy_count, latest.keys().filter(|proxy| **proxy != 0).count());
         prop_assert!(sums.len() <= 1);
     }
 }
@@ -128,7 +129,7 @@
     let AttemptTotals { services: sums, proxies: proxy_count } = table.attempt_totals(|_| true);
     assert_eq!((sums.len(), proxy_count), (MAX_SERVICES, 200_000 / MAX_SERVICES));
     assert_eq!(sums.values().map(|sum| sum.first as usize).sum::<usize>(), proxy_count * MAX_SERVICES);
-    // There is no room for more entries, but for a new report of a known proxy.
+    // The table is full: only a new report of a known proxy is stored.
     table.store(2, inbound_proxy(0), BudgetReport::default(), 0);
     table.store(3, inbound_proxy(4_999), report(vec![("x".into(), counts(5, 0, 0))]), 0);
     assert_eq!(
