--- a/catalog/src/configuration.rs
+++ b/catalog/src/configuration.rs
@@ -1,7 +1,7 @@
 //! The operators' configuration: routes, services and limits.
 //!
 //! [`Configuration::read`] parses the operators' document or returns every [`Refusal`], and [`Configuration::route`]
-//! finds the [`Route`] of a request. [`differences`] describes a change for operators.
+//! finds the [`Route`] of a request. [`differences()`] describes a change for operators.
 //!
 //! Invariants: a document is accepted as a whole or refused, and a configuration is immutable once it is read.
 
--- a/catalog/src/endpoints.rs
+++ b/catalog/src/endpoints.rs
@@ -91,7 +91,7 @@
     /// The version of the upstream's software.
     #[serde(rename = "edition")]
     pub software_version: String,
-    /// Whether the upstream takes requests.
+    /// Whether the upstream accepts requests.
     #[serde(rename = "stand")]
     pub state: UpstreamState,
     /// The maximum number of concurrent requests at the upstream.
--- a/traffic/src/admission.rs
+++ b/traffic/src/admission.rs
@@ -23,9 +23,9 @@
 const RUN_TIME_GAIN: f64 = 0.05;
 /// A queued request is admitted only if at least this much time is left until its deadline.
 const MIN_TIME_LEFT: Nanos = 15_000_000;
-/// The greatest length of the queue, as a multiple of the concurrency limit.
+/// The maximum length of the queue, as a multiple of the concurrency limit.
 const MAX_QUEUE_FACTOR: u32 = 3;
-/// The greatest length of the queue with the requests that wait for their members' shares, as a multiple of
+/// The maximum length of the queue including requests that wait for their members' shares, as a multiple of
 /// [`MAX_QUEUE_FACTOR`] times the concurrency limit.
 const MAX_SHARED_QUEUE_FACTOR: u32 = 2;
 /// Above this number of members, the state of members without running or queued requests is dropped.
--- a/traffic/src/lease_circuit_breaker.rs
+++ b/traffic/src/lease_circuit_breaker.rs
@@ -29,6 +29,8 @@
 impl LeaseCircuitBreaker {
     /// The maximum wait for a lease of a request with this remaining time. `no_quorum` is true if no recently heard
     /// replica was in contact with a majority.
+    ///
+    /// While the breaker is open, one request per probe interval gets the full wait.
     #[must_use]
     pub fn max_wait(&mut self, now: Nanos, time_left: Nanos, no_quorum: bool) -> Nanos {
         let full_wait = MAX_WAIT.min(time_left / 100 * MAX_WAIT_PERCENT);
