--- a/drill/src/audit.rs
+++ b/drill/src/audit.rs
@@ -383,8 +383,9 @@
             // Only dispatches are checked: one that the network delayed may be executed at any time.
             Effect::Uniqued => {
                 let first_written = attempt.dispatches.iter().find(|dispatch| dispatch.written_at.is_some());
-                let until = first_written
-                    .map_or(Nanos::MAX, |dispatch| dispatch.first_byte_at + rule_set.window + SOCKET_SLACK);
+                let until = first_written.map_or(Nanos::MAX, |dispatch| {
+                    dispatch.first_byte_at + rule_set.dedup_window + SOCKET_SLACK
+                });
                 let past_window = attempt
                     .dispatches
                     .iter()
--- a/drill/src/client.rs
+++ b/drill/src/client.rs
@@ -7,7 +7,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use ochreshed_emulator::chance::Stream;
+use ochreshed_emulator::random::RandomStream;
 use ochreshed_emulator::scenario::{Effect, RuleSet};
 use ochreshed_emulator::{MS, Nanos};
 use tokio::io::AsyncWriteExt;
@@ -79,12 +79,12 @@
 
     /// Makes calls until the given time, and waits until all have ended.
     pub async fn run(self: Arc<Clients>, from: Nanos, until: Nanos, load: watch::Receiver<f64>) {
-        let mut arrivals = Stream::new(self.seed, "arrivals");
+        let mut arrivals = RandomStream::new(self.seed, "arrivals");
         let (mut calls, mut next_at, mut call) = (JoinSet::new(), from, 0u64);
         loop {
             // A gap is drawn with the load at the time; while there is none, the load is polled.
             let gap = arrivals
-                .gap(self.traffic.calls_per_s * *load.borrow())
+                .sample_arrival_gap(self.traffic.calls_per_s * *load.borrow())
                 .unwrap_or(100 * MS)
                 .min(MAX_ARRIVAL_GAP);
             next_at += gap;
@@ -122,16 +122,17 @@
         while calls.join_next().await.is_some() {}
     }
 
-    fn draw_rule_set(&self, random: &mut Stream) -> usize {
-        let weights: Vec<f64> = self.traffic.rule_sets.iter().map(|rule_set| rule_set.part).collect();
+    fn draw_rule_set(&self, random: &mut RandomStream) -> usize {
+        let weights: Vec<f64> =
+            self.traffic.rule_sets.iter().map(|rule_set| rule_set.traffic_weight).collect();
         draw_weighted(&weights, random)
     }
 
-    fn draw_balancer(&self, random: &mut Stream) -> usize {
+    fn draw_balancer(&self, random: &mut RandomStream) -> usize {
         draw_weighted(&self.traffic.balancer_weights, random)
     }
 
-    fn draw_balancer_in_zone(&self, zone: usize, random: &mut Stream) -> usize {
+    fn draw_balancer_in_zone(&self, zone: usize, random: &mut RandomStream) -> usize {
         let balancers = self.traffic.balancer_weights.iter().zip(&self.routing.zones);
         let weights: Vec<f64> =
             balancers.map(|(weight, of)| if *of == zone { *weight } else { 0.0 }).collect();
@@ -139,7 +140,7 @@
     }
 
     /// The balancer that a call is routed to: the one drawn, or another of its zone if that one is known to be gone.
-    fn route(&self, drawn: usize, random: &mut Stream) -> usize {
+    fn route(&self, drawn: usize, random: &mut RandomStream) -> usize {
         let zone = self.routing.zones[drawn];
         let is_routable = |number: usize| match *self.routing.states[number].borrow() {
             RoutingState::Included => true,
@@ -159,11 +160,11 @@
         } else {
             others
         };
-        others.get(random.below(others.len())).copied().unwrap_or(drawn)
+        others.get(random.sample_below(others.len())).copied().unwrap_or(drawn)
     }
 
     async fn make_call(self: Arc<Clients>, call: u64, rule_set: usize, drawn: usize, intended_at: Nanos) {
-        let mut random = Stream::new(self.seed, &format!("call {call}"));
+        let mut random = RandomStream::new(self.seed, &format!("call {call}"));
         let zone = self.routing.zones[drawn];
         for attempt in 0..=self.traffic.max_retries.min(200) {
             let (id, is_retry) = ((call << 8) | u64::from(attempt), attempt > 0);
@@ -297,8 +298,8 @@
     }
 }
 
-fn draw_weighted(weights: &[f64], random: &mut Stream) -> usize {
-    let mut remaining = random.part() * weights.iter().sum::<f64>();
+fn draw_weighted(weights: &[f64], random: &mut RandomStream) -> usize {
+    let mut remaining = random.sample_fraction() * weights.iter().sum::<f64>();
     let found = weights.iter().position(|weight| {
         remaining -= weight;
         remaining < 0.0
--- a/drill/src/discovery.rs
+++ b/drill/src/discovery.rs
@@ -9,7 +9,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use ochreshed_emulator::chance::{Span, Stream};
+use ochreshed_emulator::random::{DurationDistribution, RandomStream};
 use tokio::io::AsyncWriteExt;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
@@ -59,7 +59,7 @@
 #[derive(Clone, Debug)]
 pub struct DiscoverySettings {
     /// Delay before a change becomes visible, drawn for each balancer.
-    pub propagation_delay: Span,
+    pub propagation_delay: DurationDistribution,
     pub calls_per_s: f64,
     /// How long a call may be queued.
     pub call_timeout: Duration,
@@ -80,7 +80,7 @@
     list: Vec<ListEntry>,
     /// All past lists, for processes that start with an old one.
     history: Vec<EndpointList>,
-    random: Stream,
+    random: RandomStream,
     /// When the queue of calls is empty.
     queue_free_at: Instant,
 }
@@ -98,7 +98,7 @@
             version: 1,
             history: vec![first.list.clone()],
             list,
-            random: Stream::new(seed, "discovery"),
+            random: RandomStream::new(seed, "discovery"),
             queue_free_at: Instant::now(),
         };
         Discovery {
@@ -138,7 +138,7 @@
         let list = Arc::new(state.list.clone());
         state.history.push(list.clone());
         let delays: Vec<u64> =
-            self.visible.iter().map(|_| self.settings.propagation_delay.draw(&mut state.random)).collect();
+            self.visible.iter().map(|_| self.settings.propagation_delay.sample(&mut state.random)).collect();
         let version = ListVersion { number: state.version, list };
         drop(state);
         for (visible, delay) in self.visible.iter().zip(delays) {
--- a/drill/src/drill_file.rs
+++ b/drill/src/drill_file.rs
@@ -4,8 +4,10 @@
 
 use std::collections::BTreeMap;
 
-use ochreshed_emulator::fleet::Fleet;
-use ochreshed_emulator::scenario::{Clients, Discovery, Network, RuleSet, Scenario, Tier, Trouble, span};
+use ochreshed_emulator::gossip_network::GossipConfig;
+use ochreshed_emulator::scenario::{
+    Clients, Discovery, Network, RuleSet, Scenario, ScenarioFault, Tier, deserialize_duration,
+};
 use ochreshed_emulator::{MS, Nanos, S};
 use serde::Deserialize;
 use serde::de::{Deserializer, Error as _};
@@ -19,17 +21,18 @@
     #[serde(default, rename = "about")]
     pub description: String,
     /// How long requests arrive, counted from when all processes are ready.
-    #[serde(rename = "lasts", deserialize_with = "span")]
+    #[serde(rename = "lasts", deserialize_with = "deserialize_duration")]
     pub duration: Nanos,
     pub clients: Clients,
     pub network: Network,
     /// Propagation of endpoint list changes.
-    pub list: Discovery,
+    #[serde(rename = "list")]
+    pub discovery: Discovery,
     pub rule_sets: Vec<RuleSet>,
     pub tiers: Vec<Tier>,
     /// Faults that the emulator supports as well.
-    #[serde(default)]
-    pub troubles: Vec<Trouble>,
+    #[serde(default, rename = "troubles")]
+    pub scenario_faults: Vec<ScenarioFault>,
     #[serde(default)]
     pub live: LiveSettings,
     #[serde(default)]
@@ -45,7 +48,7 @@
     /// Zones of each region; by default a single region holds all zones.
     pub regions: BTreeMap<String, Vec<String>>,
     /// How long clients are still routed to a balancer that has died.
-    #[serde(rename = "notice", deserialize_with = "span")]
+    #[serde(rename = "notice", deserialize_with = "deserialize_duration")]
     pub failure_detection_delay: Nanos,
     /// Ratio of the request rates of the busiest and the least busy balancer.
     #[serde(rename = "skew")]
@@ -54,7 +57,7 @@
     #[serde(rename = "calls_per_s")]
     pub discovery_calls_per_s: f64,
     /// How long a call to discovery may be queued.
-    #[serde(rename = "call_timeout", deserialize_with = "span")]
+    #[serde(rename = "call_timeout", deserialize_with = "deserialize_duration")]
     pub discovery_call_timeout: Nanos,
     /// Balancers exchange state by gossip (`serve --fleet`).
     #[serde(rename = "fleet")]
@@ -69,12 +72,12 @@
     /// Socket limit in the parameters file.
     pub sockets: u64,
     /// Time after a drain notice within which requests may still be dispatched to the server.
-    #[serde(deserialize_with = "span")]
+    #[serde(deserialize_with = "deserialize_duration")]
     pub drain_grace: Nanos,
     /// How many times its capacity a server in slow start may be sent within `slow_start_window`.
     #[serde(rename = "cold_multiple")]
     pub slow_start_load_factor: f64,
-    #[serde(rename = "cold_span", deserialize_with = "span")]
+    #[serde(rename = "cold_span", deserialize_with = "deserialize_duration")]
     pub slow_start_window: Nanos,
 }
 
@@ -102,9 +105,9 @@
 /// A scheduled fault. A `duration` of 0 means that it does not end by itself.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Fault {
-    #[serde(rename = "at", deserialize_with = "span")]
+    #[serde(rename = "at", deserialize_with = "deserialize_duration")]
     pub starts_at: Nanos,
-    #[serde(default, rename = "lasts", deserialize_with = "span")]
+    #[serde(default, rename = "lasts", deserialize_with = "deserialize_duration")]
     pub duration: Nanos,
     #[serde(flatten)]
     pub kind: FaultKind,
@@ -119,7 +122,7 @@
         targets: PartySelector,
         #[serde(default)]
         signal: KillSignal,
-        #[serde(default, rename = "back", deserialize_with = "optional_span")]
+        #[serde(default, rename = "back", deserialize_with = "deserialize_optional_duration")]
         restart_after: Option<Nanos>,
         #[serde(default, rename = "list")]
         initial_list: InitialList,
@@ -142,7 +145,7 @@
     CrashLoop {
         #[serde(rename = "who")]
         targets: PartySelector,
-        #[serde(rename = "every", deserialize_with = "span")]
+        #[serde(rename = "every", deserialize_with = "deserialize_duration")]
         interval: Nanos,
         #[serde(default, rename = "list")]
         initial_list: InitialList,
@@ -160,7 +163,7 @@
         targets: PartySelector,
         #[serde(rename = "part")]
         run_ratio: f64,
-        #[serde(default = "default_duty_period", deserialize_with = "span")]
+        #[serde(default = "default_duty_period", deserialize_with = "deserialize_duration")]
         period: Nanos,
     },
     /// Applies to every link between the two groups of parties, in both directions by default.
@@ -178,10 +181,10 @@
         #[serde(default, rename = "per_s")]
         bytes_per_s: f64,
         /// For `delay`.
-        #[serde(default, rename = "more", deserialize_with = "span")]
+        #[serde(default, rename = "more", deserialize_with = "deserialize_duration")]
         extra_delay: Nanos,
         /// For `delay`: upper bound of a further, random delay.
-        #[serde(default, deserialize_with = "span")]
+        #[serde(default, deserialize_with = "deserialize_duration")]
         jitter: Nanos,
         /// For `lossy`: share of packets lost; UDP datagrams are also duplicated and reordered.
         #[serde(default, rename = "part")]
@@ -211,7 +214,7 @@
         #[serde(rename = "how")]
         fault: DiscoveryFaultKind,
         /// For `slow`.
-        #[serde(default, rename = "by", deserialize_with = "span")]
+        #[serde(default, rename = "by", deserialize_with = "deserialize_duration")]
         extra_delay: Nanos,
     },
     /// Multiplies the arrival rate.
@@ -307,8 +310,8 @@
     100 * MS
 }
 
-fn optional_span<'de, D: Deserializer<'de>>(from: D) -> Result<Option<Nanos>, D::Error> {
-    span(from).map(Some)
+fn deserialize_optional_duration<'de, D: Deserializer<'de>>(from: D) -> Result<Option<Nanos>, D::Error> {
+    deserialize_duration(from).map(Some)
 }
 
 impl<'de> Deserialize<'de> for PartySelector {
@@ -322,7 +325,7 @@
     /// Parses and validates a drill file; the error names each place and cause.
     pub fn parse(text: &str) -> Result<Drill, String> {
         let drill: Drill = toml::from_str(text).map_err(|e| suggest_name(&e.to_string()))?;
-        let mut errors = drill.to_scenario().errors();
+        let mut errors = drill.to_scenario().validation_errors();
         errors.extend(drill.validation_errors());
         if errors.is_empty() { Ok(drill) } else { Err(errors.join("\n")) }
     }
@@ -337,14 +340,14 @@
     }
 
     pub fn parties(&self) -> Parties {
-        let (sites, named) = (self.tier().sites, &self.live.zones);
+        let (sites, named) = (self.tier().site_count, &self.live.zones);
         let default_name = |index: usize| char::from(b'a' + (index % 26) as u8).to_string();
         let zones: Vec<String> = (0..sites)
             .map(|index| named.get(index).cloned().unwrap_or_else(|| default_name(index)))
             .collect();
         Parties {
             balancers: self.balancer_count(),
-            servers: self.tier().srvs,
+            servers: self.tier().server_count,
             zones,
             regions: self.live.regions.clone(),
         }
@@ -368,9 +371,12 @@
 
     /// The sections that drills share with emulator scenarios.
     fn to_scenario(&self) -> Scenario {
-        let Drill { duration: lasts, clients, network, list, rule_sets, tiers, troubles, .. } = self.clone();
-        let fleet = self.live.gossip.then(|| Fleet { delay: network.between.clone(), loss: 0.0 });
-        Scenario { lasts, clients, network, list, fleet, rule_sets, tiers, troubles }
+        let Drill {
+            duration, clients, network, discovery, rule_sets, tiers, scenario_faults: faults, ..
+        } = self.clone();
+        let gossip =
+            self.live.gossip.then(|| GossipConfig { delay: network.between_sites.clone(), loss: 0.0 });
+        Scenario { duration, clients, network, discovery, gossip, rule_sets, tiers, faults }
     }
 
     fn validation_errors(&self) -> Vec<String> {
@@ -386,8 +392,8 @@
         require(self.tiers.len() == 1, "tiers: a drill has exactly one; only the emulator takes more".into());
         require(self.duration <= 600 * S, "lasts: at most 10 minutes".into());
         require(self.balancer_count() <= 100, "clients.instances: at most 100 processes".into());
-        require(self.tier().srvs <= 200, "tiers.0.srvs: at most 200".into());
-        require(self.clients.per_s <= 10_000.0, "clients.per_s: at most 10,000".into());
+        require(self.tier().server_count <= 200, "tiers.0.srvs: at most 200".into());
+        require(self.clients.requests_per_s <= 10_000.0, "clients.per_s: at most 10,000".into());
         let live = &self.live;
         require((1.0..=100.0).contains(&live.load_skew), "live.skew: must be from 1 to 100".into());
         require(live.discovery_calls_per_s > 0.0, "live.calls_per_s: must be over 0".into());
@@ -395,7 +401,10 @@
             live.slow_start_load_factor > 0.0 && live.slow_start_window > 0,
             "live.cold_multiple, live.cold_span: must be over 0".into(),
         );
-        require(live.zones.len() <= self.tier().sites, "live.zones: more zones than tiers.0.sites".into());
+        require(
+            live.zones.len() <= self.tier().site_count,
+            "live.zones: more zones than tiers.0.sites".into(),
+        );
         let parties = self.parties();
         for zone in live.regions.values().flatten() {
             require(parties.zones.contains(zone), format!("live.regions: there is no zone {zone}"));
--- a/drill/src/link.rs
+++ b/drill/src/link.rs
@@ -13,7 +13,7 @@
 use std::time::Duration;
 
 use ochreshed_emulator::Nanos;
-use ochreshed_emulator::chance::{Span, Stream};
+use ochreshed_emulator::random::{DurationDistribution, RandomStream};
 use socket2::{Domain, SockRef, Socket, Type};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
@@ -80,16 +80,21 @@
 
     /// Draws a packet's delay, and whether it was lost at least once. For TCP the delay includes retransmissions; a lost
     /// datagram is not retransmitted.
-    fn draw_delay(&self, direction: Direction, base: &Span, random: &mut Stream) -> (Duration, bool) {
-        let (mut delay, mut lost) = (base.draw(random), false);
+    fn draw_delay(
+        &self,
+        direction: Direction,
+        base: &DurationDistribution,
+        random: &mut RandomStream,
+    ) -> (Duration, bool) {
+        let (mut delay, mut lost) = (base.sample(random), false);
         for (_, effect) in self.faults(direction) {
             match effect {
                 LinkEffect::Delay { extra, jitter } => {
-                    delay += extra + (random.part() * *jitter as f64) as Nanos
+                    delay += extra + (random.sample_fraction() * *jitter as f64) as Nanos
                 }
                 LinkEffect::Lossy(loss_ratio) => {
                     let mut timeout = MIN_RETRANSMISSION_TIMEOUT;
-                    while timeout < MIN_RETRANSMISSION_TIMEOUT * 32 && random.happens(*loss_ratio) {
+                    while timeout < MIN_RETRANSMISSION_TIMEOUT * 32 && random.sample_bool(*loss_ratio) {
                         lost = true;
                         delay += timeout.as_nanos() as Nanos;
                         timeout *= 2;
@@ -122,7 +127,7 @@
 #[derive(Clone)]
 pub struct Link {
     state: watch::Sender<LinkState>,
-    base_delay: Span,
+    base_delay: DurationDistribution,
     seed: u64,
     /// Counts connections and datagram flows, each of which has its own random stream.
     streams: Arc<AtomicU64>,
@@ -132,7 +137,7 @@
 
 impl Link {
     /// `base_delay` is the delay of packets in each direction; random draws derive from the seed.
-    pub fn new(base_delay: Span, seed: u64) -> Link {
+    pub fn new(base_delay: DurationDistribution, seed: u64) -> Link {
         Link {
             state: watch::Sender::default(),
             base_delay,
@@ -165,9 +170,9 @@
         self.datagram_bytes.load(Ordering::Relaxed)
     }
 
-    fn random_stream(&self, label: &str) -> Stream {
+    fn random_stream(&self, label: &str) -> RandomStream {
         let number = self.streams.fetch_add(1, Ordering::Relaxed);
-        Stream::new(self.seed, &format!("{label} {number}"))
+        RandomStream::new(self.seed, &format!("{label} {number}"))
     }
 }
 
@@ -592,7 +597,7 @@
 fn relay_datagram(
     link: &Link,
     direction: Direction,
-    random: &mut Stream,
+    random: &mut RandomStream,
     in_flight_permits: &Arc<tokio::sync::Semaphore>,
     bytes: Vec<u8>,
     send: impl Fn(Vec<u8>) + Send + Sync + 'static,
@@ -607,7 +612,7 @@
         LinkEffect::Lossy(loss_ratio) => Some(*loss_ratio),
         _ => None,
     });
-    let duplicated = loss_ratio.is_some_and(|loss_ratio| random.happens(loss_ratio / 2.0));
+    let duplicated = loss_ratio.is_some_and(|loss_ratio| random.sample_bool(loss_ratio / 2.0));
     for _ in 0..1 + usize::from(duplicated) {
         let (delay, lost) = state.draw_delay(direction, &link.base_delay, random);
         let Ok(permit) = in_flight_permits.clone().try_acquire_owned() else { continue };
--- a/drill/src/main.rs
+++ b/drill/src/main.rs
@@ -11,8 +11,8 @@
 use ochreshed_drill::metrics::Metrics;
 use ochreshed_drill::runner::RunOptions;
 use ochreshed_drill::{DrillResult, audit, run, sibling_binary};
-use ochreshed_emulator::chooser::Policy;
-use ochreshed_emulator::world;
+use ochreshed_emulator::routing::RoutingPolicy;
+use ochreshed_emulator::simulation;
 
 const HELP: &str = "\
 ochreshed-drill, many balancer processes on loopback with injected faults
@@ -149,7 +149,7 @@
     let mut text = read_file(Path::new(file))?;
     for change in overrides {
         let (path, value) = change.split_once('=').ok_or(format!("--set {change}: must be PATH=VALUE"))?;
-        text = ochreshed_emulator::scenario::Scenario::with(&text, path, value)?;
+        text = ochreshed_emulator::scenario::Scenario::with_override(&text, path, value)?;
     }
     Drill::parse(&text).map_err(|error| format!("{file}:\n{error}"))
 }
@@ -198,10 +198,10 @@
 
 fn check_drill(file: &str, drill: &Drill) -> Result<ExitCode, String> {
     let (balancers, servers, faults) =
-        (drill.balancer_count(), drill.tier().srvs, drill.faults.len() + drill.troubles.len());
+        (drill.balancer_count(), drill.tier().server_count, drill.faults.len() + drill.scenario_faults.len());
     println!(
         "{file}: {balancers} balancer processes and {servers} servers in {} zones, {faults} faults",
-        drill.tier().sites
+        drill.tier().site_count
     );
     match drill.scenario() {
         Ok(_) => println!("the emulator can run it as well"),
@@ -357,8 +357,8 @@
         format!("{file}: the emulator does not support\n{}", unsupported.join("\n"))
     })?;
     for seed in seeds {
-        let day = world::play(&scenario, Policy::Module, *seed);
-        let (asked, in_time) = (day.asked, day.in_time);
+        let report = simulation::simulate(&scenario, RoutingPolicy::Module, *seed);
+        let (asked, in_time) = (report.asked, report.in_time);
         let service = in_time as f64 / asked.max(1) as f64;
         println!("simulated, seed {seed}: {asked} asked, {in_time} in time, service {service:.3}");
     }
--- a/drill/src/party.rs
+++ b/drill/src/party.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use ochreshed_emulator::chance::Stream;
+use ochreshed_emulator::random::RandomStream;
 
 /// One end of a link. Clients are grouped by zone, as connections are routed by zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -166,7 +166,7 @@
     }
 
     /// The parties that the selector names, in order and without duplicates.
-    pub fn select(&self, selector: &PartySelector, random: &mut Stream) -> Vec<Party> {
+    pub fn select(&self, selector: &PartySelector, random: &mut RandomStream) -> Vec<Party> {
         let mut selected: Vec<Party> = Vec::new();
         for SelectorTerm { kind, filter } in &selector.0 {
             let balancers = (0..self.balancers).map(Party::Balancer);
@@ -196,7 +196,7 @@
                     // Drawn without replacement; the count is rounded to the nearest.
                     let count = (matching.len() * numerator + denominator / 2) / denominator;
                     for index in 0..count {
-                        let other = index + random.below(matching.len() - index);
+                        let other = index + random.sample_below(matching.len() - index);
                         matching.swap(index, other);
                     }
                     matching.truncate(count);
@@ -226,7 +226,7 @@
         let select = |text: &str, seed| {
             let selector = PartySelector::parse(text).expect(text);
             parties.check(&selector).expect(text);
-            parties.select(&selector, &mut Stream::new(seed, "script"))
+            parties.select(&selector, &mut RandomStream::new(seed, "script"))
         };
         use Party::*;
         assert_eq!(select("balancers:0-1, srvs:8, balancers:1", 1), [Balancer(0), Balancer(1), Server(8)]);
--- a/drill/src/runner.rs
+++ b/drill/src/runner.rs
@@ -14,8 +14,8 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use nix::sys::signal::Signal;
-use ochreshed_emulator::chance::Stream;
-use ochreshed_emulator::scenario::{Effect, What as Trouble};
+use ochreshed_emulator::random::RandomStream;
+use ochreshed_emulator::scenario::{Effect, FaultKind as ScenarioFaultKind};
 use ochreshed_emulator::{MS, Nanos, S};
 use serde_json::{Value as Json, json};
 use tokio::sync::watch;
@@ -230,7 +230,7 @@
     /// By active fault: its factor on the arrival rate.
     load_factors: HashMap<usize, f64>,
     load: watch::Sender<f64>,
-    random: Stream,
+    random: RandomStream,
 }
 
 impl<'a> Runner<'a> {
@@ -252,14 +252,14 @@
             started_ms: 0,
         });
         let settings = DiscoverySettings {
-            propagation_delay: drill.list.delay.clone(),
+            propagation_delay: drill.discovery.delay.clone(),
             calls_per_s: drill.live.discovery_calls_per_s,
             call_timeout: Duration::from_nanos(drill.live.discovery_call_timeout),
         };
         let discovery = Discovery::new(parties.balancers, list.collect(), settings, seed, log.clone());
         let balancers = (0..parties.balancers).map(|number| BalancerProcess::new(number, folder));
         let balancers: BalancerProcesses = Arc::new(balancers.collect::<Result<_, _>>()?);
-        let mut random = Stream::new(seed, "script");
+        let mut random = RandomStream::new(seed, "script");
         let other_build = drill.live.other_build.as_ref().filter(|_| options.other_binary.is_some());
         let other_build = other_build.map(|targets| parties.select(targets, &mut random)).unwrap_or_default();
         let number = |party| match party {
@@ -308,7 +308,7 @@
     fn create_link(&mut self, from: Party, to: Party) -> Link {
         let (a, b) = (self.parties.zone_of(from), self.parties.zone_of(to));
         let network = &self.drill.network;
-        let base_delay = if a == b { &network.within } else { &network.between };
+        let base_delay = if a == b { &network.within_site } else { &network.between_sites };
         let seed = self.options.seed.wrapping_mul(1_000_003).wrapping_add(self.links.len() as u64);
         let link = Link::new(base_delay.clone(), seed);
         self.links.insert((from, to), link.clone());
@@ -421,7 +421,7 @@
             self.options.seed,
         );
         let mut traffic = tokio::spawn(clients.run(started_at, ended_at, self.load.subscribe()));
-        for index in 0..self.drill.faults.len() + self.drill.troubles.len() {
+        for index in 0..self.drill.faults.len() + self.drill.scenario_faults.len() {
             let (starts_at, duration) = self.fault_times(index);
             self.schedule(started_at + starts_at, Action::BeginFault(index));
             if duration > 0 {
@@ -474,17 +474,18 @@
     }
 
     fn traffic_settings(&self) -> TrafficSettings {
-        let mut random = Stream::new(self.options.seed, "weights");
+        let mut random = RandomStream::new(self.options.seed, "weights");
         let skew = self.drill.live.load_skew;
         // Log-uniform from 1 to the skew.
-        let balancer_weights = (0..self.parties.balancers).map(|_| skew.powf(random.part())).collect();
+        let balancer_weights =
+            (0..self.parties.balancers).map(|_| skew.powf(random.sample_fraction())).collect();
         let clients = &self.drill.clients;
         TrafficSettings {
             rule_sets: self.drill.rule_sets.clone(),
-            calls_per_s: clients.per_s,
+            calls_per_s: clients.requests_per_s,
             balancer_weights,
-            max_retries: clients.tries_again,
-            retry_pause: Duration::from_nanos(clients.pause),
+            max_retries: clients.max_retries,
+            retry_pause: Duration::from_nanos(clients.retry_delay),
             failure_detection_delay: Duration::from_nanos(self.drill.live.failure_detection_delay),
         }
     }
@@ -500,13 +501,13 @@
         self.schedule.push(Reverse(ScheduledAction { due, sequence: self.next_sequence, action }));
     }
 
-    /// Start and duration of a fault. Indices count the drill's faults first, then its troubles.
+    /// Start and duration of a fault. Indices count the drill's faults first, then its scenario faults.
     fn fault_times(&self, index: usize) -> (Nanos, Nanos) {
         match self.drill.faults.get(index) {
             Some(fault) => (fault.starts_at, fault.duration),
             None => {
-                let trouble = &self.drill.troubles[index - self.drill.faults.len()];
-                (trouble.at, trouble.lasts)
+                let fault = &self.drill.scenario_faults[index - self.drill.faults.len()];
+                (fault.starts_at, fault.duration)
             }
         }
     }
@@ -516,11 +517,11 @@
         match action {
             Action::BeginFault(index) => match self.drill.faults.get(index) {
                 Some(fault) => self.begin_fault(now, index, &fault.kind.clone(), fault.duration).await,
-                None => self.apply_trouble(now, index, true).await,
+                None => self.apply_scenario_fault(now, index, true).await,
             },
             Action::EndFault(index) => match self.drill.faults.get(index) {
                 Some(fault) => self.end_fault(index, &fault.kind.clone()).await,
-                None => self.apply_trouble(now, index, false).await,
+                None => self.apply_scenario_fault(now, index, false).await,
             },
             Action::KillBalancer { balancer, signal, restart } => {
                 self.kill_balancer(now, balancer, signal, restart)
@@ -620,7 +621,7 @@
                 let duty_cycle =
                     Some(DutyCycle { run_time, suspend_time: period - run_time, until: now + duration });
                 for balancer in numbers(self.draw_targets(index, targets)) {
-                    let phase = (self.random.part() * *period as f64) as Nanos;
+                    let phase = (self.random.sample_fraction() * *period as f64) as Nanos;
                     self.schedule(now + phase, Action::SuspendBalancer { balancer, duty_cycle });
                 }
             }
@@ -717,49 +718,49 @@
     }
 
     /// Begins or ends a fault of the emulator's kinds, as its equivalent on processes and sockets.
-    async fn apply_trouble(&mut self, now: Nanos, index: usize, begins: bool) {
-        let trouble = self.drill.troubles[index - self.drill.faults.len()].clone();
-        let name = serde_json::to_value(trouble.what).ok().and_then(|name| name.as_str().map(str::to_owned));
+    async fn apply_scenario_fault(&mut self, now: Nanos, index: usize, begins: bool) {
+        let fault = self.drill.scenario_faults[index - self.drill.faults.len()].clone();
+        let name = serde_json::to_value(fault.kind).ok().and_then(|name| name.as_str().map(str::to_owned));
         self.record_fault(index, begins, &name.unwrap_or_default());
-        let count = trouble.srvs.min(self.servers.len());
-        match trouble.what {
-            Trouble::SiteLost if begins => {
-                let in_site = |party: &Party| self.parties.zone_of(*party) == Some(trouble.site);
+        let count = fault.target_count.min(self.servers.len());
+        match fault.kind {
+            ScenarioFaultKind::SiteLost if begins => {
+                let in_site = |party: &Party| self.parties.zone_of(*party) == Some(fault.site);
                 let from = (0..self.parties.balancers).map(Party::Balancer).filter(|party| !in_site(party));
                 let to = (0..self.parties.servers).map(Party::Server).filter(in_site);
                 let (from, to) = (from.collect(), to.collect());
                 self.begin_link_fault(index, &from, &to, LinkDirections::Both, LinkEffect::Cut);
             }
-            Trouble::SiteLost => self.end_link_fault(index),
-            Trouble::FastErrors => {
+            ScenarioFaultKind::SiteLost => self.end_link_fault(index),
+            ScenarioFaultKind::FastErrors => {
                 self.servers[..count].iter().for_each(|server| server.set_failing_at_once(begins))
             }
-            Trouble::Pause if begins => {
+            ScenarioFaultKind::Pause if begins => {
                 for server in 0..count {
-                    self.servers[server].pause(now + trouble.lasts);
-                    self.schedule(now + trouble.lasts, Action::ResumeServer(server));
+                    self.servers[server].pause(now + fault.duration);
+                    self.schedule(now + fault.duration, Action::ResumeServer(server));
                 }
             }
-            Trouble::FleetCut if begins => {
-                let cut = trouble.srvs.min(self.parties.balancers);
+            ScenarioFaultKind::FleetCut if begins => {
+                let cut = fault.target_count.min(self.parties.balancers);
                 let balancers = |range: std::ops::Range<usize>| range.map(Party::Balancer).collect();
                 let (from, to) = (balancers(0..cut), balancers(cut..self.parties.balancers));
                 self.begin_link_fault(index, &from, &to, LinkDirections::Both, LinkEffect::Cut);
             }
-            Trouble::FleetCut => self.end_link_fault(index),
-            Trouble::Drain => (0..count).for_each(|server| self.set_draining(server, begins, None)),
-            Trouble::Slow => {
-                let factor = if begins { trouble.times } else { 1.0 };
+            ScenarioFaultKind::FleetCut => self.end_link_fault(index),
+            ScenarioFaultKind::Drain => (0..count).for_each(|server| self.set_draining(server, begins, None)),
+            ScenarioFaultKind::Slow => {
+                let factor = if begins { fault.factor } else { 1.0 };
                 self.servers.iter().for_each(|server| server.set_work_factor(factor));
             }
-            Trouble::Resets => {
-                let ratio = if begins { trouble.part } else { 0.0 };
+            ScenarioFaultKind::Resets => {
+                let ratio = if begins { fault.fraction } else { 0.0 };
                 self.servers.iter().for_each(|server| server.set_reset_ratio(ratio));
             }
-            Trouble::Burst => self.set_load_factor(index, begins.then_some(trouble.times)),
-            Trouble::ListDown if begins => self.discovery.update_faults(|faults| faults.stale += 1),
-            Trouble::ListDown => self.discovery.update_faults(|faults| faults.stale -= 1),
-            Trouble::Crash if begins => {
+            ScenarioFaultKind::Burst => self.set_load_factor(index, begins.then_some(fault.factor)),
+            ScenarioFaultKind::ListDown if begins => self.discovery.update_faults(|faults| faults.stale += 1),
+            ScenarioFaultKind::ListDown => self.discovery.update_faults(|faults| faults.stale -= 1),
+            ScenarioFaultKind::Crash if begins => {
                 let count = count.min(self.parties.balancers);
                 let restart = Some(Restart {
                     delay: 0,
@@ -767,20 +768,20 @@
                     stored_state: StoredState::Kept,
                 });
                 for balancer in 0..count {
-                    let at = now + trouble.lasts / count.max(1) as u64 * balancer as u64;
+                    let at = now + fault.duration / count.max(1) as u64 * balancer as u64;
                     let signal = KillSignal::Kill;
                     self.schedule(at, Action::KillBalancer { balancer, signal, restart });
                 }
             }
-            Trouble::Deploy if begins => {
-                let interval = trouble.lasts / self.servers.len() as u64;
+            ScenarioFaultKind::Deploy if begins => {
+                let interval = fault.duration / self.servers.len() as u64;
                 for server in 0..self.servers.len() {
                     let drain_at = now + interval * server as u64;
                     self.schedule(drain_at, Action::DrainServer(server));
                     self.schedule(drain_at + 4 * S, Action::ReplaceServer(server));
                 }
             }
-            Trouble::Pause | Trouble::Crash | Trouble::Deploy => {}
+            ScenarioFaultKind::Pause | ScenarioFaultKind::Crash | ScenarioFaultKind::Deploy => {}
         }
     }
 
@@ -994,7 +995,8 @@
                 settings.insert(key.clone(), value.clone());
             }
         }
-        let seed = Stream::new(self.options.seed, &format!("balancer {balancer}")).below(usize::MAX);
+        let seed =
+            RandomStream::new(self.options.seed, &format!("balancer {balancer}")).sample_below(usize::MAX);
         json!({
             "name": format!("n{balancer}"),
             "listen": self.balancers[balancer].address.to_string(),
@@ -1010,7 +1012,9 @@
     fn settings(&self, balancer: usize) -> Json {
         let ms = |duration: Nanos| duration as f64 / MS as f64;
         let (tier, live) = (self.drill.tier(), &self.drill.live);
-        let (cold_ms, cold_share) = tier.cold.map_or((0.0, 1.0), |cold| (ms(cold.lasts), cold.share));
+        let (slow_start_ms, initial_speed) = tier
+            .slow_start
+            .map_or((0.0, 1.0), |slow_start| (ms(slow_start.duration), slow_start.initial_speed));
         let rule_sets = self.drill.rule_sets.iter().map(|rule_set| {
             let effect = match rule_set.effect {
                 Effect::Replayable => "repeatable",
@@ -1018,7 +1022,7 @@
                 Effect::NonReplayable => "once",
             };
             json!({
-                "Name": rule_set.name, "Effect": effect, "DedupScope": "all", "Window": ms(rule_set.window),
+                "Name": rule_set.name, "Effect": effect, "DedupScope": "all", "Window": ms(rule_set.dedup_window),
                 "ResponseTarget": ms(rule_set.response_target), "ClientTimeout": ms(rule_set.client_timeout),
                 "Utility": rule_set.utility, "TardyUtility": 0.0,
             })
@@ -1029,7 +1033,7 @@
             "Discovery": "ask",
             "Limits": {"MaxDispatches": 4, "Cancelling": true, "ConnectTimeout": 250.0, "ConnIdle": 15_000.0,
                 "Peers": !self.gossip.is_empty(), "RetryAfter": true, "MaxRetryAfter": 2_000.0},
-            "Guarantees": {"AnswerSlack": 20.0, "AskWithin": 10_000.0, "Cold": cold_ms, "ColdShare": cold_share,
+            "Guarantees": {"AnswerSlack": 20.0, "AskWithin": 10_000.0, "Cold": slow_start_ms, "ColdShare": initial_speed,
                 "DrainGrace": ms(live.drain_grace), "Fall": ms(live.slow_start_window),
                 "FallMultiple": live.slow_start_load_factor},
             "Prices": {"CrossZone": 0.0066},
--- a/drill/src/server.rs
+++ b/drill/src/server.rs
@@ -1,4 +1,4 @@
-//! A server emulated in real time: the emulator's station behind a TCP listener, with its queue, slow start and drains. It
+//! A server emulated in real time: the emulator's service queue behind a TCP listener, with its queue, slow start and drains. It
 //! records each execution under the request's id, and executes each request once.
 
 use std::collections::HashMap;
@@ -7,9 +7,9 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use ochreshed_emulator::chance::Stream;
+use ochreshed_emulator::random::RandomStream;
 use ochreshed_emulator::scenario::Tier;
-use ochreshed_emulator::station::{Offer, Station};
+use ochreshed_emulator::service_queue::{Admission, ServiceQueue};
 use ochreshed_emulator::{MS, Nanos};
 use tokio::io::AsyncWriteExt;
 use tokio::net::{TcpListener, TcpStream};
@@ -42,8 +42,8 @@
 }
 
 struct ServerState {
-    station: Station,
-    /// The station's time, which never goes back.
+    queue: ServiceQueue,
+    /// The queue's time, which never goes back.
     clock: Nanos,
     /// By queued job: notified of the end time when the job starts.
     queued: HashMap<u64, oneshot::Sender<Nanos>>,
@@ -57,7 +57,7 @@
     work_factor: f64,
     error_ratio: f64,
     reset_ratio: f64,
-    random: Stream,
+    random: RandomStream,
     /// The listener and the connections of its process.
     tasks: Vec<AbortHandle>,
 }
@@ -73,7 +73,7 @@
     ) -> io::Result<EmulatedServer> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let state = ServerState {
-            station: Station::new(tier.build(), 0),
+            queue: ServiceQueue::new(tier.queue_config(), 0),
             clock: 0,
             queued: HashMap::new(),
             delayed_ends: HashMap::new(),
@@ -82,9 +82,9 @@
             fails_at_once: false,
             slow_start_until: 0,
             work_factor: 1.0,
-            error_ratio: tier.failing,
+            error_ratio: tier.failure_fraction,
             reset_ratio: 0.0,
-            random: Stream::new(seed, &format!("srv {number}")),
+            random: RandomStream::new(seed, &format!("srv {number}")),
             tasks: Vec::new(),
         };
         let address = listener.local_addr()?;
@@ -132,8 +132,8 @@
         let now = self.log.now();
         {
             let mut state = lock(&self.state);
-            state.station = Station::new(self.tier.build(), now);
-            state.slow_start_until = now + self.tier.cold.map_or(0, |cold| cold.lasts);
+            state.queue = ServiceQueue::new(self.tier.queue_config(), now);
+            state.slow_start_until = now + self.tier.slow_start.map_or(0, |slow_start| slow_start.duration);
         }
         self.serve(listener);
         self.alive.send_replace(true);
@@ -163,7 +163,7 @@
     pub fn pause(&self, until: Nanos) {
         let mut state = lock(&self.state);
         let now = state.advance_clock(self.log.now());
-        let delayed = state.station.pause(now, until);
+        let delayed = state.queue.pause(now, until);
         state.delayed_ends.extend(delayed);
     }
 
@@ -171,7 +171,7 @@
     pub fn resume(&self) {
         let mut state = lock(&self.state);
         let now = state.advance_clock(self.log.now());
-        let started = state.station.fill(now);
+        let started = state.queue.start_waiting_jobs(now);
         state.notify_started(started);
     }
 
@@ -197,8 +197,8 @@
         let (job, mut end) = {
             let mut state = lock(&self.state);
             let now = state.advance_clock(self.log.now());
-            let work = (self.tier.work.draw(&mut state.random) as f64 * state.work_factor) as Nanos;
-            let capacity = state.station.speed(now) * self.tier.slots as f64;
+            let work = (self.tier.work_time.sample(&mut state.random) as f64 * state.work_factor) as Nanos;
+            let capacity = state.queue.speed_at(now) * self.tier.slots as f64;
             let slow_start = now < state.slow_start_until;
             let (server, work_s) = (self.number, work as f64 / 1e9);
             self.log.record(Event::RequestReceived { id, server, work: work_s, capacity, slow_start });
@@ -211,10 +211,10 @@
             }
             state.last_job += 1;
             let job = state.last_job;
-            match state.station.offer(now, job, work) {
-                Offer::Full => return reject(),
-                Offer::Starts { ends } => (job, Ok(ends)),
-                Offer::Waits => {
+            match state.queue.submit(now, job, work) {
+                Admission::Rejected => return reject(),
+                Admission::Started { ends_at } => (job, Ok(ends_at)),
+                Admission::Queued => {
                     let (sender, receiver) = oneshot::channel();
                     state.queued.insert(job, sender);
                     (job, Err(receiver))
@@ -236,7 +236,7 @@
                     let now = state.advance_clock(self.log.now());
                     // If it has just started, it runs.
                     if state.queued.remove(&job).is_some() {
-                        let (_, started) = state.station.take_back(now, job);
+                        let (_, started) = state.queue.cancel_job(now, job);
                         state.notify_started(started);
                         return reject();
                     }
@@ -257,13 +257,13 @@
         let mut state = lock(&self.state);
         // The slot is free from the scheduled end on, so that the timer's lag costs the server no capacity.
         let now = state.advance_clock(ended_at);
-        let started = state.station.ended(now, job);
+        let started = state.queue.finish_job(now, job);
         state.notify_started(started);
         let (reset_ratio, error_ratio) = (state.reset_ratio, state.error_ratio);
-        if state.random.happens(reset_ratio) {
+        if state.random.sample_bool(reset_ratio) {
             return None;
         }
-        let failed = state.random.happens(error_ratio);
+        let failed = state.random.sample_bool(error_ratio);
         Some(if failed { encode_response(500, "", "") } else { encode_response(200, "", &format!("{id:x}")) })
     }
 }
--- a/drill/tests/fixtures.rs
+++ b/drill/tests/fixtures.rs
@@ -59,7 +59,7 @@
 
 fn report() -> Report {
     let counts = |made| CallCounts { made, in_target: 3 };
-    // Each number is another one, so that none can take another's place.
+    // All numbers differ, so that the test detects swapped fields.
     let metrics = Metrics {
         calls: 40,
         in_target: 3,
--- a/drill/tests/links.rs
+++ b/drill/tests/links.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use ochreshed_drill::link::{Direction, Link, LinkEffect, TcpRelay, UdpRelay};
-use ochreshed_emulator::chance::Span;
+use ochreshed_emulator::random::DurationDistribution;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream, UdpSocket};
 use tokio::sync::watch;
@@ -38,7 +38,7 @@
 
 async fn start_relay() -> RelaySetup {
     let alive = watch::Sender::new(true);
-    let link = Link::new(Span::Fixed { mean: 0 }, 7);
+    let link = Link::new(DurationDistribution::Fixed { mean: 0 }, 7);
     let relay = TcpRelay::start(start_echo_server().await, link, alive.subscribe(), Arc::new(|_, _| {}))
         .expect("a relay");
     RelaySetup { relay, alive }
@@ -155,7 +155,7 @@
 #[tokio::test]
 async fn datagrams_are_lost_duplicated_and_reordered() {
     let far = UdpSocket::bind("127.0.0.1:0").await.expect("a port");
-    let link = Link::new(Span::Fixed { mean: 0 }, 3);
+    let link = Link::new(DurationDistribution::Fixed { mean: 0 }, 3);
     let relay = UdpRelay::start(far.local_addr().expect("an address"), link).await.expect("a relay");
     let near = UdpSocket::bind("127.0.0.1:0").await.expect("a port");
     near.connect(relay.address).await.expect("connected");
