--- a/consensus/src/core/registers.rs
+++ b/consensus/src/core/registers.rs
@@ -4,7 +4,7 @@
 //!
 //! Invariants:
 //! - A revision is committed only if a majority of the voters acknowledged it, or a later one of the same register.
-//! - One register never waits for another.
+//! - Calls on one register never wait for another register.
 //! - Only content that was decided for its version (`register_paxos`) is stored, so no two replicas ever store
 //!   different content under one version.
 
--- a/storage/tests/store/damaged_files.rs
+++ b/storage/tests/store/damaged_files.rs
@@ -8,8 +8,8 @@
 use crate::simulated_disk::SimulatedDisk;
 use crate::workload::{KEYS, Workload};
 
-/// Nothing that a disk returns makes the store panic or recover what was never written. Only state of the damaged
-/// file's kind is affected.
+/// Guards against damaged bytes that make the store panic or recover state that was never written, and against damage
+/// that affects state of another kind than the file's.
 #[test]
 fn a_flipped_bit_affects_only_its_kind_of_state() {
     let disk = SimulatedDisk::reliable();
@@ -48,7 +48,7 @@
     }
 }
 
-/// Both ballots are lost, as with the disk; only the leases remain.
+/// If both slots are damaged, the ballots are lost as if the disk was lost, but the leases remain.
 #[test]
 fn damaged_ballot_slots_are_quarantined() {
     let disk = SimulatedDisk::reliable();
