--- a/balancer/src/mesh/control/admin_api/member_calls.rs
+++ b/balancer/src/mesh/control/admin_api/member_calls.rs
@@ -245,7 +245,7 @@
 async fn editions_by_node(server: &ReplicaServer, member: &Name) -> BTreeMap<SocketAddr, MemberEdition> {
     let requests = server.peers().into_iter().map(|peer| async move {
         let request = InternalRequest::AppliedEditions(member.clone());
-        server.callers.to(peer).call(request, COLLECT_TIMEOUT).await
+        server.callers.client_for(peer).call(request, COLLECT_TIMEOUT).await
     });
     let mut nodes = BTreeMap::new();
     for response in join_all(requests).await {
--- a/balancer/src/mesh/control/budget_reports.rs
+++ b/balancer/src/mesh/control/budget_reports.rs
@@ -70,7 +70,7 @@
 async fn request_reports(callers: &RpcClients, peer: SocketAddr) -> Option<WatchResponse> {
     let watch = watch_server::replica_watch_request(TablePosition::default());
     let request = WatchRequest { max_wait_ms: 0, reports_only: true, ..watch };
-    match callers.to(peer).call(InternalRequest::Watch(request), COLLECT_TIMEOUT).await {
+    match callers.client_for(peer).call(InternalRequest::Watch(request), COLLECT_TIMEOUT).await {
         Ok(InternalResponse::Watch(response)) => Some(*response),
         _ => None,
     }
--- a/balancer/src/mesh/control/peer_watch.rs
+++ b/balancer/src/mesh/control/peer_watch.rs
@@ -66,7 +66,7 @@
     position: TablePosition,
 ) -> Option<Box<WatchResponse>> {
     let request = InternalRequest::Watch(watch_server::replica_watch_request(position));
-    match server.callers.to(peer).call(request, WATCH_TIMEOUT).await {
+    match server.callers.client_for(peer).call(request, WATCH_TIMEOUT).await {
         Ok(InternalResponse::Watch(response)) => Some(response),
         _ => None,
     }
--- a/balancer/src/mesh/control/replica.rs
+++ b/balancer/src/mesh/control/replica.rs
@@ -145,7 +145,7 @@
             match effect {
                 Effect::Persist(record) => batch.records.push(record),
                 Effect::SendAfterPersist(to, message) => batch.messages.push((to, message)),
-                Effect::SendNow(to, message) => self.server.callers.to(to).post(message),
+                Effect::SendNow(to, message) => self.server.callers.client_for(to).send_message(message),
                 Effect::Respond { call, response } => self.respond(call, response),
                 Effect::Log(line) => log::info!("core: {line}"),
             }
@@ -182,7 +182,7 @@
             if to == self.server.address {
                 self.core.handle_message(now, message, effects);
             } else {
-                self.server.callers.to(to).post(message);
+                self.server.callers.client_for(to).send_message(message);
             }
         }
     }
--- a/balancer/src/mesh/control/startup.rs
+++ b/balancer/src/mesh/control/startup.rs
@@ -174,7 +174,7 @@
 
 fn spawn_tasks(server: &Arc<ReplicaServer>, internal_listener: TcpListener, settings_path: PathBuf) {
     let internal_server = server.clone();
-    tokio::spawn(rpc::answer(internal_listener, move |request| internal_server.clone().handle(request)));
+    tokio::spawn(rpc::serve(internal_listener, move |request| internal_server.clone().handle(request)));
     tokio::spawn(suspect_monitor::monitor_suspects(server.clone()));
     tokio::spawn(peer_watch::watch_peers(server.clone()));
     tokio::spawn(settings_reload::reload_settings(server.clone(), settings_path));
--- a/balancer/src/mesh/operator_client/settings_summary.rs
+++ b/balancer/src/mesh/operator_client/settings_summary.rs
@@ -5,8 +5,7 @@
 
 use super::formatting::{UNKNOWN, printable_name};
 use crate::mesh::settings::{
-    AttendantCapacity, FaultTolerance, OperatingBounds, ReplicaCapacity, ResourceLimits, Settings,
-    SettingsIssue,
+    FaultTolerance, OperatingBounds, ProxyCapacity, ReplicaCapacity, ResourceLimits, Settings, SettingsIssue,
 };
 
 /// A page of lines, each of them with a label in front.
@@ -29,8 +28,8 @@
     add_node(&mut page, settings);
     add_fault_tolerance(&mut page, &settings.fault_tolerance);
     add_limits(&mut page, &settings.limits);
-    match settings.check_attendant() {
-        Ok(()) => add_attendant(&mut page, settings, settings.limits.attendant_capacity()),
+    match settings.check_proxy() {
+        Ok(()) => add_attendant(&mut page, settings, settings.limits.proxy_capacity()),
         Err(missing) => page.add("attendant", format!("no: without {}", field_names(&missing))),
     }
     match settings.check_replica() {
@@ -68,7 +67,7 @@
     page.add("limits", text);
 }
 
-fn add_attendant(page: &mut SummaryPage, settings: &Settings, capacity: AttendantCapacity) {
+fn add_attendant(page: &mut SummaryPage, settings: &Settings, capacity: ProxyCapacity) {
     let upstream = format_address(settings.upstream_address);
     let service = settings.service.as_deref().map_or(UNKNOWN.to_owned(), printable_name);
     let (to_peers, to_upstream) = (capacity.peer_connections, capacity.upstream_connections);
--- a/balancer/src/mesh/proxy/control_plane_watch.rs
+++ b/balancer/src/mesh/proxy/control_plane_watch.rs
@@ -53,7 +53,7 @@
             report,
             ..watcher.request(replica, record, node.configuration_revision(), node.applied_editions())
         };
-        let client = node.rpc.to(replica);
+        let client = node.rpc.client_for(replica);
         let record_changed = node.inbound.record_changes.notified();
         let response = tokio::select! {
             response = client.call(InternalRequest::Watch(request), WATCH_TIMEOUT) => response,
@@ -121,7 +121,8 @@
         if outdated.is_empty() {
             return true;
         }
-        let response = node.rpc.to(replica).call(InternalRequest::Registers(outdated), FETCH_TIMEOUT).await;
+        let response =
+            node.rpc.client_for(replica).call(InternalRequest::Registers(outdated), FETCH_TIMEOUT).await;
         let Ok(InternalResponse::Registers(registers)) = response else { return false };
         if !node.apply_registers(&registers) {
             return false;
@@ -136,7 +137,7 @@
     for base in [applied.as_deref(), None] {
         let base_revision = base.map_or(Revision::NONE, |base| base.revision());
         let request = InternalRequest::Configuration(base_revision);
-        let response = node.rpc.to(replica).call(request, FETCH_TIMEOUT).await;
+        let response = node.rpc.client_for(replica).call(request, FETCH_TIMEOUT).await;
         let Ok(InternalResponse::Configuration(Some(update))) = response else { break };
         match update.open(base) {
             Ok(configuration) => {
--- a/balancer/src/mesh/proxy/lease_client.rs
+++ b/balancer/src/mesh/proxy/lease_client.rs
@@ -91,7 +91,7 @@
             let call = async move {
                 let request =
                     InternalRequest::Core(CoreRequest::AcquireLease { key, token, time_left_ms: left_ms });
-                (replica, clients.to(replica).call(request, timeout).await)
+                (replica, clients.client_for(replica).call(request, timeout).await)
             };
             unanswered.push(replica);
             calls.push(call);
@@ -138,7 +138,7 @@
                     outcome: outcome.clone(),
                 });
                 if let Ok(InternalResponse::Core(CoreResponse::Accepted)) =
-                    clients.to(replica).call(request, COMPLETE_TIMEOUT).await
+                    clients.client_for(replica).call(request, COMPLETE_TIMEOUT).await
                 {
                     return;
                 }
--- a/balancer/src/mesh/proxy/node.rs
+++ b/balancer/src/mesh/proxy/node.rs
@@ -720,7 +720,7 @@
 pub fn run(path: Option<PathBuf>) -> Result<ExitCode, SettingsError> {
     let path = Settings::path(path)?;
     let settings = Settings::read(&path)?;
-    settings.check_attendant().map_err(SettingsError::Invalid)?;
+    settings.check_proxy().map_err(SettingsError::Invalid)?;
     start::init_logging();
     Ok(start::block_on(serve(path, settings)))
 }
--- a/balancer/src/mesh/proxy/session_affinity.rs
+++ b/balancer/src/mesh/proxy/session_affinity.rs
@@ -339,7 +339,7 @@
             break;
         }
         let call = InternalRequest::Core(CoreRequest::Session(session, request.clone()));
-        match node.rpc.to(replica).call(call, REPLICA_TIMEOUT).await {
+        match node.rpc.client_for(replica).call(call, REPLICA_TIMEOUT).await {
             Ok(InternalResponse::Core(CoreResponse::Session(committed))) => {
                 node.replicas.response_received(replica);
                 return Some(committed);
--- a/balancer/src/mesh/proxy/tests/outbound_tests.rs
+++ b/balancer/src/mesh/proxy/tests/outbound_tests.rs
@@ -217,7 +217,7 @@
         }
         let (replica_listener, replica) = listen().await;
         let replica_environment = environment.clone();
-        tokio::spawn(rpc::answer(replica_listener, move |request| {
+        tokio::spawn(rpc::serve(replica_listener, move |request| {
             let response = replica_response(&mut lock(&replica_environment), request);
             async move { response.map(InternalResponse::Core) }
         }));
--- a/balancer/src/mesh/rpc.rs
+++ b/balancer/src/mesh/rpc.rs
@@ -1,7 +1,7 @@
 //! Calls between our own processes: frames of CBOR over TCP, many calls at once on one connection.
 //!
-//! [`RpcClient::call`] sends a request and waits for its response; [`RpcClient::post`] sends a message between replicas, which
-//! may be lost. [`answer`] is the server's side. Each frame is its length in 4 bytes (big endian) and a CBOR value with the
+//! [`RpcClient::call`] sends a request and waits for its response; [`RpcClient::send_message`] sends a message between replicas, which
+//! may be lost. [`serve`] is the server's side. Each frame is its length in 4 bytes (big endian) and a CBOR value with the
 //! number of the call; 0 is the number of messages that get no response.
 //!
 //! Main types: [`RpcClient`] (one process), [`RpcClients`] (clients by address), [`RpcError`].
@@ -87,7 +87,7 @@
 
 /// Sets the options of a connection between our own processes: no delay, keep-alive, and an early end when the other side is
 /// gone.
-pub fn tune(stream: &TcpStream) {
+pub fn set_socket_options(stream: &TcpStream) {
     let _ = stream.set_nodelay(true);
     let socket = socket2::SockRef::from(stream);
     let _ = socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT));
@@ -136,7 +136,7 @@
     }
 
     /// Sends a message between replicas, which may be lost: if the queue is full or no connection comes up, it is dropped.
-    pub fn post(self: &Arc<Self>, letter: Message) {
+    pub fn send_message(self: &Arc<Self>, letter: Message) {
         let Some(bytes) = encode(&Frame { id: 0, payload: InternalRequest::ReplicaMessage(letter) }) else {
             return;
         };
@@ -174,7 +174,7 @@
             }
         };
         *failed = None;
-        tune(&stream);
+        set_socket_options(&stream);
         let (from, to) = stream.into_split();
         let (frames, waiting) = mpsc::channel(MAX_QUEUED_FRAMES);
         let pending = Pending::default();
@@ -213,13 +213,13 @@
 
 impl RpcClients {
     /// The client for an address, made when it is first asked for.
-    pub fn to(&self, address: SocketAddr) -> Arc<RpcClient> {
+    pub fn client_for(&self, address: SocketAddr) -> Arc<RpcClient> {
         lock(&self.0).entry(address).or_insert_with(|| RpcClient::new(address)).clone()
     }
 }
 
-/// Serves calls until it is dropped. `answer` is called for each; messages with the number 0 get no response.
-pub async fn answer<F, A>(listener: TcpListener, answer: F)
+/// Serves calls until it is dropped. `handle` is called for each; messages with the number 0 get no response.
+pub async fn serve<F, A>(listener: TcpListener, handle: F)
 where
     F: Fn(InternalRequest) -> A + Clone + Send + Sync + 'static,
     A: Future<Output = Option<InternalResponse>> + Send + 'static,
@@ -230,7 +230,7 @@
             Some(_) = guests.join_next(), if !guests.is_empty() => {}
             came = listener.accept(), if guests.len() < MAX_CONNECTIONS => match came {
                 Ok((stream, _)) => {
-                    guests.spawn(guest(stream, answer.clone()));
+                    guests.spawn(serve_connection(stream, handle.clone()));
                 }
                 Err(_) => tokio::time::sleep(RECONNECT_INTERVAL).await,
             }
@@ -239,12 +239,12 @@
 }
 
 /// Serves one connection. Messages without a response are handled in their order, calls at the same time.
-async fn guest<F, A>(stream: TcpStream, answer: F)
+async fn serve_connection<F, A>(stream: TcpStream, handle: F)
 where
     F: Fn(InternalRequest) -> A + Send + Sync + 'static,
     A: Future<Output = Option<InternalResponse>> + Send + 'static,
 {
-    tune(&stream);
+    set_socket_options(&stream);
     let (from, to) = stream.into_split();
     let (frames, waiting) = mpsc::channel(MAX_QUEUED_FRAMES);
     let writer = tokio::spawn(write(to, waiting));
@@ -252,7 +252,7 @@
     // What is still being answered ends with the connection.
     let mut calls = tokio::task::JoinSet::new();
     while let Ok(Frame { id, payload: say }) = read::<Frame<InternalRequest>>(&mut from).await {
-        let (reply, frames) = (answer(say), frames.clone());
+        let (reply, frames) = (handle(say), frames.clone());
         if id == 0 {
             reply.await;
             continue;
--- a/balancer/src/mesh/settings/limits.rs
+++ b/balancer/src/mesh/settings/limits.rs
@@ -1,4 +1,4 @@
-//! What a process may use of its machine, and how it divides that: [`ResourceLimits`], [`AttendantCapacity`] and
+//! What a process may use of its machine, and how it divides that: [`ResourceLimits`], [`ProxyCapacity`] and
 //! [`ReplicaCapacity`].
 
 /// File descriptors reserved for what is neither a client's connection nor one of our own to an attendant or upstream.
@@ -51,7 +51,7 @@
 
 /// How an attendant divides its limits into connections and memory for bodies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct AttendantCapacity {
+pub struct ProxyCapacity {
     /// Clients of the outbound listener.
     pub outbound_clients: usize,
     /// Clients of the inbound listener.
@@ -81,11 +81,11 @@
 
 impl ResourceLimits {
     /// What an attendant makes of these limits.
-    pub fn attendant_capacity(&self) -> AttendantCapacity {
+    pub fn proxy_capacity(&self) -> ProxyCapacity {
         let available = self.file_descriptors.saturating_sub(RESERVED_FILE_DESCRIPTORS);
         let sockets = available.max(MIN_ATTENDANT_SOCKETS) as usize;
         let body_bytes = (self.memory_mb as f64 * BODY_MEMORY_SHARE * BYTES_PER_MB as f64) as usize;
-        AttendantCapacity {
+        ProxyCapacity {
             outbound_clients: (sockets / 3).max(MIN_LISTENER_CONNECTIONS),
             inbound_clients: (sockets / 4).max(MIN_LISTENER_CONNECTIONS),
             control_clients: (sockets / 32).max(MIN_LISTENER_CONNECTIONS),
--- a/balancer/src/mesh/settings/mod.rs
+++ b/balancer/src/mesh/settings/mod.rs
@@ -23,7 +23,7 @@
 
 pub use bounds::OperatingBounds;
 pub use error::{SettingsError, SettingsIssue};
-pub use limits::{AttendantCapacity, ReplicaCapacity, ResourceLimits};
+pub use limits::{ProxyCapacity, ReplicaCapacity, ResourceLimits};
 pub use tolerance::FaultTolerance;
 
 use reader::fields;
@@ -119,7 +119,7 @@
     }
 
     /// Reports what is missing that an attendant needs.
-    pub fn check_attendant(&self) -> Result<(), Vec<SettingsIssue>> {
+    pub fn check_proxy(&self) -> Result<(), Vec<SettingsIssue>> {
         check_present(&[
             (fields::INBOUND_LISTEN, self.inbound_listen.is_some()),
             (fields::OUTBOUND_LISTEN, self.outbound_listen.is_some()),
--- a/balancer/src/mesh/settings/tests/reader_tests.rs
+++ b/balancer/src/mesh/settings/tests/reader_tests.rs
@@ -150,7 +150,7 @@
             app: is missing
             line: is missing
         "#]]
-    .assert_eq(&lines_of(&replica.check_attendant().expect_err("a sorting machine")));
+    .assert_eq(&lines_of(&replica.check_proxy().expect_err("a sorting machine")));
 
     let attendant = Settings::parse(ATTENDANT).expect("the other example, without what may be missing");
     assert_eq!(
@@ -159,7 +159,7 @@
         "as in the examples"
     );
     assert_eq!(attendant.zone_regions, BTreeMap::from([("quito-a".into(), "sierra-norte".into())]));
-    assert_eq!(attendant.check_attendant(), Ok(()));
+    assert_eq!(attendant.check_proxy(), Ok(()));
     assert_eq!(lines_of(&attendant.check_replica().expect_err("no disk")), "data_dir: is missing\n");
 }
 
