--- a/balancer/src/mesh/rpc.rs
+++ b/balancer/src/mesh/rpc.rs
@@ -1,12 +1,13 @@
-//! Calls between our own processes: frames of CBOR over TCP, many calls at once on one connection.
+//! Remote procedure calls between the processes of the mesh: CBOR frames over TCP, with concurrent calls multiplexed on
+//! one connection.
 //!
-//! [`RpcClient::call`] sends a request and waits for its response; [`RpcClient::send_message`] sends a message between replicas, which
-//! may be lost. [`serve`] is the server's side. Each frame is its length in 4 bytes (big endian) and a CBOR value with the
-//! number of the call; 0 is the number of messages that get no response.
+//! [`RpcClient::call`] sends a request and waits for its response; [`RpcClient::send_message`] sends a one-way message
+//! between replicas, which may be lost. [`serve`] is the server side. Each frame is a 4-byte big-endian length followed
+//! by a CBOR value with the call ID; ID 0 marks messages that get no response.
 //!
 //! Main types: [`RpcClient`] (one process), [`RpcClients`] (clients by address), [`RpcError`].
 //!
-//! Invariants: a call is never sent twice; a caller never waits for a connection that has ended.
+//! Invariants: a call is never sent twice; pending calls fail as soon as their connection is closed.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -28,209 +29,235 @@
 
 use crate::connection::lock;
 
-/// How long a connection may take to come up.
+/// Timeout for establishing a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
-/// A connection ends when sent bytes stay unacknowledged for this long.
+/// A connection is closed when sent bytes stay unacknowledged for this long (`TCP_USER_TIMEOUT`).
 const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Frames that wait to be written to one connection; further ones wait, and messages without a response are dropped.
+/// Capacity of the write queue of one connection. When it is full, calls wait and one-way messages are dropped.
 const MAX_QUEUED_FRAMES: usize = 4_096;
-/// Connections that one listener serves at a time; further ones wait to be accepted.
+/// Connections that one listener serves concurrently; further ones wait in the accept backlog.
 const MAX_CONNECTIONS: usize = 2_048;
-/// Pause after a failed connection, before another is tried.
+/// Pause after a failed connection attempt or a failed accept.
 const RECONNECT_INTERVAL: Duration = Duration::from_millis(60);
+/// Queued frames that are written to a socket together.
+const MAX_FRAMES_PER_WRITE: usize = 64;
+/// Buffer capacity reserved for a frame before its bytes have arrived, so that a wrong length does not allocate much.
+const INITIAL_FRAME_CAPACITY_BYTES: usize = 64 * 1024;
+const KEEPALIVE_IDLE_TIME: Duration = Duration::from_secs(1);
+const KEEPALIVE_PROBE_INTERVAL: Duration = Duration::from_millis(1_000);
+const KEEPALIVE_PROBES: u32 = 2;
+/// Call ID of messages that get no response.
+const ONE_WAY_MESSAGE_ID: u64 = 0;
 
-/// Why a call has no response.
+/// Why a call failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RpcError {
-    /// No connection came up, or the request could not be encoded: it was not received.
+    /// No connection could be established, or the request could not be encoded: the server did not receive it.
     NotSent,
-    /// The connection ended before the response: the request may have been received.
+    /// The connection was closed before the response arrived: the server may have received the request.
     ConnectionLost,
-    /// No response came in time: the request may have been received.
+    /// No response arrived in time: the server may have received the request.
     TimedOut,
 }
 
 impl fmt::Display for RpcError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.write_str(match self {
-            RpcError::NotSent => "not sent",
-            RpcError::ConnectionLost => "the connection broke",
-            RpcError::TimedOut => "no reply in time",
+            RpcError::NotSent => "request not sent",
+            RpcError::ConnectionLost => "connection lost before the response",
+            RpcError::TimedOut => "timed out waiting for the response",
         })
     }
 }
 
-async fn read<T: DeserializeOwned>(from: &mut BufReader<OwnedReadHalf>) -> io::Result<T> {
-    let length = from.read_u32().await? as usize;
+async fn read_frame<T: DeserializeOwned>(reader: &mut BufReader<OwnedReadHalf>) -> io::Result<T> {
+    let length = reader.read_u32().await? as usize;
     if length > MAX_FRAME_BYTES {
-        return Err(io::Error::other("a frame too long"));
+        return Err(io::Error::other(format!("RPC frame too long: {length} bytes, limit {MAX_FRAME_BYTES}")));
     }
-    let mut bytes = Vec::with_capacity(length.min(64 * 1024));
-    (&mut *from).take(length as u64).read_to_end(&mut bytes).await?;
+    let mut bytes = Vec::with_capacity(length.min(INITIAL_FRAME_CAPACITY_BYTES));
+    (&mut *reader).take(length as u64).read_to_end(&mut bytes).await?;
     if bytes.len() < length {
         return Err(io::ErrorKind::UnexpectedEof.into());
     }
     ciborium::from_reader(&bytes[..]).map_err(io::Error::other)
 }
 
-/// Writes frames as they come, several at once if several wait.
-async fn write(mut to: OwnedWriteHalf, mut frames: mpsc::Receiver<Vec<u8>>) {
-    let mut many = Vec::new();
-    while frames.recv_many(&mut many, 64).await > 0 {
-        let bytes = if many.len() == 1 { many.remove(0) } else { many.concat() };
-        many.clear();
-        if to.write_all(&bytes).await.is_err() {
+/// Writes queued frames to the socket, several in one write if several are queued.
+async fn write_frames(mut writer: OwnedWriteHalf, mut frames: mpsc::Receiver<Vec<u8>>) {
+    let mut queued = Vec::new();
+    while frames.recv_many(&mut queued, MAX_FRAMES_PER_WRITE).await > 0 {
+        let bytes = if queued.len() == 1 { queued.remove(0) } else { queued.concat() };
+        queued.clear();
+        if writer.write_all(&bytes).await.is_err() {
             return;
         }
     }
 }
 
-/// Sets the options of a connection between our own processes: no delay, keep-alive, and an early end when the other side is
-/// gone.
-pub fn set_socket_options(stream: &TcpStream) {
+/// Sets the socket options of a connection between mesh processes: no delay, keep-alive, and early detection of an
+/// unreachable peer.
+fn set_socket_options(stream: &TcpStream) {
     let _ = stream.set_nodelay(true);
     let socket = socket2::SockRef::from(stream);
     let _ = socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT));
-    let alive = socket2::TcpKeepalive::new()
-        .with_time(Duration::from_secs(1))
-        .with_interval(Duration::from_millis(1_000));
-    let _ = socket.set_tcp_keepalive(&alive.with_retries(2));
+    let keepalive = socket2::TcpKeepalive::new()
+        .with_time(KEEPALIVE_IDLE_TIME)
+        .with_interval(KEEPALIVE_PROBE_INTERVAL)
+        .with_retries(KEEPALIVE_PROBES);
+    let _ = socket.set_tcp_keepalive(&keepalive);
 }
 
-/// Where the responses of calls go, by their numbers.
-type Pending = Arc<Mutex<HashMap<u64, oneshot::Sender<InternalResponse>>>>;
+/// Response channels of pending calls, by call ID.
+type PendingCalls = Arc<Mutex<HashMap<u64, oneshot::Sender<InternalResponse>>>>;
 
-/// Calls to one process, over one connection that is opened when it is first needed.
+/// Client of one process. It uses a single connection, which is opened on first use.
 pub struct RpcClient {
-    to: SocketAddr,
-    ids: AtomicU64,
-    open: Mutex<Option<OpenConnection>>,
-    /// Held while a connection is opened, so that only one is at a time; when the last attempt failed, if it did.
-    connecting: tokio::sync::Mutex<Option<tokio::time::Instant>>,
+    server_address: SocketAddr,
+    next_call_id: AtomicU64,
+    connection: Mutex<Option<OpenConnection>>,
+    /// The time of the last connection attempt if that failed. Locked while connecting, so that only one attempt is
+    /// made at a time.
+    failed_at: tokio::sync::Mutex<Option<tokio::time::Instant>>,
 }
 
 #[derive(Clone)]
 struct OpenConnection {
     frames: mpsc::Sender<Vec<u8>>,
-    pending: Pending,
+    pending: PendingCalls,
 }
 
 impl RpcClient {
-    pub fn new(to: SocketAddr) -> Arc<RpcClient> {
-        Arc::new(RpcClient { to, ids: 1.into(), open: Mutex::default(), connecting: Default::default() })
+    pub fn new(server_address: SocketAddr) -> Arc<RpcClient> {
+        Arc::new(RpcClient {
+            server_address,
+            next_call_id: (ONE_WAY_MESSAGE_ID + 1).into(),
+            connection: Mutex::default(),
+            failed_at: Default::default(),
+        })
     }
 
-    /// Sends a request and waits for its response, for `within` in all.
-    pub async fn call(&self, ask: InternalRequest, within: Duration) -> Result<InternalResponse, RpcError> {
-        let work = async {
-            let open = self.open().await.ok_or(RpcError::NotSent)?;
-            let id = self.ids.fetch_add(1, Relaxed);
-            let bytes = encode(&Frame { id, payload: ask }).ok_or(RpcError::NotSent)?;
-            let (reply, replied) = oneshot::channel();
-            lock(&open.pending).insert(id, reply);
-            let _waits = PendingReply { id, pending: open.pending.clone() };
-            open.frames.send(bytes).await.map_err(|_| RpcError::ConnectionLost)?;
-            replied.await.map_err(|_| RpcError::ConnectionLost)
+    /// Sends a request and waits for its response. `time_limit` covers connecting, sending and waiting.
+    pub async fn call(
+        &self,
+        request: InternalRequest,
+        time_limit: Duration,
+    ) -> Result<InternalResponse, RpcError> {
+        let exchange = async {
+            let connection = self.connect().await.ok_or(RpcError::NotSent)?;
+            let id = self.next_call_id.fetch_add(1, Relaxed);
+            let bytes = encode(&Frame { id, payload: request }).ok_or(RpcError::NotSent)?;
+            let (response_sender, response) = oneshot::channel();
+            lock(&connection.pending).insert(id, response_sender);
+            let _guard = PendingCallGuard { id, pending: connection.pending.clone() };
+            connection.frames.send(bytes).await.map_err(|_| RpcError::ConnectionLost)?;
+            response.await.map_err(|_| RpcError::ConnectionLost)
         };
-        timeout(within, work).await.unwrap_or(Err(RpcError::TimedOut))
+        timeout(time_limit, exchange).await.unwrap_or(Err(RpcError::TimedOut))
     }
 
-    /// Sends a message between replicas, which may be lost: if the queue is full or no connection comes up, it is dropped.
-    pub fn send_message(self: &Arc<Self>, letter: Message) {
-        let Some(bytes) = encode(&Frame { id: 0, payload: InternalRequest::ReplicaMessage(letter) }) else {
+    /// Sends a one-way message between replicas. It is dropped if the write queue is full or no connection can be
+    /// established.
+    pub fn send_message(self: &Arc<Self>, message: Message) {
+        let frame = Frame { id: ONE_WAY_MESSAGE_ID, payload: InternalRequest::ReplicaMessage(message) };
+        let Some(bytes) = encode(&frame) else {
             return;
         };
-        let open = lock(&self.open).clone().filter(|open| !open.frames.is_closed());
-        if let Some(open) = open {
-            let _ = open.frames.try_send(bytes);
+        if let Some(connection) = self.open_connection() {
+            let _ = connection.frames.try_send(bytes);
             return;
         }
-        let caller = self.clone();
+        let client = self.clone();
         tokio::spawn(async move {
-            if let Ok(Some(open)) = timeout(CONNECT_TIMEOUT, caller.open()).await {
-                let _ = open.frames.try_send(bytes);
+            if let Ok(Some(connection)) = timeout(CONNECT_TIMEOUT, client.connect()).await {
+                let _ = connection.frames.try_send(bytes);
             }
         });
     }
 
-    /// The open connection, or a new one; `None` if none comes up, or one has failed just now.
-    async fn open(&self) -> Option<OpenConnection> {
-        let standing = || lock(&self.open).clone().filter(|open| !open.frames.is_closed());
-        if let Some(open) = standing() {
-            return Some(open);
+    fn open_connection(&self) -> Option<OpenConnection> {
+        lock(&self.connection).clone().filter(|connection| !connection.frames.is_closed())
+    }
+
+    /// Returns the open connection, or establishes one. `None` if that fails, or if the last attempt failed less than
+    /// [`RECONNECT_INTERVAL`] ago.
+    async fn connect(&self) -> Option<OpenConnection> {
+        if let Some(connection) = self.open_connection() {
+            return Some(connection);
         }
-        let mut failed = self.connecting.lock().await;
-        if let Some(open) = standing() {
-            return Some(open);
+        let mut failed_at = self.failed_at.lock().await;
+        if let Some(connection) = self.open_connection() {
+            return Some(connection);
         }
-        if failed.is_some_and(|at| at.elapsed() < RECONNECT_INTERVAL) {
+        if failed_at.is_some_and(|at| at.elapsed() < RECONNECT_INTERVAL) {
             return None;
         }
-        let stream = match timeout(CONNECT_TIMEOUT, TcpStream::connect(self.to)).await {
+        let stream = match timeout(CONNECT_TIMEOUT, TcpStream::connect(self.server_address)).await {
             Ok(Ok(stream)) => stream,
             _ => {
-                *failed = Some(tokio::time::Instant::now());
+                *failed_at = Some(tokio::time::Instant::now());
                 return None;
             }
         };
-        *failed = None;
+        *failed_at = None;
         set_socket_options(&stream);
-        let (from, to) = stream.into_split();
-        let (frames, waiting) = mpsc::channel(MAX_QUEUED_FRAMES);
-        let pending = Pending::default();
-        let open = OpenConnection { frames, pending: pending.clone() };
-        let writer = tokio::spawn(write(to, waiting));
+        let (reader, writer) = stream.into_split();
+        let (frames, queued_frames) = mpsc::channel(MAX_QUEUED_FRAMES);
+        let pending = PendingCalls::default();
+        let connection = OpenConnection { frames, pending: pending.clone() };
+        let write_task = tokio::spawn(write_frames(writer, queued_frames));
         tokio::spawn(async move {
-            let mut from = BufReader::new(from);
-            while let Ok(Frame { id, payload: say }) = read::<Frame<InternalResponse>>(&mut from).await {
-                if let Some(reply) = lock(&pending).remove(&id) {
-                    let _ = reply.send(say);
+            let mut reader = BufReader::new(reader);
+            while let Ok(Frame { id, payload }) = read_frame::<Frame<InternalResponse>>(&mut reader).await {
+                if let Some(response_sender) = lock(&pending).remove(&id) {
+                    let _ = response_sender.send(payload);
                 }
             }
-            writer.abort();
+            write_task.abort();
             lock(&pending).clear();
         });
-        *lock(&self.open) = Some(open.clone());
-        Some(open)
+        *lock(&self.connection) = Some(connection.clone());
+        Some(connection)
     }
 }
 
-/// A call that waits for its response. Dropping it removes it from the pending ones.
-struct PendingReply {
+/// Removes a call from the pending calls when it is dropped.
+struct PendingCallGuard {
     id: u64,
-    pending: Pending,
+    pending: PendingCalls,
 }
 
-impl Drop for PendingReply {
+impl Drop for PendingCallGuard {
     fn drop(&mut self) {
         lock(&self.pending).remove(&self.id);
     }
 }
 
-/// One client for each address.
+/// RPC clients by server address.
 #[derive(Default)]
 pub struct RpcClients(Mutex<HashMap<SocketAddr, Arc<RpcClient>>>);
 
 impl RpcClients {
-    /// The client for an address, made when it is first asked for.
+    /// Returns the client for an address, and creates it on first use.
     pub fn client_for(&self, address: SocketAddr) -> Arc<RpcClient> {
         lock(&self.0).entry(address).or_insert_with(|| RpcClient::new(address)).clone()
     }
 }
 
-/// Serves calls until it is dropped. `handle` is called for each; messages with the number 0 get no response.
+/// Accepts connections and serves their calls until the future is dropped. `handle` is called for each frame; its
+/// result is not sent for one-way messages.
 pub async fn serve<F, A>(listener: TcpListener, handle: F)
 where
     F: Fn(InternalRequest) -> A + Clone + Send + Sync + 'static,
     A: Future<Output = Option<InternalResponse>> + Send + 'static,
 {
-    let mut guests = tokio::task::JoinSet::new();
+    let mut connections = tokio::task::JoinSet::new();
     loop {
         tokio::select! {
-            Some(_) = guests.join_next(), if !guests.is_empty() => {}
-            came = listener.accept(), if guests.len() < MAX_CONNECTIONS => match came {
+            Some(_) = connections.join_next(), if !connections.is_empty() => {}
+            accepted = listener.accept(), if connections.len() < MAX_CONNECTIONS => match accepted {
                 Ok((stream, _)) => {
-                    guests.spawn(serve_connection(stream, handle.clone()));
+                    connections.spawn(serve_connection(stream, handle.clone()));
                 }
                 Err(_) => tokio::time::sleep(RECONNECT_INTERVAL).await,
             }
@@ -238,31 +265,31 @@
     }
 }
 
-/// Serves one connection. Messages without a response are handled in their order, calls at the same time.
+/// Serves one connection. One-way messages are handled in order, calls concurrently.
 async fn serve_connection<F, A>(stream: TcpStream, handle: F)
 where
     F: Fn(InternalRequest) -> A + Send + Sync + 'static,
     A: Future<Output = Option<InternalResponse>> + Send + 'static,
 {
     set_socket_options(&stream);
-    let (from, to) = stream.into_split();
-    let (frames, waiting) = mpsc::channel(MAX_QUEUED_FRAMES);
-    let writer = tokio::spawn(write(to, waiting));
-    let mut from = BufReader::new(from);
-    // What is still being answered ends with the connection.
+    let (reader, writer) = stream.into_split();
+    let (frames, queued_frames) = mpsc::channel(MAX_QUEUED_FRAMES);
+    let write_task = tokio::spawn(write_frames(writer, queued_frames));
+    let mut reader = BufReader::new(reader);
+    // Dropping the set cancels unfinished calls when the connection is closed.
     let mut calls = tokio::task::JoinSet::new();
-    while let Ok(Frame { id, payload: say }) = read::<Frame<InternalRequest>>(&mut from).await {
-        let (reply, frames) = (handle(say), frames.clone());
-        if id == 0 {
-            reply.await;
+    while let Ok(Frame { id, payload }) = read_frame::<Frame<InternalRequest>>(&mut reader).await {
+        let (response, frames) = (handle(payload), frames.clone());
+        if id == ONE_WAY_MESSAGE_ID {
+            response.await;
             continue;
         }
         while calls.try_join_next().is_some() {}
         calls.spawn(async move {
-            if let Some(bytes) = reply.await.and_then(|say| encode(&Frame { id, payload: say })) {
+            if let Some(bytes) = response.await.and_then(|payload| encode(&Frame { id, payload })) {
                 let _ = frames.send(bytes).await;
             }
         });
     }
-    writer.abort();
+    write_task.abort();
 }
