--- a/balancer/src/mesh/command_line/parser.rs
+++ b/balancer/src/mesh/command_line/parser.rs
@@ -1,7 +1,7 @@
 //! Reads a command line: [`parse`]. [`ArgumentParser`] takes the options; what is left goes to [`Words`].
 //!
-//! Invariant: options are taken first, by name and wherever they stand; whatever is left must be a word that the command
-//! asks for, in order.
+//! Invariant: options are taken first, by name and wherever they stand; whatever is left must be a word that the
+//! command asks for, in order.
 
 use std::convert::Infallible;
 use std::ffi::{OsStr, OsString};
--- a/balancer/src/mesh/command_line/words.rs
+++ b/balancer/src/mesh/command_line/words.rs
@@ -158,7 +158,8 @@
         Ok(value)
     }
 
-    /// The next word as text. `expected` says what is missing where there is no word, `expected_text` where it is empty.
+    /// The next word as text. `expected` says what is missing where there is no word, `expected_text` where it is
+    /// empty.
     pub fn next_text(
         &mut self,
         expected: &'static str,
--- a/balancer/src/mesh/control/admin_api/configuration.rs
+++ b/balancer/src/mesh/control/admin_api/configuration.rs
@@ -1,6 +1,7 @@
 //! `timetable.replace`, `timetable.read` and `timetable.history`: the operator's configuration.
 //!
-//! Invariants: a configuration is validated before the core sees it, and acknowledged only once a quorum holds it on disk.
+//! Invariants: a configuration is validated before the core sees it, and acknowledged only once a quorum holds it on
+//! disk.
 
 use std::sync::Arc;
 use std::time::Duration;
--- a/balancer/src/mesh/control/admin_api/drain.rs
+++ b/balancer/src/mesh/control/admin_api/drain.rs
@@ -1,7 +1,7 @@
 //! `upstreams.drain`: has an upstream's proxy send it nothing new.
 //!
-//! Invariants: only the proxy writes its endpoint's record. So the proxy is asked, and the operator is answered once the
-//! record says that the upstream drains.
+//! Invariants: only the proxy writes its endpoint's record. So the proxy is asked, and the operator is answered once
+//! the record says that the upstream drains.
 
 use std::net::SocketAddr;
 
--- a/balancer/src/mesh/control/admin_api/member_calls.rs
+++ b/balancer/src/mesh/control/admin_api/member_calls.rs
@@ -2,8 +2,8 @@
 //!
 //! Main function: [`handle`].
 //!
-//! Invariants: nothing is done or told without the member's key; neither a key nor its hash is ever told; a change counts
-//! against the member's limit before its body is read; a member learns nothing of the documents of others.
+//! Invariants: nothing is done or told without the member's key; neither a key nor its hash is ever told; a change
+//! counts against the member's limit before its body is read; a member learns nothing of the documents of others.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -120,8 +120,8 @@
     Ok(LockedMember { _serial: serial, committed })
 }
 
-/// The member of this name, if the key is its own. The register known here is asked first, which costs nothing; it may be
-/// older than the key.
+/// The member of this name, if the key is its own. The register known here is asked first, which costs nothing; it may
+/// be older than the key.
 async fn authenticate(
     server: &ReplicaServer,
     member_name: &str,
@@ -240,8 +240,8 @@
     effective.violations.iter().map(|violation| violation.violation.to_string()).collect()
 }
 
-/// Which version is in force at which node, as all replicas that answer were told. Of two reports on a node the one with
-/// the higher version is the later one.
+/// Which version is in force at which node, as all replicas that answer were told. Of two reports on a node the one
+/// with the higher version is the later one.
 async fn editions_by_node(server: &ReplicaServer, member: &Name) -> BTreeMap<SocketAddr, MemberEdition> {
     let requests = server.peers().into_iter().map(|peer| async move {
         let request = InternalRequest::AppliedEditions(member.clone());
--- a/balancer/src/mesh/control/budget_reports.rs
+++ b/balancer/src/mesh/control/budget_reports.rs
@@ -1,8 +1,8 @@
-//! Reports of proxies on their retry budgets and recovery times, as a replica of the control plane collects them from all
-//! replicas.
+//! Reports of proxies on their retry budgets and recovery times, as a replica of the control plane collects them from
+//! all replicas.
 //!
-//! Main type: [`CollectedReports`], what an operator's call or the canary monitor works on. The counts themselves are of
-//! `ochreshed_catalog::traffic_reports`.
+//! Main type: [`CollectedReports`], what an operator's call or the canary monitor works on. The counts themselves are
+//! of `ochreshed_catalog::traffic_reports`.
 //!
 //! Invariants: a replica that did not answer is named as unreachable, so that partial sums are never taken for complete
 //! ones.
--- a/balancer/src/mesh/control/canary_monitor.rs
+++ b/balancer/src/mesh/control/canary_monitor.rs
@@ -4,8 +4,8 @@
 //! Main function: [`monitor_canaries`], a task of each replica. Exactly one replica judges a canary as long as all hear
 //! the same replicas.
 //!
-//! Invariants: a canary is judged only while a quorum is heard; it is withdrawn as soon as it clearly fails, and promoted
-//! only once its time is over.
+//! Invariants: a canary is judged only while a quorum is heard; it is withdrawn as soon as it clearly fails, and
+//! promoted only once its time is over.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -163,8 +163,8 @@
     }
 }
 
-/// The verdict on a canary by the requests on its routes and on those of the settled document. A canary without requests
-/// has nothing against it.
+/// The verdict on a canary by the requests on its routes and on those of the settled document. A canary without
+/// requests has nothing against it.
 fn canary_verdict(
     outcomes: &BTreeMap<RouteEdition, OutcomeCounts>,
     member: &str,
--- a/balancer/src/mesh/control/disk_writer.rs
+++ b/balancer/src/mesh/control/disk_writer.rs
@@ -1,7 +1,7 @@
 //! The thread that writes log records to disk and acknowledges them to the event loop.
 //!
-//! Main types: [`DiskWriter`], the event loop's end; [`WriteBatch`], what goes in; [`PersistedBatches`], what comes back;
-//! and [`DiskWriteCounts`] for operators.
+//! Main types: [`DiskWriter`], the event loop's end; [`WriteBatch`], what goes in; [`PersistedBatches`], what comes
+//! back; and [`DiskWriteCounts`] for operators.
 //!
 //! Invariants: batches are written and acknowledged in the order in which they were submitted; a batch's messages come
 //! back only after its records, and those of all earlier batches, are synced.
--- a/balancer/src/mesh/control/member_changes.rs
+++ b/balancer/src/mesh/control/member_changes.rs
@@ -1,13 +1,14 @@
 //! Changes of a member's documents: what is checked before the core commits one, and what is written.
 //!
-//! Main types: [`CommittedMember`], all that a change is checked against, and [`DocumentChange`], its outcome. The calls
-//! of members and the canary monitor both make changes through this module.
+//! Main types: [`CommittedMember`], all that a change is checked against, and [`DocumentChange`], its outcome. The
+//! calls of members and the canary monitor both make changes through this module.
 //!
-//! A canary is promoted by writing its text as the settled document, and withdrawn by writing down its version. Versions
-//! only grow, and a settled version beats a withdrawn one, so it does no harm if two replicas end a canary at once.
+//! A canary is promoted by writing its text as the settled document, and withdrawn by writing down its version.
+//! Versions only grow, and a settled version beats a withdrawn one, so it does no harm if two replicas end a canary at
+//! once.
 //!
-//! Invariants: no document is committed that exceeds what the newest member register allows; a version is never used for
-//! two documents.
+//! Invariants: no document is committed that exceeds what the newest member register allows; a version is never used
+//! for two documents.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -112,8 +113,8 @@
     }
 }
 
-/// Makes sure that the member register known here was the newest a moment ago. However many calls ask for that, the core
-/// is asked only once in a while.
+/// Makes sure that the member register known here was the newest a moment ago. However many calls ask for that, the
+/// core is asked only once in a while.
 pub async fn refresh_member_register(server: &ReplicaServer) -> Result<(), MemberError> {
     let mut refreshed = server.members.register_refreshed.lock().await;
     if refreshed.is_some_and(|refreshed| refreshed.elapsed() < REGISTER_REFRESH_INTERVAL) {
--- a/balancer/src/mesh/control/member_directory.rs
+++ b/balancer/src/mesh/control/member_directory.rs
@@ -54,8 +54,8 @@
     documents: Mutex<Arc<MemberDocumentStore>>,
     /// By inbound proxy, as the proxies reported.
     applied_editions: Mutex<HashMap<SocketAddr, AppliedEditions>>,
-    /// When the member register was last read from the core for a key that is not known here. Locked during the read, so
-    /// that any number of unknown keys causes one read at a time.
+    /// When the member register was last read from the core for a key that is not known here. Locked during the read,
+    /// so that any number of unknown keys causes one read at a time.
     pub register_refreshed: tokio::sync::Mutex<Option<Instant>>,
     change_limiters: Mutex<HashMap<Name, Arc<ChangeLimiter>>>,
 }
--- a/balancer/src/mesh/control/peer_watch.rs
+++ b/balancer/src/mesh/control/peer_watch.rs
@@ -2,8 +2,8 @@
 //!
 //! Main function: [`watch_peers`].
 //!
-//! Invariants: each peer is watched by exactly one task, which ends when the peer is gone from the replicas that the core
-//! knows.
+//! Invariants: each peer is watched by exactly one task, which ends when the peer is gone from the replicas that the
+//! core knows.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
--- a/balancer/src/mesh/control/replica.rs
+++ b/balancer/src/mesh/control/replica.rs
@@ -3,8 +3,8 @@
 //! Main type: [`Replica`]. It takes one event after another, persists records through the disk writer, sends messages,
 //! answers requests and publishes the state that has changed.
 //!
-//! Invariants: nothing that depends on a log record is sent or answered before the record is synced to disk, and messages
-//! that wait for the disk are sent in the order in which the core gave them.
+//! Invariants: nothing that depends on a log record is sent or answered before the record is synced to disk, and
+//! messages that wait for the disk are sent in the order in which the core gave them.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -164,8 +164,8 @@
         }
     }
 
-    /// Sends messages that depend on no record that is still to be written, and carries out what follows from those that
-    /// the replica sent to itself.
+    /// Sends messages that depend on no record that is still to be written, and carries out what follows from those
+    /// that the replica sent to itself.
     fn send_without_disk(&mut self, messages: Vec<(SocketAddr, Message)>) {
         let mut effects = Vec::new();
         self.send_messages(messages, &mut effects);
@@ -187,8 +187,8 @@
         }
     }
 
-    /// Publishes the state if it has changed. Whether a quorum is heard changes with time alone, so that is looked at with
-    /// each tick, and not with each event.
+    /// Publishes the state if it has changed. Whether a quorum is heard changes with time alone, so that is looked at
+    /// with each tick, and not with each event.
     fn publish_changes(&self, now: Nanos, ticked: bool) {
         let previous = self.server.published();
         let core_unchanged = self.core_unchanged_since(&previous);
--- a/balancer/src/mesh/control/replica_server.rs
+++ b/balancer/src/mesh/control/replica_server.rs
@@ -1,11 +1,11 @@
 //! The part of a replica that serves others: proxies and replicas that watch, requests to the core, and the state that
 //! operators' calls read.
 //!
-//! Main types: [`ReplicaServer`], shared by all tasks of the process, and [`ReplicaEvent`], by which they reach the event
-//! loop that owns the core.
+//! Main types: [`ReplicaServer`], shared by all tasks of the process, and [`ReplicaEvent`], by which they reach the
+//! event loop that owns the core.
 //!
-//! Invariants: a watch is answered as soon as there is something new for the watcher, and no lock is held while it waits;
-//! nothing here decides, every decision is the core's.
+//! Invariants: a watch is answered as soon as there is something new for the watcher, and no lock is held while it
+//! waits; nothing here decides, every decision is the core's.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -151,8 +151,8 @@
         }
     }
 
-    /// Looks for proxies that fell silent or are heard again, and forgets reports of those that are gone from the table.
-    /// Returns how many are suspected, if that has changed.
+    /// Looks for proxies that fell silent or are heard again, and forgets reports of those that are gone from the
+    /// table. Returns how many are suspected, if that has changed.
     pub fn update_suspects(&self) -> Option<usize> {
         let mut watches = lock(&self.watches);
         lock(&self.reports).retain(|proxy| watches.table.record(proxy).is_some());
--- a/balancer/src/mesh/hollow.rs
+++ b/balancer/src/mesh/hollow.rs
@@ -1,6 +1,7 @@
 //! Hollow attendants: a load tool for the control plane. Many attendants in one process that watch, send heartbeats,
-//! report and acquire leases by the same code as a real one, each with its own connections and its own copy of the endpoint
-//! table, but without a data plane: no socket listens, no request is served, and the upstream beside each is made up.
+//! report and acquire leases by the same code as a real one, each with its own connections and its own copy of the
+//! endpoint table, but without a data plane: no socket listens, no request is served, and the upstream beside each is
+//! made up.
 //!
 //! Commands come on standard input, a line each: `changes N` (endpoint records that change a second, of all together),
 //! `claims N` (leases acquired and completed a second, of all together), `figures` (prints a line), `end`.
@@ -224,8 +225,8 @@
         }
     }
 
-    /// A line of figures: attendants, the length of the shortest endpoint table, leases asked for, those not granted, and the
-    /// mean time of acquiring one in us.
+    /// A line of figures: attendants, the length of the shortest endpoint table, leases asked for, those not granted,
+    /// and the mean time of acquiring one in us.
     fn figures(&self) -> String {
         let records = self.nodes.iter().map(|node| node.record_count()).min().unwrap_or(0);
         let (claimed, missed) = (self.claimed.load(Relaxed), self.missed.load(Relaxed));
@@ -234,8 +235,8 @@
     }
 }
 
-/// Waits for the next of `per_s` events a second and returns when it was due. With 0 a second it only waits a while, so that a
-/// new rate is noticed soon.
+/// Waits for the next of `per_s` events a second and returns when it was due. With 0 a second it only waits a while, so
+/// that a new rate is noticed soon.
 async fn paced(last: Instant, per_s: usize) -> Instant {
     let step = if per_s == 0 { POLL_INTERVAL * 10 } else { Duration::from_secs(1) / per_s as u32 };
     let next = (last + step).max(Instant::now() - Duration::from_millis(200));
--- a/balancer/src/mesh/mod.rs
+++ b/balancer/src/mesh/mod.rs
@@ -1,8 +1,9 @@
 //! The service mesh's programs: the data plane ([`proxy`]), the control plane ([`control`]), the operators' client
 //! ([`operator_client`]) and the load tool ([`hollow`]).
 //!
-//! [`parse`] reads a command line, [`run`] carries it out. What the programs decide is in the crates `ochreshed-catalog`,
-//! `ochreshed-traffic` and `ochreshed-consensus` and in the decision module; here it is connected to sockets and disks.
+//! [`parse`] reads a command line, [`run`] carries it out. What the programs decide is in the crates
+//! `ochreshed-catalog`, `ochreshed-traffic` and `ochreshed-consensus` and in the decision module; here it is connected
+//! to sockets and disks.
 
 mod command_line;
 mod control;
--- a/balancer/src/mesh/shared/member_documents.rs
+++ b/balancer/src/mesh/shared/member_documents.rs
@@ -1,8 +1,9 @@
-//! The documents of the platform's members as one process holds them: the member register, and for each member its
-//! settled document, its canary and the highest version that was withdrawn.
+//! The documents of the platform's members as stored by one process: the member register, and for each member its
+//! settled document, its canary and the highest withdrawn version. A document is settled when it is in force at all
+//! nodes.
 //!
-//! Main types: [`DocumentName`], the codec of the registers' names; [`MemberState`], what one member has; and
-//! [`MemberDocumentStore`], all of them, from which a node's configuration is computed.
+//! Main types: [`DocumentName`], which encodes and parses register names; [`MemberState`], the documents of one member;
+//! and [`MemberDocumentStore`], the documents of all members, from which a node's configuration is computed.
 //!
 //! Invariants: a document is never replaced by an older one, and never applied in part.
 
@@ -21,21 +22,22 @@
 const CANARY_PREFIX: &str = "t/";
 const WITHDRAWN_PREFIX: &str = "w/";
 
-/// The register of the core that holds a document. Its text form is kept on disk and sent between processes.
+/// Identifies a document. Its text form is the name of the core's register that holds it, which is stored on disk and
+/// sent between processes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DocumentName<'m> {
     /// The platform's register of members.
     MemberRegister,
-    /// A member's document that is in force at all nodes.
+    /// The document of a member that is in force at all nodes.
     Settled(&'m str),
-    /// A member's document that is in force at a share of the nodes.
+    /// The document of a member that is in force at a share of the nodes.
     Canary(&'m str),
-    /// The highest version of a member's canaries that was withdrawn.
+    /// The highest withdrawn version of a member's canaries.
     Withdrawn(&'m str),
 }
 
 impl<'m> DocumentName<'m> {
-    /// The document that a register holds; `None` for a register of another kind.
+    /// Parses the name of a register; `None` if the register holds no document.
     #[must_use]
     pub fn parse(register: &'m str) -> Option<DocumentName<'m>> {
         if register == MEMBER_REGISTER {
@@ -47,7 +49,7 @@
         settled.or_else(canary).or_else(withdrawn)
     }
 
-    /// The name of the register that holds the document.
+    /// Returns the name of the register that holds the document.
     #[must_use]
     pub fn register(self) -> RegisterName {
         match self {
@@ -72,12 +74,12 @@
 pub struct MemberState {
     pub settled: Option<Arc<MemberDocument>>,
     pub canary: Option<Arc<MemberDocument>>,
-    /// The highest version that was withdrawn.
+    /// The highest withdrawn version.
     pub withdrawn_version: Option<u64>,
 }
 
 impl MemberState {
-    /// The canary, unless it was settled, withdrawn or superseded.
+    /// Returns the canary, unless it was settled, withdrawn or superseded.
     #[must_use]
     pub fn running_canary(&self) -> Option<&Arc<MemberDocument>> {
         self.canary.as_ref().filter(|canary| {
@@ -87,7 +89,7 @@
         })
     }
 
-    /// The highest version that the member ever used; 0 if it has none.
+    /// Returns the highest version that the member has used; 0 if there is none.
     #[must_use]
     pub fn highest_version(&self) -> u64 {
         let version = |document: &Option<Arc<MemberDocument>>| document.as_ref().map_or(0, |doc| doc.version);
@@ -96,7 +98,7 @@
     }
 }
 
-/// What is in force at one node.
+/// The configuration in force at one node.
 #[derive(Clone, Debug)]
 pub struct NodeConfiguration {
     pub effective: EffectiveConfiguration,
@@ -112,8 +114,8 @@
 }
 
 impl MemberDocumentStore {
-    /// Applies a document if it is newer than the present one, and returns whether it is. A document that can't be read
-    /// here counts as applied, so that it is not fetched again and again.
+    /// Applies a document if it is newer than the stored one, and returns whether it was. An unreadable document counts
+    /// as applied, so that it is not fetched repeatedly.
     pub fn apply(&mut self, register: &RegisterName, value: &RegisterValue) -> bool {
         if self.revision(register) >= value.revision() {
             return false;
@@ -146,20 +148,20 @@
         self.members.entry(member.into()).or_default()
     }
 
-    /// The revision of the document that was applied last from this register; `Revision::NONE` if there was none.
+    /// Returns the revision last applied from this register; `Revision::NONE` if there is none.
     #[must_use]
     pub fn revision(&self, register: &str) -> Revision {
         self.revisions.get(register).copied().unwrap_or_default()
     }
 
-    /// A digest of which documents are held; see [`digest_of_revisions`].
+    /// Returns a digest of the names and revisions of all documents; see [`digest_of_revisions`].
     #[must_use]
     pub fn digest(&self) -> u64 {
         digest_of_revisions(self.revisions.iter().map(|(register, revision)| (&**register, *revision)))
     }
 
-    /// What is in force at the node of this inbound proxy: the platform's configuration overlaid by each member's settled
-    /// document, or by its canary if that reaches the node.
+    /// Computes the configuration in force at the node of this inbound proxy: the platform's configuration overlaid
+    /// with each member's settled document, or with its canary if the node is in the canary's share.
     #[must_use]
     pub fn configuration_at(&self, base: &Configuration, inbound_proxy: SocketAddr) -> NodeConfiguration {
         let mut documents = overlay::MemberDocuments::new();
@@ -179,7 +181,7 @@
         NodeConfiguration { effective, editions }
     }
 
-    /// The settled documents of all members that have one.
+    /// Returns the settled documents of all members that have one.
     #[must_use]
     pub fn settled_documents(&self) -> overlay::MemberDocuments {
         let settled = |(member, state): (&Name, &MemberState)| Some((member.clone(), state.settled.clone()?));
@@ -187,8 +189,8 @@
     }
 }
 
-/// Reads a member's document. The control plane validates documents with the same parser before it commits them, so one
-/// that can't be read here was committed by another version of the program.
+/// Parses a member's document. The control plane validates documents with the same parser before it commits them, so an
+/// unreadable one was committed by another version of the program.
 fn read_document(register: &str, value: &RegisterValue) -> Option<Arc<MemberDocument>> {
     match MemberDocument::read(&value.bytes) {
         Ok(document) => Some(Arc::new(document)),
@@ -201,12 +203,12 @@
 
 fn log_unreadable(register: &str, version: u64, error: &impl std::fmt::Display) {
     log::error!(
-        "document not applied, this version can't read it: register={register} version={version} error={error}"
+        "member document not applied, unreadable by this program version: register={register} version={version} error={error}"
     );
 }
 
-/// A digest over the names and revisions of registers, whatever their order; 0 if there are none. Equal digests mean equal
-/// documents.
+/// Computes an order-independent digest of the names and revisions of registers; 0 if there are none. Equal digests
+/// mean equal documents.
 pub fn digest_of_revisions<'n>(revisions: impl Iterator<Item = (&'n str, Revision)>) -> u64 {
     let digest = |(register, Revision { version, digest }): (&str, Revision)| {
         let bytes = [&version.to_be_bytes(), &digest.to_be_bytes(), register.as_bytes()].concat();
@@ -215,8 +217,8 @@
     revisions.map(digest).fold(0, u64::wrapping_add)
 }
 
-/// Those of the registers that the reader asks for and has only an older revision of. They are cut off once they exceed
-/// `max_bytes`; the first one is sent whatever its length, so that a reader always gets on.
+/// Returns the registers that are listed in `known` with an older revision. The list ends once it has reached
+/// `max_bytes`; the first register is included whatever its length, so that a reader always makes progress.
 pub fn newer_registers<'r>(
     registers: impl Iterator<Item = &'r NamedRegister>,
     known: &[(RegisterName, Revision)],
--- a/balancer/src/mesh/shared/metrics.rs
+++ b/balancer/src/mesh/shared/metrics.rs
@@ -1,8 +1,8 @@
-//! The metrics page of a role, in the OpenMetrics text format: `GET /metrics` at the control listener.
+//! The metrics of a role in the OpenMetrics text format: `GET /metrics` at the control listener.
 //!
-//! Main type: [`MetricsPage`], which a role fills at each fetch. The names and help texts belong to the role.
+//! Main type: [`MetricsPage`], which a role fills for each scrape. The role defines the names and help texts.
 //!
-//! Invariants: nothing is computed or stored between fetches, so metrics cost nothing while nobody fetches them.
+//! Invariants: nothing is computed or stored between scrapes, so metrics cost nothing unless they are scraped.
 
 use hyper::Response;
 use hyper::header::HeaderValue;
@@ -14,36 +14,36 @@
 use crate::mesh::proxy::connection_pool::ResponseBody;
 use crate::mesh::proxy::listener::plain_response;
 
-/// The path at which metrics are fetched.
+/// The path of the metrics endpoint.
 pub const PATH: &str = "/metrics";
 /// The media type that OpenMetrics prescribes for its text format.
 pub const CONTENT_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
-/// The metrics of one fetch, in the order in which they were added.
+/// The metrics of one scrape, in the order in which they were added.
 pub struct MetricsPage(Registry);
 
 impl MetricsPage {
-    /// An empty page. Each metric's name is prefixed by the program's name and `role`.
+    /// Creates an empty page. Metric names get the prefix `ochreshed_{role}_`.
     #[must_use]
     pub fn for_role(role: &str) -> MetricsPage {
         MetricsPage(Registry::with_prefix(format!("ochreshed_{role}")))
     }
 
-    /// Adds a value that may go up and down.
+    /// Adds a gauge.
     #[must_use]
     pub fn gauge(mut self, name: &str, help: &str, value: f64) -> MetricsPage {
         self.0.register(name, help, ConstGauge::new(value));
         self
     }
 
-    /// Adds a value that only goes up until the process restarts.
+    /// Adds a counter.
     #[must_use]
     pub fn counter(mut self, name: &str, help: &str, value: u64) -> MetricsPage {
         self.0.register(name, help, ConstCounter::new(value));
         self
     }
 
-    /// Encodes the page as the response to the fetch.
+    /// Encodes the page as the response to the scrape.
     pub fn into_response(self) -> Response<ResponseBody> {
         let mut text = String::new();
         if encode(&mut text, &self.0).is_err() {
--- a/balancer/src/mesh/shared/mod.rs
+++ b/balancer/src/mesh/shared/mod.rs
@@ -1,5 +1,4 @@
-//! What the data plane and the control plane both use: members' documents as they are in force, the page of metrics, and
-//! the time that a process takes to recover.
+//! Modules shared by the data plane and the control plane: members' documents, the metrics page and the recovery time.
 //!
 //! Invariants: nothing here uses `proxy::node` or `control`, so that these two never depend on each other.
 
--- a/balancer/src/mesh/shared/tests/member_documents_tests.rs
+++ b/balancer/src/mesh/shared/tests/member_documents_tests.rs
@@ -1,11 +1,11 @@
-//! The names of registers with documents, and which of two revisions is held.
+//! Tests of register names and of the order of revisions.
 
 use ochreshed_consensus::messages::{RegisterValue, Revision};
 
 use super::{DocumentName, MemberDocumentStore};
 
 #[test]
-fn names_of_registers_are_read_as_they_are_written() {
+fn register_names_round_trip() {
     let names = [
         (DocumentName::MemberRegister, "members"),
         (DocumentName::Settled("norte"), "m/norte"),
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn a_document_that_cannot_be_read_is_not_asked_for_again() {
+fn an_unreadable_document_counts_as_applied() {
     let mut documents = MemberDocumentStore::default();
     let register = DocumentName::Settled("norte").register();
     let unreadable = RegisterValue::new(1, b"{".to_vec());
--- a/balancer/src/mesh/shared/tests/metrics_tests.rs
+++ b/balancer/src/mesh/shared/tests/metrics_tests.rs
@@ -1,4 +1,4 @@
-//! The text of a metrics page.
+//! Tests of the text format of a metrics page.
 
 use http_body_util::BodyExt;
 
--- a/balancer/src/mesh/start.rs
+++ b/balancer/src/mesh/start.rs
@@ -1,14 +1,13 @@
-//! What every role of the mesh starts with: its log on standard error, and the one thread that it works on.
+//! Start-up shared by all roles of the mesh: logging to standard error and the async runtime.
 //!
-//! Invariants: the log is set up once a process; there is one runtime, of the current thread.
+//! Invariants: logging is initialized once per process; the runtime is single-threaded.
 
 use std::process::ExitCode;
 
 use tracing_subscriber::util::SubscriberInitExt;
 
-/// Sends log lines from the level of information up to standard error, each with its time (RFC 3339), level, module and
-/// place in the source. Records of the `log` crate, which the mesh's modules use, come through the bridge that
-/// `try_init` installs.
+/// Logs to standard error from level INFO, each line with its time (RFC 3339), level, module and source location. The
+/// mesh's modules use the `log` crate; `try_init` installs the bridge for its records.
 pub fn init_logging() {
     let subscriber = tracing_subscriber::fmt()
         .with_writer(std::io::stderr)
@@ -17,16 +16,16 @@
         .with_line_number(true)
         .finish();
     if subscriber.try_init().is_err() {
-        eprintln!("ochreshed: logs were set up before");
+        eprintln!("ochreshed: logging is already initialized");
     }
 }
 
-/// Runs a role to its end on this thread.
+/// Runs a role to completion on the current thread.
 pub fn block_on(role: impl Future<Output = ExitCode>) -> ExitCode {
     match tokio::runtime::Builder::new_current_thread().enable_all().build() {
         Ok(runtime) => runtime.block_on(role),
         Err(error) => {
-            eprintln!("ochreshed: no runtime: {error}");
+            eprintln!("ochreshed: the async runtime could not be started: {error}");
             ExitCode::FAILURE
         }
     }
