--- a/balancer/src/mesh/command_line/commands.rs
+++ b/balancer/src/mesh/command_line/commands.rs
@@ -1,22 +1,22 @@
-//! What a command line can ask for: [`Command`], and for the operators' client [`ClientCommand`].
+//! Parsed command lines: [`Command`], and [`ClientCommand`] for the operators' client.
 
 use std::fmt;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
 use super::help;
-use crate::mesh::hollow::HollowOptions;
+use crate::mesh::load_generator::LoadGeneratorOptions;
 
-/// The first word of a command line.
+/// The subcommand that a command line begins with.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Subcommand {
-    Attendant,
-    Steward,
+    Proxy,
+    Replica,
     Settings,
-    Hollow,
+    LoadGenerator,
     Nodes,
     Upstreams,
-    Timetable,
+    Configuration,
     Members,
     Member,
     Keys,
@@ -28,13 +28,13 @@
 impl Subcommand {
     /// All subcommands, in the order of the help page.
     pub const ALL: [Subcommand; 13] = [
-        Subcommand::Attendant,
-        Subcommand::Steward,
+        Subcommand::Proxy,
+        Subcommand::Replica,
         Subcommand::Settings,
-        Subcommand::Hollow,
+        Subcommand::LoadGenerator,
         Subcommand::Nodes,
         Subcommand::Upstreams,
-        Subcommand::Timetable,
+        Subcommand::Configuration,
         Subcommand::Members,
         Subcommand::Member,
         Subcommand::Keys,
@@ -43,16 +43,16 @@
         Subcommand::Drain,
     ];
 
-    /// The word on the command line.
+    /// The name on the command line.
     pub fn name(self) -> &'static str {
         match self {
-            Subcommand::Attendant => "attendant",
-            Subcommand::Steward => "steward",
+            Subcommand::Proxy => "attendant",
+            Subcommand::Replica => "steward",
             Subcommand::Settings => "settings",
-            Subcommand::Hollow => "hollow",
+            Subcommand::LoadGenerator => "hollow",
             Subcommand::Nodes => "nodes",
             Subcommand::Upstreams => "upstreams",
-            Subcommand::Timetable => "timetable",
+            Subcommand::Configuration => "timetable",
             Subcommand::Members => "members",
             Subcommand::Member => "member",
             Subcommand::Keys => "keys",
@@ -62,16 +62,16 @@
         }
     }
 
-    /// The page that `--help` shows.
+    /// The help page that `--help` prints.
     pub fn help(self) -> &'static str {
         match self {
-            Subcommand::Attendant => help::ATTENDANT,
-            Subcommand::Steward => help::STEWARD,
+            Subcommand::Proxy => help::PROXY,
+            Subcommand::Replica => help::REPLICA,
             Subcommand::Settings => help::SETTINGS,
-            Subcommand::Hollow => help::HOLLOW,
+            Subcommand::LoadGenerator => help::LOAD_GENERATOR,
             Subcommand::Nodes => help::NODES,
             Subcommand::Upstreams => help::UPSTREAMS,
-            Subcommand::Timetable => help::TIMETABLE,
+            Subcommand::Configuration => help::CONFIGURATION,
             Subcommand::Members => help::MEMBERS,
             Subcommand::Member => help::MEMBER,
             Subcommand::Keys => help::KEYS,
@@ -88,132 +88,132 @@
     }
 }
 
-/// A command line that was understood.
+/// A valid command line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Command {
     /// Run the data plane beside an upstream.
-    Attendant { settings: Option<PathBuf> },
+    Proxy { settings: Option<PathBuf> },
     /// Run a replica of the control plane.
-    Steward { settings: Option<PathBuf> },
+    Replica { settings: Option<PathBuf> },
     /// Check a settings file.
     Settings { settings: Option<PathBuf> },
-    /// Load a control plane with attendants that have no data plane.
-    Hollow(HollowOptions),
-    /// Ask the replicas of the control plane.
+    /// Load a control plane with simulated attendants that have no data plane.
+    LoadGenerator(LoadGeneratorOptions),
+    /// Call the replicas of the control plane.
     Client {
-        /// The control addresses to ask, in this order.
+        /// Control addresses, in the order in which they are tried.
         replicas: Vec<SocketAddr>,
-        /// Whether to print the answer as JSON.
+        /// Whether to print the response as JSON.
         json: bool,
-        /// What to ask for.
+        /// The call to make.
         command: ClientCommand,
     },
 }
 
-/// What an operator asks of a replica.
+/// A command of the operators' client.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClientCommand {
-    /// The replicas and attendants.
+    /// List the replicas and attendants.
     Nodes,
-    /// The upstreams of each service.
+    /// List the upstreams of each service.
     Upstreams,
-    /// The configuration.
+    /// Read, replace or compare the configuration.
     Configuration(ConfigurationCommand),
-    /// How one idempotency key stands.
+    /// Print the lease on one idempotency key.
     Key(String),
-    /// How many idempotency keys there are in each state.
+    /// Count the idempotency keys in each state.
     KeyCounts,
-    /// One session.
+    /// Print or change one session.
     Session(SessionCommand),
-    /// How many sessions there are.
+    /// Count the sessions.
     SessionCounts,
-    /// The retry budget.
+    /// Print the use of the retry budget.
     Budget,
     /// Drain an upstream.
     Drain { upstream: String },
-    /// The register of members.
-    Members(RegisterCommand),
-    /// One member's own routes.
+    /// Read, replace or compare the member register.
+    MemberRegister(MemberRegisterCommand),
+    /// Read or change one member's own routes.
     Member {
         /// The member's name.
         name: String,
-        /// What to do with its routes.
+        /// The operation on its routes.
         command: MemberCommand,
         /// The file that holds the member's key.
         key_file: Option<PathBuf>,
     },
 }
 
-/// What is asked of the configuration.
+/// An operation on the configuration.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ConfigurationCommand {
-    /// Print the one in force.
+    /// Print the document in force.
     Read,
-    /// Put the one of a file in its place.
+    /// Replace it with the document in a file.
     Replace(PathBuf),
-    /// Print the versions on a replica's disk.
+    /// Print the versions stored on a replica's disk.
     History,
-    /// Print what the one of a file would change.
+    /// Print how the document in a file differs from the one in force.
     Diff(PathBuf),
 }
 
-/// What is asked of the register of members.
+/// An operation on the member register.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum RegisterCommand {
-    /// Print the one in force.
+pub enum MemberRegisterCommand {
+    /// Print the document in force.
     Read,
-    /// Put the one of a file in its place.
+    /// Replace it with the document in a file.
     Replace(PathBuf),
-    /// Print what the one of a file would change.
+    /// Print how the document in a file differs from the one in force.
     Diff(PathBuf),
 }
 
-/// What is asked of one member's own routes.
+/// An operation on one member's own routes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MemberCommand {
     /// Print the member's document in force.
     Read,
-    /// Print what the document of a file would change, and what forbids it.
+    /// Print what the document in a file would change, and which of its parts are forbidden.
     Plan(PathBuf),
-    /// Put the document of a file in place of the one in force.
+    /// Replace the document in force with the one in a file.
     Replace(PathBuf),
-    /// Print how the document of a file differs from the one in force.
+    /// Print how the document in a file differs from the one in force.
     Diff(PathBuf),
-    /// Print the versions in force, and which nodes have which.
+    /// Print the versions in force and the nodes that run each of them.
     Status,
-    /// Print the versions on a replica's disk.
+    /// Print the versions stored on a replica's disk.
     History,
-    /// End the running canary, or put the document before the current one in force again.
-    Undo,
-    /// Put the running canary in force everywhere.
-    Settle,
-    /// End the running canary.
-    Withdraw,
+    /// Withdraw the running canary, or restore the previous document if none is running.
+    RestorePrevious,
+    /// Promote the running canary to all nodes.
+    PromoteCanary,
+    /// Withdraw the running canary.
+    WithdrawCanary,
 }
 
-/// A session, and what to do with it.
+/// An operation on one session.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SessionCommand {
-    /// What to do with the session.
+    /// The operation.
     pub action: SessionAction,
-    /// The value of the header. It names a person, so it is only sent as a hash.
+    /// The value of the session header. It identifies a person, so only its hash is sent.
     pub id: String,
-    /// The service that the route sends to.
+    /// The service that the route targets.
     pub service: String,
-    /// The header that the route names as its session.
+    /// The session header that the route is configured with.
     pub header: String,
 }
 
-/// What to do with a session.
+/// The operations on a session.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SessionAction {
-    /// Print where it is.
+    /// Print its owner and binding.
     Show,
-    /// Have the attendant with this inbound address take it.
+    /// Move it to the attendant with this inbound address.
     Move {
         /// The inbound address.
         target: SocketAddr,
     },
-    /// Drop it, so that its next request is bound anew.
+    /// Delete it, so that its next request is bound again.
     Forget,
 }
--- a/balancer/src/mesh/command_line/error.rs
+++ b/balancer/src/mesh/command_line/error.rs
@@ -1,34 +1,34 @@
-//! Why a command line was not taken: [`CommandLineError`].
+//! Rejected command lines: [`CommandLineError`].
 
 use thiserror::Error;
 
 use super::commands::Subcommand;
 
-/// Why a command line asks for nothing that can be done. The texts go to whoever typed it.
+/// Why a command line is rejected. The texts are printed to the user.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum CommandLineError {
-    /// No error: a help page was asked for, and goes to standard output.
+    /// Not an error: a help page was requested, which is printed to standard output.
     #[error("{page}")]
     HelpRequested {
         /// The page.
         page: &'static str,
     },
-    /// The first word is no command, but near to one of the mesh's.
-    #[error("there is no command {word}; {nearest} is near; see `ochreshed help`")]
+    /// There is no such command, but a subcommand of the mesh has a similar name.
+    #[error("there is no command {name}; {nearest} is near; see `ochreshed help`")]
     UnknownCommand {
-        /// What was typed.
-        word: String,
-        /// The command that was probably meant.
+        /// The argument as given.
+        name: String,
+        /// The subcommand with the most similar name.
         nearest: &'static str,
     },
-    /// The command has no such option or word.
-    #[error("{command} has no {word}{}; see `ochreshed {command} --help`", nearest_hint(.nearest))]
-    UnexpectedWord {
+    /// The command has no such option or argument.
+    #[error("{command} has no {argument}{}; see `ochreshed {command} --help`", nearest_hint(.nearest))]
+    UnexpectedArgument {
         /// The command.
         command: Subcommand,
-        /// What was typed.
-        word: String,
-        /// The word that was probably meant.
+        /// The argument as given.
+        argument: String,
+        /// The most similar known argument.
         nearest: Option<&'static str>,
     },
     /// An option lacks its value.
@@ -39,7 +39,7 @@
         /// The option.
         option: &'static str,
     },
-    /// An option that may be given once is given more often.
+    /// An option that may be given once is repeated.
     #[error("{option} is given more than once; see `ochreshed {command} --help`")]
     RepeatedOption {
         /// The command.
@@ -47,39 +47,39 @@
         /// The option.
         option: &'static str,
     },
-    /// The command lacks something that it needs.
+    /// A required argument or option is missing.
     #[error("{command} wants {expected}; see `ochreshed {command} --help`")]
     MissingArgument {
         /// The command.
         command: Subcommand,
-        /// What it needs, in words.
+        /// Description of what is missing.
         expected: &'static str,
     },
-    /// An address can't be one of a replica.
+    /// A value is not a valid replica address.
     #[error("--at wants an IP number and a port, and {value} is none; see `ochreshed {command} --help`")]
     InvalidAddress {
         /// The command.
         command: Subcommand,
-        /// What was typed.
+        /// The argument as given.
         value: String,
     },
-    /// An option can't have this value.
+    /// The value of an option is invalid or out of range.
     #[error("{option} can't be {value}; see `ochreshed {command} --help`")]
     InvalidValue {
         /// The command.
         command: Subcommand,
         /// The option.
         option: &'static str,
-        /// What was typed.
+        /// The argument as given.
         value: String,
     },
-    /// A word that must be text is not.
-    #[error("{word} is no text in UTF-8; see `ochreshed {command} --help`")]
+    /// An argument that must be UTF-8 is not.
+    #[error("{argument} is no text in UTF-8; see `ochreshed {command} --help`")]
     NotUtf8 {
         /// The command.
         command: Subcommand,
-        /// What was typed.
-        word: String,
+        /// The argument as given.
+        argument: String,
     },
 }
 
--- a/balancer/src/mesh/command_line/help.rs
+++ b/balancer/src/mesh/command_line/help.rs
@@ -1,6 +1,6 @@
-//! The help pages of the mesh's subcommands, and their part of the page for all commands.
+//! The help pages of the mesh's subcommands, and the mesh's part of `ochreshed help`.
 //!
-//! Invariant: the pages are part of the program's interface; the tests of frozen texts hold them word for word.
+//! Invariant: the pages are part of the program's interface; integration tests compare them with fixtures word for word.
 
 /// The mesh's part of `ochreshed help`.
 pub const HELP: &str = "    ochreshed attendant [--settings FILE]
@@ -29,7 +29,7 @@
                                       each of these has --help; without --settings OCHRESHED_SETTINGS names the file
 ";
 
-pub(super) const ATTENDANT: &str = "\
+pub(super) const PROXY: &str = "\
 ochreshed attendant [--settings FILE]
 
 Serves a branch of the mesh, its app and its gates, until SIGTERM.
@@ -38,7 +38,7 @@
     -h, --help         this page
 ";
 
-pub(super) const STEWARD: &str = "\
+pub(super) const REPLICA: &str = "\
 ochreshed steward [--settings FILE]
 
 Serves a sorting machine of the mesh, which keeps the timetable and the registry, until SIGTERM.
@@ -56,7 +56,7 @@
     -h, --help         this page
 ";
 
-pub(super) const HOLLOW: &str = "\
+pub(super) const LOAD_GENERATOR: &str = "\
 ochreshed hollow --count N --inner PORT --seed ADDRESS [--seed ADDRESS] [--first K] [--services S]
 
 Loads a mesh of one's own with N attendants in one process that watch, send heartbeats, report and claim keys, and have
@@ -93,7 +93,7 @@
     -h, --help         this page
 ";
 
-pub(super) const TIMETABLE: &str = "\
+pub(super) const CONFIGURATION: &str = "\
 ochreshed timetable read --at ADDRESS [--at ADDRESS] [--json]
 ochreshed timetable replace FILE --at ADDRESS [--at ADDRESS] [--json]
 ochreshed timetable history --at ADDRESS [--at ADDRESS] [--json]
--- a/balancer/src/mesh/command_line/mod.rs
+++ b/balancer/src/mesh/command_line/mod.rs
@@ -1,23 +1,22 @@
 //! The command line of the mesh's subcommands: their names, options and help pages.
 //!
-//! [`parse`] turns the words after the program's name into a [`Command`], or into a [`CommandLineError`] for whoever
-//! typed them.
+//! [`parse`] turns the arguments after the program's name into a [`Command`] or a [`CommandLineError`].
 //!
 //! Invariants:
-//! - A line of which any part was not understood is refused.
-//! - Nothing is done here: a command is handed on to whoever carries it out.
-//! - Commands of the older program are left to its own command line.
+//! - A command line with any unknown argument is rejected.
+//! - Parsing has no side effects; the caller runs the command.
+//! - Subcommands outside the mesh are left to the program's other command-line parser.
 
+mod argument_text;
 mod commands;
 mod error;
 mod help;
 mod options;
 mod parser;
-mod typed_words;
-mod words;
+mod positional_arguments;
 
 pub use commands::{
-    ClientCommand, Command, ConfigurationCommand, MemberCommand, RegisterCommand, SessionAction,
+    ClientCommand, Command, ConfigurationCommand, MemberCommand, MemberRegisterCommand, SessionAction,
     SessionCommand,
 };
 pub use error::CommandLineError;
--- a/balancer/src/mesh/command_line/options.rs
+++ b/balancer/src/mesh/command_line/options.rs
@@ -13,5 +13,5 @@
 pub const SETTINGS: &str = "--settings";
 pub const TO: &str = "--to";
 
-/// Options that may be joined to their value, as `--at=ADDRESS`.
+/// Options that accept the form `--option=VALUE`.
 pub const JOINABLE_OPTIONS: [&str; 3] = [AT, SETTINGS, KEY];
--- a/balancer/src/mesh/command_line/parser.rs
+++ b/balancer/src/mesh/command_line/parser.rs
@@ -1,7 +1,6 @@
-//! Reads a command line: [`parse`]. [`ArgumentParser`] takes the options; what is left goes to [`Words`].
-//!
-//! Invariant: options are taken first, by name and wherever they stand; whatever is left must be a word that the
-//! command asks for, in order.
+//! The command-line parser: [`parse`]. [`ArgumentParser`] takes the options and passes the rest to [`PositionalArguments`].
+//! Invariant: options are taken first, by name and at any position; the remaining arguments must be those that the command
+//! expects, in order.
 
 use std::convert::Infallible;
 use std::ffi::{OsStr, OsString};
@@ -11,49 +10,49 @@
 
 use pico_args::Arguments;
 
+use super::argument_text::{is_option, nearest_candidate, parse_address, unexpected_argument};
 use super::commands::{ClientCommand, Command, Subcommand};
 use super::error::CommandLineError;
 use super::options::{
     AT, COUNT, FIRST, HEADER, INNER, JOINABLE_OPTIONS, JSON, KEY, SEED, SERVICE, SERVICES, SETTINGS, TO,
 };
-use super::typed_words::{is_option, nearest_word, parse_address, unexpected_word};
-use super::words::{SessionOptions, Words};
-use crate::mesh::hollow::HollowOptions;
+use super::positional_arguments::{PositionalArguments, SessionOptions};
+use crate::mesh::load_generator::LoadGeneratorOptions;
 
-/// The commands of the older command line.
-const OLDER_COMMANDS: [&str; 6] = ["serve", "fleet", "snapshot", "check", "version", "help"];
+/// Subcommands of the program's other command-line parser (`crate::command_line`).
+const OTHER_COMMANDS: [&str; 6] = ["serve", "fleet", "snapshot", "check", "version", "help"];
 
-const MAX_HOLLOW_COUNT: usize = 5_000;
-const MAX_HOLLOW_FIRST: usize = 1_000_000;
-const MAX_HOLLOW_SERVICES: usize = 1_000;
-const DEFAULT_HOLLOW_SERVICES: usize = 10;
+const MAX_SIMULATED_NODES: usize = 5_000;
+const MAX_FIRST_NODE_NUMBER: usize = 1_000_000;
+const MAX_SIMULATED_SERVICES: usize = 1_000;
+const DEFAULT_SIMULATED_SERVICES: usize = 10;
 
-/// Reads the words after the program's name. `None` means that the first is none of the mesh's commands, so that the
-/// older command line takes over. A misspelt word that is nearer to one of the mesh's commands than to the older ones
-/// is answered here.
+/// Parses the arguments after the program's name. `None` means that the first one is not a subcommand of the mesh, so that
+/// the other parser takes over. A misspelled name that is closer to a subcommand of the mesh than to the others is an error
+/// here.
 pub fn parse(mut args: Vec<OsString>) -> Option<Result<Command, CommandLineError>> {
     let first = args.first()?.to_str()?.to_owned();
     let Some(command) = Subcommand::ALL.into_iter().find(|command| command.name() == first) else {
-        return misspelt_command(first).map(Err);
+        return check_misspelled_command(first).map(Err);
     };
     args.remove(0);
     Some(ArgumentParser::new(command, args).parse())
 }
 
-fn misspelt_command(word: String) -> Option<CommandLineError> {
+fn check_misspelled_command(name: String) -> Option<CommandLineError> {
     let names = Subcommand::ALL.into_iter().map(Subcommand::name);
-    let nearest = nearest_word(&word, OLDER_COMMANDS.into_iter().chain(names))?;
-    if OLDER_COMMANDS.contains(&nearest) || word.starts_with('-') {
+    let nearest = nearest_candidate(&name, OTHER_COMMANDS.into_iter().chain(names))?;
+    if OTHER_COMMANDS.contains(&nearest) || name.starts_with('-') {
         return None;
     }
-    Some(CommandLineError::UnknownCommand { word, nearest })
+    Some(CommandLineError::UnknownCommand { name, nearest })
 }
 
-/// The words after a subcommand.
+/// The arguments after a subcommand.
 struct ArgumentParser {
     command: Subcommand,
     options: Arguments,
-    /// The words after `--`, which are no options whatever they look like.
+    /// The arguments after `--`, which are never parsed as options.
     after_separator: Vec<OsString>,
 }
 
@@ -70,35 +69,35 @@
             return Err(CommandLineError::HelpRequested { page: self.command.help() });
         }
         match self.command {
-            Subcommand::Attendant => Ok(Command::Attendant { settings: self.parse_process()? }),
-            Subcommand::Steward => Ok(Command::Steward { settings: self.parse_process()? }),
-            Subcommand::Settings => Ok(Command::Settings { settings: self.parse_process()? }),
-            Subcommand::Hollow => self.parse_hollow().map(Command::Hollow),
+            Subcommand::Proxy => Ok(Command::Proxy { settings: self.parse_settings_path()? }),
+            Subcommand::Replica => Ok(Command::Replica { settings: self.parse_settings_path()? }),
+            Subcommand::Settings => Ok(Command::Settings { settings: self.parse_settings_path()? }),
+            Subcommand::LoadGenerator => self.parse_load_generator().map(Command::LoadGenerator),
             _ => self.parse_client(),
         }
     }
 
-    /// The settings file of a process, which is all that its command line can name.
-    fn parse_process(mut self) -> Result<Option<PathBuf>, CommandLineError> {
-        let file = self.take_at_most_one(SETTINGS)?;
-        self.into_words(&[SETTINGS])?.expect_end()?;
+    /// Parses the command line of a process that takes only `--settings`.
+    fn parse_settings_path(mut self) -> Result<Option<PathBuf>, CommandLineError> {
+        let file = self.take_optional_value(SETTINGS)?;
+        self.into_positional(&[SETTINGS])?.expect_end()?;
         Ok(file.map(PathBuf::from))
     }
 
-    fn parse_hollow(mut self) -> Result<HollowOptions, CommandLineError> {
+    fn parse_load_generator(mut self) -> Result<LoadGeneratorOptions, CommandLineError> {
         let seeds = self.take_seeds()?;
-        let count = self.take_number(COUNT, 1..=MAX_HOLLOW_COUNT)?;
-        let count = count.ok_or_else(|| self.missing(COUNT))?;
+        let node_count = self.take_number(COUNT, 1..=MAX_SIMULATED_NODES)?;
+        let node_count = node_count.ok_or_else(|| self.missing(COUNT))?;
         let internal_port = self.take_number(INNER, 1..=usize::from(u16::MAX))?;
         let internal_port = internal_port.ok_or_else(|| self.missing(INNER))? as u16;
-        let first = self.take_number(FIRST, 0..=MAX_HOLLOW_FIRST)?.unwrap_or(0);
-        let services = self.take_number(SERVICES, 1..=MAX_HOLLOW_SERVICES)?;
-        let services = services.unwrap_or(DEFAULT_HOLLOW_SERVICES);
+        let first_node_number = self.take_number(FIRST, 0..=MAX_FIRST_NODE_NUMBER)?.unwrap_or(0);
+        let service_count = self.take_number(SERVICES, 1..=MAX_SIMULATED_SERVICES)?;
+        let service_count = service_count.unwrap_or(DEFAULT_SIMULATED_SERVICES);
         if seeds.is_empty() {
             return Err(self.missing(SEED));
         }
-        self.into_words(&[SEED, COUNT, INNER, FIRST, SERVICES])?.expect_end()?;
-        Ok(HollowOptions { count, first, seeds, internal_port, services })
+        self.into_positional(&[SEED, COUNT, INNER, FIRST, SERVICES])?.expect_end()?;
+        Ok(LoadGeneratorOptions { node_count, first_node_number, seeds, internal_port, service_count })
     }
 
     fn parse_client(mut self) -> Result<Command, CommandLineError> {
@@ -107,16 +106,16 @@
         let addresses = self.take_values(AT)?;
         let parse_one = |value: &OsString| parse_address(command, value);
         let replicas = addresses.iter().map(parse_one).collect::<Result<Vec<_>, _>>()?;
-        let (mut words, client_command) = match command {
+        let (mut arguments, client_command) = match command {
             Subcommand::Member => self.parse_member()?,
             Subcommand::Session => self.parse_session()?,
             _ => {
-                let mut words = self.into_words(&[AT, JSON])?;
-                let client_command = words.parse_client_command()?;
-                (words, client_command)
+                let mut arguments = self.into_positional(&[AT, JSON])?;
+                let client_command = arguments.parse_client_command()?;
+                (arguments, client_command)
             }
         };
-        words.expect_end()?;
+        arguments.expect_end()?;
         if replicas.is_empty() {
             let expected = "--at ADDRESS, the control gate of a steward";
             return Err(CommandLineError::MissingArgument { command, expected });
@@ -124,24 +123,24 @@
         Ok(Command::Client { replicas, json, command: client_command })
     }
 
-    fn parse_member(mut self) -> Result<(Words, ClientCommand), CommandLineError> {
-        let key_file = self.take_at_most_one(KEY)?.map(PathBuf::from);
-        let mut words = self.into_words(&[AT, JSON, KEY])?;
-        let name = words.next_text("the NAME of a member", "the NAME of a member")?;
-        let command = words.parse_member_command()?;
-        Ok((words, ClientCommand::Member { name, command, key_file }))
+    fn parse_member(mut self) -> Result<(PositionalArguments, ClientCommand), CommandLineError> {
+        let key_file = self.take_optional_value(KEY)?.map(PathBuf::from);
+        let mut arguments = self.into_positional(&[AT, JSON, KEY])?;
+        let name = arguments.next_text("the NAME of a member", "the NAME of a member")?;
+        let command = arguments.parse_member_command()?;
+        Ok((arguments, ClientCommand::Member { name, command, key_file }))
     }
 
-    fn parse_session(mut self) -> Result<(Words, ClientCommand), CommandLineError> {
-        // What is wrong with an option is only reported once the words before it in the help page are understood.
+    fn parse_session(mut self) -> Result<(PositionalArguments, ClientCommand), CommandLineError> {
+        // Errors in these options are reported only after the arguments that precede them in the help page are valid.
         let options = SessionOptions {
             service: self.take_values(SERVICE),
             header: self.take_values(HEADER),
             target: self.take_values(TO),
         };
-        let mut words = self.into_words(&[AT, JSON, SERVICE, HEADER, TO])?;
-        let command = words.parse_session_command(options)?;
-        Ok((words, command))
+        let mut arguments = self.into_positional(&[AT, JSON, SERVICE, HEADER, TO])?;
+        let command = arguments.parse_session_command(options)?;
+        Ok((arguments, command))
     }
 
     fn take_flag(&mut self, option: &'static str) -> bool {
@@ -152,7 +151,7 @@
         given
     }
 
-    /// Takes all values of an option. A value does not look like an option.
+    /// Takes all values of an option. A value must not begin with `-`, except for `-` itself.
     fn take_values(&mut self, option: &'static str) -> Result<Vec<OsString>, CommandLineError> {
         let missing = || CommandLineError::MissingValue { command: self.command, option };
         let values = self.options.values_from_os_str(option, |value| Ok::<_, Infallible>(value.to_owned()));
@@ -163,7 +162,7 @@
         Ok(values)
     }
 
-    fn take_at_most_one(&mut self, option: &'static str) -> Result<Option<OsString>, CommandLineError> {
+    fn take_optional_value(&mut self, option: &'static str) -> Result<Option<OsString>, CommandLineError> {
         let mut values = self.take_values(option)?;
         if values.len() > 1 {
             return Err(CommandLineError::RepeatedOption { command: self.command, option });
@@ -176,7 +175,7 @@
         option: &'static str,
         range: RangeInclusive<usize>,
     ) -> Result<Option<usize>, CommandLineError> {
-        let Some(value) = self.take_at_most_one(option)? else { return Ok(None) };
+        let Some(value) = self.take_optional_value(option)? else { return Ok(None) };
         let number = value.to_str().and_then(|text| text.parse().ok());
         let number = number.filter(|number| range.contains(number));
         number.ok_or_else(|| self.invalid_value(option, &value)).map(Some)
@@ -199,18 +198,18 @@
         CommandLineError::InvalidValue { command: self.command, option, value }
     }
 
-    /// The words that are no option, once all options were taken. `options` are those that the command has.
-    fn into_words(self, options: &[&'static str]) -> Result<Words, CommandLineError> {
-        let mut words = self.options.finish();
-        if let Some(option) = words.iter().find(|word| is_option(word)) {
-            return Err(unexpected_word(self.command, option, options));
+    /// Returns the positional arguments once all options were taken. `options` are the options of the command, for suggestions.
+    fn into_positional(self, options: &[&'static str]) -> Result<PositionalArguments, CommandLineError> {
+        let mut arguments = self.options.finish();
+        if let Some(option) = arguments.iter().find(|argument| is_option(argument)) {
+            return Err(unexpected_argument(self.command, option, options));
         }
-        words.extend(self.after_separator);
-        Ok(Words::new(self.command, words))
+        arguments.extend(self.after_separator);
+        Ok(PositionalArguments::new(self.command, arguments))
     }
 }
 
-/// Makes two words of `--at=ADDRESS`.
+/// Splits `--at=ADDRESS` into two arguments.
 fn split_joined_option(arg: OsString) -> Vec<OsString> {
     let pair = arg.to_str().and_then(|arg| arg.split_once('='));
     match pair {
--- a/balancer/src/mesh/command_line/tests/parser_tests.rs
+++ b/balancer/src/mesh/command_line/tests/parser_tests.rs
@@ -10,20 +10,20 @@
     parse(line.split_whitespace().map(OsString::from).collect())
 }
 
-fn outcomes_of(lines: &[&str]) -> String {
-    let answer = |line: &&str| match parse_line(line) {
-        None => format!("{line} -> older\n"),
+fn parse_results(lines: &[&str]) -> String {
+    let result = |line: &&str| match parse_line(line) {
+        None => format!("{line} -> other parser\n"),
         Some(Ok(command)) => format!("{line} -> {command:?}\n"),
         Some(Err(CommandLineError::HelpRequested { page })) => {
             format!("{line} -> help: {}\n", page.lines().next().unwrap_or_default())
         }
-        Some(Err(why)) => format!("{line} -> {why}\n"),
+        Some(Err(error)) => format!("{line} -> {error}\n"),
     };
-    lines.iter().map(answer).collect()
+    lines.iter().map(result).collect()
 }
 
 #[test]
-fn reads_all_commands() {
+fn parses_every_command() {
     let lines = [
         "attendant",
         "attendant --settings a.toml",
@@ -52,9 +52,9 @@
         "timetable replace -h --wrong",
     ];
     expect![[r#"
-        attendant -> Attendant { settings: None }
-        attendant --settings a.toml -> Attendant { settings: Some("a.toml") }
-        steward --settings=/etc/ochreshed/local.toml -> Steward { settings: Some("/etc/ochreshed/local.toml") }
+        attendant -> Proxy { settings: None }
+        attendant --settings a.toml -> Proxy { settings: Some("a.toml") }
+        steward --settings=/etc/ochreshed/local.toml -> Replica { settings: Some("/etc/ochreshed/local.toml") }
         settings -> Settings { settings: None }
         nodes --at 10.1.0.13:8306 --at 10.2.0.10:8306 -> Client { replicas: [10.1.0.13:8306, 10.2.0.10:8306], json: false, command: Nodes }
         upstreams --json --at=10.1.0.13:8306 -> Client { replicas: [10.1.0.13:8306], json: true, command: Upstreams }
@@ -62,7 +62,7 @@
         timetable --at 10.1.0.13:8306 replace r7.json -> Client { replicas: [10.1.0.13:8306], json: false, command: Configuration(Replace("r7.json")) }
         timetable replace - --at 10.1.0.13:8306 -> Client { replicas: [10.1.0.13:8306], json: false, command: Configuration(Replace("-")) }
         timetable history --at 10.1.0.13:8306 -> Client { replicas: [10.1.0.13:8306], json: false, command: Configuration(History) }
-        --json timetable diff r7.json --at 10.1.0.13:8306 -> older
+        --json timetable diff r7.json --at 10.1.0.13:8306 -> other parser
         timetable diff r7.json --at 10.1.0.13:8306 --json -> Client { replicas: [10.1.0.13:8306], json: true, command: Configuration(Diff("r7.json")) }
         keys --at 10.1.0.13:8306 -> Client { replicas: [10.1.0.13:8306], json: false, command: KeyCounts }
         keys k-5512 --at [::1]:8306 -> Client { replicas: [[::1]:8306], json: false, command: Key("k-5512") }
@@ -72,16 +72,16 @@
         session show p-17 --service cobro --header X-Person --at 10.1.0.13:8306 -> Client { replicas: [10.1.0.13:8306], json: false, command: Session(SessionCommand { action: Show, id: "p-17", service: "cobro", header: "X-Person" }) }
         session move p-17 --to 10.1.0.14:8300 --service cobro --header X-Person --at 10.1.0.13:8306 -> Client { replicas: [10.1.0.13:8306], json: false, command: Session(SessionCommand { action: Move { target: 10.1.0.14:8300 }, id: "p-17", service: "cobro", header: "X-Person" }) }
         drain i-7f3a91c2 --at 10.1.0.13:8306 -> Client { replicas: [10.1.0.13:8306], json: false, command: Drain { upstream: "i-7f3a91c2" } }
-        members replace m.json --at 10.1.0.13:8306 -> Client { replicas: [10.1.0.13:8306], json: false, command: Members(Replace("m.json")) }
+        members replace m.json --at 10.1.0.13:8306 -> Client { replicas: [10.1.0.13:8306], json: false, command: MemberRegister(Replace("m.json")) }
         member norte plan r7.json --key=k --at 10.1.0.13:8306 -> Client { replicas: [10.1.0.13:8306], json: false, command: Member { name: "norte", command: Plan("r7.json"), key_file: Some("k") } }
-        member norte undo --at 10.1.0.13:8306 -> Client { replicas: [10.1.0.13:8306], json: false, command: Member { name: "norte", command: Undo, key_file: None } }
+        member norte undo --at 10.1.0.13:8306 -> Client { replicas: [10.1.0.13:8306], json: false, command: Member { name: "norte", command: RestorePrevious, key_file: None } }
         drain --help -> help: ochreshed drain UPSTREAM --at ADDRESS [--at ADDRESS] [--json]
         timetable replace -h --wrong -> help: ochreshed timetable read --at ADDRESS [--at ADDRESS] [--json]
-    "#]].assert_eq(&outcomes_of(&lines));
+    "#]].assert_eq(&parse_results(&lines));
 }
 
 #[test]
-fn names_what_was_not_understood() {
+fn errors_name_the_rejected_argument() {
     let lines = [
         "attendant a.toml",
         "attendant --setings a.toml",
@@ -139,41 +139,41 @@
             member norte plan --at 10.1.0.13:8306 -> member wants a FILE to plan with; see `ochreshed member --help`
             member norte setle --key a --at 10.1.0.13:8306 -> member has no setle; settle is near; see `ochreshed member --help`
             member norte undo --key a --key b --at 10.1.0.13:8306 -> --key is given more than once; see `ochreshed member --help`
-        "#]].assert_eq(&outcomes_of(&lines));
+        "#]].assert_eq(&parse_results(&lines));
 }
 
 #[test]
-fn leaves_other_commands_to_the_older_command_line() {
+fn leaves_other_commands_to_the_other_parser() {
     let lines =
         ["", "serve", "fleet --at 127.0.0.1:7000", "check", "snapshot show x", "--help", "-V", "moon"];
-    assert!(lines.iter().all(|line| parse_line(line).is_none()), "{}", outcomes_of(&lines));
+    assert!(lines.iter().all(|line| parse_line(line).is_none()), "{}", parse_results(&lines));
     expect![[r#"
             stewrad -> there is no command stewrad; steward is near; see `ochreshed help`
             atendant --settings x -> there is no command atendant; attendant is near; see `ochreshed help`
             node -> there is no command node; nodes is near; see `ochreshed help`
-            serv -> older
-            chek -> older
+            serv -> other parser
+            chek -> other parser
             key -> there is no command key; keys is near; see `ochreshed help`
         "#]]
-    .assert_eq(&outcomes_of(&["stewrad", "atendant --settings x", "node", "serv", "chek", "key"]));
+    .assert_eq(&parse_results(&["stewrad", "atendant --settings x", "node", "serv", "chek", "key"]));
 }
 
 #[test]
 #[cfg(unix)]
-fn accepts_arguments_that_are_not_utf8() {
+fn handles_arguments_that_are_not_utf8() {
     use std::os::unix::ffi::OsStringExt;
-    let odd = || OsString::from_vec(vec![b'-', 0xff]);
-    assert_eq!(parse(vec![odd()]), None);
+    let invalid_utf8 = || OsString::from_vec(vec![b'-', 0xff]);
+    assert_eq!(parse(vec![invalid_utf8()]), None);
     for name in Subcommand::ALL.map(Subcommand::name) {
         for before in [None, Some("--at"), Some("--settings"), Some("--"), Some("replace")] {
-            let args = [Some(OsString::from(name)), before.map(OsString::from), Some(odd())];
+            let args = [Some(OsString::from(name)), before.map(OsString::from), Some(invalid_utf8())];
             let args: Vec<_> = args.into_iter().flatten().collect();
             assert!(matches!(parse(args.clone()), Some(Err(_))), "{args:?}");
         }
     }
     let file = OsString::from_vec(vec![b'a', 0xff]);
     let args = vec!["steward".into(), "--settings".into(), file.clone()];
-    assert_eq!(parse(args), Some(Ok(Command::Steward { settings: Some(PathBuf::from(file)) })));
+    assert_eq!(parse(args), Some(Ok(Command::Replica { settings: Some(PathBuf::from(file)) })));
 }
 
 #[test]
--- a/balancer/src/mesh/operator_client/member_documents.rs
+++ b/balancer/src/mesh/operator_client/member_documents.rs
@@ -28,7 +28,7 @@
 use super::member_pages::{changed_page, plan_page, status_page};
 use super::tables::rows_of;
 use super::{history, print_page};
-use crate::mesh::command_line::{MemberCommand, RegisterCommand};
+use crate::mesh::command_line::{MemberCommand, MemberRegisterCommand};
 
 /// The header that carries a member's key.
 const KEY_HEADER: &str = "Ochreshed-Member-Key";
@@ -110,11 +110,14 @@
 }
 
 /// Carries out a command on the register of members.
-pub fn run_register(client: &OperatorClient, command: RegisterCommand) -> Result<ExitCode, ClientError> {
+pub fn run_register(
+    client: &OperatorClient,
+    command: MemberRegisterCommand,
+) -> Result<ExitCode, ClientError> {
     let page = match command {
-        RegisterCommand::Read => documents::read::<MemberRegister>(client)?,
-        RegisterCommand::Replace(file) => documents::replace::<MemberRegister>(client, &file)?,
-        RegisterCommand::Diff(file) => documents::diff::<MemberRegister>(client, &file)?,
+        MemberRegisterCommand::Read => documents::read::<MemberRegister>(client)?,
+        MemberRegisterCommand::Replace(file) => documents::replace::<MemberRegister>(client, &file)?,
+        MemberRegisterCommand::Diff(file) => documents::diff::<MemberRegister>(client, &file)?,
     };
     print_page(&page)?;
     Ok(ExitCode::SUCCESS)
@@ -139,9 +142,9 @@
         }
         MemberCommand::Status => member.fetch_page(MemberCall::Status, status_page)?,
         MemberCommand::History => member.fetch_page(MemberCall::History, history::page)?,
-        MemberCommand::Undo => member.change(MemberCall::Undo, &[])?,
-        MemberCommand::Settle => member.change(MemberCall::Settle, &[])?,
-        MemberCommand::Withdraw => member.change(MemberCall::Withdraw, &[])?,
+        MemberCommand::RestorePrevious => member.change(MemberCall::Undo, &[])?,
+        MemberCommand::PromoteCanary => member.change(MemberCall::Settle, &[])?,
+        MemberCommand::WithdrawCanary => member.change(MemberCall::Withdraw, &[])?,
     };
     print_page(&page)?;
     Ok(ExitCode::SUCCESS)
--- a/balancer/src/mesh/operator_client/mod.rs
+++ b/balancer/src/mesh/operator_client/mod.rs
@@ -66,7 +66,7 @@
             client.fetch_page(&call, upstreams::drained_page)?
         }
         ClientCommand::Configuration(command) => return run_configuration(&client, command),
-        ClientCommand::Members(command) => return member_documents::run_register(&client, command),
+        ClientCommand::MemberRegister(command) => return member_documents::run_register(&client, command),
         ClientCommand::Member { name, command, key_file } => {
             return member_documents::run_member(client, &name, command, key_file.as_deref());
         }
--- a/balancer/src/mesh/operator_client/tests/member_documents_tests.rs
+++ b/balancer/src/mesh/operator_client/tests/member_documents_tests.rs
@@ -103,9 +103,9 @@
     };
     let doc = TemporaryFile::new("doc", br#"{"edition":"r9","routes":[]}"#);
     let all = [
-        done(&[dead, busy, well], MemberCommand::Undo),
+        done(&[dead, busy, well], MemberCommand::RestorePrevious),
         done(&[busy, dead], MemberCommand::Replace(doc.0.clone())),
-        done(&[dead, well], MemberCommand::Undo),
+        done(&[dead, well], MemberCommand::RestorePrevious),
     ];
     expect![[r#"
             DEAD: Connection refused (os error 111)
