--- a/balancer/src/mesh/command_line/help.rs
+++ b/balancer/src/mesh/command_line/help.rs
@@ -1,6 +1,7 @@
 //! The help pages of the mesh's subcommands, and the mesh's part of `ochreshed help`.
 //!
-//! Invariant: the pages are part of the program's interface; integration tests compare them with fixtures word for word.
+//! Invariant: the pages are part of the program's interface; integration tests compare them with fixtures word for
+//! word.
 
 /// The mesh's part of `ochreshed help`.
 pub const HELP: &str = "    ochreshed attendant [--settings FILE]
--- a/balancer/src/mesh/command_line/parser.rs
+++ b/balancer/src/mesh/command_line/parser.rs
@@ -1,6 +1,6 @@
-//! The command-line parser: [`parse`]. [`ArgumentParser`] takes the options and passes the rest to [`PositionalArguments`].
-//! Invariant: options are taken first, by name and at any position; the remaining arguments must be those that the command
-//! expects, in order.
+//! The command-line parser: [`parse`]. [`ArgumentParser`] takes the options and passes the rest to
+//! [`PositionalArguments`]. Invariant: options are taken first, by name and at any position; the remaining arguments
+//! must be those that the command expects, in order.
 
 use std::convert::Infallible;
 use std::ffi::{OsStr, OsString};
@@ -27,9 +27,9 @@
 const MAX_SIMULATED_SERVICES: usize = 1_000;
 const DEFAULT_SIMULATED_SERVICES: usize = 10;
 
-/// Parses the arguments after the program's name. `None` means that the first one is not a subcommand of the mesh, so that
-/// the other parser takes over. A misspelled name that is closer to a subcommand of the mesh than to the others is an error
-/// here.
+/// Parses the arguments after the program's name. `None` means that the first one is not a subcommand of the mesh, so
+/// that the other parser takes over. A misspelled name that is closer to a subcommand of the mesh than to the others is
+/// an error here.
 pub fn parse(mut args: Vec<OsString>) -> Option<Result<Command, CommandLineError>> {
     let first = args.first()?.to_str()?.to_owned();
     let Some(command) = Subcommand::ALL.into_iter().find(|command| command.name() == first) else {
@@ -198,7 +198,8 @@
         CommandLineError::InvalidValue { command: self.command, option, value }
     }
 
-    /// Returns the positional arguments once all options were taken. `options` are the options of the command, for suggestions.
+    /// Returns the positional arguments once all options were taken. `options` are the options of the command, for
+    /// suggestions.
     fn into_positional(self, options: &[&'static str]) -> Result<PositionalArguments, CommandLineError> {
         let mut arguments = self.options.finish();
         if let Some(option) = arguments.iter().find(|argument| is_option(argument)) {
--- a/balancer/src/mesh/command_line/positional_arguments.rs
+++ b/balancer/src/mesh/command_line/positional_arguments.rs
@@ -158,7 +158,8 @@
         Ok(value)
     }
 
-    /// Returns the next argument as text. The errors say `expected` if there is no argument and `expected_text` if it is empty.
+    /// Returns the next argument as text. The errors say `expected` if there is no argument and `expected_text` if it
+    /// is empty.
     pub fn next_text(
         &mut self,
         expected: &'static str,
--- a/balancer/src/mesh/load_generator.rs
+++ b/balancer/src/mesh/load_generator.rs
@@ -1,10 +1,11 @@
-//! Load generator for the control plane (`ochreshed hollow`). It runs many simulated attendants in one process. Each one
-//! watches, sends heartbeats, reports and acquires leases with the code of a real attendant, and has its own connections and
-//! its own copy of the endpoint table. They have no data plane: no socket listens, no request is served, and their upstreams
-//! do not exist.
+//! Load generator for the control plane (`ochreshed hollow`). It runs many simulated attendants in one process. Each
+//! one watches, sends heartbeats, reports and acquires leases with the code of a real attendant, and has its own
+//! connections and its own copy of the endpoint table. They have no data plane: no socket listens, no request is
+//! served, and their upstreams do not exist.
 //!
-//! Commands are read from standard input, one per line: `changes N` (endpoint record changes per second, over all attendants),
-//! `claims N` (leases acquired and completed per second, over all attendants), `figures` (prints a line of statistics), `end`.
+//! Commands are read from standard input, one per line: `changes N` (endpoint record changes per second, over all
+//! attendants), `claims N` (leases acquired and completed per second, over all attendants), `figures` (prints a line of
+//! statistics), `end`.
 
 use std::io::BufRead;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -235,8 +236,8 @@
         }
     }
 
-    /// Returns a line of statistics: number of attendants, records in the shortest endpoint table, leases requested, leases
-    /// not granted, and the mean duration of a lease request in microseconds.
+    /// Returns a line of statistics: number of attendants, records in the shortest endpoint table, leases requested,
+    /// leases not granted, and the mean duration of a lease request in microseconds.
     fn statistics_line(&self) -> String {
         let records = self.nodes.iter().map(|node| node.record_count()).min().unwrap_or(0);
         let requested = self.leases_requested.load(Relaxed);
--- a/balancer/src/mesh/operator_client/documents.rs
+++ b/balancer/src/mesh/operator_client/documents.rs
@@ -1,10 +1,9 @@
 //! Documents that operators replace as a whole: reading, replacing and comparing the one in force.
 //!
-//! [`Document`] is what can be checked and compared, [`ReplaceableDocument`] what has calls of its own to read and
-//! replace it.
+//! A [`Document`] can be validated and compared; a [`ReplaceableDocument`] also has calls that read and replace it.
 //!
-//! Invariants: nothing is sent that was not checked here first; a replacement is only reported as in force after it was
-//! read back, because a replica also acknowledges a version that is not above the one in force, and ignores it.
+//! Invariants: documents are validated before they are sent; a replacement is reported as in force only after it was
+//! read back, because a replica acknowledges and ignores a version that is not higher than the one in force.
 
 use std::fs::File;
 use std::io::Read;
@@ -16,34 +15,34 @@
 use super::error::ClientError;
 use super::formatting::printable_line;
 
-/// The greatest document. It is the limit of a configuration.
+/// The maximum size of a document, which is that of a configuration.
 const MAX_FILE_BYTES: u64 = 32 << 20;
-/// Stands for the standard input in place of a file.
+/// The file name that stands for standard input.
 const STANDARD_INPUT: &str = "-";
 
-/// A document with a version that can be compared with another.
+/// A versioned document that can be compared with another one.
 pub trait Document: Sized {
-    /// What the document is called in texts.
+    /// The name of the document in messages.
     const NAME: &'static str;
 
-    /// Reads and checks a document.
+    /// Parses and validates a document.
     fn parse(bytes: &[u8]) -> Result<Self, Vec<Refusal>>;
 
-    /// The document's version.
+    /// Returns the document's version.
     fn document_version(&self) -> u64;
 
-    /// What differs from this document to `new`, a line for each difference.
+    /// Returns the differences from this document to `new`, one line each.
     fn differences_to(&self, new: &Self) -> Vec<String>;
 }
 
-/// A document that has calls of its own.
+/// A document with calls that read and replace it.
 pub trait ReplaceableDocument: Document {
     /// The call that reads the document in force.
     const READ_CALL: &'static str;
     /// The call that replaces it.
     const REPLACE_CALL: &'static str;
 
-    /// What the document holds, in a few words.
+    /// Summarizes the contents, for messages.
     fn contents(&self) -> String;
 }
 
@@ -72,12 +71,12 @@
     }
 }
 
-/// The text of the document in force.
+/// Fetches the text of the document in force.
 pub fn read<D: ReplaceableDocument>(client: &OperatorClient) -> Result<String, ClientError> {
     client.call(ReplicaCall::read(D::READ_CALL))?.into_text()
 }
 
-/// Puts the document of a file in place of the one in force, and gives the page that says so.
+/// Replaces the document in force with the one in a file and returns the output for the operator.
 pub fn replace<D: ReplaceableDocument>(client: &OperatorClient, file: &Path) -> Result<String, ClientError> {
     let sent = read_file(file)?;
     let document = parse_file::<D>(file, &sent)?;
@@ -85,11 +84,12 @@
     let call = ReplicaCall { name: D::REPLACE_CALL, body: &sent, header: None, idempotent: true };
     let response = client.send_change(call)?;
     let replica = response.replica;
-    let (held, in_force) = read_back::<D>(&response, client.json)
+    let (stored, in_force) = read_back::<D>(&response, client.json)
         .map_err(|error| ClientError::ReadBackFailed { replica, version, source: Box::new(error) })?;
-    if held == sent {
-        let safe = format!("r{version} is safe on more than half of the core, {}\n", document.contents());
-        return if client.json { response.into_text() } else { Ok(safe) };
+    if stored == sent {
+        let confirmation =
+            format!("r{version} is safe on more than half of the core, {}\n", document.contents());
+        return if client.json { response.into_text() } else { Ok(confirmation) };
     }
     if in_force == version {
         return Err(ClientError::VersionAlreadyUsed { replica, version });
@@ -97,37 +97,37 @@
     Err(ClientError::OtherVersionInForce { replica, version, in_force })
 }
 
-/// The document in force at the replica that took a change, and its version.
+/// Fetches the document in force, and its version, from the replica that acknowledged a change.
 fn read_back<D: ReplaceableDocument>(
-    taken: &ReplicaResponse,
+    acknowledgement: &ReplicaResponse,
     json: bool,
 ) -> Result<(Vec<u8>, u64), ClientError> {
-    let replica = [taken.replica];
+    let replica = [acknowledgement.replica];
     let client = OperatorClient { replicas: &replica, json };
-    let held = client.call(ReplicaCall::read(D::READ_CALL))?;
-    let document = parse_held::<D>(&held)?;
-    Ok((held.body, document.document_version()))
+    let stored = client.call(ReplicaCall::read(D::READ_CALL))?;
+    let document = parse_stored::<D>(&stored)?;
+    Ok((stored.body, document.document_version()))
 }
 
-/// The page that compares the document of a file with the one in force.
+/// Compares the document in a file with the one in force and returns the output.
 pub fn diff<D: ReplaceableDocument>(client: &OperatorClient, file: &Path) -> Result<String, ClientError> {
     diff_with::<D>(client.json, file, || Ok(client.call(ReplicaCall::read(D::READ_CALL))?))
 }
 
-/// Like [`diff`], for a document in force that is read by `fetch`. The file is checked before anything is sent.
+/// Like [`diff`], but fetches the document in force with `fetch`. The file is validated before anything is sent.
 pub fn diff_with<D: Document>(
     json: bool,
     file: &Path,
     fetch: impl FnOnce() -> Result<ReplicaResponse, ClientError>,
 ) -> Result<String, ClientError> {
     let new = parse_file::<D>(file, &read_file(file)?)?;
-    let in_force = parse_held::<D>(&fetch()?)?;
+    let in_force = parse_stored::<D>(&fetch()?)?;
     let lines = in_force.differences_to(&new);
     let (old, new) = (in_force.document_version(), new.document_version());
-    Ok(if json { differences_json(old, new, lines) } else { differences_page(old, new, &lines) })
+    Ok(if json { differences_to_json(old, new, lines) } else { format_differences(old, new, &lines) })
 }
 
-/// The bytes of a file, or of the standard input for `-`. Of a file that is too long, as many come as show that.
+/// Reads a file, or standard input for `-`, up to one byte beyond the limit, so that a longer file is detected.
 pub fn read_file(file: &Path) -> Result<Vec<u8>, ClientError> {
     let mut bytes = Vec::new();
     let read = if file == Path::new(STANDARD_INPUT) {
@@ -139,24 +139,27 @@
     Ok(bytes)
 }
 
-/// Checks the document of a file.
+/// Parses the document in a file.
 pub fn parse_file<D: Document>(file: &Path, bytes: &[u8]) -> Result<D, ClientError> {
-    D::parse(bytes).map_err(|refusals| ClientError::DocumentRefused { path: file.to_owned(), refusals })
+    D::parse(bytes).map_err(|refusals| ClientError::DocumentRejected { path: file.to_owned(), refusals })
 }
 
-/// Checks the document that a replica holds, which may come from another build.
-fn parse_held<D: Document>(held: &ReplicaResponse) -> Result<D, ClientError> {
-    let refused =
-        |refusals| ClientError::HeldDocumentRefused { replica: held.replica, document: D::NAME, refusals };
-    D::parse(&held.body).map_err(refused)
+/// Parses the document that a replica returned, which may have been written by another program version.
+fn parse_stored<D: Document>(stored: &ReplicaResponse) -> Result<D, ClientError> {
+    let refused = |refusals| ClientError::StoredDocumentRejected {
+        replica: stored.replica,
+        document: D::NAME,
+        refusals,
+    };
+    D::parse(&stored.body).map_err(refused)
 }
 
-fn differences_json(old: u64, new: u64, lines: Vec<String>) -> String {
+fn differences_to_json(old: u64, new: u64, lines: Vec<String>) -> String {
     let (from, to) = (format!("r{old}"), format!("r{new}"));
     serde_json::json!({ "from": from, "to": to, "differences": lines }).to_string()
 }
 
-fn differences_page(old: u64, new: u64, lines: &[String]) -> String {
+fn format_differences(old: u64, new: u64, lines: &[String]) -> String {
     let mut page: String = lines.iter().map(|line| printable_line(line) + "\n").collect();
     page += &format!("{} differences between r{old}, in force, and r{new}\n", lines.len());
     if new <= old && !lines.is_empty() {
--- a/balancer/src/mesh/operator_client/error.rs
+++ b/balancer/src/mesh/operator_client/error.rs
@@ -1,4 +1,4 @@
-//! Why a command of the operators' client failed: [`ClientError`].
+//! Errors of the operators' client: [`ClientError`].
 
 use std::io;
 use std::net::SocketAddr;
@@ -7,26 +7,26 @@
 use ochreshed_catalog::configuration::Refusal;
 use thiserror::Error;
 
-/// A call that no replica answered with success.
+/// A call for which no replica returned success.
 #[derive(Debug, Error)]
 #[error("{}", reasons.join("\n"))]
 pub struct CallFailure {
-    /// A line for each replica that was asked.
+    /// One line per replica that was tried.
     pub reasons: Vec<String>,
-    /// Whether one of them may have applied the call all the same.
-    pub possibly_applied: bool,
+    /// Whether one of them may have applied the call nevertheless.
+    pub may_be_applied: bool,
 }
 
-/// Why a command failed. The texts go to the operator.
+/// Why a command failed. The texts are printed to the operator.
 #[derive(Debug, Error)]
 pub enum ClientError {
-    /// No replica answered with success.
+    /// No replica returned success.
     #[error(transparent)]
     Call(#[from] CallFailure),
-    /// A response that must be text is not.
+    /// A response is not UTF-8.
     #[error("the answer is not UTF-8")]
     ResponseNotUtf8,
-    /// A response that must be JSON is not.
+    /// A response is not JSON.
     #[error("the answer is no JSON: {0}")]
     ResponseNotJson(serde_json::Error),
     /// A file can't be read.
@@ -34,38 +34,38 @@
     File {
         /// The file.
         path: PathBuf,
-        /// Why it can't be read.
+        /// The reason.
         source: io::Error,
     },
-    /// A file's document is refused before anything is sent.
-    #[error("{}: refused, {} errors{}", path.display(), refusals.len(), indented_lines(refusals))]
-    DocumentRefused {
+    /// The document in a file is invalid; nothing was sent.
+    #[error("{}: refused, {} errors{}", path.display(), refusals.len(), format_indented_lines(refusals))]
+    DocumentRejected {
         /// The file.
         path: PathBuf,
-        /// All that is wrong with its document.
+        /// The problems found in it.
         refusals: Vec<Refusal>,
     },
-    /// The document that a replica holds is refused by this build.
-    #[error("{replica}: the {document} there is refused by this build{}", first_of(refusals))]
-    HeldDocumentRefused {
+    /// The document stored by a replica is invalid for this program version.
+    #[error("{replica}: the {document} there is refused by this build{}", format_first(refusals))]
+    StoredDocumentRejected {
         /// The replica.
         replica: SocketAddr,
-        /// What the document is called.
+        /// The name of the document.
         document: &'static str,
-        /// All that is wrong with it.
+        /// The problems found in it.
         refusals: Vec<Refusal>,
     },
-    /// A document was acknowledged, but it is not known whether it is in force.
+    /// A document was acknowledged, but could not be read back, so that it is unknown whether it is in force.
     #[error("{replica} acknowledged r{version}; reading back what holds failed: {source}")]
     ReadBackFailed {
         /// The replica that acknowledged it.
         replica: SocketAddr,
         /// The version that was sent.
         version: u64,
-        /// Why the document in force could not be read.
+        /// Why reading back failed.
         source: Box<ClientError>,
     },
-    /// A document was acknowledged, but a different one of the same version is in force.
+    /// A document was acknowledged, but a different one with the same version is in force.
     #[error("{replica} acknowledged r{version}, but another r{version} holds: give this one a higher number")]
     VersionAlreadyUsed {
         /// The replica that acknowledged it.
@@ -83,34 +83,34 @@
         /// The version in force.
         in_force: u64,
     },
-    /// A file holds no member's key that can be sent.
+    /// A file contains no valid member key.
     #[error("{}: {problem}", path.display())]
     InvalidMemberKey {
         /// The file.
         path: PathBuf,
-        /// What is wrong with it.
+        /// The problem.
         problem: MemberKeyProblem,
     },
-    /// The page can't be printed.
+    /// The output can't be written.
     #[error("standard output: {0}")]
     StandardOutput(io::Error),
 }
 
-/// What is wrong with a file that should hold a member's key.
+/// Problems of a file with a member's key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum MemberKeyProblem {
-    /// It is blank.
+    /// The file is blank.
     #[error("holds no key")]
     Missing,
-    /// What it holds can't stand in a header.
+    /// The content is not valid in a header.
     #[error("holds no key of printable signs in one word, 1024 at most")]
     Malformed,
 }
 
-fn indented_lines(refusals: &[Refusal]) -> String {
+fn format_indented_lines(refusals: &[Refusal]) -> String {
     refusals.iter().map(|refusal| format!("\n  {refusal}")).collect()
 }
 
-fn first_of(refusals: &[Refusal]) -> String {
+fn format_first(refusals: &[Refusal]) -> String {
     refusals.first().map(|refusal| format!(": {refusal}")).unwrap_or_default()
 }
--- a/balancer/src/mesh/operator_client/formatting.rs
+++ b/balancer/src/mesh/operator_client/formatting.rs
@@ -1,15 +1,15 @@
-//! Texts for terminals and queries: ages, times of day, and names without control characters.
+//! Formatting for terminals and query strings: durations, dates, and text without control characters.
 
 use serde_json::Value;
 
-/// The most characters of a name that a cell shows.
+/// The maximum number of characters of a name in a table cell.
 const MAX_CELL_CHARS: usize = 60;
-/// Ages from here on are shown in seconds.
-const MIN_AGE_IN_SECONDS_MS: u64 = 10_000;
-/// Stands for what is not known.
+/// Durations from here on are shown in seconds.
+const SECONDS_DISPLAY_THRESHOLD_MS: u64 = 10_000;
+/// Shown for unknown values.
 pub const UNKNOWN: &str = "-";
 
-/// Text for a query. A byte that could be taken for something else there becomes `%` and two digits.
+/// Percent-encodes text for a query string.
 pub fn percent_encode(text: &str) -> String {
     let encode_byte = |byte: u8| match byte {
         b'0'..=b'9' | b'a'..=b'z' | b'A'..=b'Z' | b'-' | b'_' | b'.' | b'~' => char::from(byte).to_string(),
@@ -18,7 +18,8 @@
     text.bytes().map(encode_byte).collect()
 }
 
-/// A name for a cell, cut where it is long. Names come from upstreams and operators and may hold anything.
+/// Escapes and truncates a name for a table cell. Names come from upstreams and operators and may contain any
+/// character.
 pub fn printable_name(text: &str) -> String {
     let printable: String = text.escape_debug().take(MAX_CELL_CHARS + 1).collect();
     match printable.char_indices().nth(MAX_CELL_CHARS) {
@@ -27,7 +28,7 @@
     }
 }
 
-/// A line that keeps everything but its control characters.
+/// Escapes the control characters of a line.
 pub fn printable_line(line: &str) -> String {
     let mut printable = String::new();
     for character in line.chars() {
@@ -40,20 +41,20 @@
     printable
 }
 
-/// An age in milliseconds, with its unit.
-pub fn format_age(ms: &Value) -> String {
+/// Formats a duration in milliseconds with its unit.
+pub fn format_duration_ms(ms: &Value) -> String {
     match ms.as_u64() {
         None => UNKNOWN.into(),
-        Some(ms) if ms < MIN_AGE_IN_SECONDS_MS => format!("{ms} ms"),
+        Some(ms) if ms < SECONDS_DISPLAY_THRESHOLD_MS => format!("{ms} ms"),
         Some(ms) => format!("{} s", ms / 1_000),
     }
 }
 
-/// A date and time of day in UTC, from milliseconds since 1970.
-pub fn format_time_of_day(ms: u64) -> String {
+/// Formats a Unix time in milliseconds as a date and time in UTC.
+pub fn format_timestamp(ms: u64) -> String {
     let (seconds, days) = (ms / 1_000 % 86_400, ms / 86_400_000);
-    // The calendar is reckoned from the first of March of the year 0, in years that end with February, so that the leap
-    // day is the last of its year, and in eras of 400 years, which all have the same length.
+    // Days are counted from March 1 of year 0. Years start in March, so that the leap day is the last day of its year,
+    // and are grouped into eras of 400 years, which all have the same length.
     let days = days.saturating_add(719_468);
     let (era, day_of_era) = (days / 146_097, days % 146_097);
     let leap_days = day_of_era / 1_460 - day_of_era / 36_524 + day_of_era / 146_096;
--- a/balancer/src/mesh/operator_client/keys.rs
+++ b/balancer/src/mesh/operator_client/keys.rs
@@ -1,30 +1,30 @@
-//! The pages of idempotency keys: their counts, and how one of them stands.
+//! Output of the leases on idempotency keys: their counts, and the state of a single one.
 
 use serde_json::Value;
 
-use super::formatting::format_age;
+use super::formatting::format_duration_ms;
 use super::tables::{format_cell, format_cells, format_table};
 
-const COUNTS_HEAD: [&str; 6] = ["OPEN", "UNKNOWN", "DONE", "OLDEST OPEN", "ANSWERS", "DROPPED"];
+const COUNTS_COLUMNS: [&str; 6] = ["OPEN", "UNKNOWN", "DONE", "OLDEST OPEN", "ANSWERS", "DROPPED"];
 
-/// The page of `keys.count`.
-pub fn counts_page(counts: &Value) -> String {
+/// Renders the response to `keys.count`.
+pub fn render_counts(counts: &Value) -> String {
     let stored = format_cell(&counts["answer_bytes"]);
     let limit = format_cell(&counts["most_answer_bytes"]);
     let mut cells = format_cells(counts, &["open", "unknown", "done"]);
-    cells.push(format_age(&counts["oldest_open_ms"]));
+    cells.push(format_duration_ms(&counts["oldest_open_ms"]));
     cells.push(format!("{stored} of {limit} bytes"));
     cells.push(format_cell(&counts["answers_dropped"]));
-    format_table(&COUNTS_HEAD, vec![cells])
+    format_table(&COUNTS_COLUMNS, vec![cells])
 }
 
-/// The page of `keys.show`.
-pub fn key_page(key: &Value) -> String {
+/// Renders the response to `keys.show`.
+pub fn render_key(key: &Value) -> String {
     let mut page = format!("key     {}\n", format_cell(&key["key"]));
     page += &format!("hashed  {}\n", format_cell(&key["hashed"]));
-    page += &format!("state   {}\n", state_text(key));
+    page += &format!("state   {}\n", describe_lease_state(key));
     if !key["known_ms"].is_null() {
-        page += &format!("known   for {}\n", format_age(&key["known_ms"]));
+        page += &format!("known   for {}\n", format_duration_ms(&key["known_ms"]));
     }
     if !key["status"].is_null() {
         let (status, bytes) = (format_cell(&key["status"]), format_cell(&key["bytes"]));
@@ -33,7 +33,7 @@
     page
 }
 
-fn state_text(key: &Value) -> &'static str {
+fn describe_lease_state(key: &Value) -> &'static str {
     match key["state"].as_str() {
         Some("none") => "not known to this steward",
         Some("open") if key["disputed"] == true => "open, and two claims met: blocked until it is forgotten",
--- a/balancer/src/mesh/operator_client/member_documents.rs
+++ b/balancer/src/mesh/operator_client/member_documents.rs
@@ -1,19 +1,20 @@
-//! Members of a platform: their register, and one member's own routes.
+//! Commands for the member register and for one member's own routes.
 //!
-//! [`run_register`] and [`run_member`] carry out the commands; [`MemberKey`] is a member's key, as its file holds it.
+//! [`run_register`] and [`run_member`] run the commands; [`MemberKey`] is a member's key read from a file.
 //!
-//! Invariants: a key is never shown, and none is sent that can't stand in a header. An undo is not sent again where one
-//! replica may have applied it, because two undos are not one.
+//! Invariants: a key is never printed, and is sent only if it is valid in a header. `member.undo` is not idempotent, so
+//! it is not sent to another replica once one may have applied it.
 //!
-//! What replicas answer, in JSON but for `read`, which gives the document as it was sent. Editions are as `r7` or null:
+//! Responses are JSON with the fields below, except for `member.read`, which returns the document as it was sent.
+//! Editions are strings such as `r7`, or null:
 //!
 //! | call | fields |
 //! | --- | --- |
 //! | `member.plan` | `changes`, `forbidden`, `trims`: lists of lines |
 //! | `member.replace`, `undo`, `settle`, `withdraw` | `member`, `edition`, `state`: `trial`, `settled` or `withdrawn` |
 //! | `member.status` | `member`; `settled`, `trial`, `withdrawn`; `trims`: lines; `nodes`, `next` |
-//! | of a node | `door`, `edition`, `trial`, `quiet` |
-//! | `member.history` | `versions`, as of `timetable.history` |
+//! | each entry of `nodes` | `door`, `edition`, `trial`, `quiet` |
+//! | `member.history` | `versions`, as in `timetable.history` |
 
 use std::path::Path;
 use std::process::ExitCode;
@@ -21,12 +22,12 @@
 use ochreshed_catalog::configuration::{Refusal, differences_by_location};
 use ochreshed_catalog::members::{self, MemberDocument, MemberRegister};
 
-use super::call::{CallHeader, OperatorClient, RenderPage, ReplicaCall, ReplicaResponse, parse_json};
+use super::call::{CallHeader, OperatorClient, RenderFn, ReplicaCall, ReplicaResponse, parse_json};
 use super::documents::{self, Document, ReplaceableDocument};
 use super::error::{ClientError, MemberKeyProblem};
 use super::formatting::percent_encode;
-use super::member_pages::{changed_page, plan_page, status_page};
-use super::tables::rows_of;
+use super::member_rendering::{render_change, render_plan, render_status};
+use super::tables::list_rows;
 use super::{history, print_page};
 use crate::mesh::command_line::{MemberCommand, MemberRegisterCommand};
 
@@ -72,7 +73,7 @@
 
     fn differences_to(&self, new: &Self) -> Vec<String> {
         let mut lines = Vec::new();
-        let (before, after) = (canary_share_text(self), canary_share_text(new));
+        let (before, after) = (format_canary_share(self), format_canary_share(new));
         if before != after {
             lines.push(format!("trial from {before} to {after}"));
         }
@@ -81,11 +82,11 @@
     }
 }
 
-fn canary_share_text(document: &MemberDocument) -> String {
+fn format_canary_share(document: &MemberDocument) -> String {
     document.canary_share.map_or("none".to_owned(), |share| share.to_string())
 }
 
-/// A member's key, as it stands in its file.
+/// A member's key, without surrounding white space.
 pub struct MemberKey(String);
 
 impl MemberKey {
@@ -103,13 +104,13 @@
         Ok(MemberKey(key.to_owned()))
     }
 
-    /// The header that carries the key.
+    /// Returns the header that carries the key.
     fn header(&self) -> CallHeader<'_> {
         CallHeader { name: KEY_HEADER, value: &self.0 }
     }
 }
 
-/// Carries out a command on the register of members.
+/// Runs a command on the member register.
 pub fn run_register(
     client: &OperatorClient,
     command: MemberRegisterCommand,
@@ -123,7 +124,7 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// Carries out a command on one member's own routes.
+/// Runs a command on one member's own routes.
 pub fn run_member(
     client: OperatorClient,
     name: &str,
@@ -140,11 +141,11 @@
             let fetch = || member.call(MemberCall::Read, &[]);
             documents::diff_with::<MemberDocument>(client.json, &file, fetch)?
         }
-        MemberCommand::Status => member.fetch_page(MemberCall::Status, status_page)?,
-        MemberCommand::History => member.fetch_page(MemberCall::History, history::page)?,
-        MemberCommand::RestorePrevious => member.change(MemberCall::Undo, &[])?,
-        MemberCommand::PromoteCanary => member.change(MemberCall::Settle, &[])?,
-        MemberCommand::WithdrawCanary => member.change(MemberCall::Withdraw, &[])?,
+        MemberCommand::Status => member.fetch_page(MemberCall::Status, render_status)?,
+        MemberCommand::History => member.fetch_page(MemberCall::History, history::render_page)?,
+        MemberCommand::RestorePrevious => member.change(MemberCall::RestorePrevious, &[])?,
+        MemberCommand::PromoteCanary => member.change(MemberCall::PromoteCanary, &[])?,
+        MemberCommand::WithdrawCanary => member.change(MemberCall::WithdrawCanary, &[])?,
     };
     print_page(&page)?;
     Ok(ExitCode::SUCCESS)
@@ -158,9 +159,9 @@
     Replace,
     Status,
     History,
-    Undo,
-    Settle,
-    Withdraw,
+    RestorePrevious,
+    PromoteCanary,
+    WithdrawCanary,
 }
 
 impl MemberCall {
@@ -171,9 +172,9 @@
             MemberCall::Replace => "member.replace",
             MemberCall::Status => "member.status",
             MemberCall::History => "member.history",
-            MemberCall::Undo => "member.undo",
-            MemberCall::Settle => "member.settle",
-            MemberCall::Withdraw => "member.withdraw",
+            MemberCall::RestorePrevious => "member.undo",
+            MemberCall::PromoteCanary => "member.settle",
+            MemberCall::WithdrawCanary => "member.withdraw",
         }
     }
 }
@@ -196,18 +197,18 @@
         format!("{}&of={}", call.name(), percent_encode(self.name))
     }
 
-    fn fetch_page(&self, call: MemberCall, render: RenderPage) -> Result<String, ClientError> {
+    fn fetch_page(&self, call: MemberCall, render: RenderFn) -> Result<String, ClientError> {
         self.client.render(self.call(call, &[])?.into_text()?, render)
     }
 
-    /// Sends a change, and gives the page that says what came of it.
+    /// Sends a change and returns the rendered outcome.
     fn change(&self, call: MemberCall, body: &[u8]) -> Result<String, ClientError> {
         let name = self.call_name(call);
         let header = self.key.as_ref().map(MemberKey::header);
-        let idempotent = call != MemberCall::Undo;
+        let idempotent = call != MemberCall::RestorePrevious;
         let call = ReplicaCall { name: &name, body, header, idempotent };
         let response = self.client.send_change(call)?.into_text()?;
-        self.client.render(response, changed_page)
+        self.client.render(response, render_change)
     }
 
     fn replace(&self, file: &Path) -> Result<String, ClientError> {
@@ -216,13 +217,13 @@
         self.change(MemberCall::Replace, &sent)
     }
 
-    /// Prints what a document would change. The exit code says whether it would be refused.
+    /// Prints what a document would change. The exit code is a failure if the document would be rejected.
     fn print_plan(&self, file: &Path) -> Result<ExitCode, ClientError> {
         let sent = documents::read_file(file)?;
         documents::parse_file::<MemberDocument>(file, &sent)?;
         let response = self.call(MemberCall::Plan, &sent)?.into_text()?;
-        let forbidden = !rows_of(&parse_json(&response)?, "forbidden").is_empty();
-        print_page(&self.client.render(response, plan_page)?)?;
+        let forbidden = !list_rows(&parse_json(&response)?, "forbidden").is_empty();
+        print_page(&self.client.render(response, render_plan)?)?;
         Ok(if forbidden { ExitCode::FAILURE } else { ExitCode::SUCCESS })
     }
 }
--- a/balancer/src/mesh/operator_client/member_pages.rs
+++ b/balancer/src/mesh/operator_client/member_rendering.rs
@@ -1,22 +1,22 @@
-//! The pages of one member's own routes: a plan, a change that was applied, and how the documents stand.
+//! Output for one member's own routes: a plan, an applied change, and the status of the documents.
 
 use std::collections::BTreeMap;
 
 use serde_json::Value;
 
 use super::formatting::printable_line;
-use super::tables::{continuation_note, format_cell, format_cells, format_table, rows_of};
+use super::tables::{format_cell, format_cells, format_continuation, format_table, list_rows};
 
-/// The texts of a list, a line for each.
-fn indented_lines(response: &Value, name: &str) -> String {
-    let texts = rows_of(response, name).iter().filter_map(Value::as_str);
+/// Formats the strings of a list, one per line.
+fn format_indented_lines(response: &Value, name: &str) -> String {
+    let texts = list_rows(response, name).iter().filter_map(Value::as_str);
     texts.map(|line| format!("  {}\n", printable_line(line))).collect()
 }
 
-/// The page of what a document would change.
-pub fn plan_page(plan: &Value) -> String {
+/// Renders the response to `member.plan`.
+pub fn render_plan(plan: &Value) -> String {
     let section = |name: &str, heading: &str, empty: &str| {
-        let lines = indented_lines(plan, name);
+        let lines = format_indented_lines(plan, name);
         if lines.is_empty() { format!("{empty}\n") } else { format!("{heading}\n{lines}") }
     };
     section("changes", "would change:", "nothing would change")
@@ -24,8 +24,8 @@
         + &section("trims", "trimmed now, before the change:", "nothing is trimmed now")
 }
 
-/// The page of a change that was applied.
-pub fn changed_page(change: &Value) -> String {
+/// Renders the response to an applied change.
+pub fn render_change(change: &Value) -> String {
     let state = match change["state"].as_str() {
         Some("trial") => "is safe on more than half of the core, on trial",
         Some("withdrawn") => "is withdrawn: the document before it holds",
@@ -35,22 +35,22 @@
     format!("{} of {} {state}\n", format_cell(&change["edition"]), format_cell(&change["member"]))
 }
 
-/// The page of a member's documents and of the nodes that have them.
-pub fn status_page(status: &Value) -> String {
+/// Renders the response to `member.status`.
+pub fn render_status(status: &Value) -> String {
     let mut page = format!("member     {}\n", format_cell(&status["member"]));
     for name in ["settled", "trial", "withdrawn"] {
         page += &format!("{name:<11}{}\n", format_cell(&status[name]));
     }
-    let trims = indented_lines(status, "trims");
+    let trims = format_indented_lines(status, "trims");
     page += &if trims.is_empty() { "trimmed    nothing\n".to_owned() } else { format!("trimmed:\n{trims}") };
     page += "\n";
-    let nodes = rows_of(status, "nodes");
+    let nodes = list_rows(status, "nodes");
     for (edition, count) in count_editions(nodes) {
         page += &format!("{edition} on {count} of these nodes\n");
     }
     let rows = nodes.iter().map(|node| format_cells(node, &["door", "edition", "trial", "quiet"]));
     page += &format_table(&["NODE", "EDITION", "TRIAL", "QUIET"], rows.collect());
-    page + continuation_note(status)
+    page + format_continuation(status)
 }
 
 fn count_editions(nodes: &[Value]) -> BTreeMap<String, usize> {
--- a/balancer/src/mesh/operator_client/mod.rs
+++ b/balancer/src/mesh/operator_client/mod.rs
@@ -1,13 +1,13 @@
-//! The operators' client: asks the replicas of the control plane, and prints what they answer, as tables or as the JSON
-//! that came.
+//! The operators' client: calls the replicas of the control plane and prints their responses, as tables or as the
+//! received JSON.
 //!
-//! [`run`] carries out a [`ClientCommand`] by an [`OperatorClient`]. Each kind of page has a module; [`documents`] and
-//! [`member_documents`] replace and compare documents.
+//! [`run`] runs a [`ClientCommand`] with an [`OperatorClient`]. There is a module for each kind of output;
+//! [`documents`] and [`member_documents`] replace and compare documents.
 //!
 //! Invariants:
-//! - Nothing is changed that the command did not ask for.
-//! - An answer that did not come complete is not shown as one.
-//! - The value that names a person's session is hashed here and not sent; a member's key is never shown.
+//! - Only commands that change something send calls that do.
+//! - An incomplete response is never printed as if it were complete.
+//! - The value that identifies a person's session is hashed here and not sent; a member's key is never printed.
 
 mod budget;
 mod call;
@@ -17,7 +17,7 @@
 mod history;
 mod keys;
 mod member_documents;
-mod member_pages;
+mod member_rendering;
 mod nodes;
 mod sessions;
 mod settings_summary;
@@ -37,7 +37,7 @@
 use error::ClientError;
 use formatting::percent_encode;
 
-/// Checks a settings file, and prints what it amounts to.
+/// Validates a settings file and prints a summary.
 pub fn check_settings(path: Option<PathBuf>) -> Result<ExitCode, SettingsError> {
     let settings = Settings::read(&Settings::path(path)?)?;
     match print_page(&settings_summary::summarize(&settings)) {
@@ -46,24 +46,26 @@
     }
 }
 
-/// Carries out a command on the first of `replicas` that can answer, and prints the answer.
+/// Runs a command on the first of `replicas` that can process it and prints the response.
 pub fn run(replicas: &[SocketAddr], json: bool, command: ClientCommand) -> Result<ExitCode, ClientError> {
     let client = OperatorClient { replicas, json };
     let page = match command {
-        ClientCommand::Nodes => client.fetch_list("nodes.list", "attendants", nodes::page)?,
-        ClientCommand::Upstreams => client.fetch_list("upstreams.list", "upstreams", upstreams::page)?,
-        ClientCommand::KeyCounts => client.fetch_page("keys.count", keys::counts_page)?,
+        ClientCommand::Nodes => client.fetch_list("nodes.list", "attendants", nodes::render_page)?,
+        ClientCommand::Upstreams => {
+            client.fetch_list("upstreams.list", "upstreams", upstreams::render_page)?
+        }
+        ClientCommand::KeyCounts => client.fetch_page("keys.count", keys::render_counts)?,
         ClientCommand::Key(key) => {
-            client.fetch_page(&format!("keys.show&of={}", percent_encode(&key)), keys::key_page)?
+            client.fetch_page(&format!("keys.show&of={}", percent_encode(&key)), keys::render_key)?
         }
-        ClientCommand::SessionCounts => client.fetch_page("sessions.count", sessions::counts_page)?,
+        ClientCommand::SessionCounts => client.fetch_page("sessions.count", sessions::render_counts)?,
         ClientCommand::Session(command) => {
-            client.fetch_page(&sessions::call_name(&command), sessions::session_page)?
+            client.fetch_page(&sessions::call_name(&command), sessions::render_session)?
         }
-        ClientCommand::Budget => client.fetch_page("budget.list", budget::page)?,
+        ClientCommand::Budget => client.fetch_page("budget.list", budget::render_page)?,
         ClientCommand::Drain { upstream } => {
             let call = format!("upstreams.drain&of={}", percent_encode(&upstream));
-            client.fetch_page(&call, upstreams::drained_page)?
+            client.fetch_page(&call, upstreams::render_drain)?
         }
         ClientCommand::Configuration(command) => return run_configuration(&client, command),
         ClientCommand::MemberRegister(command) => return member_documents::run_register(&client, command),
@@ -82,14 +84,14 @@
     let page = match command {
         ConfigurationCommand::Read => documents::read::<Configuration>(client)?,
         ConfigurationCommand::Replace(file) => documents::replace::<Configuration>(client, &file)?,
-        ConfigurationCommand::History => client.fetch_page("timetable.history", history::page)?,
+        ConfigurationCommand::History => client.fetch_page("timetable.history", history::render_page)?,
         ConfigurationCommand::Diff(file) => documents::diff::<Configuration>(client, &file)?,
     };
     print_page(&page)?;
     Ok(ExitCode::SUCCESS)
 }
 
-/// Prints a page with an end of line. A reader that stopped to read is no error, because it has seen enough.
+/// Prints a page followed by a line break. A closed pipe is not an error, because the reader has seen enough.
 fn print_page(page: &str) -> Result<(), ClientError> {
     match write_page(&mut std::io::stdout().lock(), page) {
         Err(error) if error.kind() != ErrorKind::BrokenPipe => Err(ClientError::StandardOutput(error)),
--- a/balancer/src/mesh/operator_client/sessions.rs
+++ b/balancer/src/mesh/operator_client/sessions.rs
@@ -1,6 +1,6 @@
-//! The calls and pages of sessions.
+//! Calls and output for sessions.
 //!
-//! Invariant: the value that names a person's session is hashed here and not sent.
+//! Invariant: the value that identifies a person's session is hashed here and not sent.
 
 use serde_json::Value;
 
@@ -8,7 +8,7 @@
 use crate::mesh::command_line::{SessionAction, SessionCommand};
 use crate::mesh::proxy::session_affinity;
 
-/// The call for a command on one session, with its parameters.
+/// Returns the name and parameters of the call for a command on one session.
 pub fn call_name(command: &SessionCommand) -> String {
     let session = session_affinity::session_id(&command.service, &command.header, &command.id);
     match command.action {
@@ -18,15 +18,15 @@
     }
 }
 
-/// The page of `sessions.count`.
-pub fn counts_page(counts: &Value) -> String {
+/// Renders the response to `sessions.count`.
+pub fn render_counts(counts: &Value) -> String {
     let cells = format_cells(counts, &["sessions", "moves", "ties", "dropped"]);
     format_table(&["SESSIONS", "MOVES", "TIES", "DROPPED"], vec![cells])
 }
 
-/// The page of `sessions.show`, `sessions.move` and `sessions.forget`.
-pub fn session_page(session: &Value) -> String {
-    let head = ["EPOCH", "HELD AT", "SINCE", "BEFORE AT", "UPSTREAM", "ITS DOOR"];
+/// Renders the response to `sessions.show`, `sessions.move` or `sessions.forget`.
+pub fn render_session(session: &Value) -> String {
+    let columns = ["EPOCH", "HELD AT", "SINCE", "BEFORE AT", "UPSTREAM", "ITS DOOR"];
     let values = [
         &session["epoch"],
         &session["holder"]["door"],
@@ -35,5 +35,5 @@
         &session["tie"]["upstream"],
         &session["tie"]["door"],
     ];
-    format_table(&head, vec![values.into_iter().map(format_cell).collect()])
+    format_table(&columns, vec![values.into_iter().map(format_cell).collect()])
 }
--- a/balancer/src/mesh/operator_client/settings_summary.rs
+++ b/balancer/src/mesh/operator_client/settings_summary.rs
@@ -1,4 +1,4 @@
-//! The page of what a settings file amounts to.
+//! Summary of a settings file.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -8,7 +8,7 @@
     FaultTolerance, OperatingBounds, ProxyCapacity, ReplicaCapacity, ResourceLimits, Settings, SettingsIssue,
 };
 
-/// A page of lines, each of them with a label in front.
+/// Lines of text with a label each.
 #[derive(Default)]
 struct SummaryPage(String);
 
@@ -22,19 +22,19 @@
     }
 }
 
-/// The page of what the settings amount to.
+/// Summarizes the settings and the capacities derived from them.
 pub fn summarize(settings: &Settings) -> String {
     let mut page = SummaryPage::default();
     add_node(&mut page, settings);
     add_fault_tolerance(&mut page, &settings.fault_tolerance);
     add_limits(&mut page, &settings.limits);
     match settings.check_proxy() {
-        Ok(()) => add_attendant(&mut page, settings, settings.limits.proxy_capacity()),
-        Err(missing) => page.add("attendant", format!("no: without {}", field_names(&missing))),
+        Ok(()) => add_proxy(&mut page, settings, settings.limits.proxy_capacity()),
+        Err(missing) => page.add("attendant", format!("no: without {}", format_field_names(&missing))),
     }
     match settings.check_replica() {
         Ok(()) => add_replica(&mut page, settings, settings.limits.replica_capacity()),
-        Err(missing) => page.add("steward", format!("no: without {}", field_names(&missing))),
+        Err(missing) => page.add("steward", format!("no: without {}", format_field_names(&missing))),
     }
     add_bounds(&mut page, &settings.bounds);
     page.0
@@ -67,7 +67,7 @@
     page.add("limits", text);
 }
 
-fn add_attendant(page: &mut SummaryPage, settings: &Settings, capacity: ProxyCapacity) {
+fn add_proxy(page: &mut SummaryPage, settings: &Settings, capacity: ProxyCapacity) {
     let upstream = format_address(settings.upstream_address);
     let service = settings.service.as_deref().map_or(UNKNOWN.to_owned(), printable_name);
     let (to_peers, to_upstream) = (capacity.peer_connections, capacity.upstream_connections);
@@ -99,7 +99,7 @@
     page.add("", format!("retries {retry_ratio} in {retry_window:?} and {retry_slack} more, as told"));
 }
 
-fn field_names(issues: &[SettingsIssue]) -> String {
+fn format_field_names(issues: &[SettingsIssue]) -> String {
     join_or_none(issues.iter().map(|issue| issue.field.clone()))
 }
 
--- a/balancer/src/mesh/operator_client/tables.rs
+++ b/balancer/src/mesh/operator_client/tables.rs
@@ -1,23 +1,23 @@
-//! Tables of cells with columns of equal width, made of JSON values.
+//! Text tables with aligned columns, made from JSON values.
 
 use serde_json::Value;
 
 use super::formatting::{UNKNOWN, printable_name};
 
-/// A table whose columns are as wide as their widest cell. Lines have no spaces at their end.
-pub fn format_table(head: &[&str], rows: Vec<Vec<String>>) -> String {
-    let head: Vec<String> = head.iter().map(|cell| cell.to_string()).collect();
-    let widths = column_widths(&head, &rows);
+/// Formats a table whose columns are as wide as their widest cell. Trailing spaces are removed.
+pub fn format_table(header: &[&str], rows: Vec<Vec<String>>) -> String {
+    let header: Vec<String> = header.iter().map(|cell| cell.to_string()).collect();
+    let widths = column_widths(&header, &rows);
     let mut page = String::new();
-    for row in [head].into_iter().chain(rows) {
+    for row in [header].into_iter().chain(rows) {
         page += format_line(&row, &widths).trim_end();
         page.push('\n');
     }
     page
 }
 
-fn column_widths(head: &[String], rows: &[Vec<String>]) -> Vec<usize> {
-    let mut widths: Vec<usize> = head.iter().map(|cell| cell.chars().count()).collect();
+fn column_widths(header: &[String], rows: &[Vec<String>]) -> Vec<usize> {
+    let mut widths: Vec<usize> = header.iter().map(|cell| cell.chars().count()).collect();
     for row in rows {
         for (width, cell) in widths.iter_mut().zip(row) {
             *width = (*width).max(cell.chars().count());
@@ -31,12 +31,12 @@
     cells.collect::<Vec<_>>().join("  ")
 }
 
-/// The rows of a list; none where there is no such list.
-pub fn rows_of<'v>(response: &'v Value, name: &str) -> &'v [Value] {
+/// Returns the rows of a list in a response; empty if there is no such list.
+pub fn list_rows<'v>(response: &'v Value, name: &str) -> &'v [Value] {
     response[name].as_array().map(Vec::as_slice).unwrap_or_default()
 }
 
-/// A value as a cell.
+/// Formats a value as a cell.
 pub fn format_cell(value: &Value) -> String {
     match value {
         Value::Null => UNKNOWN.into(),
@@ -48,12 +48,12 @@
     }
 }
 
-/// The cells of a row for these of its fields.
+/// Formats the given fields of a row as cells.
 pub fn format_cells(row: &Value, fields: &[&str]) -> Vec<String> {
     fields.iter().map(|field| format_cell(&row[*field])).collect()
 }
 
-/// A line that says that a list is longer than what is shown.
-pub fn continuation_note(list: &Value) -> &'static str {
+/// Returns a line that says that the list is incomplete, if it is.
+pub fn format_continuation(list: &Value) -> &'static str {
     if list["next"].is_null() { "" } else { "there are more than these\n" }
 }
--- a/balancer/src/mesh/operator_client/tests/documents_tests.rs
+++ b/balancer/src/mesh/operator_client/tests/documents_tests.rs
@@ -7,37 +7,37 @@
 use crate::mesh::operator_client::documents;
 
 #[test]
-fn checks_a_configuration_before_it_is_sent() {
-    let folder = std::env::temp_dir().join(format!("ochreshed-client-{}", std::process::id()));
-    std::fs::create_dir_all(&folder).expect("a folder");
-    let file = folder.join("r7.json");
+fn validates_a_configuration_and_reads_it_back() {
+    let directory = std::env::temp_dir().join(format!("ochreshed-client-{}", std::process::id()));
+    std::fs::create_dir_all(&directory).expect("create the directory");
+    let file = directory.join("r7.json");
     let limits = r#"{"category":"limits","label":{},"manifest":{}}"#;
-    let good = |version: &str| format!(r#"{{"edition":"{version}","consignments":[{limits}]}}"#);
-    let write = |text: &str| std::fs::write(&file, text).expect("written");
+    let valid = |version: &str| format!(r#"{{"edition":"{version}","consignments":[{limits}]}}"#);
+    let write = |text: &str| std::fs::write(&file, text).expect("write the file");
     let outcome = |responses: Vec<Vec<u8>>| {
-        let at = serve_responses(responses);
-        let client = OperatorClient { replicas: &[at], json: false };
-        let done = documents::replace::<Configuration>(&client, &file);
-        let done = done.map(|_| "done".to_owned()).unwrap_or_else(|why| why.to_string());
-        done.replace(&at.to_string(), "AT").replace(&folder.display().to_string(), "DIR")
+        let replica = serve_responses(responses);
+        let client = OperatorClient { replicas: &[replica], json: false };
+        let result = documents::replace::<Configuration>(&client, &file);
+        let result = result.map(|_| "done".to_owned()).unwrap_or_else(|error| error.to_string());
+        result.replace(&replica.to_string(), "REPLICA").replace(&directory.display().to_string(), "DIR")
     };
-    let mut all = Vec::new();
+    let mut outcomes = Vec::new();
     write(
         r#"{"edition":"7","consignments":[{"category":"routes","label":{"name":"r-1"},"manifest":{"tries":0}}]}"#,
     );
-    all.push(outcome(Vec::new()));
-    write(&good("r7"));
-    all.push(outcome(vec![response(200, "{}"), response(200, &good("r7"))]));
-    all.push(outcome(vec![response(200, "{}"), response(200, &good("r9"))]));
-    all.push(outcome(vec![response(200, "{}"), response(200, &(good("r7") + " "))]));
-    all.push(outcome(vec![response(200, "{}"), response(503, "not reached")]));
-    all.push(outcome(vec![response(503, "not safe yet")]));
-    all.push(outcome(vec![response(400, "edition: is missing\nlimits: is wrong")]));
-    let at = serve_responses(vec![response(200, &good("r9"))]);
-    let client = OperatorClient { replicas: &[at], json: false };
-    all.push(documents::diff::<Configuration>(&client, &file).unwrap_or_else(|why| why.to_string()));
-    std::fs::remove_dir_all(&folder).expect("removed");
-    all.push(outcome(Vec::new()));
+    outcomes.push(outcome(Vec::new()));
+    write(&valid("r7"));
+    outcomes.push(outcome(vec![response(200, "{}"), response(200, &valid("r7"))]));
+    outcomes.push(outcome(vec![response(200, "{}"), response(200, &valid("r9"))]));
+    outcomes.push(outcome(vec![response(200, "{}"), response(200, &(valid("r7") + " "))]));
+    outcomes.push(outcome(vec![response(200, "{}"), response(503, "not reached")]));
+    outcomes.push(outcome(vec![response(503, "not safe yet")]));
+    outcomes.push(outcome(vec![response(400, "edition: is missing\nlimits: is wrong")]));
+    let replica = serve_responses(vec![response(200, &valid("r9"))]);
+    let client = OperatorClient { replicas: &[replica], json: false };
+    outcomes.push(documents::diff::<Configuration>(&client, &file).unwrap_or_else(|error| error.to_string()));
+    std::fs::remove_dir_all(&directory).expect("remove the directory");
+    outcomes.push(outcome(Vec::new()));
     expect![[r#"
             DIR/r7.json: refused, 7 errors
               edition: is "7", not r and a number
@@ -50,16 +50,16 @@
             --
             done
             --
-            AT acknowledged r7, but r9 holds: nothing has changed
+            REPLICA acknowledged r7, but r9 holds: nothing has changed
             --
-            AT acknowledged r7, but another r7 holds: give this one a higher number
+            REPLICA acknowledged r7, but another r7 holds: give this one a higher number
             --
-            AT acknowledged r7; reading back what holds failed: AT: 503: not reached
+            REPLICA acknowledged r7; reading back what holds failed: REPLICA: 503: not reached
             --
-            AT: 503: not safe yet
+            REPLICA: 503: not safe yet
             it may still come into force: send it again, unchanged
             --
-            AT: 400: edition: is missing
+            REPLICA: 400: edition: is missing
               limits: is wrong
             --
             timetable: edition from r9 to r7
@@ -68,5 +68,5 @@
 
             --
             DIR/r7.json: No such file or directory (os error 2)"#]]
-    .assert_eq(&all.join("\n--\n"));
+    .assert_eq(&outcomes.join("\n--\n"));
 }
--- a/balancer/src/mesh/operator_client/tests/pages_tests.rs
+++ b/balancer/src/mesh/operator_client/tests/pages_tests.rs
@@ -1,14 +1,14 @@
 use expect_test::expect;
 
-use crate::mesh::operator_client::call::{RenderPage, parse_json};
+use crate::mesh::operator_client::call::{RenderFn, parse_json};
 use crate::mesh::operator_client::{budget, history, keys, nodes, upstreams};
 
 #[test]
-fn formats_the_pages_of_all_lists() {
-    let rendered = |render: RenderPage, text: &str| render(&parse_json(text).expect("JSON")) + "--\n";
+fn renders_the_responses_to_all_queries() {
+    let rendered = |render: RenderFn, text: &str| render(&parse_json(text).expect("JSON")) + "--\n";
     let all = [
         rendered(
-            nodes::page,
+            nodes::render_page,
             r#"{"asked":"10.1.0.13:7620","view":3,"settled":false,"stewards":[
                 {"address":"10.1.0.13:7620","zone":"quito-a","disk":"0","member":true,"voter":true,"view":3,"heard_ms":0,"leaving":false,"full_ms":240},
                 {"address":"10.2.0.10:7620","disk":"5e","member":true,"voter":false,"view":2,"heard_ms":null,"leaving":false}],
@@ -16,7 +16,7 @@
                 "service":"huvo11a","upstream":"i-1\u001b[2J","full_ms":812}],"next":null}"#,
         ),
         rendered(
-            upstreams::page,
+            upstreams::render_page,
             r#"{"upstreams":[
                 {"id":"i-2","line":"b","zone":"quito-a","edition":"v1","state":"open","slots":6,"cold_ms":900,
                  "ill":{"fails":2,"slow":0},"door":"10.1.0.9:8300","serving":true,"quiet":true},
@@ -24,30 +24,32 @@
                  "door":"10.1.0.8:8300","serving":false,"quiet":false}],"next":"10.1.0.9:8300"}"#,
         ),
         rendered(
-            history::page,
+            history::render_page,
             r#"{"versions":[{"edition":"r7","digest":"ff","bytes":812,"written_ms":1709164800000,"in_force":true}]}"#,
         ),
         rendered(
-            keys::counts_page,
+            keys::render_counts,
             r#"{"open":2,"unknown":0,"done":40,"oldest_open_ms":61250,"answer_bytes":12040,
                 "most_answer_bytes":51200000,"answers_dropped":3}"#,
         ),
         rendered(
-            keys::key_page,
+            keys::render_key,
             r#"{"key":"k","hashed":"0f","state":"done","known_ms":1250,"disputed":false,"status":201,"bytes":17}"#,
         ),
-        rendered(keys::key_page, r#"{"key":"k","hashed":"0f","state":"none","known_ms":null}"#),
+        rendered(keys::render_key, r#"{"key":"k","hashed":"0f","state":"none","known_ms":null}"#),
         rendered(
-            budget::page,
+            budget::render_page,
             r#"{"window_ms":10000,"retry_ratio":0.2,"retry_slack":60.0,"gates":3,"gates_told":2,"silent":["10.1.0.14:7620"],
                 "services":[{"service":"a","upstreams":1,"first":812,"again":3,"refused":1,"allowed":222.4,"left":219.4}]}"#,
         ),
         rendered(
-            upstreams::drained_page,
+            upstreams::render_drain,
             r#"{"id":"i-1","line":"a","door":"10.1.0.8:8300","state":"closing","open_left":1}"#,
         ),
-        // From some other program.
-        rendered(nodes::page, "[]") + &rendered(upstreams::page, "{}") + &rendered(keys::key_page, "3"),
+        // Responses that lack the expected fields.
+        rendered(nodes::render_page, "[]")
+            + &rendered(upstreams::render_page, "{}")
+            + &rendered(keys::render_key, "3"),
     ];
     expect![[r#"
             asked 10.1.0.13:7620, view 3, NOT heard by half or more
