--- a/balancer/src/mesh/settings/bounds.rs
+++ b/balancer/src/mesh/settings/bounds.rs
@@ -1,4 +1,4 @@
-//! The figures of the rules in force: [`OperatingBounds`], and how one of them is set by its name in the file.
+//! The operating bounds of the deployment ([`OperatingBounds`]), which the settings file sets by name.
 //!
 //! Invariants: each duration is shorter than a year, so that it can be added to any moment; the retry window is above
 //! zero, because rates are divided by it.
@@ -7,17 +7,17 @@
 
 use thiserror::Error;
 
-/// The greatest number that a field may have. Megabytes up to it still fit into 64 bits when counted in bytes.
+/// The largest number that a field may have. A size of this many megabytes still fits into 64 bits as bytes.
 pub(super) const MAX_NUMBER: f64 = 1e12;
 /// The longest duration, in seconds.
 pub(super) const MAX_DURATION_SECONDS: f64 = 366.0 * 86_400.0;
 const MILLIS_PER_SECOND: f64 = 1000.0;
-const RETRY_WINDOW: &str = "retry_window_s";
+const RETRY_WINDOW_NAME: &str = "retry_window_s";
 
-/// The figures of the rules in force. The defaults are those of the operators' examples.
+/// The operating bounds of the deployment. The defaults are those of the operators' example files.
 ///
-/// The program itself goes by `drain_timeout`, `shutdown_grace`, the `retry_*` figures and `idempotency_window`. The
-/// others are checked and kept under their names in the file, because they bind the deployment and not this process.
+/// This program uses only `drain_timeout`, `shutdown_grace`, the `retry_*` fields and `idempotency_window`. The other
+/// bounds apply to the deployment and not to this process: they are validated and stored under their names in the file.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct OperatingBounds {
     pub seed_lag: Duration,
@@ -25,21 +25,21 @@
     pub touch: Duration,
     pub receipt: Duration,
     pub catch_up: Duration,
-    /// How long a draining upstream may finish its requests.
+    /// How long a draining upstream may take to finish its requests.
     pub drain_timeout: Duration,
-    /// How long a process that was told to stop may take.
+    /// How long a process may take to stop after SIGTERM.
     pub shutdown_grace: Duration,
     pub lost: Duration,
     pub timetable: Duration,
     pub back: Duration,
     pub stretch: Duration,
-    /// Retries allowed for each first attempt in the retry window.
+    /// Retries allowed per first attempt in the retry window.
     pub retry_ratio: f64,
-    /// The time over which attempts and retries are counted.
+    /// The window over which attempts and retries are counted.
     pub retry_window: Duration,
-    /// Retries allowed in the retry window above the ratio.
+    /// Retries allowed in the retry window in addition to the ratio.
     pub retry_slack: f64,
-    /// The time in which an idempotency key runs at most once.
+    /// The time during which requests with the same idempotency key run at most once.
     pub idempotency_window: Duration,
     pub recover: Duration,
 }
@@ -67,7 +67,7 @@
     }
 }
 
-/// Why a bound can't have the value that it is given.
+/// Why the value of a bound is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub(super) enum BoundError {
     #[error("wants a number, zero or above")]
@@ -80,7 +80,7 @@
     NotADuration,
 }
 
-/// A bound and the unit in which the file gives it.
+/// A bound, by the unit that the file states it in.
 enum BoundField<'a> {
     Seconds(&'a mut Duration),
     Milliseconds(&'a mut Duration),
@@ -88,19 +88,19 @@
 }
 
 impl OperatingBounds {
-    /// Whether the file may set a bound of this name.
+    /// Whether there is a bound with this name in the file.
     pub(super) fn is_known(name: &str) -> bool {
         OperatingBounds::default().field_mut(name).is_some()
     }
 
-    /// Sets the bound that the file calls `name`. An unknown name changes nothing.
+    /// Sets the bound with this name in the file. Unknown names are ignored.
     pub(super) fn set(&mut self, name: &str, value: &str) -> Result<(), BoundError> {
         let Some(field) = self.field_mut(name) else { return Ok(()) };
         let number = parse_number(value)?;
         match field {
             BoundField::Number(target) => *target = number,
-            BoundField::Seconds(target) => *target = duration_of(name, number)?,
-            BoundField::Milliseconds(target) => *target = duration_of(name, number / MILLIS_PER_SECOND)?,
+            BoundField::Seconds(target) => *target = parse_duration(name, number)?,
+            BoundField::Milliseconds(target) => *target = parse_duration(name, number / MILLIS_PER_SECOND)?,
         }
         Ok(())
     }
@@ -119,7 +119,7 @@
             "back_ms" => BoundField::Milliseconds(&mut self.back),
             "stretch_ms" => BoundField::Milliseconds(&mut self.stretch),
             "retry_ratio" => BoundField::Number(&mut self.retry_ratio),
-            RETRY_WINDOW => BoundField::Seconds(&mut self.retry_window),
+            RETRY_WINDOW_NAME => BoundField::Seconds(&mut self.retry_window),
             "retry_slack" => BoundField::Number(&mut self.retry_slack),
             "stamp_window_s" => BoundField::Seconds(&mut self.idempotency_window),
             "recover_s" => BoundField::Seconds(&mut self.recover),
@@ -133,11 +133,11 @@
     if (0.0..=MAX_NUMBER).contains(&number) { Ok(number) } else { Err(BoundError::NotANumber) }
 }
 
-fn duration_of(name: &str, seconds: f64) -> Result<Duration, BoundError> {
+fn parse_duration(name: &str, seconds: f64) -> Result<Duration, BoundError> {
     if seconds > MAX_DURATION_SECONDS {
         return Err(BoundError::TooLong);
     }
-    if seconds == 0.0 && name == RETRY_WINDOW {
+    if seconds == 0.0 && name == RETRY_WINDOW_NAME {
         return Err(BoundError::Zero);
     }
     Duration::try_from_secs_f64(seconds).map_err(|_| BoundError::NotADuration)
--- a/balancer/src/mesh/settings/error.rs
+++ b/balancer/src/mesh/settings/error.rs
@@ -1,30 +1,30 @@
-//! What can be wrong with a settings file: [`SettingsError`] for the file, [`SettingsIssue`] for one of its fields.
+//! Errors of settings files: [`SettingsError`] for the file, [`SettingsIssue`] for one of its fields.
 
 use std::fmt;
 use std::path::PathBuf;
 
 use thiserror::Error;
 
-use super::SETTINGS_VARIABLE;
+use super::SETTINGS_PATH_VARIABLE;
 
-/// One thing that is wrong in a settings file. Issues are ordered by line, then by field; missing fields come first.
+/// A problem in a settings file. Issues are ordered by line, then by field; missing fields come first.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct SettingsIssue {
-    /// The line in the file; a missing field has none.
+    /// The line in the file; `None` for a missing field.
     pub line: Option<usize>,
-    /// The field by its name in the file, as `counters.control_gate`.
+    /// The name of the field in the file, such as `counters.control_gate`.
     pub field: String,
-    /// What is wrong with it.
+    /// Description of the problem.
     pub message: String,
 }
 
 impl SettingsIssue {
-    /// A field that the file lacks.
+    /// Creates the issue for a missing field.
     pub fn missing(field: &str) -> SettingsIssue {
         SettingsIssue { line: None, field: field.to_owned(), message: "is missing".to_owned() }
     }
 
-    /// An issue in a line of the file.
+    /// Creates an issue in a line of the file.
     pub fn at_line(line: usize, field: &str, message: impl Into<String>) -> SettingsIssue {
         SettingsIssue { line: Some(line), field: field.to_owned(), message: message.into() }
     }
@@ -39,21 +39,21 @@
     }
 }
 
-/// Why there are no settings to start with.
+/// Why the settings could not be loaded.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum SettingsError {
     /// Neither the command line nor the environment names a file.
-    #[error("no --settings FILE, and {SETTINGS_VARIABLE} names none")]
+    #[error("no --settings FILE, and {SETTINGS_PATH_VARIABLE} names none")]
     NoFile,
     /// The file can't be read.
     #[error("{}: {reason}", path.display())]
     Unreadable {
         /// The file.
         path: PathBuf,
-        /// Why it can't be read.
+        /// The reason.
         reason: String,
     },
-    /// The file was read, and these are its issues.
+    /// The file has these issues.
     #[error("faults in the settings: {}{}", .0.len(), indented_lines(.0))]
     Invalid(Vec<SettingsIssue>),
 }
--- a/balancer/src/mesh/settings/limits.rs
+++ b/balancer/src/mesh/settings/limits.rs
@@ -1,36 +1,37 @@
-//! What a process may use of its machine, and how it divides that: [`ResourceLimits`], [`ProxyCapacity`] and
-//! [`ReplicaCapacity`].
+//! Resource limits of a process ([`ResourceLimits`]) and the capacities derived from them ([`ProxyCapacity`] and
+//! [`ReplicaCapacity`]).
 
-/// File descriptors reserved for what is neither a client's connection nor one of our own to an attendant or upstream.
+/// File descriptors reserved for anything but connections to clients, attendants and upstreams.
 const RESERVED_FILE_DESCRIPTORS: u64 = 300;
-/// The part of an attendant's memory for bodies of requests in flight.
+/// The share of an attendant's memory for bodies of requests in flight.
 const BODY_MEMORY_SHARE: f64 = 0.15;
 const BYTES_PER_MB: usize = 1_000_000;
-/// The fewest sockets that an attendant is planned with, however few descriptors it may have.
-const MIN_ATTENDANT_SOCKETS: u64 = 64;
-/// The fewest connections that each listener of an attendant accepts.
+/// The lower limit of an attendant's sockets, whatever its limit of descriptors.
+const MIN_PROXY_SOCKETS: u64 = 64;
+/// The lower limit of connections at each listener of an attendant.
 const MIN_LISTENER_CONNECTIONS: usize = 16;
-const MIN_ATTENDANT_BODY_BYTES: usize = 1 << 20;
+const MIN_PROXY_BODY_BYTES: usize = 1 << 20;
 const MAX_BODY_BYTES: usize = 1 << 29;
-/// One configuration of the greatest size must fit in a replica's body memory.
+/// A configuration of the maximum size must fit into a replica's body memory.
 const MIN_REPLICA_BODY_BYTES: usize = 40 << 20;
 const REPLICA_CONTROL_CONNECTIONS: usize = 256;
+/// Leases that a replica may hold per megabyte of its memory limit.
 const LEASES_PER_MB: usize = 400;
 const MIN_LEASES: usize = 10_000;
 const MIN_RESPONSE_CACHE_BYTES: usize = 4 << 20;
 
-/// What this process may use of its machine.
+/// The resources of the machine that this process may use.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ResourceLimits {
-    /// The part of one core that the process may use.
+    /// The share of one core that the process may use.
     pub cpu_share: f64,
-    /// How many cores the machine has.
+    /// The number of cores of the machine.
     pub cores: f64,
     /// Memory in megabytes of 1,000,000 bytes.
     pub memory_mb: u64,
-    /// Open file descriptors.
+    /// The maximum number of open file descriptors.
     pub file_descriptors: u64,
-    /// The link's speed in megabits per second.
+    /// Link bandwidth in megabits per second.
     pub link_mbps: f64,
     /// Disk space in megabytes.
     pub disk_mb: u64,
@@ -49,41 +50,41 @@
     }
 }
 
-/// How an attendant divides its limits into connections and memory for bodies.
+/// The connections and the body memory of an attendant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ProxyCapacity {
-    /// Clients of the outbound listener.
+    /// Client connections at the outbound listener.
     pub outbound_clients: usize,
-    /// Clients of the inbound listener.
+    /// Client connections at the inbound listener.
     pub inbound_clients: usize,
-    /// Clients of the readiness listener, and as many of the control listener.
+    /// Client connections at the readiness listener, and the same number at the control listener.
     pub control_clients: usize,
     /// Connections to inbound listeners of other attendants.
     pub peer_connections: usize,
-    /// Connections to the upstream beside the attendant.
+    /// Connections to the local upstream.
     pub upstream_connections: usize,
-    /// Bytes of the bodies of requests in flight.
+    /// Memory for the bodies of requests in flight.
     pub body_bytes: usize,
 }
 
-/// How a replica of the control plane divides its limits.
+/// The capacity of a control plane replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReplicaCapacity {
-    /// Clients of the control listener.
+    /// Client connections at the control listener.
     pub control_clients: usize,
-    /// Bytes of the configurations that are being received or sent.
+    /// Memory for configurations that are being received or sent.
     pub body_bytes: usize,
-    /// Leases that are held at once.
+    /// The maximum number of leases.
     pub leases: usize,
-    /// Bytes of all stored responses together.
+    /// The total size of stored responses.
     pub response_cache_bytes: usize,
 }
 
 impl ResourceLimits {
-    /// What an attendant makes of these limits.
+    /// Derives the capacity of an attendant.
     pub fn proxy_capacity(&self) -> ProxyCapacity {
         let available = self.file_descriptors.saturating_sub(RESERVED_FILE_DESCRIPTORS);
-        let sockets = available.max(MIN_ATTENDANT_SOCKETS) as usize;
+        let sockets = available.max(MIN_PROXY_SOCKETS) as usize;
         let body_bytes = (self.memory_mb as f64 * BODY_MEMORY_SHARE * BYTES_PER_MB as f64) as usize;
         ProxyCapacity {
             outbound_clients: (sockets / 3).max(MIN_LISTENER_CONNECTIONS),
@@ -91,11 +92,11 @@
             control_clients: (sockets / 32).max(MIN_LISTENER_CONNECTIONS),
             peer_connections: sockets / 4,
             upstream_connections: sockets / 8,
-            body_bytes: body_bytes.clamp(MIN_ATTENDANT_BODY_BYTES, MAX_BODY_BYTES),
+            body_bytes: body_bytes.clamp(MIN_PROXY_BODY_BYTES, MAX_BODY_BYTES),
         }
     }
 
-    /// What a replica of the control plane makes of these limits.
+    /// Derives the capacity of a control plane replica.
     pub fn replica_capacity(&self) -> ReplicaCapacity {
         let memory_mb = self.memory_mb as usize;
         let fifth_of_memory = memory_mb * BYTES_PER_MB / 5;
--- a/balancer/src/mesh/settings/mod.rs
+++ b/balancer/src/mesh/settings/mod.rs
@@ -1,13 +1,13 @@
-//! The settings file of a mesh process (TOML): what a process knows of itself and of its machine when it starts.
+//! The settings file of a mesh process (TOML).
 //!
-//! [`Settings`] is a file that was read and checked. The operators' words for its fields (`station`, `vehicle_class`,
-//! `counters`, `tolerate` and so on) appear in [`reader`] and in the texts shown, and nowhere behind it. What is wrong
-//! with a file is a list of [`SettingsIssue`].
+//! [`Settings`] is a file that was read and validated. The operators' names of its fields (`station`, `vehicle_class`,
+//! `counters`, `tolerate` and so on) are used only by [`reader`] and in messages. Problems in a file are reported as a
+//! list of [`SettingsIssue`].
 //!
 //! Invariants:
-//! - No value gets through that the rest of the program could not run on.
+//! - Every value in `Settings` was validated, so that the rest of the program can use it without further checks.
 //! - Reading does not stop at the first issue: all of them are reported at once, each with its line and field.
-//! - Unknown fields are ignored, because the file may grow.
+//! - Unknown fields are ignored, so that later versions can add fields.
 
 mod bounds;
 mod error;
@@ -28,21 +28,21 @@
 
 use reader::fields;
 
-/// The environment variable that names the file where the command line does not.
-const SETTINGS_VARIABLE: &str = "OCHRESHED_SETTINGS";
-/// A settings file is about a page, so a longer file is taken for something else.
+/// The environment variable with the path of the file, used if the command line names none.
+const SETTINGS_PATH_VARIABLE: &str = "OCHRESHED_SETTINGS";
+/// A settings file is about a page long, so a longer file is assumed to be something else and rejected.
 const MAX_FILE_BYTES: u64 = 1 << 20;
 
-/// The checked settings of one mesh process.
+/// The validated settings of a mesh process.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// The name of this process in the deployment.
     pub node_name: String,
-    /// The role of this process as the deployment calls it; it is not interpreted.
+    /// The deployment's name for the role of this process; not interpreted.
     pub role: String,
-    /// The deployment's class of this node; it is not interpreted.
+    /// The deployment's class of this node; not interpreted.
     pub node_class: String,
-    /// What the node serves, as the deployment calls it; it is not interpreted.
+    /// The deployment's names of what the node serves; not interpreted.
     pub serves: Vec<String>,
     /// The address of the machine.
     pub ip: IpAddr,
@@ -50,59 +50,58 @@
     pub zone: String,
     /// The region of the machine.
     pub region: String,
-    /// The ports that are free for messages between the processes of the mesh.
+    /// The ports available for messages between mesh processes.
     pub internal_ports: PortRange,
-    /// Control addresses of a few replicas, to begin with.
+    /// Control addresses of a few replicas, for bootstrapping.
     pub seeds: Vec<SocketAddr>,
-    /// Whether a process with an empty disk may begin a new mesh. It is set only on the very first start of the whole
-    /// system.
+    /// Whether a process with an empty disk may create a new mesh. Set only for the first start of the whole system.
     pub bootstrap: bool,
-    /// Whether this machine is one of those that `fault_tolerance` counts.
+    /// Whether this machine counts toward `fault_tolerance`.
     pub counted: bool,
-    /// The folder in which a replica keeps its state.
+    /// The directory for a replica's persistent state.
     pub data_dir: Option<PathBuf>,
     /// The interval between heartbeats, in milliseconds.
     pub heartbeat_interval_ms: u64,
-    /// The address of the upstream beside an attendant.
+    /// The address of an attendant's local upstream.
     pub upstream_address: Option<SocketAddr>,
     /// The service that the upstream belongs to.
     pub service: Option<String>,
     /// The region of each zone.
     pub zone_regions: BTreeMap<String, String>,
-    /// Where requests from other attendants to the upstream are accepted.
+    /// The listener for requests from other attendants to the upstream.
     pub inbound_listen: Option<SocketAddr>,
-    /// Where requests of the local application are accepted.
+    /// The listener for requests from the local application.
     pub outbound_listen: Option<SocketAddr>,
-    /// Where readiness is asked for.
+    /// The listener for readiness checks.
     pub readiness_listen: Option<SocketAddr>,
-    /// Where operators' calls are accepted.
+    /// The listener for operators' calls.
     pub control_listen: Option<SocketAddr>,
-    /// What this process may use of its machine.
+    /// The resources of the machine that this process may use.
     pub limits: ResourceLimits,
-    /// What may be lost at once while every rule still holds.
+    /// The simultaneous failures under which all guarantees hold.
     pub fault_tolerance: FaultTolerance,
-    /// The figures of the rules in force.
+    /// The operating bounds of the deployment.
     pub bounds: OperatingBounds,
 }
 
-/// A range of ports with both ends in it.
+/// An inclusive range of ports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PortRange {
     /// The lowest port.
     pub first: u16,
-    /// The highest port, which is not below `first`.
+    /// The highest port, at least `first`.
     pub last: u16,
 }
 
 impl Settings {
-    /// The file that was given, or else the one that the environment names.
+    /// Returns the given path, or else the one in the environment.
     pub fn path(given: Option<PathBuf>) -> Result<PathBuf, SettingsError> {
-        let from_environment = || std::env::var_os(SETTINGS_VARIABLE).map(PathBuf::from);
+        let from_environment = || std::env::var_os(SETTINGS_PATH_VARIABLE).map(PathBuf::from);
         let path = given.or_else(from_environment);
         path.filter(|path| !path.as_os_str().is_empty()).ok_or(SettingsError::NoFile)
     }
 
-    /// Reads and checks a settings file.
+    /// Reads and validates a settings file.
     pub fn read(path: &Path) -> Result<Settings, SettingsError> {
         let unreadable = |reason| SettingsError::Unreadable { path: path.to_owned(), reason };
         let bytes = read_bounded(path).map_err(|error| unreadable(error.to_string()))?;
@@ -113,12 +112,12 @@
         Settings::parse(text).map_err(SettingsError::Invalid)
     }
 
-    /// Checks the text of a settings file. The error has all issues, in the order of their lines.
+    /// Parses and validates the text of a settings file. The error has all issues, ordered by line.
     pub fn parse(text: &str) -> Result<Settings, Vec<SettingsIssue>> {
         reader::read_settings(text)
     }
 
-    /// Reports what is missing that an attendant needs.
+    /// Checks that the fields required by an attendant are present.
     pub fn check_proxy(&self) -> Result<(), Vec<SettingsIssue>> {
         check_present(&[
             (fields::INBOUND_LISTEN, self.inbound_listen.is_some()),
@@ -130,7 +129,7 @@
         ])
     }
 
-    /// Reports what is missing that a replica of the control plane needs.
+    /// Checks that the fields required by a control plane replica are present.
     pub fn check_replica(&self) -> Result<(), Vec<SettingsIssue>> {
         check_present(&[
             (fields::CONTROL_LISTEN, self.control_listen.is_some()),
@@ -139,7 +138,7 @@
     }
 }
 
-/// Reads one byte more than a file may have, so that a longer file shows.
+/// Reads up to one byte beyond the limit, so that the caller can detect a longer file.
 fn read_bounded(path: &Path) -> std::io::Result<Vec<u8>> {
     let mut bytes = Vec::new();
     File::open(path)?.take(MAX_FILE_BYTES + 1).read_to_end(&mut bytes)?;
--- a/balancer/src/mesh/settings/reader/addresses.rs
+++ b/balancer/src/mesh/settings/reader/addresses.rs
@@ -1,4 +1,4 @@
-//! The addresses of the process: its listeners (`counters`) and the upstream beside it.
+//! The addresses of the process: its listeners (`counters`) and its upstream.
 
 use std::net::SocketAddr;
 
@@ -6,7 +6,7 @@
 
 use super::{SettingsReader, TomlValue, fields, value_in};
 
-/// Where the process listens, and where its upstream does.
+/// The addresses of the upstream and of the listeners.
 pub(super) struct NodeAddresses {
     pub upstream: Option<SocketAddr>,
     pub inbound: Option<SocketAddr>,
@@ -15,7 +15,7 @@
     pub control: Option<SocketAddr>,
 }
 
-/// An address and the field that gave it.
+/// An address and its field.
 struct AddressField<'f, 'd> {
     name: &'static str,
     address: Option<SocketAddr>,
@@ -57,12 +57,12 @@
         }
     }
 
-    /// Records addresses that stand twice, because two listeners can't share one.
-    fn check_distinct(&mut self, all: &[AddressField]) {
-        for (index, field) in all.iter().enumerate() {
+    /// Reports duplicate addresses, because two listeners can't share one.
+    fn check_distinct(&mut self, fields: &[AddressField]) {
+        for (index, field) in fields.iter().enumerate() {
             let Some(address) = field.address else { continue };
-            let same = all[..index].iter().find(|earlier| earlier.address == Some(address));
-            if let (Some(earlier), Some(value)) = (same, field.value) {
+            let duplicate = fields[..index].iter().find(|earlier| earlier.address == Some(address));
+            if let (Some(earlier), Some(value)) = (duplicate, field.value) {
                 let expected = format!("wants an address other than that of {}", earlier.name);
                 self.reject(field.name, value, &expected);
             }
--- a/balancer/src/mesh/settings/reader/bounds.rs
+++ b/balancer/src/mesh/settings/reader/bounds.rs
@@ -1,4 +1,4 @@
-//! The list `bounds`, whose items are texts of the form `name=value`.
+//! The list `bounds`, whose items are strings of the form `name=value`.
 
 use std::collections::BTreeSet;
 
@@ -12,11 +12,11 @@
         let mut seen = BTreeSet::new();
         for (index, item) in items.iter().enumerate() {
             let pair = item.get_ref().as_str().and_then(|text| text.split_once('='));
-            let Some((name, figure)) = pair else {
+            let Some((name, number)) = pair else {
                 self.reject(&format!("{field}[{index}]"), item, "wants name=value as text");
                 continue;
             };
-            let (name, figure) = (name.trim(), figure.trim());
+            let (name, number) = (name.trim(), number.trim());
             if !OperatingBounds::is_known(name) {
                 continue;
             }
@@ -24,7 +24,7 @@
             if !seen.insert(name) {
                 self.reject(&field, item, "wants to be told once");
             }
-            if let Err(error) = bounds.set(name, figure) {
+            if let Err(error) = bounds.set(name, number) {
                 self.reject(&field, item, &error.to_string());
             }
         }
--- a/balancer/src/mesh/settings/reader/fields.rs
+++ b/balancer/src/mesh/settings/reader/fields.rs
@@ -1,6 +1,6 @@
 //! The operators' names for the fields of the settings file.
 
-/// Stands for the whole file where an issue belongs to no field.
+/// Names the whole file in issues that belong to no field.
 pub const WHOLE_FILE: &str = "the file";
 
 pub const NODE_NAME: &str = "station";
--- a/balancer/src/mesh/settings/reader/mod.rs
+++ b/balancer/src/mesh/settings/reader/mod.rs
@@ -1,9 +1,9 @@
-//! Reads the text of a settings file into [`Settings`], a module for each section.
+//! Parses the text of a settings file into [`Settings`], with one module per section.
 //!
-//! [`SettingsReader`] collects issues. Each of its `read_*` functions takes a value with the name of its field, and
-//! either gives what it stands for or records an issue and gives nothing.
+//! [`SettingsReader`] collects issues. Each of its `read_*` functions takes a value and the name of its field. It
+//! returns the parsed value, or records an issue and returns `None`.
 //!
-//! Invariants: `Some` of a value implies that it was checked; settings are given only where no issue was recorded.
+//! Invariants: a returned value was validated; settings are returned only if no issue was recorded.
 
 mod addresses;
 mod bounds;
@@ -20,25 +20,25 @@
 
 use super::{Settings, SettingsIssue};
 
-/// Issues of the notation that are reported. What follows the first few is mostly caused by them.
+/// The maximum number of reported syntax errors. Later ones are mostly consequences of the first few.
 const MAX_SYNTAX_ISSUES: usize = 10;
-/// How many characters of a wrong value are shown.
+/// The number of characters of an invalid value that a message shows.
 const MAX_SHOWN_CHARS: usize = 60;
 
-/// A value with its place in the text.
+/// A value with its position in the text.
 type TomlValue<'t> = Spanned<DeValue<'t>>;
 
-/// Reads the value of the named field.
+/// A function that reads the value of the named field.
 type ReadValue<'t, T> = fn(&mut SettingsReader<'t>, &str, &TomlValue<'_>) -> Option<T>;
 
-/// Reads a whole file. The error has all issues, in the order of their lines.
+/// Reads a whole file. The error has all issues, ordered by line.
 pub(super) fn read_settings(text: &str) -> Result<Settings, Vec<SettingsIssue>> {
     let mut reader = SettingsReader::new(text);
     let (table, errors) = DeTable::parse_recoverable(text);
     for error in errors.iter().take(MAX_SYNTAX_ISSUES) {
         reader.record(error.span(), fields::WHOLE_FILE, error.message().replace('\n', ", "));
     }
-    // A table that was guessed from what remains would only add issues that are none.
+    // The table that the parser recovers after a syntax error is incomplete and would cause false issues.
     let settings = if errors.is_empty() { reader.read_file(table.get_ref()) } else { None };
     let mut issues = reader.issues;
     match settings {
@@ -50,18 +50,18 @@
     }
 }
 
-/// The issues found so far in one text.
+/// The text and the issues found in it so far.
 struct SettingsReader<'t> {
     text: &'t str,
-    /// The offsets of all line ends.
-    line_ends: Vec<usize>,
+    /// The offsets of all line breaks.
+    line_breaks: Vec<usize>,
     issues: Vec<SettingsIssue>,
 }
 
 impl<'t> SettingsReader<'t> {
     fn new(text: &'t str) -> SettingsReader<'t> {
-        let line_ends = text.match_indices('\n').map(|(offset, _)| offset).collect();
-        SettingsReader { text, line_ends, issues: Vec::new() }
+        let line_breaks = text.match_indices('\n').map(|(offset, _)| offset).collect();
+        SettingsReader { text, line_breaks, issues: Vec::new() }
     }
 
     fn read_file(&mut self, file: &DeTable) -> Option<Settings> {
@@ -98,35 +98,35 @@
     }
 
     fn record(&mut self, span: Option<Range<usize>>, field: &str, message: String) {
-        let line = span.map(|span| 1 + self.line_ends.partition_point(|end| *end < span.start));
+        let line = span.map(|span| 1 + self.line_breaks.partition_point(|offset| *offset < span.start));
         self.issues.push(SettingsIssue { line, field: field.to_owned(), message });
     }
 
-    /// Records what a value should be, and shows it as it stands in the file.
+    /// Records that a value is not as expected, and quotes it from the file.
     fn reject(&mut self, field: &str, value: &TomlValue, expected: &str) {
-        let written = self.text.get(value.span()).unwrap_or_default().replace('\n', " ");
-        let mut shown: String = written.chars().take(MAX_SHOWN_CHARS).collect();
-        if shown.len() < written.len() {
+        let source = self.text.get(value.span()).unwrap_or_default().replace('\n', " ");
+        let mut shown: String = source.chars().take(MAX_SHOWN_CHARS).collect();
+        if shown.len() < source.len() {
             shown.push_str("...");
         }
         self.record(Some(value.span()), field, format!("{expected}, not {shown}"));
     }
 
-    /// Gives a value that passed its checks; without one, records what it should have been.
-    fn accept<T>(&mut self, field: &str, value: &TomlValue, read: Option<T>, expected: &str) -> Option<T> {
-        if read.is_none() {
+    /// Returns a parsed value; if it is `None`, records what was expected.
+    fn accept<T>(&mut self, field: &str, value: &TomlValue, parsed: Option<T>, expected: &str) -> Option<T> {
+        if parsed.is_none() {
             self.reject(field, value, expected);
         }
-        read
+        parsed
     }
 
-    /// Reads a field of the file that may be missing.
+    /// Reads an optional field.
     fn optional<T>(&mut self, file: &DeTable, field: &str, read: ReadValue<'t, T>) -> Option<T> {
         let value = file.get(field)?;
         read(self, field, value)
     }
 
-    /// Reads a field of the file that must not be missing.
+    /// Reads a required field.
     fn required<T>(&mut self, file: &DeTable, field: &str, read: ReadValue<'t, T>) -> Option<T> {
         if !file.contains_key(field) {
             self.issues.push(SettingsIssue::missing(field));
@@ -134,7 +134,7 @@
         self.optional(file, field, read)
     }
 
-    /// Reads a field of a section that may be missing, by its full name `section.name`.
+    /// Reads an optional field of a section by its full name `section.name`.
     fn optional_in<T>(
         &mut self,
         section: Option<&DeTable>,
@@ -145,14 +145,14 @@
         read(self, field, value)
     }
 
-    /// Gives a section's table; anything else under its name is an issue.
+    /// Returns the table of a section; a value of another type is an issue.
     fn section<'f, 'd>(&mut self, file: &'f DeTable<'d>, name: &str) -> Option<&'f DeTable<'d>> {
         let value = file.get(name)?;
         self.accept(name, value, value.get_ref().as_table(), "wants a table")
     }
 }
 
-/// The value of a field `section.name` in its section.
+/// Returns the value of the field `section.name` in its section.
 fn value_in<'f, 'd>(section: Option<&'f DeTable<'d>>, field: &str) -> Option<&'f TomlValue<'d>> {
     let (_, name) = field.split_once('.')?;
     section?.get(name)
--- a/balancer/src/mesh/settings/reader/node.rs
+++ b/balancer/src/mesh/settings/reader/node.rs
@@ -1,4 +1,4 @@
-//! The fields at the top of the file: who the process is, where it runs and whom it knows to begin with.
+//! The top-level fields of the file: name, role, location and seeds of the process.
 
 use std::collections::BTreeMap;
 use std::net::{IpAddr, SocketAddr};
@@ -12,7 +12,7 @@
 
 const DEFAULT_HEARTBEAT_INTERVAL_MS: u64 = 1500;
 
-/// What the file says of the process. Fields that it must have are `None` where an issue was recorded.
+/// The top-level fields. A required field is `None` if an issue was recorded for it.
 pub(super) struct NodeSection {
     pub name: Option<String>,
     pub role: Option<String>,
@@ -51,13 +51,13 @@
             seeds: self.optional(file, fields::SEEDS, Self::read_socket_addresses).unwrap_or_default(),
             bootstrap: self.optional(file, fields::BOOTSTRAP, Self::read_bool).unwrap_or(false),
             counted: self.optional(file, fields::COUNTED, Self::read_bool).unwrap_or(false),
-            data_dir: self.optional(file, fields::DATA_DIR, Self::read_folder),
+            data_dir: self.optional(file, fields::DATA_DIR, Self::read_path),
             heartbeat_interval_ms: heartbeat.unwrap_or(DEFAULT_HEARTBEAT_INTERVAL_MS),
             service: self.optional(file, fields::SERVICE, Self::read_name),
         }
     }
 
-    /// Reads the region of the process. The zones may tell it as well; the two must not differ.
+    /// Reads the region of the process. If `zones` lists the zone of the process, both must name the same region.
     fn read_region(
         &mut self,
         file: &DeTable,
@@ -100,7 +100,7 @@
         let pair = value.get_ref().as_array().filter(|ports| ports.len() == 2);
         self.accept(field, value, pair, "wants a list of two ports")?;
         let ports = self.read_list(field, value, Self::read_port)?;
-        // A port that can't be read is missing here, and its issue is recorded.
+        // The list is shorter if a port was invalid; its issue is already recorded.
         let [first, last] = ports[..] else { return None };
         let range = (first <= last).then_some(PortRange { first, last });
         self.accept(field, value, range, "wants the lower port first")
@@ -108,7 +108,7 @@
 
     fn read_interval_ms(&mut self, field: &str, value: &TomlValue) -> Option<u64> {
         let interval_ms = self.read_positive_integer(field, value)?;
-        let within = interval_ms as f64 <= MAX_DURATION_SECONDS * 1000.0;
-        self.accept(field, value, within.then_some(interval_ms), "wants a time of less than a year")
+        let in_range = interval_ms as f64 <= MAX_DURATION_SECONDS * 1000.0;
+        self.accept(field, value, in_range.then_some(interval_ms), "wants a time of less than a year")
     }
 }
--- a/balancer/src/mesh/settings/reader/tolerance.rs
+++ b/balancer/src/mesh/settings/reader/tolerance.rs
@@ -8,9 +8,9 @@
 impl SettingsReader<'_> {
     pub(super) fn read_fault_tolerance(&mut self, file: &DeTable) -> FaultTolerance {
         let section = self.section(file, fields::FAULT_TOLERANCE);
-        let machines = self.optional_in(section, fields::TOLERATED_MACHINES, Self::read_size);
-        let zones = self.optional_in(section, fields::TOLERATED_ZONES, Self::read_size);
-        let regions = self.optional_in(section, fields::TOLERATED_REGIONS, Self::read_size);
+        let machines = self.optional_in(section, fields::TOLERATED_MACHINES, Self::read_usize);
+        let zones = self.optional_in(section, fields::TOLERATED_ZONES, Self::read_usize);
+        let regions = self.optional_in(section, fields::TOLERATED_REGIONS, Self::read_usize);
         let defaults = FaultTolerance::default();
         FaultTolerance {
             machines: machines.unwrap_or(defaults.machines),
--- a/balancer/src/mesh/settings/tests/reader_tests.rs
+++ b/balancer/src/mesh/settings/tests/reader_tests.rs
@@ -62,13 +62,13 @@
 control_gate = "10.1.0.8:8306"
 "#;
 
-fn lines_of(issues: &[SettingsIssue]) -> String {
+fn format_issues(issues: &[SettingsIssue]) -> String {
     issues.iter().map(|issue| format!("{issue}\n")).collect()
 }
 
 #[test]
-fn reads_the_example_files() {
-    let replica = Settings::parse(REPLICA).expect("the example");
+fn parses_the_example_files() {
+    let replica = Settings::parse(REPLICA).expect("a valid file");
     expect![[r#"
         Settings {
             node_name: "sorting-quito-a-1",
@@ -150,21 +150,24 @@
             app: is missing
             line: is missing
         "#]]
-    .assert_eq(&lines_of(&replica.check_proxy().expect_err("a sorting machine")));
+    .assert_eq(&format_issues(&replica.check_proxy().expect_err("a replica has no proxy listeners")));
 
-    let attendant = Settings::parse(ATTENDANT).expect("the other example, without what may be missing");
+    let attendant = Settings::parse(ATTENDANT).expect("an example without optional fields");
     assert_eq!(
         (attendant.bounds, attendant.heartbeat_interval_ms),
         (replica.bounds, 1500),
-        "as in the examples"
+        "the defaults are those of the example"
     );
     assert_eq!(attendant.zone_regions, BTreeMap::from([("quito-a".into(), "sierra-norte".into())]));
     assert_eq!(attendant.check_proxy(), Ok(()));
-    assert_eq!(lines_of(&attendant.check_replica().expect_err("no disk")), "data_dir: is missing\n");
+    assert_eq!(
+        format_issues(&attendant.check_replica().expect_err("no data directory")),
+        "data_dir: is missing\n"
+    );
 }
 
 #[test]
-fn refuses_one_wrong_field_at_a_time() {
+fn reports_each_invalid_field() {
     let lines = [
         "station = 7",
         "station = \"\"",
@@ -201,15 +204,15 @@
     let mut table = String::new();
     for line in lines {
         let name = line.split(' ').next().unwrap_or_default();
-        let begins = format!("{name} = ");
+        let assignment = format!("{name} = ");
         let mut text: String = REPLICA
             .lines()
-            .map(|old| if old.starts_with(&begins) { format!("{line}\n") } else { format!("{old}\n") })
+            .map(|old| if old.starts_with(&assignment) { format!("{line}\n") } else { format!("{old}\n") })
             .collect();
-        if !REPLICA.contains(&begins) {
+        if !REPLICA.contains(&assignment) {
             text = format!("{line}\n{text}");
         }
-        table += &lines_of(&Settings::parse(&text).expect_err(line));
+        table += &format_issues(&Settings::parse(&text).expect_err(line));
     }
     expect![[r#"
             line 1: station: wants a name of 1 to 255 printable bytes, not 7
@@ -269,8 +272,8 @@
             zone: is missing
             line 2: limits: wants a table, not 4
             line 5: counters.control_gate: wants an address other than that of counters.ready_gate, not "10.1.0.8:8302"
-        "#]].assert_eq(&lines_of(&Settings::parse(text).expect_err("empty")));
-    // The zones tell the region as well.
+        "#]].assert_eq(&format_issues(&Settings::parse(text).expect_err("empty")));
+    // The region can also be taken from `zones`.
     let text = ATTENDANT.replace("region = \"sierra-norte\"\n", "zones = { quito-a = \"sierra\" }\n");
     assert_eq!(Settings::parse(&text).expect("no region").region, "sierra");
 }
@@ -283,31 +286,31 @@
             line 2: the file: invalid basic string, expected `"`
             line 3: the file: unclosed array, expected `]`
         "#]]
-    .assert_eq(&lines_of(&Settings::parse(text).expect_err("no TOML")));
+    .assert_eq(&format_issues(&Settings::parse(text).expect_err("no TOML")));
     assert!(Settings::parse(&format!("\u{feff}{}", REPLICA.replace('\n', "\r\n"))).is_ok());
 }
 
 #[test]
-fn finds_and_reads_a_file() {
-    let folder = std::env::temp_dir().join(format!("ochreshed-settings-{}", std::process::id()));
-    std::fs::create_dir_all(&folder).expect("a folder");
-    let file = folder.join("local.toml");
+fn loads_a_file_from_its_path() {
+    let directory = std::env::temp_dir().join(format!("ochreshed-settings-{}", std::process::id()));
+    std::fs::create_dir_all(&directory).expect("create the directory");
+    let file = directory.join("local.toml");
     assert_eq!(Settings::path(Some(file.clone())), Ok(file.clone()));
     assert_eq!(Settings::path(Some(PathBuf::new())), Err(SettingsError::NoFile));
-    assert!(matches!(Settings::read(&file), Err(SettingsError::Unreadable { .. })), "not there");
-    std::fs::write(&file, REPLICA).expect("written");
+    assert!(matches!(Settings::read(&file), Err(SettingsError::Unreadable { .. })), "no such file");
+    std::fs::write(&file, REPLICA).expect("write the file");
     assert!(Settings::read(&file).is_ok());
-    std::fs::write(&file, REPLICA.replace("fds = 4096", "fds = 0")).expect("written");
-    let why = Settings::read(&file).expect_err("no descriptors").to_string();
+    std::fs::write(&file, REPLICA.replace("fds = 4096", "fds = 0")).expect("write the file");
+    let error = Settings::read(&file).expect_err("no descriptors").to_string();
     assert_eq!(
-        why,
+        error,
         "faults in the settings: 1\n  line 32: limits.fds: wants a whole number above zero, not 0"
     );
-    std::fs::write(&file, [b'#', b'\n', 0xff]).expect("written");
-    let why = Settings::read(&file).expect_err("no UTF-8").to_string();
-    assert!(why.ends_with("line 2: the file: is not UTF-8 here"), "{why}");
-    assert!(matches!(Settings::read(&folder), Err(SettingsError::Unreadable { .. })), "a folder");
-    std::fs::remove_dir_all(&folder).expect("removed");
+    std::fs::write(&file, [b'#', b'\n', 0xff]).expect("write the file");
+    let error = Settings::read(&file).expect_err("no UTF-8").to_string();
+    assert!(error.ends_with("line 2: the file: is not UTF-8 here"), "{error}");
+    assert!(matches!(Settings::read(&directory), Err(SettingsError::Unreadable { .. })), "a directory");
+    std::fs::remove_dir_all(&directory).expect("remove the directory");
 }
 
 #[test]
--- a/balancer/src/mesh/settings/tolerance.rs
+++ b/balancer/src/mesh/settings/tolerance.rs
@@ -1,13 +1,13 @@
-//! The losses that the mesh is set up to survive: [`FaultTolerance`].
+//! The failures that the mesh is configured to survive: [`FaultTolerance`].
 
-/// What may be lost at once while every rule still holds: this many counted machines, or zones, or regions.
+/// The number of machines, zones or regions that may fail at the same time while all guarantees hold.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FaultTolerance {
-    /// Counted machines.
+    /// Machines that have `counted` set.
     pub machines: usize,
-    /// Whole zones.
+    /// Entire zones.
     pub zones: usize,
-    /// Whole regions.
+    /// Entire regions.
     pub regions: usize,
 }
 
