--- a/balancer/src/mesh/control/admin_api/body.rs
+++ b/balancer/src/mesh/control/admin_api/body.rs
@@ -1,6 +1,6 @@
-//! Reads the bodies of operators' calls.
+//! Receives the bodies of operators' calls.
 //!
-//! Invariants: a body longer than [`MAX_BODY_BYTES`] is rejected, before it is read if its length is announced.
+//! Invariants: a body longer than [`MAX_BODY_BYTES`] is rejected, before it is read if its length is declared.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,13 +11,13 @@
 use crate::clock::Clock;
 use crate::mesh::proxy::listener::{self, ReceivedRequest};
 
-/// The longest body of a call.
+/// The maximum length of a body.
 const MAX_BODY_BYTES: u64 = 32 << 20;
-/// How long the first part of a body may take.
+/// Timeout for the first part of a body.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Reads the body of a call; the error is the answer to it. `bodies` limits the memory of all bodies that are read at a
-/// time.
+/// Reads the body of a call. The error is the response to the call. `bodies` limits the total memory of bodies that are
+/// being read.
 pub async fn read_body(
     received: ReceivedRequest,
     bodies: &Arc<Semaphore>,
--- a/balancer/src/mesh/control/admin_api/budget.rs
+++ b/balancer/src/mesh/control/admin_api/budget.rs
@@ -1,7 +1,7 @@
-//! `budget.list`: how services use their retry budgets, and how requests on members' routes end.
+//! `budget.list`: the use of services' retry budgets, and the outcomes of requests on members' routes.
 //!
-//! Invariants: the fields of the JSON are part of the operators' interface; only proxies that were heard within the
-//! budget's window count, since what others reported is over.
+//! Invariants: the JSON fields are part of the operators' interface; only proxies that were heard within the budget's
+//! window are counted, because the reports of others are out of date.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -17,8 +17,8 @@
 use super::snapshot::{EndpointStatus, MAX_ENTRIES, ReplicaSnapshot};
 use crate::mesh::settings::OperatingBounds;
 
-/// Who keeps the budgets, in the operators' word.
-const BUDGET_KEEPER: &str = "attendants";
+/// The role that enforces the budgets, by its name in the operators' interface.
+const BUDGET_ENFORCING_ROLE: &str = "attendants";
 
 #[derive(Serialize)]
 struct BudgetList<'s> {
@@ -26,16 +26,17 @@
     window_ms: u64,
     retry_ratio: f64,
     retry_slack: f64,
-    /// Proxies that accept clients, and how many proxies' reports are summed up.
+    /// The number of proxies that accept clients.
     #[serde(rename = "gates")]
     proxies: usize,
+    /// The number of proxies whose reports are included.
     #[serde(rename = "gates_told")]
     reporting_proxies: usize,
-    /// Replicas that could not be asked for the reports that they received.
+    /// Replicas that did not return the reports that they received.
     #[serde(rename = "silent")]
     unreachable_replicas: &'s [SocketAddr],
     services: Vec<ServiceEntry>,
-    /// Members on whose routes requests were sent.
+    /// Outcomes by member and document version.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     members: Vec<MemberEntry>,
 }
@@ -46,12 +47,12 @@
     edition: String,
     #[serde(rename = "trial")]
     canary: bool,
-    /// In the window of the budget.
+    /// First attempts in the budget's window.
     #[serde(rename = "first")]
     first_attempts: u32,
     #[serde(rename = "again")]
     retries: u32,
-    /// Retries that the budget did not allow.
+    /// Retries denied by the budget.
     #[serde(rename = "refused")]
     denied_retries: u32,
     #[serde(rename = "turned")]
@@ -81,29 +82,30 @@
 struct ServiceEntry {
     service: String,
     upstreams: usize,
-    /// In the window of the budget.
+    /// First attempts in the budget's window.
     #[serde(rename = "first")]
     first_attempts: u32,
     #[serde(rename = "again")]
     retries: u32,
-    /// Retries that the budget did not allow.
+    /// Retries denied by the budget.
     #[serde(rename = "refused")]
     denied_retries: u32,
-    /// How many retries the budget allows in the window, and that less those made; may be below zero.
+    /// Retries that the budget allows in the window.
     #[serde(rename = "allowed")]
     retries_allowed: f64,
+    /// Allowed retries minus those made; may be negative.
     #[serde(rename = "left")]
     retries_left: f64,
 }
 
-/// A service's upstreams and attempts.
+/// The number of upstreams of a service, and its attempts.
 #[derive(Default)]
 struct ServiceUsage {
     upstreams: usize,
     attempts: AttemptCounts,
 }
 
-/// Answers from the snapshot's endpoints and reports.
+/// Answers `budget.list` from a snapshot.
 pub fn list(snapshot: &ReplicaSnapshot) -> AdminResponse {
     let (reports, limits) = (&snapshot.reports.reports, &snapshot.limits);
     let window_ms = limits.retry_window.as_millis() as u64;
@@ -115,7 +117,7 @@
     let services = usage.into_iter().take(MAX_ENTRIES);
     let serving_proxies = snapshot.endpoints.iter().filter(|endpoint| endpoint.record.accepts_clients);
     AdminResponse::json(&BudgetList {
-        kept_by: BUDGET_KEEPER,
+        kept_by: BUDGET_ENFORCING_ROLE,
         window_ms,
         retry_ratio: limits.retry_ratio,
         retry_slack: limits.retry_slack,
@@ -132,7 +134,7 @@
     heard.map(|endpoint| endpoint.record.inbound_proxy).collect()
 }
 
-/// Services that have an upstream or made attempts.
+/// Returns the usage of all services that have an upstream or made attempts.
 fn usage_by_service(
     endpoints: &[EndpointStatus],
     attempts: BTreeMap<Name, AttemptCounts>,
--- a/balancer/src/mesh/control/admin_api/configuration.rs
+++ b/balancer/src/mesh/control/admin_api/configuration.rs
@@ -1,7 +1,5 @@
-//! `timetable.replace`, `timetable.read` and `timetable.history`: the operator's configuration.
-//!
-//! Invariants: a configuration is validated before the core sees it, and acknowledged only once a quorum holds it on
-//! disk.
+//! `timetable.replace`, `timetable.read` and `timetable.history`: the operator's configuration. Invariants: a
+//! configuration is validated before it is sent to the core, and acknowledged only after a quorum has it on disk.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,7 +13,7 @@
 use super::snapshot::{MAX_ENTRIES, ReplicaSnapshot};
 use crate::mesh::control::replica_server::{ADMIN_CALL_TIMEOUT, ReplicaServer};
 
-/// How long a change waits for the core while this replica hears no quorum: most likely there is none to wait for.
+/// Timeout of a change while this replica has no quorum. It is short, because the change will most likely fail.
 const NO_QUORUM_TIMEOUT: Duration = Duration::from_millis(800);
 
 #[derive(Serialize)]
--- a/balancer/src/mesh/control/admin_api/configuration_history.rs
+++ b/balancer/src/mesh/control/admin_api/configuration_history.rs
@@ -1,8 +1,8 @@
-//! The versions of the operator's configuration that lie on this replica's disk.
+//! The versions of the operator's configuration on this replica's disk.
 //!
 //! Main type: [`StoredVersion`].
 //!
-//! Invariants: files that are being written or that have another name are skipped.
+//! Invariants: files that are still being written, or whose names don't match, are skipped.
 
 use std::ffi::OsStr;
 use std::path::Path;
@@ -10,28 +10,28 @@
 
 use ochreshed_consensus::messages::Revision;
 
-/// The folder of the configuration's versions within `data_dir`.
-const HISTORY_FOLDER: &str = "timetable";
-/// How many files of that folder are looked at.
+/// The subdirectory of `data_dir` with the configuration's versions.
+const HISTORY_DIRECTORY: &str = "timetable";
+/// The maximum number of files that are read from that directory.
 const MAX_HISTORY_FILES: usize = 1_000;
 
-/// A version of the configuration in a file on this disk.
+/// A version of the configuration on this disk.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct StoredVersion {
     pub revision: Revision,
-    /// The file's length.
+    /// The length of the file.
     pub bytes: u64,
-    /// When the file was written, by this machine's clock, in Unix milliseconds.
+    /// The file's modification time, in Unix milliseconds.
     pub written_ms: u64,
 }
 
-/// The versions whose files are complete by their names, the latest first. It blocks on the disk, so it is to be called
-/// off the runtime's thread.
-pub fn stored_versions(data_dir: &Path) -> std::io::Result<Vec<StoredVersion>> {
+/// Lists the versions whose file names mark them as complete, latest first. Blocks on disk I/O and must not be called
+/// on the async runtime's thread.
+pub fn list_stored_versions(data_dir: &Path) -> std::io::Result<Vec<StoredVersion>> {
     let mut versions = Vec::new();
-    for file in std::fs::read_dir(data_dir.join(HISTORY_FOLDER))?.take(MAX_HISTORY_FILES) {
+    for file in std::fs::read_dir(data_dir.join(HISTORY_DIRECTORY))?.take(MAX_HISTORY_FILES) {
         let file = file?;
-        let Some(revision) = revision_of_file(&file.file_name()) else { continue };
+        let Some(revision) = parse_file_name(&file.file_name()) else { continue };
         // The file may have been removed in the meantime.
         let Ok(metadata) = file.metadata() else { continue };
         let written = metadata.modified().ok().and_then(|time| time.duration_since(UNIX_EPOCH).ok());
@@ -43,8 +43,8 @@
     Ok(versions)
 }
 
-/// The revision in the name of a file, as in `r12-00000000000000ff.json`.
-fn revision_of_file(name: &OsStr) -> Option<Revision> {
+/// Parses the revision in a file name such as `r12-00000000000000ff.json`.
+fn parse_file_name(name: &OsStr) -> Option<Revision> {
     let revision = name.to_str()?.strip_prefix('r')?.strip_suffix(".json")?;
     let (version, digest) = revision.split_once('-')?;
     let is_hex = |text: &str| text.bytes().all(|byte| byte.is_ascii_hexdigit());
--- a/balancer/src/mesh/control/admin_api/drain.rs
+++ b/balancer/src/mesh/control/admin_api/drain.rs
@@ -1,7 +1,6 @@
-//! `upstreams.drain`: has an upstream's proxy send it nothing new.
-//!
-//! Invariants: only the proxy writes its endpoint's record. So the proxy is asked, and the operator is answered once
-//! the record says that the upstream drains.
+//! `upstreams.drain`: drains an upstream, so that it gets no new requests. Invariants: only an inbound proxy writes its
+//! endpoint record. Therefore the proxy is requested to drain, and the operator's call is answered when the record says
+//! that the upstream is draining.
 
 use std::net::SocketAddr;
 
@@ -19,18 +18,18 @@
     #[serde(rename = "door")]
     inbound_proxy: SocketAddr,
     state: &'static str,
-    /// How many other upstreams of its service are serving.
+    /// The number of other upstreams of its service that are serving.
     #[serde(rename = "open_left")]
-    serving_left: usize,
+    other_serving_upstreams: usize,
 }
 
-/// The answer if the proxy has not begun to drain in time.
+/// Returns the response for a drain that the proxy has not started in time.
 #[must_use]
-pub fn not_drained_yet() -> AdminResponse {
+pub fn drain_pending_response() -> AdminResponse {
     AdminResponse::error(503, "its attendant has not taken the drain yet: ask again")
 }
 
-/// Looks up the upstream. If several records have the id, the one that serves is meant.
+/// Looks up the upstream by its ID. If several records have the ID, a serving one takes precedence.
 pub fn drain(upstream_id: &str, endpoints: &[EndpointStatus]) -> QueryOutcome {
     let has_id = |endpoint: &&EndpointStatus| endpoint.record.upstream_id == upstream_id;
     let serving = endpoints.iter().filter(has_id).find(|endpoint| is_serving(endpoint));
@@ -51,7 +50,7 @@
         service,
         inbound_proxy,
         state: upstream_state_name(found.record.state),
-        serving_left: endpoints.iter().filter(takes_over).count(),
+        other_serving_upstreams: endpoints.iter().filter(takes_over).count(),
     }))
 }
 
--- a/balancer/src/mesh/control/admin_api/leases.rs
+++ b/balancer/src/mesh/control/admin_api/leases.rs
@@ -1,6 +1,6 @@
 //! `keys.count` and `keys.show`: the leases on idempotency keys.
 //!
-//! Invariants: the fields and words of the JSON are part of the operators' interface.
+//! Invariants: the JSON fields and state names are part of the operators' interface.
 
 use ochreshed::Nanos;
 use ochreshed_consensus::messages::LeaseOutcome;
@@ -29,7 +29,7 @@
     response_bytes: usize,
     #[serde(rename = "most_answer_bytes")]
     max_response_bytes: usize,
-    /// Since the replica's start.
+    /// Responses evicted since the start of the replica.
     #[serde(rename = "answers_dropped")]
     responses_dropped: u64,
     disk_writes: u64,
@@ -42,10 +42,11 @@
     hashed: String,
     state: &'static str,
     known_ms: Option<u64>,
-    /// Two leases met, and either may have been granted.
+    /// Whether replicas reported different holders, so that it is unknown which one has the lease.
     disputed: bool,
-    /// Status and length of the stored response.
+    /// The status of the stored response.
     status: Option<u16>,
+    /// The body length of the stored response.
     bytes: Option<usize>,
 }
 
--- a/balancer/src/mesh/control/admin_api/member_calls.rs
+++ b/balancer/src/mesh/control/admin_api/member_calls.rs
@@ -1,9 +1,8 @@
-//! `member.*`: the calls of a member on its own documents, made with its key.
+//! `member.*`: calls of a member on its own documents, authenticated with its key.
 //!
-//! Main function: [`handle`].
-//!
-//! Invariants: nothing is done or told without the member's key; neither a key nor its hash is ever told; a change
-//! counts against the member's limit before its body is read; a member learns nothing of the documents of others.
+//! Main function: [`handle`]. Invariants: every call requires the member's key; keys and their hashes are never
+//! disclosed; a change counts against the member's rate limit before its body is read; a member cannot see the
+//! documents of other members.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -30,24 +29,24 @@
 use crate::mesh::shared::member_documents::{DocumentName, MemberDocumentStore, MemberEdition};
 
 const KEY_HEADER: &str = "ochreshed-member-key";
-/// How long other replicas are waited for when nodes are asked for.
+/// Timeout for the node versions of another replica.
 const COLLECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// Nodes in one answer.
+/// The maximum number of nodes in a response.
 const MAX_NODES: usize = 1_000;
 
-/// A document as it was sent, and as it was read.
-struct SentDocument {
+/// A document as received, and as parsed.
+struct ReceivedDocument {
     document: Arc<MemberDocument>,
     bytes: Vec<u8>,
 }
 
-/// A member's committed state, and the lock that keeps other calls from changing it.
+/// A member's committed state, with the lock that prevents concurrent changes.
 struct LockedMember<'l> {
-    _serial: MutexGuard<'l, ()>,
+    _serial_guard: MutexGuard<'l, ()>,
     committed: CommittedMember,
 }
 
-/// Answers a call of the member of this name.
+/// Handles a call of the member with this name.
 pub async fn handle(
     server: &ReplicaServer,
     call: MemberCall,
@@ -55,7 +54,7 @@
     received: ReceivedRequest,
     bodies: &Arc<Semaphore>,
 ) -> Result<String, MemberError> {
-    let key = sent_key(&received);
+    let key = received_key(&received);
     let member = authenticate(server, member_name, &key).await?;
     let limiter = server.members.change_limiter(&member.name);
     if call.is_change() {
@@ -69,14 +68,21 @@
         MemberCall::History => return history(server, name).await,
         MemberCall::Status => return Ok(status(server, name).await),
         MemberCall::Plan => {
-            let sent = read_sent_document(server, received, bodies).await?;
+            let received_document = receive_document(server, received, bodies).await?;
             let locked = lock_and_load(server, &limiter, name, &key).await?;
-            return Ok(plan(server, &locked.committed, name, &sent.document));
+            return Ok(plan(server, &locked.committed, name, &received_document.document));
         }
         MemberCall::Replace => {
-            let sent = read_sent_document(server, received, bodies).await?;
+            let received_document = receive_document(server, received, bodies).await?;
             let locked = lock_and_load(server, &limiter, name, &key).await?;
-            member_changes::replace(server, &locked.committed, name, &sent.document, sent.bytes).await?
+            member_changes::replace(
+                server,
+                &locked.committed,
+                name,
+                &received_document.document,
+                received_document.bytes,
+            )
+            .await?
         }
         MemberCall::RestorePrevious => {
             let locked = lock_and_load(server, &limiter, name, &key).await?;
@@ -94,34 +100,34 @@
     Ok(change_json(&change))
 }
 
-/// The key that came with the call; empty if there is none.
-fn sent_key(received: &ReceivedRequest) -> Vec<u8> {
+/// Returns the key in the request's header; empty if there is none.
+fn received_key(received: &ReceivedRequest) -> Vec<u8> {
     received.request.headers().get(KEY_HEADER).map(|key| key.as_bytes().to_vec()).unwrap_or_default()
 }
 
-/// Counts a change against the member's limit.
+/// Counts a change against the member's rate limit.
 fn admit_change(limiter: &ChangeLimiter, member: &Member) -> Result<(), MemberError> {
     let max_per_minute = member.limits.changes_per_minute;
     let admitted = limiter.admit(max_per_minute);
     admitted.map_err(|retry_after| MemberError::RateLimited { max_per_minute, retry_after })
 }
 
-/// Waits until the member's earlier changes are over, reads what a change is checked against, and checks the key by the
-/// newest register: until here it was checked by the one that is known to this replica.
+/// Waits for the member's earlier changes, reads the committed state, and checks the key against the committed
+/// register. [`authenticate`] has checked it only against the register known to this replica, which may be older.
 async fn lock_and_load<'l>(
     server: &ReplicaServer,
     limiter: &'l ChangeLimiter,
     member: &str,
     key: &[u8],
 ) -> Result<LockedMember<'l>, MemberError> {
-    let serial = limiter.serial.lock().await;
+    let serial_guard = limiter.serial.lock().await;
     let committed = member_changes::load_committed(server, member).await?;
     check_key(committed.member_register.member(member), key)?;
-    Ok(LockedMember { _serial: serial, committed })
+    Ok(LockedMember { _serial_guard: serial_guard, committed })
 }
 
-/// The member of this name, if the key is its own. The register known here is asked first, which costs nothing; it may
-/// be older than the key.
+/// Returns the member with this name if the key matches. The local register is checked first, which is cheap. Since it
+/// may be older than the key, it is refreshed if the key does not match.
 async fn authenticate(
     server: &ReplicaServer,
     member_name: &str,
@@ -139,22 +145,22 @@
     member.filter(|member| key_matches(member, key)).cloned().ok_or(MemberError::Unauthorized)
 }
 
-/// Whether the register has the hash of this key. The comparison takes as long for every key of a length.
+/// Whether the key matches the hash in the register. The comparison takes constant time for keys of the same length.
 fn key_matches(member: &Member, key: &[u8]) -> bool {
     let digest: [u8; 32] = Sha256::digest(key).into();
     let difference = digest.iter().zip(member.key_sha256).fold(0, |sum, (one, other)| sum | (one ^ other));
     std::hint::black_box(difference) == 0
 }
 
-async fn read_sent_document(
+async fn receive_document(
     server: &ReplicaServer,
     received: ReceivedRequest,
     bodies: &Arc<Semaphore>,
-) -> Result<SentDocument, MemberError> {
+) -> Result<ReceivedDocument, MemberError> {
     let bytes = read_body(received, bodies, server.clock).await;
     let bytes = bytes.map_err(|_| MemberError::IncompleteDocument)?;
     let document = Arc::new(MemberDocument::read(&bytes).map_err(MemberError::invalid)?);
-    Ok(SentDocument { document, bytes })
+    Ok(ReceivedDocument { document, bytes })
 }
 
 fn change_json(change: &DocumentChange) -> String {
@@ -162,7 +168,7 @@
     json!({"member": change.member, "edition": edition, "state": change.state.as_str()}).to_string()
 }
 
-/// What the document would change, and what of it is forbidden or would be cut.
+/// Returns what the document would change, which of its parts are forbidden, and what is currently trimmed.
 fn plan(
     server: &ReplicaServer,
     committed: &CommittedMember,
@@ -175,7 +181,7 @@
     }
     let (configuration, register) = (&committed.configuration, &committed.member_register);
     let plan = overlay::plan(configuration, register, &settled, member, document);
-    // What is cut off others' documents is none of this member's business.
+    // A member must not see the violations of other members.
     let own_trims = plan.current_violations.iter().filter(|trim| trim.member == *member);
     json!({
         "changes": plan.changes,
@@ -185,7 +191,7 @@
     .to_string()
 }
 
-/// The versions of the settled document on this replica's disk.
+/// Returns the versions of the settled document on this replica's disk.
 async fn history(server: &ReplicaServer, member: &str) -> Result<String, MemberError> {
     let register = DocumentName::Settled(member).register();
     let in_force = server.members.documents().revision(&register);
@@ -201,12 +207,12 @@
     Ok(json!({"versions": versions.collect::<Vec<_>>()}).to_string())
 }
 
-/// The member's versions, what of its settled document is cut, and which version is in force at which node.
+/// Returns the member's versions, the trimmed parts of its settled document, and the version in force at each node.
 async fn status(server: &ReplicaServer, member: &Name) -> String {
     let documents = server.members.documents();
     let state = documents.members.get(member).cloned().unwrap_or_default();
     let edition = |version: Option<u64>| version.map(|version| format!("r{version}"));
-    let trims = cut_from_settled(server, &documents, member);
+    let trims = settled_violations(server, &documents, member);
     let nodes = editions_by_node(server, member).await;
     let suspects = server.suspects();
     let nodes = nodes.into_iter().take(MAX_NODES).map(|(inbound_proxy, applied)| {
@@ -228,8 +234,8 @@
     .to_string()
 }
 
-/// What of the member's settled document exceeds what it may do by now, and so is not in force.
-fn cut_from_settled(server: &ReplicaServer, documents: &MemberDocumentStore, member: &Name) -> Vec<String> {
+/// Returns the parts of the member's settled document that exceed its current limits and are therefore not in force.
+fn settled_violations(server: &ReplicaServer, documents: &MemberDocumentStore, member: &Name) -> Vec<String> {
     let published = server.published();
     let configuration = published.configuration.as_ref();
     let Some(configuration) = configuration.and_then(|value| Configuration::read(&value.bytes).ok()) else {
@@ -240,12 +246,12 @@
     effective.violations.iter().map(|violation| violation.violation.to_string()).collect()
 }
 
-/// Which version is in force at which node, as all replicas that answer were told. Of two reports on a node the one
-/// with the higher version is the later one.
+/// Returns the version in force at each node, as reported to the replicas that respond. Of two reports on a node, the
+/// one with the higher version is newer.
 async fn editions_by_node(server: &ReplicaServer, member: &Name) -> BTreeMap<SocketAddr, MemberEdition> {
     let requests = server.peers().into_iter().map(|peer| async move {
         let request = InternalRequest::AppliedEditions(member.clone());
-        server.callers.client_for(peer).call(request, COLLECT_TIMEOUT).await
+        server.rpc_clients.client_for(peer).call(request, COLLECT_TIMEOUT).await
     });
     let mut nodes = BTreeMap::new();
     for response in join_all(requests).await {
--- a/balancer/src/mesh/control/admin_api/members.rs
+++ b/balancer/src/mesh/control/admin_api/members.rs
@@ -1,6 +1,6 @@
-//! `members.read` and `members.replace`: the platform's register of its members.
+//! `members.read` and `members.replace`: the platform's member register.
 //!
-//! Invariants: a register is validated before the core sees it.
+//! Invariants: a register is validated before it is sent to the core.
 
 use ochreshed_catalog::members::MemberRegister;
 
@@ -9,7 +9,7 @@
 use crate::mesh::control::replica_server::ReplicaServer;
 use crate::mesh::shared::member_documents::DocumentName;
 
-/// Answers `members.read` with the register as it was sent.
+/// Answers `members.read` with the text of the register as it was sent.
 pub async fn read(server: &ReplicaServer) -> Result<String, MemberError> {
     read_document(server, DocumentName::MemberRegister).await
 }
--- a/balancer/src/mesh/control/admin_api/mod.rs
+++ b/balancer/src/mesh/control/admin_api/mod.rs
@@ -1,9 +1,10 @@
-//! The operators' interface of the control plane: calls at the control listener, one submodule a group of calls.
+//! The operators' interface of the control plane: calls at the control listener, with one submodule per group of calls.
 //!
 //! Main function: [`handle`]. A call is parsed into an [`AdminCall`]; queries are answered from a [`ReplicaSnapshot`].
 //!
-//! Invariants: names, texts and JSON of calls never change, tools of the operators read them; nothing is acknowledged
-//! before a quorum holds it; an answer tells only what this replica knows or was just told by others.
+//! Invariants: names, texts and JSON of calls never change, because operators' tools depend on them; nothing is
+//! acknowledged before a quorum has it on disk; responses contain only what this replica knows or has just received
+//! from others.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -43,10 +44,10 @@
 use response::{AdminResponse, QueryOutcome};
 use snapshot::ReplicaSnapshot;
 
-/// How often the endpoint table is looked at while a drain is pending.
+/// Interval between checks of the endpoint table while a drain is pending.
 const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Answers a request at the control listener.
+/// Handles a request at the control listener.
 pub async fn handle(
     server: Arc<ReplicaServer>,
     received: ReceivedRequest,
@@ -63,7 +64,7 @@
     received: ReceivedRequest,
     bodies: &Arc<Semaphore>,
 ) -> AdminResponse {
-    let (name, of) = call_and_subject(received.request.uri());
+    let (name, subject) = call_and_subject(received.request.uri());
     match AdminCall::from_name(&name) {
         AdminCall::ReadConfiguration => configuration::read(server).await,
         AdminCall::ReplaceConfiguration => match read_body(received, bodies, server.clock).await {
@@ -78,7 +79,7 @@
             Err(response) => response,
         },
         AdminCall::Member(call) => {
-            let member = of.unwrap_or_default();
+            let member = subject.unwrap_or_default();
             member_response(member_calls::handle(server, call, &member, received, bodies).await)
         }
         AdminCall::UnknownMemberCall => MemberError::UnknownCall.into(),
@@ -93,8 +94,8 @@
     result.map_or_else(AdminResponse::from, AdminResponse::Json)
 }
 
-/// Answers a query from a snapshot. A drain is answered once the upstream's record says that it drains, and until then
-/// takes one snapshot after another.
+/// Answers a query from a snapshot. A drain is answered once the upstream's record says that it is draining; until then
+/// new snapshots are taken.
 async fn handle_query(server: &ReplicaServer, query: &AdminQuery) -> AdminResponse {
     let deadline = Instant::now() + ADMIN_CALL_TIMEOUT;
     loop {
@@ -105,7 +106,7 @@
         match answer(query, &snapshot) {
             QueryOutcome::Answered(response) => return response,
             QueryOutcome::DrainPending { .. } if Instant::now() >= deadline => {
-                return drain::not_drained_yet();
+                return drain::drain_pending_response();
             }
             QueryOutcome::DrainPending { inbound_proxy, upstream_id } => {
                 server.request_drain(inbound_proxy, &upstream_id);
@@ -115,7 +116,7 @@
     }
 }
 
-/// Takes what the query needs; the error is the answer if that can't be had.
+/// Takes a snapshot of what the query needs. The error is the response if that fails.
 async fn take_snapshot(server: &ReplicaServer, query: &AdminQuery) -> Result<ReplicaSnapshot, AdminResponse> {
     let status = server.status(query.lease_key()).await.ok_or_else(AdminResponse::busy)?;
     let now = server.clock.now();
@@ -144,7 +145,7 @@
 ) -> Result<Vec<StoredVersion>, AdminResponse> {
     let data_dir = server.settings.load().data_dir.clone().filter(|_| query.needs_stored_versions());
     let Some(data_dir) = data_dir else { return Ok(Vec::new()) };
-    let read = tokio::task::spawn_blocking(move || configuration_history::stored_versions(&data_dir));
+    let read = tokio::task::spawn_blocking(move || configuration_history::list_stored_versions(&data_dir));
     match timeout(ADMIN_CALL_TIMEOUT, read).await {
         Ok(Ok(Ok(versions))) => Ok(versions),
         _ => Err(AdminResponse::error(503, "the disk can't be read now")),
--- a/balancer/src/mesh/control/admin_api/nodes.rs
+++ b/balancer/src/mesh/control/admin_api/nodes.rs
@@ -1,6 +1,6 @@
-//! `nodes.list`: the replicas of the control plane and the proxies that are known.
+//! `nodes.list`: the replicas of the control plane and the known proxies.
 //!
-//! Invariants: the fields of the JSON are part of the operators' interface.
+//! Invariants: the JSON fields are part of the operators' interface.
 
 use std::net::SocketAddr;
 
@@ -33,7 +33,7 @@
 struct ReplicaEntry<'s> {
     address: SocketAddr,
     zone: &'s str,
-    /// The identity of its disk in hex; 0 is that of the first start.
+    /// The ID of its disk in hex; 0 for a disk that was created at the first start of the mesh.
     #[serde(rename = "disk")]
     disk_id: String,
     member: bool,
@@ -43,7 +43,7 @@
     #[serde(rename = "heard_ms")]
     last_heard_ms_ago: Option<u64>,
     leaving: bool,
-    /// From its start to full service.
+    /// The time from its start to full service.
     #[serde(rename = "full_ms")]
     recovery_ms: Option<u32>,
 }
@@ -66,7 +66,7 @@
     recovery_ms: Option<u32>,
 }
 
-/// Answers from the snapshot's status, endpoints and reports.
+/// Answers `nodes.list` from a snapshot.
 pub fn list(snapshot: &ReplicaSnapshot) -> AdminResponse {
     let ReplicaSnapshot { status, reports, .. } = snapshot;
     let page = snapshot.endpoint_page();
--- a/balancer/src/mesh/control/admin_api/replica_metrics.rs
+++ b/balancer/src/mesh/control/admin_api/replica_metrics.rs
@@ -11,11 +11,11 @@
 use crate::mesh::proxy::connection_pool::ResponseBody;
 use crate::mesh::shared::metrics::MetricsPage;
 
-/// The role's prefix of metrics' names.
+/// The role in the names of the metrics.
 const ROLE: &str = "steward";
 const NANOS_PER_S: f64 = 1e9;
 
-/// Answers the fetch.
+/// Answers a scrape.
 pub async fn respond(server: &ReplicaServer) -> Response<ResponseBody> {
     let Some(status) = server.status(None).await else { return AdminResponse::busy().into() };
     let endpoints = server.read_endpoints(|table| table.len());
--- a/balancer/src/mesh/control/admin_api/request.rs
+++ b/balancer/src/mesh/control/admin_api/request.rs
@@ -1,7 +1,7 @@
 //! Parses the operators' calls: `/api/rpc?call=NAME` with its parameters.
 //!
-//! Main types: [`AdminCall`], the call by its name; [`AdminQuery`], a call that is answered from a snapshot of the
-//! replica; and [`AdminRequestError`].
+//! Main types: [`AdminCall`], the kind of call; [`AdminQuery`], a call that is answered from a snapshot of the replica;
+//! and [`AdminRequestError`].
 //!
 //! Invariants: the names of calls and parameters and the texts of errors are part of the operators' interface.
 
@@ -14,20 +14,20 @@
 use crate::mesh::proxy::lease_client;
 
 const RPC_PATH: &str = "/api/rpc";
-/// The longest key or id. No header that holds one is longer.
+/// The maximum length of a key or ID, which is that of a header.
 const MAX_PARAMETER_BYTES: usize = 32 * 1024;
 
-/// The parameters of a call as they stand in the URI, not decoded.
+/// Returns the parameters of a call, not percent-decoded.
 pub fn parameters(uri: &Uri) -> impl Iterator<Item = (&str, &str)> {
     uri.query().unwrap_or_default().split('&').filter_map(|pair| pair.split_once('='))
 }
 
-/// The first parameter of that name, not decoded.
+/// Returns the first parameter with that name, not percent-decoded.
 pub fn parameter<'u>(uri: &'u Uri, name: &str) -> Option<&'u str> {
     parameters(uri).find(|(other, _)| *other == name).map(|(_, value)| value)
 }
 
-/// A call of an operator, by its name.
+/// The kind of an operator's call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdminCall {
     ReadConfiguration,
@@ -38,14 +38,15 @@
     ReadMemberRegister,
     ReplaceMemberRegister,
     Member(MemberCall),
-    /// A name of the members' calls that does not exist.
+    /// An unknown name with the prefix of members' calls.
     UnknownMemberCall,
-    /// Any other name: it is parsed as an [`AdminQuery`].
+    /// Any other name, to be parsed as an [`AdminQuery`].
     Query,
 }
 
 impl AdminCall {
-    /// Any name has a call: unknown ones are `UnknownMemberCall` or `Query`, which answer so.
+    /// Returns the kind of the call with this name. Unknown names map to `UnknownMemberCall` or `Query`, which are
+    /// answered with an error.
     #[must_use]
     pub fn from_name(name: &str) -> AdminCall {
         match name {
@@ -92,7 +93,7 @@
         }
     }
 
-    /// Whether the call counts against the member's limit of changes.
+    /// Whether the call counts against the member's rate limit.
     #[must_use]
     pub fn is_change(self) -> bool {
         use MemberCall::{PromoteCanary, Replace, RestorePrevious, WithdrawCanary};
@@ -100,7 +101,7 @@
     }
 }
 
-/// What a query asks for.
+/// The kind of a query.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AdminQueryKind {
     Nodes,
@@ -110,7 +111,7 @@
     /// The lease on an idempotency key.
     Lease(String),
     Budgets,
-    /// Drains the upstream of this id.
+    /// Drains the upstream with this ID.
     DrainUpstream(String),
 }
 
@@ -118,7 +119,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AdminQuery {
     pub kind: AdminQueryKind,
-    /// Lists only inbound proxies of a higher address: how a long list is read page by page.
+    /// For pagination: lists only inbound proxies with a higher address.
     pub after: Option<SocketAddr>,
 }
 
@@ -127,7 +128,7 @@
 pub enum AdminRequestError {
     #[error("no such call here")]
     UnknownCall,
-    /// The call needs the parameter `of`; the text says what it is.
+    /// The required parameter `of` is missing; the text describes it.
     #[error("{0}")]
     MissingParameter(&'static str),
     #[error("of: is no text in UTF-8, or a % in it stands before no two digits")]
@@ -139,7 +140,7 @@
 }
 
 impl AdminRequestError {
-    /// The status of the answer, as in HTTP.
+    /// Returns the HTTP status code of the response.
     #[must_use]
     pub fn status(self) -> u16 {
         if self == AdminRequestError::UnknownCall { 404 } else { 400 }
@@ -157,18 +158,18 @@
             "upstreams.list" => AdminQueryKind::Upstreams,
             "timetable.history" => AdminQueryKind::ConfigurationHistory,
             "keys.count" => AdminQueryKind::LeaseCounts,
-            "keys.show" => AdminQueryKind::Lease(required_of(uri, "keys.show wants of=KEY")?),
+            "keys.show" => AdminQueryKind::Lease(parse_subject(uri, "keys.show wants of=KEY")?),
             "budget.list" => AdminQueryKind::Budgets,
             "upstreams.drain" => {
-                let id = required_of(uri, "upstreams.drain wants of=ID, an upstream's")?;
+                let id = parse_subject(uri, "upstreams.drain wants of=ID, an upstream's")?;
                 AdminQueryKind::DrainUpstream(id)
             }
             _ => return Err(AdminRequestError::UnknownCall),
         };
-        Ok(AdminQuery { kind, after: parse_after(uri)? })
+        Ok(AdminQuery { kind, after: parse_page_start(uri)? })
     }
 
-    /// The key whose lease the answer shows.
+    /// Returns the key whose lease the response shows.
     #[must_use]
     pub fn lease_key(&self) -> Option<LeaseKey> {
         match &self.kind {
@@ -177,45 +178,45 @@
         }
     }
 
-    /// Whether the answer lists the versions on this replica's disk.
+    /// Whether the response lists the versions on this replica's disk.
     #[must_use]
     pub fn needs_stored_versions(&self) -> bool {
         self.kind == AdminQueryKind::ConfigurationHistory
     }
 
-    /// Whether the answer shows what proxies reported to all replicas.
+    /// Whether the response includes the proxies' reports to all replicas.
     #[must_use]
     pub fn needs_reports(&self) -> bool {
         matches!(self.kind, AdminQueryKind::Budgets | AdminQueryKind::Nodes)
     }
 }
 
-/// The parameter `of`, trimmed as proxies trim the header that holds a key.
-fn required_of(uri: &Uri, missing: &'static str) -> Result<String, AdminRequestError> {
+/// Parses the required parameter `of`. It is trimmed, as proxies trim the header that holds a key.
+fn parse_subject(uri: &Uri, missing: &'static str) -> Result<String, AdminRequestError> {
     let text = percent_decode(parameter(uri, "of").unwrap_or_default())?;
     let text = text.trim();
     if text.is_empty() { Err(AdminRequestError::MissingParameter(missing)) } else { Ok(text.to_owned()) }
 }
 
-fn parse_after(uri: &Uri) -> Result<Option<SocketAddr>, AdminRequestError> {
+fn parse_page_start(uri: &Uri) -> Result<Option<SocketAddr>, AdminRequestError> {
     let Some(encoded) = parameter(uri, "after") else { return Ok(None) };
     let text = percent_decode(encoded)?;
     text.parse().map(Some).map_err(|_| AdminRequestError::InvalidAfter)
 }
 
-/// Decodes a parameter's `%` escapes.
+/// Percent-decodes a parameter.
 fn percent_decode(encoded: &str) -> Result<String, AdminRequestError> {
     if encoded.len() > 3 * MAX_PARAMETER_BYTES {
         return Err(AdminRequestError::TooLong);
     }
     let mut decoded = Vec::new();
-    let mut rest = encoded.bytes();
-    while let Some(byte) = rest.next() {
+    let mut bytes = encoded.bytes();
+    while let Some(byte) = bytes.next() {
         if byte != b'%' {
             decoded.push(byte);
             continue;
         }
-        let mut digit = || rest.next().and_then(|byte| char::from(byte).to_digit(16));
+        let mut digit = || bytes.next().and_then(|byte| char::from(byte).to_digit(16));
         match (digit(), digit()) {
             (Some(high), Some(low)) => decoded.push((high * 16 + low) as u8),
             _ => return Err(AdminRequestError::NotText),
--- a/balancer/src/mesh/control/admin_api/response.rs
+++ b/balancer/src/mesh/control/admin_api/response.rs
@@ -1,8 +1,8 @@
-//! The answer to an operator's call.
+//! Responses to operators' calls.
 //!
-//! Main types: [`AdminResponse`], and [`QueryOutcome`] for a query that may have to wait for a drain.
+//! Main types: [`AdminResponse`], and [`QueryOutcome`] for queries that may have to wait for a drain.
 //!
-//! Invariants: an answer of status 200 is JSON; any other is one or more lines of plain text.
+//! Invariants: a response with status 200 is JSON; any other is one or more lines of plain text.
 
 use std::net::SocketAddr;
 
@@ -15,7 +15,7 @@
 use crate::mesh::proxy::connection_pool::ResponseBody;
 use crate::mesh::proxy::listener::{self, RequestError, plain_response};
 
-/// The answer to an operator's call.
+/// The response to an operator's call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AdminResponse {
     /// JSON, with status 200.
@@ -23,16 +23,17 @@
     Error {
         status: u16,
         message: String,
-        /// After how many seconds the call may be repeated.
+        /// The value of `Retry-After` in seconds.
         retry_after_s: Option<u64>,
     },
 }
 
-/// What a query comes to on one snapshot.
+/// The outcome of a query on one snapshot.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum QueryOutcome {
     Answered(AdminResponse),
-    /// The upstream to be drained still serves: its proxy is to be asked, and the query repeated on a new snapshot.
+    /// The upstream to be drained is still serving: its proxy must be requested to drain it, and the query repeated on
+    /// a new snapshot.
     DrainPending {
         inbound_proxy: SocketAddr,
         upstream_id: String,
@@ -40,19 +41,19 @@
 }
 
 impl AdminResponse {
-    /// An error that says nothing about when to repeat the call.
+    /// Creates an error without `Retry-After`.
     #[must_use]
     pub fn error(status: u16, message: impl Into<String>) -> AdminResponse {
         AdminResponse::Error { status, message: message.into(), retry_after_s: None }
     }
 
-    /// The event loop did not answer in time.
+    /// Creates the error for an event loop that did not respond in time.
     #[must_use]
     pub fn busy() -> AdminResponse {
         AdminResponse::error(503, "busy: ask again")
     }
 
-    /// A value as JSON.
+    /// Serializes a value as a JSON response.
     #[must_use]
     pub fn json(value: &impl Serialize) -> AdminResponse {
         match serde_json::to_string(value) {
--- a/balancer/src/mesh/control/admin_api/sessions.rs
+++ b/balancer/src/mesh/control/admin_api/sessions.rs
@@ -1,6 +1,5 @@
-//! `sessions.show`, `sessions.move`, `sessions.forget` and `sessions.count`: the sessions of clients.
-//!
-//! Invariants: the value that identifies a person is never sent here, only its hash, which the operators' client
+//! `sessions.show`, `sessions.move`, `sessions.forget` and `sessions.count`: the sessions of clients. Invariants: the
+//! value that identifies a person is never sent to the replica, but only its hash, which the operators' client
 //! computes.
 
 use std::net::SocketAddr;
@@ -16,10 +15,10 @@
 use super::response::AdminResponse;
 use crate::mesh::control::replica_server::{ADMIN_CALL_TIMEOUT, ReplicaServer};
 
-/// A session's id is at most 128 bits, in hex.
+/// The maximum length of a session ID, which is 128 bits in hex.
 const MAX_SESSION_DIGITS: usize = 32;
 
-/// Why a call on a session can't be parsed.
+/// Why a call on a session is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum SessionCallError {
     #[error("of: is no session in up to 32 hex digits")]
@@ -28,10 +27,10 @@
     InvalidTarget,
 }
 
-/// Answers a call on one session.
+/// Handles a call on one session.
 pub async fn handle(server: &ReplicaServer, uri: &Uri) -> AdminResponse {
     match parse(uri) {
-        Ok(request) => response(&server.request(request, ADMIN_CALL_TIMEOUT).await),
+        Ok(request) => session_response(&server.request(request, ADMIN_CALL_TIMEOUT).await),
         Err(error) => AdminResponse::error(400, error.to_string()),
     }
 }
@@ -44,7 +43,7 @@
     }
 }
 
-/// The request that a call makes: `of` is the session in hex, and `to` for `sessions.move` the proxy that is to own it.
+/// Parses a call into a request to the core: `of` is the session ID in hex, and `to` the new owner for `sessions.move`.
 fn parse(uri: &Uri) -> Result<CoreRequest, SessionCallError> {
     let digits = parameter(uri, "of").filter(|digits| digits.len() <= MAX_SESSION_DIGITS);
     let session = digits.and_then(|digits| SessionId::from_str_radix(digits, 16).ok());
@@ -61,7 +60,7 @@
     Ok(CoreRequest::Session(session, request))
 }
 
-fn response(response: &CoreResponse) -> AdminResponse {
+fn session_response(response: &CoreResponse) -> AdminResponse {
     match response {
         CoreResponse::Session(Some(session)) => AdminResponse::Json(session_json(session)),
         CoreResponse::Session(None) => AdminResponse::error(404, "nobody has that session"),
@@ -96,7 +95,7 @@
     }
 }
 
-/// What this replica holds, and what was changed through it since its start.
+/// Returns the number of sessions on this replica, and of the changes made through it since its start.
 fn counts_json(counts: &SessionCounts) -> String {
     jzon::stringify(jzon::object! {
         "sessions": counts.sessions,
--- a/balancer/src/mesh/control/admin_api/snapshot.rs
+++ b/balancer/src/mesh/control/admin_api/snapshot.rs
@@ -1,9 +1,9 @@
-//! What the answer to a query is made of, taken from the replica at one moment.
+//! The data for the response to a query, taken from the replica at one time.
 //!
-//! Main types: [`ReplicaSnapshot`], and [`EndpointStatus`] for each proxy that is listed.
+//! Main types: [`ReplicaSnapshot`], and [`EndpointStatus`] for each listed proxy.
 //!
-//! Invariants: a snapshot holds plain values, so that answers are computed without I/O; it tells only what this replica
-//! knows itself or was told by others just now.
+//! Invariants: a snapshot has plain values, so that responses are computed without I/O; it contains only what this
+//! replica knows or has just received from others.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -17,10 +17,10 @@
 use crate::mesh::control::replica_status::ReplicaStatus;
 use crate::mesh::settings::OperatingBounds;
 
-/// Entries in one answer. The rest of a list is asked for with `after`.
+/// The maximum number of entries in a response. Further pages are requested with `after`.
 pub const MAX_ENTRIES: usize = 1_000;
 
-/// An endpoint's record, and when its proxy was heard.
+/// An endpoint record and the reachability of its proxy.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EndpointStatus {
     pub record: EndpointRecord,
@@ -28,20 +28,20 @@
     pub suspected: bool,
 }
 
-/// What a query is answered from.
+/// The data that a query is answered from.
 #[derive(Clone, Debug)]
 pub struct ReplicaSnapshot {
-    /// The address of the replica that answers.
+    /// The address of the responding replica.
     pub replica: SocketAddr,
     pub status: ReplicaStatus,
-    /// As [`select_endpoints`] gives them.
+    /// The endpoints that [`select_endpoints`] returned.
     pub endpoints: Vec<EndpointStatus>,
-    /// Versions of the configuration on this disk; empty unless the query needs them.
+    /// The versions of the configuration on this disk; empty unless the query needs them.
     pub stored_versions: Vec<StoredVersion>,
     /// Empty unless the query needs them.
     pub reports: CollectedReports,
     pub limits: OperatingBounds,
-    /// Writes to disk since the start.
+    /// Disk writes since the start of the process.
     pub disk_writes: u64,
     /// Log records in these writes.
     pub disk_records: u64,
@@ -50,12 +50,12 @@
 /// One page of the list of endpoints.
 pub struct EndpointPage<'s> {
     pub endpoints: &'s [EndpointStatus],
-    /// What to pass as `after` for the next page, if there is one.
+    /// The value of `after` for the next page, if there is one.
     pub next: Option<SocketAddr>,
 }
 
 impl ReplicaSnapshot {
-    /// The first page of the selected endpoints.
+    /// Returns the first page of the selected endpoints.
     #[must_use]
     pub fn endpoint_page(&self) -> EndpointPage<'_> {
         let endpoints = &self.endpoints[..self.endpoints.len().min(MAX_ENTRIES)];
@@ -64,8 +64,8 @@
     }
 }
 
-/// The endpoints that the query's answer needs, by the address of their inbound proxies. For a list these are one more
-/// than fit on a page, which shows whether there is a next one.
+/// Returns the endpoints that the query needs, sorted by the address of their inbound proxies. For a list this is one
+/// more than fits on a page, which shows whether there is a next page.
 #[must_use]
 pub fn select_endpoints(query: &AdminQuery, table: &EndpointTable, now: Nanos) -> Vec<EndpointStatus> {
     let max_endpoints = match query.kind {
@@ -75,8 +75,8 @@
             return Vec::new();
         }
     };
-    let is_behind = |record: &&EndpointRecord| Some(record.inbound_proxy) > query.after;
-    let mut records: Vec<&EndpointRecord> = table.records().filter(is_behind).collect();
+    let is_after = |record: &&EndpointRecord| Some(record.inbound_proxy) > query.after;
+    let mut records: Vec<&EndpointRecord> = table.records().filter(is_after).collect();
     records.sort_by_key(|record| record.inbound_proxy);
     records.truncate(max_endpoints);
     let last_heard: BTreeMap<SocketAddr, u32> = table.last_heard_ms_ago(now).into_iter().collect();
@@ -89,7 +89,7 @@
     records.into_iter().map(status).collect()
 }
 
-/// The operators' word for the state of an upstream.
+/// Returns the name of an upstream's state in the operators' interface.
 #[must_use]
 pub fn upstream_state_name(state: UpstreamState) -> &'static str {
     match state {
--- a/balancer/src/mesh/control/admin_api/upstreams.rs
+++ b/balancer/src/mesh/control/admin_api/upstreams.rs
@@ -1,6 +1,6 @@
-//! `upstreams.list`: the upstreams that proxies have registered.
+//! `upstreams.list`: the upstreams registered by proxies.
 //!
-//! Invariants: the fields of the JSON are part of the operators' interface.
+//! Invariants: the JSON fields are part of the operators' interface.
 
 use std::net::SocketAddr;
 
@@ -29,7 +29,7 @@
     concurrency_limit: u32,
     #[serde(rename = "cold_ms")]
     warming_up_ms: u64,
-    /// Its failures and slowness as its inbound proxy sees them; left out if there are neither.
+    /// Failures and slowness observed by its inbound proxy; omitted if there are none.
     #[serde(rename = "ill", skip_serializing_if = "UpstreamHealth::is_healthy")]
     health: UpstreamHealth,
     #[serde(rename = "door")]
@@ -40,7 +40,7 @@
     suspected: bool,
 }
 
-/// Answers from the snapshot's endpoints. Those without an upstream are left out, so a page may be short.
+/// Answers `upstreams.list` from a snapshot. Endpoints without an upstream are omitted, so a page may be short.
 pub fn list(snapshot: &ReplicaSnapshot) -> AdminResponse {
     let page = snapshot.endpoint_page();
     let with_upstream = page.endpoints.iter().filter(|endpoint| !endpoint.record.upstream_id.is_empty());
--- a/balancer/src/mesh/control/budget_reports.rs
+++ b/balancer/src/mesh/control/budget_reports.rs
@@ -1,11 +1,9 @@
-//! Reports of proxies on their retry budgets and recovery times, as a replica of the control plane collects them from
-//! all replicas.
+//! Collects the proxies' reports on retry budgets and recovery times from all replicas of the control plane.
+//! Main type: [`CollectedReports`], used by operators' calls and the canary monitor. The counts are defined in
+//! `ochreshed_catalog::traffic_reports`.
 //!
-//! Main type: [`CollectedReports`], what an operator's call or the canary monitor works on. The counts themselves are
-//! of `ochreshed_catalog::traffic_reports`.
-//!
-//! Invariants: a replica that did not answer is named as unreachable, so that partial sums are never taken for complete
-//! ones.
+//! Invariants: replicas that did not respond are listed as unreachable, so that partial sums are never mistaken for
+//! complete ones.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -22,22 +20,24 @@
 use crate::mesh::rpc::{InternalRequest, InternalResponse, RpcClients, WatchRequest, WatchResponse};
 
 const NANOS_PER_MS: Nanos = 1_000_000;
-/// How long other replicas are waited for when reports are collected.
+/// Timeout for the reports of another replica.
 const COLLECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// What proxies reported to all replicas that answered.
+
+/// The reports of proxies to all replicas that responded.
 #[derive(Clone, Debug, Default)]
 pub struct CollectedReports {
     pub reports: BudgetReports,
-    /// Milliseconds that each replica took from its start to full service.
+    /// The time from the start of each replica to full service, in milliseconds.
     pub replica_recovery_ms: BTreeMap<SocketAddr, u32>,
-    /// Replicas that did not answer, sorted.
+    /// Replicas that did not respond, sorted.
     pub unreachable_replicas: Vec<SocketAddr>,
 }
 
 impl CollectedReports {
-    /// Adds one replica's answer; none if it did not answer, or runs a version that sends no reports.
-    fn add_answer(&mut self, now: Nanos, replica: SocketAddr, answer: Option<WatchResponse>) {
-        let Some(WatchResponse { reports: Some(reports), outcomes, .. }) = answer else {
+    /// Adds the response of one replica. `None`, or a response without reports from an older version, makes it
+    /// unreachable.
+    fn add_response(&mut self, now: Nanos, replica: SocketAddr, response: Option<WatchResponse>) {
+        let Some(WatchResponse { reports: Some(reports), outcomes, .. }) = response else {
             self.unreachable_replicas.push(replica);
             return;
         };
@@ -51,26 +51,28 @@
     }
 }
 
-/// Adds to `collected` what the `peers` have received, in the order in which they answer.
+/// Adds the reports received by the `peers` to `collected`, in the order in which they respond.
 pub async fn collect_from_peers(
-    callers: &RpcClients,
+    rpc_clients: &RpcClients,
     peers: Vec<SocketAddr>,
     now: Nanos,
     mut collected: CollectedReports,
 ) -> CollectedReports {
-    let mut requests: FuturesUnordered<_> =
-        peers.into_iter().map(|peer| async move { (peer, request_reports(callers, peer).await) }).collect();
-    while let Some((peer, answer)) = requests.next().await {
-        collected.add_answer(now, peer, answer);
+    let mut requests: FuturesUnordered<_> = peers
+        .into_iter()
+        .map(|peer| async move { (peer, request_reports(rpc_clients, peer).await) })
+        .collect();
+    while let Some((peer, response)) = requests.next().await {
+        collected.add_response(now, peer, response);
     }
     collected.unreachable_replicas.sort();
     collected
 }
 
-async fn request_reports(callers: &RpcClients, peer: SocketAddr) -> Option<WatchResponse> {
+async fn request_reports(rpc_clients: &RpcClients, peer: SocketAddr) -> Option<WatchResponse> {
     let watch = watch_server::replica_watch_request(TablePosition::default());
     let request = WatchRequest { max_wait_ms: 0, reports_only: true, ..watch };
-    match callers.client_for(peer).call(InternalRequest::Watch(request), COLLECT_TIMEOUT).await {
+    match rpc_clients.client_for(peer).call(InternalRequest::Watch(request), COLLECT_TIMEOUT).await {
         Ok(InternalResponse::Watch(response)) => Some(*response),
         _ => None,
     }
--- a/balancer/src/mesh/control/canary_monitor.rs
+++ b/balancer/src/mesh/control/canary_monitor.rs
@@ -1,11 +1,11 @@
-//! Judges the running canaries of members' documents by the requests that were sent on their routes, and promotes or
-//! withdraws them. It also applies newly committed documents to the [`super::member_directory::MemberDirectory`].
+//! Evaluates the running canaries of members' documents by the outcomes of requests on their routes, and promotes or
+//! withdraws them. Also applies newly committed documents to the [`super::member_directory::MemberDirectory`].
 //!
-//! Main function: [`monitor_canaries`], a task of each replica. Exactly one replica judges a canary as long as all hear
-//! the same replicas.
+//! Main function: [`monitor_canaries`], a task of each replica. Exactly one replica evaluates a canary as long as all
+//! replicas see the same set of replicas.
 //!
-//! Invariants: a canary is judged only while a quorum is heard; it is withdrawn as soon as it clearly fails, and
-//! promoted only once its time is over.
+//! Invariants: a canary is evaluated only while this replica has a quorum; it is withdrawn as soon as it clearly fails,
+//! and promoted only after its full duration.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -24,47 +24,47 @@
 use crate::mesh::shared::member_documents::MemberDocumentStore;
 
 const CHECK_INTERVAL: Duration = Duration::from_millis(250);
-/// After a change, how long further ones are waited for, so that they are applied together.
+/// Wait after a change, so that further ones are applied together with it.
 const CHANGE_DEBOUNCE: Duration = Duration::from_millis(5);
-/// How many times a canary is judged while it runs.
-const JUDGEMENTS_PER_CANARY: u32 = 10;
+/// The number of evaluations of a canary over its duration.
+const EVALUATIONS_PER_CANARY: u32 = 10;
 
-/// A canary: the member, and the version of its document.
+/// Identifies a canary by its member and version.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct CanaryId {
     member: Name,
     version: u64,
 }
 
-/// How far a canary has come, as seen by this replica.
+/// The progress of a canary as observed by this replica.
 struct CanaryProgress {
-    since: Instant,
-    judgements: u32,
+    started_at: Instant,
+    evaluations: u32,
 }
 
 impl CanaryProgress {
     fn start() -> CanaryProgress {
-        CanaryProgress { since: Instant::now(), judgements: 0 }
+        CanaryProgress { started_at: Instant::now(), evaluations: 0 }
     }
 
-    /// Whether the canary's time is over.
+    /// Whether the canary has run for its full duration.
     fn is_over(&self, duration: Duration) -> bool {
-        self.since.elapsed() >= duration
+        self.started_at.elapsed() >= duration
     }
 
-    /// Whether the next judgement is due.
+    /// Whether the next evaluation is due.
     fn is_due(&self, duration: Duration) -> bool {
-        self.since.elapsed() >= duration * (self.judgements + 1) / JUDGEMENTS_PER_CANARY
+        self.started_at.elapsed() >= duration * (self.evaluations + 1) / EVALUATIONS_PER_CANARY
     }
 
-    /// Counts the judgements whose time has come, so that missed ones are not made up for.
-    fn note_judgement(&mut self, duration: Duration) {
-        let elapsed_share = self.since.elapsed().as_secs_f64() / duration.as_secs_f64();
-        self.judgements = (elapsed_share * f64::from(JUDGEMENTS_PER_CANARY)) as u32;
+    /// Counts all evaluations that are due by now, so that missed ones are not repeated.
+    fn record_evaluation(&mut self, duration: Duration) {
+        let elapsed_share = self.started_at.elapsed().as_secs_f64() / duration.as_secs_f64();
+        self.evaluations = (elapsed_share * f64::from(EVALUATIONS_PER_CANARY)) as u32;
     }
 }
 
-/// Applies committed documents and judges canaries until the process ends.
+/// Applies committed documents and evaluates canaries until the process ends.
 pub async fn monitor_canaries(server: Arc<ReplicaServer>) {
     let mut changes = server.subscribe_to_changes();
     let mut progress: HashMap<CanaryId, CanaryProgress> = HashMap::new();
@@ -76,8 +76,8 @@
         for (canary, duration) in running {
             let progress = progress.entry(canary.clone()).or_insert_with(CanaryProgress::start);
             let over = progress.is_over(duration);
-            if (over || progress.is_due(duration)) && is_judged_here(&server, &canary.member) {
-                progress.note_judgement(duration);
+            if (over || progress.is_due(duration)) && evaluates_canaries_of(&server, &canary.member) {
+                progress.record_evaluation(duration);
                 end_canary_if_decided(&server, &canary, over).await;
             }
         }
@@ -88,7 +88,7 @@
     }
 }
 
-/// Brings the members' documents up to what is committed. They are parsed off the event loop's thread.
+/// Applies the committed documents of members. They are parsed on a blocking thread, off the event loop.
 async fn apply_committed_documents(server: &Arc<ReplicaServer>) {
     let published = server.published();
     if published.registers.digest == server.members.documents().digest() {
@@ -96,11 +96,11 @@
     }
     let server = server.clone();
     let apply = move || server.members.apply_registers(&published.registers.values);
-    // A document that can't be read is logged where it is applied.
+    // Unreadable documents are logged by `apply`.
     let _ = tokio::task::spawn_blocking(apply).await;
 }
 
-/// The canaries that run, with how long each is to run.
+/// Returns the running canaries with their configured durations.
 fn running_canaries(documents: &MemberDocumentStore) -> HashMap<CanaryId, Duration> {
     let running = documents.members.iter().filter_map(|(member, state)| {
         let duration_s = documents.member_register.member(member)?.limits.canary_duration_s;
@@ -110,15 +110,15 @@
     running.collect()
 }
 
-/// Whether this replica judges the member's canaries: by rendezvous hashing over the replicas that it hears.
-fn is_judged_here(server: &ReplicaServer, member: &str) -> bool {
+/// Whether this replica evaluates the member's canaries, by rendezvous hashing over the known replicas.
+fn evaluates_canaries_of(server: &ReplicaServer, member: &str) -> bool {
     let weight = |replica: &SocketAddr| xxhash_rust::xxh3::xxh3_64(format!("{member} {replica}").as_bytes());
     let published = server.published();
-    let judge = published.replicas.iter().max_by_key(|replica| weight(replica));
-    published.has_quorum && judge.is_none_or(|judge| *judge == server.address)
+    let evaluator = published.replicas.iter().max_by_key(|replica| weight(replica));
+    published.has_quorum && evaluator.is_none_or(|evaluator| *evaluator == server.address)
 }
 
-/// Promotes or withdraws a canary if its verdict is known.
+/// Promotes or withdraws a canary if there is a verdict.
 async fn end_canary_if_decided(server: &ReplicaServer, canary: &CanaryId, over: bool) {
     let collected = server.collect_reports(server.clock.now()).await;
     let outcomes = collected.reports.outcome_totals(|_| true);
@@ -145,7 +145,8 @@
     }
 }
 
-/// Ends a canary by its verdict. One that exceeds what the member may do by now is withdrawn in any case.
+/// Promotes or withdraws a canary by its verdict. A canary that exceeds the member's current limits is withdrawn in any
+/// case.
 async fn end_canary(
     server: &ReplicaServer,
     canary: &CanaryId,
@@ -163,8 +164,8 @@
     }
 }
 
-/// The verdict on a canary by the requests on its routes and on those of the settled document. A canary without
-/// requests has nothing against it.
+/// Compares the outcomes of requests on the canary's routes with those of the settled document. A canary without
+/// requests does not fail.
 fn canary_verdict(
     outcomes: &BTreeMap<RouteEdition, OutcomeCounts>,
     member: &str,
--- a/balancer/src/mesh/control/committed_state.rs
+++ b/balancer/src/mesh/control/committed_state.rs
@@ -1,9 +1,9 @@
-//! What the event loop publishes of the core's state for everyone else in the process to read.
+//! The core's state as published by the event loop for the other tasks of the process.
 //!
 //! Main types: [`PublishedState`], replaced as a whole at each change, and [`CommittedRegisters`] within it. The watch
 //! server reads it as a `watch_server::CommittedState`.
 //!
-//! Invariants: readers never see a value that is neither committed nor, after a start, the newest on this disk.
+//! Invariants: readers see only committed values, or after a start the newest values on this disk.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,23 +14,24 @@
 /// The core's state as of its last change.
 #[derive(Clone, Default)]
 pub struct PublishedState {
-    /// The newest committed configuration. After a start, until a quorum says which one is committed, the newest one on
-    /// this disk: proxies that restart before the control plane have nothing else to go by.
+    /// The newest committed configuration. After a start, until a quorum confirms which one is committed, this is the
+    /// newest one on this disk, because proxies that restart before the control plane has a quorum need a
+    /// configuration.
     pub configuration: Option<Arc<RegisterValue>>,
-    /// Addresses of all replicas that the core knows, sorted.
+    /// Addresses of all replicas known to the core, sorted.
     pub replicas: Vec<SocketAddr>,
-    /// This replica hears a quorum.
+    /// Whether this replica has a quorum.
     pub has_quorum: bool,
     pub registers: Arc<CommittedRegisters>,
     pub membership: Option<Membership>,
-    /// This replica votes in that membership.
+    /// Whether this replica votes in that membership.
     pub voter: bool,
-    /// The replica was asked to leave, and enough others hold what it holds.
+    /// Whether the replica was asked to leave and enough other replicas have its state.
     pub may_stop: bool,
 }
 
 impl PublishedState {
-    /// The form in which the watch server takes it.
+    /// Returns the view that the watch server uses.
     #[must_use]
     pub fn as_committed(&self) -> watch_server::CommittedState<'_> {
         watch_server::CommittedState {
@@ -44,19 +45,19 @@
         }
     }
 
-    /// The revision of `configuration`, if there is one.
+    /// Returns the revision of `configuration`.
     #[must_use]
     pub fn configuration_revision(&self) -> Option<Revision> {
         self.configuration.as_ref().map(|configuration| configuration.revision())
     }
 }
 
-/// The named registers that readers go by.
+/// The registers that are published to readers.
 #[derive(Default)]
 pub struct CommittedRegisters {
     pub values: Vec<NamedRegister>,
     /// Digest of the names and revisions.
     pub digest: u64,
-    /// The core's count of changes of registers when these were read from it.
+    /// The core's counter of register changes when these were read.
     pub change_count: u64,
 }
--- a/balancer/src/mesh/control/disk_writer.rs
+++ b/balancer/src/mesh/control/disk_writer.rs
@@ -1,10 +1,9 @@
-//! The thread that writes log records to disk and acknowledges them to the event loop.
+//! The thread that writes log records to disk and acknowledges them to the event loop. Main types: [`DiskWriter`], the
+//! handle of the event loop; [`WriteBatch`], its input; [`PersistedBatches`], its output; and [`DiskWriteCounts`] for
+//! metrics.
 //!
-//! Main types: [`DiskWriter`], the event loop's end; [`WriteBatch`], what goes in; [`PersistedBatches`], what comes
-//! back; and [`DiskWriteCounts`] for operators.
-//!
-//! Invariants: batches are written and acknowledged in the order in which they were submitted; a batch's messages come
-//! back only after its records, and those of all earlier batches, are synced.
+//! Invariants: batches are written and acknowledged in the order of submission; the messages of a batch are returned
+//! only after its records, and those of all earlier batches, are synced to disk.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,10 +15,10 @@
 use ochreshed_storage::Store;
 use tokio::sync::mpsc;
 
-/// How long the thread waits before it repeats a write that failed.
+/// Wait before a failed write is retried.
 const WRITE_RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Log records, and the messages that may be sent once the records are safe.
+/// Log records, and the messages that may be sent once the records are synced.
 #[derive(Default)]
 pub struct WriteBatch {
     pub records: Vec<LogRecord>,
@@ -27,7 +26,7 @@
 }
 
 impl WriteBatch {
-    /// Whether there is neither a record nor a message.
+    /// Whether the batch has neither records nor messages.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.records.is_empty() && self.messages.is_empty()
@@ -39,15 +38,15 @@
     }
 }
 
-/// One or more batches that are safe on disk.
+/// One or more batches that are synced to disk.
 pub struct PersistedBatches {
-    /// How many batches were written together.
+    /// The number of batches that were written together.
     pub count: usize,
-    /// The messages of all of them, in order.
+    /// The messages of all batches, in order.
     pub messages: Vec<(SocketAddr, Message)>,
 }
 
-/// Totals since the process's start.
+/// Totals since the start of the process.
 #[derive(Default)]
 pub struct DiskWriteCounts {
     writes: AtomicU64,
@@ -55,13 +54,13 @@
 }
 
 impl DiskWriteCounts {
-    /// Writes, each of them synced.
+    /// Returns the number of writes, each of them synced.
     #[must_use]
     pub fn writes(&self) -> u64 {
         self.writes.load(Relaxed)
     }
 
-    /// Log records in all writes.
+    /// Returns the number of log records in all writes.
     #[must_use]
     pub fn records(&self) -> u64 {
         self.records.load(Relaxed)
@@ -73,14 +72,14 @@
     }
 }
 
-/// The event loop's end of the writer thread. The thread ends when this is dropped.
+/// The event loop's handle of the writer thread. The thread ends when the handle is dropped.
 pub struct DiskWriter {
     batches: Sender<WriteBatch>,
     persisted: mpsc::UnboundedReceiver<PersistedBatches>,
 }
 
 impl DiskWriter {
-    /// Starts the thread that writes to `store`.
+    /// Starts the writer thread for `store`.
     #[must_use]
     pub fn spawn(store: Store, counts: Arc<DiskWriteCounts>) -> DiskWriter {
         let (batches, submitted) = channel();
@@ -91,17 +90,17 @@
 
     /// Queues a batch. It never blocks.
     pub fn submit(&self, batch: WriteBatch) {
-        // The thread lives as long as this does, so there is always a receiver.
+        // The thread runs until this sender is dropped, so there is always a receiver.
         let _ = self.batches.send(batch);
     }
 
-    /// Waits for the next batches that are safe on disk. May be cancelled without losing any.
+    /// Waits for the next batches that are synced to disk. Cancel safe.
     pub async fn next_persisted(&mut self) -> Option<PersistedBatches> {
         self.persisted.recv().await
     }
 }
 
-/// Writes all batches that are waiting as one, because each write costs a sync.
+/// Writes all queued batches together, because each write costs a sync.
 fn write_batches(
     mut store: Store,
     submitted: &Receiver<WriteBatch>,
@@ -124,7 +123,7 @@
     }
 }
 
-/// Repeats a write until it succeeds: nothing may be acknowledged before, and a replica can't do without its disk.
+/// Retries a write until it succeeds. Nothing may be acknowledged before, and a replica can't work without its disk.
 fn write_until_persisted(store: &mut Store, records: &[LogRecord]) {
     let mut failures = 0_u64;
     while let Err(error) = store.persist(records) {
--- a/balancer/src/mesh/control/member_changes.rs
+++ b/balancer/src/mesh/control/member_changes.rs
@@ -1,13 +1,13 @@
-//! Changes of a member's documents: what is checked before the core commits one, and what is written.
+//! Changes of a member's documents: validation and commit.
 //!
-//! Main types: [`CommittedMember`], all that a change is checked against, and [`DocumentChange`], its outcome. The
-//! calls of members and the canary monitor both make changes through this module.
+//! Main types: [`CommittedMember`], the state that a change is validated against, and [`DocumentChange`], its outcome.
+//! Members' calls and the canary monitor both make changes through this module.
 //!
-//! A canary is promoted by writing its text as the settled document, and withdrawn by writing down its version.
-//! Versions only grow, and a settled version beats a withdrawn one, so it does no harm if two replicas end a canary at
-//! once.
+//! A canary is promoted by committing its text as the settled document, and withdrawn by committing its version to the
+//! register of withdrawn versions. Versions only increase, and a settled version takes precedence over a withdrawn one,
+//! so it is harmless if two replicas end a canary at the same time.
 //!
-//! Invariants: no document is committed that exceeds what the newest member register allows; a version is never used
+//! Invariants: no document is committed that exceeds the limits in the newest member register; a version is never used
 //! for two documents.
 
 use std::sync::Arc;
@@ -23,10 +23,10 @@
 use super::replica_server::{ADMIN_CALL_TIMEOUT, ReplicaServer};
 use crate::mesh::shared::member_documents::{DocumentName, MemberState};
 
-/// The member register is read from the core for unknown keys no more than once in this interval.
+/// Minimum interval between reads of the member register from the core because of unknown keys.
 const REGISTER_REFRESH_INTERVAL: Duration = Duration::from_millis(250);
 
-/// What a quorum holds of one member, and of what its documents are checked against.
+/// The committed state of one member, with the configuration and register that its documents are validated against.
 pub struct CommittedMember {
     pub configuration: Configuration,
     pub member_register: MemberRegister,
@@ -37,7 +37,7 @@
     pub canary_value: Option<Arc<RegisterValue>>,
 }
 
-/// What a document has become by a change.
+/// The state of a document after a change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DocumentState {
     Settled,
@@ -46,7 +46,7 @@
 }
 
 impl DocumentState {
-    /// The word for it in the operators' interface.
+    /// Returns the name of the state in the operators' interface.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -57,7 +57,7 @@
     }
 }
 
-/// A change that was committed.
+/// A committed change.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DocumentChange {
     pub member: String,
@@ -87,7 +87,7 @@
     }
 }
 
-/// The newest committed text of a document.
+/// Reads the newest committed text of a document.
 pub async fn read_document(
     server: &ReplicaServer,
     document: DocumentName<'_>,
@@ -96,7 +96,7 @@
     Ok(String::from_utf8_lossy(&value.bytes).into_owned())
 }
 
-/// Has the core commit a document. On success a quorum holds it on disk.
+/// Commits a document through the core. On success a quorum has it on disk.
 pub async fn commit_document(
     server: &ReplicaServer,
     document: DocumentName<'_>,
@@ -113,10 +113,10 @@
     }
 }
 
-/// Makes sure that the member register known here was the newest a moment ago. However many calls ask for that, the
-/// core is asked only once in a while.
+/// Updates the local member register from the core, unless that was done within [`REGISTER_REFRESH_INTERVAL`]. This
+/// limits the reads that calls with unknown keys cause.
 pub async fn refresh_member_register(server: &ReplicaServer) -> Result<(), MemberError> {
-    let mut refreshed = server.members.register_refreshed.lock().await;
+    let mut refreshed = server.members.register_refreshed_at.lock().await;
     if refreshed.is_some_and(|refreshed| refreshed.elapsed() < REGISTER_REFRESH_INTERVAL) {
         return Ok(());
     }
@@ -128,7 +128,7 @@
     Ok(())
 }
 
-/// Reads from the core all that a change of the member's documents is checked against.
+/// Reads from the core the state that a change of the member's documents is validated against.
 pub async fn load_committed(server: &ReplicaServer, member: &str) -> Result<CommittedMember, MemberError> {
     let (configuration, member_register, settled, canary, withdrawn) = tokio::join!(
         server.request(CoreRequest::ReadConfiguration, ADMIN_CALL_TIMEOUT),
@@ -165,7 +165,8 @@
     document.transpose().map_err(|_| MemberError::UnreadableDocument)
 }
 
-/// Commits a document that a member sent: as its canary if it asks for a share of the nodes, otherwise as settled.
+/// Commits a document that a member sent: as its canary if the document sets a share of the nodes below 1, otherwise as
+/// settled.
 pub async fn replace(
     server: &ReplicaServer,
     committed: &CommittedMember,
@@ -188,7 +189,7 @@
     Ok(DocumentChange::new(member, document.version, state))
 }
 
-/// Checks that the version was not used for another document. The same document may be sent again.
+/// Checks that the version was not used for another document. The same document may be sent repeatedly.
 fn check_version(committed: &CommittedMember, version: u64, bytes: &[u8]) -> Result<(), MemberError> {
     let highest_version = committed.state.highest_version();
     let is_other = |value: &Option<Arc<RegisterValue>>| {
@@ -202,7 +203,7 @@
     Ok(())
 }
 
-/// Promotes the running canary to the settled document.
+/// Promotes the running canary to settled document.
 pub async fn promote_canary(
     server: &ReplicaServer,
     committed: &CommittedMember,
@@ -227,7 +228,7 @@
     Ok(DocumentChange::new(member, canary.version, DocumentState::Withdrawn))
 }
 
-/// The versions of a member's settled document on this replica's disk, the latest first.
+/// Returns the versions of a member's settled document on this replica's disk, latest first.
 pub async fn stored_versions(
     server: &ReplicaServer,
     member: &str,
@@ -240,8 +241,8 @@
     read.ok().and_then(Result::ok).ok_or(MemberError::DiskUnreadable)
 }
 
-/// Undoes the member's last change: withdraws the canary if one runs; otherwise commits the settled document before the
-/// present one again, under the next version.
+/// Undoes the member's last change: withdraws the running canary, or else commits the previous settled document again
+/// under a new version.
 pub async fn restore_previous(
     server: &ReplicaServer,
     committed: &CommittedMember,
@@ -255,13 +256,13 @@
     let previous = stored.iter().find(|value| value.version < settled.version);
     let previous = previous.ok_or(MemberError::NoEarlierDocument)?;
     let version = committed.state.highest_version().saturating_add(1);
-    let bytes = with_version(&previous.bytes, version).ok_or(MemberError::EarlierDocumentUnreadable)?;
+    let bytes = replace_version(&previous.bytes, version).ok_or(MemberError::EarlierDocumentUnreadable)?;
     let document = MemberDocument::read(&bytes).map_err(|_| MemberError::EarlierDocumentUnreadable)?;
     replace(server, committed, member, &document, bytes).await
 }
 
-/// A document's text under another version, and without its share of a canary; `None` if it is not a JSON object.
-fn with_version(bytes: &[u8], version: u64) -> Option<Vec<u8>> {
+/// Returns the document's text with another version and without a canary share; `None` if it is not a JSON object.
+fn replace_version(bytes: &[u8], version: u64) -> Option<Vec<u8>> {
     let mut text: serde_json::Value = serde_json::from_slice(bytes).ok()?;
     let fields = text.as_object_mut()?;
     fields.insert("edition".into(), format!("r{version}").into());
--- a/balancer/src/mesh/control/member_directory.rs
+++ b/balancer/src/mesh/control/member_directory.rs
@@ -1,9 +1,9 @@
-//! What a replica keeps of the platform's members besides the core: their documents, which nodes run which version, and
-//! how often each member has made changes.
+//! A replica's state of the platform's members outside the core: their documents, the versions in force at nodes, and
+//! the rate limits of members' changes.
 //!
 //! Main types: [`MemberDirectory`] and [`ChangeLimiter`].
 //!
-//! Invariants: one member's changes never wait for another's; changes of one member run one at a time.
+//! Invariants: changes of different members never wait for each other; changes of one member run one at a time.
 
 use std::collections::{HashMap, VecDeque};
 use std::net::SocketAddr;
@@ -20,16 +20,17 @@
 
 const CHANGE_WINDOW: Duration = Duration::from_secs(60);
 
-/// Limits and serializes the changes of one member.
+/// Rate-limits and serializes the changes of one member.
 #[derive(Default)]
 pub struct ChangeLimiter {
-    /// Held while a change is checked and committed, so that each is checked against the outcome of the one before.
+    /// Locked while a change is validated and committed, so that each is validated against the outcome of the previous
+    /// one.
     pub serial: tokio::sync::Mutex<()>,
     recent: Mutex<VecDeque<Instant>>,
 }
 
 impl ChangeLimiter {
-    /// Counts a change; the error is the time after which there is room for another one.
+    /// Counts a change. The error is the time until the next change is allowed.
     pub fn admit(&self, max_per_minute: u32) -> Result<(), Duration> {
         let now = Instant::now();
         let mut recent = lock(&self.recent);
@@ -48,26 +49,26 @@
     }
 }
 
-/// The members as this replica knows them.
+/// The members as known to this replica.
 #[derive(Default)]
 pub struct MemberDirectory {
     documents: Mutex<Arc<MemberDocumentStore>>,
-    /// By inbound proxy, as the proxies reported.
+    /// Versions in force by inbound proxy, as reported by the proxies.
     applied_editions: Mutex<HashMap<SocketAddr, AppliedEditions>>,
-    /// When the member register was last read from the core for a key that is not known here. Locked during the read,
-    /// so that any number of unknown keys causes one read at a time.
-    pub register_refreshed: tokio::sync::Mutex<Option<Instant>>,
+    /// When the member register was last read from the core because of an unknown key. Locked during the read, so that
+    /// any number of unknown keys causes only one read at a time.
+    pub register_refreshed_at: tokio::sync::Mutex<Option<Instant>>,
     change_limiters: Mutex<HashMap<Name, Arc<ChangeLimiter>>>,
 }
 
 impl MemberDirectory {
-    /// The documents as of now.
+    /// Returns the current documents.
     #[must_use]
     pub fn documents(&self) -> Arc<MemberDocumentStore> {
         lock(&self.documents).clone()
     }
 
-    /// Applies those of the registers that are newer than what is held.
+    /// Applies the registers that are newer than the stored ones.
     pub fn apply_registers(&self, registers: &[NamedRegister]) {
         let mut documents = lock(&self.documents);
         let mut updated = (**documents).clone();
@@ -77,17 +78,17 @@
         *documents = Arc::new(updated);
     }
 
-    /// Stores which versions a node reports to be in force.
+    /// Stores the versions that a node reports to be in force.
     pub fn store_applied_editions(&self, inbound_proxy: SocketAddr, applied: AppliedEditions) {
         lock(&self.applied_editions).insert(inbound_proxy, applied);
     }
 
-    /// Forgets the nodes that are not known any more.
+    /// Removes nodes that are no longer known.
     pub fn retain_nodes(&self, is_known: impl Fn(SocketAddr) -> bool) {
         lock(&self.applied_editions).retain(|inbound_proxy, _| is_known(*inbound_proxy));
     }
 
-    /// The nodes that reported a version of the member's document to be in force.
+    /// Returns the nodes that reported a version of the member's document, with that version.
     #[must_use]
     pub fn editions_by_node(&self, member: &str) -> Vec<(SocketAddr, MemberEdition)> {
         let applied_editions = lock(&self.applied_editions);
@@ -98,7 +99,7 @@
         applied_editions.iter().filter_map(edition_of).collect()
     }
 
-    /// The limiter of one member's changes.
+    /// Returns the limiter of one member's changes.
     pub fn change_limiter(&self, member: &Name) -> Arc<ChangeLimiter> {
         lock(&self.change_limiters).entry(member.clone()).or_default().clone()
     }
--- a/balancer/src/mesh/control/member_error.rs
+++ b/balancer/src/mesh/control/member_error.rs
@@ -1,12 +1,12 @@
-//! Why a call on the platform's members is rejected, with the status that it is answered by.
+//! Errors of calls on the platform's members, with their HTTP status codes.
 //!
-//! Main type: [`MemberError`]. Its texts are part of the operators' interface: they never change.
+//! Main type: [`MemberError`]. Its texts are part of the operators' interface and never change.
 
 use std::time::Duration;
 
 use thiserror::Error;
 
-/// A rejected call of a member, or of the platform on its members.
+/// Why a call of a member, or of the platform on its members, is rejected.
 #[derive(Debug, Error)]
 pub enum MemberError {
     #[error("no such call here")]
@@ -17,7 +17,7 @@
     RateLimited { max_per_minute: u32, retry_after: Duration },
     #[error("the document did not come whole")]
     IncompleteDocument,
-    /// The document can't be read or exceeds what the member may do; one line for each fault.
+    /// The document can't be parsed or exceeds the member's limits; one line per problem.
     #[error("{}", .0.join("\n"))]
     InvalidDocument(Vec<String>),
     #[error("none was ever taken")]
@@ -38,25 +38,25 @@
     EarlierDocumentUnreadable,
     #[error("too long, or the core holds too many documents")]
     CapacityExceeded,
-    /// A committed document can't be read here: the process that committed it runs another version of the program.
+    /// A committed document can't be parsed, because another version of the program committed it.
     #[error("what the core holds is of a build that differs")]
     UnreadableDocument,
     #[error("the disk can't be read now")]
     DiskUnreadable,
     #[error("more than half of the core is not reached")]
     NoQuorum,
-    /// No quorum acknowledged the document in time. It may yet be committed.
+    /// No quorum acknowledged the document in time. It may still be committed.
     #[error("not safe on more than half of the core yet: send it again")]
     NotCommitted,
 }
 
 impl MemberError {
-    /// An invalid document with the faults that were found.
-    pub fn invalid(faults: impl IntoIterator<Item = impl ToString>) -> MemberError {
-        MemberError::InvalidDocument(faults.into_iter().map(|fault| fault.to_string()).collect())
+    /// Creates an `InvalidDocument` error with the problems found.
+    pub fn invalid(problems: impl IntoIterator<Item = impl ToString>) -> MemberError {
+        MemberError::InvalidDocument(problems.into_iter().map(|problem| problem.to_string()).collect())
     }
 
-    /// The status of the answer, as in HTTP.
+    /// Returns the HTTP status code of the response.
     #[must_use]
     pub fn status(&self) -> u16 {
         match self {
@@ -79,7 +79,7 @@
         }
     }
 
-    /// After how many seconds the call may be repeated, if that is known.
+    /// Returns the value of `Retry-After` in seconds, if known.
     #[must_use]
     pub fn retry_after_s(&self) -> Option<u64> {
         match self {
--- a/balancer/src/mesh/control/peer_watch.rs
+++ b/balancer/src/mesh/control/peer_watch.rs
@@ -1,9 +1,7 @@
-//! Watches the endpoint tables of all other replicas and merges them into this one's.
+//! Watches the endpoint tables of all other replicas and merges them into the local one.
 //!
 //! Main function: [`watch_peers`].
-//!
-//! Invariants: each peer is watched by exactly one task, which ends when the peer is gone from the replicas that the
-//! core knows.
+//! Invariants: each peer is watched by exactly one task, which is aborted when the core no longer lists the peer.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -18,12 +16,12 @@
 use super::replica_server::ReplicaServer;
 use crate::mesh::rpc::{InternalRequest, InternalResponse, WatchResponse};
 
-/// How often the set of peers is compared with the replicas that the core knows.
+/// Interval between updates of the set of peers from the core.
 const PEERS_CHECK_INTERVAL: Duration = Duration::from_nanos(watch_server::SUSPECT_CHECK_INTERVAL);
-/// How long a watch may take: what the peer may wait, and a margin for the way there and back.
+/// Timeout of a watch: the peer's maximum wait plus a margin for the round trip.
 const WATCH_TIMEOUT: Duration =
     Duration::from_nanos(watch_server::REPLICA_MAX_WAIT + watch_server::RESPONSE_GRACE);
-/// The pause after a watch that failed.
+/// Wait after a failed watch.
 const WATCH_RETRY_INTERVAL: Duration = Duration::from_nanos(watch_server::RETRY_INTERVAL);
 
 /// Keeps one task running for each peer.
@@ -59,14 +57,14 @@
     }
 }
 
-/// Asks for the changes of the peer's table since `position`; `None` if the peer did not answer.
+/// Requests the changes of the peer's table since `position`; `None` if the peer did not respond.
 async fn request_changes(
     server: &ReplicaServer,
     peer: SocketAddr,
     position: TablePosition,
 ) -> Option<Box<WatchResponse>> {
     let request = InternalRequest::Watch(watch_server::replica_watch_request(position));
-    match server.callers.client_for(peer).call(request, WATCH_TIMEOUT).await {
+    match server.rpc_clients.client_for(peer).call(request, WATCH_TIMEOUT).await {
         Ok(InternalResponse::Watch(response)) => Some(response),
         _ => None,
     }
--- a/balancer/src/mesh/control/replica.rs
+++ b/balancer/src/mesh/control/replica.rs
@@ -1,10 +1,10 @@
-//! The event loop of a replica, which owns the core and carries out its effects.
+//! The event loop of a replica, which owns the core and applies its effects.
 //!
-//! Main type: [`Replica`]. It takes one event after another, persists records through the disk writer, sends messages,
-//! answers requests and publishes the state that has changed.
+//! Main type: [`Replica`]. It handles events in order, persists records through the disk writer, sends messages,
+//! responds to requests and publishes state changes.
 //!
-//! Invariants: nothing that depends on a log record is sent or answered before the record is synced to disk, and
-//! messages that wait for the disk are sent in the order in which the core gave them.
+//! Invariants: no message or response that depends on a log record is sent before the record is synced to disk, and
+//! messages that wait for the disk are sent in the order in which the core emitted them.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -24,27 +24,27 @@
 use super::replica_status::ReplicaStatus;
 use crate::mesh::shared::member_documents::digest_of_revisions;
 
-/// How many events are taken between two flushes of the core.
-const MAX_EVENTS_PER_TURN: usize = 256;
-/// Requests whose caller has gone are looked for once in so many requests.
-const CANCELLATION_CHECK_INTERVAL: u64 = 64;
+/// The maximum number of events handled between two flushes of the core.
+const MAX_EVENTS_PER_FLUSH: usize = 256;
+/// Requests whose callers no longer wait are cancelled once per this number of requests.
+const REQUESTS_PER_CANCELLATION_CHECK: u64 = 64;
 
-/// The core at work.
+/// The core with its event loop.
 pub struct Replica {
     server: Arc<ReplicaServer>,
     core: Core,
     disk: DiskWriter,
-    /// Where the responses of pending requests go, by the number under which the core knows the request.
+    /// Response channels of pending requests, by request ID.
     responders: HashMap<u64, oneshot::Sender<CoreResponse>>,
-    last_request: u64,
-    /// The registers that the disk held at the start: better than none until the core knows which are committed.
+    last_request_id: u64,
+    /// The registers on disk at the start. They are published until the core knows which values are committed.
     registers_at_start: HashMap<RegisterName, Revision>,
-    /// Batches that the disk writer has not acknowledged.
+    /// Batches that the disk writer has not acknowledged yet.
     unacknowledged_batches: usize,
 }
 
 impl Replica {
-    /// Takes the core as it was started from the disk.
+    /// Creates the event loop for a core that was restored from disk.
     #[must_use]
     pub fn new(server: Arc<ReplicaServer>, core: Core, disk: DiskWriter) -> Replica {
         let stored =
@@ -55,13 +55,13 @@
             core,
             disk,
             responders: HashMap::new(),
-            last_request: 0,
+            last_request_id: 0,
             registers_at_start,
             unacknowledged_batches: 0,
         }
     }
 
-    /// Runs until all senders of events are gone. `effects` are those of the core's start.
+    /// Runs until all event senders are dropped. `effects` are those of the core's start.
     pub async fn run(mut self, mut incoming: mpsc::Receiver<ReplicaEvent>, mut effects: Vec<Effect>) {
         let mut events = Vec::new();
         let mut next_tick = self.server.clock.now();
@@ -72,7 +72,7 @@
                 next_tick = self.core.tick(now, &mut effects);
             }
             self.core.flush(&mut effects);
-            self.carry_out(&mut effects);
+            self.apply_effects(&mut effects);
             self.publish_changes(now, ticked);
             let wake_at = self.server.clock.instant(next_tick);
             tokio::select! {
@@ -80,7 +80,7 @@
                 Some(persisted) = self.disk.next_persisted() => {
                     self.handle_persisted(persisted, &mut effects);
                 }
-                count = incoming.recv_many(&mut events, MAX_EVENTS_PER_TURN) => {
+                count = incoming.recv_many(&mut events, MAX_EVENTS_PER_FLUSH) => {
                     if count == 0 {
                         return;
                     }
@@ -115,15 +115,15 @@
         responder: oneshot::Sender<CoreResponse>,
         effects: &mut Vec<Effect>,
     ) {
-        self.last_request += 1;
-        self.responders.insert(self.last_request, responder);
-        self.core.handle_request(now, self.last_request, request, effects);
-        if self.last_request.is_multiple_of(CANCELLATION_CHECK_INTERVAL) {
+        self.last_request_id += 1;
+        self.responders.insert(self.last_request_id, responder);
+        self.core.handle_request(now, self.last_request_id, request, effects);
+        if self.last_request_id.is_multiple_of(REQUESTS_PER_CANCELLATION_CHECK) {
             self.cancel_abandoned_requests();
         }
     }
 
-    /// Cancels the requests whose callers don't wait any more.
+    /// Cancels the requests whose callers no longer wait.
     fn cancel_abandoned_requests(&mut self) {
         let abandoned = self.responders.iter().filter(|(_, responder)| responder.is_closed());
         let abandoned: Vec<u64> = abandoned.map(|(request, _)| *request).collect();
@@ -138,14 +138,14 @@
         self.send_messages(persisted.messages, effects);
     }
 
-    /// Carries out the core's effects in their order; what has to wait for the disk goes to the disk writer.
-    fn carry_out(&mut self, effects: &mut Vec<Effect>) {
+    /// Applies the core's effects in order. Messages that must wait for the disk go through the disk writer.
+    fn apply_effects(&mut self, effects: &mut Vec<Effect>) {
         let mut batch = WriteBatch::default();
         for effect in effects.drain(..) {
             match effect {
                 Effect::Persist(record) => batch.records.push(record),
                 Effect::SendAfterPersist(to, message) => batch.messages.push((to, message)),
-                Effect::SendNow(to, message) => self.server.callers.client_for(to).send_message(message),
+                Effect::SendNow(to, message) => self.server.rpc_clients.client_for(to).send_message(message),
                 Effect::Respond { call, response } => self.respond(call, response),
                 Effect::Log(line) => log::info!("core: {line}"),
             }
@@ -164,31 +164,31 @@
         }
     }
 
-    /// Sends messages that depend on no record that is still to be written, and carries out what follows from those
-    /// that the replica sent to itself.
+    /// Sends messages that don't depend on unsynced records, and applies the effects of those that the replica sent to
+    /// itself.
     fn send_without_disk(&mut self, messages: Vec<(SocketAddr, Message)>) {
         let mut effects = Vec::new();
         self.send_messages(messages, &mut effects);
         if !effects.is_empty() {
             self.core.flush(&mut effects);
-            self.carry_out(&mut effects);
+            self.apply_effects(&mut effects);
         }
     }
 
-    /// Sends messages; those to the replica itself are handled at once, which may add effects.
+    /// Sends messages. Messages to this replica are handled immediately, which may add effects.
     fn send_messages(&mut self, messages: Vec<(SocketAddr, Message)>, effects: &mut Vec<Effect>) {
         let now = self.server.clock.now();
         for (to, message) in messages {
             if to == self.server.address {
                 self.core.handle_message(now, message, effects);
             } else {
-                self.server.callers.client_for(to).send_message(message);
+                self.server.rpc_clients.client_for(to).send_message(message);
             }
         }
     }
 
-    /// Publishes the state if it has changed. Whether a quorum is heard changes with time alone, so that is looked at
-    /// with each tick, and not with each event.
+    /// Publishes the state if it has changed. Quorum can be lost by the passage of time alone, so it is checked at each
+    /// tick and not after each event.
     fn publish_changes(&self, now: Nanos, ticked: bool) {
         let previous = self.server.published();
         let core_unchanged = self.core_unchanged_since(&previous);
@@ -211,16 +211,16 @@
         if unchanged {
             return;
         }
-        let concerns_watchers = previous.registers.digest != state.registers.digest
+        let watchers_affected = previous.registers.digest != state.registers.digest
             || previous.replicas != state.replicas
             || previous.configuration_revision() != state.configuration_revision();
         self.server.publish(state);
-        if concerns_watchers {
+        if watchers_affected {
             self.server.notify_change();
         }
     }
 
-    /// Whether all that changes only with events is as it was published.
+    /// Whether the parts of the state that change only by events are as published.
     fn core_unchanged_since(&self, previous: &PublishedState) -> bool {
         let revision = self.newest_configuration().map(|configuration| configuration.revision());
         previous.configuration_revision() == revision
@@ -229,7 +229,7 @@
             && previous.registers.change_count == self.core.register_changes()
     }
 
-    /// The newest committed configuration, or the newest on this disk until that is known; see `PublishedState`.
+    /// Returns the newest committed configuration, or the newest on disk until that is known; see `PublishedState`.
     fn newest_configuration(&self) -> Option<&Arc<RegisterValue>> {
         self.core.committed_configuration().or(self.core.stored_configuration())
     }
@@ -240,7 +240,7 @@
         replicas
     }
 
-    /// The committed registers; and those that the disk held at the start, until it is known which are committed.
+    /// Returns the committed registers, and those on disk at the start until it is known which are committed.
     fn registers_since(&self, previous: &Arc<CommittedRegisters>) -> Arc<CommittedRegisters> {
         let change_count = self.core.register_changes();
         if previous.change_count == change_count {
--- a/balancer/src/mesh/control/replica_server.rs
+++ b/balancer/src/mesh/control/replica_server.rs
@@ -1,11 +1,11 @@
-//! The part of a replica that serves others: proxies and replicas that watch, requests to the core, and the state that
-//! operators' calls read.
+//! The server side of a replica: watches of proxies and replicas, requests to the core, and the state that operators'
+//! calls read.
 //!
-//! Main types: [`ReplicaServer`], shared by all tasks of the process, and [`ReplicaEvent`], by which they reach the
+//! Main types: [`ReplicaServer`], shared by all tasks of the process, and [`ReplicaEvent`], which they send to the
 //! event loop that owns the core.
 //!
-//! Invariants: a watch is answered as soon as there is something new for the watcher, and no lock is held while it
-//! waits; nothing here decides, every decision is the core's.
+//! Invariants: a watch is answered as soon as there is a change for the watcher, and no lock is held while it waits;
+//! all decisions are made by the core.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -37,52 +37,52 @@
 use crate::mesh::shared::member_documents;
 use crate::mesh::shared::recovery_time::RecoveryTime;
 
-/// How long another process may wait for the core's response.
+/// Timeout for requests of other processes to the core.
 const CORE_REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
-/// How long the core has to respond to an operator's call.
+/// Timeout for operators' calls.
 pub const ADMIN_CALL_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// The size of one response with registers.
+/// The size limit of one response with registers.
 const MAX_REGISTERS_RESPONSE_BYTES: usize = 8 << 20;
 
-/// What the tasks of the process hand to the event loop.
+/// Events that the tasks of the process send to the event loop.
 pub enum ReplicaEvent {
-    /// A message of another replica.
+    /// A message from another replica.
     Message(Message),
-    /// A request, with where its response goes.
+    /// A request to the core, with its response channel.
     Request(CoreRequest, oneshot::Sender<CoreResponse>),
-    /// The seeds in the settings file have changed.
+    /// The seeds in the settings file changed.
     SeedsChanged(Vec<SocketAddr>),
-    /// Asks for the core's status, with the lease on the key if one is given.
+    /// Reads the core's status, with the lease on the key if one is given.
     ReadStatus(Option<LeaseKey>, oneshot::Sender<ReplicaStatus>),
-    /// The process was asked to stop: other replicas may take its place.
+    /// The process was asked to stop, so that other replicas may replace it.
     Leave,
 }
 
-/// What all tasks of a replica share.
+/// State shared by all tasks of a replica.
 pub struct ReplicaServer {
     pub clock: Clock,
-    /// Where other processes reach this replica.
+    /// The address of this replica for other processes.
     pub address: SocketAddr,
     pub settings: ArcSwap<Settings>,
     pub members: MemberDirectory,
     pub recovery_time: RecoveryTime,
     pub disk_writes: Arc<DiskWriteCounts>,
-    /// Connections to other processes.
-    pub callers: RpcClients,
+    /// RPC clients for other processes.
+    pub rpc_clients: RpcClients,
     published: ArcSwap<PublishedState>,
     watches: Mutex<WatchServer>,
-    /// What proxies reported to this replica.
+    /// The reports that proxies sent to this replica.
     reports: Mutex<BudgetReports>,
-    /// Goes up with each change that a reader may be waiting for.
+    /// Incremented at each change that a watcher may be waiting for.
     changes: watch::Sender<u64>,
     events: mpsc::Sender<ReplicaEvent>,
     updates: UpdateCache,
-    /// Held while an update is encoded: many proxies ask for the same one at once, and the first one's is cached.
+    /// Locked while an update is encoded. Many proxies request the same update at once; the first request caches it.
     encoding: tokio::sync::Mutex<()>,
 }
 
 impl ReplicaServer {
-    /// A server that knows nothing yet but its settings. `events` leads to the event loop.
+    /// Creates a server without any state. `events` is the queue of the event loop.
     #[must_use]
     pub fn new(
         clock: Clock,
@@ -97,7 +97,7 @@
             members: MemberDirectory::default(),
             recovery_time: RecoveryTime::default(),
             disk_writes: Arc::default(),
-            callers: RpcClients::default(),
+            rpc_clients: RpcClients::default(),
             published: ArcSwap::default(),
             watches: Mutex::new(WatchServer::new(rand::random())),
             reports: Mutex::default(),
@@ -108,13 +108,13 @@
         }
     }
 
-    /// The core's state as of its last change.
+    /// Returns the most recently published state of the core.
     #[must_use]
     pub fn published(&self) -> Arc<PublishedState> {
         self.published.load_full()
     }
 
-    /// Replaces the published state. The configuration is cached first, since a watcher may fetch it at once.
+    /// Replaces the published state. The configuration is cached first, because a watcher may fetch it immediately.
     pub fn publish(&self, state: PublishedState) {
         if let Some(configuration) = &state.configuration {
             self.updates.add(configuration);
@@ -122,28 +122,28 @@
         self.published.store(Arc::new(state));
     }
 
-    /// Wakes whoever waits for a change.
+    /// Wakes all tasks that wait for a change.
     pub fn notify_change(&self) {
         self.changes.send_modify(|count| *count += 1);
     }
 
-    /// A receiver that is woken by each change.
+    /// Returns a receiver that is notified of each change.
     pub fn subscribe_to_changes(&self) -> watch::Receiver<u64> {
         self.changes.subscribe()
     }
 
-    /// Inbound proxies that were not heard lately.
+    /// Returns the inbound proxies that are suspected to have failed.
     #[must_use]
     pub fn suspects(&self) -> Vec<SocketAddr> {
         lock(&self.watches).suspects().to_vec()
     }
 
-    /// Reads the endpoint table under its lock.
+    /// Calls `read` with the endpoint table, under its lock.
     pub fn read_endpoints<T>(&self, read: impl FnOnce(&EndpointTable) -> T) -> T {
         read(&lock(&self.watches).table)
     }
 
-    /// Asks the proxy of an upstream to drain it.
+    /// Requests the inbound proxy of an upstream to drain it.
     pub fn request_drain(&self, inbound_proxy: SocketAddr, upstream_id: &str) {
         let is_new = lock(&self.watches).table.drain(inbound_proxy, upstream_id);
         if is_new {
@@ -151,8 +151,8 @@
         }
     }
 
-    /// Looks for proxies that fell silent or are heard again, and forgets reports of those that are gone from the
-    /// table. Returns how many are suspected, if that has changed.
+    /// Updates the suspected proxies and removes reports of proxies that are no longer in the table. Returns the number
+    /// of suspects if it has changed.
     pub fn update_suspects(&self) -> Option<usize> {
         let mut watches = lock(&self.watches);
         lock(&self.reports).retain(|proxy| watches.table.record(proxy).is_some());
@@ -160,7 +160,7 @@
         watches.update_suspects(self.clock.now())
     }
 
-    /// Merges what another replica answered to this one's watch.
+    /// Merges another replica's response to a watch.
     pub fn merge_peer_response(&self, response: &WatchResponse) {
         let is_new = lock(&self.watches).merge(self.clock.now(), response);
         if is_new {
@@ -168,18 +168,18 @@
         }
     }
 
-    /// How long to wait between a peer's response and the next watch, so that many small changes travel together.
+    /// Returns the wait between a peer's response and the next watch, which batches small changes.
     #[must_use]
     pub fn peer_watch_interval(&self) -> Duration {
         Duration::from_nanos(lock(&self.watches).replica_watch_interval())
     }
 
-    /// Hands an event to the event loop. It is lost if that has ended, with the process.
+    /// Sends an event to the event loop. The event is lost if the loop has ended.
     pub async fn send_event(&self, event: ReplicaEvent) {
         let _ = self.events.send(event).await;
     }
 
-    /// Hands a request to the core and waits for its response, which is `Unavailable` after `time_limit`.
+    /// Sends a request to the core and waits for its response, which is `Unavailable` after `time_limit`.
     pub async fn request(&self, request: CoreRequest, time_limit: Duration) -> CoreResponse {
         let (responder, response) = oneshot::channel();
         if self.events.send(ReplicaEvent::Request(request, responder)).await.is_err() {
@@ -189,14 +189,15 @@
         response.unwrap_or(CoreResponse::Unavailable)
     }
 
-    /// The core's status, with the lease on `key` if one is given; `None` if the event loop is too busy to answer.
+    /// Returns the core's status, with the lease on `key` if one is given; `None` if the event loop did not respond in
+    /// time.
     pub async fn status(&self, key: Option<LeaseKey>) -> Option<ReplicaStatus> {
         let (responder, status) = oneshot::channel();
         self.send_event(ReplicaEvent::ReadStatus(key, responder)).await;
         timeout(ADMIN_CALL_TIMEOUT, status).await.ok()?.ok()
     }
 
-    /// What proxies reported to this replica and to all others that answer.
+    /// Collects the reports that proxies sent to this replica and to all others that respond.
     pub async fn collect_reports(&self, now: Nanos) -> CollectedReports {
         let recovery_ms = self.recovery_time.recorded_ms().map(|recovery_ms| (self.address, recovery_ms));
         let own = CollectedReports {
@@ -204,17 +205,17 @@
             replica_recovery_ms: recovery_ms.into_iter().collect(),
             unreachable_replicas: Vec::new(),
         };
-        budget_reports::collect_from_peers(&self.callers, self.peers(), now, own).await
+        budget_reports::collect_from_peers(&self.rpc_clients, self.peers(), now, own).await
     }
 
-    /// The addresses of the other replicas.
+    /// Returns the addresses of the other replicas.
     #[must_use]
     pub fn peers(&self) -> Vec<SocketAddr> {
         let published = self.published.load();
         published.replicas.iter().copied().filter(|replica| *replica != self.address).collect()
     }
 
-    /// Answers a call of another process; `None` for messages, which need no response.
+    /// Handles a request of another process; `None` for messages, which have no response.
     pub async fn handle(self: Arc<Self>, request: InternalRequest) -> Option<InternalResponse> {
         match request {
             InternalRequest::Watch(request) => {
@@ -251,7 +252,7 @@
         }
     }
 
-    /// Hands a replica's message to the event loop if its content is undamaged.
+    /// Forwards a replica's message to the event loop if its content matches its digest.
     async fn forward_message(&self, message: Message) {
         if message.is_intact() {
             self.send_event(ReplicaEvent::Message(message)).await;
@@ -263,15 +264,14 @@
         }
     }
 
-    /// The newest configuration, as an update from the one that the reader has.
+    /// Returns the newest configuration as an update of the one that the reader has.
     async fn configuration_update(self: &Arc<Self>, known: Revision) -> Option<Arc<ConfigurationUpdate>> {
         let _encoding = self.encoding.lock().await;
         let server = self.clone();
         tokio::task::spawn_blocking(move || server.updates.newest(known)).await.ok()?
     }
 
-    /// Answers a watch at once if there is something new for the watcher, otherwise when there is or after its maximal
-    /// wait.
+    /// Answers a watch as soon as there is a change for the watcher, or after its maximum wait.
     async fn watch(self: Arc<Self>, request: WatchRequest) -> WatchResponse {
         let mut changes = self.changes.subscribe();
         let RegisteredWatch { pending, table_changed } = {
@@ -300,14 +300,14 @@
         WatchResponse { outcomes, ..response }
     }
 
-    /// When the watch is to be answered, as things stand.
+    /// Returns when the watch is due to be answered in the current state.
     fn watch_due(&self, pending: &PendingWatch, deadline: Instant) -> Instant {
         let published = self.published.load();
         let due = lock(&self.watches).due_at(pending, published.as_committed());
         due.map_or(deadline, |due| self.clock.instant(due).min(deadline))
     }
 
-    /// Stores what a proxy reported together with its watch.
+    /// Stores the reports that a proxy sent with its watch.
     fn store_proxy_reports(&self, request: WatchRequest) {
         let proxy = request.record.map(|record| record.inbound_proxy).or(request.inbound_proxy);
         let Some(proxy) = proxy else { return };
@@ -320,7 +320,7 @@
         }
     }
 
-    /// What this replica received, in the form in which it goes to another one.
+    /// Returns the reports received by this replica, for another replica.
     fn received_reports(&self) -> internal_rpc::CollectedReports {
         internal_rpc::CollectedReports {
             reports: lock(&self.reports).collect(self.clock.now()),
@@ -329,7 +329,8 @@
     }
 }
 
-/// The outcomes of canaries in the reports. They travel beside the reports, which earlier versions read without them.
+/// Returns the outcomes of canaries in the reports. They are sent in a separate field, because earlier versions decode
+/// the reports without them.
 fn outcomes_by_proxy(reports: &internal_rpc::CollectedReports) -> Vec<(SocketAddr, EditionOutcomes)> {
     let outcomes = |collected: &CollectedReport| {
         let outcomes = &collected.report.outcomes;
--- a/balancer/src/mesh/control/replica_status.rs
+++ b/balancer/src/mesh/control/replica_status.rs
@@ -1,40 +1,40 @@
-//! The core's own account of itself, taken in the event loop for one call of an operator.
+//! The status of the core, read in the event loop for an operator's call.
 //!
 //! Main type: [`ReplicaStatus`].
 //!
-//! Invariants: all fields are of the same moment.
+//! Invariants: all fields are read at the same time.
 
 use ochreshed::Nanos;
 use ochreshed_consensus::core::{Core, LeaseCounts, PeerStatus, ResponseCacheUsage, SessionCounts};
 use ochreshed_consensus::messages::{Lease, LeaseKey, Revision};
 
-/// A lease as the replica stores it.
+/// A lease as stored by the replica.
 #[derive(Clone, Debug)]
 pub struct StoredLease {
     pub lease: Lease,
-    /// How long it has been known here.
+    /// The time since the replica first stored it.
     pub age: Nanos,
 }
 
-/// What the core knows at one moment.
+/// The status of the core.
 #[derive(Clone, Debug, Default)]
 pub struct ReplicaStatus {
     pub epoch: u64,
     pub has_quorum: bool,
-    /// The newest configuration that is known to be committed.
+    /// The newest configuration known to be committed.
     pub committed_configuration: Option<Revision>,
-    /// All replicas that are known, this one among them.
+    /// All known replicas, including this one.
     pub replicas: Vec<PeerStatus>,
     pub lease_counts: LeaseCounts,
     pub response_cache: ResponseCacheUsage,
     pub oldest_pending_lease_age: Option<Nanos>,
     pub sessions: SessionCounts,
-    /// The lease on the key that was asked for.
+    /// The lease on the requested key.
     pub lease: Option<StoredLease>,
 }
 
 impl ReplicaStatus {
-    /// Reads the status, with the lease on `key` if there is one.
+    /// Reads the status, with the lease on `key` if one is given.
     #[must_use]
     pub fn read(core: &Core, now: Nanos, key: Option<LeaseKey>) -> ReplicaStatus {
         ReplicaStatus {
--- a/balancer/src/mesh/control/settings_reload.rs
+++ b/balancer/src/mesh/control/settings_reload.rs
@@ -1,8 +1,8 @@
-//! Reads the settings file again, at intervals and on SIGHUP.
+//! Reloads the settings file at intervals and on SIGHUP.
 //!
 //! Main function: [`reload_settings`].
 //!
-//! Invariants: a file with faults changes nothing; the settings in force are always those of one whole file.
+//! Invariants: an invalid file changes nothing; the settings in force are always those of one complete file.
 
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
@@ -15,7 +15,7 @@
 use crate::mesh::proxy::node::seed_addresses;
 use crate::mesh::settings::Settings;
 
-/// How often the file is read without a signal.
+/// Interval between reloads without a signal.
 const RELOAD_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Reloads the settings until the process ends.
--- a/balancer/src/mesh/control/startup.rs
+++ b/balancer/src/mesh/control/startup.rs
@@ -1,10 +1,10 @@
-//! Start and end of the control plane's process.
+//! Startup and shutdown of a control plane process.
 //!
 //! Main function: [`run`]. It opens the disk and the sockets, starts the tasks around a [`ReplicaServer`] and waits for
-//! SIGTERM. Then the replica announces its departure and stays until enough others hold what it holds.
+//! SIGTERM. Then the replica announces its departure and runs until enough other replicas have its state.
 //!
-//! Invariants: the core starts from what the disk holds, before any message is taken; both sockets are bound before the
-//! first effect of the core is carried out.
+//! Invariants: the core is restored from disk before any message is handled; both sockets are bound before the first
+//! effect of the core is applied.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -33,25 +33,25 @@
 use crate::mesh::settings::{Settings, SettingsError};
 use crate::mesh::{rpc, start};
 
-/// Leases are kept for so much longer than the window in which a key runs once (`stamp_window`).
+/// Leases are kept longer than the idempotency window (`stamp_window_s`) by this margin.
 const LEASE_TTL_MARGIN: Duration = Duration::from_secs(20);
-/// A member of whom nothing was heard for so long may be replaced by another replica, in nanoseconds.
-const MEMBER_TIMEOUT: Nanos = 5_000_000_000;
-/// Events that may wait for the event loop.
+/// A member that was not heard for this long may be replaced by another replica.
+const MEMBER_TIMEOUT_NS: Nanos = 5_000_000_000;
+/// Capacity of the event loop's queue.
 const EVENT_QUEUE_CAPACITY: usize = 16_384;
-/// Connections of operators at a time.
+/// The maximum number of concurrent operator connections.
 const MAX_ADMIN_CONNECTIONS: usize = 256;
-/// How long an operator's request may take to send its head, and how long a connection may be idle.
+/// Timeout for the head of an operator's request and for idle connections.
 const ADMIN_HEAD_TIMEOUT: Duration = Duration::from_secs(20);
-/// How long a replica that was asked to stop waits at most for others to hold what it holds.
-const MAX_HANDOVER: Duration = Duration::from_millis(5_000);
-/// The share of `grace_s` that the handover may take.
+/// The maximum wait of a stopping replica until others have its state.
+const MAX_HANDOVER_TIME: Duration = Duration::from_millis(5_000);
+/// The share of the shutdown grace period (`grace_s`) that the handover may take.
 const HANDOVER_SHARE_OF_GRACE: f64 = 5.0 / 6.0;
 const HANDOVER_CHECK_INTERVAL: Duration = Duration::from_nanos(watch_server::SUSPECT_CHECK_INTERVAL / 4);
-/// What responses under way have left once the handover is over.
-const RESPONSE_DRAIN: Duration = Duration::from_millis(100);
+/// Time for responses in flight after the handover.
+const RESPONSE_DRAIN_TIME: Duration = Duration::from_millis(100);
 
-/// Why a replica did not start.
+/// Why a replica failed to start.
 #[derive(Debug, Error)]
 enum StartError {
     #[error("{address}: {source}")]
@@ -85,7 +85,7 @@
     let clock = Clock::new();
     let address = SocketAddr::new(settings.ip, settings.internal_ports.first);
     let (Some(admin_address), Some(data_dir)) = (settings.control_listen, settings.data_dir.clone()) else {
-        // `need_sorting` has refused such settings.
+        // Unreachable: `Settings::check_replica` rejects such settings.
         return Ok(());
     };
     let (store, persisted) = Store::open(&data_dir).map_err(StartError::Disk)?;
@@ -140,7 +140,7 @@
     let limits = settings.limits.replica_capacity();
     let config = Config {
         lease_ttl: (settings.bounds.idempotency_window + LEASE_TTL_MARGIN).as_nanos() as Nanos,
-        member_timeout: MEMBER_TIMEOUT,
+        member_timeout: MEMBER_TIMEOUT_NS,
         target_members: 2 * settings.fault_tolerance.machines + 1,
         max_leases: limits.leases,
         max_response_bytes: limits.response_cache_bytes,
@@ -182,7 +182,7 @@
     tokio::spawn(canary_monitor::monitor_canaries(server.clone()));
 }
 
-/// Waits for SIGTERM and then until others hold what this replica holds, or the time for that is over.
+/// Waits for SIGTERM, and then until other replicas have this replica's state or the handover time is over.
 async fn hand_over_when_terminated(
     server: &ReplicaServer,
     terminate: &mut Signal,
@@ -191,18 +191,19 @@
     terminate.recv().await;
     log::info!("termination requested");
     server.send_event(ReplicaEvent::Leave).await;
-    let began = Instant::now();
+    let stop_requested_at = Instant::now();
     let grace = server.settings.load().bounds.shutdown_grace;
-    let handover = MAX_HANDOVER.min(grace.mul_f64(HANDOVER_SHARE_OF_GRACE));
-    while began.elapsed() < handover && !server.published().may_stop {
+    let handover = MAX_HANDOVER_TIME.min(grace.mul_f64(HANDOVER_SHARE_OF_GRACE));
+    while stop_requested_at.elapsed() < handover && !server.published().may_stop {
         sleep(HANDOVER_CHECK_INTERVAL).await;
     }
     admin_state.send_replace(ListenerState::Closed);
-    sleep(RESPONSE_DRAIN).await;
-    log::info!("stopped: after_ms={}", began.elapsed().as_millis());
+    sleep(RESPONSE_DRAIN_TIME).await;
+    log::info!("stopped: after_ms={}", stop_requested_at.elapsed().as_millis());
 }
 
-/// A replica is in full service when it votes and hears a quorum. A spare reaches that when it is voted in.
+/// Records the time to full service: when the replica votes and has a quorum. A spare replica reaches that when it
+/// becomes a voting member.
 async fn record_recovery_time(server: Arc<ReplicaServer>) {
     let in_full_service = || {
         let published = server.published();
--- a/balancer/src/mesh/control/suspect_monitor.rs
+++ b/balancer/src/mesh/control/suspect_monitor.rs
@@ -1,8 +1,8 @@
-//! Looks at intervals which proxies have not been heard lately, and tells watchers when that changes.
+//! Checks at intervals which proxies are suspected to have failed, and notifies watchers of changes.
 //!
 //! Main function: [`monitor_suspects`].
 //!
-//! Invariants: no proxy is suspected before this replica has listened for as long as a proxy may be silent.
+//! Invariants: no proxy is suspected before this replica has run for as long as a proxy may be silent.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,7 +12,7 @@
 
 use super::replica_server::ReplicaServer;
 
-/// A replica that has just started has heard nobody, which says nothing about the proxies.
+/// A replica that has just started has not heard any proxy, which does not mean that they failed.
 const INITIAL_DELAY: Duration = Duration::from_nanos(watch_server::SUSPECT_AFTER);
 const CHECK_INTERVAL: Duration = Duration::from_nanos(watch_server::SUSPECT_CHECK_INTERVAL);
 
--- a/balancer/src/mesh/control/tests/admin_api_tests.rs
+++ b/balancer/src/mesh/control/tests/admin_api_tests.rs
@@ -1,4 +1,4 @@
-//! The answers to operators' queries, word for word.
+//! Tests of the exact responses to operators' queries.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,8 +13,8 @@
 use ochreshed_traffic::budget_reports::BudgetReports;
 
 use super::answer;
-use super::configuration_history::{StoredVersion, stored_versions};
-use super::drain::not_drained_yet;
+use super::configuration_history::{StoredVersion, list_stored_versions};
+use super::drain::drain_pending_response;
 use super::request::{AdminQuery, AdminRequestError};
 use super::response::{AdminResponse, QueryOutcome};
 use super::snapshot::{EndpointStatus, ReplicaSnapshot, select_endpoints};
@@ -94,7 +94,8 @@
     }
 }
 
-/// One proxy reported here and to another replica, one is not heard any more, and the service of one is gone.
+/// Reports: one proxy reported to this replica and earlier to another one, one proxy has no endpoint record any more,
+/// and one service has no upstream left.
 fn collected_reports() -> CollectedReports {
     let counts = |first, retried, denied| AttemptCounts { first, retried, denied };
     let report = |service: &str, counts, recovery_ms| BudgetReport {
@@ -118,8 +119,8 @@
     AdminQuery::parse(&path.parse().expect("a path"))
 }
 
-/// An answer as a line: its status and text, and the drain that is asked of a proxy.
-fn line(response: AdminResponse, drain: &str) -> String {
+/// Formats a response as a line with its status, text and requested drain.
+fn format_response(response: AdminResponse, drain: &str) -> String {
     match response {
         AdminResponse::Json(text) => format!("200 {text}{drain}\n"),
         AdminResponse::Error { status, message, .. } => format!("{status} {message}{drain}\n"),
@@ -129,18 +130,18 @@
 fn answer_line(path: &str, snapshot: &ReplicaSnapshot) -> String {
     let query = match parse(path) {
         Ok(query) => query,
-        Err(error) => return line(error.into(), ""),
+        Err(error) => return format_response(error.into(), ""),
     };
     match answer(&query, snapshot) {
-        QueryOutcome::Answered(response) => line(response, ""),
+        QueryOutcome::Answered(response) => format_response(response, ""),
         QueryOutcome::DrainPending { inbound_proxy, upstream_id } => {
-            line(not_drained_yet(), &format!(" drain {upstream_id} at {inbound_proxy}"))
+            format_response(drain_pending_response(), &format!(" drain {upstream_id} at {inbound_proxy}"))
         }
     }
 }
 
 #[test]
-fn queries_are_answered_word_for_word() {
+fn query_responses_match_exactly() {
     let snapshot = snapshot();
     let calls = [
         "nodes.list",
@@ -181,7 +182,7 @@
     .assert_eq(&all);
 }
 
-/// Outcomes are summed over proxies by edition; they are left out if no member has routes.
+/// Outcomes are summed over proxies by document version; the field is omitted if there are none.
 #[test]
 fn the_budget_shows_outcomes_of_members() {
     let mut snapshot = snapshot();
@@ -252,14 +253,14 @@
 
 #[test]
 fn versions_on_disk_are_read_from_the_names_of_files() {
-    let folder = std::env::temp_dir().join(format!("ochreshed-pages-{}", std::process::id()));
-    std::fs::create_dir_all(folder.join("timetable")).expect("a folder");
+    let directory = std::env::temp_dir().join(format!("ochreshed-pages-{}", std::process::id()));
+    std::fs::create_dir_all(directory.join("timetable")).expect("create the directory");
     for name in ["r12-00000000000000ff.json", "r7-0000000000000001.json", "r9-x.json", "r8-1.json.new"] {
-        std::fs::write(folder.join("timetable").join(name), "{}").expect("written");
+        std::fs::write(directory.join("timetable").join(name), "{}").expect("write the file");
     }
-    let versions = stored_versions(&folder).expect("read");
+    let versions = list_stored_versions(&directory).expect("read");
     let revisions: Vec<_> = versions.iter().map(|version| version.revision).collect();
-    std::fs::remove_dir_all(&folder).expect("removed");
+    std::fs::remove_dir_all(&directory).expect("remove the directory");
     assert_eq!(revisions, [Revision::new(12, 0xff), Revision::new(7, 1)]);
-    assert!(stored_versions(&folder).is_err());
+    assert!(list_stored_versions(&directory).is_err());
 }
--- a/balancer/src/mesh/control/tests/canary_monitor_tests.rs
+++ b/balancer/src/mesh/control/tests/canary_monitor_tests.rs
@@ -1,4 +1,4 @@
-//! The verdict on a canary.
+//! Tests of the verdict on a canary.
 
 use ochreshed_catalog::traffic_reports::{OutcomeCounts, RouteEdition};
 use ochreshed_traffic::canary::Verdict;
--- a/balancer/src/mesh/control/tests/disk_writer_tests.rs
+++ b/balancer/src/mesh/control/tests/disk_writer_tests.rs
@@ -1,4 +1,4 @@
-//! What the disk writer acknowledges, and in which order.
+//! Tests of the acknowledgements of the disk writer and their order.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,7 +15,7 @@
 }
 
 #[tokio::test]
-async fn messages_come_back_in_order_once_their_records_are_written() {
+async fn messages_are_returned_in_order_after_their_records_are_written() {
     const BATCHES: u64 = 20;
     let folder = std::env::temp_dir().join(format!("ochreshed-disk-writer-{}", std::process::id()));
     let (store, _) = Store::open(&folder).expect("a store");
--- a/balancer/src/mesh/control/tests/member_directory_tests.rs
+++ b/balancer/src/mesh/control/tests/member_directory_tests.rs
@@ -1,4 +1,4 @@
-//! The limit on a member's changes.
+//! Tests of the rate limit on a member's changes.
 
 use std::time::Duration;
 
--- a/balancer/src/mesh/control/tests/member_error_tests.rs
+++ b/balancer/src/mesh/control/tests/member_error_tests.rs
@@ -1,4 +1,4 @@
-//! Statuses and texts of rejected calls, which operators' tools match.
+//! Tests of the status codes and texts of rejected calls, which operators' tools match.
 
 use std::time::Duration;
 
--- a/balancer/src/mesh/control/tests/request_tests.rs
+++ b/balancer/src/mesh/control/tests/request_tests.rs
@@ -1,4 +1,4 @@
-//! Which call a name stands for.
+//! Tests of parsing call names.
 
 use super::{AdminCall, MemberCall};
 
--- a/balancer/src/mesh/control/tests/sessions_tests.rs
+++ b/balancer/src/mesh/control/tests/sessions_tests.rs
@@ -1,4 +1,4 @@
-//! Parsing of calls on sessions.
+//! Tests of parsing calls on sessions.
 
 use std::net::SocketAddr;
 
--- a/balancer/src/mesh/shared/member_documents.rs
+++ b/balancer/src/mesh/shared/member_documents.rs
@@ -203,7 +203,7 @@
 
 fn log_unreadable(register: &str, version: u64, error: &impl std::fmt::Display) {
     log::error!(
-        "member document not applied, unreadable by this program version: register={register} version={version} error={error}"
+        "document not applied, this version can't read it: register={register} version={version} error={error}"
     );
 }
 
