--- a/balancer/src/mesh/command_line/commands.rs
+++ b/balancer/src/mesh/command_line/commands.rs
@@ -149,7 +149,7 @@
 pub enum ConfigurationCommand {
     /// Print the document in force.
     Read,
-    /// Replace it with the document in a file.
+    /// Replace the document in force with the one in a file.
     Replace(PathBuf),
     /// Print the versions stored on a replica's disk.
     History,
@@ -162,7 +162,7 @@
 pub enum MemberRegisterCommand {
     /// Print the document in force.
     Read,
-    /// Replace it with the document in a file.
+    /// Replace the document in force with the one in a file.
     Replace(PathBuf),
     /// Print how the document in a file differs from the one in force.
     Diff(PathBuf),
--- a/balancer/src/mesh/command_line/parser.rs
+++ b/balancer/src/mesh/command_line/parser.rs
@@ -1,6 +1,8 @@
 //! The command-line parser: [`parse`]. [`ArgumentParser`] takes the options and passes the rest to
-//! [`PositionalArguments`]. Invariant: options are taken first, by name and at any position; the remaining arguments
-//! must be those that the command expects, in order.
+//! [`PositionalArguments`].
+//!
+//! Invariant: options are taken first, by name and at any position; the remaining arguments must be those that the
+//! command expects, in order.
 
 use std::convert::Infallible;
 use std::ffi::{OsStr, OsString};
--- a/balancer/src/mesh/control/admin_api/configuration.rs
+++ b/balancer/src/mesh/control/admin_api/configuration.rs
@@ -1,5 +1,7 @@
-//! `timetable.replace`, `timetable.read` and `timetable.history`: the operator's configuration. Invariants: a
-//! configuration is validated before it is sent to the core, and acknowledged only after a quorum has it on disk.
+//! `timetable.replace`, `timetable.read` and `timetable.history`: the operator's configuration.
+//!
+//! Invariants: a configuration is validated before it is sent to the core, and acknowledged only after a quorum has it
+//! on disk.
 
 use std::sync::Arc;
 use std::time::Duration;
--- a/balancer/src/mesh/control/admin_api/drain.rs
+++ b/balancer/src/mesh/control/admin_api/drain.rs
@@ -1,6 +1,7 @@
-//! `upstreams.drain`: drains an upstream, so that it gets no new requests. Invariants: only an inbound proxy writes its
-//! endpoint record. Therefore the proxy is requested to drain, and the operator's call is answered when the record says
-//! that the upstream is draining.
+//! `upstreams.drain`: drains an upstream, so that it gets no new requests.
+//!
+//! Invariants: only an inbound proxy writes its endpoint record. Therefore the proxy is requested to drain, and the
+//! operator's call is answered when the record says that the upstream is draining.
 
 use std::net::SocketAddr;
 
--- a/balancer/src/mesh/control/admin_api/member_calls.rs
+++ b/balancer/src/mesh/control/admin_api/member_calls.rs
@@ -1,8 +1,9 @@
 //! `member.*`: calls of a member on its own documents, authenticated with its key.
 //!
-//! Main function: [`handle`]. Invariants: every call requires the member's key; keys and their hashes are never
-//! disclosed; a change counts against the member's rate limit before its body is read; a member cannot see the
-//! documents of other members.
+//! Main function: [`handle`].
+//!
+//! Invariants: every call requires the member's key; keys and their hashes are never disclosed; a change counts against
+//! the member's rate limit before its body is read; a member cannot see the documents of other members.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
--- a/balancer/src/mesh/control/admin_api/sessions.rs
+++ b/balancer/src/mesh/control/admin_api/sessions.rs
@@ -1,6 +1,7 @@
-//! `sessions.show`, `sessions.move`, `sessions.forget` and `sessions.count`: the sessions of clients. Invariants: the
-//! value that identifies a person is never sent to the replica, but only its hash, which the operators' client
-//! computes.
+//! `sessions.show`, `sessions.move`, `sessions.forget` and `sessions.count`: the sessions of clients.
+//!
+//! Invariants: the value that identifies a person is never sent to the replica, but only its hash, which the operators'
+//! client computes.
 
 use std::net::SocketAddr;
 
--- a/balancer/src/mesh/control/budget_reports.rs
+++ b/balancer/src/mesh/control/budget_reports.rs
@@ -1,4 +1,5 @@
 //! Collects the proxies' reports on retry budgets and recovery times from all replicas of the control plane.
+//!
 //! Main type: [`CollectedReports`], used by operators' calls and the canary monitor. The counts are defined in
 //! `ochreshed_catalog::traffic_reports`.
 //!
--- a/balancer/src/mesh/control/disk_writer.rs
+++ b/balancer/src/mesh/control/disk_writer.rs
@@ -1,6 +1,7 @@
-//! The thread that writes log records to disk and acknowledges them to the event loop. Main types: [`DiskWriter`], the
-//! handle of the event loop; [`WriteBatch`], its input; [`PersistedBatches`], its output; and [`DiskWriteCounts`] for
-//! metrics.
+//! The thread that writes log records to disk and acknowledges them to the event loop.
+//!
+//! Main types: [`DiskWriter`], the handle of the event loop; [`WriteBatch`], its input; [`PersistedBatches`], its
+//! output; and [`DiskWriteCounts`] for metrics.
 //!
 //! Invariants: batches are written and acknowledged in the order of submission; the messages of a batch are returned
 //! only after its records, and those of all earlier batches, are synced to disk.
--- a/balancer/src/mesh/control/peer_watch.rs
+++ b/balancer/src/mesh/control/peer_watch.rs
@@ -1,6 +1,7 @@
 //! Watches the endpoint tables of all other replicas and merges them into the local one.
 //!
 //! Main function: [`watch_peers`].
+//!
 //! Invariants: each peer is watched by exactly one task, which is aborted when the core no longer lists the peer.
 
 use std::collections::HashMap;
--- a/balancer/src/mesh/control/tests/disk_writer_tests.rs
+++ b/balancer/src/mesh/control/tests/disk_writer_tests.rs
@@ -17,8 +17,8 @@
 #[tokio::test]
 async fn messages_are_returned_in_order_after_their_records_are_written() {
     const BATCHES: u64 = 20;
-    let folder = std::env::temp_dir().join(format!("ochreshed-disk-writer-{}", std::process::id()));
-    let (store, _) = Store::open(&folder).expect("a store");
+    let directory = std::env::temp_dir().join(format!("ochreshed-disk-writer-{}", std::process::id()));
+    let (store, _) = Store::open(&directory).expect("open the store");
     let counts: Arc<DiskWriteCounts> = Arc::default();
     let mut disk = DiskWriter::spawn(store, counts.clone());
     for epoch in 0..BATCHES {
@@ -32,7 +32,7 @@
         epochs.extend(persisted.messages.iter().map(|(_, message)| message.epoch));
         assert!(counts.records() >= epochs.len() as u64, "acknowledged before it was written");
     }
-    std::fs::remove_dir_all(&folder).expect("removed");
+    std::fs::remove_dir_all(&directory).expect("remove the directory");
     assert_eq!(epochs, (0..BATCHES).collect::<Vec<_>>());
     assert_eq!(counts.records(), BATCHES);
     assert!((1..=BATCHES).contains(&counts.writes()));
--- a/balancer/src/mesh/mod.rs
+++ b/balancer/src/mesh/mod.rs
@@ -1,7 +1,9 @@
 //! The service mesh's programs: the data plane ([`proxy`]), the control plane ([`control`]), the operators' client
-//! ([`operator_client`]) and the load generator ([`load_generator`]). [`parse`] parses a command line and [`run`] runs
-//! it. The decision logic is in the crates `ochreshed-catalog`, `ochreshed-traffic` and `ochreshed-consensus` and in
-//! the policy module; these modules connect it to sockets and disks.
+//! ([`operator_client`]) and the load generator ([`load_generator`]).
+//!
+//! [`parse`] parses a command line and [`run`] runs it. The decision logic is in the crates `ochreshed-catalog`,
+//! `ochreshed-traffic` and `ochreshed-consensus` and in the policy module; these modules connect it to sockets and
+//! disks.
 
 mod command_line;
 mod control;
