--- a/balancer/src/mesh/control/admin_api/budget.rs
+++ b/balancer/src/mesh/control/admin_api/budget.rs
@@ -106,9 +106,9 @@
 }
 
 /// Answers `budget.list` from a snapshot.
-pub fn list(snapshot: &ReplicaSnapshot) -> AdminResponse {
-    let (reports, limits) = (&snapshot.reports.reports, &snapshot.limits);
-    let window_ms = limits.retry_window.as_millis() as u64;
+pub fn list_budgets(snapshot: &ReplicaSnapshot) -> AdminResponse {
+    let (reports, bounds) = (&snapshot.reports.reports, &snapshot.bounds);
+    let window_ms = bounds.retry_window.as_millis() as u64;
     let heard = proxies_heard_within(&snapshot.endpoints, window_ms);
     let AttemptTotals { services: attempts, proxies: reporting_proxies } =
         reports.attempt_totals(|proxy| heard.contains(&proxy));
@@ -119,12 +119,12 @@
     AdminResponse::json(&BudgetList {
         kept_by: BUDGET_ENFORCING_ROLE,
         window_ms,
-        retry_ratio: limits.retry_ratio,
-        retry_slack: limits.retry_slack,
+        retry_ratio: bounds.retry_ratio,
+        retry_slack: bounds.retry_slack,
         proxies: serving_proxies.count(),
         reporting_proxies,
         unreachable_replicas: &snapshot.reports.unreachable_replicas,
-        services: services.map(|(service, usage)| service_entry(service, &usage, limits)).collect(),
+        services: services.map(|(service, usage)| service_entry(service, &usage, bounds)).collect(),
         members: outcomes.into_iter().take(MAX_ENTRIES).map(MemberEntry::from).collect(),
     })
 }
@@ -151,9 +151,9 @@
     usage
 }
 
-fn service_entry(service: String, usage: &ServiceUsage, limits: &OperatingBounds) -> ServiceEntry {
+fn service_entry(service: String, usage: &ServiceUsage, bounds: &OperatingBounds) -> ServiceEntry {
     let attempts = &usage.attempts;
-    let allowed = limits.retry_ratio * f64::from(attempts.first) + limits.retry_slack;
+    let allowed = bounds.retry_ratio * f64::from(attempts.first) + bounds.retry_slack;
     let left = allowed - f64::from(attempts.retried);
     ServiceEntry {
         service,
--- a/balancer/src/mesh/control/admin_api/configuration.rs
+++ b/balancer/src/mesh/control/admin_api/configuration.rs
@@ -33,8 +33,8 @@
 }
 
 /// Answers `timetable.read`.
-pub async fn read(server: &ReplicaServer) -> AdminResponse {
-    match server.request(CoreRequest::ReadConfiguration, ADMIN_CALL_TIMEOUT).await {
+pub async fn read_configuration(server: &ReplicaServer) -> AdminResponse {
+    match server.request_core(CoreRequest::ReadConfiguration, ADMIN_CALL_TIMEOUT).await {
         CoreResponse::Register(Some(value)) => {
             AdminResponse::Json(String::from_utf8_lossy(&value.bytes).into_owned())
         }
@@ -44,7 +44,7 @@
 }
 
 /// Answers `timetable.replace`.
-pub async fn replace(server: &ReplicaServer, bytes: Vec<u8>) -> AdminResponse {
+pub async fn replace_configuration(server: &ReplicaServer, bytes: Vec<u8>) -> AdminResponse {
     let version = match Configuration::read(&bytes) {
         Ok(configuration) => configuration.version,
         Err(faults) => {
@@ -56,7 +56,7 @@
     let has_quorum = server.published().has_quorum;
     let time_limit = if has_quorum { ADMIN_CALL_TIMEOUT } else { NO_QUORUM_TIMEOUT };
     let request = CoreRequest::ReplaceConfiguration(Arc::new(RegisterValue::new(version, bytes)));
-    match server.request(request, time_limit).await {
+    match server.request_core(request, time_limit).await {
         CoreResponse::Accepted => AdminResponse::Json("{}".into()),
         CoreResponse::Conflict => {
             AdminResponse::error(409, "another configuration was taken under this edition")
@@ -66,7 +66,7 @@
 }
 
 /// Answers `timetable.history`.
-pub fn history(snapshot: &ReplicaSnapshot) -> AdminResponse {
+pub fn list_versions(snapshot: &ReplicaSnapshot) -> AdminResponse {
     let in_force = snapshot.status.committed_configuration;
     let entry = |stored: &StoredVersion| VersionEntry {
         edition: format!("r{}", stored.revision.version),
--- a/balancer/src/mesh/control/admin_api/drain.rs
+++ b/balancer/src/mesh/control/admin_api/drain.rs
@@ -12,7 +12,7 @@
 use super::snapshot::{EndpointStatus, upstream_state_name};
 
 #[derive(Serialize)]
-struct Drained<'s> {
+struct DrainEntry<'s> {
     id: &'s str,
     #[serde(rename = "line")]
     service: &'s str,
@@ -26,12 +26,12 @@
 
 /// Returns the response for a drain that the proxy has not started in time.
 #[must_use]
-pub fn drain_pending_response() -> AdminResponse {
+pub fn drain_timeout_response() -> AdminResponse {
     AdminResponse::error(503, "its attendant has not taken the drain yet: ask again")
 }
 
 /// Looks up the upstream by its ID. If several records have the ID, a serving one takes precedence.
-pub fn drain(upstream_id: &str, endpoints: &[EndpointStatus]) -> QueryOutcome {
+pub fn drain_upstream(upstream_id: &str, endpoints: &[EndpointStatus]) -> QueryOutcome {
     let has_id = |endpoint: &&EndpointStatus| endpoint.record.upstream_id == upstream_id;
     let serving = endpoints.iter().filter(has_id).find(|endpoint| is_serving(endpoint));
     let Some(found) = serving.or(endpoints.iter().find(has_id)) else {
@@ -46,7 +46,7 @@
         let record = &endpoint.record;
         record.service == *service && record.accepts_clients && !endpoint.suspected && is_serving(endpoint)
     };
-    QueryOutcome::Answered(AdminResponse::json(&Drained {
+    QueryOutcome::Answered(AdminResponse::json(&DrainEntry {
         id: upstream_id,
         service,
         inbound_proxy,
--- a/balancer/src/mesh/control/admin_api/leases.rs
+++ b/balancer/src/mesh/control/admin_api/leases.rs
@@ -51,7 +51,7 @@
 }
 
 /// Answers `keys.count`.
-pub fn count(snapshot: &ReplicaSnapshot) -> AdminResponse {
+pub fn count_leases(snapshot: &ReplicaSnapshot) -> AdminResponse {
     let status = &snapshot.status;
     AdminResponse::json(&LeaseCountsEntry {
         pending: status.lease_counts.pending,
@@ -67,7 +67,7 @@
 }
 
 /// Answers `keys.show`.
-pub fn show(key: &str, stored: Option<&StoredLease>) -> AdminResponse {
+pub fn show_lease(key: &str, stored: Option<&StoredLease>) -> AdminResponse {
     let mut entry = LeaseEntry {
         key,
         hashed: format!("{:032x}", lease_client::hash_key(key)),
--- a/balancer/src/mesh/control/admin_api/member_calls.rs
+++ b/balancer/src/mesh/control/admin_api/member_calls.rs
@@ -1,6 +1,6 @@
 //! `member.*`: calls of a member on its own documents, authenticated with its key.
 //!
-//! Main function: [`handle`].
+//! Main function: [`handle_member_call`].
 //!
 //! Invariants: every call requires the member's key; keys and their hashes are never disclosed; a change counts against
 //! the member's rate limit before its body is read; a member cannot see the documents of other members.
@@ -48,7 +48,7 @@
 }
 
 /// Handles a call of the member with this name.
-pub async fn handle(
+pub async fn handle_member_call(
     server: &ReplicaServer,
     call: MemberCall,
     member_name: &str,
@@ -66,17 +66,17 @@
         MemberCall::Read => {
             return member_changes::read_document(server, DocumentName::Settled(name)).await;
         }
-        MemberCall::History => return history(server, name).await,
-        MemberCall::Status => return Ok(status(server, name).await),
+        MemberCall::History => return list_versions(server, name).await,
+        MemberCall::Status => return Ok(describe_status(server, name).await),
         MemberCall::Plan => {
             let received_document = receive_document(server, received, bodies).await?;
             let locked = lock_and_load(server, &limiter, name, &key).await?;
-            return Ok(plan(server, &locked.committed, name, &received_document.document));
+            return Ok(plan_change(server, &locked.committed, name, &received_document.document));
         }
         MemberCall::Replace => {
             let received_document = receive_document(server, received, bodies).await?;
             let locked = lock_and_load(server, &limiter, name, &key).await?;
-            member_changes::replace(
+            member_changes::replace_document(
                 server,
                 &locked.committed,
                 name,
@@ -87,7 +87,7 @@
         }
         MemberCall::RestorePrevious => {
             let locked = lock_and_load(server, &limiter, name, &key).await?;
-            member_changes::restore_previous(server, &locked.committed, name).await?
+            member_changes::restore_previous_document(server, &locked.committed, name).await?
         }
         MemberCall::PromoteCanary => {
             let locked = lock_and_load(server, &limiter, name, &key).await?;
@@ -170,7 +170,7 @@
 }
 
 /// Returns what the document would change, which of its parts are forbidden, and what is currently trimmed.
-fn plan(
+fn plan_change(
     server: &ReplicaServer,
     committed: &CommittedMember,
     member: &Name,
@@ -193,10 +193,10 @@
 }
 
 /// Returns the versions of the settled document on this replica's disk.
-async fn history(server: &ReplicaServer, member: &str) -> Result<String, MemberError> {
+async fn list_versions(server: &ReplicaServer, member: &str) -> Result<String, MemberError> {
     let register = DocumentName::Settled(member).register();
     let in_force = server.members.documents().revision(&register);
-    let stored = member_changes::stored_versions(server, member).await?;
+    let stored = member_changes::read_stored_versions(server, member).await?;
     let versions = stored.iter().map(|value| {
         json!({
             "edition": format!("r{}", value.version),
@@ -209,11 +209,11 @@
 }
 
 /// Returns the member's versions, the trimmed parts of its settled document, and the version in force at each node.
-async fn status(server: &ReplicaServer, member: &Name) -> String {
+async fn describe_status(server: &ReplicaServer, member: &Name) -> String {
     let documents = server.members.documents();
     let state = documents.members.get(member).cloned().unwrap_or_default();
     let edition = |version: Option<u64>| version.map(|version| format!("r{version}"));
-    let trims = settled_violations(server, &documents, member);
+    let trims = find_settled_violations(server, &documents, member);
     let nodes = editions_by_node(server, member).await;
     let suspects = server.suspects();
     let nodes = nodes.into_iter().take(MAX_NODES).map(|(inbound_proxy, applied)| {
@@ -236,7 +236,11 @@
 }
 
 /// Returns the parts of the member's settled document that exceed its current limits and are therefore not in force.
-fn settled_violations(server: &ReplicaServer, documents: &MemberDocumentStore, member: &Name) -> Vec<String> {
+fn find_settled_violations(
+    server: &ReplicaServer,
+    documents: &MemberDocumentStore,
+    member: &Name,
+) -> Vec<String> {
     let published = server.published();
     let configuration = published.configuration.as_ref();
     let Some(configuration) = configuration.and_then(|value| Configuration::read(&value.bytes).ok()) else {
--- a/balancer/src/mesh/control/admin_api/mod.rs
+++ b/balancer/src/mesh/control/admin_api/mod.rs
@@ -1,6 +1,7 @@
 //! The operators' interface of the control plane: calls at the control listener, with one submodule per group of calls.
 //!
-//! Main function: [`handle`]. A call is parsed into an [`AdminCall`]; queries are answered from a [`ReplicaSnapshot`].
+//! Main function: [`handle_request`]. A call is parsed into an [`AdminCall`]; queries are answered from a
+//! [`ReplicaSnapshot`].
 //!
 //! Invariants: names, texts and JSON of calls never change, because operators' tools depend on them; nothing is
 //! acknowledged before a quorum has it on disk; responses contain only what this replica knows or has just received
@@ -48,7 +49,7 @@
 const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Handles a request at the control listener.
-pub async fn handle(
+pub async fn handle_request(
     server: Arc<ReplicaServer>,
     received: ReceivedRequest,
     bodies: Arc<Semaphore>,
@@ -66,21 +67,21 @@
 ) -> AdminResponse {
     let (name, subject) = call_and_subject(received.request.uri());
     match AdminCall::from_name(&name) {
-        AdminCall::ReadConfiguration => configuration::read(server).await,
+        AdminCall::ReadConfiguration => configuration::read_configuration(server).await,
         AdminCall::ReplaceConfiguration => match read_body(received, bodies, server.clock).await {
-            Ok(bytes) => configuration::replace(server, bytes).await,
+            Ok(bytes) => configuration::replace_configuration(server, bytes).await,
             Err(response) => response,
         },
-        AdminCall::CountSessions => sessions::count(server).await,
-        AdminCall::Session => sessions::handle(server, received.request.uri()).await,
-        AdminCall::ReadMemberRegister => member_response(members::read(server).await),
+        AdminCall::CountSessions => sessions::count_sessions(server).await,
+        AdminCall::Session => sessions::handle_session_call(server, received.request.uri()).await,
+        AdminCall::ReadMemberRegister => member_response(members::read_register(server).await),
         AdminCall::ReplaceMemberRegister => match read_body(received, bodies, server.clock).await {
-            Ok(bytes) => member_response(members::replace(server, bytes).await),
+            Ok(bytes) => member_response(members::replace_register(server, bytes).await),
             Err(response) => response,
         },
         AdminCall::Member(call) => {
             let member = subject.unwrap_or_default();
-            member_response(member_calls::handle(server, call, &member, received, bodies).await)
+            member_response(member_calls::handle_member_call(server, call, &member, received, bodies).await)
         }
         AdminCall::UnknownMemberCall => MemberError::UnknownCall.into(),
         AdminCall::Query => match AdminQuery::parse(received.request.uri()) {
@@ -103,10 +104,10 @@
             Ok(snapshot) => snapshot,
             Err(response) => return response,
         };
-        match answer(query, &snapshot) {
+        match answer_query(query, &snapshot) {
             QueryOutcome::Answered(response) => return response,
             QueryOutcome::DrainPending { .. } if Instant::now() >= deadline => {
-                return drain::drain_pending_response();
+                return drain::drain_timeout_response();
             }
             QueryOutcome::DrainPending { inbound_proxy, upstream_id } => {
                 server.request_drain(inbound_proxy, &upstream_id);
@@ -118,16 +119,16 @@
 
 /// Takes a snapshot of what the query needs. The error is the response if that fails.
 async fn take_snapshot(server: &ReplicaServer, query: &AdminQuery) -> Result<ReplicaSnapshot, AdminResponse> {
-    let status = server.status(query.lease_key()).await.ok_or_else(AdminResponse::busy)?;
+    let status = server.read_status(query.lease_key()).await.ok_or_else(AdminResponse::busy)?;
     let now = server.clock.now();
     let endpoints = server.read_endpoints(|table| snapshot::select_endpoints(query, table, now));
-    let limits = server.settings.load().bounds;
+    let bounds = server.settings.load().bounds;
     let (disk_writes, disk_records) = (server.disk_writes.writes(), server.disk_writes.records());
     Ok(ReplicaSnapshot {
         replica: server.address,
         status,
         endpoints,
-        limits,
+        bounds,
         disk_writes,
         disk_records,
         reports: collect_reports(server, query, now).await,
@@ -153,15 +154,17 @@
 }
 
 /// Answers a query from a snapshot, without I/O.
-fn answer(query: &AdminQuery, snapshot: &ReplicaSnapshot) -> QueryOutcome {
+fn answer_query(query: &AdminQuery, snapshot: &ReplicaSnapshot) -> QueryOutcome {
     let response = match &query.kind {
-        AdminQueryKind::Nodes => nodes::list(snapshot),
-        AdminQueryKind::Upstreams => upstreams::list(snapshot),
-        AdminQueryKind::ConfigurationHistory => configuration::history(snapshot),
-        AdminQueryKind::LeaseCounts => leases::count(snapshot),
-        AdminQueryKind::Lease(key) => leases::show(key, snapshot.status.lease.as_ref()),
-        AdminQueryKind::Budgets => budget::list(snapshot),
-        AdminQueryKind::DrainUpstream(upstream_id) => return drain::drain(upstream_id, &snapshot.endpoints),
+        AdminQueryKind::Nodes => nodes::list_nodes(snapshot),
+        AdminQueryKind::Upstreams => upstreams::list_upstreams(snapshot),
+        AdminQueryKind::ConfigurationHistory => configuration::list_versions(snapshot),
+        AdminQueryKind::LeaseCounts => leases::count_leases(snapshot),
+        AdminQueryKind::Lease(key) => leases::show_lease(key, snapshot.status.lease.as_ref()),
+        AdminQueryKind::Budgets => budget::list_budgets(snapshot),
+        AdminQueryKind::DrainUpstream(upstream_id) => {
+            return drain::drain_upstream(upstream_id, &snapshot.endpoints);
+        }
     };
     QueryOutcome::Answered(response)
 }
--- a/balancer/src/mesh/control/admin_api/nodes.rs
+++ b/balancer/src/mesh/control/admin_api/nodes.rs
@@ -67,7 +67,7 @@
 }
 
 /// Answers `nodes.list` from a snapshot.
-pub fn list(snapshot: &ReplicaSnapshot) -> AdminResponse {
+pub fn list_nodes(snapshot: &ReplicaSnapshot) -> AdminResponse {
     let ReplicaSnapshot { status, reports, .. } = snapshot;
     let page = snapshot.endpoint_page();
     let replicas = status.replicas.iter().take(MAX_ENTRIES);
--- a/balancer/src/mesh/control/admin_api/replica_metrics.rs
+++ b/balancer/src/mesh/control/admin_api/replica_metrics.rs
@@ -17,7 +17,7 @@
 
 /// Answers a scrape.
 pub async fn respond(server: &ReplicaServer) -> Response<ResponseBody> {
-    let Some(status) = server.status(None).await else { return AdminResponse::busy().into() };
+    let Some(status) = server.read_status(None).await else { return AdminResponse::busy().into() };
     let endpoints = server.read_endpoints(|table| table.len());
     let suspects = server.suspects().len();
     let page = add_membership(MetricsPage::for_role(ROLE), &status);
--- a/balancer/src/mesh/control/admin_api/sessions.rs
+++ b/balancer/src/mesh/control/admin_api/sessions.rs
@@ -29,23 +29,23 @@
 }
 
 /// Handles a call on one session.
-pub async fn handle(server: &ReplicaServer, uri: &Uri) -> AdminResponse {
-    match parse(uri) {
-        Ok(request) => session_response(&server.request(request, ADMIN_CALL_TIMEOUT).await),
+pub async fn handle_session_call(server: &ReplicaServer, uri: &Uri) -> AdminResponse {
+    match parse_session_call(uri) {
+        Ok(request) => to_admin_response(&server.request_core(request, ADMIN_CALL_TIMEOUT).await),
         Err(error) => AdminResponse::error(400, error.to_string()),
     }
 }
 
 /// Answers `sessions.count`.
-pub async fn count(server: &ReplicaServer) -> AdminResponse {
-    match server.status(None).await {
+pub async fn count_sessions(server: &ReplicaServer) -> AdminResponse {
+    match server.read_status(None).await {
         Some(status) => AdminResponse::Json(counts_json(&status.sessions)),
         None => AdminResponse::busy(),
     }
 }
 
 /// Parses a call into a request to the core: `of` is the session ID in hex, and `to` the new owner for `sessions.move`.
-fn parse(uri: &Uri) -> Result<CoreRequest, SessionCallError> {
+fn parse_session_call(uri: &Uri) -> Result<CoreRequest, SessionCallError> {
     let digits = parameter(uri, "of").filter(|digits| digits.len() <= MAX_SESSION_DIGITS);
     let session = digits.and_then(|digits| SessionId::from_str_radix(digits, 16).ok());
     let session = session.ok_or(SessionCallError::InvalidSession)?;
@@ -61,7 +61,7 @@
     Ok(CoreRequest::Session(session, request))
 }
 
-fn session_response(response: &CoreResponse) -> AdminResponse {
+fn to_admin_response(response: &CoreResponse) -> AdminResponse {
     match response {
         CoreResponse::Session(Some(session)) => AdminResponse::Json(session_json(session)),
         CoreResponse::Session(None) => AdminResponse::error(404, "nobody has that session"),
--- a/balancer/src/mesh/control/admin_api/snapshot.rs
+++ b/balancer/src/mesh/control/admin_api/snapshot.rs
@@ -40,7 +40,7 @@
     pub stored_versions: Vec<StoredVersion>,
     /// Empty unless the query needs them.
     pub reports: CollectedReports,
-    pub limits: OperatingBounds,
+    pub bounds: OperatingBounds,
     /// Disk writes since the start of the process.
     pub disk_writes: u64,
     /// Log records in these writes.
--- a/balancer/src/mesh/control/admin_api/upstreams.rs
+++ b/balancer/src/mesh/control/admin_api/upstreams.rs
@@ -41,7 +41,7 @@
 }
 
 /// Answers `upstreams.list` from a snapshot. Endpoints without an upstream are omitted, so a page may be short.
-pub fn list(snapshot: &ReplicaSnapshot) -> AdminResponse {
+pub fn list_upstreams(snapshot: &ReplicaSnapshot) -> AdminResponse {
     let page = snapshot.endpoint_page();
     let with_upstream = page.endpoints.iter().filter(|endpoint| !endpoint.record.upstream_id.is_empty());
     let upstreams = with_upstream.map(upstream_entry).collect();
--- a/balancer/src/mesh/control/member_changes.rs
+++ b/balancer/src/mesh/control/member_changes.rs
@@ -77,7 +77,7 @@
     document: DocumentName<'_>,
 ) -> Result<Option<Arc<RegisterValue>>, MemberError> {
     let request = CoreRequest::ReadRegister(document.register());
-    register_value(server.request(request, ADMIN_CALL_TIMEOUT).await)
+    register_value(server.request_core(request, ADMIN_CALL_TIMEOUT).await)
 }
 
 fn register_value(response: CoreResponse) -> Result<Option<Arc<RegisterValue>>, MemberError> {
@@ -105,7 +105,7 @@
 ) -> Result<(), MemberError> {
     let value = Arc::new(RegisterValue::new(version, bytes));
     let request = CoreRequest::ReplaceRegister(NamedRegister { name: document.register(), value });
-    match server.request(request, ADMIN_CALL_TIMEOUT).await {
+    match server.request_core(request, ADMIN_CALL_TIMEOUT).await {
         CoreResponse::Accepted => Ok(()),
         CoreResponse::Conflict => Err(MemberError::VersionTaken),
         CoreResponse::CapacityExceeded => Err(MemberError::CapacityExceeded),
@@ -131,7 +131,7 @@
 /// Reads from the core the state that a change of the member's documents is validated against.
 pub async fn load_committed(server: &ReplicaServer, member: &str) -> Result<CommittedMember, MemberError> {
     let (configuration, member_register, settled, canary, withdrawn) = tokio::join!(
-        server.request(CoreRequest::ReadConfiguration, ADMIN_CALL_TIMEOUT),
+        server.request_core(CoreRequest::ReadConfiguration, ADMIN_CALL_TIMEOUT),
         read_register(server, DocumentName::MemberRegister),
         read_register(server, DocumentName::Settled(member)),
         read_register(server, DocumentName::Canary(member)),
@@ -167,7 +167,7 @@
 
 /// Commits a document that a member sent: as its canary if the document sets a share of the nodes below 1, otherwise as
 /// settled.
-pub async fn replace(
+pub async fn replace_document(
     server: &ReplicaServer,
     committed: &CommittedMember,
     member: &str,
@@ -229,7 +229,7 @@
 }
 
 /// Returns the versions of a member's settled document on this replica's disk, latest first.
-pub async fn stored_versions(
+pub async fn read_stored_versions(
     server: &ReplicaServer,
     member: &str,
 ) -> Result<Vec<RegisterValue>, MemberError> {
@@ -243,7 +243,7 @@
 
 /// Undoes the member's last change: withdraws the running canary, or else commits the previous settled document again
 /// under a new version.
-pub async fn restore_previous(
+pub async fn restore_previous_document(
     server: &ReplicaServer,
     committed: &CommittedMember,
     member: &str,
@@ -252,13 +252,13 @@
         return withdraw_canary(server, committed, member).await;
     }
     let settled = committed.state.settled.as_ref().ok_or(MemberError::NothingSettled)?;
-    let stored = stored_versions(server, member).await?;
+    let stored = read_stored_versions(server, member).await?;
     let previous = stored.iter().find(|value| value.version < settled.version);
     let previous = previous.ok_or(MemberError::NoEarlierDocument)?;
     let version = committed.state.highest_version().saturating_add(1);
     let bytes = replace_version(&previous.bytes, version).ok_or(MemberError::EarlierDocumentUnreadable)?;
     let document = MemberDocument::read(&bytes).map_err(|_| MemberError::EarlierDocumentUnreadable)?;
-    replace(server, committed, member, &document, bytes).await
+    replace_document(server, committed, member, &document, bytes).await
 }
 
 /// Returns the document's text with another version and without a canary share; `None` if it is not a JSON object.
--- a/balancer/src/mesh/control/replica_server.rs
+++ b/balancer/src/mesh/control/replica_server.rs
@@ -180,7 +180,7 @@
     }
 
     /// Sends a request to the core and waits for its response, which is `Unavailable` after `time_limit`.
-    pub async fn request(&self, request: CoreRequest, time_limit: Duration) -> CoreResponse {
+    pub async fn request_core(&self, request: CoreRequest, time_limit: Duration) -> CoreResponse {
         let (responder, response) = oneshot::channel();
         if self.events.send(ReplicaEvent::Request(request, responder)).await.is_err() {
             return CoreResponse::Unavailable;
@@ -191,7 +191,7 @@
 
     /// Returns the core's status, with the lease on `key` if one is given; `None` if the event loop did not respond in
     /// time.
-    pub async fn status(&self, key: Option<LeaseKey>) -> Option<ReplicaStatus> {
+    pub async fn read_status(&self, key: Option<LeaseKey>) -> Option<ReplicaStatus> {
         let (responder, status) = oneshot::channel();
         self.send_event(ReplicaEvent::ReadStatus(key, responder)).await;
         timeout(ADMIN_CALL_TIMEOUT, status).await.ok()?.ok()
@@ -216,13 +216,13 @@
     }
 
     /// Handles a request of another process; `None` for messages, which have no response.
-    pub async fn handle(self: Arc<Self>, request: InternalRequest) -> Option<InternalResponse> {
+    pub async fn handle_request(self: Arc<Self>, request: InternalRequest) -> Option<InternalResponse> {
         match request {
             InternalRequest::Watch(request) => {
-                Some(InternalResponse::Watch(Box::new(self.watch(request).await)))
+                Some(InternalResponse::Watch(Box::new(self.answer_watch(request).await)))
             }
             InternalRequest::Core(request) => {
-                Some(InternalResponse::Core(self.request(request, CORE_REQUEST_TIMEOUT).await))
+                Some(InternalResponse::Core(self.request_core(request, CORE_REQUEST_TIMEOUT).await))
             }
             InternalRequest::Configuration(known) => {
                 Some(InternalResponse::Configuration(self.configuration_update(known).await))
@@ -272,7 +272,7 @@
     }
 
     /// Answers a watch as soon as there is a change for the watcher, or after its maximum wait.
-    async fn watch(self: Arc<Self>, request: WatchRequest) -> WatchResponse {
+    async fn answer_watch(self: Arc<Self>, request: WatchRequest) -> WatchResponse {
         let mut changes = self.changes.subscribe();
         let RegisteredWatch { pending, table_changed } = {
             let published = self.published.load();
--- a/balancer/src/mesh/control/startup.rs
+++ b/balancer/src/mesh/control/startup.rs
@@ -68,10 +68,10 @@
     let settings = Settings::read(&path)?;
     settings.check_replica().map_err(SettingsError::Invalid)?;
     start::init_logging();
-    Ok(start::block_on(serve(path, settings)))
+    Ok(start::block_on(run_replica(path, settings)))
 }
 
-async fn serve(path: PathBuf, settings: Settings) -> ExitCode {
+async fn run_replica(path: PathBuf, settings: Settings) -> ExitCode {
     match start_and_serve(path, settings).await {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
@@ -137,13 +137,13 @@
     persisted: PersistedState,
     effects: &mut Vec<Effect>,
 ) -> Core {
-    let limits = settings.limits.replica_capacity();
+    let capacity = settings.limits.replica_capacity();
     let config = Config {
         lease_ttl: (settings.bounds.idempotency_window + LEASE_TTL_MARGIN).as_nanos() as Nanos,
         member_timeout: MEMBER_TIMEOUT_NS,
         target_members: 2 * settings.fault_tolerance.machines + 1,
-        max_leases: limits.leases,
-        max_response_bytes: limits.response_cache_bytes,
+        max_leases: capacity.leases,
+        max_response_bytes: capacity.response_cache_bytes,
         tolerated_zone_losses: settings.fault_tolerance.zones,
         zone: settings.zone.clone(),
     };
@@ -168,13 +168,15 @@
     let limits =
         ListenerLimits { max_connections: MAX_ADMIN_CONNECTIONS, header_timeout: ADMIN_HEAD_TIMEOUT };
     let (clock, server) = (server.clock, server.clone());
-    let handle = move |received| admin_api::handle(server.clone(), received, bodies.clone());
+    let handle = move |received| admin_api::handle_request(server.clone(), received, bodies.clone());
     tokio::spawn(listener::serve(listener, clock, limits, state, Arc::default(), handle));
 }
 
 fn spawn_tasks(server: &Arc<ReplicaServer>, internal_listener: TcpListener, settings_path: PathBuf) {
     let internal_server = server.clone();
-    tokio::spawn(rpc::serve(internal_listener, move |request| internal_server.clone().handle(request)));
+    tokio::spawn(rpc::serve(internal_listener, move |request| {
+        internal_server.clone().handle_request(request)
+    }));
     tokio::spawn(suspect_monitor::monitor_suspects(server.clone()));
     tokio::spawn(peer_watch::watch_peers(server.clone()));
     tokio::spawn(settings_reload::reload_settings(server.clone(), settings_path));
--- a/balancer/src/mesh/control/tests/admin_api_tests.rs
+++ b/balancer/src/mesh/control/tests/admin_api_tests.rs
@@ -12,9 +12,9 @@
 use ochreshed_consensus::messages::{Lease, LeaseOutcome, ReplicaId, Revision, StoredResponse};
 use ochreshed_traffic::budget_reports::BudgetReports;
 
-use super::answer;
+use super::answer_query;
 use super::configuration_history::{StoredVersion, list_stored_versions};
-use super::drain::drain_pending_response;
+use super::drain::drain_timeout_response;
 use super::request::{AdminQuery, AdminRequestError};
 use super::response::{AdminResponse, QueryOutcome};
 use super::snapshot::{EndpointStatus, ReplicaSnapshot, select_endpoints};
@@ -88,7 +88,7 @@
             StoredVersion { revision: Revision::new(5, 1), bytes: 800, written_ms: 1_600_000_000_000 },
         ],
         reports: collected_reports(),
-        limits: OperatingBounds::default(),
+        bounds: OperatingBounds::default(),
         disk_writes: 7,
         disk_records: 40,
     }
@@ -132,10 +132,10 @@
         Ok(query) => query,
         Err(error) => return format_response(error.into(), ""),
     };
-    match answer(&query, snapshot) {
+    match answer_query(&query, snapshot) {
         QueryOutcome::Answered(response) => format_response(response, ""),
         QueryOutcome::DrainPending { inbound_proxy, upstream_id } => {
-            format_response(drain_pending_response(), &format!(" drain {upstream_id} at {inbound_proxy}"))
+            format_response(drain_timeout_response(), &format!(" drain {upstream_id} at {inbound_proxy}"))
         }
     }
 }
@@ -238,7 +238,7 @@
         let query = parse(&path).expect("a query");
         let endpoints = select_endpoints(&query, &table, 1);
         let QueryOutcome::Answered(AdminResponse::Json(text)) =
-            answer(&query, &ReplicaSnapshot { endpoints, ..snapshot() })
+            answer_query(&query, &ReplicaSnapshot { endpoints, ..snapshot() })
         else {
             panic!("no JSON");
         };
--- a/balancer/src/mesh/control/tests/sessions_tests.rs
+++ b/balancer/src/mesh/control/tests/sessions_tests.rs
@@ -4,11 +4,12 @@
 
 use ochreshed_consensus::messages::{CoreRequest, SessionRequest};
 
-use super::parse;
+use super::parse_session_call;
 
 #[test]
 fn a_call_names_a_session_by_its_hash_and_a_move_its_target() {
-    let parse = |query: &str| parse(&format!("/api/rpc?call=sessions.{query}").parse().expect("a path"));
+    let parse =
+        |query: &str| parse_session_call(&format!("/api/rpc?call=sessions.{query}").parse().expect("a path"));
     let target = SocketAddr::from(([127, 0, 0, 1], 8300));
     let request = |query: &str| match parse(query) {
         Ok(CoreRequest::Session(session, request)) => Ok((session, request)),
