--- a/balancer/src/mesh/operator_client/budget.rs
+++ b/balancer/src/mesh/operator_client/budget.rs
@@ -13,7 +13,7 @@
     ["member", "edition", "trial", "first", "again", "refused", "turned", "well", "failed"];
 
 /// Renders the response to `budget.list`.
-pub fn render_page(budget: &Value) -> String {
+pub fn render_budget(budget: &Value) -> String {
     let services = list_rows(budget, "services").iter().map(|row| format_cells(row, &SERVICE_FIELDS));
     let mut page = format_table(&SERVICE_COLUMNS, services.collect());
     page += &format_window(budget);
--- a/balancer/src/mesh/operator_client/documents.rs
+++ b/balancer/src/mesh/operator_client/documents.rs
@@ -72,12 +72,15 @@
 }
 
 /// Fetches the text of the document in force.
-pub fn read<D: ReplaceableDocument>(client: &OperatorClient) -> Result<String, ClientError> {
+pub fn fetch_document<D: ReplaceableDocument>(client: &OperatorClient) -> Result<String, ClientError> {
     client.call(ReplicaCall::read(D::READ_CALL))?.into_text()
 }
 
 /// Replaces the document in force with the one in a file and returns the output for the operator.
-pub fn replace<D: ReplaceableDocument>(client: &OperatorClient, file: &Path) -> Result<String, ClientError> {
+pub fn replace_document<D: ReplaceableDocument>(
+    client: &OperatorClient,
+    file: &Path,
+) -> Result<String, ClientError> {
     let sent = read_file(file)?;
     let document = parse_file::<D>(file, &sent)?;
     let version = document.document_version();
@@ -110,12 +113,15 @@
 }
 
 /// Compares the document in a file with the one in force and returns the output.
-pub fn diff<D: ReplaceableDocument>(client: &OperatorClient, file: &Path) -> Result<String, ClientError> {
-    diff_with::<D>(client.json, file, || Ok(client.call(ReplicaCall::read(D::READ_CALL))?))
+pub fn diff_document<D: ReplaceableDocument>(
+    client: &OperatorClient,
+    file: &Path,
+) -> Result<String, ClientError> {
+    diff_document_with::<D>(client.json, file, || Ok(client.call(ReplicaCall::read(D::READ_CALL))?))
 }
 
-/// Like [`diff`], but fetches the document in force with `fetch`. The file is validated before anything is sent.
-pub fn diff_with<D: Document>(
+/// Like [`diff_document`], but fetches the document in force with `fetch`. The file is validated before anything is sent.
+pub fn diff_document_with<D: Document>(
     json: bool,
     file: &Path,
     fetch: impl FnOnce() -> Result<ReplicaResponse, ClientError>,
--- a/balancer/src/mesh/operator_client/history.rs
+++ b/balancer/src/mesh/operator_client/history.rs
@@ -6,7 +6,7 @@
 use super::tables::{format_cell, format_cells, format_table, list_rows};
 
 /// Renders the response to `timetable.history` or `member.history`.
-pub fn render_page(history: &Value) -> String {
+pub fn render_history(history: &Value) -> String {
     let versions = list_rows(history, "versions").iter().map(format_version_row).collect();
     format_table(&["EDITION", "DIGEST", "BYTES", "WRITTEN", "IN FORCE"], versions)
 }
--- a/balancer/src/mesh/operator_client/member_documents.rs
+++ b/balancer/src/mesh/operator_client/member_documents.rs
@@ -116,9 +116,9 @@
     command: MemberRegisterCommand,
 ) -> Result<ExitCode, ClientError> {
     let page = match command {
-        MemberRegisterCommand::Read => documents::read::<MemberRegister>(client)?,
-        MemberRegisterCommand::Replace(file) => documents::replace::<MemberRegister>(client, &file)?,
-        MemberRegisterCommand::Diff(file) => documents::diff::<MemberRegister>(client, &file)?,
+        MemberRegisterCommand::Read => documents::fetch_document::<MemberRegister>(client)?,
+        MemberRegisterCommand::Replace(file) => documents::replace_document::<MemberRegister>(client, &file)?,
+        MemberRegisterCommand::Diff(file) => documents::diff_document::<MemberRegister>(client, &file)?,
     };
     print_page(&page)?;
     Ok(ExitCode::SUCCESS)
@@ -139,10 +139,10 @@
         MemberCommand::Replace(file) => member.replace(&file)?,
         MemberCommand::Diff(file) => {
             let fetch = || member.call(MemberCall::Read, &[]);
-            documents::diff_with::<MemberDocument>(client.json, &file, fetch)?
+            documents::diff_document_with::<MemberDocument>(client.json, &file, fetch)?
         }
         MemberCommand::Status => member.fetch_page(MemberCall::Status, render_status)?,
-        MemberCommand::History => member.fetch_page(MemberCall::History, history::render_page)?,
+        MemberCommand::History => member.fetch_page(MemberCall::History, history::render_history)?,
         MemberCommand::RestorePrevious => member.change(MemberCall::RestorePrevious, &[])?,
         MemberCommand::PromoteCanary => member.change(MemberCall::PromoteCanary, &[])?,
         MemberCommand::WithdrawCanary => member.change(MemberCall::WithdrawCanary, &[])?,
--- a/balancer/src/mesh/operator_client/mod.rs
+++ b/balancer/src/mesh/operator_client/mod.rs
@@ -50,9 +50,9 @@
 pub fn run(replicas: &[SocketAddr], json: bool, command: ClientCommand) -> Result<ExitCode, ClientError> {
     let client = OperatorClient { replicas, json };
     let page = match command {
-        ClientCommand::Nodes => client.fetch_list("nodes.list", "attendants", nodes::render_page)?,
+        ClientCommand::Nodes => client.fetch_list("nodes.list", "attendants", nodes::render_nodes)?,
         ClientCommand::Upstreams => {
-            client.fetch_list("upstreams.list", "upstreams", upstreams::render_page)?
+            client.fetch_list("upstreams.list", "upstreams", upstreams::render_upstreams)?
         }
         ClientCommand::KeyCounts => client.fetch_page("keys.count", keys::render_counts)?,
         ClientCommand::Key(key) => {
@@ -62,7 +62,7 @@
         ClientCommand::Session(command) => {
             client.fetch_page(&sessions::call_name(&command), sessions::render_session)?
         }
-        ClientCommand::Budget => client.fetch_page("budget.list", budget::render_page)?,
+        ClientCommand::Budget => client.fetch_page("budget.list", budget::render_budget)?,
         ClientCommand::Drain { upstream } => {
             let call = format!("upstreams.drain&of={}", percent_encode(&upstream));
             client.fetch_page(&call, upstreams::render_drain)?
@@ -82,10 +82,10 @@
     command: ConfigurationCommand,
 ) -> Result<ExitCode, ClientError> {
     let page = match command {
-        ConfigurationCommand::Read => documents::read::<Configuration>(client)?,
-        ConfigurationCommand::Replace(file) => documents::replace::<Configuration>(client, &file)?,
-        ConfigurationCommand::History => client.fetch_page("timetable.history", history::render_page)?,
-        ConfigurationCommand::Diff(file) => documents::diff::<Configuration>(client, &file)?,
+        ConfigurationCommand::Read => documents::fetch_document::<Configuration>(client)?,
+        ConfigurationCommand::Replace(file) => documents::replace_document::<Configuration>(client, &file)?,
+        ConfigurationCommand::History => client.fetch_page("timetable.history", history::render_history)?,
+        ConfigurationCommand::Diff(file) => documents::diff_document::<Configuration>(client, &file)?,
     };
     print_page(&page)?;
     Ok(ExitCode::SUCCESS)
--- a/balancer/src/mesh/operator_client/nodes.rs
+++ b/balancer/src/mesh/operator_client/nodes.rs
@@ -11,7 +11,7 @@
     ["ATTENDANT", "ZONE", "SERVES", "QUIET", "HEARD", "SERVICE", "UPSTREAM", "FULL AFTER"];
 
 /// Renders the response to `nodes.list`.
-pub fn render_page(nodes: &Value) -> String {
+pub fn render_nodes(nodes: &Value) -> String {
     let answering_replica = &nodes["asked"];
     let quorum = match nodes["settled"] == true {
         true => "more than half of it is heard",
--- a/balancer/src/mesh/operator_client/tests/call_tests.rs
+++ b/balancer/src/mesh/operator_client/tests/call_tests.rs
@@ -48,7 +48,7 @@
     ]);
     let client = OperatorClient { replicas: &[replica], json: true };
     let page = client
-        .fetch_list("upstreams.list", "upstreams", upstreams::render_page)
+        .fetch_list("upstreams.list", "upstreams", upstreams::render_upstreams)
         .map_err(|error| error.to_string());
     assert_eq!(page.as_deref(), Ok(r#"{"next":null,"upstreams":[{"id":"i-1"},{"id":"i-2"}]}"#));
 }
--- a/balancer/src/mesh/operator_client/tests/documents_tests.rs
+++ b/balancer/src/mesh/operator_client/tests/documents_tests.rs
@@ -17,7 +17,7 @@
     let outcome = |responses: Vec<Vec<u8>>| {
         let replica = serve_responses(responses);
         let client = OperatorClient { replicas: &[replica], json: false };
-        let result = documents::replace::<Configuration>(&client, &file);
+        let result = documents::replace_document::<Configuration>(&client, &file);
         let result = result.map(|_| "done".to_owned()).unwrap_or_else(|error| error.to_string());
         result.replace(&replica.to_string(), "REPLICA").replace(&directory.display().to_string(), "DIR")
     };
@@ -35,7 +35,9 @@
     outcomes.push(outcome(vec![response(400, "edition: is missing\nlimits: is wrong")]));
     let replica = serve_responses(vec![response(200, &valid("r9"))]);
     let client = OperatorClient { replicas: &[replica], json: false };
-    outcomes.push(documents::diff::<Configuration>(&client, &file).unwrap_or_else(|error| error.to_string()));
+    outcomes.push(
+        documents::diff_document::<Configuration>(&client, &file).unwrap_or_else(|error| error.to_string()),
+    );
     std::fs::remove_dir_all(&directory).expect("remove the directory");
     outcomes.push(outcome(Vec::new()));
     expect![[r#"
--- a/balancer/src/mesh/operator_client/tests/pages_tests.rs
+++ b/balancer/src/mesh/operator_client/tests/pages_tests.rs
@@ -8,7 +8,7 @@
     let rendered = |render: RenderFn, text: &str| render(&parse_json(text).expect("JSON")) + "--\n";
     let all = [
         rendered(
-            nodes::render_page,
+            nodes::render_nodes,
             r#"{"asked":"10.1.0.13:7620","view":3,"settled":false,"stewards":[
                 {"address":"10.1.0.13:7620","zone":"quito-a","disk":"0","member":true,"voter":true,"view":3,"heard_ms":0,"leaving":false,"full_ms":240},
                 {"address":"10.2.0.10:7620","disk":"5e","member":true,"voter":false,"view":2,"heard_ms":null,"leaving":false}],
@@ -16,7 +16,7 @@
                 "service":"huvo11a","upstream":"i-1\u001b[2J","full_ms":812}],"next":null}"#,
         ),
         rendered(
-            upstreams::render_page,
+            upstreams::render_upstreams,
             r#"{"upstreams":[
                 {"id":"i-2","line":"b","zone":"quito-a","edition":"v1","state":"open","slots":6,"cold_ms":900,
                  "ill":{"fails":2,"slow":0},"door":"10.1.0.9:8300","serving":true,"quiet":true},
@@ -24,7 +24,7 @@
                  "door":"10.1.0.8:8300","serving":false,"quiet":false}],"next":"10.1.0.9:8300"}"#,
         ),
         rendered(
-            history::render_page,
+            history::render_history,
             r#"{"versions":[{"edition":"r7","digest":"ff","bytes":812,"written_ms":1709164800000,"in_force":true}]}"#,
         ),
         rendered(
@@ -38,7 +38,7 @@
         ),
         rendered(keys::render_key, r#"{"key":"k","hashed":"0f","state":"none","known_ms":null}"#),
         rendered(
-            budget::render_page,
+            budget::render_budget,
             r#"{"window_ms":10000,"retry_ratio":0.2,"retry_slack":60.0,"gates":3,"gates_told":2,"silent":["10.1.0.14:7620"],
                 "services":[{"service":"a","upstreams":1,"first":812,"again":3,"refused":1,"allowed":222.4,"left":219.4}]}"#,
         ),
@@ -47,8 +47,8 @@
             r#"{"id":"i-1","line":"a","door":"10.1.0.8:8300","state":"closing","open_left":1}"#,
         ),
         // Responses that lack the expected fields.
-        rendered(nodes::render_page, "[]")
-            + &rendered(upstreams::render_page, "{}")
+        rendered(nodes::render_nodes, "[]")
+            + &rendered(upstreams::render_upstreams, "{}")
             + &rendered(keys::render_key, "3"),
     ];
     expect![[r#"
--- a/balancer/src/mesh/operator_client/upstreams.rs
+++ b/balancer/src/mesh/operator_client/upstreams.rs
@@ -8,7 +8,7 @@
 const COLUMNS: [&str; 8] = ["SERVICE", "UPSTREAM", "ZONE", "EDITION", "STATE", "SLOTS", "COLD", "DOOR"];
 
 /// Renders the response to `upstreams.list`, sorted by service and upstream.
-pub fn render_page(list: &Value) -> String {
+pub fn render_upstreams(list: &Value) -> String {
     let mut upstreams: Vec<&Value> = list_rows(list, "upstreams").iter().collect();
     upstreams.sort_by_key(|row| (row["line"].as_str(), row["id"].as_str()));
     format_table(&COLUMNS, upstreams.into_iter().map(format_upstream_row).collect())
