--- a/balancer/src/mesh/control/admin_api/member_calls.rs
+++ b/balancer/src/mesh/control/admin_api/member_calls.rs
@@ -181,7 +181,7 @@
         settled.insert(member.clone(), document.clone());
     }
     let (configuration, register) = (&committed.configuration, &committed.member_register);
-    let plan = overlay::plan(configuration, register, &settled, member, document);
+    let plan = overlay::plan_change(configuration, register, &settled, member, document);
     // A member must not see the violations of other members.
     let own_trims = plan.current_violations.iter().filter(|trim| trim.member == *member);
     json!({
@@ -247,7 +247,8 @@
         return Vec::new();
     };
     let own_document = documents.settled_documents().into_iter().filter(|(name, _)| name == member);
-    let effective = overlay::overlay(&configuration, &documents.member_register, &own_document.collect());
+    let effective =
+        overlay::apply_overlay(&configuration, &documents.member_register, &own_document.collect());
     effective.violations.iter().map(|violation| violation.violation.to_string()).collect()
 }
 
--- a/balancer/src/mesh/rpc.rs
+++ b/balancer/src/mesh/rpc.rs
@@ -17,7 +17,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use ochreshed_catalog::internal_rpc::{Frame, MAX_FRAME_BYTES, encode};
+use ochreshed_catalog::internal_rpc::{Frame, MAX_FRAME_BYTES, encode_frame};
 pub use ochreshed_catalog::internal_rpc::{InternalRequest, InternalResponse, WatchRequest, WatchResponse};
 use ochreshed_consensus::messages::Message;
 use serde::de::DeserializeOwned;
@@ -146,7 +146,7 @@
         let exchange = async {
             let connection = self.connect().await.ok_or(RpcError::NotSent)?;
             let id = self.next_call_id.fetch_add(1, Relaxed);
-            let bytes = encode(&Frame { id, payload: request }).ok_or(RpcError::NotSent)?;
+            let bytes = encode_frame(&Frame { id, payload: request }).ok_or(RpcError::NotSent)?;
             let (response_sender, response) = oneshot::channel();
             lock(&connection.pending).insert(id, response_sender);
             let _guard = PendingCallGuard { id, pending: connection.pending.clone() };
@@ -160,7 +160,7 @@
     /// established.
     pub fn send_message(self: &Arc<Self>, message: Message) {
         let frame = Frame { id: ONE_WAY_MESSAGE_ID, payload: InternalRequest::ReplicaMessage(message) };
-        let Some(bytes) = encode(&frame) else {
+        let Some(bytes) = encode_frame(&frame) else {
             return;
         };
         if let Some(connection) = self.open_connection() {
@@ -286,7 +286,7 @@
         }
         while calls.try_join_next().is_some() {}
         calls.spawn(async move {
-            if let Some(bytes) = response.await.and_then(|payload| encode(&Frame { id, payload })) {
+            if let Some(bytes) = response.await.and_then(|payload| encode_frame(&Frame { id, payload })) {
                 let _ = frames.send(bytes).await;
             }
         });
