--- a/balancer/src/mesh/control/admin_api/configuration.rs
+++ b/balancer/src/mesh/control/admin_api/configuration.rs
@@ -1,6 +1,7 @@
 //! `timetable.replace`, `timetable.read` and `timetable.history`: the operator's configuration.
 //!
-//! Invariants: a configuration is validated before the core sees it, and acknowledged only once a quorum holds it on disk.
+//! Invariants: a configuration is validated before it is sent to the core, and acknowledged only after a quorum has it
+//! on disk.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,7 +15,7 @@
 use super::snapshot::{MAX_ENTRIES, ReplicaSnapshot};
 use crate::mesh::control::replica_server::{ADMIN_CALL_TIMEOUT, ReplicaServer};
 
-/// How long a change waits for the core while this replica hears no quorum: most likely there is none to wait for.
+/// Timeout of a change while this replica has no quorum. It is short, because the change will most likely fail.
 const NO_QUORUM_TIMEOUT: Duration = Duration::from_millis(800);
 
 #[derive(Serialize)]
@@ -32,8 +33,8 @@
 }
 
 /// Answers `timetable.read`.
-pub async fn read(server: &ReplicaServer) -> AdminResponse {
-    match server.request(CoreRequest::ReadConfiguration, ADMIN_CALL_TIMEOUT).await {
+pub async fn read_configuration(server: &ReplicaServer) -> AdminResponse {
+    match server.request_core(CoreRequest::ReadConfiguration, ADMIN_CALL_TIMEOUT).await {
         CoreResponse::Register(Some(value)) => {
             AdminResponse::Json(String::from_utf8_lossy(&value.bytes).into_owned())
         }
@@ -43,7 +44,7 @@
 }
 
 /// Answers `timetable.replace`.
-pub async fn replace(server: &ReplicaServer, bytes: Vec<u8>) -> AdminResponse {
+pub async fn replace_configuration(server: &ReplicaServer, bytes: Vec<u8>) -> AdminResponse {
     let version = match Configuration::read(&bytes) {
         Ok(configuration) => configuration.version,
         Err(faults) => {
@@ -55,7 +56,7 @@
     let has_quorum = server.published().has_quorum;
     let time_limit = if has_quorum { ADMIN_CALL_TIMEOUT } else { NO_QUORUM_TIMEOUT };
     let request = CoreRequest::ReplaceConfiguration(Arc::new(RegisterValue::new(version, bytes)));
-    match server.request(request, time_limit).await {
+    match server.request_core(request, time_limit).await {
         CoreResponse::Accepted => AdminResponse::Json("{}".into()),
         CoreResponse::Conflict => {
             AdminResponse::error(409, "another configuration was taken under this edition")
@@ -65,7 +66,7 @@
 }
 
 /// Answers `timetable.history`.
-pub fn history(snapshot: &ReplicaSnapshot) -> AdminResponse {
+pub fn list_versions(snapshot: &ReplicaSnapshot) -> AdminResponse {
     let in_force = snapshot.status.committed_configuration;
     let entry = |stored: &StoredVersion| VersionEntry {
         edition: format!("r{}", stored.revision.version),
--- a/balancer/src/mesh/control/admin_api/drain.rs
+++ b/balancer/src/mesh/control/admin_api/drain.rs
@@ -1,7 +1,7 @@
-//! `upstreams.drain`: has an upstream's proxy send it nothing new.
+//! `upstreams.drain`: drains an upstream, so that it gets no new requests.
 //!
-//! Invariants: only the proxy writes its endpoint's record. So the proxy is asked, and the operator is answered once the
-//! record says that the upstream drains.
+//! Invariants: only an inbound proxy writes its endpoint record. Therefore the proxy is requested to drain, and the
+//! operator's call is answered when the record says that the upstream is draining.
 
 use std::net::SocketAddr;
 
@@ -12,26 +12,26 @@
 use super::snapshot::{EndpointStatus, upstream_state_name};
 
 #[derive(Serialize)]
-struct Drained<'s> {
+struct DrainEntry<'s> {
     id: &'s str,
     #[serde(rename = "line")]
     service: &'s str,
     #[serde(rename = "door")]
     inbound_proxy: SocketAddr,
     state: &'static str,
-    /// How many other upstreams of its service are serving.
+    /// The number of other upstreams of its service that are serving.
     #[serde(rename = "open_left")]
-    serving_left: usize,
+    other_serving_upstreams: usize,
 }
 
-/// The answer if the proxy has not begun to drain in time.
+/// Returns the response for a drain that the proxy has not started in time.
 #[must_use]
-pub fn not_drained_yet() -> AdminResponse {
+pub fn drain_timeout_response() -> AdminResponse {
     AdminResponse::error(503, "its attendant has not taken the drain yet: ask again")
 }
 
-/// Looks up the upstream. If several records have the id, the one that serves is meant.
-pub fn drain(upstream_id: &str, endpoints: &[EndpointStatus]) -> QueryOutcome {
+/// Looks up the upstream by its ID. If several records have the ID, a serving one takes precedence.
+pub fn drain_upstream(upstream_id: &str, endpoints: &[EndpointStatus]) -> QueryOutcome {
     let has_id = |endpoint: &&EndpointStatus| endpoint.record.upstream_id == upstream_id;
     let serving = endpoints.iter().filter(has_id).find(|endpoint| is_serving(endpoint));
     let Some(found) = serving.or(endpoints.iter().find(has_id)) else {
@@ -46,12 +46,12 @@
         let record = &endpoint.record;
         record.service == *service && record.accepts_clients && !endpoint.suspected && is_serving(endpoint)
     };
-    QueryOutcome::Answered(AdminResponse::json(&Drained {
+    QueryOutcome::Answered(AdminResponse::json(&DrainEntry {
         id: upstream_id,
         service,
         inbound_proxy,
         state: upstream_state_name(found.record.state),
-        serving_left: endpoints.iter().filter(takes_over).count(),
+        other_serving_upstreams: endpoints.iter().filter(takes_over).count(),
     }))
 }
 
