--- a/emulator/src/event_queue.rs
+++ b/emulator/src/event_queue.rs
@@ -1,4 +1,4 @@
-//! Events in the order of their times, and among equal times in the order they were put in, so that a run depends on
+//! EventQueue in the order of their times, and among equal times in the order they were put in, so that a run depends on
 //! nothing but its seed. It owns simulated time, which never goes back, and must never know what an event means.
 
 use std::cmp::Ordering;
@@ -6,42 +6,42 @@
 
 use crate::Nanos;
 
-pub struct Events<E> {
+pub struct EventQueue<E> {
     now: Nanos,
-    number: u64,
-    heap: BinaryHeap<Due<E>>,
+    sequence: u64,
+    heap: BinaryHeap<ScheduledEvent<E>>,
 }
 
-struct Due<E> {
+struct ScheduledEvent<E> {
     at: Nanos,
-    number: u64,
+    sequence: u64,
     event: E,
 }
 
-impl<E> Ord for Due<E> {
+impl<E> Ord for ScheduledEvent<E> {
     /// The earliest is the greatest, for the heap gives the greatest first.
-    fn cmp(&self, other: &Due<E>) -> Ordering {
-        (other.at, other.number).cmp(&(self.at, self.number))
+    fn cmp(&self, other: &ScheduledEvent<E>) -> Ordering {
+        (other.at, other.sequence).cmp(&(self.at, self.sequence))
     }
 }
 
-impl<E> PartialOrd for Due<E> {
-    fn partial_cmp(&self, other: &Due<E>) -> Option<Ordering> {
+impl<E> PartialOrd for ScheduledEvent<E> {
+    fn partial_cmp(&self, other: &ScheduledEvent<E>) -> Option<Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl<E> PartialEq for Due<E> {
-    fn eq(&self, other: &Due<E>) -> bool {
+impl<E> PartialEq for ScheduledEvent<E> {
+    fn eq(&self, other: &ScheduledEvent<E>) -> bool {
         self.cmp(other) == Ordering::Equal
     }
 }
 
-impl<E> Eq for Due<E> {}
+impl<E> Eq for ScheduledEvent<E> {}
 
-impl<E> Events<E> {
-    pub fn new(now: Nanos) -> Events<E> {
-        Events { now, number: 0, heap: BinaryHeap::new() }
+impl<E> EventQueue<E> {
+    pub fn new(now: Nanos) -> EventQueue<E> {
+        EventQueue { now, sequence: 0, heap: BinaryHeap::new() }
     }
 
     pub fn now(&self) -> Nanos {
@@ -49,18 +49,18 @@
     }
 
     /// Puts an event in at a time; one that has passed is now.
-    pub fn at(&mut self, at: Nanos, event: E) {
-        self.number += 1;
-        self.heap.push(Due { at: at.max(self.now), number: self.number, event });
+    pub fn schedule_at(&mut self, at: Nanos, event: E) {
+        self.sequence += 1;
+        self.heap.push(ScheduledEvent { at: at.max(self.now), sequence: self.sequence, event });
     }
 
     /// Puts an event in so much later.
-    pub fn after(&mut self, span: Nanos, event: E) {
-        self.at(self.now.saturating_add(span), event);
+    pub fn schedule_after(&mut self, span: Nanos, event: E) {
+        self.schedule_at(self.now.saturating_add(span), event);
     }
 
     /// The next event up to a time, which becomes now. Without one, that time does.
-    pub fn next(&mut self, until: Nanos) -> Option<E> {
+    pub fn pop_until(&mut self, until: Nanos) -> Option<E> {
         if self.heap.peek().is_none_or(|due| due.at > until) {
             self.now = self.now.max(until);
             return None;
@@ -90,29 +90,29 @@
 
         #[test]
         fn events_come_by_time_and_then_as_they_were_put_in(times in prop::collection::vec(0..50u64, 0..200)) {
-            let mut events = Events::new(10);
+            let mut events = EventQueue::new(10);
             for (number, at) in times.iter().enumerate() {
-                events.at(*at, (*at, number));
+                events.schedule_at(*at, (*at, number));
             }
             let mut last = (0, 0);
             for _ in 0..times.len() {
-                let (at, number) = events.next(u64::MAX).expect("one for each");
+                let (at, number) = events.pop_until(u64::MAX).expect("one for each");
                 prop_assert!((at.max(10), number) >= last && events.now() == at.max(10));
                 last = (at.max(10), number);
             }
-            prop_assert!(events.next(99).is_none() && events.is_empty() && events.now() == 99);
+            prop_assert!(events.pop_until(99).is_none() && events.is_empty() && events.now() == 99);
         }
     }
 
     #[test]
     fn time_goes_on_to_the_bound_and_never_back() {
-        let mut events = Events::new(0);
-        events.at(10, 'a');
-        events.at(30, 'b');
-        assert_eq!((events.next(20), events.now()), (Some('a'), 10));
-        assert_eq!((events.next(20), events.now()), (None, 20));
-        events.at(5, 'c');
-        assert_eq!((events.next(40), events.now()), (Some('c'), 20));
-        assert_eq!((events.next(40), events.now()), (Some('b'), 30));
+        let mut events = EventQueue::new(0);
+        events.schedule_at(10, 'a');
+        events.schedule_at(30, 'b');
+        assert_eq!((events.pop_until(20), events.now()), (Some('a'), 10));
+        assert_eq!((events.pop_until(20), events.now()), (None, 20));
+        events.schedule_at(5, 'c');
+        assert_eq!((events.pop_until(40), events.now()), (Some('c'), 20));
+        assert_eq!((events.pop_until(40), events.now()), (Some('b'), 30));
     }
 }
--- a/emulator/src/gossip_network.rs
+++ b/emulator/src/gossip_network.rs
@@ -27,14 +27,14 @@
 }
 
 /// A meeting over a stream takes so long.
-const MEETING: Nanos = 5 * MS;
+const STREAM_SYNC_DURATION: Nanos = 5 * MS;
 
 /// What is to happen later, or at an instance now.
-pub enum Effect {
-    Later(Nanos, Due),
+pub enum GossipEffect {
+    Schedule(Nanos, GossipEvent),
     /// Others have heard something else of these srvs.
-    News(usize, Vec<ListedEndpoint>),
-    Counted {
+    ListChanged(usize, Vec<ListedEndpoint>),
+    OutcomesReceived {
         instance: usize,
         srv: Name,
         set: Name,
@@ -42,22 +42,22 @@
     },
 }
 
-pub enum Due {
-    Wake(usize),
+pub enum GossipEvent {
+    Tick(usize),
     Datagram { to: usize, from: usize, bytes: Vec<u8> },
-    Meeting(usize, usize),
+    StreamSync(usize, usize),
 }
 
-pub struct Net {
-    fleet: GossipConfig,
-    peers: Vec<GossipNode>,
-    known: Vec<EndpointList<()>>,
-    wake: Vec<Nanos>,
+pub struct GossipNetwork {
+    config: GossipConfig,
+    nodes: Vec<GossipNode>,
+    server_lists: Vec<EndpointList<()>>,
+    next_ticks: Vec<Nanos>,
     /// Balancers up to this number are cut off from the others.
-    cut: usize,
-    zones: usize,
-    chance: RandomStream,
-    pub bytes: Vec<u64>,
+    partition_size: usize,
+    zone_count: usize,
+    random: RandomStream,
+    pub bytes_sent: Vec<u64>,
     pub messages: u64,
 }
 
@@ -65,7 +65,7 @@
     SocketAddr::from(([127, 0, (number / 200) as u8, (number % 200) as u8 + 1], 7))
 }
 
-fn number_of(address: SocketAddr) -> Option<usize> {
+fn node_index(address: SocketAddr) -> Option<usize> {
     match address {
         SocketAddr::V4(address) => {
             let [_, _, high, low] = address.ip().octets();
@@ -75,171 +75,179 @@
     }
 }
 
-impl Net {
-    pub fn new(fleet: GossipConfig, seed: u64, instances: usize, zones: usize, now: Nanos) -> Net {
-        let mut net = Net {
-            fleet,
-            peers: Vec::new(),
-            known: vec![EndpointList::new(); instances],
-            wake: vec![Nanos::MAX; instances],
-            cut: 0,
-            zones,
-            chance: RandomStream::new(seed, "fleet"),
-            bytes: vec![0; instances],
+impl GossipNetwork {
+    pub fn new(fleet: GossipConfig, seed: u64, instances: usize, zones: usize, now: Nanos) -> GossipNetwork {
+        let mut network = GossipNetwork {
+            config: fleet,
+            nodes: Vec::new(),
+            server_lists: vec![EndpointList::new(); instances],
+            next_ticks: vec![Nanos::MAX; instances],
+            partition_size: 0,
+            zone_count: zones,
+            random: RandomStream::new(seed, "fleet"),
+            bytes_sent: vec![0; instances],
             messages: 0,
         };
         for number in 0..instances {
-            let peer = net.peer(number, now);
-            net.peers.push(peer);
+            let peer = network.new_node(number, now);
+            network.nodes.push(peer);
         }
-        net
+        network
     }
 
-    fn peer(&mut self, number: usize, now: Nanos) -> GossipNode {
+    fn new_node(&mut self, number: usize, now: Nanos) -> GossipNode {
         let settings = NodeSettings {
             fleet: "emulated".into(),
             name: format!("n{number}"),
             address: address(number),
-            zone: format!("site-{}", number % self.zones.max(1)),
-            start_id: (self.chance.sample_fraction() * 2f64.powi(60)) as u64,
+            zone: format!("site-{}", number % self.zone_count.max(1)),
+            start_id: (self.random.sample_fraction() * 2f64.powi(60)) as u64,
             seeds: (0..3).map(address).collect(),
             membership: SwimConfig::default(),
         };
         GossipNode::new(settings, now)
     }
 
-    pub fn instances(&self) -> usize {
-        self.peers.len()
+    pub fn node_count(&self) -> usize {
+        self.nodes.len()
     }
 
     /// Balancers up to this number are cut off from the others; none with 0.
-    pub fn cut(&mut self, cut: usize) {
-        self.cut = cut;
+    pub fn partition(&mut self, cut: usize) {
+        self.partition_size = cut;
     }
 
     /// Its process ends, and the next one begins with nothing.
-    pub fn crash(&mut self, now: Nanos, number: usize) -> Vec<Effect> {
-        self.peers[number] = self.peer(number, now);
-        self.known[number] = EndpointList::new();
-        self.follow(now, number)
+    pub fn restart_node(&mut self, now: Nanos, number: usize) -> Vec<GossipEffect> {
+        self.nodes[number] = self.new_node(number, now);
+        self.server_lists[number] = EndpointList::new();
+        self.process_outputs(now, number)
     }
 
     /// The list as an instance has it from before: no news to anybody.
-    pub fn began(&mut self, now: Nanos, number: usize, entries: &[ListedEndpoint]) -> Vec<Effect> {
+    pub fn set_initial_list(
+        &mut self,
+        now: Nanos,
+        number: usize,
+        entries: &[ListedEndpoint],
+    ) -> Vec<GossipEffect> {
         let mut entries: Vec<(ListedEndpoint, ())> =
             entries.iter().map(|listed| (listed.clone(), ())).collect();
-        self.known[number].apply_discovery(self.peers[number].store().statuses(), true, &mut entries);
-        self.follow(now, number)
+        self.server_lists[number].apply_discovery(self.nodes[number].store().statuses(), true, &mut entries);
+        self.process_outputs(now, number)
     }
 
     /// Discovery tells an instance changes of the list; what the module hears of them.
-    pub fn listed(
+    pub fn apply_discovery(
         &mut self,
         now: Nanos,
         number: usize,
         version: u64,
         entry: ListedEndpoint,
-    ) -> (ListedEndpoint, Vec<Effect>) {
+    ) -> (ListedEndpoint, Vec<GossipEffect>) {
         let said = (entry.name.to_string(), to_server_status(entry.state));
-        self.peers[number].apply_discovery(version, false, &[said]);
+        self.nodes[number].apply_discovery(version, false, &[said]);
         let mut entries = [(entry, ())];
-        self.known[number].apply_discovery(self.peers[number].store().statuses(), false, &mut entries);
+        self.server_lists[number].apply_discovery(self.nodes[number].store().statuses(), false, &mut entries);
         let [(listed, ())] = entries;
-        (listed, self.follow(now, number))
+        (listed, self.process_outputs(now, number))
     }
 
     /// What came of a dispatch.
-    pub fn count(
+    pub fn record_outcomes(
         &mut self,
         now: Nanos,
         number: usize,
         srv: &str,
         set: &str,
         counts: OutcomeCounts,
-    ) -> Vec<Effect> {
-        self.peers[number].record_outcomes(now, srv, set, counts);
-        self.follow(now, number)
+    ) -> Vec<GossipEffect> {
+        self.nodes[number].record_outcomes(now, srv, set, counts);
+        self.process_outputs(now, number)
     }
 
-    pub fn happen(&mut self, now: Nanos, due: Due) -> Vec<Effect> {
+    pub fn handle_event(&mut self, now: Nanos, due: GossipEvent) -> Vec<GossipEffect> {
         match due {
-            Due::Wake(number) => {
-                if self.wake[number] > now {
+            GossipEvent::Tick(number) => {
+                if self.next_ticks[number] > now {
                     return Vec::new();
                 }
-                self.wake[number] = Nanos::MAX;
-                self.peers[number].tick(now);
-                self.follow(now, number)
+                self.next_ticks[number] = Nanos::MAX;
+                self.nodes[number].tick(now);
+                self.process_outputs(now, number)
             }
-            Due::Datagram { to, from, bytes } => {
-                self.peers[to].receive(now, address(from), &bytes);
-                self.follow(now, to)
+            GossipEvent::Datagram { to, from, bytes } => {
+                self.nodes[to].receive(now, address(from), &bytes);
+                self.process_outputs(now, to)
             }
-            Due::Meeting(one, other) => self.meet(now, one, other),
+            GossipEvent::StreamSync(one, other) => self.sync_streams(now, one, other),
         }
     }
 
-    fn through(&self, one: usize, other: usize) -> bool {
-        (one < self.cut) == (other < self.cut)
+    fn is_connected(&self, one: usize, other: usize) -> bool {
+        (one < self.partition_size) == (other < self.partition_size)
     }
 
     /// Greetings, what differs there, what differs here; in one moment.
-    fn meet(&mut self, now: Nanos, one: usize, other: usize) -> Vec<Effect> {
-        let through = one != other && self.through(one, other);
-        if through {
-            let (ours, theirs) = (self.peers[one].hello(), self.peers[other].hello());
+    fn sync_streams(&mut self, now: Nanos, one: usize, other: usize) -> Vec<GossipEffect> {
+        let connected = one != other && self.is_connected(one, other);
+        if connected {
+            let (ours, theirs) = (self.nodes[one].hello(), self.nodes[other].hello());
             let (from_one, from_other) =
-                (self.peers[one].encode_differences(&theirs), self.peers[other].encode_differences(&ours));
+                (self.nodes[one].encode_differences(&theirs), self.nodes[other].encode_differences(&ours));
             for (from, to, pieces) in [(other, one, from_other), (one, other, from_one)] {
                 for piece in pieces {
-                    self.bytes[from] += piece.len() as u64;
+                    self.bytes_sent[from] += piece.len() as u64;
                     // Bytes of our own are read.
-                    let _ = self.peers[to].receive_stream_body(now, &piece);
+                    let _ = self.nodes[to].receive_stream_body(now, &piece);
                 }
             }
         }
-        self.peers[one].finish_stream_sync(now, through);
-        let mut effects = self.follow(now, one);
-        effects.extend(self.follow(now, other));
+        self.nodes[one].finish_stream_sync(now, connected);
+        let mut effects = self.process_outputs(now, one);
+        effects.extend(self.process_outputs(now, other));
         effects
     }
 
     /// Takes on what a machine wants.
-    fn follow(&mut self, now: Nanos, number: usize) -> Vec<Effect> {
+    fn process_outputs(&mut self, now: Nanos, number: usize) -> Vec<GossipEffect> {
         let mut effects = Vec::new();
-        while let Some(output) = self.peers[number].poll_output() {
+        while let Some(output) = self.nodes[number].poll_output() {
             match output {
                 Output::Send { to, bytes } => self.send(number, &to, bytes, &mut effects),
                 Output::StatusesChanged(srvs) => {
-                    let words = self.peers[number].store().statuses();
-                    let news =
-                        self.known[number].apply_status_changes(words, srvs.iter().map(String::as_str));
+                    let statuses = self.nodes[number].store().statuses();
+                    let news = self.server_lists[number]
+                        .apply_status_changes(statuses, srvs.iter().map(String::as_str));
                     if !news.is_empty() {
                         let news = news.into_iter().map(|(listed, ())| listed).collect();
-                        effects.push(Effect::News(number, news));
+                        effects.push(GossipEffect::ListChanged(number, news));
                     }
                 }
                 Output::OutcomesReceived { server: srv, rule_set: set, counts }
-                    if self.known[number].contains(&srv) =>
+                    if self.server_lists[number].contains(&srv) =>
                 {
                     let (srv, set) = (srv.as_str().into(), set.as_str().into());
-                    effects.push(Effect::Counted { instance: number, srv, set, counts });
+                    effects.push(GossipEffect::OutcomesReceived { instance: number, srv, set, counts });
                 }
                 Output::StreamSyncDue(name) => {
-                    if let Some(other) = self.reach(number, &Destination::Member(name)) {
-                        effects.push(Effect::Later(now + MEETING, Due::Meeting(number, other)));
+                    if let Some(other) = self.resolve_destination(number, &Destination::Member(name)) {
+                        effects.push(GossipEffect::Schedule(
+                            now + STREAM_SYNC_DURATION,
+                            GossipEvent::StreamSync(number, other),
+                        ));
                     }
                 }
                 _ => {}
             }
         }
-        let next = self.peers[number].next_tick_at().max(now + 1);
-        if next < self.wake[number] {
-            self.wake[number] = next;
-            effects.push(Effect::Later(next, Due::Wake(number)));
+        let next = self.nodes[number].next_tick_at().max(now + 1);
+        if next < self.next_ticks[number] {
+            self.next_ticks[number] = next;
+            effects.push(GossipEffect::Schedule(next, GossipEvent::Tick(number)));
         }
         let sent = effects.iter_mut().filter_map(|effect| match effect {
-            Effect::Later(at, Due::Datagram { .. }) => Some(at),
+            GossipEffect::Schedule(at, GossipEvent::Datagram { .. }) => Some(at),
             _ => None,
         });
         // Delays were drawn; from now on they are times.
@@ -247,61 +255,68 @@
         effects
     }
 
-    fn reach(&self, number: usize, to: &Destination) -> Option<usize> {
+    fn resolve_destination(&self, number: usize, to: &Destination) -> Option<usize> {
         let address = match to {
             Destination::Address(address) => *address,
-            Destination::Member(name) => self.peers[number].swim().members().get(name)?.record.address,
+            Destination::Member(name) => self.nodes[number].swim().members().get(name)?.record.address,
         };
-        number_of(address).filter(|other| *other < self.peers.len())
+        node_index(address).filter(|other| *other < self.nodes.len())
     }
 
-    fn send(&mut self, from: usize, to: &Destination, bytes: Vec<u8>, effects: &mut Vec<Effect>) {
-        let Some(to) = self.reach(from, to) else { return };
-        self.bytes[from] += bytes.len() as u64;
+    fn send(&mut self, from: usize, to: &Destination, bytes: Vec<u8>, effects: &mut Vec<GossipEffect>) {
+        let Some(to) = self.resolve_destination(from, to) else { return };
+        self.bytes_sent[from] += bytes.len() as u64;
         self.messages += 1;
-        let twice = self.fleet.loss > 0.0 && self.chance.sample_bool(self.fleet.loss / 2.0);
+        let twice = self.config.loss > 0.0 && self.random.sample_bool(self.config.loss / 2.0);
         for _ in 0..1 + usize::from(twice) {
-            let delay = self.fleet.delay.sample(&mut self.chance);
-            if !self.through(from, to) || (self.fleet.loss > 0.0 && self.chance.sample_bool(self.fleet.loss))
+            let delay = self.config.delay.sample(&mut self.random);
+            if !self.is_connected(from, to)
+                || (self.config.loss > 0.0 && self.random.sample_bool(self.config.loss))
             {
                 continue;
             }
-            effects.push(Effect::Later(delay, Due::Datagram { to, from, bytes: bytes.clone() }));
+            effects.push(GossipEffect::Schedule(
+                delay,
+                GossipEvent::Datagram { to, from, bytes: bytes.clone() },
+            ));
         }
     }
 }
 
 /// When each instance heeded a drain or a departure that one of them had heard of.
 #[derive(Default)]
-pub struct Heeded {
-    by: BTreeMap<(Name, u64), BTreeMap<usize, Nanos>>,
+pub struct PropagationTracker {
+    heard_at: BTreeMap<(Name, u64), BTreeMap<usize, Nanos>>,
 }
 
 /// Seconds after the first one had heard of it until so many had: over all such news, the mean.
 #[derive(Clone, Debug, Default, PartialEq, serde::Serialize)]
-pub struct HeededAfter {
-    pub news: usize,
+pub struct PropagationDelays {
+    #[serde(rename = "news")]
+    pub changes: usize,
     pub half_s: f64,
-    pub most_s: f64,
+    #[serde(rename = "most_s")]
+    pub p99_s: f64,
     pub all_s: f64,
 }
 
-impl Heeded {
+impl PropagationTracker {
     /// One is told of it, by discovery or by others, for the first time.
-    pub fn note(&mut self, now: Nanos, instance: usize, srv: &Name, version: u64) {
-        self.by.entry((srv.clone(), version)).or_default().entry(instance).or_insert(now);
+    pub fn record(&mut self, now: Nanos, instance: usize, srv: &Name, version: u64) {
+        self.heard_at.entry((srv.clone(), version)).or_default().entry(instance).or_insert(now);
     }
 
     /// The newest of this srv's, for what comes without a version.
-    pub fn note_last(&mut self, now: Nanos, instance: usize, srv: &Name) {
-        if let Some((_, by)) = self.by.range_mut((srv.clone(), 0)..=(srv.clone(), u64::MAX)).next_back() {
+    pub fn record_latest(&mut self, now: Nanos, instance: usize, srv: &Name) {
+        if let Some((_, by)) = self.heard_at.range_mut((srv.clone(), 0)..=(srv.clone(), u64::MAX)).next_back()
+        {
             by.entry(instance).or_insert(now);
         }
     }
 
-    pub fn after(&self) -> HeededAfter {
+    pub fn mean_delays(&self) -> PropagationDelays {
         let mut sums = [0.0; 3];
-        for by in self.by.values() {
+        for by in self.heard_at.values() {
             let mut times: Vec<Nanos> = by.values().copied().collect();
             times.sort_unstable();
             let at =
@@ -310,8 +325,8 @@
                 *sum += (at(part) - times[0]) as f64 / S as f64;
             }
         }
-        let news = self.by.len();
+        let news = self.heard_at.len();
         let [half_s, most_s, all_s] = sums.map(|sum| sum / news.max(1) as f64);
-        HeededAfter { news, half_s, most_s, all_s }
+        PropagationDelays { changes: news, half_s, p99_s: most_s, all_s }
     }
 }
--- a/emulator/src/main.rs
+++ b/emulator/src/main.rs
@@ -92,7 +92,7 @@
         "run" if json => {
             let day = simulate(&scenario, policies[0], seed);
             println!("{}", serde_json::to_string_pretty(&day).map_err(|e| e.to_string())?);
-            return Ok(if day.breaches.is_empty() { ExitCode::SUCCESS } else { ExitCode::from(2) });
+            return Ok(if day.violations.is_empty() { ExitCode::SUCCESS } else { ExitCode::from(2) });
         }
         "run" => return Ok(show(&simulate(&scenario, policies[0], seed))),
         "compare" => compare(&scenario, &names, &policies, seeds),
@@ -142,22 +142,22 @@
     if !recovery.is_empty() {
         println!("as before, so long after each trouble: {}", recovery.join(", "));
     }
-    let heeded = &day.heeded;
-    if heeded.news > 0 {
+    let heeded = &day.propagation;
+    if heeded.changes > 0 {
         println!(
             "{} drains and departures, heeded by half of the balancers {:.2} s after the first, by 99% {:.2} s, by all {:.2} s",
-            heeded.news, heeded.half_s, heeded.most_s, heeded.all_s
+            heeded.changes, heeded.half_s, heeded.p99_s, heeded.all_s
         );
     }
     if day.fleet_bytes_per_s > 0.0 {
         println!("{:.0} bytes a second from each balancer to others", day.fleet_bytes_per_s);
     }
-    day.breaches.iter().take(10).for_each(|breach| println!("BROKEN {breach}"));
-    if day.breaches.is_empty() {
+    day.violations.iter().take(10).for_each(|breach| println!("BROKEN {breach}"));
+    if day.violations.is_empty() {
         println!("rules kept");
         return ExitCode::SUCCESS;
     }
-    println!("rules broken {} times", day.breaches.len());
+    println!("rules broken {} times", day.violations.len());
     ExitCode::from(2)
 }
 
@@ -186,15 +186,15 @@
             differences.iter().map(|d| (d - difference).powi(2)).sum::<f64>() / (number - 1.0).max(1.0);
         let sends: Vec<String> =
             (0..scenario.tiers.len()).map(|tier| format!("{:.2}", mean(&|day| day.sends[tier]))).collect();
-        let broken: usize = days.iter().map(|day| day.breaches.len()).sum();
+        let broken: usize = days.iter().map(|day| day.violations.len()).sum();
         println!(
             "| {name} | {:.3} | {:.3} | {} | {difference:+.3} ± {:.3} | {broken} | {:.2} | {:.2} | {:.0} |",
             mean(&|day| day.score),
             mean(&|day| day.worst_10s),
             sends.join(" "),
             1.96 * (spread / number).sqrt(),
-            mean(&|day| day.heeded.most_s),
-            mean(&|day| day.heeded.all_s),
+            mean(&|day| day.propagation.p99_s),
+            mean(&|day| day.propagation.all_s),
             mean(&|day| day.fleet_bytes_per_s)
         );
     }
--- a/emulator/src/mesh/simulation.rs
+++ b/emulator/src/mesh/simulation.rs
@@ -18,7 +18,7 @@
 use super::scenario::{Fault, FaultKind, FaultTarget, Scenario};
 use super::steward::{Kept, Start, Steward};
 use super::watch::{Kind, Watch};
-use crate::event_queue::Events;
+use crate::event_queue::EventQueue;
 use crate::random::RandomStream;
 use crate::{MS, Nanos, S};
 
@@ -89,7 +89,7 @@
 pub struct Simulation<'a> {
     of: &'a Scenario,
     mutation: Option<Mutation>,
-    events: Events<Event>,
+    events: EventQueue<Event>,
     nodes: Vec<Node>,
     /// Calls that wait for a reply: who asks whom.
     open: BTreeMap<u64, (usize, usize)>,
@@ -111,7 +111,7 @@
 pub fn simulate(scenario: &Scenario, seed: u64, mutation: Option<Mutation>) -> Report {
     let mut simulation = Simulation::new(scenario, seed, mutation);
     let end = START + scenario.warm() + scenario.lasts;
-    while let Some(event) = simulation.events.next(end) {
+    while let Some(event) = simulation.events.pop_until(end) {
         simulation.handled += 1;
         simulation.happen(event);
     }
@@ -170,7 +170,7 @@
         let mut simulation = Simulation {
             of,
             mutation,
-            events: Events::new(START),
+            events: EventQueue::new(START),
             nodes: (0..of.stewards + of.nodes).map(node).collect(),
             open: BTreeMap::new(),
             order: BTreeMap::new(),
@@ -188,11 +188,11 @@
         for number in 0..simulation.nodes.len() {
             let spread = if number < of.stewards { 200 * MS } else { of.starts() };
             let after = (simulation.load.sample_fraction() * spread as f64) as Nanos;
-            simulation.events.after(after, Event::Start(number));
+            simulation.events.schedule_after(after, Event::Start(number));
         }
-        simulation.events.after(S, Event::Configuration);
-        simulation.events.after(READS, Event::Read);
-        simulation.events.after(of.warm(), Event::Count);
+        simulation.events.schedule_after(S, Event::Configuration);
+        simulation.events.schedule_after(READS, Event::Read);
+        simulation.events.schedule_after(of.warm(), Event::Count);
         for gate in of.stewards..simulation.nodes.len() {
             for event in [Event::Claim(gate), Event::Turn(gate)] {
                 simulation.again(of.starts(), event);
@@ -203,10 +203,12 @@
             let one_by_one = matches!(trouble.what, FaultKind::Kill | FaultKind::Roll);
             for step in 0..many {
                 let within = if one_by_one { trouble.lasts / many as u64 * step as u64 } else { 0 };
-                simulation.events.after(of.warm() + trouble.at + within, Event::Trouble(number, step));
+                simulation
+                    .events
+                    .schedule_after(of.warm() + trouble.at + within, Event::Trouble(number, step));
             }
             if !one_by_one {
-                simulation.events.after(of.warm() + trouble.at + trouble.lasts, Event::Over(number));
+                simulation.events.schedule_after(of.warm() + trouble.at + trouble.lasts, Event::Over(number));
             }
         }
         simulation
@@ -219,7 +221,7 @@
             _ => self.of.upstreams.turns_per_h / 3_600.0,
         };
         if let Some(gap) = self.load.sample_arrival_gap(per_s) {
-            self.events.after(from + gap, event);
+            self.events.schedule_after(from + gap, event);
         }
     }
 
@@ -273,18 +275,18 @@
                 self.sheets.push(Arc::new(RegisterValue::new(version, text(self.of.sheets.bytes, version))));
                 let alive = self.alive();
                 self.watch.begin(now, Kind::Configuration, 0, (version, 0), alive);
-                self.events.after(0, Event::Send(version));
-                self.events.after(self.of.sheets.every, Event::Configuration);
+                self.events.schedule_after(0, Event::Send(version));
+                self.events.schedule_after(self.of.sheets.every, Event::Configuration);
             }
             Event::Send(version) => {
                 let sheet = self.sheets[version as usize - 1].clone();
                 if self.audit.floor() < sheet.revision() {
-                    self.events.after(OPERATOR, Event::Send(version));
+                    self.events.schedule_after(OPERATOR, Event::Send(version));
                     self.operate(CoreRequest::ReplaceConfiguration(sheet));
                 }
             }
             Event::Read => {
-                self.events.after(READS, Event::Read);
+                self.events.schedule_after(READS, Event::Read);
                 self.operate(CoreRequest::ReadConfiguration);
             }
             Event::Claim(node) => {
@@ -384,10 +386,10 @@
             self.open.iter().filter(|(_, (_, to))| *to == node).map(|(id, (from, _))| (*id, *from)).collect();
         for (id, from) in broken {
             let after = self.of.link.delay.sample(&mut self.net);
-            self.events.after(after, Event::Broken(from, id));
+            self.events.schedule_after(after, Event::Broken(from, id));
         }
         self.open.retain(|_, (from, _)| *from != node);
-        self.events.after(down.max(MS), Event::Start(node));
+        self.events.schedule_after(down.max(MS), Event::Start(node));
     }
 
     fn trouble(&mut self, number: usize, step: usize) {
@@ -468,7 +470,7 @@
         let last = self.order.entry((from, to)).or_default();
         at = at.max(*last);
         *last = at;
-        self.events.at(at, Event::Arrive(Box::new(Message { from, to, id, bytes, cause, say })));
+        self.events.schedule_at(at, Event::Arrive(Box::new(Message { from, to, id, bytes, cause, say })));
     }
 
     fn arrive(&mut self, message: Box<Message>) {
@@ -477,7 +479,7 @@
             // Its system says that nobody is there.
             if matches!(message.say, Say::Request(_)) && message.id != 0 {
                 let after = self.of.link.delay.sample(&mut self.net);
-                self.events.after(after, Event::Broken(message.from, message.id));
+                self.events.schedule_after(after, Event::Broken(message.from, message.id));
             }
             return;
         }
@@ -487,7 +489,7 @@
         self.nodes[to].books.wake(message.cause, 1);
         let done = self.work(to, message.cause, self.price(message.bytes)).max(self.nodes[to].inn);
         let life = self.nodes[to].life;
-        self.events.at(done, Event::Handle(life, message));
+        self.events.schedule_at(done, Event::Handle(life, message));
     }
 
     fn handle(&mut self, life: u64, message: Message) {
@@ -534,7 +536,7 @@
         let busy = self.nodes[node].free > now;
         let done = self.work(node, Cause::Clock, self.of.processor.wake);
         if busy {
-            self.events.at(done, Event::Run(node, life, timer));
+            self.events.schedule_at(done, Event::Run(node, life, timer));
         } else {
             self.run(node, life, timer);
         }
@@ -585,14 +587,16 @@
                     let cause = Cause::of_reply(&reply, ask);
                     self.send(node, to, id, cause, Say::Response(reply));
                 }
-                Out::After(after, timer) => self.events.after(after, Event::Timer(node, life, timer)),
+                Out::After(after, timer) => {
+                    self.events.schedule_after(after, Event::Timer(node, life, timer))
+                }
                 Out::Turn(timer) => {
                     let at = self.nodes[node].free;
-                    self.events.at(at, Event::Run(node, life, timer));
+                    self.events.schedule_at(at, Event::Run(node, life, timer));
                 }
                 Out::Sync => {
                     let takes = self.of.sync.sample(&mut self.net);
-                    self.events.after(takes, Event::Timer(node, life, Timer::Synced));
+                    self.events.schedule_after(takes, Event::Timer(node, life, Timer::Synced));
                 }
                 Out::Rows(cause, many) => {
                     self.work(node, cause, self.of.processor.row * many as u64);
@@ -638,7 +642,7 @@
                 self.audit.granted(now, key, token);
                 let run = self.of.claims.run.sample(&mut self.load);
                 let life = self.nodes[node].life;
-                self.events.after(run, Event::Timer(node, life, Timer::Ran(claim)));
+                self.events.schedule_after(run, Event::Timer(node, life, Timer::Ran(claim)));
             }
             Note::Freed(key, token) => self.audit.freed(key, token),
             Note::Unsure => self.claims[2] += 1,
--- a/emulator/src/routing.rs
+++ b/emulator/src/routing.rs
@@ -29,8 +29,8 @@
     TwoChoices {
         tries: usize,
     },
-    /// Breaks a rule on purpose, to show that the auditor sees it: 1 to 4.
-    Breaks(u8),
+    /// ViolatesRule a rule on purpose, to show that the auditor sees it: 1 to 4.
+    ViolatesRule(u8),
 }
 
 impl RoutingPolicy {
@@ -50,19 +50,25 @@
     }
 
     /// An instance before a tier.
-    pub fn build_router(self, now: Nanos, seed: u64, scenario: &Scenario, seat: Seat) -> Box<dyn Chooser> {
+    pub fn build_router(
+        self,
+        now: Nanos,
+        seed: u64,
+        scenario: &Scenario,
+        placement: InstancePlacement,
+    ) -> Box<dyn Router> {
         match self {
             RoutingPolicy::Module => {
-                Box::new(PolicyRuntime::new(Balancer::new(now, seed, facts(scenario, seat))))
+                Box::new(PolicyRuntime::new(Balancer::new(now, seed, build_parameters(scenario, placement))))
             }
-            _ => Box::new(Plain {
+            _ => Box::new(BaselineRouter {
                 policy: self,
-                replayable: replayable(scenario),
-                chance: RandomStream::new(seed, "baseline"),
-                srvs: BTreeMap::new(),
-                next: 0,
-                reqs: BTreeMap::new(),
-                acts: Vec::new(),
+                replayable_rule_sets: replayable_rule_sets(scenario),
+                random: RandomStream::new(seed, "baseline"),
+                in_flight: BTreeMap::new(),
+                round_robin_index: 0,
+                requests: BTreeMap::new(),
+                actions: Vec::new(),
             }),
         }
     }
@@ -70,13 +76,13 @@
 
 /// Where an instance stands: before which tier, and which of how many.
 #[derive(Clone, Copy)]
-pub struct Seat {
+pub struct InstancePlacement {
     pub tier: usize,
-    pub me: usize,
+    pub index: usize,
     pub instances: usize,
 }
 
-fn facts(scenario: &Scenario, seat: Seat) -> Parameters {
+fn build_parameters(scenario: &Scenario, placement: InstancePlacement) -> Parameters {
     let text = |text: &str| ParameterValue::Text(text.into());
     let set = |set: &crate::scenario::RuleSet| {
         let effect = match set.effect {
@@ -95,46 +101,67 @@
             ("late_utility".into(), ParameterValue::Number(0.1 * set.utility)),
         ])
     };
-    let mut facts = Parameters::from([
-        ("tier".into(), ParameterValue::Number(seat.tier as f64)),
+    let mut parameters = Parameters::from([
+        ("tier".into(), ParameterValue::Number(placement.tier as f64)),
         ("tiers".into(), ParameterValue::Number(scenario.tiers.len() as f64)),
-        ("instances".into(), ParameterValue::Number(seat.instances as f64)),
-        ("me".into(), ParameterValue::Number(seat.me as f64)),
+        ("instances".into(), ParameterValue::Number(placement.instances as f64)),
+        ("me".into(), ParameterValue::Number(placement.index as f64)),
         ("max_dispatches".into(), ParameterValue::Number(4.0)),
         ("may_recall".into(), ParameterValue::Flag(true)),
         ("rule_sets".into(), ParameterValue::List(scenario.rule_sets.iter().map(set).collect())),
     ]);
-    if let Some(cold) = scenario.tiers[seat.tier].slow_start {
-        facts.insert("cold".into(), ParameterValue::Duration(cold.duration));
-        facts.insert("cold_share".into(), ParameterValue::Number(cold.initial_speed));
+    if let Some(cold) = scenario.tiers[placement.tier].slow_start {
+        parameters.insert("cold".into(), ParameterValue::Duration(cold.duration));
+        parameters.insert("cold_share".into(), ParameterValue::Number(cold.initial_speed));
     }
-    facts
+    parameters
 }
 
-fn replayable(scenario: &Scenario) -> BTreeSet<Name> {
+fn replayable_rule_sets(scenario: &Scenario) -> BTreeSet<Name> {
     let sets = scenario.rule_sets.iter().filter(|set| set.effect == Effect::Replayable);
     sets.map(|set| set.name.as_str().into()).collect()
 }
 
 /// What the world asks of an instance.
-pub trait Chooser {
-    fn take(&mut self, now: Nanos, req: RequestContext);
-    fn ended(&mut self, now: Nanos, id: u64, number: usize, how: DispatchOutcome, took: Nanos);
-    fn left(&mut self, now: Nanos, id: u64);
-    fn list(&mut self, now: Nanos, entries: &[ListedEndpoint]);
+pub trait Router {
+    fn accept_request(&mut self, now: Nanos, req: RequestContext);
+    fn handle_dispatch_ended(
+        &mut self,
+        now: Nanos,
+        id: u64,
+        number: usize,
+        how: DispatchOutcome,
+        took: Nanos,
+    );
+    fn handle_client_disconnected(&mut self, now: Nanos, id: u64);
+    fn update_endpoints(&mut self, now: Nanos, entries: &[ListedEndpoint]);
     /// What another instance has seen, so often.
-    fn others(&mut self, now: Nanos, srv: &str, rule_set: &str, how: DispatchOutcome, times: u16);
+    fn record_peer_outcomes(
+        &mut self,
+        now: Nanos,
+        srv: &str,
+        rule_set: &str,
+        how: DispatchOutcome,
+        times: u16,
+    );
     /// Does what is due; answers with when it is to be asked again.
-    fn settle(&mut self, now: Nanos) -> Nanos;
-    fn acts(&mut self) -> Vec<Action>;
+    fn run_due_work(&mut self, now: Nanos) -> Nanos;
+    fn take_actions(&mut self) -> Vec<Action>;
 }
 
-impl Chooser for PolicyRuntime {
-    fn take(&mut self, now: Nanos, req: RequestContext) {
+impl Router for PolicyRuntime {
+    fn accept_request(&mut self, now: Nanos, req: RequestContext) {
         PolicyRuntime::accept_request(self, now, req);
     }
 
-    fn ended(&mut self, now: Nanos, id: u64, number: usize, how: DispatchOutcome, took: Nanos) {
+    fn handle_dispatch_ended(
+        &mut self,
+        now: Nanos,
+        id: u64,
+        number: usize,
+        how: DispatchOutcome,
+        took: Nanos,
+    ) {
         PolicyRuntime::handle_dispatch_ended(
             self,
             now,
@@ -149,88 +176,95 @@
         );
     }
 
-    fn left(&mut self, now: Nanos, id: u64) {
+    fn handle_client_disconnected(&mut self, now: Nanos, id: u64) {
         PolicyRuntime::handle_client_disconnected(self, now, id);
     }
 
-    fn list(&mut self, now: Nanos, entries: &[ListedEndpoint]) {
+    fn update_endpoints(&mut self, now: Nanos, entries: &[ListedEndpoint]) {
         self.handle_event(
             now,
             Event::EndpointsListed { is_complete: false, is_stale: false, endpoints: entries },
         );
     }
 
-    fn others(&mut self, now: Nanos, srv: &str, rule_set: &str, how: DispatchOutcome, times: u16) {
+    fn record_peer_outcomes(
+        &mut self,
+        now: Nanos,
+        srv: &str,
+        rule_set: &str,
+        how: DispatchOutcome,
+        times: u16,
+    ) {
         (0..times).for_each(|_| {
             self.handle_event(now, Event::PeerDispatchEnded { endpoint: srv, rule_set, outcome: how })
         });
     }
 
-    fn settle(&mut self, now: Nanos) -> Nanos {
+    fn run_due_work(&mut self, now: Nanos) -> Nanos {
         PolicyRuntime::run_due_work(self, now)
     }
 
-    fn acts(&mut self) -> Vec<Action> {
+    fn take_actions(&mut self) -> Vec<Action> {
         PolicyRuntime::take_actions(self)
     }
 }
 
 /// A baseline: picks by a plain rule, and tries again after any failure until it has tried often enough.
-struct Plain {
+struct BaselineRouter {
     policy: RoutingPolicy,
-    replayable: BTreeSet<Name>,
-    chance: RandomStream,
+    replayable_rule_sets: BTreeSet<Name>,
+    random: RandomStream,
     /// The srvs that are up, with what is in flight there.
-    srvs: BTreeMap<Name, usize>,
-    next: usize,
-    reqs: BTreeMap<u64, RequestContext>,
-    acts: Vec<Action>,
+    in_flight: BTreeMap<Name, usize>,
+    round_robin_index: usize,
+    requests: BTreeMap<u64, RequestContext>,
+    actions: Vec<Action>,
 }
 
-impl Plain {
-    fn tries(&self) -> usize {
+impl BaselineRouter {
+    fn max_attempts(&self) -> usize {
         match self.policy {
             RoutingPolicy::Random { tries }
             | RoutingPolicy::RoundRobin { tries }
             | RoutingPolicy::LeastInFlight { tries }
             | RoutingPolicy::TwoChoices { tries } => tries,
-            RoutingPolicy::Breaks(2) => 4,
+            RoutingPolicy::ViolatesRule(2) => 4,
             _ => 1,
         }
     }
 
-    fn pick(&mut self) -> Option<Name> {
-        let all = self.srvs.len();
+    fn select_endpoint(&mut self) -> Option<Name> {
+        let all = self.in_flight.len();
         let nth = |srvs: &BTreeMap<Name, usize>, at: usize| srvs.keys().nth(at % all.max(1)).cloned();
         match self.policy {
             RoutingPolicy::RoundRobin { .. } => {
-                self.next += 1;
-                nth(&self.srvs, self.next)
+                self.round_robin_index += 1;
+                nth(&self.in_flight, self.round_robin_index)
             }
             RoutingPolicy::LeastInFlight { .. } => {
-                let least = *self.srvs.values().min()?;
-                let fit: Vec<&Name> = self.srvs.iter().filter(|s| *s.1 == least).map(|s| s.0).collect();
-                Some(fit[self.chance.sample_below(fit.len())].clone())
+                let least = *self.in_flight.values().min()?;
+                let fit: Vec<&Name> = self.in_flight.iter().filter(|s| *s.1 == least).map(|s| s.0).collect();
+                Some(fit[self.random.sample_below(fit.len())].clone())
             }
             RoutingPolicy::TwoChoices { .. } => {
-                let two = [self.chance.sample_below(all), self.chance.sample_below(all)]
-                    .map(|at| nth(&self.srvs, at));
-                two.into_iter().flatten().min_by_key(|name| self.srvs[name])
+                let two = [self.random.sample_below(all), self.random.sample_below(all)]
+                    .map(|at| nth(&self.in_flight, at));
+                two.into_iter().flatten().min_by_key(|name| self.in_flight[name])
             }
             // Heaps all on one srv, cold or not.
-            RoutingPolicy::Breaks(4) => nth(&self.srvs, 0),
-            _ => nth(&self.srvs, self.chance.sample_below(all)),
+            RoutingPolicy::ViolatesRule(4) => nth(&self.in_flight, 0),
+            _ => nth(&self.in_flight, self.random.sample_below(all)),
         }
     }
 
     fn send(&mut self, now: Nanos, id: u64) {
-        let picked = self.pick();
-        let Some(req) = self.reqs.get_mut(&id) else { return };
+        let picked = self.select_endpoint();
+        let Some(req) = self.requests.get_mut(&id) else { return };
         let Some(srv) = picked.filter(|_| now < req.deadline) else {
-            self.reqs.remove(&id);
-            return self.acts.push(Action::Abort { request_id: id });
+            self.requests.remove(&id);
+            return self.actions.push(Action::Abort { request_id: id });
         };
-        *self.srvs.entry(srv.clone()).or_default() += 1;
+        *self.in_flight.entry(srv.clone()).or_default() += 1;
         let (number, give_up) = (req.dispatches.len(), req.deadline);
         let (site, cell) = ("".into(), 0);
         req.dispatches.push(ochreshed::Dispatch {
@@ -240,7 +274,7 @@
             sent_at: now,
             outcome: None,
         });
-        self.acts.push(Action::Send {
+        self.actions.push(Action::Send {
             request_id: id,
             dispatch_index: number,
             endpoint: srv,
@@ -249,72 +283,72 @@
     }
 }
 
-impl Chooser for Plain {
-    fn take(&mut self, now: Nanos, req: RequestContext) {
+impl Router for BaselineRouter {
+    fn accept_request(&mut self, now: Nanos, req: RequestContext) {
         let id = req.id;
         // The first rule broken: a req that is never answered.
-        if self.policy == RoutingPolicy::Breaks(1) && id.is_multiple_of(50) {
+        if self.policy == RoutingPolicy::ViolatesRule(1) && id.is_multiple_of(50) {
             return;
         }
-        self.reqs.insert(id, req);
+        self.requests.insert(id, req);
         self.send(now, id);
     }
 
-    fn ended(&mut self, now: Nanos, id: u64, number: usize, how: DispatchOutcome, _: Nanos) {
-        let tries = self.tries();
-        let Some(req) = self.reqs.get_mut(&id) else { return };
+    fn handle_dispatch_ended(&mut self, now: Nanos, id: u64, number: usize, how: DispatchOutcome, _: Nanos) {
+        let tries = self.max_attempts();
+        let Some(req) = self.requests.get_mut(&id) else { return };
         req.dispatches[number].outcome = Some(how);
-        if let Some(out) = self.srvs.get_mut(&req.dispatches[number].endpoint) {
+        if let Some(out) = self.in_flight.get_mut(&req.dispatches[number].endpoint) {
             *out = out.saturating_sub(1);
         }
         if how == DispatchOutcome::Done {
-            self.reqs.remove(&id);
+            self.requests.remove(&id);
             return;
         }
         // Even a naive one keeps to what may run twice, but for the one that breaks that rule.
-        let once = !self.replayable.contains(&req.rule_set)
+        let once = !self.replayable_rule_sets.contains(&req.rule_set)
             && req.first_possible_run().is_some()
-            && self.policy != RoutingPolicy::Breaks(2);
+            && self.policy != RoutingPolicy::ViolatesRule(2);
         if req.dispatches.len() < tries && !once {
             return self.send(now, id);
         }
         let ran = req.first_possible_run().is_some();
-        self.reqs.remove(&id);
-        self.acts.push(if ran {
+        self.requests.remove(&id);
+        self.actions.push(if ran {
             Action::Abort { request_id: id }
         } else {
             Action::Deny { request_id: id, retry_after: 0 }
         });
     }
 
-    fn left(&mut self, _: Nanos, id: u64) {
-        if let Some(req) = self.reqs.remove(&id) {
+    fn handle_client_disconnected(&mut self, _: Nanos, id: u64) {
+        if let Some(req) = self.requests.remove(&id) {
             for dispatch in req.dispatches.iter().filter(|d| d.outcome.is_none()) {
-                if let Some(out) = self.srvs.get_mut(&dispatch.endpoint) {
+                if let Some(out) = self.in_flight.get_mut(&dispatch.endpoint) {
                     *out = out.saturating_sub(1);
                 }
             }
         }
     }
 
-    fn list(&mut self, _: Nanos, entries: &[ListedEndpoint]) {
+    fn update_endpoints(&mut self, _: Nanos, entries: &[ListedEndpoint]) {
         for entry in entries {
             if entry.state == EndpointState::Up {
-                self.srvs.entry(entry.name.clone()).or_default();
-            } else if self.policy != RoutingPolicy::Breaks(3) {
-                self.srvs.remove(&entry.name);
+                self.in_flight.entry(entry.name.clone()).or_default();
+            } else if self.policy != RoutingPolicy::ViolatesRule(3) {
+                self.in_flight.remove(&entry.name);
             }
         }
     }
 
     /// A baseline learns by itself.
-    fn others(&mut self, _: Nanos, _: &str, _: &str, _: DispatchOutcome, _: u16) {}
+    fn record_peer_outcomes(&mut self, _: Nanos, _: &str, _: &str, _: DispatchOutcome, _: u16) {}
 
-    fn settle(&mut self, _: Nanos) -> Nanos {
+    fn run_due_work(&mut self, _: Nanos) -> Nanos {
         Nanos::MAX
     }
 
-    fn acts(&mut self) -> Vec<Action> {
-        std::mem::take(&mut self.acts)
+    fn take_actions(&mut self) -> Vec<Action> {
+        std::mem::take(&mut self.actions)
     }
 }
--- a/emulator/tests/days.rs
+++ b/emulator/tests/days.rs
@@ -25,7 +25,12 @@
 fn the_module_keeps_the_rules_on_each_rehearsal() {
     for text in REHEARSALS {
         let day = simulate(&read(text), RoutingPolicy::Module, 3);
-        assert!(day.breaches.is_empty(), "{}: {:?}", text.lines().next().unwrap_or_default(), day.breaches);
+        assert!(
+            day.violations.is_empty(),
+            "{}: {:?}",
+            text.lines().next().unwrap_or_default(),
+            day.violations
+        );
         assert!(day.sends.iter().all(|sends| *sends <= 1.1), "{:?} sends a req", day.sends);
     }
 }
@@ -84,15 +89,18 @@
 fn the_auditor_sees_each_rule_broken_and_by_its_number() {
     let scenario = read(ROUGH);
     let kept = simulate(&scenario, RoutingPolicy::Module, 1);
-    assert!(kept.breaches.is_empty(), "{:?}", kept.breaches);
+    assert!(kept.violations.is_empty(), "{:?}", kept.violations);
     for rule in 1..=4u8 {
-        let day = simulate(&scenario, RoutingPolicy::Breaks(rule), 1);
+        let day = simulate(&scenario, RoutingPolicy::ViolatesRule(rule), 1);
         let of = format!("rule {rule} ");
-        assert!(day.breaches.iter().any(|breach| breach.starts_with(&of)), "rule {rule} is not seen broken");
-        let story = day.breaches.iter().find(|breach| breach.starts_with(&of)).expect("seen");
+        assert!(
+            day.violations.iter().any(|breach| breach.starts_with(&of)),
+            "rule {rule} is not seen broken"
+        );
+        let story = day.violations.iter().find(|breach| breach.starts_with(&of)).expect("seen");
         assert!(story.contains("taken"), "no life of the req: {story}");
         // Heaping all on one srv also makes answers late; the others break what they break and nothing else.
-        let other = day.breaches.iter().find(|breach| !breach.starts_with(&of));
+        let other = day.violations.iter().find(|breach| !breach.starts_with(&of));
         assert!(rule == 4 || other.is_none(), "rule {rule}: {other:?}");
     }
 }
@@ -122,7 +130,7 @@
     let module = simulate(&scenario, RoutingPolicy::Module, 1);
     // A tenth, and one in 10 s at each of the eight balancers before the last tier.
     assert!(module.sends.iter().all(|sends| *sends <= 1.1 + 16.0 / 1_000.0), "{:?}", module.sends);
-    assert!(naive.breaches.is_empty() && module.breaches.is_empty());
+    assert!(naive.violations.is_empty() && module.violations.is_empty());
 }
 
 #[test]
@@ -144,7 +152,7 @@
         ("[[troubles]]\nwhat = \"crash\"\nsrvs = 3\nIT", calm.score),
     ] {
         let day = day(trouble);
-        assert!(day.score < most && day.breaches.is_empty(), "{trouble}: {day:?}");
+        assert!(day.score < most && day.violations.is_empty(), "{trouble}: {day:?}");
     }
     // One that stands still for a while works its queue off first; a crash leaves nothing to work off.
     let recovery = |trouble| day(trouble).recovery[0];
@@ -156,7 +164,7 @@
     // While the list is down nobody hears that srvs are replaced, and who was not told breaks no rule.
     let deploy = "[[troubles]]\nwhat = \"deploy\"\nIT\n";
     let (told, untold) = (day(deploy), day(&format!("{deploy}[[troubles]]\nwhat = \"list-down\"\nIT")));
-    assert!(untold != told && untold.breaches.is_empty());
+    assert!(untold != told && untold.violations.is_empty());
 }
 
 #[test]
@@ -204,8 +212,8 @@
     let text = include_str!("../../rehearsals/news.toml");
     let speaking = Scenario::parse(text).expect("a scenario");
     let alone = Scenario { gossip: None, ..speaking.clone() };
-    let heeded = |scenario: &Scenario| simulate(scenario, RoutingPolicy::Module, 1).heeded;
+    let heeded = |scenario: &Scenario| simulate(scenario, RoutingPolicy::Module, 1).propagation;
     let (speaking, alone) = (heeded(&speaking), heeded(&alone));
-    assert_eq!((speaking.news, alone.news), (6, 6));
+    assert_eq!((speaking.changes, alone.changes), (6, 6));
     assert!(speaking.all_s < 1.0 && alone.all_s > 3.0, "{speaking:?}, {alone:?}");
 }
--- a/emulator/tests/queues.rs
+++ b/emulator/tests/queues.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use ochreshed_emulator::event_queue::Events;
+use ochreshed_emulator::event_queue::EventQueue;
 use ochreshed_emulator::random::{DurationDistribution, RandomStream};
 use ochreshed_emulator::service_queue::{
     Admission, OverloadDegradation, QueueConfig, ServiceQueue, SlowStart,
@@ -29,12 +29,12 @@
 fn play(build: QueueConfig, per_s: f64, work: DurationDistribution, jobs: u64) -> Seen {
     let (mut arrivals, mut works) = (RandomStream::new(11, "arrivals"), RandomStream::new(11, "work"));
     let mut station = ServiceQueue::new(build, 0);
-    let mut events = Events::new(0);
+    let mut events = EventQueue::new(0);
     let (mut came, mut refused) = (0, 0u64);
     let mut since = BTreeMap::<u64, Nanos>::new();
     let mut waits = Vec::new();
-    events.at(0, Event::Arrival);
-    while let Some(event) = events.next(Nanos::MAX) {
+    events.schedule_at(0, Event::Arrival);
+    while let Some(event) = events.pop_until(Nanos::MAX) {
         let now = events.now();
         match event {
             Event::Arrival if came < jobs => {
@@ -42,13 +42,13 @@
                 match station.submit(now, came, work.sample(&mut works)) {
                     Admission::Started { ends_at: ends } => {
                         waits.push(0.0);
-                        events.at(ends, Event::End(came));
+                        events.schedule_at(ends, Event::End(came));
                     }
                     Admission::Queued => drop(since.insert(came, now)),
                     Admission::Rejected => refused += 1,
                 }
                 if let Some(gap) = arrivals.sample_arrival_gap(per_s) {
-                    events.after(gap, Event::Arrival);
+                    events.schedule_after(gap, Event::Arrival);
                 }
             }
             Event::Arrival => {}
@@ -56,7 +56,7 @@
                 for (next, ends) in station.finish_job(now, job) {
                     let came = since.remove(&next).expect("it waited");
                     waits.push((now - came) as f64 / 1e9);
-                    events.at(ends, Event::End(next));
+                    events.schedule_at(ends, Event::End(next));
                 }
             }
         }
