--- a/emulator/src/audit.rs
+++ b/emulator/src/audit.rs
@@ -1,5 +1,10 @@
-//! The four rules, seen from outside: the auditor is told what reaches instances and srvs and what leaves them, and
-//! knows nothing of what chooses. It owns its own books and must never ask an instance for anything.
+//! Checks four rules from outside: the auditor records what reaches and leaves instances and servers, and is independent
+//! of the routing code.
+//!
+//! 1. Each request is answered exactly once and before its deadline, and nothing is sent outside its lifetime.
+//! 2. A request has one dispatch at a time and does not run twice unless its effect allows it.
+//! 3. No request goes to a server that an instance knows to leave.
+//! 4. A server in slow start is not overloaded.
 
 use std::collections::BTreeMap;
 
@@ -8,13 +13,14 @@
 use crate::scenario::Effect;
 use crate::{MS, Nanos, S};
 
-/// An instance's req: which instance, and the number that it has there.
+/// A request: the index of its instance and its id.
 pub type RequestKey = (usize, u64);
 
-/// Nothing new goes to a srv past this after hearing that it drains.
+/// How long after learning of a drain an instance may still send to the server.
 const DRAIN_GRACE: Nanos = 2 * S;
-/// Over this span a cold srv gets no more work than so many times what it can do by then, and a little.
+/// Window over which the work sent to a server in slow start is summed.
 const SLOW_START_WINDOW: Nanos = 2 * S;
+/// Limit for that sum, as a multiple of what the server can do in the window.
 const MAX_SLOW_START_WORK_FACTOR: f64 = 4.0;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -37,7 +43,7 @@
     effect: Effect,
     dedup_window: Nanos,
     active_dispatch: Option<usize>,
-    /// When it first ran at a srv, and how often it has.
+    /// Time of the first run at a server, and the number of runs.
     runs: Option<(Nanos, u32)>,
     answered_at: Option<Nanos>,
     history: Vec<(Nanos, String)>,
@@ -47,9 +53,9 @@
 pub struct Auditor {
     requests: BTreeMap<RequestKey, AuditedRequest>,
     leaving_since: BTreeMap<(usize, Name), Nanos>,
-    /// Work sent to cold srvs of late.
+    /// Recent work sent to servers in slow start.
     slow_start_work: BTreeMap<Name, Vec<(Nanos, f64)>>,
-    /// The req whose life is kept to be shown, and that life.
+    /// Id of the request whose history goes into `trace`.
     pub traced_request: Option<u64>,
     pub trace: Vec<(Nanos, String)>,
     pub violations: Vec<RuleViolation>,
@@ -60,12 +66,12 @@
         if self.traced_request == Some(key.1) {
             self.trace.push((now, what.clone()));
         }
-        if let Some(open) = self.requests.get_mut(&key) {
-            open.history.push((now, what));
+        if let Some(request) = self.requests.get_mut(&key) {
+            request.history.push((now, what));
         }
     }
 
-    /// An instance's process has ended: what it had taken is lost with it, and its successor has heard nothing.
+    /// An instance crashed: its requests are lost, and its successor knows of no drains.
     pub fn record_crash(&mut self, now: Nanos, instance: usize) {
         let lost: Vec<RequestKey> = self.requests.keys().filter(|key| key.0 == instance).copied().collect();
         for key in lost {
@@ -76,7 +82,7 @@
     }
 
     fn report_violation(&mut self, rule: u8, at: Nanos, key: RequestKey, what: String) {
-        let life = self.requests.get(&key).map(|open| &open.history[..]).unwrap_or_default();
+        let life = self.requests.get(&key).map(|request| &request.history[..]).unwrap_or_default();
         let life: Vec<String> = life.iter().map(|(at, what)| format!("{} ms {what}", at / MS)).collect();
         self.violations.push(RuleViolation {
             rule,
@@ -94,7 +100,7 @@
         effect: Effect,
         window: Nanos,
     ) {
-        let open = AuditedRequest {
+        let request = AuditedRequest {
             deadline: ends,
             effect,
             dedup_window: window,
@@ -103,13 +109,13 @@
             answered_at: None,
             history: Vec::new(),
         };
-        self.requests.insert(key, open);
+        self.requests.insert(key, request);
         self.record_event(now, key, format!("taken by instance {}", key.0));
     }
 
     pub fn record_dispatch(&mut self, now: Nanos, key: RequestKey, number: usize, srv: &Name) {
         self.record_event(now, key, format!("{number} to {srv}"));
-        let Some(open) = self.requests.get_mut(&key) else {
+        let Some(request) = self.requests.get_mut(&key) else {
             return self.report_violation(
                 1,
                 now,
@@ -117,7 +123,7 @@
                 format!("sent to {srv}, but never taken or long over"),
             );
         };
-        let (answered, out) = (open.answered_at, open.active_dispatch.replace(number));
+        let (answered, out) = (request.answered_at, request.active_dispatch.replace(number));
         if answered.is_some() {
             self.report_violation(1, now, key, format!("sent to {srv} after its answer"));
         }
@@ -137,23 +143,23 @@
         }
     }
 
-    /// A dispatch is over for its instance, whether or not the srv still works on it.
+    /// A dispatch ended for its instance; the server may still work on it.
     pub fn record_dispatch_end(&mut self, now: Nanos, key: RequestKey, number: usize, how: &str) {
         self.record_event(now, key, format!("{number} {how}"));
-        if let Some(open) = self.requests.get_mut(&key) {
-            open.active_dispatch.take_if(|out| *out == number);
+        if let Some(request) = self.requests.get_mut(&key) {
+            request.active_dispatch.take_if(|out| *out == number);
         }
     }
 
-    /// A srv has begun to work on it.
+    /// A server started to work on the request.
     pub fn record_run(&mut self, now: Nanos, key: RequestKey, srv: &Name) {
         self.record_event(now, key, format!("runs at {srv}"));
-        let Some(open) = self.requests.get_mut(&key) else { return };
-        let (first, times) = open.runs.unwrap_or((now, 0));
-        open.runs = Some((first, times + 1));
-        let twice = match open.effect {
+        let Some(request) = self.requests.get_mut(&key) else { return };
+        let (first, times) = request.runs.unwrap_or((now, 0));
+        request.runs = Some((first, times + 1));
+        let twice = match request.effect {
             Effect::Replayable => false,
-            Effect::Uniqued => now > first + open.dedup_window,
+            Effect::Uniqued => now > first + request.dedup_window,
             Effect::NonReplayable => true,
         };
         if times > 0 && twice {
@@ -163,9 +169,9 @@
 
     pub fn record_answer(&mut self, now: Nanos, key: RequestKey, answer: Answer) {
         self.record_event(now, key, format!("{answer:?}"));
-        let Some(open) = self.requests.get_mut(&key) else { return };
-        let (ends, effect, ran) = (open.deadline, open.effect, open.runs.is_some());
-        if open.answered_at.replace(now).is_some() {
+        let Some(request) = self.requests.get_mut(&key) else { return };
+        let (ends, effect, ran) = (request.deadline, request.effect, request.runs.is_some());
+        if request.answered_at.replace(now).is_some() {
             self.report_violation(1, now, key, "answered twice".into());
         }
         if now > ends {
@@ -186,7 +192,7 @@
         }
     }
 
-    /// An instance has heard that a srv drains, or is back.
+    /// An instance learned that a server leaves or is back.
     pub fn record_listing(&mut self, now: Nanos, instance: usize, srv: &Name, leaves: bool) {
         if leaves {
             self.leaving_since.entry((instance, srv.clone())).or_insert(now);
@@ -195,14 +201,14 @@
         }
     }
 
-    /// Work was sent to a cold srv, which can do so much a second by now, in seconds of work.
+    /// Work was sent to a server in slow start; `can` is its current capacity in seconds of work per second.
     pub fn record_slow_start_work(&mut self, now: Nanos, key: RequestKey, srv: &Name, work: f64, can: f64) {
         let sent = self.slow_start_work.entry(srv.clone()).or_default();
         sent.retain(|(at, _)| at + SLOW_START_WINDOW > now);
         sent.push((now, work));
         let sum: f64 = sent.iter().map(|(_, work)| work).sum();
         let most = MAX_SLOW_START_WORK_FACTOR * can * SLOW_START_WINDOW as f64 / 1e9;
-        // A few reqs are chance.
+        // Up to 10 requests in the window may be coincidence.
         if sum > most && sent.len() > 10 {
             sent.clear();
             self.report_violation(
@@ -214,7 +220,7 @@
         }
     }
 
-    /// Books are closed at the end, and now and then for what is long over.
+    /// Reports unanswered requests past their deadline, and drops old ones; all of them at the end of the run.
     pub fn check_unanswered(&mut self, now: Nanos, all: bool) {
         let late: Vec<RequestKey> = self
             .requests
@@ -226,7 +232,8 @@
             self.report_violation(1, now, key, "never answered".into());
             self.requests.remove(&key);
         }
-        // What was answered is kept for as long as anything of it may still run.
-        self.requests.retain(|_, open| !all && open.answered_at.is_none_or(|_| open.deadline + 60 * S > now));
+        // Answered requests are kept while a dispatch of theirs may still run.
+        self.requests
+            .retain(|_, request| !all && request.answered_at.is_none_or(|_| request.deadline + 60 * S > now));
     }
 }
--- a/emulator/src/event_queue.rs
+++ b/emulator/src/event_queue.rs
@@ -1,5 +1,5 @@
-//! EventQueue in the order of their times, and among equal times in the order they were put in, so that a run depends on
-//! nothing but its seed. It owns simulated time, which never goes back, and must never know what an event means.
+//! Event queue with simulated time. Events come out by time, and at equal times in insertion order, so that a run depends
+//! on its seed alone. Simulated time never goes back.
 
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
@@ -19,7 +19,7 @@
 }
 
 impl<E> Ord for ScheduledEvent<E> {
-    /// The earliest is the greatest, for the heap gives the greatest first.
+    /// Reversed: the heap returns the greatest element, which has to be the earliest event.
     fn cmp(&self, other: &ScheduledEvent<E>) -> Ordering {
         (other.at, other.sequence).cmp(&(self.at, self.sequence))
     }
@@ -48,18 +48,18 @@
         self.now
     }
 
-    /// Puts an event in at a time; one that has passed is now.
+    /// Schedules an event; a time in the past counts as now.
     pub fn schedule_at(&mut self, at: Nanos, event: E) {
         self.sequence += 1;
         self.heap.push(ScheduledEvent { at: at.max(self.now), sequence: self.sequence, event });
     }
 
-    /// Puts an event in so much later.
-    pub fn schedule_after(&mut self, span: Nanos, event: E) {
-        self.schedule_at(self.now.saturating_add(span), event);
+    /// Schedules an event after a delay.
+    pub fn schedule_after(&mut self, delay: Nanos, event: E) {
+        self.schedule_at(self.now.saturating_add(delay), event);
     }
 
-    /// The next event up to a time, which becomes now. Without one, that time does.
+    /// Returns the next event up to `until` and advances time to it, or to `until` if there is none.
     pub fn pop_until(&mut self, until: Nanos) -> Option<E> {
         if self.heap.peek().is_none_or(|due| due.at > until) {
             self.now = self.now.max(until);
@@ -89,7 +89,7 @@
         #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
         #[test]
-        fn events_come_by_time_and_then_as_they_were_put_in(times in prop::collection::vec(0..50u64, 0..200)) {
+        fn events_come_out_by_time_and_then_by_insertion(times in prop::collection::vec(0..50u64, 0..200)) {
             let mut events = EventQueue::new(10);
             for (number, at) in times.iter().enumerate() {
                 events.schedule_at(*at, (*at, number));
@@ -105,7 +105,7 @@
     }
 
     #[test]
-    fn time_goes_on_to_the_bound_and_never_back() {
+    fn time_advances_to_the_bound_and_never_goes_back() {
         let mut events = EventQueue::new(0);
         events.schedule_at(10, 'a');
         events.schedule_at(30, 'b');
--- a/emulator/src/gossip_network.rs
+++ b/emulator/src/gossip_network.rs
@@ -1,6 +1,6 @@
-//! What the balancers before the first tier say to each other, in simulated time: the machine of `gossip/` as the program
-//! runs it, over a network that loses, doubles, delays and cuts. It owns these machines and what is under way between
-//! them, and must never tell an instance what no message has brought to it.
+//! Gossip between the balancers of the first tier in simulated time: the nodes of `gossip/` as the program runs them, over
+//! a network that loses, duplicates and delays messages and can be partitioned. An instance learns only what a message
+//! brought to its node.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -15,29 +15,29 @@
 use crate::random::{DurationDistribution, RandomStream};
 use crate::{MS, Nanos, S};
 
-/// How the balancers speak, where they do.
+/// Network between the gossip nodes.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct GossipConfig {
-    /// One way between two of them.
+    /// One-way delay.
     pub delay: DurationDistribution,
-    /// The part of their messages that is lost; half as many come twice.
+    /// Fraction of messages that is lost; half that fraction is duplicated.
     #[serde(default)]
     pub loss: f64,
 }
 
-/// A meeting over a stream takes so long.
+/// Duration of a stream synchronization.
 const STREAM_SYNC_DURATION: Nanos = 5 * MS;
 
-/// What is to happen later, or at an instance now.
+/// What the simulation has to do for a node.
 pub enum GossipEffect {
     Schedule(Nanos, GossipEvent),
-    /// Others have heard something else of these srvs.
+    /// Gossip changed the state of these servers for an instance.
     ListChanged(usize, Vec<ListedEndpoint>),
     OutcomesReceived {
         instance: usize,
-        srv: Name,
-        set: Name,
+        server: Name,
+        rule_set: Name,
         counts: OutcomeCounts,
     },
 }
@@ -53,7 +53,7 @@
     nodes: Vec<GossipNode>,
     server_lists: Vec<EndpointList<()>>,
     next_ticks: Vec<Nanos>,
-    /// Balancers up to this number are cut off from the others.
+    /// Nodes below this index are partitioned from the others; none at 0.
     partition_size: usize,
     zone_count: usize,
     random: RandomStream,
@@ -112,19 +112,19 @@
         self.nodes.len()
     }
 
-    /// Balancers up to this number are cut off from the others; none with 0.
+    /// Partitions the nodes below this index from the others; 0 ends the partition.
     pub fn partition(&mut self, cut: usize) {
         self.partition_size = cut;
     }
 
-    /// Its process ends, and the next one begins with nothing.
+    /// Restarts a node without state.
     pub fn restart_node(&mut self, now: Nanos, number: usize) -> Vec<GossipEffect> {
         self.nodes[number] = self.new_node(number, now);
         self.server_lists[number] = EndpointList::new();
         self.process_outputs(now, number)
     }
 
-    /// The list as an instance has it from before: no news to anybody.
+    /// Sets the endpoint list that an instance starts with; it is not gossiped.
     pub fn set_initial_list(
         &mut self,
         now: Nanos,
@@ -137,7 +137,7 @@
         self.process_outputs(now, number)
     }
 
-    /// Discovery tells an instance changes of the list; what the module hears of them.
+    /// Applies a discovery update; returns what the routing policy has to see, with the effects.
     pub fn apply_discovery(
         &mut self,
         now: Nanos,
@@ -153,7 +153,7 @@
         (listed, self.process_outputs(now, number))
     }
 
-    /// What came of a dispatch.
+    /// Records the outcome of a dispatch.
     pub fn record_outcomes(
         &mut self,
         now: Nanos,
@@ -188,7 +188,7 @@
         (one < self.partition_size) == (other < self.partition_size)
     }
 
-    /// Greetings, what differs there, what differs here; in one moment.
+    /// Exchanges hellos and differences between two nodes, without delay.
     fn sync_streams(&mut self, now: Nanos, one: usize, other: usize) -> Vec<GossipEffect> {
         let connected = one != other && self.is_connected(one, other);
         if connected {
@@ -198,7 +198,7 @@
             for (from, to, pieces) in [(other, one, from_other), (one, other, from_one)] {
                 for piece in pieces {
                     self.bytes_sent[from] += piece.len() as u64;
-                    // Bytes of our own are read.
+                    // Messages of our own encoder decode.
                     let _ = self.nodes[to].receive_stream_body(now, &piece);
                 }
             }
@@ -209,7 +209,7 @@
         effects
     }
 
-    /// Takes on what a machine wants.
+    /// Collects the outputs of a node as effects.
     fn process_outputs(&mut self, now: Nanos, number: usize) -> Vec<GossipEffect> {
         let mut effects = Vec::new();
         while let Some(output) = self.nodes[number].poll_output() {
@@ -228,7 +228,12 @@
                     if self.server_lists[number].contains(&srv) =>
                 {
                     let (srv, set) = (srv.as_str().into(), set.as_str().into());
-                    effects.push(GossipEffect::OutcomesReceived { instance: number, srv, set, counts });
+                    effects.push(GossipEffect::OutcomesReceived {
+                        instance: number,
+                        server: srv,
+                        rule_set: set,
+                        counts,
+                    });
                 }
                 Output::StreamSyncDue(name) => {
                     if let Some(other) = self.resolve_destination(number, &Destination::Member(name)) {
@@ -250,7 +255,7 @@
             GossipEffect::Schedule(at, GossipEvent::Datagram { .. }) => Some(at),
             _ => None,
         });
-        // Delays were drawn; from now on they are times.
+        // Datagrams carry their sampled delay up to here; make it a time.
         sent.for_each(|at| *at += now);
         effects
     }
@@ -283,13 +288,13 @@
     }
 }
 
-/// When each instance heeded a drain or a departure that one of them had heard of.
+/// When each instance learned of a drain or departure, by server and discovery version.
 #[derive(Default)]
 pub struct PropagationTracker {
     heard_at: BTreeMap<(Name, u64), BTreeMap<usize, Nanos>>,
 }
 
-/// Seconds after the first one had heard of it until so many had: over all such news, the mean.
+/// Mean seconds from the first instance that learned of a drain or departure until 50%, 99% and all had.
 #[derive(Clone, Debug, Default, PartialEq, serde::Serialize)]
 pub struct PropagationDelays {
     #[serde(rename = "news")]
@@ -301,12 +306,12 @@
 }
 
 impl PropagationTracker {
-    /// One is told of it, by discovery or by others, for the first time.
+    /// An instance learned of it, by discovery or gossip; only the first time counts.
     pub fn record(&mut self, now: Nanos, instance: usize, srv: &Name, version: u64) {
         self.heard_at.entry((srv.clone(), version)).or_default().entry(instance).or_insert(now);
     }
 
-    /// The newest of this srv's, for what comes without a version.
+    /// As `record`, for the latest version of the server: gossip carries no version.
     pub fn record_latest(&mut self, now: Nanos, instance: usize, srv: &Name) {
         if let Some((_, by)) = self.heard_at.range_mut((srv.clone(), 0)..=(srv.clone(), u64::MAX)).next_back()
         {
--- a/emulator/src/lib.rs
+++ b/emulator/src/lib.rs
@@ -1,10 +1,10 @@
-//! A world in simulated time in which the decisions can be rehearsed. It is built up from its parts: [`time`] has the
-//! events in their order, [`chance`] what is drawn, [`station`] a srv as a queue with its slots, its warm-up, its
-//! fatigue and its pauses, [`scenario`] the file that describes a day, [`chooser`] the module behind its runtime and the
-//! baselines it is held against, [`fleet`] what balancers say to each other, [`world`] the day itself, [`audit`] the four rules seen from outside. [`mesh`] is a world of its own: the control plane of a mesh. Nothing in it does
-//! I/O or reads a clock: the same seed gives the same run.
+//! A discrete-event simulation in which the routing policy is tested. [`event_queue`] orders events, [`random`] draws
+//! random numbers, [`service_queue`] models a server, [`scenario`] reads scenario files, [`routing`] holds the policy
+//! under test and its baselines, [`gossip_network`] connects the balancers, [`simulation`] runs a scenario and [`audit`]
+//! checks four rules from outside. [`mesh`] simulates the control plane of a mesh. Nothing here does I/O or reads a
+//! clock: the same seed gives the same run.
 //!
-//! Figures from here are simulated, and are called so wherever they are shown.
+//! Reports label all figures as simulated.
 
 pub mod audit;
 pub mod event_queue;
@@ -18,5 +18,7 @@
 
 pub use ochreshed::Nanos;
 
+/// One millisecond.
 pub const MS: Nanos = 1_000_000;
+/// One second.
 pub const S: Nanos = 1_000 * MS;
--- a/emulator/src/random.rs
+++ b/emulator/src/random.rs
@@ -1,6 +1,6 @@
-//! What is drawn: streams of chance by name, and spans from named distributions. Each part of a world draws from a
-//! stream of its own, so that a change in one does not shift what another draws. It owns the generator (ChaCha8, which
-//! gives the same numbers on every machine and in every version) and must never read a clock or the system's random.
+//! Named random streams and distributions of durations. Each part of a simulation draws from its own stream, so that a
+//! change in one does not shift the draws of another. The generator is ChaCha8, which gives the same numbers on every
+//! machine and in every version; nothing here reads a clock or the system's entropy.
 
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -13,30 +13,30 @@
 pub struct RandomStream(ChaCha8Rng);
 
 impl RandomStream {
-    /// The stream of this name in a run of this seed.
+    /// Returns the stream with this name for this seed.
     pub fn new(seed: u64, name: &str) -> RandomStream {
-        // FNV-1a, so that a name's stream does not depend on what other names there are.
+        // FNV-1a of the name, so that a stream does not depend on which other names exist.
         let hash = |hash: u64, byte: &u8| (hash ^ u64::from(*byte)).wrapping_mul(0x0100_0000_01b3);
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         rng.set_stream(name.as_bytes().iter().fold(0xcbf2_9ce4_8422_2325, hash));
         RandomStream(rng)
     }
 
-    /// Evenly from 0 up to, but not including, 1.
+    /// Uniform in [0, 1).
     pub fn sample_fraction(&mut self) -> f64 {
         self.0.random()
     }
 
-    /// Evenly from the numbers below.
+    /// Uniform over the integers below `number`; 0 if `number` is 0.
     pub fn sample_below(&mut self, number: usize) -> usize {
         self.0.random_range(0..number.max(1) as u64) as usize
     }
 
-    pub fn sample_bool(&mut self, part: f64) -> bool {
-        self.sample_fraction() < part
+    pub fn sample_bool(&mut self, probability: f64) -> bool {
+        self.sample_fraction() < probability
     }
 
-    /// The gap to the next of arrivals that know nothing of each other, at so many a second; none comes at 0.
+    /// Time to the next arrival of a Poisson process with this rate; `None` at a rate of 0.
     pub fn sample_arrival_gap(&mut self, per_s: f64) -> Option<Nanos> {
         let gap: f64 = Exp1.sample(&mut self.0);
         let gap = gap / per_s * 1e9;
@@ -44,16 +44,14 @@
     }
 }
 
-/// A span drawn from a named distribution; spans in nanoseconds.
+/// Distribution of a duration.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(tag = "kind", rename_all = "kebab-case", deny_unknown_fields)]
 pub enum DurationDistribution {
-    /// Always the same.
     Fixed {
         #[serde(deserialize_with = "deserialize_duration")]
         mean: Nanos,
     },
-    /// Evenly between two.
     #[serde(rename = "even")]
     Uniform {
         #[serde(rename = "least", deserialize_with = "deserialize_duration")]
@@ -61,18 +59,17 @@
         #[serde(rename = "most", deserialize_with = "deserialize_duration")]
         max: Nanos,
     },
-    /// Without memory.
     Exponential {
         #[serde(deserialize_with = "deserialize_duration")]
         mean: Nanos,
     },
-    /// Its logarithm is normal with this deviation: a long tail.
+    /// `sigma` is the standard deviation of the logarithm.
     LogNormal {
         #[serde(deserialize_with = "deserialize_duration")]
         mean: Nanos,
         sigma: f64,
     },
-    /// A tail by a power, above 1; cut off at a thousand means. The lower, the heavier.
+    /// Heavy tail with a shape above 1; a lower shape gives a heavier tail. Truncated at 1,000 times the mean.
     Pareto {
         #[serde(deserialize_with = "deserialize_duration")]
         mean: Nanos,
@@ -116,7 +113,7 @@
         }
     }
 
-    /// Why it can't be drawn from, if so.
+    /// Returns an error if the parameters allow no sampling.
     pub fn validate(&self) -> Result<(), String> {
         match self {
             DurationDistribution::Uniform { min, max } if min > max => {
@@ -139,7 +136,7 @@
     use crate::MS;
 
     #[test]
-    fn means_are_those_named() {
+    fn sample_means_match_the_configured_means() {
         let mean = 20 * MS;
         let spans = [
             DurationDistribution::Fixed { mean },
@@ -161,13 +158,13 @@
     }
 
     #[test]
-    fn a_stream_is_its_seeds_and_its_names_alone() {
+    fn a_stream_depends_only_on_seed_and_name() {
         let draw = |seed, name| {
             let mut stream = RandomStream::new(seed, name);
             [stream.sample_below(1_000_000), stream.sample_below(1_000_000)]
         };
-        // Kept numbers: another generator, or another use of this one, would make old runs unrepeatable.
-        assert_eq!([draw(7, "work"), draw(7, "net")], KEPT);
+        // Fixed values: another generator, or another use of this one, would make old runs unrepeatable.
+        assert_eq!([draw(7, "work"), draw(7, "net")], EXPECTED_DRAWS);
         assert_ne!(draw(7, "work"), draw(8, "work"));
         assert_ne!(draw(7, "work"), draw(7, "net"));
         let mut stream = RandomStream::new(1, "clients");
@@ -176,5 +173,5 @@
         assert!((mean / 20e6 - 1.0).abs() < 0.01, "{mean}");
     }
 
-    const KEPT: [[usize; 2]; 2] = [[826_351, 214_530], [221_226, 846_719]];
+    const EXPECTED_DRAWS: [[usize; 2]; 2] = [[826_351, 214_530], [221_226, 846_719]];
 }
--- a/emulator/src/routing.rs
+++ b/emulator/src/routing.rs
@@ -1,5 +1,5 @@
-//! What chooses srvs: the real module behind the real policy runtime, and baselines to hold it against. Baselines are what
-//! others do without it; they are no policies of the program and never leave the emulator.
+//! Routing under test: the real policy in its runtime, and baselines for comparison. The baselines are common simple
+//! strategies that exist only in the emulator.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -13,7 +13,6 @@
 use crate::random::RandomStream;
 use crate::scenario::{Effect, Scenario};
 
-/// Which of them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RoutingPolicy {
     Module,
@@ -29,7 +28,7 @@
     TwoChoices {
         tries: usize,
     },
-    /// ViolatesRule a rule on purpose, to show that the auditor sees it: 1 to 4.
+    /// Violates rule 1 to 4 on purpose, to test the auditor.
     ViolatesRule(u8),
 }
 
@@ -49,7 +48,7 @@
         })
     }
 
-    /// An instance before a tier.
+    /// Builds the router of an instance.
     pub fn build_router(
         self,
         now: Nanos,
@@ -74,7 +73,7 @@
     }
 }
 
-/// Where an instance stands: before which tier, and which of how many.
+/// Place of an instance: the tier it routes to, and its index among the instances of that tier.
 #[derive(Clone, Copy)]
 pub struct InstancePlacement {
     pub tier: usize,
@@ -122,7 +121,7 @@
     sets.map(|set| set.name.as_str().into()).collect()
 }
 
-/// What the world asks of an instance.
+/// What the simulation needs of a routing implementation.
 pub trait Router {
     fn accept_request(&mut self, now: Nanos, req: RequestContext);
     fn handle_dispatch_ended(
@@ -130,21 +129,21 @@
         now: Nanos,
         id: u64,
         number: usize,
-        how: DispatchOutcome,
-        took: Nanos,
+        outcome: DispatchOutcome,
+        duration: Nanos,
     );
     fn handle_client_disconnected(&mut self, now: Nanos, id: u64);
     fn update_endpoints(&mut self, now: Nanos, entries: &[ListedEndpoint]);
-    /// What another instance has seen, so often.
+    /// Outcomes of dispatches that another instance reported.
     fn record_peer_outcomes(
         &mut self,
         now: Nanos,
         srv: &str,
         rule_set: &str,
-        how: DispatchOutcome,
+        outcome: DispatchOutcome,
         times: u16,
     );
-    /// Does what is due; answers with when it is to be asked again.
+    /// Runs due work; returns when to call again.
     fn run_due_work(&mut self, now: Nanos) -> Nanos;
     fn take_actions(&mut self) -> Vec<Action>;
 }
@@ -159,8 +158,8 @@
         now: Nanos,
         id: u64,
         number: usize,
-        how: DispatchOutcome,
-        took: Nanos,
+        outcome: DispatchOutcome,
+        duration: Nanos,
     ) {
         PolicyRuntime::handle_dispatch_ended(
             self,
@@ -168,9 +167,9 @@
             id,
             number,
             DispatchResult {
-                outcome: how,
-                duration: took,
-                is_final: how == DispatchOutcome::Done,
+                outcome,
+                duration,
+                is_final: outcome == DispatchOutcome::Done,
                 load_report: &[],
             },
         );
@@ -192,11 +191,11 @@
         now: Nanos,
         srv: &str,
         rule_set: &str,
-        how: DispatchOutcome,
+        outcome: DispatchOutcome,
         times: u16,
     ) {
         (0..times).for_each(|_| {
-            self.handle_event(now, Event::PeerDispatchEnded { endpoint: srv, rule_set, outcome: how })
+            self.handle_event(now, Event::PeerDispatchEnded { endpoint: srv, rule_set, outcome })
         });
     }
 
@@ -209,12 +208,12 @@
     }
 }
 
-/// A baseline: picks by a plain rule, and tries again after any failure until it has tried often enough.
+/// A baseline: selects by a simple rule and retries after any failure up to a fixed number of attempts.
 struct BaselineRouter {
     policy: RoutingPolicy,
     replayable_rule_sets: BTreeSet<Name>,
     random: RandomStream,
-    /// The srvs that are up, with what is in flight there.
+    /// Available servers with their requests in flight.
     in_flight: BTreeMap<Name, usize>,
     round_robin_index: usize,
     requests: BTreeMap<u64, RequestContext>,
@@ -251,7 +250,7 @@
                     .map(|at| nth(&self.in_flight, at));
                 two.into_iter().flatten().min_by_key(|name| self.in_flight[name])
             }
-            // Heaps all on one srv, cold or not.
+            // Sends everything to one server, in slow start or not.
             RoutingPolicy::ViolatesRule(4) => nth(&self.in_flight, 0),
             _ => nth(&self.in_flight, self.random.sample_below(all)),
         }
@@ -286,7 +285,7 @@
 impl Router for BaselineRouter {
     fn accept_request(&mut self, now: Nanos, req: RequestContext) {
         let id = req.id;
-        // The first rule broken: a req that is never answered.
+        // Violates rule 1: the request is never answered.
         if self.policy == RoutingPolicy::ViolatesRule(1) && id.is_multiple_of(50) {
             return;
         }
@@ -294,18 +293,25 @@
         self.send(now, id);
     }
 
-    fn handle_dispatch_ended(&mut self, now: Nanos, id: u64, number: usize, how: DispatchOutcome, _: Nanos) {
+    fn handle_dispatch_ended(
+        &mut self,
+        now: Nanos,
+        id: u64,
+        number: usize,
+        outcome: DispatchOutcome,
+        _: Nanos,
+    ) {
         let tries = self.max_attempts();
         let Some(req) = self.requests.get_mut(&id) else { return };
-        req.dispatches[number].outcome = Some(how);
+        req.dispatches[number].outcome = Some(outcome);
         if let Some(out) = self.in_flight.get_mut(&req.dispatches[number].endpoint) {
             *out = out.saturating_sub(1);
         }
-        if how == DispatchOutcome::Done {
+        if outcome == DispatchOutcome::Done {
             self.requests.remove(&id);
             return;
         }
-        // Even a naive one keeps to what may run twice, but for the one that breaks that rule.
+        // Baselines also run a request twice only if its effect allows that, except the one that violates rule 2.
         let once = !self.replayable_rule_sets.contains(&req.rule_set)
             && req.first_possible_run().is_some()
             && self.policy != RoutingPolicy::ViolatesRule(2);
@@ -341,7 +347,7 @@
         }
     }
 
-    /// A baseline learns by itself.
+    /// Baselines ignore what peers report.
     fn record_peer_outcomes(&mut self, _: Nanos, _: &str, _: &str, _: DispatchOutcome, _: u16) {}
 
     fn run_due_work(&mut self, _: Nanos) -> Nanos {
--- a/emulator/src/scenario.rs
+++ b/emulator/src/scenario.rs
@@ -1,5 +1,5 @@
-//! The file that describes a day: fleet, traffic, and troubles by time. It owns its reading and its checks, and must
-//! never let a day begin on what it does not understand: unknown fields are refused, with line and column.
+//! Scenario files: servers, traffic and timed faults. Parsing rejects unknown keys with line and column, so that no
+//! scenario runs with a setting that is not understood.
 
 use serde::{Deserialize, Deserializer, Serialize, de};
 
@@ -11,18 +11,18 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
-    /// Arrivals come for so long; what is under way then is still answered.
+    /// How long requests arrive; those in flight at the end are still answered.
     #[serde(rename = "lasts", deserialize_with = "deserialize_duration")]
     pub duration: Nanos,
     pub clients: Clients,
     pub network: Network,
     #[serde(rename = "list")]
     pub discovery: Discovery,
-    /// The balancers before the first tier speak with each other.
+    /// Gossip between the balancers of the first tier, if they have any.
     #[serde(rename = "fleet")]
     pub gossip: Option<GossipConfig>,
     pub rule_sets: Vec<RuleSet>,
-    /// The first is the clients' own; each calls the next.
+    /// Clients call the first tier; each tier calls the next.
     pub tiers: Vec<Tier>,
     #[serde(rename = "troubles", default)]
     pub faults: Vec<ScenarioFault>,
@@ -31,12 +31,12 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Clients {
-    /// First tries a second, from all clients together.
+    /// First attempts per second, of all clients.
     #[serde(rename = "per_s")]
     pub requests_per_s: f64,
-    /// Balancers that they call, at random.
+    /// Number of balancers; each attempt calls a random one.
     pub instances: usize,
-    /// How often a client tries again after a deny, and how long it waits before.
+    /// Retries of a client after a denied request.
     #[serde(rename = "tries_again", default)]
     pub max_retries: u32,
     #[serde(rename = "pause", default, deserialize_with = "deserialize_duration")]
@@ -46,7 +46,7 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Network {
-    /// One way, within a site and between two.
+    /// One-way delays.
     #[serde(rename = "within")]
     pub within_site: DurationDistribution,
     #[serde(rename = "between")]
@@ -56,7 +56,7 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Discovery {
-    /// How long news takes to each balancer.
+    /// Delay of an update to each balancer.
     pub delay: DurationDistribution,
 }
 
@@ -73,7 +73,7 @@
 pub struct RuleSet {
     pub name: String,
     pub effect: Effect,
-    /// Its part of the first tries, against the others' parts.
+    /// Weight of this rule set among the first attempts.
     #[serde(rename = "part")]
     pub traffic_weight: f64,
     #[serde(deserialize_with = "deserialize_duration")]
@@ -82,7 +82,7 @@
     pub client_timeout: Nanos,
     #[serde(default = "one")]
     pub utility: f64,
-    /// For how long a uniqued req's repeat is known.
+    /// How long servers recognize a repeat of a uniqued request.
     #[serde(rename = "window", default, deserialize_with = "deserialize_duration")]
     pub dedup_window: Nanos,
 }
@@ -104,7 +104,7 @@
     pub slow_start: Option<SlowStart>,
     #[serde(rename = "fatigue")]
     pub degradation: Option<OverloadDegradation>,
-    /// The part of its jobs that fail of themselves.
+    /// Fraction of jobs that fail without a fault.
     #[serde(rename = "failing", default)]
     pub failure_fraction: f64,
 }
@@ -119,16 +119,16 @@
     #[serde(rename = "what")]
     pub kind: FaultKind,
     pub tier: String,
-    /// The site that is lost.
+    /// The unreachable site, for `site-lost`.
     #[serde(default)]
     pub site: usize,
-    /// How many srvs, or balancers, are struck, from the first on.
+    /// Number of servers or balancers affected, counted from the first.
     #[serde(rename = "srvs", default)]
     pub target_count: usize,
-    /// How many times as much work, or as many clients.
+    /// Factor on the work time or on the arrival rate.
     #[serde(rename = "times", default = "one")]
     pub factor: f64,
-    /// The part of the answers that is lost.
+    /// Fraction of the responses that are lost.
     #[serde(rename = "part", default)]
     pub fraction: f64,
 }
@@ -136,28 +136,28 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum FaultKind {
-    /// Nothing goes to a site, and nothing comes from it.
+    /// A site is unreachable in both directions.
     SiteLost,
-    /// Srvs answer at once with errors.
+    /// Servers answer immediately with errors.
     FastErrors,
-    /// Srvs stand still.
+    /// Servers pause.
     Pause,
-    /// Srvs are replaced one after the other, evenly over the time: drained, ended, started cold.
+    /// Servers are replaced one by one, evenly over the duration: drain, end, start with slow start.
     Deploy,
-    /// All jobs of the tier take so many times as long, at every site.
+    /// All jobs of the tier take longer by the factor, at every site.
     Slow,
-    /// A part of the answers is cut off by a reset: the req ran.
+    /// A fraction of the responses is lost to a reset after the request ran.
     Resets,
-    /// News of the list stay out until it is over.
+    /// Discovery updates are held back until the end of the fault.
     ListDown,
-    /// So many balancers before the tier end with all they hold, one after the other over the time, and come back at
-    /// once with the list as it stood at the day's start.
+    /// Balancers of the first tier crash one by one over the duration and restart at once with the initial endpoint
+    /// list.
     Crash,
-    /// So many times as many clients; the tier is the first.
+    /// The arrival rate of clients rises by the factor; the tier is the first.
     Burst,
-    /// So many balancers before the first tier and the others don't hear each other.
+    /// The first balancers of the first tier are partitioned from the others.
     FleetCut,
-    /// Srvs drain for so long, and serve again: told to all, each in its time.
+    /// Servers drain for the duration and then serve again; each balancer learns of it after its discovery delay.
     Drain,
 }
 
@@ -169,7 +169,7 @@
     1
 }
 
-/// Reads a span with its unit: `"250ms"`, `"1.5s"`.
+/// Deserializes a duration with its unit: `"250ms"`, `"1.5s"`.
 pub fn deserialize_duration<'de, D: Deserializer<'de>>(from: D) -> Result<Nanos, D::Error> {
     let text = String::deserialize(from)?;
     parse_duration(&text)
@@ -200,14 +200,14 @@
 }
 
 impl Scenario {
-    /// Reads and checks a file's text; the error says where and what.
+    /// Parses and validates the text of a scenario file.
     pub fn parse(text: &str) -> Result<Scenario, String> {
         let scenario: Scenario = toml::from_str(text).map_err(|e| e.to_string())?;
         let errors = scenario.validation_errors();
         if errors.is_empty() { Ok(scenario) } else { Err(errors.join("\n")) }
     }
 
-    /// The text with another value at a path such as `clients.per_s` or `tiers.1.slots`.
+    /// Returns the text with another value at a path such as `clients.per_s` or `tiers.1.slots`.
     pub fn with_override(text: &str, path: &str, value: &str) -> Result<String, String> {
         let mut table: toml::Value = toml::from_str(text).map_err(|e| e.to_string())?;
         let mut at = &mut table;
@@ -219,66 +219,66 @@
             };
             at = next.ok_or(format!("{path}: there is no {step}"))?;
         }
-        // A number or a flag as it stands; whatever else it is, it is text.
+        // A number or a boolean; everything else is a string.
         let read =
             toml::from_str::<toml::Table>(&format!("v = {value}")).ok().and_then(|mut t| t.remove("v"));
         *at = read.unwrap_or_else(|| toml::Value::String(value.into()));
         toml::to_string(&table).map_err(|e| e.to_string())
     }
 
-    /// What of it can't be, each with its place.
+    /// Returns all invalid values, each with its key.
     pub fn validation_errors(&self) -> Vec<String> {
         let mut errors = Vec::new();
-        let mut must = |right: bool, what: String| {
-            if !right {
+        let mut check = |valid: bool, what: String| {
+            if !valid {
                 errors.push(what);
             }
         };
-        must(self.duration > 0, "lasts: a day has to last".into());
-        must(
+        check(self.duration > 0, "lasts: a day has to last".into());
+        check(
             (0.0..1e6).contains(&self.clients.requests_per_s),
             "clients.per_s: from 0 up to a million".into(),
         );
-        must((1..=1_000).contains(&self.clients.instances), "clients.instances: from 1 to 1,000".into());
-        must((1..=3).contains(&self.tiers.len()), "tiers: one to three".into());
+        check((1..=1_000).contains(&self.clients.instances), "clients.instances: from 1 to 1,000".into());
+        check((1..=3).contains(&self.tiers.len()), "tiers: one to three".into());
         if let Some(fleet) = &self.gossip {
-            must((0.0..1.0).contains(&fleet.loss), "fleet.loss: a part under 1".into());
+            check((0.0..1.0).contains(&fleet.loss), "fleet.loss: a part under 1".into());
             if let Err(why) = fleet.delay.validate() {
-                must(false, format!("fleet.delay: {why}"));
+                check(false, format!("fleet.delay: {why}"));
             }
         }
-        must(!self.rule_sets.is_empty(), "rule_sets: at least one".into());
+        check(!self.rule_sets.is_empty(), "rule_sets: at least one".into());
         for set in &self.rule_sets {
-            let right = set.traffic_weight > 0.0
+            let valid = set.traffic_weight > 0.0
                 && set.client_timeout > 0
                 && set.response_target <= set.client_timeout;
-            must(right, format!("rule set {}: a part over 0 and a target within the timeout", set.name));
+            check(valid, format!("rule set {}: a part over 0 and a target within the timeout", set.name));
         }
         for tier in &self.tiers {
-            let right = (1..=10_000).contains(&tier.server_count)
+            let valid = (1..=10_000).contains(&tier.server_count)
                 && (1..=tier.server_count).contains(&tier.site_count)
                 && tier.slots > 0;
-            must(right, format!("tier {}: srvs, as many sites at most, and slots", tier.name));
-            must(
+            check(valid, format!("tier {}: srvs, as many sites at most, and slots", tier.name));
+            check(
                 (0.0..=1.0).contains(&tier.failure_fraction),
                 format!("tier {}: failing is a part", tier.name),
             );
             if let Err(why) = tier.work_time.validate() {
-                must(false, format!("tier {}: work: {why}", tier.name));
+                check(false, format!("tier {}: work: {why}", tier.name));
             }
         }
-        for trouble in &self.faults {
-            let tier = self.tiers.iter().find(|tier| tier.name == trouble.tier);
-            must(
+        for fault in &self.faults {
+            let tier = self.tiers.iter().find(|tier| tier.name == fault.tier);
+            check(
                 tier.is_some(),
-                format!("trouble at {} s: no tier {}", trouble.starts_at / 1_000_000_000, trouble.tier),
+                format!("trouble at {} s: no tier {}", fault.starts_at / 1_000_000_000, fault.tier),
             );
-            let site = tier.is_none_or(|tier| trouble.site < tier.site_count);
-            must(site, format!("trouble in {}: there is no site {}", trouble.tier, trouble.site));
-            must(trouble.factor > 0.0, format!("trouble in {}: times is over 0", trouble.tier));
-            must(
-                (0.0..=1.0).contains(&trouble.fraction),
-                format!("trouble in {}: part is a part", trouble.tier),
+            let site = tier.is_none_or(|tier| fault.site < tier.site_count);
+            check(site, format!("trouble in {}: there is no site {}", fault.tier, fault.site));
+            check(fault.factor > 0.0, format!("trouble in {}: times is over 0", fault.tier));
+            check(
+                (0.0..=1.0).contains(&fault.fraction),
+                format!("trouble in {}: part is a part", fault.tier),
             );
         }
         errors
@@ -290,7 +290,7 @@
     use super::*;
 
     #[test]
-    fn spans_have_units() {
+    fn durations_need_units() {
         let spans = ["250ms", "1.5s", "2 min", "10us", "1h", "5", "s", "-1s", "1 week", "1e400s"];
         let read: Vec<Option<Nanos>> = spans.iter().map(|text| parse_duration(text)).collect();
         let some = [250_000_000, 1_500_000_000, 120_000_000_000, 10_000, 3_600_000_000_000].map(Some);
--- a/emulator/src/service_queue.rs
+++ b/emulator/src/service_queue.rs
@@ -1,9 +1,8 @@
-//! A srv as a queue: slots that work side by side, room for so many that wait, and what makes its speed change: a cold
-//! start, fatigue after it was held crowded, a pause. It owns the jobs it was given until they end or are taken back,
-//! and must never know what a job is or who sent it. Whoever drives it brings about the ends that it names.
+//! Queue model of a server: parallel slots, a bounded queue, and changes of speed by slow start, by degradation after
+//! sustained overload and by pauses. The caller schedules the job ends that the queue returns.
 //!
-//! Speed is settled when a job starts. A job that is under way when a srv tires or warms keeps its speed; with jobs much
-//! shorter than those changes that makes no difference that could be seen.
+//! The speed of a job is fixed when it starts. A running job keeps its speed when that of the server changes; jobs are
+//! much shorter than those changes, so the difference is negligible.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -12,13 +11,12 @@
 use crate::Nanos;
 use crate::scenario::deserialize_duration;
 
-/// What a srv is made of.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct QueueConfig {
-    /// Jobs that are worked on at once.
+    /// Jobs that run in parallel.
     pub slots: usize,
-    /// Jobs that may wait; one more is refused.
+    /// Jobs that may wait; further ones are rejected.
     #[serde(rename = "room")]
     pub queue_capacity: usize,
     #[serde(rename = "cold", default)]
@@ -27,7 +25,7 @@
     pub degradation: Option<OverloadDegradation>,
 }
 
-/// A cold srv works at a share of its speed, which grows evenly to the whole.
+/// Slow start: the speed grows linearly from `initial_speed`, a fraction of full speed, to full speed.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SlowStart {
@@ -37,11 +35,12 @@
     pub duration: Nanos,
 }
 
-/// A srv held crowded for long enough works at a share of its speed, until it has had nothing to do for a while.
+/// Degradation: after sustained overload a server runs at `speed`, a fraction of full speed, until it has been idle for
+/// `recovery_idle_time`.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct OverloadDegradation {
-    /// Crowded: at least so many wait.
+    /// Queue length from which the server counts as overloaded.
     #[serde(rename = "waiting")]
     pub min_waiting: usize,
     #[serde(rename = "after", deserialize_with = "deserialize_duration")]
@@ -52,52 +51,48 @@
     pub recovery_idle_time: Nanos,
 }
 
-/// What became of a job that was offered.
+/// Result of submitting a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// It is worked on and ends then.
-    Started {
-        ends_at: Nanos,
-    },
+    Started { ends_at: Nanos },
     Queued,
     Rejected,
 }
 
 pub struct ServiceQueue {
-    build: QueueConfig,
+    config: QueueConfig,
     started: Nanos,
-    /// Jobs under way, with when they end.
+    /// Running jobs with their end times.
     working: BTreeMap<u64, Nanos>,
     waiting: VecDeque<(u64, Nanos)>,
-    /// Nothing starts before then.
+    /// No job starts before this time.
     paused_until: Nanos,
-    crowded_since: Option<Nanos>,
-    tired: bool,
+    overloaded_since: Option<Nanos>,
+    is_degraded: bool,
     idle_since: Option<Nanos>,
 }
 
 impl ServiceQueue {
-    /// One whose process started then.
-    pub fn new(build: QueueConfig, started: Nanos) -> ServiceQueue {
+    pub fn new(config: QueueConfig, started: Nanos) -> ServiceQueue {
         ServiceQueue {
-            build,
+            config,
             started,
             working: BTreeMap::new(),
             waiting: VecDeque::new(),
             paused_until: 0,
-            crowded_since: None,
-            tired: false,
+            overloaded_since: None,
+            is_degraded: false,
             idle_since: Some(started),
         }
     }
 
-    /// Offers a job of so much work, the time it takes at full speed. Its number must not be in use here.
+    /// Submits a job; `work` is its duration at full speed. The job id must not be in use in this queue.
     pub fn submit(&mut self, now: Nanos, job: u64, work: Nanos) -> Admission {
         self.update_state(now);
-        if self.working.len() < self.build.slots && self.waiting.is_empty() && now >= self.paused_until {
+        if self.working.len() < self.config.slots && self.waiting.is_empty() && now >= self.paused_until {
             return Admission::Started { ends_at: self.start_job(now, job, work) };
         }
-        if self.waiting.len() >= self.build.queue_capacity {
+        if self.waiting.len() >= self.config.queue_capacity {
             return Admission::Rejected;
         }
         self.waiting.push_back((job, work));
@@ -105,13 +100,13 @@
         Admission::Queued
     }
 
-    /// A job under way has ended; what starts in its place, with when that ends.
+    /// Ends a running job. Returns the jobs that start in its place with their end times.
     pub fn finish_job(&mut self, now: Nanos, job: u64) -> Vec<(u64, Nanos)> {
         self.working.remove(&job);
         self.start_waiting_jobs(now)
     }
 
-    /// Takes a job back, waiting or under way: whether it was there, and what starts in its place.
+    /// Removes a waiting or running job. Returns whether it existed and the jobs that start in its place.
     pub fn cancel_job(&mut self, now: Nanos, job: u64) -> (bool, Vec<(u64, Nanos)>) {
         let waited = self.waiting.iter().position(|(waiting, _)| *waiting == job);
         let was = match waited {
@@ -121,8 +116,8 @@
         (was, self.start_waiting_jobs(now))
     }
 
-    /// Stands still until then: nothing starts, and what is under way ends so much later than it would have. Answers
-    /// with the jobs under way and their new ends.
+    /// Pauses the server until a time: no job starts, and running jobs end later by the length of the pause. Returns the
+    /// running jobs with their new end times.
     pub fn pause(&mut self, now: Nanos, until: Nanos) -> Vec<(u64, Nanos)> {
         let from = now.max(self.paused_until);
         let more = until.saturating_sub(from);
@@ -131,11 +126,11 @@
         self.working.iter().map(|(job, ends)| (*job, *ends)).collect()
     }
 
-    /// Starts what can be started: to be called when a pause is over.
+    /// Starts waiting jobs on free slots. Must be called when a pause ends.
     pub fn start_waiting_jobs(&mut self, now: Nanos) -> Vec<(u64, Nanos)> {
         self.update_state(now);
         let mut started = Vec::new();
-        while now >= self.paused_until && self.working.len() < self.build.slots {
+        while now >= self.paused_until && self.working.len() < self.config.slots {
             let Some((job, work)) = self.waiting.pop_front() else { break };
             started.push((job, self.start_job(now, job, work)));
         }
@@ -151,16 +146,17 @@
         self.working.len()
     }
 
-    /// The part of its full speed that a job starting now works at.
+    /// Speed of a job that starts now, as a fraction of full speed.
     pub fn speed_at(&self, now: Nanos) -> f64 {
-        let warm = match self.build.slow_start {
+        let warm_up = match self.config.slow_start {
             Some(SlowStart { initial_speed: share, duration: lasts }) if now < self.started + lasts => {
                 share + (1.0 - share) * now.saturating_sub(self.started) as f64 / lasts as f64
             }
             _ => 1.0,
         };
-        let rested = self.build.degradation.filter(|_| self.tired).map_or(1.0, |fatigue| fatigue.speed);
-        (warm * rested).max(1e-6)
+        let degraded =
+            self.config.degradation.filter(|_| self.is_degraded).map_or(1.0, |degradation| degradation.speed);
+        (warm_up * degraded).max(1e-6)
     }
 
     fn start_job(&mut self, now: Nanos, job: u64, work: Nanos) -> Nanos {
@@ -170,18 +166,18 @@
         ends
     }
 
-    /// Sees whether it is crowded or idle, and has been for long enough to tire or to recover.
+    /// Updates overload and idle times, and with them the degradation.
     fn update_state(&mut self, now: Nanos) {
         let idle = self.working.is_empty() && self.waiting.is_empty();
         self.idle_since = if idle { self.idle_since.or(Some(now)) } else { None };
-        let Some(fatigue) = self.build.degradation else { return };
-        if self.idle_since.is_some_and(|since| now - since >= fatigue.recovery_idle_time) {
-            self.tired = false;
+        let Some(degradation) = self.config.degradation else { return };
+        if self.idle_since.is_some_and(|since| now - since >= degradation.recovery_idle_time) {
+            self.is_degraded = false;
         }
-        let crowded = self.waiting.len() >= fatigue.min_waiting;
-        self.crowded_since = if crowded { self.crowded_since.or(Some(now)) } else { None };
-        if self.crowded_since.is_some_and(|since| now - since >= fatigue.onset) {
-            self.tired = true;
+        let overloaded = self.waiting.len() >= degradation.min_waiting;
+        self.overloaded_since = if overloaded { self.overloaded_since.or(Some(now)) } else { None };
+        if self.overloaded_since.is_some_and(|since| now - since >= degradation.onset) {
+            self.is_degraded = true;
         }
     }
 }
--- a/emulator/src/simulation.rs
+++ b/emulator/src/simulation.rs
@@ -1,9 +1,9 @@
-//! A day: clients, balancers, srvs, the network and the list between them, and troubles by time. It owns what is true
-//! of each; an instance is told only what would reach it, when it would. The same scenario, policy and seed give the
-//! same day. All figures are simulated.
+//! Simulates a scenario: clients, balancers, servers, the network, service discovery and faults. The simulation holds the
+//! true state; a balancer instance receives only what would reach it, when it would. The same scenario, policy and seed
+//! give the same run.
 //!
-//! Kept simple on purpose: a srv of a middle tier gives its slot up while it waits for the tier below, and answers its
-//! caller with an error where that call was denied or aborted.
+//! Simplification: a server of a middle tier releases its slot while it waits for the next tier, and answers its caller
+//! with an error if that call was denied or aborted.
 
 use std::collections::BTreeMap;
 
@@ -23,12 +23,12 @@
 use crate::{MS, Nanos, S};
 
 const START: Nanos = 1_000 * S;
-/// What a client's req needs at least of its time to be sent at all.
+/// Time a request must have left before its deadline to be sent to the next tier.
 const MIN_TIME_LEFT: Nanos = MS;
 
 enum Event {
     ClientArrival,
-    /// A client tries, for the first time or again.
+    /// A client sends its first attempt or a retry.
     ClientAttempt {
         call: usize,
         try_number: u32,
@@ -38,7 +38,7 @@
     DispatchArrival {
         key: RequestKey,
         number: usize,
-        srv: usize,
+        server: usize,
     },
     DispatchTimeout {
         key: RequestKey,
@@ -51,7 +51,7 @@
     DispatchResponse {
         key: RequestKey,
         number: usize,
-        how: DispatchOutcome,
+        outcome: DispatchOutcome,
     },
     ListUpdate {
         instance: usize,
@@ -79,12 +79,12 @@
     tier: usize,
     site: usize,
     queue: ServiceQueue,
-    /// Its process: jobs of an earlier one are lost.
+    /// Start time of the current process; jobs of earlier processes are lost.
     started: Nanos,
     slow_start_until: Nanos,
     draining: bool,
     failing_fast: bool,
-    /// The instance it calls the next tier through.
+    /// Balancer instance for calls to the next tier.
     downstream_instance: Option<usize>,
 }
 
@@ -93,47 +93,48 @@
     started_at: Nanos,
 }
 
-/// Who waits for a req's answer: a client's call, or a job at a srv.
+/// The caller that waits for the answer to a request: a client, or a server of the tier above.
 #[derive(Clone, Copy)]
 enum Caller {
     Client { call: usize, try_number: u32 },
-    Job { key: RequestKey, number: usize, srv: usize },
+    Job { key: RequestKey, number: usize, server: usize },
 }
 
 struct PendingRequest {
     caller: Caller,
     rule_set: usize,
     deadline: Nanos,
-    /// The dispatch that is out: its number, srv and time.
+    /// The dispatch in flight: its index, server and send time.
     active_dispatch: Option<(usize, usize, Nanos)>,
 }
 
 struct Job {
     key: RequestKey,
     number: usize,
-    srv: usize,
+    server: usize,
     ends_at: Nanos,
 }
 
-/// What a day came to.
+/// Result of a simulated scenario.
 #[derive(Clone, Debug, Default, PartialEq, serde::Serialize)]
 pub struct SimulationReport {
     pub asked: u64,
     pub in_time: u64,
     pub late: u64,
-    /// Utility answered within the target over utility asked: in all, in the worst 10 s, in the worst rule set.
+    /// Utility answered within the response target over utility requested: in total, in the worst 10 s, in the worst
+    /// rule set.
     pub score: f64,
     pub worst_10s: f64,
     pub worst_set: f64,
-    /// Sends for each req that its tier was asked for, by tier.
+    /// Dispatches per request, by tier.
     pub sends: Vec<f64>,
-    /// Seconds from each trouble's end until three seconds in a row were about as good as before its begin; none
-    /// where that was not seen.
+    /// Seconds from the end of each fault until three consecutive seconds reach 97% of the score before it; `None` if
+    /// that was not observed.
     pub recovery: Vec<Option<u64>>,
-    /// How long news of drains and departures took among the balancers before the first tier.
+    /// How long drains and departures took to reach the balancers of the first tier.
     #[serde(rename = "heeded")]
     pub propagation: PropagationDelays,
-    /// Bytes a second that a balancer sends to others.
+    /// Gossip bytes per second sent by one balancer.
     pub fleet_bytes_per_s: f64,
     pub events: u64,
     #[serde(rename = "breaches")]
@@ -151,11 +152,11 @@
     pending: BTreeMap<RequestKey, PendingRequest>,
     jobs: BTreeMap<u64, Job>,
     unreachable_sites: Vec<(usize, usize)>,
-    /// By tier, how many times as long work takes, and the part of answers that is lost.
+    /// Factor on the work time, by tier.
     slowdown: Vec<f64>,
+    /// Fraction of responses that are lost to resets, by tier.
     reset_fraction: Vec<f64>,
     list_down_until: Nanos,
-    /// Discovery's version.
     discovery_version: u64,
     gossip: Option<GossipNetwork>,
     propagation: PropagationTracker,
@@ -169,18 +170,17 @@
     seed: u64,
     accepted_by_tier: Vec<u64>,
     sent_by_tier: Vec<u64>,
-    /// Utility asked and answered in time by the second it was asked in, and by rule set.
+    /// Utility requested and utility answered in time, by the second of the request and by rule set.
     utility_by_second: Vec<(f64, f64)>,
     utility_by_rule_set: Vec<(f64, f64)>,
     report: SimulationReport,
 }
 
-/// Plays a day.
 pub fn simulate(scenario: &Scenario, policy: RoutingPolicy, seed: u64) -> SimulationReport {
     Simulation::new(scenario, policy, seed).run().0
 }
 
-/// Plays a day and tells the life of one req of it, by the number that it has at its instance.
+/// Simulates a scenario and returns the history of the request with this id, one line per event.
 pub fn trace_request(scenario: &Scenario, policy: RoutingPolicy, seed: u64, id: u64) -> Vec<String> {
     let mut simulation = Simulation::new(scenario, policy, seed);
     simulation.auditor.traced_request = Some(id);
@@ -222,33 +222,35 @@
             report: SimulationReport::default(),
         };
         for me in 0..scenario.clients.instances {
-            let seat = InstancePlacement { tier: 0, index: me, instances: scenario.clients.instances };
-            simulation.add_instance(seat, me % scenario.tiers[0].site_count);
+            let placement = InstancePlacement { tier: 0, index: me, instances: scenario.clients.instances };
+            simulation.add_instance(placement, me % scenario.tiers[0].site_count);
         }
         for (at, tier) in scenario.tiers.iter().enumerate() {
             for number in 0..tier.server_count {
                 let site = number % tier.site_count;
                 let name: Name = format!("{}-{number:04}", tier.name).into();
-                let seat = InstancePlacement { tier: at + 1, index: number, instances: tier.server_count };
-                let below = (at + 1 < scenario.tiers.len()).then(|| simulation.add_instance(seat, site));
+                let placement =
+                    InstancePlacement { tier: at + 1, index: number, instances: tier.server_count };
+                let downstream =
+                    (at + 1 < scenario.tiers.len()).then(|| simulation.add_instance(placement, site));
                 simulation.server_indexes.insert(name.clone(), simulation.servers.len());
                 simulation.servers.push(Server {
                     name,
                     tier: at,
                     site,
-                    // Those that stand at the start are warm.
+                    // Servers that exist at the start are past slow start.
                     queue: ServiceQueue::new(tier.queue_config(), 0),
                     started: START,
                     slow_start_until: 0,
                     draining: false,
                     failing_fast: false,
-                    downstream_instance: below,
+                    downstream_instance: downstream,
                 });
             }
         }
-        simulation.gossip = scenario.gossip.clone().map(|fleet| {
+        simulation.gossip = scenario.gossip.clone().map(|gossip| {
             let sites = scenario.tiers[0].site_count;
-            GossipNetwork::new(fleet, seed, scenario.clients.instances, sites, START)
+            GossipNetwork::new(gossip, seed, scenario.clients.instances, sites, START)
         });
         for instance in 0..simulation.instances.len() {
             simulation.load_initial_list(START, instance);
@@ -256,24 +258,23 @@
         simulation
     }
 
-    /// The list as it stood at the day's start.
+    /// Gives an instance the endpoint list as of the start of the simulation.
     fn load_initial_list(&mut self, now: Nanos, instance: usize) {
         let tier = self.instances[instance].tier;
-        let of = self.servers.iter().filter(|srv| srv.tier == tier);
+        let of = self.servers.iter().filter(|server| server.tier == tier);
         let entries: Vec<ListedEndpoint> =
-            of.map(|srv| self.listed_endpoint(srv, EndpointState::Up, None)).collect();
+            of.map(|server| self.listed_endpoint(server, EndpointState::Up, None)).collect();
         self.instances[instance].router.update_endpoints(now, &entries);
-        if let Some(net) = self.gossip.as_mut().filter(|net| instance < net.node_count()) {
-            let effects = net.set_initial_list(now, instance, &entries);
+        if let Some(network) = self.gossip.as_mut().filter(|network| instance < network.node_count()) {
+            let effects = network.set_initial_list(now, instance, &entries);
             self.apply_gossip_effects(now, effects);
         }
     }
 
-    /// Carries out what the balancers' machines want.
     fn apply_gossip_effects(&mut self, now: Nanos, effects: Vec<GossipEffect>) {
         for effect in effects {
             match effect {
-                GossipEffect::Schedule(at, due) => self.events.schedule_at(at, Event::Gossip(due)),
+                GossipEffect::Schedule(at, event) => self.events.schedule_at(at, Event::Gossip(event)),
                 GossipEffect::ListChanged(instance, entries) => {
                     for entry in &entries {
                         let leaves = entry.state != EndpointState::Up;
@@ -285,14 +286,16 @@
                     self.instances[instance].router.update_endpoints(now, &entries);
                     self.run_instance(instance);
                 }
-                GossipEffect::OutcomesReceived { instance, srv, set, counts } => {
+                GossipEffect::OutcomesReceived { instance, server, rule_set, counts } => {
                     let outcomes = [
                         (DispatchOutcome::Done, counts.succeeded),
                         (DispatchOutcome::Error, counts.failed),
                         (DispatchOutcome::Reset, counts.lost),
                     ];
-                    for (how, times) in outcomes {
-                        self.instances[instance].router.record_peer_outcomes(now, &srv, &set, how, times);
+                    for (outcome, times) in outcomes {
+                        self.instances[instance]
+                            .router
+                            .record_peer_outcomes(now, &server, &rule_set, outcome, times);
                     }
                     self.run_instance(instance);
                 }
@@ -300,27 +303,29 @@
         }
     }
 
-    /// A balancer's process ends with all it holds; the next one starts with an old list and hears the news later.
+    /// Restarts a balancer process. State is lost; the new process starts with the initial list and receives updates
+    /// after the discovery delay.
     fn crash_instance(&mut self, now: Nanos, instance: usize) {
         self.auditor.record_crash(now, instance);
         self.pending.retain(|key, _| key.0 != instance);
         let tier = self.instances[instance].tier;
-        let seat = InstancePlacement { tier, index: instance, instances: self.scenario.clients.instances };
+        let placement =
+            InstancePlacement { tier, index: instance, instances: self.scenario.clients.instances };
         let seed = self.seed.wrapping_mul(1_000_003).wrapping_add((instance + 1_000_000) as u64);
-        self.instances[instance].router = self.policy.build_router(now, seed, self.scenario, seat);
+        self.instances[instance].router = self.policy.build_router(now, seed, self.scenario, placement);
         self.instances[instance].wake_at = Nanos::MAX;
-        if let Some(net) = self.gossip.as_mut().filter(|net| instance < net.node_count()) {
-            let effects = net.restart_node(now, instance);
+        if let Some(network) = self.gossip.as_mut().filter(|network| instance < network.node_count()) {
+            let effects = network.restart_node(now, instance);
             self.apply_gossip_effects(now, effects);
         }
         self.load_initial_list(now, instance);
         let from = self.list_down_until.max(now);
-        for srv in 0..self.servers.len() {
-            if self.servers[srv].tier == tier {
+        for server in 0..self.servers.len() {
+            if self.servers[server].tier == tier {
                 let state =
-                    if self.servers[srv].draining { EndpointState::Draining } else { EndpointState::Up };
-                let came_up = Some(self.servers[srv].started).filter(|at| *at > START);
-                let entry = self.listed_endpoint(&self.servers[srv], state, came_up);
+                    if self.servers[server].draining { EndpointState::Draining } else { EndpointState::Up };
+                let started_at = Some(self.servers[server].started).filter(|at| *at > START);
+                let entry = self.listed_endpoint(&self.servers[server], state, started_at);
                 let delay = self.scenario.discovery.delay.sample(&mut self.network_random);
                 let version = self.discovery_version;
                 self.events.schedule_at(from + delay, Event::ListUpdate { instance, version, entry });
@@ -329,36 +334,40 @@
         self.run_instance(instance);
     }
 
-    fn add_instance(&mut self, seat: InstancePlacement, site: usize) -> usize {
+    fn add_instance(&mut self, placement: InstancePlacement, site: usize) -> usize {
         let number = self.instances.len();
         let seed = self.seed.wrapping_mul(1_000_003).wrapping_add(number as u64);
-        let chooser = self.policy.build_router(START, seed, self.scenario, seat);
-        self.instances.push(Instance { router: chooser, tier: seat.tier, site, wake_at: Nanos::MAX });
+        let router = self.policy.build_router(START, seed, self.scenario, placement);
+        self.instances.push(Instance { router, tier: placement.tier, site, wake_at: Nanos::MAX });
         number
     }
 
-    fn listed_endpoint(&self, srv: &Server, state: EndpointState, came_up: Option<Nanos>) -> ListedEndpoint {
-        let site = format!("site-{}", srv.site).into();
+    fn listed_endpoint(
+        &self,
+        server: &Server,
+        state: EndpointState,
+        started_at: Option<Nanos>,
+    ) -> ListedEndpoint {
+        let site = format!("site-{}", server.site).into();
         ListedEndpoint {
-            name: srv.name.clone(),
+            name: server.name.clone(),
             state,
-            started_at: came_up,
+            started_at,
             weight: 1.0,
             site,
-            cell: srv.site as u64,
+            cell: server.site as u64,
         }
     }
 
     fn run(mut self) -> (SimulationReport, Vec<(Nanos, String)>) {
         let ends = START + self.scenario.duration;
-        let longest = self.scenario.rule_sets.iter().map(|set| set.client_timeout).max().unwrap_or(S);
-        let last = ends + longest * u64::from(1 + self.scenario.clients.max_retries) + 2 * S;
+        let longest_timeout = self.scenario.rule_sets.iter().map(|set| set.client_timeout).max().unwrap_or(S);
+        let last = ends + longest_timeout * u64::from(1 + self.scenario.clients.max_retries) + 2 * S;
         self.events.schedule_at(START, Event::ClientArrival);
         self.events.schedule_at(START + S, Event::AuditCheck);
-        for (number, trouble) in self.scenario.faults.iter().enumerate() {
-            self.events.schedule_at(START + trouble.starts_at, Event::Fault(number, true));
-            self.events
-                .schedule_at(START + trouble.starts_at + trouble.duration, Event::Fault(number, false));
+        for (number, fault) in self.scenario.faults.iter().enumerate() {
+            self.events.schedule_at(START + fault.starts_at, Event::Fault(number, true));
+            self.events.schedule_at(START + fault.starts_at + fault.duration, Event::Fault(number, false));
         }
         while let Some(event) = self.events.pop_until(last) {
             self.report.events += 1;
@@ -388,8 +397,9 @@
                 if self.pending.contains_key(&key) {
                     self.instances[key.0].router.handle_client_disconnected(now, key.1);
                     self.run_instance(key.0);
-                    // What is out is closed, and the instance hears so: else it would count as out for ever.
-                    if let Some((number, ..)) = self.pending.get(&key).and_then(|under| under.active_dispatch)
+                    // The dispatch in flight is closed and reported, else it would count as in flight for ever.
+                    if let Some((number, ..)) =
+                        self.pending.get(&key).and_then(|pending| pending.active_dispatch)
                     {
                         self.end_dispatch(now, key, number, DispatchOutcome::Cancelled);
                     }
@@ -402,7 +412,7 @@
                     self.run_instance(instance);
                 }
             }
-            Event::DispatchArrival { key, number, srv } => self.deliver_dispatch(now, key, number, srv),
+            Event::DispatchArrival { key, number, server } => self.deliver_dispatch(now, key, number, server),
             Event::DispatchTimeout { key, number } => {
                 self.end_dispatch(now, key, number, DispatchOutcome::TimedOut)
             }
@@ -411,34 +421,35 @@
                     self.finish_job(now, job);
                 }
             }
-            Event::DispatchResponse { key, number, how } => self.end_dispatch(now, key, number, how),
+            Event::DispatchResponse { key, number, outcome } => self.end_dispatch(now, key, number, outcome),
             Event::ListUpdate { instance, version, entry } => {
                 if instance < self.scenario.clients.instances && entry.state != EndpointState::Up {
                     self.propagation.record(now, instance, &entry.name, version);
                 }
-                let (entry, effects) = match self.gossip.as_mut().filter(|net| instance < net.node_count()) {
-                    Some(net) => net.apply_discovery(now, instance, version, entry),
-                    None => (entry, Vec::new()),
-                };
+                let (entry, effects) =
+                    match self.gossip.as_mut().filter(|network| instance < network.node_count()) {
+                        Some(network) => network.apply_discovery(now, instance, version, entry),
+                        None => (entry, Vec::new()),
+                    };
                 self.auditor.record_listing(now, instance, &entry.name, entry.state != EndpointState::Up);
                 self.instances[instance].router.update_endpoints(now, &[entry]);
                 self.run_instance(instance);
                 self.apply_gossip_effects(now, effects);
             }
-            Event::Gossip(due) => {
-                if let Some(net) = &mut self.gossip {
-                    let effects = net.handle_event(now, due);
+            Event::Gossip(event) => {
+                if let Some(network) = &mut self.gossip {
+                    let effects = network.handle_event(now, event);
                     self.apply_gossip_effects(now, effects);
                 }
             }
             Event::Fault(number, begins) => self.apply_fault(now, number, begins),
-            Event::ServerDrain(srv) => {
-                self.servers[srv].draining = true;
-                self.announce_endpoint(srv, EndpointState::Draining, None);
+            Event::ServerDrain(server) => {
+                self.servers[server].draining = true;
+                self.announce_endpoint(server, EndpointState::Draining, None);
             }
-            Event::ServerReplacement(srv) => self.replace_server(now, srv),
-            Event::ServerResume(srv) => {
-                let started = self.servers[srv].queue.start_waiting_jobs(now);
+            Event::ServerReplacement(server) => self.replace_server(now, server),
+            Event::ServerResume(server) => {
+                let started = self.servers[server].queue.start_waiting_jobs(now);
                 self.schedule_job_ends(now, started);
             }
             Event::InstanceCrash(instance) => self.crash_instance(now, instance),
@@ -502,7 +513,7 @@
         self.run_instance(instance);
     }
 
-    /// Has an instance do what is due, and carries it out.
+    /// Runs the event work of an instance and carries out its actions.
     fn run_instance(&mut self, instance: usize) {
         let now = self.events.now();
         let next = self.instances[instance].router.run_due_work(now).max(now + 1);
@@ -510,14 +521,11 @@
             self.instances[instance].wake_at = next;
             self.events.schedule_at(next, Event::InstanceWake(instance));
         }
-        for act in self.instances[instance].router.take_actions() {
-            match act {
-                Action::Send {
-                    request_id: id,
-                    dispatch_index: number,
-                    endpoint: srv,
-                    give_up_at: give_up,
-                } => self.send_dispatch(now, (instance, id), number, &srv, give_up),
+        for action in self.instances[instance].router.take_actions() {
+            match action {
+                Action::Send { request_id: id, dispatch_index: number, endpoint: server, give_up_at } => {
+                    self.send_dispatch(now, (instance, id), number, &server, give_up_at)
+                }
                 Action::CancelDispatch { request_id: id, dispatch_index: number } => {
                     self.end_dispatch(now, (instance, id), number, DispatchOutcome::Cancelled)
                 }
@@ -534,48 +542,51 @@
         }
     }
 
-    fn is_unreachable(&self, site: usize, srv: usize) -> bool {
-        let (tier, other) = (self.servers[srv].tier, self.servers[srv].site);
+    fn is_unreachable(&self, site: usize, server: usize) -> bool {
+        let (tier, other) = (self.servers[server].tier, self.servers[server].site);
         site != other && self.unreachable_sites.contains(&(tier, other))
     }
 
-    fn sample_delay(&mut self, site: usize, srv: usize) -> Nanos {
+    fn sample_delay(&mut self, site: usize, server: usize) -> Nanos {
         let network = &self.scenario.network;
-        let way = if site == self.servers[srv].site { &network.within_site } else { &network.between_sites };
+        let way =
+            if site == self.servers[server].site { &network.within_site } else { &network.between_sites };
         way.sample(&mut self.network_random)
     }
 
-    fn send_dispatch(&mut self, now: Nanos, key: RequestKey, number: usize, name: &Name, give_up: Nanos) {
-        let Some(srv) = self.server_indexes.get(name).copied() else { return };
+    fn send_dispatch(&mut self, now: Nanos, key: RequestKey, number: usize, name: &Name, give_up_at: Nanos) {
+        let Some(server) = self.server_indexes.get(name).copied() else { return };
         self.auditor.record_dispatch(now, key, number, name);
-        let Some(under) = self.pending.get_mut(&key) else { return };
-        under.active_dispatch = Some((number, srv, now));
+        let Some(pending) = self.pending.get_mut(&key) else { return };
+        pending.active_dispatch = Some((number, server, now));
         self.sent_by_tier[self.instances[key.0].tier] += 1;
-        self.events.schedule_at(give_up, Event::DispatchTimeout { key, number });
+        self.events.schedule_at(give_up_at, Event::DispatchTimeout { key, number });
         let site = self.instances[key.0].site;
-        if !self.is_unreachable(site, srv) {
-            let delay = self.sample_delay(site, srv);
-            self.events.schedule_after(delay, Event::DispatchArrival { key, number, srv });
+        if !self.is_unreachable(site, server) {
+            let delay = self.sample_delay(site, server);
+            self.events.schedule_after(delay, Event::DispatchArrival { key, number, server });
         }
     }
 
-    fn deliver_dispatch(&mut self, now: Nanos, key: RequestKey, number: usize, srv: usize) {
-        let Some(under) =
-            self.pending.get(&key).filter(|under| under.active_dispatch.is_some_and(|out| out.0 == number))
+    fn deliver_dispatch(&mut self, now: Nanos, key: RequestKey, number: usize, server: usize) {
+        let Some(pending) = self
+            .pending
+            .get(&key)
+            .filter(|pending| pending.active_dispatch.is_some_and(|out| out.0 == number))
         else {
-            // Given up on the way.
+            // The dispatch ended before it arrived.
             return;
         };
-        let (ends, tier) = (under.deadline, &self.scenario.tiers[self.servers[srv].tier]);
+        let (ends, tier) = (pending.deadline, &self.scenario.tiers[self.servers[server].tier]);
         let work = (tier.work_time.sample(&mut self.work_random) as f64
-            * self.slowdown[self.servers[srv].tier]) as Nanos;
-        if self.servers[srv].failing_fast {
-            self.auditor.record_run(now, key, &self.servers[srv].name);
-            return self.send_response(srv, key, number, DispatchOutcome::Error);
-        }
-        if now < self.servers[srv].slow_start_until {
-            let speed = self.servers[srv].queue.speed_at(now);
-            let (name, can) = (self.servers[srv].name.clone(), tier.slots as f64 * speed);
+            * self.slowdown[self.servers[server].tier]) as Nanos;
+        if self.servers[server].failing_fast {
+            self.auditor.record_run(now, key, &self.servers[server].name);
+            return self.send_response(server, key, number, DispatchOutcome::Error);
+        }
+        if now < self.servers[server].slow_start_until {
+            let speed = self.servers[server].queue.speed_at(now);
+            let (name, can) = (self.servers[server].name.clone(), tier.slots as f64 * speed);
             self.auditor.record_slow_start_work(now, key, &name, work as f64 / 1e9, can);
         }
         if now >= ends {
@@ -583,25 +594,25 @@
         }
         self.next_id += 1;
         let job = self.next_id;
-        match self.servers[srv].queue.submit(now, job, work) {
-            Admission::Rejected => self.send_response(srv, key, number, DispatchOutcome::Full),
-            Admission::Queued => drop(self.jobs.insert(job, Job { key, number, srv, ends_at: 0 })),
+        match self.servers[server].queue.submit(now, job, work) {
+            Admission::Rejected => self.send_response(server, key, number, DispatchOutcome::Full),
+            Admission::Queued => drop(self.jobs.insert(job, Job { key, number, server, ends_at: 0 })),
             Admission::Started { ends_at: ends } => {
-                self.jobs.insert(job, Job { key, number, srv, ends_at: 0 });
+                self.jobs.insert(job, Job { key, number, server, ends_at: 0 });
                 self.schedule_job_ends(now, vec![(job, ends)]);
             }
         }
     }
 
-    /// Jobs have started, or end at another time than they did.
+    /// Schedules the ends of jobs that have started or whose end has moved.
     fn schedule_job_ends(&mut self, now: Nanos, jobs: Vec<(u64, Nanos)>) {
         for (number, ends) in jobs {
             let Some(job) = self.jobs.get_mut(&number) else { continue };
             let first = job.ends_at == 0;
             job.ends_at = ends;
-            let (key, srv) = (job.key, job.srv);
+            let (key, server) = (job.key, job.server);
             if first {
-                let name = self.servers[srv].name.clone();
+                let name = self.servers[server].name.clone();
                 self.auditor.record_run(now, key, &name);
             }
             self.events.schedule_at(ends, Event::JobEnd { job: number, ends });
@@ -609,65 +620,73 @@
     }
 
     fn finish_job(&mut self, now: Nanos, number: u64) {
-        let Some(Job { key, number: dispatch, srv, .. }) = self.jobs.remove(&number) else { return };
-        let started = self.servers[srv].queue.finish_job(now, number);
+        let Some(Job { key, number: dispatch, server, .. }) = self.jobs.remove(&number) else { return };
+        let started = self.servers[server].queue.finish_job(now, number);
         self.schedule_job_ends(now, started);
-        let failing = self.scenario.tiers[self.servers[srv].tier].failure_fraction;
-        if self.failure_random.sample_bool(self.reset_fraction[self.servers[srv].tier]) {
-            return self.send_response(srv, key, dispatch, DispatchOutcome::Reset);
+        let failing = self.scenario.tiers[self.servers[server].tier].failure_fraction;
+        if self.failure_random.sample_bool(self.reset_fraction[self.servers[server].tier]) {
+            return self.send_response(server, key, dispatch, DispatchOutcome::Reset);
         }
         if self.failure_random.sample_bool(failing) {
-            return self.send_response(srv, key, dispatch, DispatchOutcome::Error);
+            return self.send_response(server, key, dispatch, DispatchOutcome::Error);
         }
-        // The call below goes on even where the caller has given up: it can't be told from here.
+        // The call to the next tier proceeds even if the caller has disconnected: the server cannot know that.
         match (
-            self.servers[srv].downstream_instance,
-            self.pending.get(&key).map(|under| (under.rule_set, under.deadline)),
+            self.servers[server].downstream_instance,
+            self.pending.get(&key).map(|pending| (pending.rule_set, pending.deadline)),
         ) {
-            (Some(below), Some((set, ends))) if now + MIN_TIME_LEFT < ends => {
+            (Some(downstream), Some((set, ends))) if now + MIN_TIME_LEFT < ends => {
                 self.accept_request(
                     now,
-                    below,
+                    downstream,
                     set,
                     ends - MIN_TIME_LEFT,
-                    Caller::Job { key, number: dispatch, srv },
+                    Caller::Job { key, number: dispatch, server },
                 );
             }
-            (Some(_), _) => self.send_response(srv, key, dispatch, DispatchOutcome::Error),
-            (None, _) => self.send_response(srv, key, dispatch, DispatchOutcome::Done),
+            (Some(_), _) => self.send_response(server, key, dispatch, DispatchOutcome::Error),
+            (None, _) => self.send_response(server, key, dispatch, DispatchOutcome::Done),
         }
     }
 
-    fn send_response(&mut self, srv: usize, key: RequestKey, number: usize, how: DispatchOutcome) {
+    fn send_response(&mut self, server: usize, key: RequestKey, number: usize, outcome: DispatchOutcome) {
         let site = self.instances[key.0].site;
-        if !self.is_unreachable(site, srv) {
-            let delay = self.sample_delay(site, srv);
-            self.events.schedule_after(delay, Event::DispatchResponse { key, number, how });
+        if !self.is_unreachable(site, server) {
+            let delay = self.sample_delay(site, server);
+            self.events.schedule_after(delay, Event::DispatchResponse { key, number, outcome });
         }
     }
 
-    /// A dispatch is over for its instance.
-    fn end_dispatch(&mut self, now: Nanos, key: RequestKey, number: usize, how: DispatchOutcome) {
-        let Some(under) = self.pending.get_mut(&key) else { return };
-        let Some((_, srv, sent)) = under.active_dispatch.take_if(|out| out.0 == number) else { return };
-        let set = under.rule_set;
+    /// Reports the end of a dispatch to its instance.
+    fn end_dispatch(&mut self, now: Nanos, key: RequestKey, number: usize, outcome: DispatchOutcome) {
+        let Some(pending) = self.pending.get_mut(&key) else { return };
+        let Some((_, server, sent)) = pending.active_dispatch.take_if(|out| out.0 == number) else { return };
+        let set = pending.rule_set;
         // The audit trail writes `Cancelled` as "Recalled".
-        let text = if how == DispatchOutcome::Cancelled { "Recalled".into() } else { format!("{how:?}") };
+        let text =
+            if outcome == DispatchOutcome::Cancelled { "Recalled".into() } else { format!("{outcome:?}") };
         self.auditor.record_dispatch_end(now, key, number, &text);
-        if !matches!(how, DispatchOutcome::Done | DispatchOutcome::Error | DispatchOutcome::Full) {
-            self.cancel_queued_job(now, srv, key, number);
+        if !matches!(outcome, DispatchOutcome::Done | DispatchOutcome::Error | DispatchOutcome::Full) {
+            self.cancel_queued_job(now, server, key, number);
         }
-        if how == DispatchOutcome::Done {
+        if outcome == DispatchOutcome::Done {
             self.answer_request(now, key, Answer::Done);
         }
-        self.instances[key.0].router.handle_dispatch_ended(now, key.1, number, how, now - sent);
+        self.instances[key.0].router.handle_dispatch_ended(now, key.1, number, outcome, now - sent);
         self.run_instance(key.0);
-        self.record_outcome(now, key.0, srv, set, how);
+        self.record_outcome(now, key.0, server, set, outcome);
     }
 
-    /// What the others are told of a dispatch, as the program gathers it.
-    fn record_outcome(&mut self, now: Nanos, instance: usize, srv: usize, set: usize, how: DispatchOutcome) {
-        let counts = match how {
+    /// Hands the outcome of a dispatch to gossip, classified as the balancer does it.
+    fn record_outcome(
+        &mut self,
+        now: Nanos,
+        instance: usize,
+        server: usize,
+        set: usize,
+        outcome: DispatchOutcome,
+    ) {
+        let counts = match outcome {
             DispatchOutcome::Done => OutcomeCounts { succeeded: 1, ..OutcomeCounts::default() },
             DispatchOutcome::Error => OutcomeCounts { failed: 1, ..OutcomeCounts::default() },
             DispatchOutcome::NoConnection
@@ -677,18 +696,19 @@
             DispatchOutcome::Full | DispatchOutcome::NotSent | DispatchOutcome::Rejected => return,
         };
         let set = self.rule_set(set).name.as_str();
-        if let Some(net) = self.gossip.as_mut().filter(|net| instance < net.node_count()) {
-            let effects = net.record_outcomes(now, instance, &self.servers[srv].name, set, counts);
+        if let Some(network) = self.gossip.as_mut().filter(|network| instance < network.node_count()) {
+            let effects = network.record_outcomes(now, instance, &self.servers[server].name, set, counts);
             self.apply_gossip_effects(now, effects);
         }
     }
 
-    /// The connection is closed: a srv notices that for what still waits.
-    fn cancel_queued_job(&mut self, now: Nanos, srv: usize, key: RequestKey, number: usize) {
-        let waits = |job: &Job| job.srv == srv && (job.key, job.number, job.ends_at) == (key, number, 0);
+    /// Removes a job from the queue of a server after its connection was closed. Running jobs continue.
+    fn cancel_queued_job(&mut self, now: Nanos, server: usize, key: RequestKey, number: usize) {
+        let waits =
+            |job: &Job| job.server == server && (job.key, job.number, job.ends_at) == (key, number, 0);
         if let Some(job) = self.jobs.iter().find(|(_, job)| waits(job)).map(|(job, _)| *job) {
             self.jobs.remove(&job);
-            let (_, started) = self.servers[srv].queue.cancel_job(now, job);
+            let (_, started) = self.servers[server].queue.cancel_job(now, job);
             self.schedule_job_ends(now, started);
         }
     }
@@ -706,31 +726,32 @@
                 }
                 _ => {}
             },
-            Caller::Job { key, number, srv } => {
-                let how = if answer == Answer::Done { DispatchOutcome::Done } else { DispatchOutcome::Error };
-                self.send_response(srv, key, number, how);
+            Caller::Job { key, number, server } => {
+                let outcome =
+                    if answer == Answer::Done { DispatchOutcome::Done } else { DispatchOutcome::Error };
+                self.send_response(server, key, number, outcome);
             }
         }
     }
 
     fn record_success(&mut self, now: Nanos, call: usize) {
-        let ClientCall { rule_set: set, started_at: born } = self.calls[call];
-        if now - born > self.rule_set(set).response_target {
+        let ClientCall { rule_set: set, started_at } = self.calls[call];
+        if now - started_at > self.rule_set(set).response_target {
             self.report.late += 1;
             return;
         }
         self.report.in_time += 1;
         let utility = self.rule_set(set).utility;
-        self.utility_by_second[((born - START) / S) as usize].1 += utility;
+        self.utility_by_second[((started_at - START) / S) as usize].1 += utility;
         self.utility_by_rule_set[set].1 += utility;
     }
 
-    fn announce_endpoint(&mut self, srv: usize, state: EndpointState, came_up: Option<Nanos>) {
+    fn announce_endpoint(&mut self, server: usize, state: EndpointState, started_at: Option<Nanos>) {
         self.discovery_version += 1;
-        let tier = self.servers[srv].tier;
+        let tier = self.servers[server].tier;
         for instance in 0..self.instances.len() {
             if self.instances[instance].tier == tier {
-                let entry = self.listed_endpoint(&self.servers[srv], state, came_up);
+                let entry = self.listed_endpoint(&self.servers[server], state, started_at);
                 let delay = self.scenario.discovery.delay.sample(&mut self.network_random);
                 let from = self.list_down_until.max(self.events.now());
                 let version = self.discovery_version;
@@ -740,63 +761,56 @@
     }
 
     fn apply_fault(&mut self, now: Nanos, number: usize, begins: bool) {
-        let ScenarioFault {
-            kind: what,
-            tier,
-            site,
-            target_count: srvs,
-            duration: lasts,
-            factor: times,
-            fraction: part,
-            ..
-        } = &self.scenario.faults[number];
+        let ScenarioFault { kind, tier, site, target_count, duration, factor, fraction, .. } =
+            &self.scenario.faults[number];
         let Some(tier) = self.scenario.tiers.iter().position(|known| known.name == *tier) else { return };
-        let of: Vec<usize> = (0..self.servers.len()).filter(|srv| self.servers[*srv].tier == tier).collect();
-        match what {
+        let of: Vec<usize> =
+            (0..self.servers.len()).filter(|server| self.servers[*server].tier == tier).collect();
+        match kind {
             FaultKind::SiteLost if begins => self.unreachable_sites.push((tier, *site)),
             FaultKind::SiteLost => self.unreachable_sites.retain(|lost| *lost != (tier, *site)),
             FaultKind::FastErrors => {
-                of.iter().take(*srvs).for_each(|srv| self.servers[*srv].failing_fast = begins)
+                of.iter().take(*target_count).for_each(|server| self.servers[*server].failing_fast = begins)
             }
             FaultKind::Pause if begins => {
-                for srv in of.into_iter().take(*srvs) {
-                    let moved = self.servers[srv].queue.pause(now, now + lasts);
+                for server in of.into_iter().take(*target_count) {
+                    let moved = self.servers[server].queue.pause(now, now + duration);
                     self.schedule_job_ends(now, moved);
-                    self.events.schedule_after(*lasts, Event::ServerResume(srv));
+                    self.events.schedule_after(*duration, Event::ServerResume(server));
                 }
             }
             FaultKind::Deploy if begins => {
                 let all = of.len() as u64;
-                for (at, srv) in of.into_iter().enumerate() {
-                    let from = lasts / all * at as u64;
-                    self.events.schedule_after(from, Event::ServerDrain(srv));
-                    self.events.schedule_after(from + 4 * S, Event::ServerReplacement(srv));
+                for (at, server) in of.into_iter().enumerate() {
+                    let from = duration / all * at as u64;
+                    self.events.schedule_after(from, Event::ServerDrain(server));
+                    self.events.schedule_after(from + 4 * S, Event::ServerReplacement(server));
                 }
             }
             FaultKind::FleetCut => {
-                let cut = if begins { *srvs } else { 0 };
-                if let Some(net) = &mut self.gossip {
-                    net.partition(cut);
+                let partition_size = if begins { *target_count } else { 0 };
+                if let Some(network) = &mut self.gossip {
+                    network.partition(partition_size);
                 }
             }
             FaultKind::Drain => {
-                for srv in of.into_iter().take(*srvs) {
-                    self.servers[srv].draining = begins;
+                for server in of.into_iter().take(*target_count) {
+                    self.servers[server].draining = begins;
                     self.announce_endpoint(
-                        srv,
+                        server,
                         if begins { EndpointState::Draining } else { EndpointState::Up },
                         None,
                     );
                 }
             }
-            FaultKind::Slow => self.slowdown[tier] = if begins { *times } else { 1.0 },
-            FaultKind::Resets => self.reset_fraction[tier] = if begins { *part } else { 0.0 },
-            FaultKind::ListDown if begins => self.list_down_until = now + lasts,
-            FaultKind::Burst => self.load_factor = if begins { *times } else { 1.0 },
+            FaultKind::Slow => self.slowdown[tier] = if begins { *factor } else { 1.0 },
+            FaultKind::Resets => self.reset_fraction[tier] = if begins { *fraction } else { 0.0 },
+            FaultKind::ListDown if begins => self.list_down_until = now + duration,
+            FaultKind::Burst => self.load_factor = if begins { *factor } else { 1.0 },
             FaultKind::Crash if begins && tier == 0 => {
-                for instance in 0..(*srvs).min(self.scenario.clients.instances) {
+                for instance in 0..(*target_count).min(self.scenario.clients.instances) {
                     self.events.schedule_after(
-                        lasts / (*srvs as u64) * instance as u64,
+                        duration / (*target_count as u64) * instance as u64,
                         Event::InstanceCrash(instance),
                     );
                 }
@@ -805,20 +819,21 @@
         }
     }
 
-    /// A srv's process ends with all that it holds, and another one takes its place.
-    fn replace_server(&mut self, now: Nanos, srv: usize) {
-        let tier = &self.scenario.tiers[self.servers[srv].tier];
+    /// Replaces a server process. Its jobs end with a reset.
+    fn replace_server(&mut self, now: Nanos, server: usize) {
+        let tier = &self.scenario.tiers[self.servers[server].tier];
         let held: Vec<u64> =
-            self.jobs.iter().filter(|(_, job)| job.srv == srv).map(|(job, _)| *job).collect();
+            self.jobs.iter().filter(|(_, job)| job.server == server).map(|(job, _)| *job).collect();
         for job in held {
             if let Some(job) = self.jobs.remove(&job) {
-                self.send_response(srv, job.key, job.number, DispatchOutcome::Reset);
+                self.send_response(server, job.key, job.number, DispatchOutcome::Reset);
             }
         }
-        let srv_ = &mut self.servers[srv];
-        (srv_.queue, srv_.started, srv_.draining) = (ServiceQueue::new(tier.queue_config(), now), now, false);
-        srv_.slow_start_until = now + tier.slow_start.map_or(0, |cold| cold.duration);
-        self.announce_endpoint(srv, EndpointState::Up, Some(now));
+        let state = &mut self.servers[server];
+        (state.queue, state.started, state.draining) =
+            (ServiceQueue::new(tier.queue_config(), now), now, false);
+        state.slow_start_until = now + tier.slow_start.map_or(0, |cold| cold.duration);
+        self.announce_endpoint(server, EndpointState::Up, Some(now));
     }
 
     fn into_report(mut self) -> SimulationReport {
@@ -828,9 +843,9 @@
         let sum = |of: &[(f64, f64)]| of.iter().fold((0.0, 0.0), |a, b| (a.0 + b.0, a.1 + b.1));
         let seconds = &self.utility_by_second[..self.utility_by_second.len() - 1];
         self.report.worst_10s = seconds.windows(10).map(|ten| part(sum(ten))).fold(1.0, f64::min);
-        let recovery = |trouble: &ScenarioFault| {
+        let recovery = |fault: &ScenarioFault| {
             let (from, to) =
-                ((trouble.starts_at / S) as usize, ((trouble.starts_at + trouble.duration) / S) as usize);
+                ((fault.starts_at / S) as usize, ((fault.starts_at + fault.duration) / S) as usize);
             let before = part(sum(seconds.get(..from)?));
             let after = seconds.get(to..)?;
             let good = |three: &[(f64, f64)]| three.iter().all(|second| part(*second) >= 0.97 * before);
@@ -838,10 +853,10 @@
         };
         self.report.recovery = self.scenario.faults.iter().map(recovery).collect();
         self.report.propagation = self.propagation.mean_delays();
-        if let Some(net) = &self.gossip {
+        if let Some(network) = &self.gossip {
             let seconds = (self.events.now() - START) as f64 / S as f64;
-            let all: u64 = net.bytes_sent.iter().sum();
-            self.report.fleet_bytes_per_s = all as f64 / seconds / net.node_count() as f64;
+            let all: u64 = network.bytes_sent.iter().sum();
+            self.report.fleet_bytes_per_s = all as f64 / seconds / network.node_count() as f64;
         }
         self.report.worst_set = self.utility_by_rule_set.iter().map(|both| part(*both)).fold(1.0, f64::min);
         self.report.sends = self
@@ -850,8 +865,8 @@
             .zip(&self.accepted_by_tier)
             .map(|(sent, taken)| *sent as f64 / (*taken).max(1) as f64)
             .collect();
-        let line = |breach: &RuleViolation| {
-            let RuleViolation { rule, at, key, description: what } = breach;
+        let line = |violation: &RuleViolation| {
+            let RuleViolation { rule, at, key, description: what } = violation;
             format!(
                 "rule {rule} at {:.3} s, req {} of instance {}: {what}",
                 (at - START) as f64 / 1e9,
