--- a/emulator/src/main.rs
+++ b/emulator/src/main.rs
@@ -113,7 +113,7 @@
             .collect::<Result<_, _>>()?,
     };
     let scenarios: Vec<Mesh> = sizes.iter().map(|nodes| Mesh { nodes: *nodes, ..scenario.clone() }).collect();
-    if let Some(why) = scenarios.iter().find_map(|scenario| scenario.errors().into_iter().next()) {
+    if let Some(why) = scenarios.iter().find_map(|scenario| scenario.validation_errors().into_iter().next()) {
         return Err(why);
     }
     let reports: Vec<_> =
@@ -125,7 +125,7 @@
     } else {
         reports.iter().for_each(|report| print!("{}", report.text()));
     }
-    let broken = reports.iter().any(|report| !report.breaches.is_empty());
+    let broken = reports.iter().any(|report| !report.violations.is_empty());
     Ok(if broken { ExitCode::from(2) } else { ExitCode::SUCCESS })
 }
 
--- /dev/null
+++ b/emulator/src/mesh/attendant.rs
@@ -0,0 +1,499 @@
+//! An attendant's process in simulated time: its asks for news, its list, its configuration and its claims, by the code
+//! that the real one has; what that does around it is as in `balancer/src/mesh/{news,attendant,keys}.rs`. It must never
+//! know more than it was told.
+
+use std::collections::{BTreeMap, HashSet};
+use std::net::SocketAddr;
+use std::sync::Arc;
+
+use ochreshed_catalog::endpoints::{EndpointRecord, RecordVersion, UpstreamState};
+use ochreshed_catalog::internal_rpc::{InternalRequest, InternalResponse, WatchResponse};
+use ochreshed_catalog::watch_client::{self, EndpointView, ReplicaDirectory, Watcher};
+use ochreshed_consensus::messages::Revision;
+use ochreshed_consensus::messages::{
+    CoreRequest, CoreResponse, LeaseKey, LeaseOutcome, LeaseToken, RegisterValue, StoredResponse,
+};
+
+use super::process_context::{Observation, ProcessContext, Timer, UpstreamStep};
+use super::resource_usage::{Cause, has_updates};
+use crate::{MS, Nanos, S};
+
+/// As in `keys.rs`: the next steward is asked too after this; a claim has so long in all; what came of it is told so long
+/// and so often.
+const HEDGE_DELAY: Nanos = 90 * MS;
+const CLAIM_TIMEOUT: Nanos = 800 * MS;
+const COMPLETION_TIMEOUT: Nanos = 800 * MS;
+const MAX_COMPLETION_ATTEMPTS: usize = 12;
+/// A configuration that has not come by then is fetched from another steward.
+const FETCH_TIMEOUT: Nanos = 900 * MS;
+
+struct WatchSlot {
+    watcher: Watcher,
+    /// The call that waits.
+    open_request: Option<u64>,
+    /// The last reply told of news.
+    had_updates: bool,
+}
+
+enum OpenRequest {
+    Watch { which: usize, steward: SocketAddr, row: RecordVersion },
+    Configuration { steward: SocketAddr, rank: Revision, whole: bool },
+    AcquireLease { claim: u64, steward: SocketAddr },
+    CompleteLease { claim: u64, steward: SocketAddr },
+}
+
+struct LeaseClaim {
+    key: LeaseKey,
+    token: LeaseToken,
+    started_at: Nanos,
+    replicas: Vec<SocketAddr>,
+    requested: usize,
+    in_flight: usize,
+    unanswered: Vec<SocketAddr>,
+    is_decided: bool,
+    outcome: Option<LeaseOutcome>,
+    completion_attempts: usize,
+}
+
+pub struct Attendant {
+    pub address: SocketAddr,
+    seeds: Vec<SocketAddr>,
+    record: EndpointRecord,
+    watches: Vec<WatchSlot>,
+    open_requests: BTreeMap<u64, OpenRequest>,
+    endpoints: EndpointView,
+    suspects: HashSet<SocketAddr>,
+    replicas: ReplicaDirectory,
+    configuration: Option<Arc<RegisterValue>>,
+    fetching: Revision,
+    claims: BTreeMap<u64, LeaseClaim>,
+    next_claim: u64,
+    response_bytes: usize,
+    /// Its upstream was told to go for good.
+    pub shuts_down: bool,
+}
+
+impl Attendant {
+    pub fn start(
+        at: SocketAddr,
+        seeds: &[SocketAddr],
+        service: String,
+        many: usize,
+        answer: usize,
+        context: &mut ProcessContext,
+    ) -> Attendant {
+        let mut known = ReplicaDirectory::default();
+        known.set_replicas(seeds.iter().copied());
+        let row = EndpointRecord {
+            inbound_proxy: at,
+            incarnation: context.now / MS,
+            sequence: 0,
+            zone: "a".into(),
+            service,
+            upstream_id: String::new(),
+            software_version: String::new(),
+            state: UpstreamState::Absent,
+            concurrency_limit: 0,
+            warming_up_ms: 0,
+            calls_services: false,
+            accepts_clients: true,
+            health: Default::default(),
+        };
+        let turn =
+            |which| WatchSlot { watcher: Watcher::new(which, many), open_request: None, had_updates: false };
+        (0..many).for_each(|which| context.start_timer(0, Timer::SendWatch(which)));
+        context.start_timer(S, Timer::UpstreamStep(UpstreamStep::Start));
+        Attendant {
+            address: at,
+            seeds: seeds.to_vec(),
+            record: row,
+            watches: (0..many).map(turn).collect(),
+            open_requests: BTreeMap::new(),
+            endpoints: EndpointView::default(),
+            suspects: HashSet::new(),
+            replicas: known,
+            configuration: None,
+            fetching: Revision::NONE,
+            claims: BTreeMap::new(),
+            next_claim: 0,
+            response_bytes: answer,
+            shuts_down: false,
+        }
+    }
+
+    pub fn suspects_endpoint(&self, door: &SocketAddr) -> bool {
+        self.suspects.contains(door)
+    }
+
+    pub fn version_of(&self, door: SocketAddr) -> RecordVersion {
+        self.endpoints.record(door).map_or_else(RecordVersion::default, EndpointRecord::record_version)
+    }
+
+    pub fn record_count(&self) -> usize {
+        self.endpoints.len()
+    }
+
+    pub fn is_serving(&self) -> bool {
+        self.record.state == UpstreamState::Serving
+    }
+
+    /// Its row says something else now: its asks go out anew.
+    fn update_record(&mut self, context: &mut ProcessContext, change: impl FnOnce(&mut EndpointRecord)) {
+        self.record.sequence += 1;
+        change(&mut self.record);
+        for which in 0..self.watches.len() {
+            if let Some(open) = self.watches[which].open_request.take() {
+                // It is given up; its reply finds nobody.
+                self.open_requests.remove(&open);
+                self.send_watch(which, context);
+            }
+        }
+    }
+
+    pub fn advance_upstream(&mut self, step: UpstreamStep, cold: Nanos, context: &mut ProcessContext) {
+        match step {
+            UpstreamStep::Drain if self.is_serving() => {
+                self.update_record(context, |row| row.state = UpstreamState::Draining);
+                context.observe(Observation::DrainStarted(self.record.record_version()));
+                context.start_timer(2 * S, Timer::UpstreamStep(UpstreamStep::Stop));
+            }
+            UpstreamStep::Stop => {
+                self.update_record(context, |row| row.state = UpstreamState::Absent);
+                let next = if self.shuts_down { UpstreamStep::ShutDown } else { UpstreamStep::Start };
+                context.start_timer(S, Timer::UpstreamStep(next));
+            }
+            UpstreamStep::ShutDown => {
+                self.update_record(context, |row| row.accepts_clients = false);
+                context.start_timer(S / 2, Timer::UpstreamStep(UpstreamStep::Kill));
+            }
+            UpstreamStep::Start => {
+                let id = format!("i-{:x}-{:x}", context.now / MS, self.address.port());
+                self.update_record(context, |row| {
+                    (row.upstream_id, row.software_version, row.state, row.concurrency_limit) =
+                        (id, "v1".into(), UpstreamState::Serving, 8);
+                    row.warming_up_ms = cold / MS;
+                });
+                if cold > 0 {
+                    context.start_timer(cold, Timer::UpstreamStep(UpstreamStep::EndSlowStart));
+                }
+            }
+            UpstreamStep::EndSlowStart if self.record.warming_up_ms > 0 => {
+                self.update_record(context, |row| row.warming_up_ms = 0)
+            }
+            _ => {}
+        }
+    }
+
+    fn configuration_revision(&self) -> Revision {
+        self.configuration.as_ref().map_or(Revision::NONE, |sheet| sheet.revision()).max(self.fetching)
+    }
+
+    fn send_watch(&mut self, which: usize, context: &mut ProcessContext) {
+        let (stewards, sheet) = (self.replicas.replicas(), self.configuration_revision());
+        let turn = &mut self.watches[which];
+        let Some(steward) = turn.watcher.next_replica(context.now, self.address, &stewards) else {
+            context.start_timer(watch_client::RETRY_INTERVAL, Timer::SendWatch(which));
+            return;
+        };
+        let ask = turn.watcher.request(steward, self.record.clone(), sheet, Vec::new());
+        let id = context.send_request(steward, InternalRequest::Watch(ask), turn.had_updates);
+        turn.open_request = Some(id);
+        self.open_requests
+            .insert(id, OpenRequest::Watch { which, steward, row: self.record.record_version() });
+        context.start_timer(watch_client::MAX_WAIT + watch_client::RESPONSE_GRACE, Timer::RequestTimeout(id));
+    }
+
+    /// Whether the reply was waited for.
+    pub fn handle_response(
+        &mut self,
+        id: u64,
+        reply: InternalResponse,
+        context: &mut ProcessContext,
+    ) -> bool {
+        match (self.open_requests.remove(&id), reply) {
+            (Some(OpenRequest::Watch { which, steward, row }), InternalResponse::Watch(reply)) => {
+                let has_sheet = self.configuration.is_some();
+                let quiet =
+                    self.watches[which].watcher.handle_response(context.now, steward, row, has_sheet, &reply);
+                self.watches[which].open_request = None;
+                self.watches[which].had_updates = has_updates(&reply);
+                self.apply_updates((which, steward), *reply, quiet, context);
+                if self.watches[which].open_request.is_none() {
+                    self.send_watch(which, context);
+                }
+            }
+            (
+                Some(OpenRequest::Configuration { steward, rank, whole }),
+                InternalResponse::Configuration(parcel),
+            ) => {
+                self.apply_configuration(
+                    steward,
+                    rank,
+                    whole,
+                    parcel.and_then(|p| p.open(self.configuration.as_deref()).ok()),
+                    context,
+                );
+            }
+            (Some(OpenRequest::AcquireLease { claim, steward }), InternalResponse::Core(got)) => {
+                self.handle_lease_response(claim, steward, got, context)
+            }
+            (Some(OpenRequest::CompleteLease { claim, steward }), InternalResponse::Core(got)) => {
+                self.handle_completion(claim, steward, got == CoreResponse::Accepted, context);
+            }
+            (open, _) => return open.is_some(),
+        }
+        true
+    }
+
+    /// No reply came, or the connection broke.
+    pub fn handle_failure(&mut self, id: u64, context: &mut ProcessContext) {
+        match self.open_requests.remove(&id) {
+            Some(OpenRequest::Watch { which, steward, .. }) => {
+                let stewards = self.replicas.replicas().len();
+                self.watches[which].watcher.request_failed(
+                    context.now,
+                    steward,
+                    self.configuration.is_some(),
+                    stewards,
+                );
+                self.watches[which].open_request = None;
+                self.endpoints.watch_lost(which);
+                context.start_timer(watch_client::RETRY_INTERVAL, Timer::SendWatch(which));
+            }
+            Some(OpenRequest::Configuration { rank, .. }) => self.end_fetch(rank),
+            Some(OpenRequest::AcquireLease { claim, steward }) => {
+                self.handle_lease_response(claim, steward, CoreResponse::Unavailable, context)
+            }
+            Some(OpenRequest::CompleteLease { claim, steward }) => {
+                self.handle_completion(claim, steward, false, context)
+            }
+            None => {}
+        }
+    }
+
+    fn apply_updates(
+        &mut self,
+        (which, steward): (usize, SocketAddr),
+        reply: WatchResponse,
+        quiet: HashSet<SocketAddr>,
+        context: &mut ProcessContext,
+    ) {
+        if let Some(life) = reply.known_incarnation.filter(|life| *life > self.record.incarnation) {
+            self.update_record(context, |row| row.incarnation = life + 1);
+        }
+        if let Some(rank) = reply.configuration.filter(|rank| *rank > self.configuration_revision()) {
+            self.fetching = rank;
+            self.fetch_configuration(steward, rank, false, context);
+        }
+        if reply
+            .drains
+            .iter()
+            .any(|drain| drain.inbound_proxy == self.address && drain.upstream_id == self.record.upstream_id)
+        {
+            self.advance_upstream(UpstreamStep::Drain, 0, context);
+        }
+        if !reply.replicas.is_empty() {
+            self.replicas.set_replicas(reply.replicas.into_iter().chain(self.seeds.iter().copied()));
+        }
+        let doors: Vec<SocketAddr> = reply.records.iter().map(|row| row.inbound_proxy).collect();
+        if self.endpoints.merge(context.now, which, reply.records, quiet) {
+            // All is listed anew.
+            context.process_records(Cause::RecordUpdates, self.endpoints.len());
+            self.suspects = self.endpoints.suspects();
+            context.observe(Observation::SuspectsUpdated);
+        }
+        for door in doors {
+            context.observe(Observation::RecordUpdated(door, self.version_of(door)));
+        }
+    }
+
+    fn fetch_configuration(
+        &mut self,
+        steward: SocketAddr,
+        rank: Revision,
+        whole: bool,
+        context: &mut ProcessContext,
+    ) {
+        let have =
+            self.configuration.as_ref().filter(|_| !whole).map_or(Revision::NONE, |sheet| sheet.revision());
+        let id = context.send_request(steward, InternalRequest::Configuration(have), false);
+        self.open_requests.insert(id, OpenRequest::Configuration { steward, rank, whole });
+        context.start_timer(FETCH_TIMEOUT, Timer::RequestTimeout(id));
+    }
+
+    fn apply_configuration(
+        &mut self,
+        at: SocketAddr,
+        rank: Revision,
+        whole: bool,
+        sheet: Option<RegisterValue>,
+        context: &mut ProcessContext,
+    ) {
+        match sheet {
+            Some(sheet) => {
+                if self.configuration.as_ref().is_none_or(|here| here.revision() < sheet.revision()) {
+                    context.observe(Observation::ConfigurationApplied(sheet.revision()));
+                    self.configuration = Some(Arc::new(sheet));
+                }
+                self.end_fetch(rank);
+            }
+            None if !whole => self.fetch_configuration(at, rank, true, context),
+            None => self.end_fetch(rank),
+        }
+    }
+
+    fn end_fetch(&mut self, rank: Revision) {
+        if self.fetching == rank {
+            self.fetching = Revision::NONE;
+        }
+    }
+
+    pub fn acquire_lease(&mut self, key: LeaseKey, token: LeaseToken, context: &mut ProcessContext) {
+        self.next_claim += 1;
+        let claim = LeaseClaim {
+            key,
+            token,
+            started_at: context.now,
+            replicas: self.replicas.replicas_for_key(context.now, key),
+            requested: 0,
+            in_flight: 0,
+            unanswered: Vec::new(),
+            is_decided: false,
+            outcome: None,
+            completion_attempts: 0,
+        };
+        self.claims.insert(self.next_claim, claim);
+        self.ask_next_replica(self.next_claim, context);
+    }
+
+    fn ask_next_replica(&mut self, number: u64, context: &mut ProcessContext) {
+        let Some(claim) = self.claims.get_mut(&number).filter(|claim| !claim.is_decided) else { return };
+        if context.now >= claim.started_at + CLAIM_TIMEOUT {
+            self.decide_claim(number, CoreResponse::Unavailable, context);
+            return;
+        }
+        if let Some(steward) = claim.replicas.get(claim.requested).copied() {
+            claim.requested += 1;
+            claim.in_flight += 1;
+            claim.unanswered.push(steward);
+            let (key, token) = (claim.key, claim.token);
+            let ask = InternalRequest::Core(CoreRequest::AcquireLease {
+                key,
+                token,
+                time_left_ms: (CLAIM_TIMEOUT / MS) as u32,
+            });
+            let id = context.send_request(steward, ask, false);
+            self.open_requests.insert(id, OpenRequest::AcquireLease { claim: number, steward });
+            context.start_timer(CLAIM_TIMEOUT, Timer::RequestTimeout(id));
+        } else if claim.in_flight == 0 {
+            self.decide_claim(number, CoreResponse::Unavailable, context);
+            return;
+        }
+        context.start_timer(HEDGE_DELAY, Timer::HedgeLease(number));
+    }
+
+    fn handle_lease_response(
+        &mut self,
+        number: u64,
+        steward: SocketAddr,
+        got: CoreResponse,
+        context: &mut ProcessContext,
+    ) {
+        let Some(claim) = self.claims.get_mut(&number) else { return };
+        claim.in_flight = claim.in_flight.saturating_sub(1);
+        if claim.is_decided {
+            return;
+        }
+        claim.unanswered.retain(|silent| *silent != steward);
+        if got == CoreResponse::Unavailable {
+            self.replicas.failed(context.now, steward);
+            if claim.in_flight == 0 {
+                self.ask_next_replica(number, context);
+            }
+            return;
+        }
+        self.replicas.replied(steward);
+        let silent = std::mem::take(&mut claim.unanswered);
+        silent.into_iter().for_each(|silent| self.replicas.failed(context.now, silent));
+        self.decide_claim(number, got, context);
+    }
+
+    fn decide_claim(&mut self, number: u64, got: CoreResponse, context: &mut ProcessContext) {
+        let Some(claim) = self.claims.get_mut(&number) else { return };
+        claim.is_decided = true;
+        if got == CoreResponse::LeaseGranted {
+            context.observe(Observation::LeaseGranted(
+                claim.key,
+                claim.token,
+                context.now - claim.started_at,
+                number,
+            ));
+            return;
+        }
+        if got == CoreResponse::Unavailable {
+            context.observe(Observation::LeaseUnanswered);
+        }
+        context.observe(Observation::LeaseReleased(claim.key, claim.token));
+        self.complete_lease(number, context);
+    }
+
+    /// Its req has run.
+    pub fn finish_request(&mut self, number: u64, context: &mut ProcessContext) {
+        let body = vec![7; self.response_bytes];
+        if let Some(claim) = self.claims.get_mut(&number) {
+            claim.outcome = Some(LeaseOutcome::Completed(Arc::new(StoredResponse {
+                status: 200,
+                headers: Vec::new(),
+                body,
+            })));
+        }
+        self.complete_lease(number, context);
+    }
+
+    fn complete_lease(&mut self, number: u64, context: &mut ProcessContext) {
+        let Some(claim) = self.claims.get_mut(&number) else { return };
+        let order = self.replicas.replicas_for_key(context.now, claim.key);
+        if claim.completion_attempts >= MAX_COMPLETION_ATTEMPTS || order.is_empty() {
+            self.claims.remove(&number);
+            return;
+        }
+        let steward = order[claim.completion_attempts % order.len()];
+        claim.completion_attempts += 1;
+        let (key, token, outcome) = (claim.key, claim.token, claim.outcome.clone());
+        let id = context.send_request(
+            steward,
+            InternalRequest::Core(CoreRequest::CompleteLease { key, token, outcome }),
+            false,
+        );
+        self.open_requests.insert(id, OpenRequest::CompleteLease { claim: number, steward });
+        context.start_timer(COMPLETION_TIMEOUT, Timer::RequestTimeout(id));
+    }
+
+    fn handle_completion(
+        &mut self,
+        number: u64,
+        steward: SocketAddr,
+        taken: bool,
+        context: &mut ProcessContext,
+    ) {
+        if taken {
+            self.claims.remove(&number);
+        } else {
+            self.replicas.failed(context.now, steward);
+            context.start_timer(150 * MS, Timer::CompleteLease(number));
+        }
+    }
+
+    pub fn handle_timer(&mut self, timer: Timer, context: &mut ProcessContext) {
+        match timer {
+            Timer::SendWatch(which) if self.watches[which].open_request.is_none() => {
+                self.send_watch(which, context)
+            }
+            Timer::RequestTimeout(id) => self.handle_failure(id, context),
+            Timer::HedgeLease(claim) => self.ask_next_replica(claim, context),
+            Timer::RequestDone(claim) => self.finish_request(claim, context),
+            Timer::CompleteLease(claim) => self.complete_lease(claim, context),
+            _ => {}
+        }
+    }
+}
--- a/emulator/src/mesh/report.rs
+++ b/emulator/src/mesh/report.rs
@@ -5,35 +5,38 @@
 
 use serde::Serialize;
 
-use super::audit::Audit;
-use super::count::{Books, CAUSES, Cause, Sum};
+use super::audit::Auditor;
+use super::propagation::{PropagationTracker, UpdateKind};
+use super::resource_usage::{CAUSES, Cause, ResourceUsage, UsageSum};
 use super::scenario::Scenario;
-use super::watch::{Kind, Watch};
 
 /// Seconds until all gates knew.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
-pub struct Curve {
-    pub times: usize,
+pub struct DelaySummary {
+    #[serde(rename = "times")]
+    pub count: usize,
     /// Not known to all at the end.
-    pub unheard: usize,
+    #[serde(rename = "unheard")]
+    pub unfinished: usize,
     pub p50: f64,
     pub p99: f64,
     pub max: f64,
 }
 
-impl Curve {
-    fn of(mut times: Vec<f64>, unheard: usize) -> Curve {
+impl DelaySummary {
+    fn of(mut times: Vec<f64>, unheard: usize) -> DelaySummary {
         times.sort_by(f64::total_cmp);
         let at = |part: f64| {
             let place = (times.len() as f64 * part).ceil() as usize;
             times.get(place.saturating_sub(1)).copied().unwrap_or(0.0)
         };
-        Curve { times: times.len(), unheard, p50: at(0.5), p99: at(0.99), max: at(1.0) }
+        DelaySummary { count: times.len(), unfinished: unheard, p50: at(0.5), p99: at(0.99), max: at(1.0) }
     }
 
     fn text(&self) -> String {
-        let unheard = if self.unheard > 0 { format!(" ({} open)", self.unheard) } else { String::new() };
-        if self.times == 0 {
+        let unheard =
+            if self.unfinished > 0 { format!(" ({} open)", self.unfinished) } else { String::new() };
+        if self.count == 0 {
             return format!("-{unheard}");
         }
         format!("{:.2} {:.2} {:.2}{unheard}", self.p50, self.p99, self.max)
@@ -44,41 +47,48 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Load {
     pub mean: f64,
-    pub worst: f64,
+    #[serde(rename = "worst")]
+    pub peak: f64,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Report {
     pub nodes: usize,
     pub stewards: usize,
-    pub drain: Curve,
-    pub dead: Curve,
+    pub drain: DelaySummary,
+    #[serde(rename = "dead")]
+    pub failure: DelaySummary,
     /// Of the dead, those that were back before all knew.
     pub returned: usize,
-    pub configuration: Curve,
+    pub configuration: DelaySummary,
     /// Of claims: asked, granted, without an answer that counts; ms until granted.
     pub claims: [u64; 3],
-    pub claim_ms: Curve,
+    pub claim_ms: DelaySummary,
     /// Of one of them, a second, by cause.
-    pub steward: Vec<(Cause, Sum)>,
-    pub attendant: Vec<(Cause, Sum)>,
+    #[serde(rename = "steward")]
+    pub steward_usage: Vec<(Cause, UsageSum)>,
+    #[serde(rename = "attendant")]
+    pub attendant_usage: Vec<(Cause, UsageSum)>,
     pub processor: Load,
     pub link_out: Load,
     pub link_in: Load,
     /// The longest that something waited for a steward's processor.
-    pub wait_ms: f64,
+    #[serde(rename = "wait_ms")]
+    pub max_wait_ms: f64,
     pub events: u64,
     /// Rows, grants and reads that were looked at, and what was broken.
-    pub looked_at: [u64; 3],
-    pub breaches: Vec<String>,
+    #[serde(rename = "looked_at")]
+    pub checks: [u64; 3],
+    #[serde(rename = "breaches")]
+    pub violations: Vec<String>,
 }
 
-fn mean(books: &[Books], seconds: f64) -> Vec<(Cause, Sum)> {
-    let each = books.len().max(1) as f64 * seconds;
-    let of = |cause: Cause, pick: fn(&Sum) -> f64| {
-        books.iter().map(|books| pick(&books.sums[cause as usize])).sum::<f64>() / each
+fn mean(usage: &[ResourceUsage], seconds: f64) -> Vec<(Cause, UsageSum)> {
+    let each = usage.len().max(1) as f64 * seconds;
+    let of = |cause: Cause, pick: fn(&UsageSum) -> f64| {
+        usage.iter().map(|usage| pick(&usage.sums[cause as usize])).sum::<f64>() / each
     };
-    let sum = |cause: Cause| Sum {
+    let sum = |cause: Cause| UsageSum {
         messages: of(cause, |sum| sum.messages),
         bytes: of(cause, |sum| sum.bytes),
         wakes: of(cause, |sum| sum.wakes),
@@ -90,50 +100,51 @@
 pub(super) fn report(
     scenario: &Scenario,
     seconds: f64,
-    (stewards, gates): (Vec<Books>, Vec<Books>),
-    watch: &Watch,
-    audit: &Audit,
+    (stewards, gates): (Vec<ResourceUsage>, Vec<ResourceUsage>),
+    watch: &PropagationTracker,
+    audit: &Auditor,
     (claims, claim_ms): ([u64; 3], Vec<f64>),
     events: u64,
 ) -> Report {
-    let curve =
-        |kind: Kind| Curve::of(watch.done.get(&kind).cloned().unwrap_or_default(), watch.unheard(kind));
+    let curve = |kind: UpdateKind| {
+        DelaySummary::of(watch.delays_s.get(&kind).cloned().unwrap_or_default(), watch.unfinished(kind))
+    };
     let load = |which: usize, limit: f64| Load {
-        mean: stewards.iter().map(|books| books.total[which]).fold(0.0, f64::max) / seconds / limit,
-        worst: stewards.iter().map(|books| books.worst[which]).fold(0.0, f64::max) / limit,
+        mean: stewards.iter().map(|usage| usage.total[which]).fold(0.0, f64::max) / seconds / limit,
+        peak: stewards.iter().map(|usage| usage.peak_second[which]).fold(0.0, f64::max) / limit,
     };
-    let bytes = scenario.link.mbit * 1e6 / 8.0;
+    let bytes = scenario.link.bandwidth_mbit_s * 1e6 / 8.0;
     Report {
         nodes: scenario.nodes,
         stewards: scenario.stewards,
-        drain: curve(Kind::Drain),
-        dead: curve(Kind::Dead),
+        drain: curve(UpdateKind::Drain),
+        failure: curve(UpdateKind::Failure),
         returned: watch.returned,
-        configuration: curve(Kind::Configuration),
+        configuration: curve(UpdateKind::Configuration),
         claims,
-        claim_ms: Curve::of(claim_ms, 0),
-        steward: mean(&stewards, seconds),
-        attendant: mean(&gates, seconds),
+        claim_ms: DelaySummary::of(claim_ms, 0),
+        steward_usage: mean(&stewards, seconds),
+        attendant_usage: mean(&gates, seconds),
         processor: load(0, 1e9 * scenario.processor.steward_share),
         link_out: load(1, bytes),
         link_in: load(2, bytes),
-        wait_ms: stewards.iter().map(|books| books.wait).max().unwrap_or(0) as f64 / 1e6,
+        max_wait_ms: stewards.iter().map(|usage| usage.max_wait).max().unwrap_or(0) as f64 / 1e6,
         events,
-        looked_at: audit.seen,
-        breaches: audit.breaches.clone(),
+        checks: audit.checks,
+        violations: audit.violations.clone(),
     }
 }
 
-fn causes(text: &mut String, of: &str, sums: &[(Cause, Sum)]) {
+fn causes(text: &mut String, of: &str, sums: &[(Cause, UsageSum)]) {
     let _ = writeln!(
         text,
         "\n| {of}, a second | messages | bytes | wake-ups | processor, us |\n| --- | --- | --- | --- | --- |"
     );
     let mut sums = sums.to_vec();
     sums.sort_by(|(_, a), (_, b)| b.processor.total_cmp(&a.processor));
-    let mut all = Sum::default();
+    let mut all = UsageSum::default();
     for (cause, sum) in &sums {
-        let name = format!("{cause:?}").to_lowercase();
+        let name = cause.label();
         let (messages, bytes, wakes) = (sum.messages, sum.bytes, sum.wakes);
         let _ = writeln!(
             text,
@@ -145,7 +156,7 @@
         all.wakes += wakes;
         all.processor += sum.processor;
     }
-    let Sum { messages, bytes, wakes, processor } = all;
+    let UsageSum { messages, bytes, wakes, processor } = all;
     let _ = writeln!(text, "| all | {messages:.1} | {bytes:.0} | {wakes:.1} | {:.0} |", processor / 1e3);
 }
 
@@ -157,9 +168,9 @@
         );
         let _ = writeln!(text, "seconds until all gates know, p50 p99 max:");
         for (name, curve) in
-            [("drain", &self.drain), ("dead", &self.dead), ("configuration", &self.configuration)]
+            [("drain", &self.drain), ("dead", &self.failure), ("configuration", &self.configuration)]
         {
-            let _ = writeln!(text, "  {name}: {} of {}", curve.text(), curve.times);
+            let _ = writeln!(text, "  {name}: {} of {}", curve.text(), curve.count);
         }
         let [asked, granted, unsure] = self.claims;
         let _ = writeln!(
@@ -173,19 +184,19 @@
             let _ = writeln!(
                 text,
                 "busiest steward's {name}: {:.3} of its limit, {:.3} in the worst second",
-                load.mean, load.worst
+                load.mean, load.peak
             );
         }
-        let _ = writeln!(text, "longest wait for a steward's processor: {:.0} ms", self.wait_ms);
-        causes(&mut text, "a steward", &self.steward);
-        causes(&mut text, "an attendant", &self.attendant);
-        let [rows, grants, reads] = self.looked_at;
+        let _ = writeln!(text, "longest wait for a steward's processor: {:.0} ms", self.max_wait_ms);
+        causes(&mut text, "a steward", &self.steward_usage);
+        causes(&mut text, "an attendant", &self.attendant_usage);
+        let [rows, grants, reads] = self.checks;
         let _ = writeln!(
             text,
             "\nlooked at {rows} rows, {grants} grants, {reads} reads: {} broken",
-            self.breaches.len()
+            self.violations.len()
         );
-        self.breaches.iter().take(10).for_each(|breach| {
+        self.violations.iter().take(10).for_each(|breach| {
             let _ = writeln!(text, "BROKEN {breach}");
         });
         text
@@ -211,37 +222,35 @@
          | nodes | drain | dead | configuration | processor | link out | link in | wait, ms | claim ms | broken |\n\
          | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n",
     );
-    let load = |load: Load| format!("{:.3} ({:.3})", load.mean, load.worst);
+    let load = |load: Load| format!("{:.3} ({:.3})", load.mean, load.peak);
     for report in reports {
         let _ = writeln!(
             text,
             "| {} | {} | {} | {} | {} | {} | {} | {:.0} | {:.1} {:.1} | {} |",
             report.nodes,
             report.drain.text(),
-            report.dead.text(),
+            report.failure.text(),
             report.configuration.text(),
             load(report.processor),
             load(report.link_out),
             load(report.link_in),
-            report.wait_ms,
+            report.max_wait_ms,
             report.claim_ms.p50,
             report.claim_ms.p99,
-            report.breaches.len()
+            report.violations.len()
         );
     }
     text += "\n| a second, one of them | nodes | messages | kB | wake-ups | processor, ms | most of it |\n| --- | --- | --- | --- | --- | --- | --- |\n";
     for report in reports {
-        for (name, sums) in [("steward", &report.steward), ("attendant", &report.attendant)] {
-            let sum = |pick: fn(&Sum) -> f64| sums.iter().map(|(_, sum)| pick(sum)).sum::<f64>();
+        for (name, sums) in [("steward", &report.steward_usage), ("attendant", &report.attendant_usage)] {
+            let sum = |pick: fn(&UsageSum) -> f64| sums.iter().map(|(_, sum)| pick(sum)).sum::<f64>();
             let mut order = sums.clone();
             order.sort_by(|(_, a), (_, b)| b.processor.total_cmp(&a.processor));
             let all = sum(|sum| sum.processor);
             let most: Vec<String> = order
                 .iter()
                 .take(3)
-                .map(|(cause, sum)| {
-                    format!("{} {:.0}%", format!("{cause:?}").to_lowercase(), 100.0 * sum.processor / all)
-                })
+                .map(|(cause, sum)| format!("{} {:.0}%", cause.label(), 100.0 * sum.processor / all))
                 .collect();
             let _ = writeln!(
                 text,
@@ -258,11 +267,11 @@
     type Pick = fn(&Report) -> f64;
     let limits: [(&str, Pick); 6] = [
         ("processor, in the mean", |r| r.processor.mean),
-        ("processor, in the worst second", |r| r.processor.worst),
+        ("processor, in the worst second", |r| r.processor.peak),
         ("link out, in the mean", |r| r.link_out.mean),
-        ("link out, in the worst second", |r| r.link_out.worst),
+        ("link out, in the worst second", |r| r.link_out.peak),
         ("link in, in the mean", |r| r.link_in.mean),
-        ("link in, in the worst second", |r| r.link_in.worst),
+        ("link in, in the worst second", |r| r.link_in.peak),
     ];
     let mut breaks: Vec<(f64, &str)> = limits
         .iter()
--- a/emulator/src/mesh/simulation.rs
+++ b/emulator/src/mesh/simulation.rs
@@ -10,32 +10,32 @@
 use ochreshed_consensus::core::{Config, Mutation};
 use ochreshed_consensus::messages::{CoreRequest, LeaseKey, LeaseToken, RegisterValue};
 
-use super::audit::Audit;
-use super::count::{Books, CAUSES, Cause};
-use super::gate::Gate;
-use super::hand::{Hand, Note, Out, Step, Timer};
+use super::attendant::Attendant;
+use super::audit::Auditor;
+use super::process_context::{Observation, ProcessContext, ProcessEffect, Timer, UpstreamStep};
+use super::propagation::{PropagationTracker, UpdateKind};
 use super::report::{Report, report};
+use super::resource_usage::{CAUSES, Cause, ResourceUsage};
 use super::scenario::{Fault, FaultKind, FaultTarget, Scenario};
-use super::steward::{Kept, Start, Steward};
-use super::watch::{Kind, Watch};
+use super::steward::{StableStorage, Steward, StewardStart};
 use crate::event_queue::EventQueue;
 use crate::random::RandomStream;
 use crate::{MS, Nanos, S};
 
 const START: Nanos = 1_000 * S;
 /// As in `steward.rs`: a voter of whom nothing was heard for so long may be replaced.
-const LOST: Nanos = 5 * S;
-const CLAIMS: usize = 200_000;
-const ANSWERS: usize = 64 << 20;
+const MEMBER_TIMEOUT: Nanos = 5 * S;
+const MAX_LEASES: usize = 200_000;
+const MAX_RESPONSE_BYTES: usize = 64 << 20;
 /// How long claims are kept.
-const KEEP: Nanos = 80 * S;
+const LEASE_TTL: Nanos = 80 * S;
 /// An operator whose configuration was not acknowledged sends it again, and reads it so often.
-const OPERATOR: Nanos = 2_500 * MS;
-const READS: Nanos = 500 * MS;
+const OPERATOR_RETRY_INTERVAL: Nanos = 2_500 * MS;
+const OPERATOR_READ_INTERVAL: Nanos = 500 * MS;
 /// A repeat is of one of the last so many keys.
-const KEYS: usize = 64;
+const RECENT_KEYS: usize = 64;
 
-enum Say {
+enum Payload {
     Request(Box<InternalRequest>),
     Response(InternalResponse),
 }
@@ -46,88 +46,88 @@
     id: u64,
     bytes: u64,
     cause: Cause,
-    say: Say,
+    payload: Payload,
 }
 
 enum Event {
-    Arrive(Box<Message>),
+    MessageArrival(Box<Message>),
     /// The processor has come to it.
-    Handle(u64, Box<Message>),
-    Timer(usize, u64, Timer),
-    Run(usize, u64, Timer),
-    Broken(usize, u64),
-    Trouble(usize, usize),
-    Over(usize),
-    Start(usize),
-    Configuration,
-    Send(u64),
-    Read,
-    Claim(usize),
-    Turn(usize),
-    Count,
+    MessageReady(u64, Box<Message>),
+    TimerExpiry(usize, u64, Timer),
+    TimerReady(usize, u64, Timer),
+    ConnectionBroken(usize, u64),
+    FaultStart(usize, usize),
+    FaultEnd(usize),
+    ProcessStart(usize),
+    NewConfiguration,
+    SendConfiguration(u64),
+    ReadConfiguration,
+    LeaseRequest(usize),
+    UpstreamTurnover(usize),
+    MeasurementStart,
 }
 
 enum Process {
     Steward(Box<Steward>),
-    Gate(Box<Gate>),
+    Attendant(Box<Attendant>),
 }
 
 struct Node {
-    at: SocketAddr,
+    address: SocketAddr,
     process: Option<Process>,
-    life: u64,
-    kept: Kept,
+    incarnation: u64,
+    storage: StableStorage,
     /// Its processor, and its link each way, are free from then on.
-    free: Nanos,
-    out: Nanos,
-    inn: Nanos,
-    frozen: Nanos,
-    cut: bool,
-    books: Books,
+    processor_free_at: Nanos,
+    link_out_free_at: Nanos,
+    link_in_free_at: Nanos,
+    frozen_until: Nanos,
+    is_partitioned: bool,
+    usage: ResourceUsage,
 }
 
 pub struct Simulation<'a> {
-    of: &'a Scenario,
+    scenario: &'a Scenario,
     mutation: Option<Mutation>,
     events: EventQueue<Event>,
     nodes: Vec<Node>,
     /// Calls that wait for a reply: who asks whom.
-    open: BTreeMap<u64, (usize, usize)>,
+    open_calls: BTreeMap<u64, (usize, usize)>,
     /// When the last message arrives, by both ends: a connection keeps its order.
-    order: BTreeMap<(usize, usize), Nanos>,
-    ids: u64,
-    net: RandomStream,
-    load: RandomStream,
-    keys: VecDeque<LeaseKey>,
-    sheets: Vec<Arc<RegisterValue>>,
-    audit: Audit,
-    watch: Watch,
-    handled: u64,
-    claims: [u64; 3],
-    claim_ms: Vec<f64>,
+    last_arrival: BTreeMap<(usize, usize), Nanos>,
+    last_request_id: u64,
+    network_random: RandomStream,
+    load_random: RandomStream,
+    recent_keys: VecDeque<LeaseKey>,
+    configurations: Vec<Arc<RegisterValue>>,
+    auditor: Auditor,
+    propagation: PropagationTracker,
+    events_handled: u64,
+    lease_counts: [u64; 3],
+    lease_delays_ms: Vec<f64>,
 }
 
 /// Plays a scenario; `mutation` breaks a rule of the core.
 pub fn simulate(scenario: &Scenario, seed: u64, mutation: Option<Mutation>) -> Report {
     let mut simulation = Simulation::new(scenario, seed, mutation);
-    let end = START + scenario.warm() + scenario.lasts;
+    let end = START + scenario.warm_up_time() + scenario.duration;
     while let Some(event) = simulation.events.pop_until(end) {
-        simulation.handled += 1;
-        simulation.happen(event);
+        simulation.events_handled += 1;
+        simulation.handle_event(event);
     }
-    let seconds = scenario.lasts as f64 / 1e9;
+    let seconds = scenario.duration as f64 / 1e9;
     let split = scenario.stewards;
-    let of = |nodes: &[Node]| nodes.iter().map(|node| node.books.clone()).collect::<Vec<_>>();
+    let of = |nodes: &[Node]| nodes.iter().map(|node| node.usage.clone()).collect::<Vec<_>>();
     let (stewards, gates) = simulation.nodes.split_at(split);
-    let claims = (simulation.claims, std::mem::take(&mut simulation.claim_ms));
+    let claims = (simulation.lease_counts, std::mem::take(&mut simulation.lease_delays_ms));
     report(
         scenario,
         seconds,
         (of(stewards), of(gates)),
-        &simulation.watch,
-        &simulation.audit,
+        &simulation.propagation,
+        &simulation.auditor,
         claims,
-        simulation.handled,
+        simulation.events_handled,
     )
 }
 
@@ -156,79 +156,83 @@
             SocketAddr::from((ip, if tier == 0 { 8_202 } else { 8_300 }))
         };
         let node = |number: usize| Node {
-            at: at(number),
+            address: at(number),
             process: None,
-            life: 0,
-            kept: Kept::default(),
-            free: 0,
-            out: 0,
-            inn: 0,
-            frozen: 0,
-            cut: false,
-            books: Books::default(),
+            incarnation: 0,
+            storage: StableStorage::default(),
+            processor_free_at: 0,
+            link_out_free_at: 0,
+            link_in_free_at: 0,
+            frozen_until: 0,
+            is_partitioned: false,
+            usage: ResourceUsage::default(),
         };
         let mut simulation = Simulation {
-            of,
+            scenario: of,
             mutation,
             events: EventQueue::new(START),
             nodes: (0..of.stewards + of.nodes).map(node).collect(),
-            open: BTreeMap::new(),
-            order: BTreeMap::new(),
-            ids: 0,
-            net: RandomStream::new(seed, "mesh net"),
-            load: RandomStream::new(seed, "mesh load"),
-            keys: VecDeque::new(),
-            sheets: Vec::new(),
-            audit: Audit::default(),
-            watch: Watch::default(),
-            handled: 0,
-            claims: [0; 3],
-            claim_ms: Vec::new(),
+            open_calls: BTreeMap::new(),
+            last_arrival: BTreeMap::new(),
+            last_request_id: 0,
+            network_random: RandomStream::new(seed, "mesh net"),
+            load_random: RandomStream::new(seed, "mesh load"),
+            recent_keys: VecDeque::new(),
+            configurations: Vec::new(),
+            auditor: Auditor::default(),
+            propagation: PropagationTracker::default(),
+            events_handled: 0,
+            lease_counts: [0; 3],
+            lease_delays_ms: Vec::new(),
         };
         for number in 0..simulation.nodes.len() {
-            let spread = if number < of.stewards { 200 * MS } else { of.starts() };
-            let after = (simulation.load.sample_fraction() * spread as f64) as Nanos;
-            simulation.events.schedule_after(after, Event::Start(number));
+            let spread = if number < of.stewards { 200 * MS } else { of.startup_time() };
+            let after = (simulation.load_random.sample_fraction() * spread as f64) as Nanos;
+            simulation.events.schedule_after(after, Event::ProcessStart(number));
         }
-        simulation.events.schedule_after(S, Event::Configuration);
-        simulation.events.schedule_after(READS, Event::Read);
-        simulation.events.schedule_after(of.warm(), Event::Count);
+        simulation.events.schedule_after(S, Event::NewConfiguration);
+        simulation.events.schedule_after(OPERATOR_READ_INTERVAL, Event::ReadConfiguration);
+        simulation.events.schedule_after(of.warm_up_time(), Event::MeasurementStart);
         for gate in of.stewards..simulation.nodes.len() {
-            for event in [Event::Claim(gate), Event::Turn(gate)] {
-                simulation.again(of.starts(), event);
+            for event in [Event::LeaseRequest(gate), Event::UpstreamTurnover(gate)] {
+                simulation.schedule_load(of.startup_time(), event);
             }
         }
-        for (number, trouble) in of.troubles.iter().enumerate() {
-            let many = trouble.many(simulation.of_who(trouble.who).len());
-            let one_by_one = matches!(trouble.what, FaultKind::Kill | FaultKind::Roll);
+        for (number, trouble) in of.faults.iter().enumerate() {
+            let many = trouble.target_count(simulation.target_nodes(trouble.target).len());
+            let one_by_one = matches!(trouble.kind, FaultKind::Kill | FaultKind::Roll);
             for step in 0..many {
-                let within = if one_by_one { trouble.lasts / many as u64 * step as u64 } else { 0 };
-                simulation
-                    .events
-                    .schedule_after(of.warm() + trouble.at + within, Event::Trouble(number, step));
+                let within = if one_by_one { trouble.duration / many as u64 * step as u64 } else { 0 };
+                simulation.events.schedule_after(
+                    of.warm_up_time() + trouble.starts_at + within,
+                    Event::FaultStart(number, step),
+                );
             }
             if !one_by_one {
-                simulation.events.schedule_after(of.warm() + trouble.at + trouble.lasts, Event::Over(number));
+                simulation.events.schedule_after(
+                    of.warm_up_time() + trouble.starts_at + trouble.duration,
+                    Event::FaultEnd(number),
+                );
             }
         }
         simulation
     }
 
     /// A load's next time.
-    fn again(&mut self, from: Nanos, event: Event) {
+    fn schedule_load(&mut self, from: Nanos, event: Event) {
         let per_s = match event {
-            Event::Claim(_) => self.of.claims.per_s,
-            _ => self.of.upstreams.turns_per_h / 3_600.0,
+            Event::LeaseRequest(_) => self.scenario.leases.per_s,
+            _ => self.scenario.upstreams.turnovers_per_h / 3_600.0,
         };
-        if let Some(gap) = self.load.sample_arrival_gap(per_s) {
+        if let Some(gap) = self.load_random.sample_arrival_gap(per_s) {
             self.events.schedule_after(from + gap, event);
         }
     }
 
-    fn of_who(&self, who: FaultTarget) -> std::ops::Range<usize> {
+    fn target_nodes(&self, who: FaultTarget) -> std::ops::Range<usize> {
         match who {
-            FaultTarget::Stewards => 0..self.of.stewards,
-            FaultTarget::Attendants => self.of.stewards..self.nodes.len(),
+            FaultTarget::Stewards => 0..self.scenario.stewards,
+            FaultTarget::Attendants => self.scenario.stewards..self.nodes.len(),
         }
     }
 
@@ -236,283 +240,318 @@
         let SocketAddr::V4(v4) = at else { return None };
         let [_, tier, high, low] = v4.ip().octets();
         let number = usize::from(high) * 250 + usize::from(low) - 1;
-        Some(if tier == 0 { number } else { self.of.stewards + number }).filter(|n| *n < self.nodes.len())
+        Some(if tier == 0 { number } else { self.scenario.stewards + number })
+            .filter(|n| *n < self.nodes.len())
     }
 
-    fn seeds(&self) -> Vec<SocketAddr> {
-        self.nodes[..self.of.stewards].iter().map(|node| node.at).collect()
+    fn seed_addresses(&self) -> Vec<SocketAddr> {
+        self.nodes[..self.scenario.stewards].iter().map(|node| node.address).collect()
     }
 
-    fn alive(&self) -> Vec<usize> {
-        let gates = self.of.stewards..self.nodes.len();
+    fn running_attendants(&self) -> Vec<usize> {
+        let gates = self.scenario.stewards..self.nodes.len();
         gates.filter(|gate| self.nodes[*gate].process.is_some()).collect()
     }
 
-    fn happen(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         let now = self.events.now();
         match event {
-            Event::Arrive(message) => self.arrive(message),
-            Event::Handle(life, message) => self.handle(life, *message),
-            Event::Timer(node, life, timer) => self.timer(node, life, timer),
-            Event::Run(node, life, timer) => self.run(node, life, timer),
-            Event::Broken(node, id) => {
-                if self.open.remove(&id).is_some() {
-                    self.with(node, |process, hand| match process {
-                        Process::Steward(steward) => steward.failed(id, hand),
-                        Process::Gate(gate) => gate.failed(id, hand),
+            Event::MessageArrival(message) => self.receive_message(message),
+            Event::MessageReady(life, message) => self.process_message(life, *message),
+            Event::TimerExpiry(node, life, timer) => self.expire_timer(node, life, timer),
+            Event::TimerReady(node, life, timer) => self.run_timer(node, life, timer),
+            Event::ConnectionBroken(node, id) => {
+                if self.open_calls.remove(&id).is_some() {
+                    self.with_process(node, |process, context| match process {
+                        Process::Steward(steward) => steward.handle_failure(id, context),
+                        Process::Attendant(gate) => gate.handle_failure(id, context),
                     });
                 }
             }
-            Event::Trouble(number, step) => self.trouble(number, step),
-            Event::Over(number) => {
-                let who = self.of.troubles[number].who;
-                let range = self.of_who(who);
-                self.nodes[range].iter_mut().for_each(|node| node.cut = false);
+            Event::FaultStart(number, step) => self.start_fault(number, step),
+            Event::FaultEnd(number) => {
+                let who = self.scenario.faults[number].target;
+                let range = self.target_nodes(who);
+                self.nodes[range].iter_mut().for_each(|node| node.is_partitioned = false);
             }
-            Event::Start(node) => self.start(node),
-            Event::Configuration => {
-                let version = self.sheets.len() as u64 + 1;
-                self.sheets.push(Arc::new(RegisterValue::new(version, text(self.of.sheets.bytes, version))));
-                let alive = self.alive();
-                self.watch.begin(now, Kind::Configuration, 0, (version, 0), alive);
-                self.events.schedule_after(0, Event::Send(version));
-                self.events.schedule_after(self.of.sheets.every, Event::Configuration);
+            Event::ProcessStart(node) => self.start_process(node),
+            Event::NewConfiguration => {
+                let version = self.configurations.len() as u64 + 1;
+                self.configurations.push(Arc::new(RegisterValue::new(
+                    version,
+                    text(self.scenario.configurations.bytes, version),
+                )));
+                let alive = self.running_attendants();
+                self.propagation.start_update(now, UpdateKind::Configuration, 0, (version, 0), alive);
+                self.events.schedule_after(0, Event::SendConfiguration(version));
+                self.events.schedule_after(self.scenario.configurations.interval, Event::NewConfiguration);
             }
-            Event::Send(version) => {
-                let sheet = self.sheets[version as usize - 1].clone();
-                if self.audit.floor() < sheet.revision() {
-                    self.events.schedule_after(OPERATOR, Event::Send(version));
-                    self.operate(CoreRequest::ReplaceConfiguration(sheet));
+            Event::SendConfiguration(version) => {
+                let sheet = self.configurations[version as usize - 1].clone();
+                if self.auditor.acknowledged_floor() < sheet.revision() {
+                    self.events.schedule_after(OPERATOR_RETRY_INTERVAL, Event::SendConfiguration(version));
+                    self.send_operator_request(CoreRequest::ReplaceConfiguration(sheet));
                 }
             }
-            Event::Read => {
-                self.events.schedule_after(READS, Event::Read);
-                self.operate(CoreRequest::ReadConfiguration);
+            Event::ReadConfiguration => {
+                self.events.schedule_after(OPERATOR_READ_INTERVAL, Event::ReadConfiguration);
+                self.send_operator_request(CoreRequest::ReadConfiguration);
             }
-            Event::Claim(node) => {
-                self.again(0, Event::Claim(node));
-                let key = self.key();
-                let token = self.load.sample_below(usize::MAX >> 2) as LeaseToken + 1;
-                self.claims[0] += 1;
-                self.with(node, |process, hand| {
-                    if let Process::Gate(gate) = process {
-                        gate.claim(key, token, hand);
+            Event::LeaseRequest(node) => {
+                self.schedule_load(0, Event::LeaseRequest(node));
+                let key = self.draw_lease_key();
+                let token = self.load_random.sample_below(usize::MAX >> 2) as LeaseToken + 1;
+                self.lease_counts[0] += 1;
+                self.with_process(node, |process, context| {
+                    if let Process::Attendant(gate) = process {
+                        gate.acquire_lease(key, token, context);
                     }
                 });
             }
-            Event::Turn(node) => {
-                self.again(0, Event::Turn(node));
-                self.step(node, Step::Drain);
+            Event::UpstreamTurnover(node) => {
+                self.schedule_load(0, Event::UpstreamTurnover(node));
+                self.advance_upstream(node, UpstreamStep::Drain);
             }
-            Event::Count => {
-                self.nodes.iter_mut().for_each(|node| node.books.clear());
-                self.watch.clear();
+            Event::MeasurementStart => {
+                self.nodes.iter_mut().for_each(|node| node.usage.clear());
+                self.propagation.clear();
             }
         }
     }
 
-    fn key(&mut self) -> LeaseKey {
-        if !self.keys.is_empty() && self.load.sample_bool(self.of.claims.repeats) {
-            return self.keys[self.load.sample_below(self.keys.len())];
+    fn draw_lease_key(&mut self) -> LeaseKey {
+        if !self.recent_keys.is_empty() && self.load_random.sample_bool(self.scenario.leases.repeat_fraction)
+        {
+            return self.recent_keys[self.load_random.sample_below(self.recent_keys.len())];
         }
-        let key = (self.load.sample_below(usize::MAX) as LeaseKey) << 64
-            | self.load.sample_below(usize::MAX) as LeaseKey;
-        self.keys.push_back(key);
-        if self.keys.len() > KEYS {
-            self.keys.pop_front();
+        let key = (self.load_random.sample_below(usize::MAX) as LeaseKey) << 64
+            | self.load_random.sample_below(usize::MAX) as LeaseKey;
+        self.recent_keys.push_back(key);
+        if self.recent_keys.len() > RECENT_KEYS {
+            self.recent_keys.pop_front();
         }
         key
     }
 
-    fn operate(&mut self, want: CoreRequest) {
-        let steward = self.load.sample_below(self.of.stewards);
-        let floor = self.audit.floor();
-        self.with(steward, |process, hand| {
+    fn send_operator_request(&mut self, want: CoreRequest) {
+        let steward = self.load_random.sample_below(self.scenario.stewards);
+        let floor = self.auditor.acknowledged_floor();
+        self.with_process(steward, |process, context| {
             if let Process::Steward(steward) = process {
-                steward.operator(want, floor, hand);
+                steward.handle_operator_request(want, floor, context);
             }
         });
     }
 
-    fn start(&mut self, node: usize) {
+    fn start_process(&mut self, node: usize) {
         if self.nodes[node].process.is_some() {
             return;
         }
-        let seeds = self.seeds();
-        let (at, life) = (self.nodes[node].at, self.nodes[node].life);
-        let mut hand = Hand { now: self.events.now(), ids: self.ids, out: Vec::new() };
-        let process = if node < self.of.stewards {
-            let seed = self.load.sample_below(usize::MAX) as u64;
-            let voters = 2 * self.of.tolerate + 1;
+        let seeds = self.seed_addresses();
+        let (at, life) = (self.nodes[node].address, self.nodes[node].incarnation);
+        let mut context = ProcessContext {
+            now: self.events.now(),
+            last_request_id: self.last_request_id,
+            effects: Vec::new(),
+        };
+        let process = if node < self.scenario.stewards {
+            let seed = self.load_random.sample_below(usize::MAX) as u64;
+            let voters = 2 * self.scenario.tolerated_failures + 1;
             let config = Config {
-                lease_ttl: KEEP,
-                member_timeout: LOST,
+                lease_ttl: LEASE_TTL,
+                member_timeout: MEMBER_TIMEOUT,
                 target_members: voters,
-                max_leases: CLAIMS,
-                max_response_bytes: ANSWERS,
+                max_leases: MAX_LEASES,
+                max_response_bytes: MAX_RESPONSE_BYTES,
                 tolerated_zone_losses: 0,
                 zone: String::new(),
             };
             // The first ones begin as the first view; others are spares that it takes in.
             let first = life == 0 && node < voters;
-            let kept = self.nodes[node].kept.clone();
+            let kept = self.nodes[node].storage.clone();
             let seeds = &seeds[..voters];
-            let start = Start { at, seeds, first, kept, config, seed, mutation: self.mutation };
-            Process::Steward(Box::new(Steward::start(start, &mut hand)))
+            let start = StewardStart {
+                address: at,
+                seeds,
+                is_first_start: first,
+                storage: kept,
+                config,
+                seed,
+                mutation: self.mutation,
+            };
+            Process::Steward(Box::new(Steward::start(start, &mut context)))
         } else {
-            let service = format!("svc-{:02}", (node - self.of.stewards) % self.of.upstreams.services);
-            let many = (self.of.tolerate + 1).max(2);
-            self.audit.born(node);
-            self.watch.back(node);
-            Process::Gate(Box::new(Gate::start(at, &seeds, service, many, self.of.claims.answer, &mut hand)))
+            let service =
+                format!("svc-{:02}", (node - self.scenario.stewards) % self.scenario.upstreams.services);
+            let many = (self.scenario.tolerated_failures + 1).max(2);
+            self.auditor.reset_attendant(node);
+            self.propagation.record_return(node);
+            Process::Attendant(Box::new(Attendant::start(
+                at,
+                &seeds,
+                service,
+                many,
+                self.scenario.leases.response_bytes,
+                &mut context,
+            )))
         };
         self.nodes[node].process = Some(process);
-        self.carry_out(node, hand);
+        self.apply_effects(node, context);
     }
 
-    fn kill(&mut self, node: usize, down: Nanos) {
+    fn kill_process(&mut self, node: usize, down: Nanos) {
         let Some(process) = self.nodes[node].process.take() else { return };
         let now = self.events.now();
-        self.nodes[node].life += 1;
+        self.nodes[node].incarnation += 1;
         if let Process::Steward(steward) = process {
-            self.nodes[node].kept = steward.kept;
+            self.nodes[node].storage = steward.storage;
         } else {
-            self.watch.dead(now, node);
-            let alive = self.alive();
-            self.watch.begin(now, Kind::Dead, node, (0, 0), alive);
+            self.propagation.remove_attendant(now, node);
+            let alive = self.running_attendants();
+            self.propagation.start_update(now, UpdateKind::Failure, node, (0, 0), alive);
         }
         // Its system closes its connections.
-        let broken: Vec<(u64, usize)> =
-            self.open.iter().filter(|(_, (_, to))| *to == node).map(|(id, (from, _))| (*id, *from)).collect();
+        let broken: Vec<(u64, usize)> = self
+            .open_calls
+            .iter()
+            .filter(|(_, (_, to))| *to == node)
+            .map(|(id, (from, _))| (*id, *from))
+            .collect();
         for (id, from) in broken {
-            let after = self.of.link.delay.sample(&mut self.net);
-            self.events.schedule_after(after, Event::Broken(from, id));
+            let after = self.scenario.link.delay.sample(&mut self.network_random);
+            self.events.schedule_after(after, Event::ConnectionBroken(from, id));
         }
-        self.open.retain(|_, (from, _)| *from != node);
-        self.events.schedule_after(down.max(MS), Event::Start(node));
+        self.open_calls.retain(|_, (from, _)| *from != node);
+        self.events.schedule_after(down.max(MS), Event::ProcessStart(node));
     }
 
-    fn trouble(&mut self, number: usize, step: usize) {
-        let trouble: &Fault = &self.of.troubles[number];
-        let node = self.of_who(trouble.who).start + step;
-        match trouble.what {
-            FaultKind::Kill => self.kill(node, trouble.down),
-            FaultKind::Roll if node < self.of.stewards => self.kill(node, trouble.down),
+    fn start_fault(&mut self, number: usize, step: usize) {
+        let trouble: &Fault = &self.scenario.faults[number];
+        let node = self.target_nodes(trouble.target).start + step;
+        match trouble.kind {
+            FaultKind::Kill => self.kill_process(node, trouble.downtime),
+            FaultKind::Roll if node < self.scenario.stewards => self.kill_process(node, trouble.downtime),
             FaultKind::Roll => {
-                if let Some(Process::Gate(gate)) = &mut self.nodes[node].process {
-                    gate.leaves = true;
+                if let Some(Process::Attendant(gate)) = &mut self.nodes[node].process {
+                    gate.shuts_down = true;
                 }
-                self.step(node, Step::Drain);
+                self.advance_upstream(node, UpstreamStep::Drain);
             }
-            FaultKind::Cut => self.nodes[node].cut = true,
+            FaultKind::Cut => self.nodes[node].is_partitioned = true,
             FaultKind::Freeze => {
-                let until = self.events.now() + trouble.lasts;
-                self.nodes[node].frozen = until;
-                self.nodes[node].free = self.nodes[node].free.max(until);
+                let until = self.events.now() + trouble.duration;
+                self.nodes[node].frozen_until = until;
+                self.nodes[node].processor_free_at = self.nodes[node].processor_free_at.max(until);
             }
         }
     }
 
-    fn step(&mut self, node: usize, step: Step) {
-        if step == Step::Kill {
-            let down = self.of.troubles.iter().find(|trouble| trouble.what == FaultKind::Roll);
-            self.kill(node, down.map_or(S, |trouble| trouble.down));
+    fn advance_upstream(&mut self, node: usize, step: UpstreamStep) {
+        if step == UpstreamStep::Kill {
+            let down = self.scenario.faults.iter().find(|trouble| trouble.kind == FaultKind::Roll);
+            self.kill_process(node, down.map_or(S, |trouble| trouble.downtime));
             return;
         }
-        let cold = self.of.upstreams.cold;
-        self.with(node, |process, hand| {
-            if let Process::Gate(gate) = process {
-                gate.step(step, cold, hand);
+        let cold = self.scenario.upstreams.slow_start;
+        self.with_process(node, |process, context| {
+            if let Process::Attendant(gate) = process {
+                gate.advance_upstream(step, cold, context);
             }
         });
     }
 
     /// The time at which a node's processor has done this too, and what else it has.
-    fn work(&mut self, node: usize, cause: Cause, takes: Nanos) -> Nanos {
-        let share = match node < self.of.stewards {
-            true => self.of.processor.steward_share,
-            false => self.of.processor.attendant_share,
+    fn occupy_processor(&mut self, node: usize, cause: Cause, takes: Nanos) -> Nanos {
+        let share = match node < self.scenario.stewards {
+            true => self.scenario.processor.steward_share,
+            false => self.scenario.processor.attendant_share,
         };
         let now = self.events.now();
         let node = &mut self.nodes[node];
-        let from = node.free.max(now);
-        if node.frozen <= now {
-            node.books.wait = node.books.wait.max(from - now);
+        let from = node.processor_free_at.max(now);
+        if node.frozen_until <= now {
+            node.usage.max_wait = node.usage.max_wait.max(from - now);
         }
-        node.books.work(now, cause, takes);
-        node.free = from + (takes as f64 / share) as Nanos;
-        node.free
+        node.usage.record_work(now, cause, takes);
+        node.processor_free_at = from + (takes as f64 / share) as Nanos;
+        node.processor_free_at
     }
 
-    fn price(&self, bytes: u64) -> Nanos {
-        self.of.processor.message + self.of.processor.kib * bytes / 1_024
+    fn message_cost(&self, bytes: u64) -> Nanos {
+        self.scenario.processor.message_time + self.scenario.processor.kib_time * bytes / 1_024
     }
 
-    fn send(&mut self, from: usize, to: usize, id: u64, cause: Cause, say: Say) {
-        let frame = match &say {
-            Say::Request(ask) => encode(&Frame { id, payload: &**ask }),
-            Say::Response(reply) => encode(&Frame { id, payload: reply }),
+    fn send_message(&mut self, from: usize, to: usize, id: u64, cause: Cause, payload: Payload) {
+        let frame = match &payload {
+            Payload::Request(ask) => encode(&Frame { id, payload: &**ask }),
+            Payload::Response(reply) => encode(&Frame { id, payload: reply }),
         };
         let Some(frame) = frame else { return };
-        let bytes = frame.len() as u64 + self.of.link.head;
-        let done = self.work(from, cause, self.price(bytes));
+        let bytes = frame.len() as u64 + self.scenario.link.overhead_bytes;
+        let done = self.occupy_processor(from, cause, self.message_cost(bytes));
         let now = self.events.now();
-        self.nodes[from].books.message(now, cause, bytes, true);
-        if self.nodes[from].cut != self.nodes[to].cut {
+        self.nodes[from].usage.record_message(now, cause, bytes, true);
+        if self.nodes[from].is_partitioned != self.nodes[to].is_partitioned {
             return;
         }
-        let takes = (bytes as f64 * 8e3 / self.of.link.mbit) as Nanos;
-        self.nodes[from].out = self.nodes[from].out.max(done) + takes;
-        let mut at = self.nodes[from].out + self.of.link.delay.sample(&mut self.net);
-        if self.net.sample_bool(self.of.link.loss) {
-            at += self.of.link.again;
+        let takes = (bytes as f64 * 8e3 / self.scenario.link.bandwidth_mbit_s) as Nanos;
+        self.nodes[from].link_out_free_at = self.nodes[from].link_out_free_at.max(done) + takes;
+        let mut at =
+            self.nodes[from].link_out_free_at + self.scenario.link.delay.sample(&mut self.network_random);
+        if self.network_random.sample_bool(self.scenario.link.loss) {
+            at += self.scenario.link.retransmit_delay;
         }
-        let last = self.order.entry((from, to)).or_default();
+        let last = self.last_arrival.entry((from, to)).or_default();
         at = at.max(*last);
         *last = at;
-        self.events.schedule_at(at, Event::Arrive(Box::new(Message { from, to, id, bytes, cause, say })));
+        self.events.schedule_at(
+            at,
+            Event::MessageArrival(Box::new(Message { from, to, id, bytes, cause, payload })),
+        );
     }
 
-    fn arrive(&mut self, message: Box<Message>) {
+    fn receive_message(&mut self, message: Box<Message>) {
         let (now, to) = (self.events.now(), message.to);
         if self.nodes[to].process.is_none() {
             // Its system says that nobody is there.
-            if matches!(message.say, Say::Request(_)) && message.id != 0 {
-                let after = self.of.link.delay.sample(&mut self.net);
-                self.events.schedule_after(after, Event::Broken(message.from, message.id));
+            if matches!(message.payload, Payload::Request(_)) && message.id != 0 {
+                let after = self.scenario.link.delay.sample(&mut self.network_random);
+                self.events.schedule_after(after, Event::ConnectionBroken(message.from, message.id));
             }
             return;
         }
-        let takes = (message.bytes as f64 * 8e3 / self.of.link.mbit) as Nanos;
-        self.nodes[to].inn = self.nodes[to].inn.max(now) + takes;
-        self.nodes[to].books.message(now, message.cause, message.bytes, false);
-        self.nodes[to].books.wake(message.cause, 1);
-        let done = self.work(to, message.cause, self.price(message.bytes)).max(self.nodes[to].inn);
-        let life = self.nodes[to].life;
-        self.events.schedule_at(done, Event::Handle(life, message));
+        let takes = (message.bytes as f64 * 8e3 / self.scenario.link.bandwidth_mbit_s) as Nanos;
+        self.nodes[to].link_in_free_at = self.nodes[to].link_in_free_at.max(now) + takes;
+        self.nodes[to].usage.record_message(now, message.cause, message.bytes, false);
+        self.nodes[to].usage.record_wakeups(message.cause, 1);
+        let done = self
+            .occupy_processor(to, message.cause, self.message_cost(message.bytes))
+            .max(self.nodes[to].link_in_free_at);
+        let life = self.nodes[to].incarnation;
+        self.events.schedule_at(done, Event::MessageReady(life, message));
     }
 
-    fn handle(&mut self, life: u64, message: Message) {
-        let Message { from, to, id, cause, say, .. } = message;
-        if self.nodes[to].life != life {
+    fn process_message(&mut self, life: u64, message: Message) {
+        let Message { from, to, id, cause, payload, .. } = message;
+        if self.nodes[to].incarnation != life {
             return;
         }
-        match say {
-            Say::Request(ask) => self.with(to, |process, hand| {
+        match payload {
+            Payload::Request(ask) => self.with_process(to, |process, context| {
                 if let Process::Steward(steward) = process {
-                    steward.ask(from, id, *ask, cause, hand);
+                    steward.handle_request(from, id, *ask, cause, context);
                 }
             }),
-            Say::Response(reply) => {
-                if self.open.remove(&id).is_none() {
+            Payload::Response(reply) => {
+                if self.open_calls.remove(&id).is_none() {
                     return;
                 }
-                self.with(to, |process, hand| match (process, reply) {
-                    (Process::Gate(gate), reply) => {
-                        gate.replied(id, reply, hand);
+                self.with_process(to, |process, context| match (process, reply) {
+                    (Process::Attendant(gate), reply) => {
+                        gate.handle_response(id, reply, context);
                     }
                     (Process::Steward(steward), InternalResponse::Watch(reply)) => {
-                        steward.replied(id, &reply, hand);
+                        steward.handle_peer_response(id, &reply, context);
                     }
                     _ => {}
                 });
@@ -521,133 +560,154 @@
     }
 
     /// A timer goes off; the processor comes to it when it has done what it has.
-    fn timer(&mut self, node: usize, life: u64, timer: Timer) {
-        if self.nodes[node].life != life || self.nodes[node].process.is_none() {
+    fn expire_timer(&mut self, node: usize, life: u64, timer: Timer) {
+        if self.nodes[node].incarnation != life || self.nodes[node].process.is_none() {
             return;
         }
         // A call that was answered waits no more.
-        if let Timer::Late(id) = timer
-            && !self.open.contains_key(&id)
+        if let Timer::RequestTimeout(id) = timer
+            && !self.open_calls.contains_key(&id)
         {
             return;
         }
         let now = self.events.now();
-        self.nodes[node].books.wake(Cause::Clock, 1);
-        let busy = self.nodes[node].free > now;
-        let done = self.work(node, Cause::Clock, self.of.processor.wake);
+        self.nodes[node].usage.record_wakeups(Cause::Timers, 1);
+        let busy = self.nodes[node].processor_free_at > now;
+        let done = self.occupy_processor(node, Cause::Timers, self.scenario.processor.timer_time);
         if busy {
-            self.events.schedule_at(done, Event::Run(node, life, timer));
+            self.events.schedule_at(done, Event::TimerReady(node, life, timer));
         } else {
-            self.run(node, life, timer);
+            self.run_timer(node, life, timer);
         }
     }
 
-    fn run(&mut self, node: usize, life: u64, timer: Timer) {
-        if self.nodes[node].life != life {
+    fn run_timer(&mut self, node: usize, life: u64, timer: Timer) {
+        if self.nodes[node].incarnation != life {
             return;
         }
-        if let Timer::Late(id) = timer
-            && self.open.remove(&id).is_none()
+        if let Timer::RequestTimeout(id) = timer
+            && self.open_calls.remove(&id).is_none()
         {
             return;
         }
-        if let Timer::Turn(step) = timer {
-            self.step(node, step);
+        if let Timer::UpstreamStep(step) = timer {
+            self.advance_upstream(node, step);
             return;
         }
-        self.with(node, |process, hand| match process {
-            Process::Steward(steward) => steward.timer(timer, hand),
-            Process::Gate(gate) => gate.timer(timer, hand),
+        self.with_process(node, |process, context| match process {
+            Process::Steward(steward) => steward.handle_timer(timer, context),
+            Process::Attendant(gate) => gate.handle_timer(timer, context),
         });
     }
 
     /// Lets a node's process, if it runs, do something, and carries out what it asks for.
-    fn with(&mut self, node: usize, act: impl FnOnce(&mut Process, &mut Hand)) {
-        let mut hand = Hand { now: self.events.now(), ids: self.ids, out: Vec::new() };
+    fn with_process(&mut self, node: usize, act: impl FnOnce(&mut Process, &mut ProcessContext)) {
+        let mut context = ProcessContext {
+            now: self.events.now(),
+            last_request_id: self.last_request_id,
+            effects: Vec::new(),
+        };
         if let Some(process) = &mut self.nodes[node].process {
-            act(process, &mut hand);
-            self.carry_out(node, hand);
+            act(process, &mut context);
+            self.apply_effects(node, context);
         }
     }
 
-    fn carry_out(&mut self, node: usize, hand: Hand) {
-        self.ids = hand.ids;
-        let life = self.nodes[node].life;
-        for out in hand.out {
+    fn apply_effects(&mut self, node: usize, context: ProcessContext) {
+        self.last_request_id = context.last_request_id;
+        let life = self.nodes[node].incarnation;
+        for out in context.effects {
             match out {
-                Out::Request { to, id, ask, follows } => {
+                ProcessEffect::Request { to, id, ask, follows } => {
                     let Some(to) = self.node_at(to) else { continue };
-                    let cause = Cause::of_ask(&ask, follows);
+                    let cause = Cause::of_request(&ask, follows);
                     if id != 0 {
-                        self.open.insert(id, (node, to));
+                        self.open_calls.insert(id, (node, to));
                     }
-                    self.send(node, to, id, cause, Say::Request(ask));
+                    self.send_message(node, to, id, cause, Payload::Request(ask));
                 }
-                Out::Response { to, id, reply, ask } => {
-                    let cause = Cause::of_reply(&reply, ask);
-                    self.send(node, to, id, cause, Say::Response(reply));
+                ProcessEffect::Response { to, id, reply, ask } => {
+                    let cause = Cause::of_response(&reply, ask);
+                    self.send_message(node, to, id, cause, Payload::Response(reply));
                 }
-                Out::After(after, timer) => {
-                    self.events.schedule_after(after, Event::Timer(node, life, timer))
+                ProcessEffect::StartTimer(after, timer) => {
+                    self.events.schedule_after(after, Event::TimerExpiry(node, life, timer))
                 }
-                Out::Turn(timer) => {
-                    let at = self.nodes[node].free;
-                    self.events.schedule_at(at, Event::Run(node, life, timer));
+                ProcessEffect::RunWhenIdle(timer) => {
+                    let at = self.nodes[node].processor_free_at;
+                    self.events.schedule_at(at, Event::TimerReady(node, life, timer));
                 }
-                Out::Sync => {
-                    let takes = self.of.sync.sample(&mut self.net);
-                    self.events.schedule_after(takes, Event::Timer(node, life, Timer::Synced));
+                ProcessEffect::SyncDisk => {
+                    let takes = self.scenario.disk_sync_time.sample(&mut self.network_random);
+                    self.events.schedule_after(takes, Event::TimerExpiry(node, life, Timer::DiskSynced));
                 }
-                Out::Rows(cause, many) => {
-                    self.work(node, cause, self.of.processor.row * many as u64);
+                ProcessEffect::ProcessRecords(cause, many) => {
+                    self.occupy_processor(node, cause, self.scenario.processor.record_time * many as u64);
                 }
-                Out::Readers(many) => {
-                    self.nodes[node].books.wake(Cause::Rows, many);
-                    self.work(node, Cause::Rows, self.of.processor.reader * many as u64);
+                ProcessEffect::CheckWatches(many) => {
+                    self.nodes[node].usage.record_wakeups(Cause::RecordUpdates, many);
+                    self.occupy_processor(
+                        node,
+                        Cause::RecordUpdates,
+                        self.scenario.processor.watch_check_time * many as u64,
+                    );
                 }
-                Out::Note(note) => self.note(node, note),
+                ProcessEffect::Observe(note) => self.record_observation(node, note),
             }
         }
     }
 
-    fn note(&mut self, node: usize, note: Note) {
+    fn record_observation(&mut self, node: usize, note: Observation) {
         let now = self.events.now();
         match note {
-            Note::Replaced(rank, true) => self.audit.acknowledged(rank),
-            Note::Replaced(_, false) => {}
-            Note::Read { floor, found } => self.audit.read(now, floor, found),
-            Note::InForce(rank) => {
-                self.audit.sheet(now, node, rank);
-                self.watch.told(now, Kind::Configuration, 0, node, (rank.version, 0));
+            Observation::ConfigurationReplaced(rank, true) => self.auditor.record_acknowledged(rank),
+            Observation::ConfigurationReplaced(_, false) => {}
+            Observation::ConfigurationRead { floor, found } => self.auditor.record_read(now, floor, found),
+            Observation::ConfigurationApplied(rank) => {
+                self.auditor.record_applied_configuration(now, node, rank);
+                self.propagation.record_known(now, UpdateKind::Configuration, 0, node, (rank.version, 0));
             }
-            Note::Row(door, rank) => {
+            Observation::RecordUpdated(door, rank) => {
                 if let Some(about) = self.node_at(door) {
-                    self.audit.row(now, node, about - self.of.stewards, rank);
-                    self.watch.told(now, Kind::Drain, about, node, (rank.incarnation, rank.sequence));
+                    self.auditor.record_endpoint_version(now, node, about - self.scenario.stewards, rank);
+                    self.propagation.record_known(
+                        now,
+                        UpdateKind::Drain,
+                        about,
+                        node,
+                        (rank.incarnation, rank.sequence),
+                    );
                 }
             }
-            Note::Quiet => {
-                if let Some(Process::Gate(gate)) = &self.nodes[node].process {
+            Observation::SuspectsUpdated => {
+                if let Some(Process::Attendant(gate)) = &self.nodes[node].process {
                     let nodes = &self.nodes;
-                    self.watch.quiet(now, node, |about| gate.holds_quiet(&nodes[about].at));
+                    self.propagation
+                        .record_suspects(now, node, |about| gate.suspects_endpoint(&nodes[about].address));
                 }
             }
-            Note::Draining(rank) => {
-                let alive = self.alive().into_iter().filter(|gate| *gate != node).collect();
-                self.watch.begin(now, Kind::Drain, node, (rank.incarnation, rank.sequence), alive);
+            Observation::DrainStarted(rank) => {
+                let alive = self.running_attendants().into_iter().filter(|gate| *gate != node).collect();
+                self.propagation.start_update(
+                    now,
+                    UpdateKind::Drain,
+                    node,
+                    (rank.incarnation, rank.sequence),
+                    alive,
+                );
             }
-            Note::Granted(key, token, took, claim) => {
-                self.claims[1] += 1;
-                self.claim_ms.push(took as f64 / 1e6);
-                self.audit.granted(now, key, token);
-                let run = self.of.claims.run.sample(&mut self.load);
-                let life = self.nodes[node].life;
-                self.events.schedule_after(run, Event::Timer(node, life, Timer::Ran(claim)));
+            Observation::LeaseGranted(key, token, took, claim) => {
+                self.lease_counts[1] += 1;
+                self.lease_delays_ms.push(took as f64 / 1e6);
+                self.auditor.record_lease_granted(now, key, token);
+                let run = self.scenario.leases.run_time.sample(&mut self.load_random);
+                let life = self.nodes[node].incarnation;
+                self.events.schedule_after(run, Event::TimerExpiry(node, life, Timer::RequestDone(claim)));
             }
-            Note::Freed(key, token) => self.audit.freed(key, token),
-            Note::Unsure => self.claims[2] += 1,
+            Observation::LeaseReleased(key, token) => self.auditor.record_lease_released(key, token),
+            Observation::LeaseUnanswered => self.lease_counts[2] += 1,
         }
     }
 }
 
-const _: () = assert!(CAUSES.len() == Cause::Clock as usize + 1);
+const _: () = assert!(CAUSES.len() == Cause::Timers as usize + 1);
--- a/emulator/src/mesh/steward.rs
+++ b/emulator/src/mesh/steward.rs
@@ -15,50 +15,50 @@
 use ochreshed_consensus::core::{Config, Core, Mutation, StartOptions};
 use ochreshed_consensus::messages::*;
 
-use super::count::Cause;
-use super::hand::{Hand, Note, Timer};
+use super::process_context::{Observation, ProcessContext, Timer};
+use super::resource_usage::Cause;
 use crate::Nanos;
 
 /// So many waiting asks look at a time whether there is news for them.
-const READERS: usize = 8;
+const WATCH_CHECK_BATCH: usize = 8;
 
 /// No member is played, so that nobody writes or asks for one.
 const NO_REGISTERS: CommittedRegisters = CommittedRegisters { digest: 0, registers: &[] };
 
 /// What the disk holds, synced.
 #[derive(Clone, Default)]
-pub struct Kept {
-    ballots: Option<MembershipBallotState>,
-    version_ballots: Vec<AcceptorState>,
-    sheet: Option<Arc<RegisterValue>>,
-    claims: BTreeMap<LeaseKey, Lease>,
-    papers: BTreeMap<RegisterName, Arc<RegisterValue>>,
+pub struct StableStorage {
+    membership_ballot: Option<MembershipBallotState>,
+    acceptors: Vec<AcceptorState>,
+    configuration: Option<Arc<RegisterValue>>,
+    leases: BTreeMap<LeaseKey, Lease>,
+    registers: BTreeMap<RegisterName, Arc<RegisterValue>>,
     sessions: BTreeMap<SessionId, SessionRecord>,
 }
 
-impl Kept {
-    fn write(&mut self, record: LogRecord) {
+impl StableStorage {
+    fn apply_record(&mut self, record: LogRecord) {
         match record {
-            LogRecord::MembershipBallot(ballots) => self.ballots = Some(ballots),
-            LogRecord::Configuration(sheet) => self.sheet = Some(sheet),
+            LogRecord::MembershipBallot(ballots) => self.membership_ballot = Some(ballots),
+            LogRecord::Configuration(sheet) => self.configuration = Some(sheet),
             LogRecord::Lease(key, claim) => {
-                self.claims.insert(key, claim);
+                self.leases.insert(key, claim);
             }
-            LogRecord::Register(paper) => drop(self.papers.insert(paper.name, paper.value)),
+            LogRecord::Register(paper) => drop(self.registers.insert(paper.name, paper.value)),
             LogRecord::Session(session, entry) => drop(self.sessions.insert(session, entry)),
             LogRecord::SessionEnded(session) => drop(self.sessions.remove(&session)),
-            LogRecord::RegisterAcceptors(ballots) => self.version_ballots = ballots,
+            LogRecord::RegisterAcceptors(ballots) => self.acceptors = ballots,
             LogRecord::LeaseReleased(key, token) => {
-                if self.claims.get(&key).is_some_and(|claim| claim.token == token) {
-                    self.claims.remove(&key);
+                if self.leases.get(&key).is_some_and(|claim| claim.token == token) {
+                    self.leases.remove(&key);
                 }
             }
         }
     }
 
-    fn saved(&self) -> PersistedState {
+    fn to_persisted_state(&self) -> PersistedState {
         let claims =
-            self.claims.iter().map(|(key, claim)| LeaseEntry { key: *key, lease: claim.clone() }).collect();
+            self.leases.iter().map(|(key, claim)| LeaseEntry { key: *key, lease: claim.clone() }).collect();
         let sessions = self
             .sessions
             .iter()
@@ -68,12 +68,12 @@
             name: name.clone(),
             value: sheet.clone(),
         };
-        let papers = self.papers.iter().map(paper).collect();
-        let (ballots, version_ballots) = (self.ballots.clone(), self.version_ballots.clone());
+        let papers = self.registers.iter().map(paper).collect();
+        let (ballots, version_ballots) = (self.membership_ballot.clone(), self.acceptors.clone());
         PersistedState {
             membership_ballot: ballots,
             acceptors: version_ballots,
-            configuration: self.sheet.clone(),
+            configuration: self.configuration.clone(),
             leases: claims,
             registers: papers,
             sessions,
@@ -88,355 +88,393 @@
 }
 
 /// An ask of an attendant or of another steward that waits for news.
-struct Reader {
+struct WaitingWatch {
     from: usize,
     id: u64,
     cause: Cause,
-    waiting: PendingWatch,
+    watch: PendingWatch,
     /// It is answered soon, for there is news.
-    timed: bool,
+    has_timer: bool,
 }
 
-enum Call {
-    Of(usize, u64),
-    Replace(u64, u64),
-    Read(Revision),
+enum PendingCall {
+    Remote(usize, u64),
+    ReplaceConfiguration(u64, u64),
+    ReadConfiguration(Revision),
 }
 
 /// What one is before its start.
-pub struct Start<'a> {
-    pub at: SocketAddr,
+pub struct StewardStart<'a> {
+    pub address: SocketAddr,
     pub seeds: &'a [SocketAddr],
-    pub first: bool,
-    pub kept: Kept,
+    pub is_first_start: bool,
+    pub storage: StableStorage,
     pub config: Config,
     pub seed: u64,
     pub mutation: Option<Mutation>,
 }
 
 pub struct Steward {
-    at: SocketAddr,
+    address: SocketAddr,
     core: Core,
-    office: WatchServer,
-    parcels: UpdateCache,
-    pub kept: Kept,
+    watch_server: WatchServer,
+    updates: UpdateCache,
+    pub storage: StableStorage,
     /// Given to the disk; the first `writing` of them are under way.
     batches: VecDeque<Batch>,
-    writing: usize,
-    safe: Option<Arc<RegisterValue>>,
-    stewards: Vec<SocketAddr>,
-    settled: bool,
-    readers: BTreeMap<u64, Reader>,
+    batches_in_flight: usize,
+    committed: Option<Arc<RegisterValue>>,
+    replicas: Vec<SocketAddr>,
+    has_quorum: bool,
+    watches: BTreeMap<u64, WaitingWatch>,
     /// The readers from this number on are to look; none where nobody is.
-    looking: Option<u64>,
+    check_from: Option<u64>,
     /// Something changed since the look under way began.
-    again: bool,
-    next_reader: u64,
-    calls: BTreeMap<u64, Call>,
+    check_again: bool,
+    next_watch: u64,
+    calls: BTreeMap<u64, PendingCall>,
     next_call: u64,
-    wake: Nanos,
+    tick_at: Nanos,
     /// Asks to other stewards: where each one's table stands, and the ask that is open.
-    others: BTreeMap<SocketAddr, (TablePosition, u64)>,
+    peers: BTreeMap<SocketAddr, (TablePosition, u64)>,
 }
 
 impl Steward {
-    pub fn start(start: Start, hand: &mut Hand) -> Steward {
+    pub fn start(start: StewardStart, context: &mut ProcessContext) -> Steward {
         let mut acts = Vec::new();
         let options = StartOptions {
-            now: hand.now,
+            now: context.now,
             seed: start.seed,
-            address: start.at,
-            first_start: start.first,
+            address: start.address,
+            first_start: start.is_first_start,
             seeds: start.seeds,
-            saved: start.kept.saved(),
+            saved: start.storage.to_persisted_state(),
             config: start.config,
         };
         let mut core = Core::new(options, &mut acts);
         core.set_mutation(start.mutation);
         let mut steward = Steward {
-            at: start.at,
+            address: start.address,
             core,
-            office: WatchServer::new(start.seed | 1),
-            parcels: UpdateCache::default(),
-            kept: start.kept,
+            watch_server: WatchServer::new(start.seed | 1),
+            updates: UpdateCache::default(),
+            storage: start.storage,
             batches: VecDeque::new(),
-            writing: 0,
-            safe: None,
-            stewards: Vec::new(),
-            settled: false,
-            readers: BTreeMap::new(),
-            looking: None,
-            again: false,
-            next_reader: 0,
+            batches_in_flight: 0,
+            committed: None,
+            replicas: Vec::new(),
+            has_quorum: false,
+            watches: BTreeMap::new(),
+            check_from: None,
+            check_again: false,
+            next_watch: 0,
             calls: BTreeMap::new(),
             next_call: 1,
-            wake: hand.now,
-            others: BTreeMap::new(),
+            tick_at: context.now,
+            peers: BTreeMap::new(),
         };
-        steward.work(acts, hand);
-        hand.timer(watch_server::SUSPECT_AFTER + watch_server::SUSPECT_CHECK_INTERVAL, Timer::Look);
-        hand.timer(0, Timer::Others);
+        steward.run_core(acts, context);
+        context.start_timer(
+            watch_server::SUSPECT_AFTER + watch_server::SUSPECT_CHECK_INTERVAL,
+            Timer::CheckSuspects,
+        );
+        context.start_timer(0, Timer::RefreshPeers);
         steward
     }
 
-    fn stand(&self) -> CommittedState<'_> {
-        let safe = self.safe.as_ref().map(|sheet| sheet.revision());
+    fn committed_state(&self) -> CommittedState<'_> {
+        let safe = self.committed.as_ref().map(|sheet| sheet.revision());
         CommittedState {
             configuration: safe,
-            replicas: &self.stewards,
-            has_quorum: self.settled,
+            replicas: &self.replicas,
+            has_quorum: self.has_quorum,
             registers: NO_REGISTERS,
         }
     }
 
-    pub fn ask(&mut self, from: usize, id: u64, ask: InternalRequest, cause: Cause, hand: &mut Hand) {
+    pub fn handle_request(
+        &mut self,
+        from: usize,
+        id: u64,
+        ask: InternalRequest,
+        cause: Cause,
+        context: &mut ProcessContext,
+    ) {
         match ask {
             InternalRequest::ReplicaMessage(letter) => {
                 let mut acts = Vec::new();
-                self.core.handle_message(hand.now, letter, &mut acts);
-                self.work(acts, hand);
+                self.core.handle_message(context.now, letter, &mut acts);
+                self.run_core(acts, context);
             }
-            InternalRequest::Core(want) => self.want(want, Call::Of(from, id), hand),
+            InternalRequest::Core(want) => self.request_core(want, PendingCall::Remote(from, id), context),
             InternalRequest::Configuration(have) => {
-                let parcel = self.parcels.newest(have);
-                hand.reply(from, id, InternalResponse::Configuration(parcel), Cause::Configurations);
+                let parcel = self.updates.newest(have);
+                context.send_response(
+                    from,
+                    id,
+                    InternalResponse::Configuration(parcel),
+                    Cause::Configurations,
+                );
             }
             InternalRequest::Registers(_) | InternalRequest::AppliedEditions(_) => {}
             InternalRequest::Watch(ask) => {
-                let safe = self.safe.as_ref().map(|sheet| sheet.revision());
+                let safe = self.committed.as_ref().map(|sheet| sheet.revision());
                 let stand = CommittedState {
                     configuration: safe,
-                    replicas: &self.stewards,
-                    has_quorum: self.settled,
+                    replicas: &self.replicas,
+                    has_quorum: self.has_quorum,
                     registers: NO_REGISTERS,
                 };
                 let RegisteredWatch { pending: waiting, table_changed: news } =
-                    self.office.register(hand.now, &ask, stand);
-                let due = self.office.due_at(&waiting, self.stand());
-                if due.is_some_and(|due| due <= hand.now) {
-                    let reply = self.office.respond(hand.now, waiting, self.stand(), None);
-                    hand.reply(from, id, InternalResponse::Watch(Box::new(reply)), cause);
+                    self.watch_server.register(context.now, &ask, stand);
+                let due = self.watch_server.due_at(&waiting, self.committed_state());
+                if due.is_some_and(|due| due <= context.now) {
+                    let reply = self.watch_server.respond(context.now, waiting, self.committed_state(), None);
+                    context.send_response(from, id, InternalResponse::Watch(Box::new(reply)), cause);
                 } else {
-                    self.next_reader += 1;
-                    let until = due.map_or(waiting.max_wait, |due| (due - hand.now).min(waiting.max_wait));
-                    hand.timer(until, Timer::Held(self.next_reader));
-                    let reader = Reader { from, id, cause, waiting, timed: due.is_some() };
-                    self.readers.insert(self.next_reader, reader);
+                    self.next_watch += 1;
+                    let until = due.map_or(waiting.max_wait, |due| (due - context.now).min(waiting.max_wait));
+                    context.start_timer(until, Timer::WatchDue(self.next_watch));
+                    let reader = WaitingWatch { from, id, cause, watch: waiting, has_timer: due.is_some() };
+                    self.watches.insert(self.next_watch, reader);
                 }
                 if news {
-                    self.change(hand);
+                    self.schedule_watch_check(context);
                 }
             }
         }
     }
 
     /// For an operator: `Replace` or `Read`.
-    pub fn operator(&mut self, want: CoreRequest, floor: Revision, hand: &mut Hand) {
+    pub fn handle_operator_request(
+        &mut self,
+        want: CoreRequest,
+        floor: Revision,
+        context: &mut ProcessContext,
+    ) {
         let call = match &want {
-            CoreRequest::ReplaceConfiguration(sheet) => Call::Replace(sheet.version, sheet.digest),
-            _ => Call::Read(floor),
+            CoreRequest::ReplaceConfiguration(sheet) => {
+                PendingCall::ReplaceConfiguration(sheet.version, sheet.digest)
+            }
+            _ => PendingCall::ReadConfiguration(floor),
         };
-        self.want(want, call, hand);
+        self.request_core(want, call, context);
     }
 
-    fn want(&mut self, want: CoreRequest, call: Call, hand: &mut Hand) {
+    fn request_core(&mut self, want: CoreRequest, call: PendingCall, context: &mut ProcessContext) {
         self.next_call += 1;
         self.calls.insert(self.next_call, call);
         let mut acts = Vec::new();
-        self.core.handle_request(hand.now, self.next_call, want, &mut acts);
-        self.work(acts, hand);
+        self.core.handle_request(context.now, self.next_call, want, &mut acts);
+        self.run_core(acts, context);
     }
 
     /// A reply of another steward; whether it was waited for.
-    pub fn replied(&mut self, id: u64, reply: &WatchResponse, hand: &mut Hand) -> bool {
-        let Some((at, (mark, open))) = self.others.iter_mut().find(|(_, (_, open))| *open == id) else {
+    pub fn handle_peer_response(
+        &mut self,
+        id: u64,
+        reply: &WatchResponse,
+        context: &mut ProcessContext,
+    ) -> bool {
+        let Some((at, (mark, open))) = self.peers.iter_mut().find(|(_, (_, open))| *open == id) else {
             return false;
         };
         let at = *at;
         (*mark, *open) = (reply.position, 0);
-        hand.rows(Cause::Spread, reply.last_heard_ms_ago.len());
-        if self.office.merge(hand.now, reply) {
-            self.change(hand);
+        context.process_records(Cause::PeerWatches, reply.last_heard_ms_ago.len());
+        if self.watch_server.merge(context.now, reply) {
+            self.schedule_watch_check(context);
         }
         // Many small changes go together.
-        hand.timer(self.office.replica_watch_interval(), Timer::AskOther(at));
+        context.start_timer(self.watch_server.replica_watch_interval(), Timer::WatchPeer(at));
         true
     }
 
     /// No reply came, or the connection broke.
-    pub fn failed(&mut self, id: u64, hand: &mut Hand) {
-        if let Some((at, (_, open))) = self.others.iter_mut().find(|(_, (_, open))| *open == id) {
+    pub fn handle_failure(&mut self, id: u64, context: &mut ProcessContext) {
+        if let Some((at, (_, open))) = self.peers.iter_mut().find(|(_, (_, open))| *open == id) {
             *open = 0;
-            hand.timer(watch_server::RETRY_INTERVAL, Timer::AskOther(*at));
+            context.start_timer(watch_server::RETRY_INTERVAL, Timer::WatchPeer(*at));
         }
     }
 
-    pub fn timer(&mut self, timer: Timer, hand: &mut Hand) {
+    pub fn handle_timer(&mut self, timer: Timer, context: &mut ProcessContext) {
         match timer {
-            Timer::Wake if hand.now >= self.wake => self.work(Vec::new(), hand),
-            Timer::Look => {
-                hand.rows(Cause::Clock, self.office.table.records().count());
-                if self.office.update_suspects(hand.now).is_some() {
-                    self.change(hand);
+            Timer::CoreTick if context.now >= self.tick_at => self.run_core(Vec::new(), context),
+            Timer::CheckSuspects => {
+                context.process_records(Cause::Timers, self.watch_server.table.records().count());
+                if self.watch_server.update_suspects(context.now).is_some() {
+                    self.schedule_watch_check(context);
                 }
-                hand.timer(watch_server::SUSPECT_CHECK_INTERVAL, Timer::Look);
+                context.start_timer(watch_server::SUSPECT_CHECK_INTERVAL, Timer::CheckSuspects);
             }
-            Timer::Others => {
-                self.others.retain(|at, _| self.stewards.contains(at));
-                for at in self.stewards.iter().filter(|at| **at != self.at) {
-                    if !self.others.contains_key(at) {
-                        self.others.insert(*at, (TablePosition::default(), 0));
-                        hand.timer(0, Timer::AskOther(*at));
+            Timer::RefreshPeers => {
+                self.peers.retain(|at, _| self.replicas.contains(at));
+                for at in self.replicas.iter().filter(|at| **at != self.address) {
+                    if !self.peers.contains_key(at) {
+                        self.peers.insert(*at, (TablePosition::default(), 0));
+                        context.start_timer(0, Timer::WatchPeer(*at));
                     }
                 }
-                hand.timer(watch_server::SUSPECT_CHECK_INTERVAL, Timer::Others);
+                context.start_timer(watch_server::SUSPECT_CHECK_INTERVAL, Timer::RefreshPeers);
             }
-            Timer::AskOther(at) => {
-                if let Some((mark, open)) = self.others.get_mut(&at) {
-                    *open = hand.ask(
+            Timer::WatchPeer(at) => {
+                if let Some((mark, open)) = self.peers.get_mut(&at) {
+                    *open = context.send_request(
                         at,
                         InternalRequest::Watch(watch_server::replica_watch_request(*mark)),
                         false,
                     );
-                    hand.timer(
+                    context.start_timer(
                         watch_server::REPLICA_MAX_WAIT + watch_server::RESPONSE_GRACE,
-                        Timer::Late(*open),
+                        Timer::RequestTimeout(*open),
                     );
                 }
             }
-            Timer::Held(reader) => {
-                if let Some(reader) = self.readers.remove(&reader) {
-                    self.tell(reader, hand);
+            Timer::WatchDue(reader) => {
+                if let Some(reader) = self.watches.remove(&reader) {
+                    self.answer_watch(reader, context);
                 }
             }
-            Timer::Tell => self.readers_look(hand),
-            Timer::Late(id) => self.failed(id, hand),
-            Timer::Synced => {
-                let done: Vec<Batch> = self.batches.drain(..self.writing).collect();
-                self.writing = 0;
+            Timer::NotifyWatches => self.check_watches(context),
+            Timer::RequestTimeout(id) => self.handle_failure(id, context),
+            Timer::DiskSynced => {
+                let done: Vec<Batch> = self.batches.drain(..self.batches_in_flight).collect();
+                self.batches_in_flight = 0;
                 let mut acts = Vec::new();
                 for batch in done {
-                    batch.records.into_iter().for_each(|record| self.kept.write(record));
-                    self.send(batch.sends, &mut acts, hand);
+                    batch.records.into_iter().for_each(|record| self.storage.apply_record(record));
+                    self.send_messages(batch.sends, &mut acts, context);
                 }
-                self.sync(hand);
-                self.work(acts, hand);
+                self.start_sync(context);
+                self.run_core(acts, context);
             }
             _ => {}
         }
     }
 
     /// Whoever waits for news looks whether this is some.
-    fn change(&mut self, hand: &mut Hand) {
-        if self.looking.is_some() {
-            self.again = true;
+    fn schedule_watch_check(&mut self, context: &mut ProcessContext) {
+        if self.check_from.is_some() {
+            self.check_again = true;
             return;
         }
-        self.looking = Some(0);
-        hand.turn(Timer::Tell);
+        self.check_from = Some(0);
+        context.run_when_idle(Timer::NotifyWatches);
     }
 
-    fn readers_look(&mut self, hand: &mut Hand) {
-        let Some(from) = self.looking else { return };
-        let numbers: Vec<u64> = self.readers.range(from..).take(READERS).map(|(number, _)| *number).collect();
-        hand.readers(numbers.len());
+    fn check_watches(&mut self, context: &mut ProcessContext) {
+        let Some(from) = self.check_from else { return };
+        let numbers: Vec<u64> =
+            self.watches.range(from..).take(WATCH_CHECK_BATCH).map(|(number, _)| *number).collect();
+        context.check_watches(numbers.len());
         for number in &numbers {
-            let Some(reader) = self.readers.get(number) else { continue };
-            match self.office.due_at(&reader.waiting, self.stand()) {
-                Some(due) if due <= hand.now => {
-                    if let Some(reader) = self.readers.remove(number) {
-                        self.tell(reader, hand);
+            let Some(reader) = self.watches.get(number) else { continue };
+            match self.watch_server.due_at(&reader.watch, self.committed_state()) {
+                Some(due) if due <= context.now => {
+                    if let Some(reader) = self.watches.remove(number) {
+                        self.answer_watch(reader, context);
                     }
                 }
-                Some(due) if !reader.timed => {
-                    hand.timer(due - hand.now, Timer::Held(*number));
-                    if let Some(reader) = self.readers.get_mut(number) {
-                        reader.timed = true;
+                Some(due) if !reader.has_timer => {
+                    context.start_timer(due - context.now, Timer::WatchDue(*number));
+                    if let Some(reader) = self.watches.get_mut(number) {
+                        reader.has_timer = true;
                     }
                 }
                 _ => {}
             }
         }
-        self.looking = numbers.last().filter(|_| numbers.len() == READERS).map(|last| last + 1);
-        if self.looking.is_none() && std::mem::take(&mut self.again) {
-            self.looking = Some(0);
+        self.check_from = numbers.last().filter(|_| numbers.len() == WATCH_CHECK_BATCH).map(|last| last + 1);
+        if self.check_from.is_none() && std::mem::take(&mut self.check_again) {
+            self.check_from = Some(0);
         }
-        if self.looking.is_some() {
-            hand.turn(Timer::Tell);
+        if self.check_from.is_some() {
+            context.run_when_idle(Timer::NotifyWatches);
         }
     }
 
-    fn tell(&mut self, reader: Reader, hand: &mut Hand) {
-        let reply = self.office.respond(hand.now, reader.waiting, self.stand(), None);
-        hand.reply(reader.from, reader.id, InternalResponse::Watch(Box::new(reply)), reader.cause);
+    fn answer_watch(&mut self, reader: WaitingWatch, context: &mut ProcessContext) {
+        let reply = self.watch_server.respond(context.now, reader.watch, self.committed_state(), None);
+        context.send_response(reader.from, reader.id, InternalResponse::Watch(Box::new(reply)), reader.cause);
     }
 
     /// One round of the core's work.
-    fn work(&mut self, mut acts: Vec<Effect>, hand: &mut Hand) {
-        let ticks = hand.now >= self.wake;
+    fn run_core(&mut self, mut acts: Vec<Effect>, context: &mut ProcessContext) {
+        let ticks = context.now >= self.tick_at;
         if ticks {
-            self.wake = self.core.tick(hand.now, &mut acts);
-            hand.timer(self.wake - hand.now, Timer::Wake);
+            self.tick_at = self.core.tick(context.now, &mut acts);
+            context.start_timer(self.tick_at - context.now, Timer::CoreTick);
         }
         self.core.flush(&mut acts);
-        self.carry_out(acts, hand);
-        self.publish(ticks, hand);
+        self.carry_out(acts, context);
+        self.publish_state(ticks, context);
     }
 
-    fn carry_out(&mut self, acts: Vec<Effect>, hand: &mut Hand) {
+    fn carry_out(&mut self, acts: Vec<Effect>, context: &mut ProcessContext) {
         let mut batch = Batch::default();
         for act in acts {
             match act {
                 Effect::Persist(record) => batch.records.push(record),
                 Effect::SendAfterPersist(to, letter) => batch.sends.push((to, letter)),
-                Effect::SendNow(to, letter) => hand.post(to, letter),
-                Effect::Respond { call, response: got } => self.answer(call, got, hand),
+                Effect::SendNow(to, letter) => context.send_message(to, letter),
+                Effect::Respond { call, response: got } => self.answer_call(call, got, context),
                 Effect::Log(_) => {}
             }
         }
         if batch.records.is_empty() && self.batches.is_empty() {
             let mut more = Vec::new();
-            self.send(batch.sends, &mut more, hand);
+            self.send_messages(batch.sends, &mut more, context);
             if !more.is_empty() {
                 self.core.flush(&mut more);
-                self.carry_out(more, hand);
+                self.carry_out(more, context);
             }
         } else if !(batch.records.is_empty() && batch.sends.is_empty()) {
             self.batches.push_back(batch);
-            self.sync(hand);
+            self.start_sync(context);
         }
     }
 
     /// The disk takes all that waits as one write.
-    fn sync(&mut self, hand: &mut Hand) {
-        if self.writing == 0 && !self.batches.is_empty() {
-            self.writing = self.batches.len();
+    fn start_sync(&mut self, context: &mut ProcessContext) {
+        if self.batches_in_flight == 0 && !self.batches.is_empty() {
+            self.batches_in_flight = self.batches.len();
             if self.batches.iter().all(|batch| batch.records.is_empty()) {
-                hand.turn(Timer::Synced);
+                context.run_when_idle(Timer::DiskSynced);
             } else {
-                hand.sync();
+                context.sync_disk();
             }
         }
     }
 
-    fn send(&mut self, sends: Vec<(SocketAddr, Message)>, out: &mut Vec<Effect>, hand: &mut Hand) {
+    fn send_messages(
+        &mut self,
+        sends: Vec<(SocketAddr, Message)>,
+        out: &mut Vec<Effect>,
+        context: &mut ProcessContext,
+    ) {
         for (to, letter) in sends {
-            if to == self.at {
-                self.core.handle_message(hand.now, letter, out);
+            if to == self.address {
+                self.core.handle_message(context.now, letter, out);
             } else {
-                hand.post(to, letter);
+                context.send_message(to, letter);
             }
         }
     }
 
-    fn answer(&mut self, call: u64, got: CoreResponse, hand: &mut Hand) {
+    fn answer_call(&mut self, call: u64, got: CoreResponse, context: &mut ProcessContext) {
         match (self.calls.remove(&call), got) {
-            (Some(Call::Of(to, id)), got) => hand.reply(to, id, InternalResponse::Core(got), Cause::Claims),
-            (Some(Call::Replace(version, digest)), got) => {
-                hand.note(Note::Replaced(Revision::new(version, digest), got == CoreResponse::Accepted));
+            (Some(PendingCall::Remote(to, id)), got) => {
+                context.send_response(to, id, InternalResponse::Core(got), Cause::Leases)
+            }
+            (Some(PendingCall::ReplaceConfiguration(version, digest)), got) => {
+                context.observe(Observation::ConfigurationReplaced(
+                    Revision::new(version, digest),
+                    got == CoreResponse::Accepted,
+                ));
             }
-            (Some(Call::Read(floor)), CoreResponse::Register(sheet)) => {
-                hand.note(Note::Read {
+            (Some(PendingCall::ReadConfiguration(floor)), CoreResponse::Register(sheet)) => {
+                context.observe(Observation::ConfigurationRead {
                     floor,
                     found: sheet.map_or(Revision::NONE, |sheet| sheet.revision()),
                 });
@@ -445,20 +483,20 @@
         }
     }
 
-    fn publish(&mut self, ticks: bool, hand: &mut Hand) {
+    fn publish_state(&mut self, ticks: bool, context: &mut ProcessContext) {
         let safe = self.core.committed_configuration().or(self.core.stored_configuration());
         let rank = |sheet: Option<&Arc<RegisterValue>>| sheet.map(|sheet| sheet.revision());
-        let news = rank(self.safe.as_ref()) != rank(safe);
+        let news = rank(self.committed.as_ref()) != rank(safe);
         if !news && !ticks {
             return;
         }
-        self.safe = safe.cloned();
-        safe.into_iter().for_each(|safe| self.parcels.add(safe));
-        self.settled = self.core.has_quorum(hand.now);
+        self.committed = safe.cloned();
+        safe.into_iter().for_each(|safe| self.updates.add(safe));
+        self.has_quorum = self.core.has_quorum(context.now);
         let stewards = self.core.replica_addresses();
-        if news || self.stewards != stewards {
-            self.stewards = stewards;
-            self.change(hand);
+        if news || self.replicas != stewards {
+            self.replicas = stewards;
+            self.schedule_watch_check(context);
         }
     }
 }
--- a/emulator/tests/mesh.rs
+++ b/emulator/tests/mesh.rs
@@ -9,7 +9,7 @@
 fn scenario(name: &str, change: impl FnOnce(&mut Scenario)) -> Scenario {
     let file = format!("{}/../rehearsals/{name}.toml", env!("CARGO_MANIFEST_DIR"));
     let mut scenario = Scenario::parse(&std::fs::read_to_string(file).expect("a file")).expect("a scenario");
-    (scenario.nodes, scenario.settles, scenario.lasts) = (9, 5_000_000_000, 12_000_000_000);
+    (scenario.nodes, scenario.settling_time, scenario.duration) = (9, 5_000_000_000, 12_000_000_000);
     change(&mut scenario);
     scenario
 }
@@ -28,16 +28,16 @@
 #[test]
 fn the_auditor_finds_a_core_with_a_broken_rule_and_nothing_in_a_whole_one() {
     let day = scenario("mesh-cut", |day| {
-        (day.claims.per_s, day.claims.repeats) = (20.0, 0.7);
-        for (trouble, at) in day.troubles.iter_mut().zip([1, 4, 8]) {
-            (trouble.at, trouble.lasts) = (at * 1_000_000_000, 2_000_000_000);
+        (day.leases.per_s, day.leases.repeat_fraction) = (20.0, 0.7);
+        for (trouble, at) in day.faults.iter_mut().zip([1, 4, 8]) {
+            (trouble.starts_at, trouble.duration) = (at * 1_000_000_000, 2_000_000_000);
         }
     });
     let whole = simulate(&day, 1, None);
-    assert_eq!(whole.breaches, Vec::<String>::new());
-    assert!(whole.looked_at.iter().all(|looks| *looks > 20), "{:?}", whole.looked_at);
+    assert_eq!(whole.violations, Vec::<String>::new());
+    assert!(whole.checks.iter().all(|looks| *looks > 20), "{:?}", whole.checks);
     let broken = simulate(&day, 1, Some(Mutation::TakeHalfForMajority));
-    assert!(broken.breaches.iter().any(|breach| breach.contains("granted")), "{:?}", broken.breaches);
+    assert!(broken.violations.iter().any(|breach| breach.contains("granted")), "{:?}", broken.violations);
 }
 
 /// Guards against news that don't get round, and a steward whose work for heartbeats grows faster than the mesh.
@@ -47,10 +47,10 @@
         simulate(
             &scenario("mesh-calm", |calm| {
                 calm.nodes = nodes;
-                calm.upstreams.turns_per_h = 300.0;
-                calm.troubles
+                calm.upstreams.turnovers_per_h = 300.0;
+                calm.faults
                     .iter_mut()
-                    .for_each(|trouble| (trouble.number, trouble.lasts) = (2, 4_000_000_000));
+                    .for_each(|trouble| (trouble.count, trouble.duration) = (2, 4_000_000_000));
             }),
             1,
             None,
@@ -58,11 +58,11 @@
     };
     let reports = [of(6), of(24)];
     for report in &reports {
-        let news = [&report.drain, &report.dead, &report.configuration];
-        assert!(news.iter().all(|curve| curve.times > 0 && curve.unheard == 0), "{}", report.text());
+        let news = [&report.drain, &report.failure, &report.configuration];
+        assert!(news.iter().all(|curve| curve.count > 0 && curve.unfinished == 0), "{}", report.text());
         assert!(report.drain.max < 1.0 && report.configuration.max < 1.5, "{}", report.text());
-        assert!((1.0..2.6).contains(&report.dead.max), "{}", report.text());
-        assert!(report.breaches.is_empty());
+        assert!((1.0..2.6).contains(&report.failure.max), "{}", report.text());
+        assert!(report.violations.is_empty());
     }
     assert!(reports[1].processor.mean < 4.0 * reports[0].processor.mean, "{}", sweep_text(&reports));
 }
--- a/emulator/tests/outer_names.rs
+++ b/emulator/tests/outer_names.rs
@@ -75,7 +75,7 @@
     assert_eq!((parsed.tiers.len(), parsed.rule_sets.len(), parsed.faults.len()), (2, 3, 11));
     let parsed =
         MeshScenario::parse(include_str!("fixtures/mesh_every_key.toml")).expect("every key is known");
-    assert_eq!((parsed.nodes, parsed.troubles.len()), (6, 4));
+    assert_eq!((parsed.nodes, parsed.faults.len()), (6, 4));
     let scenarios = concat!(env!("CARGO_MANIFEST_DIR"), "/../rehearsals");
     for entry in std::fs::read_dir(scenarios).expect("scenario files") {
         let path = entry.expect("an entry").path();
