--- a/emulator/src/mesh/attendant.rs
+++ b/emulator/src/mesh/attendant.rs
@@ -1,6 +1,5 @@
-//! An attendant's process in simulated time: its asks for news, its list, its configuration and its claims, by the code
-//! that the real one has; what that does around it is as in `balancer/src/mesh/{news,attendant,keys}.rs`. It must never
-//! know more than it was told.
+//! An attendant process in simulated time: its watches, endpoint list, configuration and leases, with the code that the
+//! real one runs; the code around that follows `balancer/src/mesh/`. It knows only what messages told it.
 
 use std::collections::{BTreeMap, HashSet};
 use std::net::SocketAddr;
@@ -18,26 +17,24 @@
 use super::resource_usage::{Cause, has_updates};
 use crate::{MS, Nanos, S};
 
-/// As in `keys.rs`: the next steward is asked too after this; a claim has so long in all; what came of it is told so long
-/// and so often.
+/// Delay until the next steward is also asked for a lease. This and the following limits match the balancer.
 const HEDGE_DELAY: Nanos = 90 * MS;
 const CLAIM_TIMEOUT: Nanos = 800 * MS;
 const COMPLETION_TIMEOUT: Nanos = 800 * MS;
 const MAX_COMPLETION_ATTEMPTS: usize = 12;
-/// A configuration that has not come by then is fetched from another steward.
+/// After this a configuration is fetched from another steward.
 const FETCH_TIMEOUT: Nanos = 900 * MS;
 
 struct WatchSlot {
     watcher: Watcher,
-    /// The call that waits.
     open_request: Option<u64>,
-    /// The last reply told of news.
+    /// The last response contained updates.
     had_updates: bool,
 }
 
 enum OpenRequest {
-    Watch { which: usize, steward: SocketAddr, row: RecordVersion },
-    Configuration { steward: SocketAddr, rank: Revision, whole: bool },
+    Watch { which: usize, steward: SocketAddr, record: RecordVersion },
+    Configuration { steward: SocketAddr, revision: Revision, is_full_fetch: bool },
     AcquireLease { claim: u64, steward: SocketAddr },
     CompleteLease { claim: u64, steward: SocketAddr },
 }
@@ -69,7 +66,7 @@
     claims: BTreeMap<u64, LeaseClaim>,
     next_claim: u64,
     response_bytes: usize,
-    /// Its upstream was told to go for good.
+    /// The process ends after its upstream has drained.
     pub shuts_down: bool,
 }
 
@@ -78,13 +75,13 @@
         at: SocketAddr,
         seeds: &[SocketAddr],
         service: String,
-        many: usize,
-        answer: usize,
+        count: usize,
+        response_bytes: usize,
         context: &mut ProcessContext,
     ) -> Attendant {
         let mut known = ReplicaDirectory::default();
         known.set_replicas(seeds.iter().copied());
-        let row = EndpointRecord {
+        let record = EndpointRecord {
             inbound_proxy: at,
             incarnation: context.now / MS,
             sequence: 0,
@@ -99,15 +96,15 @@
             accepts_clients: true,
             health: Default::default(),
         };
-        let turn =
-            |which| WatchSlot { watcher: Watcher::new(which, many), open_request: None, had_updates: false };
-        (0..many).for_each(|which| context.start_timer(0, Timer::SendWatch(which)));
+        let slot =
+            |which| WatchSlot { watcher: Watcher::new(which, count), open_request: None, had_updates: false };
+        (0..count).for_each(|which| context.start_timer(0, Timer::SendWatch(which)));
         context.start_timer(S, Timer::UpstreamStep(UpstreamStep::Start));
         Attendant {
             address: at,
             seeds: seeds.to_vec(),
-            record: row,
-            watches: (0..many).map(turn).collect(),
+            record,
+            watches: (0..count).map(slot).collect(),
             open_requests: BTreeMap::new(),
             endpoints: EndpointView::default(),
             suspects: HashSet::new(),
@@ -116,17 +113,17 @@
             fetching: Revision::NONE,
             claims: BTreeMap::new(),
             next_claim: 0,
-            response_bytes: answer,
+            response_bytes,
             shuts_down: false,
         }
     }
 
-    pub fn suspects_endpoint(&self, door: &SocketAddr) -> bool {
-        self.suspects.contains(door)
+    pub fn suspects_endpoint(&self, endpoint: &SocketAddr) -> bool {
+        self.suspects.contains(endpoint)
     }
 
-    pub fn version_of(&self, door: SocketAddr) -> RecordVersion {
-        self.endpoints.record(door).map_or_else(RecordVersion::default, EndpointRecord::record_version)
+    pub fn version_of(&self, endpoint: SocketAddr) -> RecordVersion {
+        self.endpoints.record(endpoint).map_or_else(RecordVersion::default, EndpointRecord::record_version)
     }
 
     pub fn record_count(&self) -> usize {
@@ -137,13 +134,13 @@
         self.record.state == UpstreamState::Serving
     }
 
-    /// Its row says something else now: its asks go out anew.
+    /// Changes the own record and restarts the open watches with it.
     fn update_record(&mut self, context: &mut ProcessContext, change: impl FnOnce(&mut EndpointRecord)) {
         self.record.sequence += 1;
         change(&mut self.record);
         for which in 0..self.watches.len() {
             if let Some(open) = self.watches[which].open_request.take() {
-                // It is given up; its reply finds nobody.
+                // The open watch is abandoned; its response will be ignored.
                 self.open_requests.remove(&open);
                 self.send_watch(which, context);
             }
@@ -153,99 +150,107 @@
     pub fn advance_upstream(&mut self, step: UpstreamStep, cold: Nanos, context: &mut ProcessContext) {
         match step {
             UpstreamStep::Drain if self.is_serving() => {
-                self.update_record(context, |row| row.state = UpstreamState::Draining);
+                self.update_record(context, |record| record.state = UpstreamState::Draining);
                 context.observe(Observation::DrainStarted(self.record.record_version()));
                 context.start_timer(2 * S, Timer::UpstreamStep(UpstreamStep::Stop));
             }
             UpstreamStep::Stop => {
-                self.update_record(context, |row| row.state = UpstreamState::Absent);
+                self.update_record(context, |record| record.state = UpstreamState::Absent);
                 let next = if self.shuts_down { UpstreamStep::ShutDown } else { UpstreamStep::Start };
                 context.start_timer(S, Timer::UpstreamStep(next));
             }
             UpstreamStep::ShutDown => {
-                self.update_record(context, |row| row.accepts_clients = false);
+                self.update_record(context, |record| record.accepts_clients = false);
                 context.start_timer(S / 2, Timer::UpstreamStep(UpstreamStep::Kill));
             }
             UpstreamStep::Start => {
                 let id = format!("i-{:x}-{:x}", context.now / MS, self.address.port());
-                self.update_record(context, |row| {
-                    (row.upstream_id, row.software_version, row.state, row.concurrency_limit) =
+                self.update_record(context, |record| {
+                    (record.upstream_id, record.software_version, record.state, record.concurrency_limit) =
                         (id, "v1".into(), UpstreamState::Serving, 8);
-                    row.warming_up_ms = cold / MS;
+                    record.warming_up_ms = cold / MS;
                 });
                 if cold > 0 {
                     context.start_timer(cold, Timer::UpstreamStep(UpstreamStep::EndSlowStart));
                 }
             }
             UpstreamStep::EndSlowStart if self.record.warming_up_ms > 0 => {
-                self.update_record(context, |row| row.warming_up_ms = 0)
+                self.update_record(context, |record| record.warming_up_ms = 0)
             }
             _ => {}
         }
     }
 
     fn configuration_revision(&self) -> Revision {
-        self.configuration.as_ref().map_or(Revision::NONE, |sheet| sheet.revision()).max(self.fetching)
+        self.configuration
+            .as_ref()
+            .map_or(Revision::NONE, |configuration| configuration.revision())
+            .max(self.fetching)
     }
 
     fn send_watch(&mut self, which: usize, context: &mut ProcessContext) {
-        let (stewards, sheet) = (self.replicas.replicas(), self.configuration_revision());
-        let turn = &mut self.watches[which];
-        let Some(steward) = turn.watcher.next_replica(context.now, self.address, &stewards) else {
+        let (stewards, configuration) = (self.replicas.replicas(), self.configuration_revision());
+        let slot = &mut self.watches[which];
+        let Some(steward) = slot.watcher.next_replica(context.now, self.address, &stewards) else {
             context.start_timer(watch_client::RETRY_INTERVAL, Timer::SendWatch(which));
             return;
         };
-        let ask = turn.watcher.request(steward, self.record.clone(), sheet, Vec::new());
-        let id = context.send_request(steward, InternalRequest::Watch(ask), turn.had_updates);
-        turn.open_request = Some(id);
+        let request = slot.watcher.request(steward, self.record.clone(), configuration, Vec::new());
+        let id = context.send_request(steward, InternalRequest::Watch(request), slot.had_updates);
+        slot.open_request = Some(id);
         self.open_requests
-            .insert(id, OpenRequest::Watch { which, steward, row: self.record.record_version() });
+            .insert(id, OpenRequest::Watch { which, steward, record: self.record.record_version() });
         context.start_timer(watch_client::MAX_WAIT + watch_client::RESPONSE_GRACE, Timer::RequestTimeout(id));
     }
 
-    /// Whether the reply was waited for.
+    /// Returns whether the response belonged to an open request.
     pub fn handle_response(
         &mut self,
         id: u64,
-        reply: InternalResponse,
+        response: InternalResponse,
         context: &mut ProcessContext,
     ) -> bool {
-        match (self.open_requests.remove(&id), reply) {
-            (Some(OpenRequest::Watch { which, steward, row }), InternalResponse::Watch(reply)) => {
-                let has_sheet = self.configuration.is_some();
-                let quiet =
-                    self.watches[which].watcher.handle_response(context.now, steward, row, has_sheet, &reply);
+        match (self.open_requests.remove(&id), response) {
+            (Some(OpenRequest::Watch { which, steward, record }), InternalResponse::Watch(response)) => {
+                let has_configuration = self.configuration.is_some();
+                let suspects = self.watches[which].watcher.handle_response(
+                    context.now,
+                    steward,
+                    record,
+                    has_configuration,
+                    &response,
+                );
                 self.watches[which].open_request = None;
-                self.watches[which].had_updates = has_updates(&reply);
-                self.apply_updates((which, steward), *reply, quiet, context);
+                self.watches[which].had_updates = has_updates(&response);
+                self.apply_updates((which, steward), *response, suspects, context);
                 if self.watches[which].open_request.is_none() {
                     self.send_watch(which, context);
                 }
             }
             (
-                Some(OpenRequest::Configuration { steward, rank, whole }),
-                InternalResponse::Configuration(parcel),
+                Some(OpenRequest::Configuration { steward, revision, is_full_fetch }),
+                InternalResponse::Configuration(update),
             ) => {
                 self.apply_configuration(
                     steward,
-                    rank,
-                    whole,
-                    parcel.and_then(|p| p.open(self.configuration.as_deref()).ok()),
+                    revision,
+                    is_full_fetch,
+                    update.and_then(|p| p.open(self.configuration.as_deref()).ok()),
                     context,
                 );
             }
-            (Some(OpenRequest::AcquireLease { claim, steward }), InternalResponse::Core(got)) => {
-                self.handle_lease_response(claim, steward, got, context)
+            (Some(OpenRequest::AcquireLease { claim, steward }), InternalResponse::Core(response)) => {
+                self.handle_lease_response(claim, steward, response, context)
             }
-            (Some(OpenRequest::CompleteLease { claim, steward }), InternalResponse::Core(got)) => {
-                self.handle_completion(claim, steward, got == CoreResponse::Accepted, context);
+            (Some(OpenRequest::CompleteLease { claim, steward }), InternalResponse::Core(response)) => {
+                self.handle_completion(claim, steward, response == CoreResponse::Accepted, context);
             }
             (open, _) => return open.is_some(),
         }
         true
     }
 
-    /// No reply came, or the connection broke.
+    /// A request timed out or its connection broke.
     pub fn handle_failure(&mut self, id: u64, context: &mut ProcessContext) {
         match self.open_requests.remove(&id) {
             Some(OpenRequest::Watch { which, steward, .. }) => {
@@ -260,7 +265,7 @@
                 self.endpoints.watch_lost(which);
                 context.start_timer(watch_client::RETRY_INTERVAL, Timer::SendWatch(which));
             }
-            Some(OpenRequest::Configuration { rank, .. }) => self.end_fetch(rank),
+            Some(OpenRequest::Configuration { revision, .. }) => self.end_fetch(revision),
             Some(OpenRequest::AcquireLease { claim, steward }) => {
                 self.handle_lease_response(claim, steward, CoreResponse::Unavailable, context)
             }
@@ -274,76 +279,81 @@
     fn apply_updates(
         &mut self,
         (which, steward): (usize, SocketAddr),
-        reply: WatchResponse,
-        quiet: HashSet<SocketAddr>,
+        response: WatchResponse,
+        suspects: HashSet<SocketAddr>,
         context: &mut ProcessContext,
     ) {
-        if let Some(life) = reply.known_incarnation.filter(|life| *life > self.record.incarnation) {
-            self.update_record(context, |row| row.incarnation = life + 1);
+        if let Some(life) = response.known_incarnation.filter(|life| *life > self.record.incarnation) {
+            self.update_record(context, |record| record.incarnation = life + 1);
         }
-        if let Some(rank) = reply.configuration.filter(|rank| *rank > self.configuration_revision()) {
-            self.fetching = rank;
-            self.fetch_configuration(steward, rank, false, context);
+        if let Some(revision) =
+            response.configuration.filter(|revision| *revision > self.configuration_revision())
+        {
+            self.fetching = revision;
+            self.fetch_configuration(steward, revision, false, context);
         }
-        if reply
+        if response
             .drains
             .iter()
             .any(|drain| drain.inbound_proxy == self.address && drain.upstream_id == self.record.upstream_id)
         {
             self.advance_upstream(UpstreamStep::Drain, 0, context);
         }
-        if !reply.replicas.is_empty() {
-            self.replicas.set_replicas(reply.replicas.into_iter().chain(self.seeds.iter().copied()));
+        if !response.replicas.is_empty() {
+            self.replicas.set_replicas(response.replicas.into_iter().chain(self.seeds.iter().copied()));
         }
-        let doors: Vec<SocketAddr> = reply.records.iter().map(|row| row.inbound_proxy).collect();
-        if self.endpoints.merge(context.now, which, reply.records, quiet) {
-            // All is listed anew.
+        let endpoints: Vec<SocketAddr> = response.records.iter().map(|record| record.inbound_proxy).collect();
+        if self.endpoints.merge(context.now, which, response.records, suspects) {
+            // The is_full_fetch list is rebuilt.
             context.process_records(Cause::RecordUpdates, self.endpoints.len());
             self.suspects = self.endpoints.suspects();
             context.observe(Observation::SuspectsUpdated);
         }
-        for door in doors {
-            context.observe(Observation::RecordUpdated(door, self.version_of(door)));
+        for endpoint in endpoints {
+            context.observe(Observation::RecordUpdated(endpoint, self.version_of(endpoint)));
         }
     }
 
     fn fetch_configuration(
         &mut self,
         steward: SocketAddr,
-        rank: Revision,
-        whole: bool,
+        revision: Revision,
+        is_full_fetch: bool,
         context: &mut ProcessContext,
     ) {
-        let have =
-            self.configuration.as_ref().filter(|_| !whole).map_or(Revision::NONE, |sheet| sheet.revision());
+        let have = self
+            .configuration
+            .as_ref()
+            .filter(|_| !is_full_fetch)
+            .map_or(Revision::NONE, |configuration| configuration.revision());
         let id = context.send_request(steward, InternalRequest::Configuration(have), false);
-        self.open_requests.insert(id, OpenRequest::Configuration { steward, rank, whole });
+        self.open_requests.insert(id, OpenRequest::Configuration { steward, revision, is_full_fetch });
         context.start_timer(FETCH_TIMEOUT, Timer::RequestTimeout(id));
     }
 
     fn apply_configuration(
         &mut self,
         at: SocketAddr,
-        rank: Revision,
-        whole: bool,
-        sheet: Option<RegisterValue>,
+        revision: Revision,
+        is_full_fetch: bool,
+        configuration: Option<RegisterValue>,
         context: &mut ProcessContext,
     ) {
-        match sheet {
-            Some(sheet) => {
-                if self.configuration.as_ref().is_none_or(|here| here.revision() < sheet.revision()) {
-                    context.observe(Observation::ConfigurationApplied(sheet.revision()));
-                    self.configuration = Some(Arc::new(sheet));
+        match configuration {
+            Some(configuration) => {
+                if self.configuration.as_ref().is_none_or(|here| here.revision() < configuration.revision()) {
+                    context.observe(Observation::ConfigurationApplied(configuration.revision()));
+                    self.configuration = Some(Arc::new(configuration));
                 }
-                self.end_fetch(rank);
+                self.end_fetch(revision);
             }
-            None if !whole => self.fetch_configuration(at, rank, true, context),
-            None => self.end_fetch(rank),
+            None if !is_full_fetch => self.fetch_configuration(at, revision, true, context),
+            None => self.end_fetch(revision),
         }
     }
 
-    fn end_fetch(&mut self, rank: Revision) {
-        if self.fetching == rank {
+    fn end_fetch(&mut self, revision: Revision) {
+        if self.fetching == revision {
             self.fetching = Revision::NONE;
         }
     }
@@ -377,12 +387,12 @@
             claim.in_flight += 1;
             claim.unanswered.push(steward);
             let (key, token) = (claim.key, claim.token);
-            let ask = InternalRequest::Core(CoreRequest::AcquireLease {
+            let request = InternalRequest::Core(CoreRequest::AcquireLease {
                 key,
                 token,
                 time_left_ms: (CLAIM_TIMEOUT / MS) as u32,
             });
-            let id = context.send_request(steward, ask, false);
+            let id = context.send_request(steward, request, false);
             self.open_requests.insert(id, OpenRequest::AcquireLease { claim: number, steward });
             context.start_timer(CLAIM_TIMEOUT, Timer::RequestTimeout(id));
         } else if claim.in_flight == 0 {
@@ -396,7 +406,7 @@
         &mut self,
         number: u64,
         steward: SocketAddr,
-        got: CoreResponse,
+        response: CoreResponse,
         context: &mut ProcessContext,
     ) {
         let Some(claim) = self.claims.get_mut(&number) else { return };
@@ -405,7 +415,7 @@
             return;
         }
         claim.unanswered.retain(|silent| *silent != steward);
-        if got == CoreResponse::Unavailable {
+        if response == CoreResponse::Unavailable {
             self.replicas.failed(context.now, steward);
             if claim.in_flight == 0 {
                 self.ask_next_replica(number, context);
@@ -415,13 +425,13 @@
         self.replicas.replied(steward);
         let silent = std::mem::take(&mut claim.unanswered);
         silent.into_iter().for_each(|silent| self.replicas.failed(context.now, silent));
-        self.decide_claim(number, got, context);
+        self.decide_claim(number, response, context);
     }
 
-    fn decide_claim(&mut self, number: u64, got: CoreResponse, context: &mut ProcessContext) {
+    fn decide_claim(&mut self, number: u64, response: CoreResponse, context: &mut ProcessContext) {
         let Some(claim) = self.claims.get_mut(&number) else { return };
         claim.is_decided = true;
-        if got == CoreResponse::LeaseGranted {
+        if response == CoreResponse::LeaseGranted {
             context.observe(Observation::LeaseGranted(
                 claim.key,
                 claim.token,
@@ -430,14 +440,14 @@
             ));
             return;
         }
-        if got == CoreResponse::Unavailable {
+        if response == CoreResponse::Unavailable {
             context.observe(Observation::LeaseUnanswered);
         }
         context.observe(Observation::LeaseReleased(claim.key, claim.token));
         self.complete_lease(number, context);
     }
 
-    /// Its req has run.
+    /// The request that holds the lease has finished.
     pub fn finish_request(&mut self, number: u64, context: &mut ProcessContext) {
         let body = vec![7; self.response_bytes];
         if let Some(claim) = self.claims.get_mut(&number) {
--- a/emulator/src/mesh/audit.rs
+++ b/emulator/src/mesh/audit.rs
@@ -1,5 +1,5 @@
-//! What must hold of a mesh, seen from outside: no attendant goes back, nothing acknowledged is lost, no key is granted
-//! twice. It owns its own usage and must never ask a process for anything.
+//! Invariants of the mesh, checked from outside: no attendant goes back to an older version, no acknowledged configuration
+//! is lost, no lease key is granted twice. The auditor never asks a process for anything.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,20 +9,20 @@
 
 use crate::Nanos;
 
-/// No more breaches than these are kept.
+/// Further violations are dropped.
 const MAX_VIOLATIONS: usize = 100;
 
 #[derive(Default)]
 pub struct Auditor {
-    /// By key, the tokens under which a req may have run.
+    /// By key, the tokens under which a request may have run.
     granted_tokens: BTreeMap<LeaseKey, BTreeSet<LeaseToken>>,
-    /// By attendant, of this life: the configuration in force, and the rows by the attendants they are about.
+    /// By attendant, since its start: the applied configuration, and the versions of the records it holds.
     applied_configurations: BTreeMap<usize, Revision>,
     record_versions: BTreeMap<usize, Vec<RecordVersion>>,
-    /// Acknowledged to an operator.
+    /// Newest revision acknowledged to an operator.
     acknowledged_revision: Revision,
     pub violations: Vec<String>,
-    /// Looks at rows, grants and reads: what was there to be broken.
+    /// Number of checks of records, grants and reads.
     pub checks: [u64; 3],
 }
 
@@ -33,39 +33,45 @@
         }
     }
 
-    /// An attendant's process began anew, and knows nothing.
-    pub fn reset_attendant(&mut self, gate: usize) {
-        self.applied_configurations.remove(&gate);
-        self.record_versions.remove(&gate);
+    /// An attendant process restarted without state.
+    pub fn reset_attendant(&mut self, attendant: usize) {
+        self.applied_configurations.remove(&attendant);
+        self.record_versions.remove(&attendant);
     }
 
-    pub fn record_applied_configuration(&mut self, now: Nanos, gate: usize, rank: Revision) {
-        let was = self.applied_configurations.insert(gate, rank).unwrap_or_default();
-        if was > rank {
+    pub fn record_applied_configuration(&mut self, now: Nanos, attendant: usize, version: Revision) {
+        let was = self.applied_configurations.insert(attendant, version).unwrap_or_default();
+        if was > version {
             self.report_violation(
                 now,
-                format!("attendant {gate} went back from r{} to r{}", was.version, rank.version),
+                format!("attendant {attendant} went back from r{} to r{}", was.version, version.version),
             );
         }
     }
 
-    /// What an attendant holds of the row of another after it was told of it.
-    pub fn record_endpoint_version(&mut self, now: Nanos, gate: usize, about: usize, rank: RecordVersion) {
+    /// The version of a record that an attendant holds after an update of it.
+    pub fn record_endpoint_version(
+        &mut self,
+        now: Nanos,
+        attendant: usize,
+        about: usize,
+        version: RecordVersion,
+    ) {
         self.checks[0] += 1;
-        let rows = self.record_versions.entry(gate).or_default();
+        let rows = self.record_versions.entry(attendant).or_default();
         if rows.len() <= about {
             rows.resize(about + 1, RecordVersion::default());
         }
-        let was = std::mem::replace(&mut rows[about], rank);
-        if was > rank {
+        let was = std::mem::replace(&mut rows[about], version);
+        if was > version {
             self.report_violation(
                 now,
-                format!("attendant {gate} went back from {was:?} to {rank:?} of {about}"),
+                format!("attendant {attendant} went back from {was:?} to {version:?} of {about}"),
             );
         }
     }
 
-    /// A gate was granted a key and lets the req run.
+    /// An attendant was granted a lease and runs the request.
     pub fn record_lease_granted(&mut self, now: Nanos, key: LeaseKey, token: LeaseToken) {
         self.checks[1] += 1;
         let tokens = self.granted_tokens.entry(key).or_default();
@@ -76,23 +82,22 @@
         }
     }
 
-    /// A gate says that nothing ran under this token, and nothing will.
+    /// An attendant states that no request ran or will run under this token.
     pub fn record_lease_released(&mut self, key: LeaseKey, token: LeaseToken) {
         if let Some(tokens) = self.granted_tokens.get_mut(&key) {
             tokens.remove(&token);
         }
     }
 
-    /// A configuration was acknowledged.
-    pub fn record_acknowledged(&mut self, rank: Revision) {
-        self.acknowledged_revision = self.acknowledged_revision.max(rank);
+    pub fn record_acknowledged(&mut self, version: Revision) {
+        self.acknowledged_revision = self.acknowledged_revision.max(version);
     }
 
     pub fn acknowledged_floor(&self) -> Revision {
         self.acknowledged_revision
     }
 
-    /// A read that began when `floor` was acknowledged found this.
+    /// A read that started after `floor` was acknowledged returned `found`.
     pub fn record_read(&mut self, now: Nanos, floor: Revision, found: Revision) {
         self.checks[2] += 1;
         if found < floor {
--- a/emulator/src/mesh/mod.rs
+++ b/emulator/src/mesh/mod.rs
@@ -1,7 +1,9 @@
-//! A mesh's control plane in simulated time: the stewards' core and office, the attendants' asks and lists, by the code
-//! of `mesh/` that the balancer runs, with no I/O. It is built up from its parts: [`scenario`] has the file, [`steward`]
-//! and [`gate`] the processes, [`context`] what they ask for, [`simulation`] links, processors, disks, loads and troubles,
-//! [`count`] the usage, [`watch`] how long news take, [`audit`] what must hold, [`report`] what is told of it.
+//! Simulates the control plane of a mesh: the consensus core and watch server of the stewards (the control-plane replicas)
+//! and the watches, endpoint lists and leases of the attendants (the proxies of the machines), with the code that the
+//! balancer runs and without I/O. [`scenario`] reads scenario files, [`steward`] and [`attendant`] are the processes,
+//! [`process_context`] carries their effects, [`simulation`] has links, processors, disks, load and faults,
+//! [`resource_usage`] accounts for work, [`propagation`] measures how long updates take, [`audit`] checks invariants and
+//! [`report`] prints the results.
 
 pub mod attendant;
 pub mod audit;
--- a/emulator/src/mesh/process_context.rs
+++ b/emulator/src/mesh/process_context.rs
@@ -1,5 +1,5 @@
-//! What a process asks of the world while it handles one thing: calls, replies, timers, work. It owns the numbers of
-//! calls and must never carry anything out itself.
+//! Effects of a process while it handles one event: requests, responses, timers, work. The simulation carries them out
+//! afterwards.
 
 use std::net::SocketAddr;
 
@@ -17,13 +17,11 @@
     CheckSuspects,
     RefreshPeers,
     WatchPeer(SocketAddr),
-    /// An ask has waited long enough for news.
+    /// A waiting watch is due to be answered.
     WatchDue(u64),
     NotifyWatches,
     DiskSynced,
-    /// A call has waited long enough for its reply.
     RequestTimeout(u64),
-    /// One of an attendant's asks goes out.
     SendWatch(usize),
     UpstreamStep(UpstreamStep),
     HedgeLease(u64),
@@ -31,19 +29,19 @@
     CompleteLease(u64),
 }
 
-/// What comes of an upstream, in this order.
+/// Life cycle of an upstream, in this order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UpstreamStep {
     Drain,
     Stop,
-    /// Its attendant's machine goes as well.
+    /// The machine of its attendant leaves too.
     ShutDown,
     Kill,
     Start,
     EndSlowStart,
 }
 
-/// What the world is told for its usage.
+/// What a process reports to the auditor and the statistics.
 #[derive(Clone, Debug)]
 pub enum Observation {
     ConfigurationReplaced(Revision, bool),
@@ -52,15 +50,15 @@
         found: Revision,
     },
     ConfigurationApplied(Revision),
-    /// Of whose row this attendant now has this rank.
+    /// The endpoint and the version of its record that this attendant now holds.
     RecordUpdated(SocketAddr, RecordVersion),
-    /// Whom this attendant holds for quiet may have changed.
+    /// The suspects of this attendant may have changed.
     SuspectsUpdated,
     DrainStarted(RecordVersion),
-    /// After so long, to the claim of that number.
+    /// Key, token, time since the request, and the number of the claim.
     LeaseGranted(LeaseKey, LeaseToken, Nanos, u64),
     LeaseReleased(LeaseKey, LeaseToken),
-    /// A claim got no answer that counts.
+    /// No steward answered a lease request.
     LeaseUnanswered,
 }
 
@@ -68,17 +66,17 @@
     Request {
         to: SocketAddr,
         id: u64,
-        ask: Box<InternalRequest>,
-        follows: bool,
+        request: Box<InternalRequest>,
+        had_updates: bool,
     },
     Response {
         to: usize,
         id: u64,
-        reply: InternalResponse,
-        ask: Cause,
+        response: InternalResponse,
+        request_cause: Cause,
     },
     StartTimer(Nanos, Timer),
-    /// As soon as the processor has done all that it has.
+    /// Fires when the processor has finished its work.
     RunWhenIdle(Timer),
     SyncDisk,
     ProcessRecords(Cause, usize),
@@ -93,29 +91,29 @@
 }
 
 impl ProcessContext {
-    /// Sends a call; its number.
-    pub fn send_request(&mut self, to: SocketAddr, ask: InternalRequest, follows: bool) -> u64 {
+    /// Sends a request and returns its id.
+    pub fn send_request(&mut self, to: SocketAddr, request: InternalRequest, had_updates: bool) -> u64 {
         self.last_request_id += 1;
         self.effects.push(ProcessEffect::Request {
             to,
             id: self.last_request_id,
-            ask: Box::new(ask),
-            follows,
+            request: Box::new(request),
+            had_updates,
         });
         self.last_request_id
     }
 
-    pub fn send_message(&mut self, to: SocketAddr, letter: Message) {
+    pub fn send_message(&mut self, to: SocketAddr, message: Message) {
         self.effects.push(ProcessEffect::Request {
             to,
             id: 0,
-            ask: Box::new(InternalRequest::ReplicaMessage(letter)),
-            follows: false,
+            request: Box::new(InternalRequest::ReplicaMessage(message)),
+            had_updates: false,
         });
     }
 
-    pub fn send_response(&mut self, to: usize, id: u64, reply: InternalResponse, ask: Cause) {
-        self.effects.push(ProcessEffect::Response { to, id, reply, ask });
+    pub fn send_response(&mut self, to: usize, id: u64, response: InternalResponse, request_cause: Cause) {
+        self.effects.push(ProcessEffect::Response { to, id, response, request_cause });
     }
 
     pub fn start_timer(&mut self, after: Nanos, timer: Timer) {
@@ -130,12 +128,12 @@
         self.effects.push(ProcessEffect::SyncDisk);
     }
 
-    pub fn process_records(&mut self, cause: Cause, many: usize) {
-        self.effects.push(ProcessEffect::ProcessRecords(cause, many));
+    pub fn process_records(&mut self, cause: Cause, count: usize) {
+        self.effects.push(ProcessEffect::ProcessRecords(cause, count));
     }
 
-    pub fn check_watches(&mut self, many: usize) {
-        self.effects.push(ProcessEffect::CheckWatches(many));
+    pub fn check_watches(&mut self, count: usize) {
+        self.effects.push(ProcessEffect::CheckWatches(count));
     }
 
     pub fn observe(&mut self, note: Observation) {
--- a/emulator/src/mesh/propagation.rs
+++ b/emulator/src/mesh/propagation.rs
@@ -1,5 +1,5 @@
-//! How long news take to all gates. It owns what each gate that was there when it began has not heard of yet. A gate
-//! that ends is waited for no more; one that starts later never was.
+//! Measures how long updates take to reach all attendants. Only attendants that run when an update starts are waited for,
+//! and only until they end.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -24,14 +24,14 @@
 #[derive(Default)]
 pub struct PropagationTracker {
     open: BTreeMap<(UpdateKind, usize), Vec<OpenUpdate>>,
-    /// Seconds until all knew.
+    /// Seconds until all attendants knew.
     pub delays_s: BTreeMap<UpdateKind, Vec<f64>>,
-    /// The dead that were back before all knew.
+    /// Failed attendants that returned before all had learned of the failure.
     pub returned: usize,
 }
 
 impl PropagationTracker {
-    /// What began before is not counted.
+    /// Starts the measurement.
     pub fn clear(&mut self) {
         *self = PropagationTracker::default();
     }
@@ -41,60 +41,60 @@
         now: Nanos,
         kind: UpdateKind,
         about: usize,
-        rank: (u64, u64),
-        left: Vec<usize>,
+        version: (u64, u64),
+        remaining: Vec<usize>,
     ) {
-        if !left.is_empty() {
-            let open = OpenUpdate { started_at: now, version: rank, remaining: left.into_iter().collect() };
+        if !remaining.is_empty() {
+            let open = OpenUpdate { started_at: now, version, remaining: remaining.into_iter().collect() };
             self.open.entry((kind, about)).or_default().push(open);
         }
     }
 
-    /// A gate knows something of this rank.
+    /// An attendant knows this version.
     pub fn record_known(
         &mut self,
         now: Nanos,
         kind: UpdateKind,
         about: usize,
-        gate: usize,
-        rank: (u64, u64),
+        attendant: usize,
+        version: (u64, u64),
     ) {
         let Some(open) = self.open.get_mut(&(kind, about)) else { return };
-        open.iter_mut().filter(|open| open.version <= rank).for_each(|open| {
-            open.remaining.remove(&gate);
+        open.iter_mut().filter(|open| open.version <= version).for_each(|open| {
+            open.remaining.remove(&attendant);
         });
         self.close_finished(now, (kind, about));
     }
 
-    /// Whom a gate holds for quiet may have changed.
-    pub fn record_suspects(&mut self, now: Nanos, gate: usize, holds: impl Fn(usize) -> bool) {
+    /// The suspects of an attendant may have changed.
+    pub fn record_suspects(&mut self, now: Nanos, attendant: usize, suspects: impl Fn(usize) -> bool) {
         let dead: Vec<usize> = self
             .open
             .keys()
             .filter(|(kind, _)| *kind == UpdateKind::Failure)
             .map(|(_, about)| *about)
             .collect();
-        for about in dead.into_iter().filter(|about| holds(*about)) {
-            self.record_known(now, UpdateKind::Failure, about, gate, (0, 0));
+        for about in dead.into_iter().filter(|about| suspects(*about)) {
+            self.record_known(now, UpdateKind::Failure, about, attendant, (0, 0));
         }
     }
 
-    /// A gate has ended.
-    pub fn remove_attendant(&mut self, now: Nanos, gate: usize) {
+    /// An attendant ended.
+    pub fn remove_attendant(&mut self, now: Nanos, attendant: usize) {
         let keys: Vec<(UpdateKind, usize)> = self.open.keys().copied().collect();
         for key in keys {
             if let Some(open) = self.open.get_mut(&key) {
                 open.iter_mut().for_each(|open| {
-                    open.remaining.remove(&gate);
+                    open.remaining.remove(&attendant);
                 });
             }
             self.close_finished(now, key);
         }
     }
 
-    /// A gate is there again: nobody has to find it quiet any more.
-    pub fn record_return(&mut self, gate: usize) {
-        self.returned += self.open.remove(&(UpdateKind::Failure, gate)).map_or(0, |open| open.len());
+    /// An attendant is back; its failure no longer has to be detected.
+    pub fn record_return(&mut self, attendant: usize) {
+        self.returned += self.open.remove(&(UpdateKind::Failure, attendant)).map_or(0, |open| open.len());
     }
 
     fn close_finished(&mut self, now: Nanos, key: (UpdateKind, usize)) {
@@ -111,7 +111,7 @@
         }
     }
 
-    /// What not all have heard of at the end.
+    /// Updates that have not reached all attendants.
     pub fn unfinished(&self, kind: UpdateKind) -> usize {
         self.open.iter().filter(|((of, _), _)| *of == kind).map(|(_, open)| open.len()).sum()
     }
--- a/emulator/src/mesh/report.rs
+++ b/emulator/src/mesh/report.rs
@@ -1,5 +1,5 @@
-//! What is told of a run: times until news are known at all gates, the work of one steward and one attendant by cause,
-//! and a steward's load against its limits; over sizes, where a limit breaks. All of it is simulated.
+//! Results of a run: propagation delays, the work of one steward and one attendant by cause, the load of the busiest
+//! steward against its limits and, over several sizes, the limit that is reached first. All figures are simulated.
 
 use std::fmt::Write;
 
@@ -10,12 +10,12 @@
 use super::resource_usage::{CAUSES, Cause, ResourceUsage, UsageSum};
 use super::scenario::Scenario;
 
-/// Seconds until all gates knew.
+/// Seconds until all attendants knew.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct DelaySummary {
     #[serde(rename = "times")]
     pub count: usize,
-    /// Not known to all at the end.
+    /// Updates that had not reached all attendants at the end.
     #[serde(rename = "unheard")]
     pub unfinished: usize,
     pub p50: f64,
@@ -43,7 +43,7 @@
     }
 }
 
-/// The busiest steward's load, as a part of what it has: in the mean, and in the worst second.
+/// Load of the busiest steward as a fraction of its limit: mean, and in the worst second.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Load {
     pub mean: f64,
@@ -58,13 +58,13 @@
     pub drain: DelaySummary,
     #[serde(rename = "dead")]
     pub failure: DelaySummary,
-    /// Of the dead, those that were back before all knew.
+    /// Failed attendants that returned before all had learned of the failure.
     pub returned: usize,
     pub configuration: DelaySummary,
-    /// Of claims: asked, granted, without an answer that counts; ms until granted.
+    /// Leases requested, granted and unanswered.
     pub claims: [u64; 3],
     pub claim_ms: DelaySummary,
-    /// Of one of them, a second, by cause.
+    /// Usage of one process per second, by cause.
     #[serde(rename = "steward")]
     pub steward_usage: Vec<(Cause, UsageSum)>,
     #[serde(rename = "attendant")]
@@ -72,11 +72,11 @@
     pub processor: Load,
     pub link_out: Load,
     pub link_in: Load,
-    /// The longest that something waited for a steward's processor.
+    /// Longest wait for the processor of a steward.
     #[serde(rename = "wait_ms")]
     pub max_wait_ms: f64,
     pub events: u64,
-    /// Rows, grants and reads that were looked at, and what was broken.
+    /// Number of checks of records, grants and reads.
     #[serde(rename = "looked_at")]
     pub checks: [u64; 3],
     #[serde(rename = "breaches")]
@@ -100,7 +100,7 @@
 pub(super) fn report(
     scenario: &Scenario,
     seconds: f64,
-    (stewards, gates): (Vec<ResourceUsage>, Vec<ResourceUsage>),
+    (stewards, attendants): (Vec<ResourceUsage>, Vec<ResourceUsage>),
     watch: &PropagationTracker,
     audit: &Auditor,
     (claims, claim_ms): ([u64; 3], Vec<f64>),
@@ -124,7 +124,7 @@
         claims,
         claim_ms: DelaySummary::of(claim_ms, 0),
         steward_usage: mean(&stewards, seconds),
-        attendant_usage: mean(&gates, seconds),
+        attendant_usage: mean(&attendants, seconds),
         processor: load(0, 1e9 * scenario.processor.steward_share),
         link_out: load(1, bytes),
         link_in: load(2, bytes),
@@ -135,7 +135,7 @@
     }
 }
 
-fn causes(text: &mut String, of: &str, sums: &[(Cause, UsageSum)]) {
+fn write_usage_table(text: &mut String, of: &str, sums: &[(Cause, UsageSum)]) {
     let _ = writeln!(
         text,
         "\n| {of}, a second | messages | bytes | wake-ups | processor, us |\n| --- | --- | --- | --- | --- |"
@@ -188,8 +188,8 @@
             );
         }
         let _ = writeln!(text, "longest wait for a steward's processor: {:.0} ms", self.max_wait_ms);
-        causes(&mut text, "a steward", &self.steward_usage);
-        causes(&mut text, "an attendant", &self.attendant_usage);
+        write_usage_table(&mut text, "a steward", &self.steward_usage);
+        write_usage_table(&mut text, "an attendant", &self.attendant_usage);
         let [rows, grants, reads] = self.checks;
         let _ = writeln!(
             text,
@@ -203,8 +203,8 @@
     }
 }
 
-/// Where a load reaches 1 between two sizes, or beyond the last one, on a straight line of both logarithms.
-fn crosses(points: &[(f64, f64)]) -> Option<f64> {
+/// Size at which a load reaches 1, interpolated or extrapolated linearly in log-log space.
+fn find_limit_crossing(points: &[(f64, f64)]) -> Option<f64> {
     let pairs = points.windows(2).filter(|pair| pair[1].1 >= 1.0 && pair[0].1 < 1.0);
     let pair = pairs.chain(points.windows(2).last()).next()?;
     let [(n0, l0), (n1, l1)] = [pair[0], pair[1]];
@@ -215,7 +215,7 @@
     (slope > 0.05 && l0 > 0.0).then(|| n0 * (-l0.ln() / slope).exp())
 }
 
-/// A table over sizes, and which limit breaks first.
+/// Table over sizes, with the limits in the order in which they are reached.
 pub fn sweep_text(reports: &[Report]) -> String {
     let mut text = String::from(
         "simulated; seconds until all gates know (p50 p99 max); loads of the busiest steward as parts of its limit, mean (worst second)\n\
@@ -273,18 +273,18 @@
         ("link in, in the mean", |r| r.link_in.mean),
         ("link in, in the worst second", |r| r.link_in.peak),
     ];
-    let mut breaks: Vec<(f64, &str)> = limits
+    let mut crossings: Vec<(f64, &str)> = limits
         .iter()
         .filter_map(|(name, pick)| {
             let points: Vec<(f64, f64)> = reports.iter().map(|r| (r.nodes as f64, pick(r))).collect();
-            Some((crosses(&points)?, *name))
+            Some((find_limit_crossing(&points)?, *name))
         })
         .collect();
-    breaks.sort_by(|a, b| a.0.total_cmp(&b.0));
+    crossings.sort_by(|a, b| a.0.total_cmp(&b.0));
     let last = reports.last().map_or(0, |report| report.nodes) as f64;
     text += "\nA steward's limits, the first to break first:\n";
-    // What is far beyond the sizes played is no estimate any more.
-    for (nodes, name) in breaks.into_iter().filter(|(nodes, _)| *nodes < 4.0 * last) {
+    // Extrapolation beyond 4 times the largest size is unreliable.
+    for (nodes, name) in crossings.into_iter().filter(|(nodes, _)| *nodes < 4.0 * last) {
         let beyond = if nodes > last { ", beyond the sizes played" } else { "" };
         let _ = writeln!(text, "- {name}: about {nodes:.0} nodes{beyond}");
     }
--- a/emulator/src/mesh/resource_usage.rs
+++ b/emulator/src/mesh/resource_usage.rs
@@ -1,5 +1,4 @@
-//! What goes to whose account: messages, bytes, wake-ups and processor by cause, and each second's load of a machine.
-//! It owns the usage and must never change what happens.
+//! Accounts for messages, bytes, wake-ups and processor time by cause, and for the load of a machine by second.
 
 use ochreshed_catalog::internal_rpc::{InternalRequest, InternalResponse, WatchResponse};
 use ochreshed_consensus::messages::{CoreRequest, MessageBody};
@@ -10,25 +9,25 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Cause {
-    /// Stewards to each other: I am there.
+    /// Heartbeats between stewards.
     #[serde(rename = "beats")]
     Heartbeats,
-    /// Attendants' asks that no news answers: their heartbeats.
+    /// Watches of attendants that end without updates; they serve as heartbeats.
     #[serde(rename = "asks")]
     WatchRequests,
-    /// Asks that tell a row or follow news, and the news.
+    /// Watches that carry a record or follow updates, and the updates.
     #[serde(rename = "rows")]
     RecordUpdates,
-    /// Stewards' asks for each other's rows, with the ages of all.
+    /// Watches between stewards, with the ages of all records.
     #[serde(rename = "spread")]
     PeerWatches,
     Configurations,
     #[serde(rename = "claims")]
     Leases,
-    /// Ballots, and what a new member is told.
+    /// Membership ballots, and the state sent to a new member.
     #[serde(rename = "views")]
     Membership,
-    /// Timers, looks, the disk.
+    /// Timers, suspect checks and the disk.
     #[serde(rename = "clock")]
     Timers,
 }
@@ -59,11 +58,11 @@
         }
     }
 
-    /// `follows`: the last reply told of news.
-    pub fn of_request(ask: &InternalRequest, follows: bool) -> Cause {
-        match ask {
+    /// `had_updates`: the last response contained updates.
+    pub fn of_request(request: &InternalRequest, had_updates: bool) -> Cause {
+        match request {
             InternalRequest::Watch(news) if news.from_replica => Cause::PeerWatches,
-            InternalRequest::Watch(news) if news.record.is_some() || follows => Cause::RecordUpdates,
+            InternalRequest::Watch(news) if news.record.is_some() || had_updates => Cause::RecordUpdates,
             InternalRequest::Watch(_) => Cause::WatchRequests,
             InternalRequest::Core(CoreRequest::AcquireLease { .. } | CoreRequest::CompleteLease { .. }) => {
                 Cause::Leases
@@ -72,7 +71,7 @@
             | InternalRequest::Configuration(_)
             | InternalRequest::Registers(_)
             | InternalRequest::AppliedEditions(_) => Cause::Configurations,
-            InternalRequest::ReplicaMessage(letter) => match letter.body {
+            InternalRequest::ReplicaMessage(message) => match message.body {
                 MessageBody::Heartbeat { .. } => Cause::Heartbeats,
                 MessageBody::RequestLeases(_)
                 | MessageBody::LeaseVotes(_)
@@ -88,42 +87,42 @@
         }
     }
 
-    /// `ask`: that of what it answers.
-    pub fn of_response(reply: &InternalResponse, ask: Cause) -> Cause {
-        match reply {
-            InternalResponse::Watch(news) if ask != Cause::PeerWatches && has_updates(news) => {
+    /// `request`: the cause of the request that it answers.
+    pub fn of_response(response: &InternalResponse, request: Cause) -> Cause {
+        match response {
+            InternalResponse::Watch(news) if request != Cause::PeerWatches && has_updates(news) => {
                 Cause::RecordUpdates
             }
-            InternalResponse::Watch(_) if ask == Cause::RecordUpdates => Cause::WatchRequests,
-            _ => ask,
+            InternalResponse::Watch(_) if request == Cause::RecordUpdates => Cause::WatchRequests,
+            _ => request,
         }
     }
 }
 
-pub fn has_updates(reply: &WatchResponse) -> bool {
-    !reply.records.is_empty() || reply.suspects.is_some()
+pub fn has_updates(response: &WatchResponse) -> bool {
+    !response.records.is_empty() || response.suspects.is_some()
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct UsageSum {
-    /// Sent and taken.
+    /// Sent and received.
     pub messages: f64,
     pub bytes: f64,
     pub wakes: f64,
-    /// Nanoseconds of a whole core.
+    /// Nanoseconds of one core.
     pub processor: f64,
 }
 
-/// One machine's usage.
+/// Resource usage of one machine.
 #[derive(Clone, Debug, Default)]
 pub struct ResourceUsage {
     pub sums: [UsageSum; CAUSES.len()],
     second: u64,
-    /// Of the second under way: processor's nanoseconds, bytes out and in; and of the worst ones.
+    /// Processor nanoseconds, bytes sent and bytes received: in the current second, in the worst second and in total.
     current_second: [f64; 3],
     pub peak_second: [f64; 3],
     pub total: [f64; 3],
-    /// The longest wait for the processor.
+    /// Longest wait for the processor.
     pub max_wait: Nanos,
 }
 
@@ -149,12 +148,12 @@
         self.add_to_second(now, if out { 1 } else { 2 }, bytes as f64);
     }
 
-    pub fn record_wakeups(&mut self, cause: Cause, many: usize) {
-        self.sums[cause as usize].wakes += many as f64;
+    pub fn record_wakeups(&mut self, cause: Cause, count: usize) {
+        self.sums[cause as usize].wakes += count as f64;
     }
 
-    pub fn record_work(&mut self, now: Nanos, cause: Cause, takes: Nanos) {
-        self.sums[cause as usize].processor += takes as f64;
-        self.add_to_second(now, 0, takes as f64);
+    pub fn record_work(&mut self, now: Nanos, cause: Cause, duration: Nanos) {
+        self.sums[cause as usize].processor += duration as f64;
+        self.add_to_second(now, 0, duration as f64);
     }
 }
--- a/emulator/src/mesh/simulation.rs
+++ b/emulator/src/mesh/simulation.rs
@@ -1,6 +1,5 @@
-//! A mesh in simulated time: stewards and attendants, the links, processors and disks between them, what goes on and
-//! what goes wrong. It owns what is true of each; a process is told only what would reach it, when it would. The same
-//! scenario and seed give the same run. All figures are simulated.
+//! Simulates a mesh: stewards, attendants, their links, processors and disks, load and faults. The simulation holds the
+//! true state; a process receives only what would reach it, when it would. The same scenario and seed give the same run.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -23,16 +22,15 @@
 use crate::{MS, Nanos, S};
 
 const START: Nanos = 1_000 * S;
-/// As in `steward.rs`: a voter of whom nothing was heard for so long may be replaced.
+/// A voter that was silent for this long may be replaced. Matches `balancer/src/mesh/steward.rs`.
 const MEMBER_TIMEOUT: Nanos = 5 * S;
 const MAX_LEASES: usize = 200_000;
 const MAX_RESPONSE_BYTES: usize = 64 << 20;
-/// How long claims are kept.
 const LEASE_TTL: Nanos = 80 * S;
-/// An operator whose configuration was not acknowledged sends it again, and reads it so often.
+/// An operator repeats a configuration change that was not acknowledged.
 const OPERATOR_RETRY_INTERVAL: Nanos = 2_500 * MS;
 const OPERATOR_READ_INTERVAL: Nanos = 500 * MS;
-/// A repeat is of one of the last so many keys.
+/// Repeated lease requests use one of this count recent keys.
 const RECENT_KEYS: usize = 64;
 
 enum Payload {
@@ -51,7 +49,7 @@
 
 enum Event {
     MessageArrival(Box<Message>),
-    /// The processor has come to it.
+    /// The processor is free for the message. Carries the incarnation of the receiver.
     MessageReady(u64, Box<Message>),
     TimerExpiry(usize, u64, Timer),
     TimerReady(usize, u64, Timer),
@@ -77,7 +75,6 @@
     process: Option<Process>,
     incarnation: u64,
     storage: StableStorage,
-    /// Its processor, and its link each way, are free from then on.
     processor_free_at: Nanos,
     link_out_free_at: Nanos,
     link_in_free_at: Nanos,
@@ -91,9 +88,9 @@
     mutation: Option<Mutation>,
     events: EventQueue<Event>,
     nodes: Vec<Node>,
-    /// Calls that wait for a reply: who asks whom.
+    /// Requests that wait for a response: sender and receiver.
     open_calls: BTreeMap<u64, (usize, usize)>,
-    /// When the last message arrives, by both ends: a connection keeps its order.
+    /// Arrival of the last message by sender and receiver: connections preserve order.
     last_arrival: BTreeMap<(usize, usize), Nanos>,
     last_request_id: u64,
     network_random: RandomStream,
@@ -107,7 +104,7 @@
     lease_delays_ms: Vec<f64>,
 }
 
-/// Plays a scenario; `mutation` breaks a rule of the core.
+/// Simulates a scenario; `mutation` plants a defect in the consensus core.
 pub fn simulate(scenario: &Scenario, seed: u64, mutation: Option<Mutation>) -> Report {
     let mut simulation = Simulation::new(scenario, seed, mutation);
     let end = START + scenario.warm_up_time() + scenario.duration;
@@ -118,12 +115,12 @@
     let seconds = scenario.duration as f64 / 1e9;
     let split = scenario.stewards;
     let of = |nodes: &[Node]| nodes.iter().map(|node| node.usage.clone()).collect::<Vec<_>>();
-    let (stewards, gates) = simulation.nodes.split_at(split);
+    let (stewards, attendants) = simulation.nodes.split_at(split);
     let claims = (simulation.lease_counts, std::mem::take(&mut simulation.lease_delays_ms));
     report(
         scenario,
         seconds,
-        (of(stewards), of(gates)),
+        (of(stewards), of(attendants)),
         &simulation.propagation,
         &simulation.auditor,
         claims,
@@ -131,7 +128,7 @@
     )
 }
 
-/// A text that looks like a configuration; a line of it goes with the version.
+/// Generates a text like a configuration, of which one line changes with the version.
 fn text(bytes: usize, version: u64) -> Vec<u8> {
     let mut text = format!("{{\"version\":{version},\"routes\":[");
     let mut line = 0u64;
@@ -193,24 +190,24 @@
         simulation.events.schedule_after(S, Event::NewConfiguration);
         simulation.events.schedule_after(OPERATOR_READ_INTERVAL, Event::ReadConfiguration);
         simulation.events.schedule_after(of.warm_up_time(), Event::MeasurementStart);
-        for gate in of.stewards..simulation.nodes.len() {
-            for event in [Event::LeaseRequest(gate), Event::UpstreamTurnover(gate)] {
+        for attendant in of.stewards..simulation.nodes.len() {
+            for event in [Event::LeaseRequest(attendant), Event::UpstreamTurnover(attendant)] {
                 simulation.schedule_load(of.startup_time(), event);
             }
         }
-        for (number, trouble) in of.faults.iter().enumerate() {
-            let many = trouble.target_count(simulation.target_nodes(trouble.target).len());
-            let one_by_one = matches!(trouble.kind, FaultKind::Kill | FaultKind::Roll);
-            for step in 0..many {
-                let within = if one_by_one { trouble.duration / many as u64 * step as u64 } else { 0 };
+        for (number, fault) in of.faults.iter().enumerate() {
+            let count = fault.target_count(simulation.target_nodes(fault.target).len());
+            let one_by_one = matches!(fault.kind, FaultKind::Kill | FaultKind::Roll);
+            for step in 0..count {
+                let within = if one_by_one { fault.duration / count as u64 * step as u64 } else { 0 };
                 simulation.events.schedule_after(
-                    of.warm_up_time() + trouble.starts_at + within,
+                    of.warm_up_time() + fault.starts_at + within,
                     Event::FaultStart(number, step),
                 );
             }
             if !one_by_one {
                 simulation.events.schedule_after(
-                    of.warm_up_time() + trouble.starts_at + trouble.duration,
+                    of.warm_up_time() + fault.starts_at + fault.duration,
                     Event::FaultEnd(number),
                 );
             }
@@ -218,7 +215,7 @@
         simulation
     }
 
-    /// A load's next time.
+    /// Schedules the next event of a Poisson load.
     fn schedule_load(&mut self, from: Nanos, event: Event) {
         let per_s = match event {
             Event::LeaseRequest(_) => self.scenario.leases.per_s,
@@ -249,8 +246,8 @@
     }
 
     fn running_attendants(&self) -> Vec<usize> {
-        let gates = self.scenario.stewards..self.nodes.len();
-        gates.filter(|gate| self.nodes[*gate].process.is_some()).collect()
+        let attendants = self.scenario.stewards..self.nodes.len();
+        attendants.filter(|attendant| self.nodes[*attendant].process.is_some()).collect()
     }
 
     fn handle_event(&mut self, event: Event) {
@@ -264,7 +261,7 @@
                 if self.open_calls.remove(&id).is_some() {
                     self.with_process(node, |process, context| match process {
                         Process::Steward(steward) => steward.handle_failure(id, context),
-                        Process::Attendant(gate) => gate.handle_failure(id, context),
+                        Process::Attendant(attendant) => attendant.handle_failure(id, context),
                     });
                 }
             }
@@ -281,16 +278,16 @@
                     version,
                     text(self.scenario.configurations.bytes, version),
                 )));
-                let alive = self.running_attendants();
-                self.propagation.start_update(now, UpdateKind::Configuration, 0, (version, 0), alive);
+                let running = self.running_attendants();
+                self.propagation.start_update(now, UpdateKind::Configuration, 0, (version, 0), running);
                 self.events.schedule_after(0, Event::SendConfiguration(version));
                 self.events.schedule_after(self.scenario.configurations.interval, Event::NewConfiguration);
             }
             Event::SendConfiguration(version) => {
-                let sheet = self.configurations[version as usize - 1].clone();
-                if self.auditor.acknowledged_floor() < sheet.revision() {
+                let configuration = self.configurations[version as usize - 1].clone();
+                if self.auditor.acknowledged_floor() < configuration.revision() {
                     self.events.schedule_after(OPERATOR_RETRY_INTERVAL, Event::SendConfiguration(version));
-                    self.send_operator_request(CoreRequest::ReplaceConfiguration(sheet));
+                    self.send_operator_request(CoreRequest::ReplaceConfiguration(configuration));
                 }
             }
             Event::ReadConfiguration => {
@@ -303,8 +300,8 @@
                 let token = self.load_random.sample_below(usize::MAX >> 2) as LeaseToken + 1;
                 self.lease_counts[0] += 1;
                 self.with_process(node, |process, context| {
-                    if let Process::Attendant(gate) = process {
-                        gate.acquire_lease(key, token, context);
+                    if let Process::Attendant(attendant) = process {
+                        attendant.acquire_lease(key, token, context);
                     }
                 });
             }
@@ -333,12 +330,12 @@
         key
     }
 
-    fn send_operator_request(&mut self, want: CoreRequest) {
+    fn send_operator_request(&mut self, request: CoreRequest) {
         let steward = self.load_random.sample_below(self.scenario.stewards);
         let floor = self.auditor.acknowledged_floor();
         self.with_process(steward, |process, context| {
             if let Process::Steward(steward) = process {
-                steward.handle_operator_request(want, floor, context);
+                steward.handle_operator_request(request, floor, context);
             }
         });
     }
@@ -366,15 +363,15 @@
                 tolerated_zone_losses: 0,
                 zone: String::new(),
             };
-            // The first ones begin as the first view; others are spares that it takes in.
+            // The first stewards start as the initial membership; it adds the others as spares.
             let first = life == 0 && node < voters;
-            let kept = self.nodes[node].storage.clone();
+            let storage = self.nodes[node].storage.clone();
             let seeds = &seeds[..voters];
             let start = StewardStart {
                 address: at,
                 seeds,
                 is_first_start: first,
-                storage: kept,
+                storage,
                 config,
                 seed,
                 mutation: self.mutation,
@@ -383,14 +380,14 @@
         } else {
             let service =
                 format!("svc-{:02}", (node - self.scenario.stewards) % self.scenario.upstreams.services);
-            let many = (self.scenario.tolerated_failures + 1).max(2);
+            let count = (self.scenario.tolerated_failures + 1).max(2);
             self.auditor.reset_attendant(node);
             self.propagation.record_return(node);
             Process::Attendant(Box::new(Attendant::start(
                 at,
                 &seeds,
                 service,
-                many,
+                count,
                 self.scenario.leases.response_bytes,
                 &mut context,
             )))
@@ -407,10 +404,10 @@
             self.nodes[node].storage = steward.storage;
         } else {
             self.propagation.remove_attendant(now, node);
-            let alive = self.running_attendants();
-            self.propagation.start_update(now, UpdateKind::Failure, node, (0, 0), alive);
+            let running = self.running_attendants();
+            self.propagation.start_update(now, UpdateKind::Failure, node, (0, 0), running);
         }
-        // Its system closes its connections.
+        // The operating system closes the connections.
         let broken: Vec<(u64, usize)> = self
             .open_calls
             .iter()
@@ -426,20 +423,20 @@
     }
 
     fn start_fault(&mut self, number: usize, step: usize) {
-        let trouble: &Fault = &self.scenario.faults[number];
-        let node = self.target_nodes(trouble.target).start + step;
-        match trouble.kind {
-            FaultKind::Kill => self.kill_process(node, trouble.downtime),
-            FaultKind::Roll if node < self.scenario.stewards => self.kill_process(node, trouble.downtime),
+        let fault: &Fault = &self.scenario.faults[number];
+        let node = self.target_nodes(fault.target).start + step;
+        match fault.kind {
+            FaultKind::Kill => self.kill_process(node, fault.downtime),
+            FaultKind::Roll if node < self.scenario.stewards => self.kill_process(node, fault.downtime),
             FaultKind::Roll => {
-                if let Some(Process::Attendant(gate)) = &mut self.nodes[node].process {
-                    gate.shuts_down = true;
+                if let Some(Process::Attendant(attendant)) = &mut self.nodes[node].process {
+                    attendant.shuts_down = true;
                 }
                 self.advance_upstream(node, UpstreamStep::Drain);
             }
             FaultKind::Cut => self.nodes[node].is_partitioned = true,
             FaultKind::Freeze => {
-                let until = self.events.now() + trouble.duration;
+                let until = self.events.now() + fault.duration;
                 self.nodes[node].frozen_until = until;
                 self.nodes[node].processor_free_at = self.nodes[node].processor_free_at.max(until);
             }
@@ -448,19 +445,19 @@
 
     fn advance_upstream(&mut self, node: usize, step: UpstreamStep) {
         if step == UpstreamStep::Kill {
-            let down = self.scenario.faults.iter().find(|trouble| trouble.kind == FaultKind::Roll);
-            self.kill_process(node, down.map_or(S, |trouble| trouble.downtime));
+            let down = self.scenario.faults.iter().find(|fault| fault.kind == FaultKind::Roll);
+            self.kill_process(node, down.map_or(S, |fault| fault.downtime));
             return;
         }
         let cold = self.scenario.upstreams.slow_start;
         self.with_process(node, |process, context| {
-            if let Process::Attendant(gate) = process {
-                gate.advance_upstream(step, cold, context);
+            if let Process::Attendant(attendant) = process {
+                attendant.advance_upstream(step, cold, context);
             }
         });
     }
 
-    /// The time at which a node's processor has done this too, and what else it has.
+    /// Queues work on the processor of a node and returns when it is done.
     fn occupy_processor(&mut self, node: usize, cause: Cause, takes: Nanos) -> Nanos {
         let share = match node < self.scenario.stewards {
             true => self.scenario.processor.steward_share,
@@ -483,8 +480,8 @@
 
     fn send_message(&mut self, from: usize, to: usize, id: u64, cause: Cause, payload: Payload) {
         let frame = match &payload {
-            Payload::Request(ask) => encode(&Frame { id, payload: &**ask }),
-            Payload::Response(reply) => encode(&Frame { id, payload: reply }),
+            Payload::Request(request) => encode(&Frame { id, payload: &**request }),
+            Payload::Response(response) => encode(&Frame { id, payload: response }),
         };
         let Some(frame) = frame else { return };
         let bytes = frame.len() as u64 + self.scenario.link.overhead_bytes;
@@ -513,7 +510,7 @@
     fn receive_message(&mut self, message: Box<Message>) {
         let (now, to) = (self.events.now(), message.to);
         if self.nodes[to].process.is_none() {
-            // Its system says that nobody is there.
+            // The operating system refuses the connection.
             if matches!(message.payload, Payload::Request(_)) && message.id != 0 {
                 let after = self.scenario.link.delay.sample(&mut self.network_random);
                 self.events.schedule_after(after, Event::ConnectionBroken(message.from, message.id));
@@ -537,21 +534,21 @@
             return;
         }
         match payload {
-            Payload::Request(ask) => self.with_process(to, |process, context| {
+            Payload::Request(request) => self.with_process(to, |process, context| {
                 if let Process::Steward(steward) = process {
-                    steward.handle_request(from, id, *ask, cause, context);
+                    steward.handle_request(from, id, *request, cause, context);
                 }
             }),
-            Payload::Response(reply) => {
+            Payload::Response(response) => {
                 if self.open_calls.remove(&id).is_none() {
                     return;
                 }
-                self.with_process(to, |process, context| match (process, reply) {
-                    (Process::Attendant(gate), reply) => {
-                        gate.handle_response(id, reply, context);
+                self.with_process(to, |process, context| match (process, response) {
+                    (Process::Attendant(attendant), response) => {
+                        attendant.handle_response(id, response, context);
                     }
-                    (Process::Steward(steward), InternalResponse::Watch(reply)) => {
-                        steward.handle_peer_response(id, &reply, context);
+                    (Process::Steward(steward), InternalResponse::Watch(response)) => {
+                        steward.handle_peer_response(id, &response, context);
                     }
                     _ => {}
                 });
@@ -559,12 +556,12 @@
         }
     }
 
-    /// A timer goes off; the processor comes to it when it has done what it has.
+    /// A timer expired; it is handled when the processor is free.
     fn expire_timer(&mut self, node: usize, life: u64, timer: Timer) {
         if self.nodes[node].incarnation != life || self.nodes[node].process.is_none() {
             return;
         }
-        // A call that was answered waits no more.
+        // The request was answered in time.
         if let Timer::RequestTimeout(id) = timer
             && !self.open_calls.contains_key(&id)
         {
@@ -596,11 +593,11 @@
         }
         self.with_process(node, |process, context| match process {
             Process::Steward(steward) => steward.handle_timer(timer, context),
-            Process::Attendant(gate) => gate.handle_timer(timer, context),
+            Process::Attendant(attendant) => attendant.handle_timer(timer, context),
         });
     }
 
-    /// Lets a node's process, if it runs, do something, and carries out what it asks for.
+    /// Calls the process of a node, if it runs, and applies its effects.
     fn with_process(&mut self, node: usize, act: impl FnOnce(&mut Process, &mut ProcessContext)) {
         let mut context = ProcessContext {
             now: self.events.now(),
@@ -618,17 +615,17 @@
         let life = self.nodes[node].incarnation;
         for out in context.effects {
             match out {
-                ProcessEffect::Request { to, id, ask, follows } => {
+                ProcessEffect::Request { to, id, request, had_updates } => {
                     let Some(to) = self.node_at(to) else { continue };
-                    let cause = Cause::of_request(&ask, follows);
+                    let cause = Cause::of_request(&request, had_updates);
                     if id != 0 {
                         self.open_calls.insert(id, (node, to));
                     }
-                    self.send_message(node, to, id, cause, Payload::Request(ask));
+                    self.send_message(node, to, id, cause, Payload::Request(request));
                 }
-                ProcessEffect::Response { to, id, reply, ask } => {
-                    let cause = Cause::of_response(&reply, ask);
-                    self.send_message(node, to, id, cause, Payload::Response(reply));
+                ProcessEffect::Response { to, id, response, request_cause } => {
+                    let cause = Cause::of_response(&response, request_cause);
+                    self.send_message(node, to, id, cause, Payload::Response(response));
                 }
                 ProcessEffect::StartTimer(after, timer) => {
                     self.events.schedule_after(after, Event::TimerExpiry(node, life, timer))
@@ -641,15 +638,15 @@
                     let takes = self.scenario.disk_sync_time.sample(&mut self.network_random);
                     self.events.schedule_after(takes, Event::TimerExpiry(node, life, Timer::DiskSynced));
                 }
-                ProcessEffect::ProcessRecords(cause, many) => {
-                    self.occupy_processor(node, cause, self.scenario.processor.record_time * many as u64);
+                ProcessEffect::ProcessRecords(cause, count) => {
+                    self.occupy_processor(node, cause, self.scenario.processor.record_time * count as u64);
                 }
-                ProcessEffect::CheckWatches(many) => {
-                    self.nodes[node].usage.record_wakeups(Cause::RecordUpdates, many);
+                ProcessEffect::CheckWatches(count) => {
+                    self.nodes[node].usage.record_wakeups(Cause::RecordUpdates, count);
                     self.occupy_processor(
                         node,
                         Cause::RecordUpdates,
-                        self.scenario.processor.watch_check_time * many as u64,
+                        self.scenario.processor.watch_check_time * count as u64,
                     );
                 }
                 ProcessEffect::Observe(note) => self.record_observation(node, note),
@@ -660,45 +657,47 @@
     fn record_observation(&mut self, node: usize, note: Observation) {
         let now = self.events.now();
         match note {
-            Observation::ConfigurationReplaced(rank, true) => self.auditor.record_acknowledged(rank),
+            Observation::ConfigurationReplaced(version, true) => self.auditor.record_acknowledged(version),
             Observation::ConfigurationReplaced(_, false) => {}
             Observation::ConfigurationRead { floor, found } => self.auditor.record_read(now, floor, found),
-            Observation::ConfigurationApplied(rank) => {
-                self.auditor.record_applied_configuration(now, node, rank);
-                self.propagation.record_known(now, UpdateKind::Configuration, 0, node, (rank.version, 0));
+            Observation::ConfigurationApplied(version) => {
+                self.auditor.record_applied_configuration(now, node, version);
+                self.propagation.record_known(now, UpdateKind::Configuration, 0, node, (version.version, 0));
             }
-            Observation::RecordUpdated(door, rank) => {
-                if let Some(about) = self.node_at(door) {
-                    self.auditor.record_endpoint_version(now, node, about - self.scenario.stewards, rank);
+            Observation::RecordUpdated(endpoint, version) => {
+                if let Some(about) = self.node_at(endpoint) {
+                    self.auditor.record_endpoint_version(now, node, about - self.scenario.stewards, version);
                     self.propagation.record_known(
                         now,
                         UpdateKind::Drain,
                         about,
                         node,
-                        (rank.incarnation, rank.sequence),
+                        (version.incarnation, version.sequence),
                     );
                 }
             }
             Observation::SuspectsUpdated => {
-                if let Some(Process::Attendant(gate)) = &self.nodes[node].process {
+                if let Some(Process::Attendant(attendant)) = &self.nodes[node].process {
                     let nodes = &self.nodes;
-                    self.propagation
-                        .record_suspects(now, node, |about| gate.suspects_endpoint(&nodes[about].address));
+                    self.propagation.record_suspects(now, node, |about| {
+                        attendant.suspects_endpoint(&nodes[about].address)
+                    });
                 }
             }
-            Observation::DrainStarted(rank) => {
-                let alive = self.running_attendants().into_iter().filter(|gate| *gate != node).collect();
+            Observation::DrainStarted(version) => {
+                let running =
+                    self.running_attendants().into_iter().filter(|attendant| *attendant != node).collect();
                 self.propagation.start_update(
                     now,
                     UpdateKind::Drain,
                     node,
-                    (rank.incarnation, rank.sequence),
-                    alive,
+                    (version.incarnation, version.sequence),
+                    running,
                 );
             }
-            Observation::LeaseGranted(key, token, took, claim) => {
+            Observation::LeaseGranted(key, token, delay, claim) => {
                 self.lease_counts[1] += 1;
-                self.lease_delays_ms.push(took as f64 / 1e6);
+                self.lease_delays_ms.push(delay as f64 / 1e6);
                 self.auditor.record_lease_granted(now, key, token);
                 let run = self.scenario.leases.run_time.sample(&mut self.load_random);
                 let life = self.nodes[node].incarnation;
--- a/emulator/src/mesh/steward.rs
+++ b/emulator/src/mesh/steward.rs
@@ -1,6 +1,6 @@
-//! A steward's process in simulated time: the core and the office that the real one has, a disk that keeps what was
-//! synced, and the order in which what the core decided is written, sent and answered, as in `balancer/src/mesh/steward.rs`.
-//! It must never send or answer what depends on a write that is not safe yet.
+//! A steward process in simulated time: the consensus core and the watch server of the real one, and a disk. The order of
+//! writes, sends and responses follows `balancer/src/mesh/steward.rs`: nothing that depends on a write is sent or answered
+//! before the write is synced.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -19,13 +19,13 @@
 use super::resource_usage::Cause;
 use crate::Nanos;
 
-/// So many waiting asks look at a time whether there is news for them.
+/// Waiting watches that are checked for updates in one step.
 const WATCH_CHECK_BATCH: usize = 8;
 
-/// No member is played, so that nobody writes or asks for one.
+/// Members are not simulated, so that nothing writes or reads registers.
 const NO_REGISTERS: CommittedRegisters = CommittedRegisters { digest: 0, registers: &[] };
 
-/// What the disk holds, synced.
+/// Synced contents of the disk.
 #[derive(Clone, Default)]
 pub struct StableStorage {
     membership_ballot: Option<MembershipBallotState>,
@@ -39,17 +39,19 @@
 impl StableStorage {
     fn apply_record(&mut self, record: LogRecord) {
         match record {
-            LogRecord::MembershipBallot(ballots) => self.membership_ballot = Some(ballots),
-            LogRecord::Configuration(sheet) => self.configuration = Some(sheet),
-            LogRecord::Lease(key, claim) => {
-                self.leases.insert(key, claim);
+            LogRecord::MembershipBallot(membership_ballot) => {
+                self.membership_ballot = Some(membership_ballot)
             }
-            LogRecord::Register(paper) => drop(self.registers.insert(paper.name, paper.value)),
-            LogRecord::Session(session, entry) => drop(self.sessions.insert(session, entry)),
+            LogRecord::Configuration(configuration) => self.configuration = Some(configuration),
+            LogRecord::Lease(key, lease) => {
+                self.leases.insert(key, lease);
+            }
+            LogRecord::Register(register) => drop(self.registers.insert(register.name, register.value)),
+            LogRecord::Session(session, record) => drop(self.sessions.insert(session, record)),
             LogRecord::SessionEnded(session) => drop(self.sessions.remove(&session)),
-            LogRecord::RegisterAcceptors(ballots) => self.acceptors = ballots,
+            LogRecord::RegisterAcceptors(membership_ballot) => self.acceptors = membership_ballot,
             LogRecord::LeaseReleased(key, token) => {
-                if self.leases.get(&key).is_some_and(|claim| claim.token == token) {
+                if self.leases.get(&key).is_some_and(|lease| lease.token == token) {
                     self.leases.remove(&key);
                 }
             }
@@ -57,25 +59,25 @@
     }
 
     fn to_persisted_state(&self) -> PersistedState {
-        let claims =
-            self.leases.iter().map(|(key, claim)| LeaseEntry { key: *key, lease: claim.clone() }).collect();
+        let leases =
+            self.leases.iter().map(|(key, lease)| LeaseEntry { key: *key, lease: lease.clone() }).collect();
         let sessions = self
             .sessions
             .iter()
-            .map(|(session, entry)| SessionEntry { session: *session, record: entry.clone() })
+            .map(|(session, record)| SessionEntry { session: *session, record: record.clone() })
             .collect();
-        let paper = |(name, sheet): (&RegisterName, &Arc<RegisterValue>)| NamedRegister {
+        let register = |(name, configuration): (&RegisterName, &Arc<RegisterValue>)| NamedRegister {
             name: name.clone(),
-            value: sheet.clone(),
+            value: configuration.clone(),
         };
-        let papers = self.registers.iter().map(paper).collect();
-        let (ballots, version_ballots) = (self.membership_ballot.clone(), self.acceptors.clone());
+        let registers = self.registers.iter().map(register).collect();
+        let (membership_ballot, acceptors) = (self.membership_ballot.clone(), self.acceptors.clone());
         PersistedState {
-            membership_ballot: ballots,
-            acceptors: version_ballots,
+            membership_ballot,
+            acceptors,
             configuration: self.configuration.clone(),
-            leases: claims,
-            registers: papers,
+            leases,
+            registers,
             sessions,
         }
     }
@@ -87,13 +89,13 @@
     sends: Vec<(SocketAddr, Message)>,
 }
 
-/// An ask of an attendant or of another steward that waits for news.
+/// A watch of an attendant or of another steward that waits for updates.
 struct WaitingWatch {
     from: usize,
     id: u64,
     cause: Cause,
     watch: PendingWatch,
-    /// It is answered soon, for there is news.
+    /// A timer runs to answer it, as there are updates.
     has_timer: bool,
 }
 
@@ -103,7 +105,6 @@
     ReadConfiguration(Revision),
 }
 
-/// What one is before its start.
 pub struct StewardStart<'a> {
     pub address: SocketAddr,
     pub seeds: &'a [SocketAddr],
@@ -120,28 +121,28 @@
     watch_server: WatchServer,
     updates: UpdateCache,
     pub storage: StableStorage,
-    /// Given to the disk; the first `writing` of them are under way.
+    /// Batches for the disk; the first `batches_in_flight` are being written.
     batches: VecDeque<Batch>,
     batches_in_flight: usize,
     committed: Option<Arc<RegisterValue>>,
     replicas: Vec<SocketAddr>,
     has_quorum: bool,
     watches: BTreeMap<u64, WaitingWatch>,
-    /// The readers from this number on are to look; none where nobody is.
+    /// The watches from this number on are to be checked; `None` if no check runs.
     check_from: Option<u64>,
-    /// Something changed since the look under way began.
+    /// Something changed since the running check began.
     check_again: bool,
     next_watch: u64,
     calls: BTreeMap<u64, PendingCall>,
     next_call: u64,
     tick_at: Nanos,
-    /// Asks to other stewards: where each one's table stands, and the ask that is open.
+    /// Watches at other stewards: the position in their table, and the id of the open request or 0.
     peers: BTreeMap<SocketAddr, (TablePosition, u64)>,
 }
 
 impl Steward {
     pub fn start(start: StewardStart, context: &mut ProcessContext) -> Steward {
-        let mut acts = Vec::new();
+        let mut effects = Vec::new();
         let options = StartOptions {
             now: context.now,
             seed: start.seed,
@@ -151,7 +152,7 @@
             saved: start.storage.to_persisted_state(),
             config: start.config,
         };
-        let mut core = Core::new(options, &mut acts);
+        let mut core = Core::new(options, &mut effects);
         core.set_mutation(start.mutation);
         let mut steward = Steward {
             address: start.address,
@@ -173,7 +174,7 @@
             tick_at: context.now,
             peers: BTreeMap::new(),
         };
-        steward.run_core(acts, context);
+        steward.run_core(effects, context);
         context.start_timer(
             watch_server::SUSPECT_AFTER + watch_server::SUSPECT_CHECK_INTERVAL,
             Timer::CheckSuspects,
@@ -183,9 +184,9 @@
     }
 
     fn committed_state(&self) -> CommittedState<'_> {
-        let safe = self.committed.as_ref().map(|sheet| sheet.revision());
+        let committed = self.committed.as_ref().map(|configuration| configuration.revision());
         CommittedState {
-            configuration: safe,
+            configuration: committed,
             replicas: &self.replicas,
             has_quorum: self.has_quorum,
             registers: NO_REGISTERS,
@@ -196,101 +197,104 @@
         &mut self,
         from: usize,
         id: u64,
-        ask: InternalRequest,
+        request: InternalRequest,
         cause: Cause,
         context: &mut ProcessContext,
     ) {
-        match ask {
-            InternalRequest::ReplicaMessage(letter) => {
-                let mut acts = Vec::new();
-                self.core.handle_message(context.now, letter, &mut acts);
-                self.run_core(acts, context);
+        match request {
+            InternalRequest::ReplicaMessage(message) => {
+                let mut effects = Vec::new();
+                self.core.handle_message(context.now, message, &mut effects);
+                self.run_core(effects, context);
+            }
+            InternalRequest::Core(request) => {
+                self.request_core(request, PendingCall::Remote(from, id), context)
             }
-            InternalRequest::Core(want) => self.request_core(want, PendingCall::Remote(from, id), context),
             InternalRequest::Configuration(have) => {
-                let parcel = self.updates.newest(have);
+                let update = self.updates.newest(have);
                 context.send_response(
                     from,
                     id,
-                    InternalResponse::Configuration(parcel),
+                    InternalResponse::Configuration(update),
                     Cause::Configurations,
                 );
             }
             InternalRequest::Registers(_) | InternalRequest::AppliedEditions(_) => {}
-            InternalRequest::Watch(ask) => {
-                let safe = self.committed.as_ref().map(|sheet| sheet.revision());
-                let stand = CommittedState {
-                    configuration: safe,
+            InternalRequest::Watch(request) => {
+                let committed = self.committed.as_ref().map(|configuration| configuration.revision());
+                let state = CommittedState {
+                    configuration: committed,
                     replicas: &self.replicas,
                     has_quorum: self.has_quorum,
                     registers: NO_REGISTERS,
                 };
-                let RegisteredWatch { pending: waiting, table_changed: news } =
-                    self.watch_server.register(context.now, &ask, stand);
+                let RegisteredWatch { pending: waiting, table_changed: changed } =
+                    self.watch_server.register(context.now, &request, state);
                 let due = self.watch_server.due_at(&waiting, self.committed_state());
                 if due.is_some_and(|due| due <= context.now) {
-                    let reply = self.watch_server.respond(context.now, waiting, self.committed_state(), None);
-                    context.send_response(from, id, InternalResponse::Watch(Box::new(reply)), cause);
+                    let response =
+                        self.watch_server.respond(context.now, waiting, self.committed_state(), None);
+                    context.send_response(from, id, InternalResponse::Watch(Box::new(response)), cause);
                 } else {
                     self.next_watch += 1;
                     let until = due.map_or(waiting.max_wait, |due| (due - context.now).min(waiting.max_wait));
                     context.start_timer(until, Timer::WatchDue(self.next_watch));
-                    let reader = WaitingWatch { from, id, cause, watch: waiting, has_timer: due.is_some() };
-                    self.watches.insert(self.next_watch, reader);
+                    let watch = WaitingWatch { from, id, cause, watch: waiting, has_timer: due.is_some() };
+                    self.watches.insert(self.next_watch, watch);
                 }
-                if news {
+                if changed {
                     self.schedule_watch_check(context);
                 }
             }
         }
     }
 
-    /// For an operator: `Replace` or `Read`.
+    /// Replaces or reads the configuration for an operator.
     pub fn handle_operator_request(
         &mut self,
-        want: CoreRequest,
+        request: CoreRequest,
         floor: Revision,
         context: &mut ProcessContext,
     ) {
-        let call = match &want {
-            CoreRequest::ReplaceConfiguration(sheet) => {
-                PendingCall::ReplaceConfiguration(sheet.version, sheet.digest)
+        let call = match &request {
+            CoreRequest::ReplaceConfiguration(configuration) => {
+                PendingCall::ReplaceConfiguration(configuration.version, configuration.digest)
             }
             _ => PendingCall::ReadConfiguration(floor),
         };
-        self.request_core(want, call, context);
+        self.request_core(request, call, context);
     }
 
-    fn request_core(&mut self, want: CoreRequest, call: PendingCall, context: &mut ProcessContext) {
+    fn request_core(&mut self, request: CoreRequest, call: PendingCall, context: &mut ProcessContext) {
         self.next_call += 1;
         self.calls.insert(self.next_call, call);
-        let mut acts = Vec::new();
-        self.core.handle_request(context.now, self.next_call, want, &mut acts);
-        self.run_core(acts, context);
+        let mut effects = Vec::new();
+        self.core.handle_request(context.now, self.next_call, request, &mut effects);
+        self.run_core(effects, context);
     }
 
-    /// A reply of another steward; whether it was waited for.
+    /// Returns whether the response belonged to an open watch.
     pub fn handle_peer_response(
         &mut self,
         id: u64,
-        reply: &WatchResponse,
+        response: &WatchResponse,
         context: &mut ProcessContext,
     ) -> bool {
-        let Some((at, (mark, open))) = self.peers.iter_mut().find(|(_, (_, open))| *open == id) else {
+        let Some((at, (position, open))) = self.peers.iter_mut().find(|(_, (_, open))| *open == id) else {
             return false;
         };
         let at = *at;
-        (*mark, *open) = (reply.position, 0);
-        context.process_records(Cause::PeerWatches, reply.last_heard_ms_ago.len());
-        if self.watch_server.merge(context.now, reply) {
+        (*position, *open) = (response.position, 0);
+        context.process_records(Cause::PeerWatches, response.last_heard_ms_ago.len());
+        if self.watch_server.merge(context.now, response) {
             self.schedule_watch_check(context);
         }
-        // Many small changes go together.
+        // The interval batches small changes.
         context.start_timer(self.watch_server.replica_watch_interval(), Timer::WatchPeer(at));
         true
     }
 
-    /// No reply came, or the connection broke.
+    /// A request timed out or its connection broke.
     pub fn handle_failure(&mut self, id: u64, context: &mut ProcessContext) {
         if let Some((at, (_, open))) = self.peers.iter_mut().find(|(_, (_, open))| *open == id) {
             *open = 0;
@@ -319,10 +323,10 @@
                 context.start_timer(watch_server::SUSPECT_CHECK_INTERVAL, Timer::RefreshPeers);
             }
             Timer::WatchPeer(at) => {
-                if let Some((mark, open)) = self.peers.get_mut(&at) {
+                if let Some((position, open)) = self.peers.get_mut(&at) {
                     *open = context.send_request(
                         at,
-                        InternalRequest::Watch(watch_server::replica_watch_request(*mark)),
+                        InternalRequest::Watch(watch_server::replica_watch_request(*position)),
                         false,
                     );
                     context.start_timer(
@@ -331,9 +335,9 @@
                     );
                 }
             }
-            Timer::WatchDue(reader) => {
-                if let Some(reader) = self.watches.remove(&reader) {
-                    self.answer_watch(reader, context);
+            Timer::WatchDue(watch) => {
+                if let Some(watch) = self.watches.remove(&watch) {
+                    self.answer_watch(watch, context);
                 }
             }
             Timer::NotifyWatches => self.check_watches(context),
@@ -341,19 +345,19 @@
             Timer::DiskSynced => {
                 let done: Vec<Batch> = self.batches.drain(..self.batches_in_flight).collect();
                 self.batches_in_flight = 0;
-                let mut acts = Vec::new();
+                let mut effects = Vec::new();
                 for batch in done {
                     batch.records.into_iter().for_each(|record| self.storage.apply_record(record));
-                    self.send_messages(batch.sends, &mut acts, context);
+                    self.send_messages(batch.sends, &mut effects, context);
                 }
                 self.start_sync(context);
-                self.run_core(acts, context);
+                self.run_core(effects, context);
             }
             _ => {}
         }
     }
 
-    /// Whoever waits for news looks whether this is some.
+    /// Schedules a check of the waiting watches.
     fn schedule_watch_check(&mut self, context: &mut ProcessContext) {
         if self.check_from.is_some() {
             self.check_again = true;
@@ -369,17 +373,17 @@
             self.watches.range(from..).take(WATCH_CHECK_BATCH).map(|(number, _)| *number).collect();
         context.check_watches(numbers.len());
         for number in &numbers {
-            let Some(reader) = self.watches.get(number) else { continue };
-            match self.watch_server.due_at(&reader.watch, self.committed_state()) {
+            let Some(watch) = self.watches.get(number) else { continue };
+            match self.watch_server.due_at(&watch.watch, self.committed_state()) {
                 Some(due) if due <= context.now => {
-                    if let Some(reader) = self.watches.remove(number) {
-                        self.answer_watch(reader, context);
+                    if let Some(watch) = self.watches.remove(number) {
+                        self.answer_watch(watch, context);
                     }
                 }
-                Some(due) if !reader.has_timer => {
+                Some(due) if !watch.has_timer => {
                     context.start_timer(due - context.now, Timer::WatchDue(*number));
-                    if let Some(reader) = self.watches.get_mut(number) {
-                        reader.has_timer = true;
+                    if let Some(watch) = self.watches.get_mut(number) {
+                        watch.has_timer = true;
                     }
                 }
                 _ => {}
@@ -394,31 +398,31 @@
         }
     }
 
-    fn answer_watch(&mut self, reader: WaitingWatch, context: &mut ProcessContext) {
-        let reply = self.watch_server.respond(context.now, reader.watch, self.committed_state(), None);
-        context.send_response(reader.from, reader.id, InternalResponse::Watch(Box::new(reply)), reader.cause);
+    fn answer_watch(&mut self, watch: WaitingWatch, context: &mut ProcessContext) {
+        let response = self.watch_server.respond(context.now, watch.watch, self.committed_state(), None);
+        context.send_response(watch.from, watch.id, InternalResponse::Watch(Box::new(response)), watch.cause);
     }
 
-    /// One round of the core's work.
-    fn run_core(&mut self, mut acts: Vec<Effect>, context: &mut ProcessContext) {
+    /// Ticks and flushes the core, then carries out its effects.
+    fn run_core(&mut self, mut effects: Vec<Effect>, context: &mut ProcessContext) {
         let ticks = context.now >= self.tick_at;
         if ticks {
-            self.tick_at = self.core.tick(context.now, &mut acts);
+            self.tick_at = self.core.tick(context.now, &mut effects);
             context.start_timer(self.tick_at - context.now, Timer::CoreTick);
         }
-        self.core.flush(&mut acts);
-        self.carry_out(acts, context);
+        self.core.flush(&mut effects);
+        self.carry_out(effects, context);
         self.publish_state(ticks, context);
     }
 
-    fn carry_out(&mut self, acts: Vec<Effect>, context: &mut ProcessContext) {
+    fn carry_out(&mut self, effects: Vec<Effect>, context: &mut ProcessContext) {
         let mut batch = Batch::default();
-        for act in acts {
-            match act {
+        for effect in effects {
+            match effect {
                 Effect::Persist(record) => batch.records.push(record),
-                Effect::SendAfterPersist(to, letter) => batch.sends.push((to, letter)),
-                Effect::SendNow(to, letter) => context.send_message(to, letter),
-                Effect::Respond { call, response: got } => self.answer_call(call, got, context),
+                Effect::SendAfterPersist(to, message) => batch.sends.push((to, message)),
+                Effect::SendNow(to, message) => context.send_message(to, message),
+                Effect::Respond { call, response } => self.answer_call(call, response, context),
                 Effect::Log(_) => {}
             }
         }
@@ -435,7 +439,7 @@
         }
     }
 
-    /// The disk takes all that waits as one write.
+    /// Writes all waiting batches with one sync.
     fn start_sync(&mut self, context: &mut ProcessContext) {
         if self.batches_in_flight == 0 && !self.batches.is_empty() {
             self.batches_in_flight = self.batches.len();
@@ -453,30 +457,30 @@
         out: &mut Vec<Effect>,
         context: &mut ProcessContext,
     ) {
-        for (to, letter) in sends {
+        for (to, message) in sends {
             if to == self.address {
-                self.core.handle_message(context.now, letter, out);
+                self.core.handle_message(context.now, message, out);
             } else {
-                context.send_message(to, letter);
+                context.send_message(to, message);
             }
         }
     }
 
-    fn answer_call(&mut self, call: u64, got: CoreResponse, context: &mut ProcessContext) {
-        match (self.calls.remove(&call), got) {
-            (Some(PendingCall::Remote(to, id)), got) => {
-                context.send_response(to, id, InternalResponse::Core(got), Cause::Leases)
+    fn answer_call(&mut self, call: u64, response: CoreResponse, context: &mut ProcessContext) {
+        match (self.calls.remove(&call), response) {
+            (Some(PendingCall::Remote(to, id)), response) => {
+                context.send_response(to, id, InternalResponse::Core(response), Cause::Leases)
             }
-            (Some(PendingCall::ReplaceConfiguration(version, digest)), got) => {
+            (Some(PendingCall::ReplaceConfiguration(version, digest)), response) => {
                 context.observe(Observation::ConfigurationReplaced(
                     Revision::new(version, digest),
-                    got == CoreResponse::Accepted,
+                    response == CoreResponse::Accepted,
                 ));
             }
-            (Some(PendingCall::ReadConfiguration(floor)), CoreResponse::Register(sheet)) => {
+            (Some(PendingCall::ReadConfiguration(floor)), CoreResponse::Register(configuration)) => {
                 context.observe(Observation::ConfigurationRead {
                     floor,
-                    found: sheet.map_or(Revision::NONE, |sheet| sheet.revision()),
+                    found: configuration.map_or(Revision::NONE, |configuration| configuration.revision()),
                 });
             }
             _ => {}
@@ -484,17 +488,19 @@
     }
 
     fn publish_state(&mut self, ticks: bool, context: &mut ProcessContext) {
-        let safe = self.core.committed_configuration().or(self.core.stored_configuration());
-        let rank = |sheet: Option<&Arc<RegisterValue>>| sheet.map(|sheet| sheet.revision());
-        let news = rank(self.committed.as_ref()) != rank(safe);
-        if !news && !ticks {
+        let committed = self.core.committed_configuration().or(self.core.stored_configuration());
+        let rank = |configuration: Option<&Arc<RegisterValue>>| {
+            configuration.map(|configuration| configuration.revision())
+        };
+        let changed = rank(self.committed.as_ref()) != rank(committed);
+        if !changed && !ticks {
             return;
         }
-        self.committed = safe.cloned();
-        safe.into_iter().for_each(|safe| self.updates.add(safe));
+        self.committed = committed.cloned();
+        committed.into_iter().for_each(|committed| self.updates.add(committed));
         self.has_quorum = self.core.has_quorum(context.now);
         let stewards = self.core.replica_addresses();
-        if news || self.replicas != stewards {
+        if changed || self.replicas != stewards {
             self.replicas = stewards;
             self.schedule_watch_check(context);
         }
