--- a/emulator/src/main.rs
+++ b/emulator/src/main.rs
@@ -1,10 +1,10 @@
-//! The command line of rehearsals. It owns what is said to whoever runs it; every figure it prints is called simulated.
+//! Command line of the emulator. Every report labels its figures as simulated.
 
 use std::process::ExitCode;
 
 use lexopt::prelude::*;
 use ochreshed_emulator::mesh;
-use ochreshed_emulator::mesh::scenario::Scenario as Mesh;
+use ochreshed_emulator::mesh::scenario::Scenario as MeshScenario;
 use ochreshed_emulator::routing::RoutingPolicy;
 use ochreshed_emulator::scenario::Scenario;
 use ochreshed_emulator::simulation::{SimulationReport, simulate, trace_request};
@@ -27,51 +27,52 @@
 fn main() -> ExitCode {
     match run() {
         Ok(code) => code,
-        Err(why) => {
-            eprintln!("ochreshed-rehearse: {why}");
+        Err(error) => {
+            eprintln!("ochreshed-rehearse: {error}");
             ExitCode::FAILURE
         }
     }
 }
 
-fn policy(text: &str) -> Result<RoutingPolicy, String> {
+fn parse_policy(text: &str) -> Result<RoutingPolicy, String> {
     RoutingPolicy::parse(text).ok_or(format!("there is no policy {text}; see `ochreshed-rehearse help`"))
 }
 
 fn run() -> Result<ExitCode, String> {
-    let (mut words, mut seed, mut seeds, mut policies) = (Vec::new(), 1, 10, vec![RoutingPolicy::Module]);
+    let (mut positional, mut seed, mut seeds, mut policies) =
+        (Vec::new(), 1, 10, vec![RoutingPolicy::Module]);
     let mut names = vec!["module".to_owned()];
     let (mut traced, mut set, mut nodes, mut json) = (None, String::new(), String::new(), false);
     let mut args = lexopt::Parser::from_env();
-    let told = |e: lexopt::Error| e.to_string();
-    while let Some(arg) = args.next().map_err(told)? {
+    let describe_error = |e: lexopt::Error| e.to_string();
+    while let Some(arg) = args.next().map_err(describe_error)? {
         match arg {
-            Long("seed") => seed = args.value().and_then(|v| v.parse()).map_err(told)?,
-            Long("seeds") => seeds = args.value().and_then(|v| v.parse()).map_err(told)?,
-            Long("trace") => traced = Some(args.value().and_then(|v| v.parse()).map_err(told)?),
+            Long("seed") => seed = args.value().and_then(|v| v.parse()).map_err(describe_error)?,
+            Long("seeds") => seeds = args.value().and_then(|v| v.parse()).map_err(describe_error)?,
+            Long("trace") => traced = Some(args.value().and_then(|v| v.parse()).map_err(describe_error)?),
             Long("json") => json = true,
-            Long("nodes") => nodes = args.value().and_then(|v| v.string()).map_err(told)?,
-            Long("set") => set = args.value().and_then(|v| v.string()).map_err(told)?,
+            Long("nodes") => nodes = args.value().and_then(|v| v.string()).map_err(describe_error)?,
+            Long("set") => set = args.value().and_then(|v| v.string()).map_err(describe_error)?,
             Long("policy") | Long("policies") => {
-                let text = args.value().and_then(|v| v.string()).map_err(told)?;
+                let text = args.value().and_then(|v| v.string()).map_err(describe_error)?;
                 names = text.split(',').map(str::to_owned).collect();
-                policies = names.iter().map(|name| policy(name)).collect::<Result<_, _>>()?;
+                policies = names.iter().map(|name| parse_policy(name)).collect::<Result<_, _>>()?;
             }
-            Value(word) => words.push(word.to_string_lossy().into_owned()),
+            Value(word) => positional.push(word.to_string_lossy().into_owned()),
             other => return Err(other.unexpected().to_string()),
         }
     }
-    match &words.iter().map(String::as_str).collect::<Vec<_>>()[..] {
-        ["mesh", "sweep", file] => return mesh(file, Some(&nodes), seed, json),
-        ["mesh", file] => return mesh(file, None, seed, json),
+    match &positional.iter().map(String::as_str).collect::<Vec<_>>()[..] {
+        ["mesh", "sweep", file] => return run_mesh(file, Some(&nodes), seed, json),
+        ["mesh", file] => return run_mesh(file, None, seed, json),
         _ => {}
     }
-    let [command, file] = &words[..] else {
+    let [command, file] = &positional[..] else {
         print!("{HELP}");
         return Ok(ExitCode::SUCCESS);
     };
     let text = std::fs::read_to_string(file).map_err(|e| format!("{file}: {e}"))?;
-    let scenario = Scenario::parse(&text).map_err(|why| format!("{file}:\n{why}"))?;
+    let scenario = Scenario::parse(&text).map_err(|error| format!("{file}:\n{error}"))?;
     match command.as_str() {
         "check" => println!("{file}: {} tiers, {} rule sets", scenario.tiers.len(), scenario.rule_sets.len()),
         "run" if traced.is_some() => {
@@ -90,21 +91,21 @@
             }
         }
         "run" if json => {
-            let day = simulate(&scenario, policies[0], seed);
-            println!("{}", serde_json::to_string_pretty(&day).map_err(|e| e.to_string())?);
-            return Ok(if day.violations.is_empty() { ExitCode::SUCCESS } else { ExitCode::from(2) });
+            let report = simulate(&scenario, policies[0], seed);
+            println!("{}", serde_json::to_string_pretty(&report).map_err(|e| e.to_string())?);
+            return Ok(if report.violations.is_empty() { ExitCode::SUCCESS } else { ExitCode::from(2) });
         }
-        "run" => return Ok(show(&simulate(&scenario, policies[0], seed))),
+        "run" => return Ok(print_report(&simulate(&scenario, policies[0], seed))),
         "compare" => compare(&scenario, &names, &policies, seeds),
         other => return Err(format!("there is no command {other}")),
     }
     Ok(ExitCode::SUCCESS)
 }
 
-/// Plays a mesh, at its own size or at each of several.
-fn mesh(file: &str, nodes: Option<&str>, seed: u64, json: bool) -> Result<ExitCode, String> {
+/// Simulates a mesh at the size of its scenario, or at each size in `nodes`.
+fn run_mesh(file: &str, nodes: Option<&str>, seed: u64, json: bool) -> Result<ExitCode, String> {
     let text = std::fs::read_to_string(file).map_err(|e| format!("{file}: {e}"))?;
-    let scenario = Mesh::parse(&text).map_err(|why| format!("{file}:\n{why}"))?;
+    let scenario = MeshScenario::parse(&text).map_err(|error| format!("{file}:\n{error}"))?;
     let sizes: Vec<usize> = match nodes {
         None => vec![scenario.nodes],
         Some(list) => list
@@ -112,9 +113,11 @@
             .map(|size| size.trim().parse().map_err(|_| "--nodes N,N.. is missing or wrong".to_owned()))
             .collect::<Result<_, _>>()?,
     };
-    let scenarios: Vec<Mesh> = sizes.iter().map(|nodes| Mesh { nodes: *nodes, ..scenario.clone() }).collect();
-    if let Some(why) = scenarios.iter().find_map(|scenario| scenario.validation_errors().into_iter().next()) {
-        return Err(why);
+    let scenarios: Vec<MeshScenario> =
+        sizes.iter().map(|nodes| MeshScenario { nodes: *nodes, ..scenario.clone() }).collect();
+    if let Some(error) = scenarios.iter().find_map(|scenario| scenario.validation_errors().into_iter().next())
+    {
+        return Err(error);
     }
     let reports: Vec<_> =
         scenarios.par_iter().map(|scenario| mesh::simulation::simulate(scenario, seed, None)).collect();
@@ -129,73 +132,79 @@
     Ok(if broken { ExitCode::from(2) } else { ExitCode::SUCCESS })
 }
 
-fn show(day: &SimulationReport) -> ExitCode {
+fn print_report(report: &SimulationReport) -> ExitCode {
     println!(
         "simulated: {} asked, {} in time, {} late; {} events",
-        day.asked, day.in_time, day.late, day.events
+        report.asked, report.in_time, report.late, report.events
     );
-    println!("score {:.4}, worst 10 s {:.4}, worst rule set {:.4}", day.score, day.worst_10s, day.worst_set);
-    println!("sends a req by tier {:.3?}", day.sends);
+    println!(
+        "score {:.4}, worst 10 s {:.4}, worst rule set {:.4}",
+        report.score, report.worst_10s, report.worst_set
+    );
+    println!("sends a req by tier {:.3?}", report.sends);
     let recovery =
-        day.recovery.iter().map(|after| after.map_or("not seen".into(), |after| format!("{after} s")));
+        report.recovery.iter().map(|after| after.map_or("not seen".into(), |after| format!("{after} s")));
     let recovery: Vec<String> = recovery.collect();
     if !recovery.is_empty() {
         println!("as before, so long after each trouble: {}", recovery.join(", "));
     }
-    let heeded = &day.propagation;
-    if heeded.changes > 0 {
+    let propagation = &report.propagation;
+    if propagation.changes > 0 {
         println!(
             "{} drains and departures, heeded by half of the balancers {:.2} s after the first, by 99% {:.2} s, by all {:.2} s",
-            heeded.changes, heeded.half_s, heeded.p99_s, heeded.all_s
+            propagation.changes, propagation.half_s, propagation.p99_s, propagation.all_s
         );
     }
-    if day.fleet_bytes_per_s > 0.0 {
-        println!("{:.0} bytes a second from each balancer to others", day.fleet_bytes_per_s);
+    if report.fleet_bytes_per_s > 0.0 {
+        println!("{:.0} bytes a second from each balancer to others", report.fleet_bytes_per_s);
     }
-    day.violations.iter().take(10).for_each(|breach| println!("BROKEN {breach}"));
-    if day.violations.is_empty() {
+    report.violations.iter().take(10).for_each(|violation| println!("BROKEN {violation}"));
+    if report.violations.is_empty() {
         println!("rules kept");
         return ExitCode::SUCCESS;
     }
-    println!("rules broken {} times", day.violations.len());
+    println!("rules broken {} times", report.violations.len());
     ExitCode::from(2)
 }
 
-/// Each policy on the same seeds, with the 95% interval of its difference to the first one, seed by seed.
+/// Prints a table of policies on the same seeds, with the 95% confidence interval of the paired difference to the first
+/// policy.
 fn compare(scenario: &Scenario, names: &[String], policies: &[RoutingPolicy], seeds: u64) {
     println!(
         "simulated, {seeds} seeds\n| policy | score | worst 10 s | sends by tier | against {} | broken | heeded by 99%, s | by all, s | bytes a second |",
         names[0]
     );
     println!("| --- | --- | --- | --- | --- | --- | --- | --- | --- |");
-    let days = |policy: RoutingPolicy| -> Vec<SimulationReport> {
+    let reports = |policy: RoutingPolicy| -> Vec<SimulationReport> {
         (1..=seeds).into_par_iter().map(|seed| simulate(scenario, policy, seed)).collect()
     };
-    let mut first: Vec<f64> = Vec::new();
+    let mut first_scores: Vec<f64> = Vec::new();
     for (name, policy) in names.iter().zip(policies) {
-        let days = days(*policy);
-        let number = days.len() as f64;
-        let mean = |of: &dyn Fn(&SimulationReport) -> f64| days.iter().map(of).sum::<f64>() / number;
-        let scores: Vec<f64> = days.iter().map(|day| day.score).collect();
-        if first.is_empty() {
-            first.clone_from(&scores);
+        let reports = reports(*policy);
+        let number = reports.len() as f64;
+        let mean = |of: &dyn Fn(&SimulationReport) -> f64| reports.iter().map(of).sum::<f64>() / number;
+        let scores: Vec<f64> = reports.iter().map(|report| report.score).collect();
+        if first_scores.is_empty() {
+            first_scores.clone_from(&scores);
         }
-        let differences: Vec<f64> = scores.iter().zip(&first).map(|(score, first)| score - first).collect();
+        let differences: Vec<f64> =
+            scores.iter().zip(&first_scores).map(|(score, first_scores)| score - first_scores).collect();
         let difference = differences.iter().sum::<f64>() / number;
         let spread =
             differences.iter().map(|d| (d - difference).powi(2)).sum::<f64>() / (number - 1.0).max(1.0);
-        let sends: Vec<String> =
-            (0..scenario.tiers.len()).map(|tier| format!("{:.2}", mean(&|day| day.sends[tier]))).collect();
-        let broken: usize = days.iter().map(|day| day.violations.len()).sum();
+        let sends: Vec<String> = (0..scenario.tiers.len())
+            .map(|tier| format!("{:.2}", mean(&|report| report.sends[tier])))
+            .collect();
+        let broken: usize = reports.iter().map(|report| report.violations.len()).sum();
         println!(
             "| {name} | {:.3} | {:.3} | {} | {difference:+.3} ± {:.3} | {broken} | {:.2} | {:.2} | {:.0} |",
-            mean(&|day| day.score),
-            mean(&|day| day.worst_10s),
+            mean(&|report| report.score),
+            mean(&|report| report.worst_10s),
             sends.join(" "),
             1.96 * (spread / number).sqrt(),
-            mean(&|day| day.propagation.p99_s),
-            mean(&|day| day.propagation.all_s),
-            mean(&|day| day.fleet_bytes_per_s)
+            mean(&|report| report.propagation.p99_s),
+            mean(&|report| report.propagation.all_s),
+            mean(&|report| report.fleet_bytes_per_s)
         );
     }
 }
--- a/emulator/tests/days.rs
+++ b/emulator/tests/days.rs
@@ -1,11 +1,11 @@
-//! Whole days: the same seed gives the same day, the module keeps the rules on each rehearsal, the auditor sees each
-//! rule when it is broken on purpose, and retries multiply as arithmetic says they must.
+//! Simulations of whole scenarios: the same seed gives the same run, the policy keeps the rules in each scenario file, the
+//! auditor detects each rule that is violated on purpose, and naive retries multiply by tier.
 
 use ochreshed_emulator::routing::RoutingPolicy;
 use ochreshed_emulator::scenario::Scenario;
 use ochreshed_emulator::simulation::{simulate, trace_request};
 
-const REHEARSALS: [&str; 9] = [
+const SCENARIO_FILES: [&str; 9] = [
     include_str!("../../rehearsals/calm.toml"),
     include_str!("../../rehearsals/crashes.toml"),
     include_str!("../../rehearsals/deploy.toml"),
@@ -17,14 +17,14 @@
     include_str!("../../rehearsals/tired.toml"),
 ];
 
-fn read(text: &str) -> Scenario {
+fn parse(text: &str) -> Scenario {
     Scenario::parse(text).unwrap_or_else(|why| panic!("{why}"))
 }
 
 #[test]
-fn the_module_keeps_the_rules_on_each_rehearsal() {
-    for text in REHEARSALS {
-        let day = simulate(&read(text), RoutingPolicy::Module, 3);
+fn the_policy_keeps_the_rules_in_each_scenario_file() {
+    for text in SCENARIO_FILES {
+        let day = simulate(&parse(text), RoutingPolicy::Module, 3);
         assert!(
             day.violations.is_empty(),
             "{}: {:?}",
@@ -36,8 +36,8 @@
 }
 
 #[test]
-fn a_seed_gives_one_day_on_any_thread_and_another_seed_another() {
-    let scenario = read(REHEARSALS[3]);
+fn a_seed_gives_the_same_run_on_any_thread() {
+    let scenario = parse(SCENARIO_FILES[3]);
     let first = simulate(&scenario, RoutingPolicy::Module, 5);
     let again = std::thread::scope(|scope| {
         let beside = [5, 6].map(|seed| {
@@ -52,8 +52,8 @@
     assert_ne!(first, again[1]);
 }
 
-/// One tier, where much fails and every srv is replaced.
-const ROUGH: &str = r#"
+/// One tier with frequent failures, in which every server is replaced.
+const FAILING_SCENARIO: &str = r#"
 lasts = "25s"
 clients = { per_s = 100.0, instances = 3 }
 network = { within = { kind = "fixed", mean = "1ms" }, between = { kind = "fixed", mean = "2ms" } }
@@ -86,8 +86,8 @@
 "#;
 
 #[test]
-fn the_auditor_sees_each_rule_broken_and_by_its_number() {
-    let scenario = read(ROUGH);
+fn the_auditor_detects_each_violated_rule_by_its_number() {
+    let scenario = parse(FAILING_SCENARIO);
     let kept = simulate(&scenario, RoutingPolicy::Module, 1);
     assert!(kept.violations.is_empty(), "{:?}", kept.violations);
     for rule in 1..=4u8 {
@@ -97,16 +97,16 @@
             day.violations.iter().any(|breach| breach.starts_with(&of)),
             "rule {rule} is not seen broken"
         );
-        let story = day.violations.iter().find(|breach| breach.starts_with(&of)).expect("seen");
-        assert!(story.contains("taken"), "no life of the req: {story}");
-        // Heaping all on one srv also makes answers late; the others break what they break and nothing else.
+        let violation = day.violations.iter().find(|breach| breach.starts_with(&of)).expect("seen");
+        assert!(violation.contains("taken"), "no life of the req: {violation}");
+        // Sending everything to one server also makes answers late; the others violate only their own rule.
         let other = day.violations.iter().find(|breach| !breach.starts_with(&of));
         assert!(rule == 4 || other.is_none(), "rule {rule}: {other:?}");
     }
 }
 
 #[test]
-fn naive_retries_multiply_by_tier_and_the_module_s_do_not() {
+fn naive_retries_multiply_by_tier_and_budgeted_ones_do_not() {
     let tier = |name: &str, failing: f64| {
         format!(
             "[[tiers]]\nname = \"{name}\"\nsrvs = 8\nslots = 200\nroom = 200\nfailing = {failing:.1}\n\
@@ -123,23 +123,23 @@
         tier("b", 0.0),
         tier("c", 1.0)
     );
-    let scenario = read(&text);
+    let scenario = parse(&text);
     let naive = simulate(&scenario, RoutingPolicy::Random { tries: 4 }, 1);
-    // Four sends at each of three tiers: 64 at the last for each req of a client.
+    // Four attempts at each of three tiers: 64 at the last one per client request.
     assert!(naive.sends.iter().all(|sends| (sends - 4.0).abs() < 0.01), "{:?}", naive.sends);
     let module = simulate(&scenario, RoutingPolicy::Module, 1);
-    // A tenth, and one in 10 s at each of the eight balancers before the last tier.
+    // The retry budget: 10%, and one retry in 10 s at each of the eight balancers of the last tier.
     assert!(module.sends.iter().all(|sends| *sends <= 1.1 + 16.0 / 1_000.0), "{:?}", module.sends);
     assert!(naive.violations.is_empty() && module.violations.is_empty());
 }
 
 #[test]
-fn troubles_show_in_what_a_day_comes_to() {
+fn faults_lower_the_score() {
     let day = |trouble: &str| {
-        let text = ROUGH[..ROUGH.find("[[troubles]]").expect("its troubles")]
+        let text = FAILING_SCENARIO[..FAILING_SCENARIO.find("[[troubles]]").expect("its troubles")]
             .replace("failing = 0.1", "failing = 0.0");
         let trouble = trouble.replace("IT", "tier = \"only\"\nat = \"8s\"\nlasts = \"8s\"");
-        simulate(&read(&format!("{text}{trouble}")), RoutingPolicy::Random { tries: 1 }, 2)
+        simulate(&parse(&format!("{text}{trouble}")), RoutingPolicy::Random { tries: 1 }, 2)
     };
     let calm = day("");
     assert!(calm.score > 0.98, "{calm:?}");
@@ -154,40 +154,41 @@
         let day = day(trouble);
         assert!(day.score < most && day.violations.is_empty(), "{trouble}: {day:?}");
     }
-    // One that stands still for a while works its queue off first; a crash leaves nothing to work off.
+    // A paused server has to work off its queue; a crash leaves no queue.
     let recovery = |trouble| day(trouble).recovery[0];
     let (paused, crashed) = (
         recovery("[[troubles]]\nwhat = \"pause\"\nsrvs = 6\nIT"),
         recovery("[[troubles]]\nwhat = \"crash\"\nsrvs = 3\nIT"),
     );
     assert!(crashed == Some(0) && paused != Some(0), "{crashed:?} {paused:?}");
-    // While the list is down nobody hears that srvs are replaced, and who was not told breaks no rule.
+    // While discovery is down, instances do not learn of replaced servers, and sending to them violates no rule.
     let deploy = "[[troubles]]\nwhat = \"deploy\"\nIT\n";
     let (told, untold) = (day(deploy), day(&format!("{deploy}[[troubles]]\nwhat = \"list-down\"\nIT")));
     assert!(untold != told && untold.violations.is_empty());
 }
 
 #[test]
-fn a_req_s_life_can_be_told() {
-    let scenario = read(ROUGH);
-    let lives = (1..40)
+fn a_trace_shows_the_history_of_a_request() {
+    let scenario = parse(FAILING_SCENARIO);
+    let histories = (1..40)
         .map(|id| trace_request(&scenario, RoutingPolicy::Module, 1, id))
-        .filter(|life| !life.is_empty());
-    let lives: Vec<Vec<String>> = lives.collect();
-    assert!(lives.len() > 10);
-    for life in lives {
-        let all = life.join("\n");
+        .filter(|history| !history.is_empty());
+    let histories: Vec<Vec<String>> = histories.collect();
+    assert!(histories.len() > 10);
+    for history in histories {
+        let all = history.join("\n");
         let (taken, over) = (all.contains("taken by instance"), ["Done", "Denied", "Aborted"]);
         assert!(
-            taken && over.iter().filter(|end| life.last().is_some_and(|l| l.ends_with(*end))).count() == 1,
+            taken && over.iter().filter(|end| history.last().is_some_and(|l| l.ends_with(*end))).count() == 1,
             "{all}"
         );
     }
 }
 
 #[test]
-fn a_file_that_is_wrong_is_told_where() {
-    let wrong = |from: &str, to: &str| Scenario::parse(&ROUGH.replace(from, to)).expect_err("it is wrong");
+fn errors_in_a_scenario_file_name_the_place() {
+    let wrong =
+        |from: &str, to: &str| Scenario::parse(&FAILING_SCENARIO.replace(from, to)).expect_err("it is wrong");
     let unknown = wrong("slots = 8", "slotts = 8");
     assert!(
         unknown.contains("slotts") && unknown.contains("line 21") && unknown.contains("slots"),
@@ -197,18 +198,20 @@
     assert!(unit.contains("line 23") && unit.contains("no span"), "{unit}");
     let both = wrong("tier = \"only\"", "tier = \"none\"").replace("failing", "");
     assert!(both.contains("no tier none"), "{both}");
-    let two =
-        Scenario::parse(&ROUGH.replace("failing = 0.1", "failing = 1.5").replace("part = 1.0", "part = 0.0"));
+    let two = Scenario::parse(
+        &FAILING_SCENARIO.replace("failing = 0.1", "failing = 1.5").replace("part = 1.0", "part = 0.0"),
+    );
     assert_eq!(two.expect_err("three errors").lines().count(), 3);
-    let with =
-        |path, value| Scenario::with_override(ROUGH, path, value).map(|text| read(&text).tiers[0].slots);
+    let with = |path, value| {
+        Scenario::with_override(FAILING_SCENARIO, path, value).map(|text| parse(&text).tiers[0].slots)
+    };
     assert_eq!((with("tiers.0.slots", "3"), with("lasts", "9s")), (Ok(3), Ok(8)));
     assert_eq!(with("tiers.1.slots", "3"), Err("tiers.1.slots: there is no 1".into()));
 }
 
-/// A drain that discovery tells each in its time is heeded by all that speak soon after the first has heard of it.
+/// With gossip, all balancers learn of a drain soon after the first one did, not after their own discovery delay.
 #[test]
-fn balancers_that_speak_heed_what_one_of_them_heard() {
+fn gossip_spreads_a_drain_before_discovery_does() {
     let text = include_str!("../../rehearsals/news.toml");
     let speaking = Scenario::parse(text).expect("a scenario");
     let alone = Scenario { gossip: None, ..speaking.clone() };
--- a/emulator/tests/mesh.rs
+++ b/emulator/tests/mesh.rs
@@ -1,5 +1,5 @@
-//! The mesh in simulated time: the same seed gives the same run, a core with a broken rule is found out, and sizes
-//! cost what they should.
+//! The mesh in simulated time: the same seed gives the same run, the auditor detects a defective core, and load grows with
+//! the size as expected.
 
 use ochreshed_consensus::core::Mutation;
 use ochreshed_emulator::mesh::report::sweep_text;
@@ -14,19 +14,19 @@
     scenario
 }
 
-/// Guards against anything in the world that goes by a map's order, a clock or the system's chance.
+/// Guards against dependence on hash map order, clocks or system entropy.
 #[test]
-fn the_same_seed_gives_the_same_report_and_another_another() {
+fn reports_depend_on_the_seed_alone() {
     let cut = scenario("mesh-cut", |cut| cut.link.loss = 0.01);
     let text = |seed| serde_json::to_string(&simulate(&cut, seed, None)).expect("json");
     assert_eq!(text(1), text(1));
     assert_ne!(text(1), text(2));
 }
 
-/// Guards against an auditor that finds nothing: with one voter for a majority keys are granted twice during a cut; with
-/// grants told before they are safe, when stewards end.
+/// Guards against an auditor that finds nothing: a core that takes half of the voters for a majority grants keys twice
+/// during a partition.
 #[test]
-fn the_auditor_finds_a_core_with_a_broken_rule_and_nothing_in_a_whole_one() {
+fn the_auditor_detects_a_defective_core_and_accepts_a_correct_one() {
     let day = scenario("mesh-cut", |day| {
         (day.leases.per_s, day.leases.repeat_fraction) = (20.0, 0.7);
         for (trouble, at) in day.faults.iter_mut().zip([1, 4, 8]) {
@@ -40,9 +40,9 @@
     assert!(broken.violations.iter().any(|breach| breach.contains("granted")), "{:?}", broken.violations);
 }
 
-/// Guards against news that don't get round, and a steward whose work for heartbeats grows faster than the mesh.
+/// Guards against updates that do not reach all attendants, and against steward load that grows faster than the mesh.
 #[test]
-fn news_are_known_at_all_gates_at_each_size() {
+fn updates_reach_all_attendants_at_each_size() {
     let of = |nodes| {
         simulate(
             &scenario("mesh-calm", |calm| {
