--- a/catalog/src/configuration/read.rs
+++ b/catalog/src/configuration/read.rs
@@ -1,9 +1,9 @@
-//! Reads the operators' configuration, and the routes that members' documents share with it.
+//! Reads the operators' configuration, and routes, which members' documents contain as well.
 //!
-//! The words of those documents (`depot`, `lane_prefix`, `post_class` and so on) are in `words`, in this module and in the
-//! texts for operators alone; the types that are read have the terms of the field.
+//! The field names of the documents (`depot`, `lane_prefix`, `post_class` and so on) occur only in `field_names`, in
+//! this module and in texts for operators; the resulting types use standard terms.
 //!
-//! Invariants: a document is taken as a whole or not at all; nothing here panics, whatever the bytes are.
+//! Invariants: a document is accepted as a whole or refused; no input causes a panic.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::sync::Arc;
@@ -11,14 +11,14 @@
 use jzon::JsonValue;
 
 use super::document::{DocumentEntries, DocumentReader, Entry, MAX_ENTRIES, field, read_document};
+use super::field_names;
 use super::model::{Limits, Name, RepeatPolicy, Route, Service, WeightedService};
 use super::refusal::{Refusal, RefusalReason, quoted};
 use super::routing::{Configuration, normalized_host};
-use super::words;
 
 const MAX_WEIGHTED_SERVICES: usize = 1_000;
 const MAX_SESSION_HEADER_BYTES: usize = 64;
-/// Headers of a connection or of a body, which do not identify a session.
+/// Headers that describe a connection or a body and cannot identify a session.
 const RESERVED_HEADERS: [&str; 11] = [
     "connection",
     "keep-alive",
@@ -42,8 +42,8 @@
 const SERVICES: &str = "mail_lines";
 const LIMITS: &str = "limits";
 
-/// The word of the documents for a repeat policy.
-pub(super) fn repeat_policy_word(policy: RepeatPolicy) -> &'static str {
+/// The name of a repeat policy in the documents.
+pub(super) fn repeat_policy_name(policy: RepeatPolicy) -> &'static str {
     match policy {
         RepeatPolicy::Repeatable => "resendable",
         RepeatPolicy::OnceOnly => "once_only",
@@ -52,15 +52,15 @@
     }
 }
 
-/// The repeat policy for a word of the documents.
-fn repeat_policy(word: &str) -> Option<RepeatPolicy> {
+/// The repeat policy with this name in the documents.
+fn repeat_policy(name: &str) -> Option<RepeatPolicy> {
     let policies =
         [RepeatPolicy::Repeatable, RepeatPolicy::OnceOnly, RepeatPolicy::Keyed, RepeatPolicy::LargeResponse];
-    policies.into_iter().find(|policy| repeat_policy_word(*policy) == word)
+    policies.into_iter().find(|policy| repeat_policy_name(*policy) == name)
 }
 
 impl Configuration {
-    /// Reads a whole configuration, or returns all that is wrong with it in the document's order.
+    /// Reads a configuration, or returns all errors in document order.
     pub fn read(bytes: &[u8]) -> Result<Configuration, Vec<Refusal>> {
         read_document(bytes, read_configuration)
     }
@@ -78,7 +78,7 @@
     Some(Configuration::new(version?, builder.routes, builder.services, limits))
 }
 
-/// The names of all services, which may come after the routes that name them.
+/// The names of all services. They are collected first because services may be listed after the routes that use them.
 fn known_services(reader: &mut DocumentReader, entries: &[JsonValue]) -> HashSet<Name> {
     let mut known = HashSet::new();
     for entry in entries {
@@ -96,7 +96,7 @@
 struct ConfigurationBuilder {
     known_services: HashSet<Name>,
     routes: Vec<Arc<Route>>,
-    /// The entry that has each host and prefix.
+    /// The index of the entry with each host and prefix.
     route_locations: HashMap<(Name, Name), usize>,
     services: BTreeMap<Name, Service>,
     limits: Option<Limits>,
@@ -132,7 +132,7 @@
         }
     }
 
-    /// A service may be given again if it is the same.
+    /// Adds a service. A duplicate is accepted if it is equal.
     fn add_service(&mut self, reader: &mut DocumentReader, entry: &Entry) {
         let Some(service) = read_service(reader, entry) else { return };
         match self.services.get(&service.name) {
@@ -145,7 +145,7 @@
         }
     }
 
-    /// The limits may be given again if they are the same.
+    /// Sets the limits. Duplicate limits are accepted if they are equal.
     fn add_limits(&mut self, reader: &mut DocumentReader, entry: &Entry) {
         let limits = read_limits(reader, entry);
         if self.limits.is_some_and(|known| known != limits) {
@@ -155,7 +155,7 @@
     }
 }
 
-/// Reads what every entry has in common. Returns `None` too for a category that isn't known here.
+/// Reads the parts that all entries have in common. Also returns `None` for an unknown category, which is ignored.
 fn read_entry<'v>(reader: &mut DocumentReader, index: usize, value: &'v JsonValue) -> Option<Entry<'v>> {
     let mut entry = Entry::new("consignments", index, value);
     if !value.is_object() {
@@ -183,29 +183,34 @@
     }
 }
 
-/// Reads a route. Where `known_services` is given, the route may name no others.
+/// Reads a route. If `known_services` is given, the route may refer to no other services.
 pub(crate) fn read_route(
     reader: &mut DocumentReader,
     entry: &Entry,
     known_services: Option<&HashSet<Name>>,
 ) -> Option<Route> {
-    // Each field is read before any is missed, so that all errors are told.
-    let host = read_host(reader, entry, words::HOST, entry.get(words::HOST));
-    let prefix = read_prefix(reader, entry, words::PREFIX, entry.get(words::PREFIX));
+    // All fields are read before the first `?`, so that all errors are reported.
+    let host = read_host(reader, entry, field_names::HOST, entry.get(field_names::HOST));
+    let prefix = read_prefix(reader, entry, field_names::PREFIX, entry.get(field_names::PREFIX));
     let repeat_policy = read_repeat_policy(reader, entry);
-    let deadline_ms = reader.duration_ms(entry, words::DEADLINE, entry.get(words::DEADLINE));
-    let latency_target_ms = match entry.get(words::LATENCY_TARGET) {
+    let deadline_ms = reader.duration_ms(entry, field_names::DEADLINE, entry.get(field_names::DEADLINE));
+    let latency_target_ms = match entry.get(field_names::LATENCY_TARGET) {
         None => deadline_ms,
-        target => reader.duration_ms(entry, words::LATENCY_TARGET, target),
+        target => reader.duration_ms(entry, field_names::LATENCY_TARGET, target),
     };
-    let priority = match entry.get(words::PRIORITY) {
+    let priority = match entry.get(field_names::PRIORITY) {
         None => Some(0),
-        class => reader.whole_number(entry, words::PRIORITY, class, 0, u32::MAX.into()),
+        class => reader.whole_number(entry, field_names::PRIORITY, class, 0, u32::MAX.into()),
     };
-    let max_attempts =
-        reader.whole_number(entry, words::MAX_ATTEMPTS, entry.get(words::MAX_ATTEMPTS), 1, u32::MAX.into());
+    let max_attempts = reader.whole_number(
+        entry,
+        field_names::MAX_ATTEMPTS,
+        entry.get(field_names::MAX_ATTEMPTS),
+        1,
+        u32::MAX.into(),
+    );
     let services = read_services(reader, entry, known_services);
-    let session_header = match entry.get(words::SESSION_HEADER) {
+    let session_header = match entry.get(field_names::SESSION_HEADER) {
         None => Some(None),
         header => read_session_header(reader, entry, header).map(Some),
     };
@@ -224,13 +229,13 @@
     })
 }
 
-/// Reads the name of a header that clients set and that is forwarded to the upstream unchanged.
+/// Reads the name of a header that is set by clients and forwarded to the upstream unchanged.
 fn read_session_header(
     reader: &mut DocumentReader,
     entry: &Entry,
     value: Option<&JsonValue>,
 ) -> Option<Name> {
-    const FIELD: &str = words::SESSION_HEADER;
+    const FIELD: &str = field_names::SESSION_HEADER;
     let text = reader.name(entry, FIELD, value)?.to_ascii_lowercase();
     let is_token_byte = |byte: u8| byte.is_ascii_alphanumeric() || b"!#$%&'*+-.^_`|~".contains(&byte);
     if text.is_empty() || text.len() > MAX_SESSION_HEADER_BYTES || !text.bytes().all(is_token_byte) {
@@ -243,7 +248,7 @@
     Some(reader.intern(&text))
 }
 
-/// Reads a host as routes have it.
+/// Reads and normalizes a host.
 pub(crate) fn read_host(
     reader: &mut DocumentReader,
     entry: &Entry,
@@ -258,7 +263,7 @@
     Some(reader.intern(&host))
 }
 
-/// Reads a path prefix, which begins with a slash.
+/// Reads a path prefix.
 pub(crate) fn read_prefix(
     reader: &mut DocumentReader,
     entry: &Entry,
@@ -272,9 +277,9 @@
     Some(reader.intern(text))
 }
 
-/// Reads the path of a health check, which goes into the first line of a request as it is.
+/// Reads the path of a health check, which is copied verbatim into the request line.
 fn read_health_path(reader: &mut DocumentReader, entry: &Entry) -> Option<String> {
-    const FIELD: &str = words::HEALTH_PATH;
+    const FIELD: &str = field_names::HEALTH_PATH;
     let text = read_path(reader, entry, FIELD, entry.get(FIELD))?;
     if !text.bytes().all(|byte| byte.is_ascii_graphic()) {
         return reader.refuse_field(entry, FIELD, RefusalReason::InvalidPath);
@@ -299,27 +304,27 @@
 }
 
 fn read_repeat_policy(reader: &mut DocumentReader, entry: &Entry) -> Option<RepeatPolicy> {
-    const FIELD: &str = words::REPEAT_POLICY;
+    const FIELD: &str = field_names::REPEAT_POLICY;
     let text = reader.text(entry, FIELD, entry.get(FIELD))?;
     repeat_policy(text)
         .or_else(|| reader.refuse_field(entry, FIELD, RefusalReason::UnknownRouteKind(quoted(text))))
 }
 
-/// Reads the services of a route with their weights. Where both `line` and `split` are given the split holds, but the
-/// service of the line must be known all the same.
+/// Reads the services of a route with their weights. If both `line` and `split` are given, the split takes precedence,
+/// but the service of the line must still be known.
 fn read_services(
     reader: &mut DocumentReader,
     entry: &Entry,
     known_services: Option<&HashSet<Name>>,
 ) -> Option<Vec<WeightedService>> {
-    let (line, split) = (entry.get(words::SINGLE_SERVICE), entry.get(words::WEIGHTED_SERVICES));
+    let (line, split) = (entry.get(field_names::SINGLE_SERVICE), entry.get(field_names::WEIGHTED_SERVICES));
     if line.is_none() && split.is_none() {
         return reader.refuse_field(entry, "", RefusalReason::NoService);
     }
     let single = match line {
         None => None,
         line => {
-            let name = read_service_name(reader, entry, words::SINGLE_SERVICE, line, known_services)?;
+            let name = read_service_name(reader, entry, field_names::SINGLE_SERVICE, line, known_services)?;
             Some(WeightedService { name, weight: 1.0 })
         }
     };
@@ -344,14 +349,14 @@
     }
 }
 
-/// Reads the parts of a split. The weights of a service that is given more than once are added.
+/// Reads the parts of a split. The weights of a repeated service are added.
 fn read_split(
     reader: &mut DocumentReader,
     entry: &Entry,
     value: &JsonValue,
     known_services: Option<&HashSet<Name>>,
 ) -> Option<Vec<WeightedService>> {
-    const FIELD: &str = words::WEIGHTED_SERVICES;
+    const FIELD: &str = field_names::WEIGHTED_SERVICES;
     let Some(parts) = value.as_array() else {
         return reader.refuse_field(entry, FIELD, RefusalReason::WrongType("a list"));
     };
@@ -398,7 +403,7 @@
         reader,
         entry,
         &format!("{path}.line"),
-        field(part, words::SINGLE_SERVICE),
+        field(part, field_names::SINGLE_SERVICE),
         known_services,
     );
     let weight = reader.number(entry, &format!("{path}.share"), field(part, "share"), MAX_WEIGHT);
@@ -409,15 +414,15 @@
     let health_path = read_health_path(reader, entry);
     let max_connections = reader.whole_number(
         entry,
-        words::MAX_CONNECTIONS,
-        entry.get(words::MAX_CONNECTIONS),
+        field_names::MAX_CONNECTIONS,
+        entry.get(field_names::MAX_CONNECTIONS),
         1,
         u32::MAX.into(),
     );
-    let deduplicates = match entry.get(words::DEDUPLICATES) {
+    let deduplicates = match entry.get(field_names::DEDUPLICATES) {
         None => Some(false),
         Some(value) => value.as_bool().or_else(|| {
-            reader.refuse_field(entry, words::DEDUPLICATES, RefusalReason::WrongType("true or false"))
+            reader.refuse_field(entry, field_names::DEDUPLICATES, RefusalReason::WrongType("true or false"))
         }),
     };
     Some(Service {
@@ -428,23 +433,23 @@
     })
 }
 
-/// Reads the limits. A field that is invalid is refused, and its default stands in for it.
+/// Reads the limits. An invalid field is refused and replaced by its default.
 fn read_limits(reader: &mut DocumentReader, entry: &Entry) -> Limits {
     let mut limits = Limits::default();
-    if let size @ Some(_) = entry.get(words::MAX_HEADER_BYTES) {
-        let read = reader.whole_number(entry, words::MAX_HEADER_BYTES, size, 1, MAX_SIZE_BYTES);
+    if let size @ Some(_) = entry.get(field_names::MAX_HEADER_BYTES) {
+        let read = reader.whole_number(entry, field_names::MAX_HEADER_BYTES, size, 1, MAX_SIZE_BYTES);
         limits.max_header_bytes = read.unwrap_or(limits.max_header_bytes);
     }
-    if let size @ Some(_) = entry.get(words::MAX_BODY_BYTES) {
-        let read = reader.whole_number(entry, words::MAX_BODY_BYTES, size, 0, MAX_SIZE_BYTES);
+    if let size @ Some(_) = entry.get(field_names::MAX_BODY_BYTES) {
+        let read = reader.whole_number(entry, field_names::MAX_BODY_BYTES, size, 0, MAX_SIZE_BYTES);
         limits.max_body_bytes = read.unwrap_or(limits.max_body_bytes);
     }
-    if let time @ Some(_) = entry.get(words::HEADER_TIMEOUT) {
-        let read = reader.duration_ms(entry, words::HEADER_TIMEOUT, time);
+    if let time @ Some(_) = entry.get(field_names::HEADER_TIMEOUT) {
+        let read = reader.duration_ms(entry, field_names::HEADER_TIMEOUT, time);
         limits.header_timeout_ms = read.unwrap_or(limits.header_timeout_ms);
     }
-    if let time @ Some(_) = entry.get(words::IDLE_TIMEOUT) {
-        let read = reader.duration_ms(entry, words::IDLE_TIMEOUT, time);
+    if let time @ Some(_) = entry.get(field_names::IDLE_TIMEOUT) {
+        let read = reader.duration_ms(entry, field_names::IDLE_TIMEOUT, time);
         limits.idle_timeout_ms = read.unwrap_or(limits.idle_timeout_ms);
     }
     limits
--- a/emulator/src/mesh/attendant.rs
+++ b/emulator/src/mesh/attendant.rs
@@ -235,7 +235,7 @@
                     steward,
                     revision,
                     is_full_fetch,
-                    update.and_then(|p| p.open(self.configuration.as_deref()).ok()),
+                    update.and_then(|p| p.apply_to(self.configuration.as_deref()).ok()),
                     context,
                 );
             }
@@ -255,14 +255,14 @@
         match self.open_requests.remove(&id) {
             Some(OpenRequest::Watch { which, steward, .. }) => {
                 let stewards = self.replicas.replicas().len();
-                self.watches[which].watcher.request_failed(
+                self.watches[which].watcher.record_failure(
                     context.now,
                     steward,
                     self.configuration.is_some(),
                     stewards,
                 );
                 self.watches[which].open_request = None;
-                self.endpoints.watch_lost(which);
+                self.endpoints.clear_suspects(which);
                 context.start_timer(watch_client::RETRY_INTERVAL, Timer::SendWatch(which));
             }
             Some(OpenRequest::Configuration { revision, .. }) => self.end_fetch(revision),
@@ -416,15 +416,15 @@
         }
         claim.unanswered.retain(|silent| *silent != steward);
         if response == CoreResponse::Unavailable {
-            self.replicas.failed(context.now, steward);
+            self.replicas.mark_unresponsive(context.now, steward);
             if claim.in_flight == 0 {
                 self.ask_next_replica(number, context);
             }
             return;
         }
-        self.replicas.replied(steward);
+        self.replicas.mark_responsive(steward);
         let silent = std::mem::take(&mut claim.unanswered);
-        silent.into_iter().for_each(|silent| self.replicas.failed(context.now, silent));
+        silent.into_iter().for_each(|silent| self.replicas.mark_unresponsive(context.now, silent));
         self.decide_claim(number, response, context);
     }
 
@@ -489,7 +489,7 @@
         if taken {
             self.claims.remove(&number);
         } else {
-            self.replicas.failed(context.now, steward);
+            self.replicas.mark_unresponsive(context.now, steward);
             context.start_timer(150 * MS, Timer::CompleteLease(number));
         }
     }
--- a/emulator/src/mesh/simulation.rs
+++ b/emulator/src/mesh/simulation.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use ochreshed_catalog::internal_rpc::{Frame, InternalRequest, InternalResponse, encode};
+use ochreshed_catalog::internal_rpc::{Frame, InternalRequest, InternalResponse, encode_frame};
 use ochreshed_consensus::core::{Config, Mutation};
 use ochreshed_consensus::messages::{CoreRequest, LeaseKey, LeaseToken, RegisterValue};
 
@@ -480,8 +480,8 @@
 
     fn send_message(&mut self, from: usize, to: usize, id: u64, cause: Cause, payload: Payload) {
         let frame = match &payload {
-            Payload::Request(request) => encode(&Frame { id, payload: &**request }),
-            Payload::Response(response) => encode(&Frame { id, payload: response }),
+            Payload::Request(request) => encode_frame(&Frame { id, payload: &**request }),
+            Payload::Response(response) => encode_frame(&Frame { id, payload: response }),
         };
         let Some(frame) = frame else { return };
         let bytes = frame.len() as u64 + self.scenario.link.overhead_bytes;
--- a/emulator/src/mesh/steward.rs
+++ b/emulator/src/mesh/steward.rs
@@ -211,7 +211,7 @@
                 self.request_core(request, PendingCall::Remote(from, id), context)
             }
             InternalRequest::Configuration(have) => {
-                let update = self.updates.newest(have);
+                let update = self.updates.update_from(have);
                 context.send_response(
                     from,
                     id,
--- a/storage/src/recovery_finding.rs
+++ b/storage/src/recovery_finding.rs
@@ -1,10 +1,10 @@
-//! What recovery finds damaged in a data directory.
+//! Damage that recovery finds in a data directory.
 
 use std::fmt;
 
 /// A file that was not intact when it was read. Paths are relative to the data directory.
 ///
-/// [`fmt::Display`] gives the line of the log.
+/// [`fmt::Display`] writes the log line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RecoveryFinding {
     /// A ballot slot is torn or damaged. One such slot is expected after a loss of power.
@@ -21,7 +21,7 @@
         /// The length of the file.
         total_bytes: usize,
     },
-    /// A file can't be used and was renamed, so that it is out of the way and somebody can look at it.
+    /// A file can't be used and was renamed, so that it is ignored and can be inspected.
     Quarantined {
         /// The file, by its original name.
         path: String,
@@ -35,7 +35,7 @@
         match self {
             RecoveryFinding::DamagedBallotSlot { path } => write!(f, "{path}: not whole"),
             RecoveryFinding::TornSegment { path, intact_bytes, total_bytes } => {
-                write!(f, "{path}: {intact_bytes} of {total_bytes} bytes are whole")
+                write!(f, "{path}: {intact_bytes} of {total_bytes} bytes are intact, the rest is ignored")
             }
             RecoveryFinding::Quarantined { path, bytes } => {
                 write!(f, "{path}: {bytes} bytes can't be read, put aside")
--- a/storage/tests/frozen_data_dir.rs
+++ b/storage/tests/frozen_data_dir.rs
@@ -1,7 +1,7 @@
-//! The layout of a replica's data directory and the bytes of its files, compared with a directory that was written before
-//! types were renamed.
+//! The layout of a replica's data directory and the bytes of its files, compared with a directory that was written
+//! before types were renamed.
 //!
-//! A run with `WRITE_FIXTURES=1` writes the fixture anew and always fails, so that it can't be taken for a test.
+//! A run with `WRITE_FIXTURES=1` rewrites the fixture and always fails, so that it can't be taken for a test.
 
 mod temp_directory;
 
@@ -20,7 +20,7 @@
 
 use temp_directory::TempDirectory;
 
-/// All files of the fixture. No other file is in it.
+/// All files of the fixture.
 const FILES: [&str; 14] = [
     "ballots.0",
     "ballots.1",
@@ -114,18 +114,14 @@
     LeaseOutcome::Completed(Arc::new(StoredResponse { status: 201, headers, body: vec![0, 1, 255] }))
 }
 
-fn session_record(epoch: u64) -> SessionRecord {
-    let owner = |last| Some(SessionOwner { outbound_proxy: address(last), since_term: epoch });
+fn session_record(term: u64) -> SessionRecord {
+    let owner = |last| Some(SessionOwner { outbound_proxy: address(last), since_term: term });
     let binding = Some(SessionBinding { upstream_id: "life-1".into(), inbound_proxy: address(8) });
     let ownership = SessionOwnership { binding, owner: owner(5), previous_owner: owner(6) };
-    SessionRecord {
-        term: epoch,
-        token: 78,
-        accepted: Some(CommittedSession { term: epoch, token: 77, ownership }),
-    }
+    SessionRecord { term, token: 78, accepted: Some(CommittedSession { term, token: 77, ownership }) }
 }
 
-/// The records of each write. The store is opened anew for each list of writes, which begins new segments.
+/// The records of each write. The store is reopened for each list of writes, which begins new segments.
 fn writes() -> [Vec<Vec<LogRecord>>; 2] {
     let mut first: Vec<Vec<LogRecord>> =
         (1..=6).map(|version| vec![LogRecord::Configuration(configuration(version))]).collect();
@@ -175,7 +171,7 @@
 }
 
 fn collect_files(root: &Path, directory: &Path, files: &mut BTreeMap<String, Vec<u8>>) {
-    for entry in fs::read_dir(directory).unwrap_or_else(|why| panic!("{}: {why}", directory.display())) {
+    for entry in fs::read_dir(directory).unwrap_or_else(|error| panic!("{}: {error}", directory.display())) {
         let path = entry.expect("an entry").path();
         if path.is_dir() {
             collect_files(root, &path, files);
@@ -201,7 +197,7 @@
     let directory = TempDirectory::new(name);
     for (path, bytes) in files_of(&fixture()) {
         let path = directory.join(path);
-        fs::create_dir_all(path.parent().expect("a parent")).expect("made");
+        fs::create_dir_all(path.parent().expect("a parent")).expect("directory created");
         fs::write(path, bytes).expect("written");
     }
     directory
@@ -234,11 +230,11 @@
     assert_eq!(saved.sessions, sessions.map(SessionEntry::from));
     let versions: Vec<RegisterValue> = read_register_history(directory.path(), "members").expect("read");
     assert_eq!(versions, [2, 1].map(|version| RegisterValue::clone(&named("members", version).value)));
-    // Recovery writes the ballots once more and changes no name.
+    // Recovery rewrites the ballots and changes no name.
     assert_eq!(names(&files_of(directory.path())), FILES);
 }
 
-/// Each slot alone is enough: one holds the newest state, the other the state before.
+/// Each slot can be read alone: one holds the newest state, the other the previous one.
 #[test]
 fn either_ballot_slot_is_read_alone() {
     for (removed, remaining) in [("ballots.0", "ballots.1"), ("ballots.1", "ballots.0")] {
