--- a/emulator/src/audit.rs
+++ b/emulator/src/audit.rs
@@ -62,12 +62,12 @@
 }
 
 impl Auditor {
-    fn record_event(&mut self, now: Nanos, key: RequestKey, what: String) {
+    fn record_event(&mut self, now: Nanos, key: RequestKey, description: String) {
         if self.traced_request == Some(key.1) {
-            self.trace.push((now, what.clone()));
+            self.trace.push((now, description.clone()));
         }
         if let Some(request) = self.requests.get_mut(&key) {
-            request.history.push((now, what));
+            request.history.push((now, description));
         }
     }
 
@@ -81,14 +81,15 @@
         self.leaving_since.retain(|(of, _), _| *of != instance);
     }
 
-    fn report_violation(&mut self, rule: u8, at: Nanos, key: RequestKey, what: String) {
-        let life = self.requests.get(&key).map(|request| &request.history[..]).unwrap_or_default();
-        let life: Vec<String> = life.iter().map(|(at, what)| format!("{} ms {what}", at / MS)).collect();
+    fn report_violation(&mut self, rule: u8, at: Nanos, key: RequestKey, description: String) {
+        let history = self.requests.get(&key).map(|request| &request.history[..]).unwrap_or_default();
+        let history: Vec<String> =
+            history.iter().map(|(at, description)| format!("{} ms {description}", at / MS)).collect();
         self.violations.push(RuleViolation {
             rule,
             at,
             key,
-            description: format!("{what} ({})", life.join(", ")),
+            description: format!("{description} ({})", history.join(", ")),
         });
     }
 
@@ -96,14 +97,14 @@
         &mut self,
         now: Nanos,
         key: RequestKey,
-        ends: Nanos,
+        deadline: Nanos,
         effect: Effect,
-        window: Nanos,
+        dedup_window: Nanos,
     ) {
         let request = AuditedRequest {
-            deadline: ends,
+            deadline,
             effect,
-            dedup_window: window,
+            dedup_window,
             active_dispatch: None,
             runs: None,
             answered_at: None,
@@ -113,47 +114,48 @@
         self.record_event(now, key, format!("taken by instance {}", key.0));
     }
 
-    pub fn record_dispatch(&mut self, now: Nanos, key: RequestKey, number: usize, srv: &Name) {
-        self.record_event(now, key, format!("{number} to {srv}"));
+    pub fn record_dispatch(&mut self, now: Nanos, key: RequestKey, dispatch_index: usize, server: &Name) {
+        self.record_event(now, key, format!("{dispatch_index} to {server}"));
         let Some(request) = self.requests.get_mut(&key) else {
             return self.report_violation(
                 1,
                 now,
                 key,
-                format!("sent to {srv}, but never taken or long over"),
+                format!("sent to {server}, but never taken or long over"),
             );
         };
-        let (answered, out) = (request.answered_at, request.active_dispatch.replace(number));
+        let (answered, active_dispatch) =
+            (request.answered_at, request.active_dispatch.replace(dispatch_index));
         if answered.is_some() {
-            self.report_violation(1, now, key, format!("sent to {srv} after its answer"));
+            self.report_violation(1, now, key, format!("sent to {server} after its answer"));
         }
-        if out.is_some() {
+        if active_dispatch.is_some() {
             self.report_violation(2, now, key, "two dispatches at once".into());
         }
-        if let Some(told) = self.leaving_since.get(&(key.0, srv.clone()))
-            && now > told + DRAIN_GRACE
+        if let Some(learned_at) = self.leaving_since.get(&(key.0, server.clone()))
+            && now > learned_at + DRAIN_GRACE
         {
-            let late = (now - told) / MS;
+            let late = (now - learned_at) / MS;
             self.report_violation(
                 3,
                 now,
                 key,
-                format!("sent to {srv} {late} ms after hearing that it leaves"),
+                format!("sent to {server} {late} ms after hearing that it leaves"),
             );
         }
     }
 
     /// A dispatch ended for its instance; the server may still work on it.
-    pub fn record_dispatch_end(&mut self, now: Nanos, key: RequestKey, number: usize, how: &str) {
-        self.record_event(now, key, format!("{number} {how}"));
+    pub fn record_dispatch_end(&mut self, now: Nanos, key: RequestKey, dispatch_index: usize, how: &str) {
+        self.record_event(now, key, format!("{dispatch_index} {how}"));
         if let Some(request) = self.requests.get_mut(&key) {
-            request.active_dispatch.take_if(|out| *out == number);
+            request.active_dispatch.take_if(|active_dispatch| *active_dispatch == dispatch_index);
         }
     }
 
     /// A server started to work on the request.
-    pub fn record_run(&mut self, now: Nanos, key: RequestKey, srv: &Name) {
-        self.record_event(now, key, format!("runs at {srv}"));
+    pub fn record_run(&mut self, now: Nanos, key: RequestKey, server: &Name) {
+        self.record_event(now, key, format!("runs at {server}"));
         let Some(request) = self.requests.get_mut(&key) else { return };
         let (first, times) = request.runs.unwrap_or((now, 0));
         request.runs = Some((first, times + 1));
@@ -163,23 +165,23 @@
             Effect::NonReplayable => true,
         };
         if times > 0 && twice {
-            self.report_violation(2, now, key, format!("runs again at {srv}"));
+            self.report_violation(2, now, key, format!("runs again at {server}"));
         }
     }
 
     pub fn record_answer(&mut self, now: Nanos, key: RequestKey, answer: Answer) {
         self.record_event(now, key, format!("{answer:?}"));
         let Some(request) = self.requests.get_mut(&key) else { return };
-        let (ends, effect, ran) = (request.deadline, request.effect, request.runs.is_some());
+        let (deadline, effect, ran) = (request.deadline, request.effect, request.runs.is_some());
         if request.answered_at.replace(now).is_some() {
             self.report_violation(1, now, key, "answered twice".into());
         }
-        if now > ends {
+        if now > deadline {
             self.report_violation(
                 1,
                 now,
                 key,
-                format!("answered {} ms after its client's time", (now - ends) / MS),
+                format!("answered {} ms after its client's time", (now - deadline) / MS),
             );
         }
         if answer == Answer::Denied && ran && effect == Effect::NonReplayable {
@@ -193,21 +195,28 @@
     }
 
     /// An instance learned that a server leaves or is back.
-    pub fn record_listing(&mut self, now: Nanos, instance: usize, srv: &Name, leaves: bool) {
+    pub fn record_listing(&mut self, now: Nanos, instance: usize, server: &Name, leaves: bool) {
         if leaves {
-            self.leaving_since.entry((instance, srv.clone())).or_insert(now);
+            self.leaving_since.entry((instance, server.clone())).or_insert(now);
         } else {
-            self.leaving_since.remove(&(instance, srv.clone()));
+            self.leaving_since.remove(&(instance, server.clone()));
         }
     }
 
-    /// Work was sent to a server in slow start; `can` is its current capacity in seconds of work per second.
-    pub fn record_slow_start_work(&mut self, now: Nanos, key: RequestKey, srv: &Name, work: f64, can: f64) {
-        let sent = self.slow_start_work.entry(srv.clone()).or_default();
+    /// Work was sent to a server in slow start; `capacity` is its current capacity in seconds of work per second.
+    pub fn record_slow_start_work(
+        &mut self,
+        now: Nanos,
+        key: RequestKey,
+        server: &Name,
+        work: f64,
+        capacity: f64,
+    ) {
+        let sent = self.slow_start_work.entry(server.clone()).or_default();
         sent.retain(|(at, _)| at + SLOW_START_WINDOW > now);
         sent.push((now, work));
         let sum: f64 = sent.iter().map(|(_, work)| work).sum();
-        let most = MAX_SLOW_START_WORK_FACTOR * can * SLOW_START_WINDOW as f64 / 1e9;
+        let most = MAX_SLOW_START_WORK_FACTOR * capacity * SLOW_START_WINDOW as f64 / 1e9;
         // Up to 10 requests in the window may be coincidence.
         if sum > most && sent.len() > 10 {
             sent.clear();
@@ -215,7 +224,7 @@
                 4,
                 now,
                 key,
-                format!("{sum:.2} s of work to cold {srv} in 2 s, which can do {can:.2} a second"),
+                format!("{sum:.2} s of work to cold {server} in 2 s, which can do {capacity:.2} a second"),
             );
         }
     }
--- a/emulator/src/gossip_network.rs
+++ b/emulator/src/gossip_network.rs
@@ -61,8 +61,8 @@
     pub messages: u64,
 }
 
-fn address(number: usize) -> SocketAddr {
-    SocketAddr::from(([127, 0, (number / 200) as u8, (number % 200) as u8 + 1], 7))
+fn address(node: usize) -> SocketAddr {
+    SocketAddr::from(([127, 0, (node / 200) as u8, (node % 200) as u8 + 1], 7))
 }
 
 fn node_index(address: SocketAddr) -> Option<usize> {
@@ -88,19 +88,19 @@
             bytes_sent: vec![0; instances],
             messages: 0,
         };
-        for number in 0..instances {
-            let peer = network.new_node(number, now);
+        for node in 0..instances {
+            let peer = network.new_node(node, now);
             network.nodes.push(peer);
         }
         network
     }
 
-    fn new_node(&mut self, number: usize, now: Nanos) -> GossipNode {
+    fn new_node(&mut self, node: usize, now: Nanos) -> GossipNode {
         let settings = NodeSettings {
             fleet: "emulated".into(),
-            name: format!("n{number}"),
-            address: address(number),
-            zone: format!("site-{}", number % self.zone_count.max(1)),
+            name: format!("n{node}"),
+            address: address(node),
+            zone: format!("site-{}", node % self.zone_count.max(1)),
             start_id: (self.random.sample_fraction() * 2f64.powi(60)) as u64,
             seeds: (0..3).map(address).collect(),
             membership: SwimConfig::default(),
@@ -118,63 +118,63 @@
     }
 
     /// Restarts a node without state.
-    pub fn restart_node(&mut self, now: Nanos, number: usize) -> Vec<GossipEffect> {
-        self.nodes[number] = self.new_node(number, now);
-        self.server_lists[number] = EndpointList::new();
-        self.process_outputs(now, number)
+    pub fn restart_node(&mut self, now: Nanos, node: usize) -> Vec<GossipEffect> {
+        self.nodes[node] = self.new_node(node, now);
+        self.server_lists[node] = EndpointList::new();
+        self.process_outputs(now, node)
     }
 
     /// Sets the endpoint list that an instance starts with; it is not gossiped.
     pub fn set_initial_list(
         &mut self,
         now: Nanos,
-        number: usize,
+        node: usize,
         entries: &[ListedEndpoint],
     ) -> Vec<GossipEffect> {
         let mut entries: Vec<(ListedEndpoint, ())> =
             entries.iter().map(|listed| (listed.clone(), ())).collect();
-        self.server_lists[number].apply_discovery(self.nodes[number].store().statuses(), true, &mut entries);
-        self.process_outputs(now, number)
+        self.server_lists[node].apply_discovery(self.nodes[node].store().statuses(), true, &mut entries);
+        self.process_outputs(now, node)
     }
 
     /// Applies a discovery update; returns what the routing policy has to see, with the effects.
     pub fn apply_discovery(
         &mut self,
         now: Nanos,
-        number: usize,
+        node: usize,
         version: u64,
         entry: ListedEndpoint,
     ) -> (ListedEndpoint, Vec<GossipEffect>) {
-        let said = (entry.name.to_string(), to_server_status(entry.state));
-        self.nodes[number].apply_discovery(version, false, &[said]);
+        let update = (entry.name.to_string(), to_server_status(entry.state));
+        self.nodes[node].apply_discovery(version, false, &[update]);
         let mut entries = [(entry, ())];
-        self.server_lists[number].apply_discovery(self.nodes[number].store().statuses(), false, &mut entries);
+        self.server_lists[node].apply_discovery(self.nodes[node].store().statuses(), false, &mut entries);
         let [(listed, ())] = entries;
-        (listed, self.process_outputs(now, number))
+        (listed, self.process_outputs(now, node))
     }
 
     /// Records the outcome of a dispatch.
     pub fn record_outcomes(
         &mut self,
         now: Nanos,
-        number: usize,
-        srv: &str,
-        set: &str,
+        node: usize,
+        server: &str,
+        rule_set: &str,
         counts: OutcomeCounts,
     ) -> Vec<GossipEffect> {
-        self.nodes[number].record_outcomes(now, srv, set, counts);
-        self.process_outputs(now, number)
+        self.nodes[node].record_outcomes(now, server, rule_set, counts);
+        self.process_outputs(now, node)
     }
 
     pub fn handle_event(&mut self, now: Nanos, due: GossipEvent) -> Vec<GossipEffect> {
         match due {
-            GossipEvent::Tick(number) => {
-                if self.next_ticks[number] > now {
+            GossipEvent::Tick(node) => {
+                if self.next_ticks[node] > now {
                     return Vec::new();
                 }
-                self.next_ticks[number] = Nanos::MAX;
-                self.nodes[number].tick(now);
-                self.process_outputs(now, number)
+                self.next_ticks[node] = Nanos::MAX;
+                self.nodes[node].tick(now);
+                self.process_outputs(now, node)
             }
             GossipEvent::Datagram { to, from, bytes } => {
                 self.nodes[to].receive(now, address(from), &bytes);
@@ -210,46 +210,41 @@
     }
 
     /// Collects the outputs of a node as effects.
-    fn process_outputs(&mut self, now: Nanos, number: usize) -> Vec<GossipEffect> {
+    fn process_outputs(&mut self, now: Nanos, node: usize) -> Vec<GossipEffect> {
         let mut effects = Vec::new();
-        while let Some(output) = self.nodes[number].poll_output() {
+        while let Some(output) = self.nodes[node].poll_output() {
             match output {
-                Output::Send { to, bytes } => self.send(number, &to, bytes, &mut effects),
-                Output::StatusesChanged(srvs) => {
-                    let statuses = self.nodes[number].store().statuses();
-                    let news = self.server_lists[number]
-                        .apply_status_changes(statuses, srvs.iter().map(String::as_str));
-                    if !news.is_empty() {
-                        let news = news.into_iter().map(|(listed, ())| listed).collect();
-                        effects.push(GossipEffect::ListChanged(number, news));
+                Output::Send { to, bytes } => self.send(node, &to, bytes, &mut effects),
+                Output::StatusesChanged(servers) => {
+                    let statuses = self.nodes[node].store().statuses();
+                    let changes = self.server_lists[node]
+                        .apply_status_changes(statuses, servers.iter().map(String::as_str));
+                    if !changes.is_empty() {
+                        let changes = changes.into_iter().map(|(listed, ())| listed).collect();
+                        effects.push(GossipEffect::ListChanged(node, changes));
                     }
                 }
-                Output::OutcomesReceived { server: srv, rule_set: set, counts }
-                    if self.server_lists[number].contains(&srv) =>
+                Output::OutcomesReceived { server, rule_set, counts }
+                    if self.server_lists[node].contains(&server) =>
                 {
-                    let (srv, set) = (srv.as_str().into(), set.as_str().into());
-                    effects.push(GossipEffect::OutcomesReceived {
-                        instance: number,
-                        server: srv,
-                        rule_set: set,
-                        counts,
-                    });
+                    let (server, rule_set) = (server.as_str().into(), rule_set.as_str().into());
+                    effects.push(GossipEffect::OutcomesReceived { instance: node, server, rule_set, counts });
                 }
                 Output::StreamSyncDue(name) => {
-                    if let Some(other) = self.resolve_destination(number, &Destination::Member(name)) {
+                    if let Some(other) = self.resolve_destination(node, &Destination::Member(name)) {
                         effects.push(GossipEffect::Schedule(
                             now + STREAM_SYNC_DURATION,
-                            GossipEvent::StreamSync(number, other),
+                            GossipEvent::StreamSync(node, other),
                         ));
                     }
                 }
                 _ => {}
             }
         }
-        let next = self.nodes[number].next_tick_at().max(now + 1);
-        if next < self.next_ticks[number] {
-            self.next_ticks[number] = next;
-            effects.push(GossipEffect::Schedule(next, GossipEvent::Tick(number)));
+        let next = self.nodes[node].next_tick_at().max(now + 1);
+        if next < self.next_ticks[node] {
+            self.next_ticks[node] = next;
+            effects.push(GossipEffect::Schedule(next, GossipEvent::Tick(node)));
         }
         let sent = effects.iter_mut().filter_map(|effect| match effect {
             GossipEffect::Schedule(at, GossipEvent::Datagram { .. }) => Some(at),
@@ -260,10 +255,10 @@
         effects
     }
 
-    fn resolve_destination(&self, number: usize, to: &Destination) -> Option<usize> {
+    fn resolve_destination(&self, node: usize, to: &Destination) -> Option<usize> {
         let address = match to {
             Destination::Address(address) => *address,
-            Destination::Member(name) => self.nodes[number].swim().members().get(name)?.record.address,
+            Destination::Member(name) => self.nodes[node].swim().members().get(name)?.record.address,
         };
         node_index(address).filter(|other| *other < self.nodes.len())
     }
@@ -307,13 +302,14 @@
 
 impl PropagationTracker {
     /// An instance learned of it, by discovery or gossip; only the first time counts.
-    pub fn record(&mut self, now: Nanos, instance: usize, srv: &Name, version: u64) {
-        self.heard_at.entry((srv.clone(), version)).or_default().entry(instance).or_insert(now);
+    pub fn record(&mut self, now: Nanos, instance: usize, server: &Name, version: u64) {
+        self.heard_at.entry((server.clone(), version)).or_default().entry(instance).or_insert(now);
     }
 
     /// As `record`, for the latest version of the server: gossip carries no version.
-    pub fn record_latest(&mut self, now: Nanos, instance: usize, srv: &Name) {
-        if let Some((_, by)) = self.heard_at.range_mut((srv.clone(), 0)..=(srv.clone(), u64::MAX)).next_back()
+    pub fn record_latest(&mut self, now: Nanos, instance: usize, server: &Name) {
+        if let Some((_, by)) =
+            self.heard_at.range_mut((server.clone(), 0)..=(server.clone(), u64::MAX)).next_back()
         {
             by.entry(instance).or_insert(now);
         }
@@ -324,14 +320,15 @@
         for by in self.heard_at.values() {
             let mut times: Vec<Nanos> = by.values().copied().collect();
             times.sort_unstable();
-            let at =
-                |part: f64| times[((times.len() as f64 * part).ceil() as usize).clamp(1, times.len()) - 1];
-            for (sum, part) in sums.iter_mut().zip([0.5, 0.99, 1.0]) {
-                *sum += (at(part) - times[0]) as f64 / S as f64;
+            let at = |fraction: f64| {
+                times[((times.len() as f64 * fraction).ceil() as usize).clamp(1, times.len()) - 1]
+            };
+            for (sum, fraction) in sums.iter_mut().zip([0.5, 0.99, 1.0]) {
+                *sum += (at(fraction) - times[0]) as f64 / S as f64;
             }
         }
-        let news = self.heard_at.len();
-        let [half_s, most_s, all_s] = sums.map(|sum| sum / news.max(1) as f64);
-        PropagationDelays { changes: news, half_s, p99_s: most_s, all_s }
+        let changes = self.heard_at.len();
+        let [half_s, p99_s, all_s] = sums.map(|sum| sum / changes.max(1) as f64);
+        PropagationDelays { changes, half_s, p99_s, all_s }
     }
 }
--- a/emulator/src/mesh/attendant.rs
+++ b/emulator/src/mesh/attendant.rs
@@ -304,7 +304,7 @@
         }
         let endpoints: Vec<SocketAddr> = response.records.iter().map(|record| record.inbound_proxy).collect();
         if self.endpoints.merge(context.now, which, response.records, suspects) {
-            // The is_full_fetch list is rebuilt.
+            // The whole list is rebuilt.
             context.process_records(Cause::RecordUpdates, self.endpoints.len());
             self.suspects = self.endpoints.suspects();
             context.observe(Observation::SuspectsUpdated);
--- a/emulator/src/mesh/resource_usage.rs
+++ b/emulator/src/mesh/resource_usage.rs
@@ -61,8 +61,8 @@
     /// `had_updates`: the last response contained updates.
     pub fn of_request(request: &InternalRequest, had_updates: bool) -> Cause {
         match request {
-            InternalRequest::Watch(news) if news.from_replica => Cause::PeerWatches,
-            InternalRequest::Watch(news) if news.record.is_some() || had_updates => Cause::RecordUpdates,
+            InternalRequest::Watch(watch) if watch.from_replica => Cause::PeerWatches,
+            InternalRequest::Watch(watch) if watch.record.is_some() || had_updates => Cause::RecordUpdates,
             InternalRequest::Watch(_) => Cause::WatchRequests,
             InternalRequest::Core(CoreRequest::AcquireLease { .. } | CoreRequest::CompleteLease { .. }) => {
                 Cause::Leases
@@ -90,7 +90,7 @@
     /// `request`: the cause of the request that it answers.
     pub fn of_response(response: &InternalResponse, request: Cause) -> Cause {
         match response {
-            InternalResponse::Watch(news) if request != Cause::PeerWatches && has_updates(news) => {
+            InternalResponse::Watch(response) if request != Cause::PeerWatches && has_updates(response) => {
                 Cause::RecordUpdates
             }
             InternalResponse::Watch(_) if request == Cause::RecordUpdates => Cause::WatchRequests,
--- a/emulator/src/mesh/scenario.rs
+++ b/emulator/src/mesh/scenario.rs
@@ -189,17 +189,17 @@
         check((1..=64).contains(&self.stewards), "stewards: from 1 to 64");
         check(
             2 * self.tolerated_failures < self.stewards,
-            "tolerate: twice as many and one have to be stewards",
+            "tolerate: stewards must be at least twice as many plus one",
         );
         check(
             self.duration > 0 && self.settling_time >= S,
-            "lasts, settles: it has to last, and settle at least 1s",
+            "lasts, settles: lasts must be over 0, and settles at least 1s",
         );
         check((0.1..=1e4).contains(&self.starts_per_s), "starts_per_s: from 0.1 to 10,000");
-        check((0.0..0.5).contains(&self.link.loss), "link.loss: a part under a half");
+        check((0.0..0.5).contains(&self.link.loss), "link.loss: must be at least 0 and under 0.5");
         check(self.link.bandwidth_mbit_s > 0.0, "link.mbit: over 0");
         let shares = [self.processor.steward_share, self.processor.attendant_share];
-        check(shares.iter().all(|share| *share > 0.0), "processor: shares are over 0");
+        check(shares.iter().all(|share| *share > 0.0), "processor: shares must be over 0");
         check((1..=8 << 20).contains(&self.configurations.bytes), "sheets.bytes: from 1 to 8 MiB");
         check(self.configurations.interval > 0, "sheets.every: over 0");
         check(self.upstreams.services > 0, "upstreams.services: at least one");
@@ -208,9 +208,9 @@
             "upstreams.turns_per_h: from 0 to 3,600",
         );
         check((0.0..=1_000.0).contains(&self.leases.per_s), "claims.per_s: from 0 to 1,000");
-        check(part(self.leases.repeat_fraction), "claims.repeats: a part");
+        check(part(self.leases.repeat_fraction), "claims.repeats: must be from 0 to 1");
         check(self.leases.response_bytes <= 65_536, "claims.answer: 65,536 bytes at most");
-        check(self.faults.iter().all(|fault| part(fault.fraction)), "troubles: part is a part");
+        check(self.faults.iter().all(|fault| part(fault.fraction)), "troubles: part must be from 0 to 1");
         for (name, span) in [
             ("link.delay", &self.link.delay),
             ("sync", &self.disk_sync_time),
--- a/emulator/src/mesh/simulation.rs
+++ b/emulator/src/mesh/simulation.rs
@@ -30,7 +30,7 @@
 /// An operator repeats a configuration change that was not acknowledged.
 const OPERATOR_RETRY_INTERVAL: Nanos = 2_500 * MS;
 const OPERATOR_READ_INTERVAL: Nanos = 500 * MS;
-/// Repeated lease requests use one of this count recent keys.
+/// Repeated lease requests use one of this many recent keys.
 const RECENT_KEYS: usize = 64;
 
 enum Payload {
--- a/emulator/src/random.rs
+++ b/emulator/src/random.rs
@@ -120,10 +120,10 @@
                 Err(format!("least {min} is over most {max}"))
             }
             DurationDistribution::LogNormal { sigma, .. } if !(sigma.is_finite() && *sigma >= 0.0) => {
-                Err(format!("sigma {sigma} is no deviation"))
+                Err(format!("sigma {sigma} must be finite and at least 0"))
             }
             DurationDistribution::Pareto { shape, .. } if !(shape.is_finite() && *shape > 1.0) => {
-                Err(format!("power {shape} gives no mean; it has to be over 1"))
+                Err(format!("power {shape} must be finite and over 1, else there is no mean"))
             }
             _ => Ok(()),
         }
--- a/emulator/src/routing.rs
+++ b/emulator/src/routing.rs
@@ -123,22 +123,22 @@
 
 /// What the simulation needs of a routing implementation.
 pub trait Router {
-    fn accept_request(&mut self, now: Nanos, req: RequestContext);
+    fn accept_request(&mut self, now: Nanos, request: RequestContext);
     fn handle_dispatch_ended(
         &mut self,
         now: Nanos,
         id: u64,
-        number: usize,
+        dispatch_index: usize,
         outcome: DispatchOutcome,
         duration: Nanos,
     );
     fn handle_client_disconnected(&mut self, now: Nanos, id: u64);
-    fn update_endpoints(&mut self, now: Nanos, entries: &[ListedEndpoint]);
+    fn update_endpoints(&mut self, now: Nanos, endpoints: &[ListedEndpoint]);
     /// Outcomes of dispatches that another instance reported.
     fn record_peer_outcomes(
         &mut self,
         now: Nanos,
-        srv: &str,
+        server: &str,
         rule_set: &str,
         outcome: DispatchOutcome,
         times: u16,
@@ -149,15 +149,15 @@
 }
 
 impl Router for PolicyRuntime {
-    fn accept_request(&mut self, now: Nanos, req: RequestContext) {
-        PolicyRuntime::accept_request(self, now, req);
+    fn accept_request(&mut self, now: Nanos, request: RequestContext) {
+        PolicyRuntime::accept_request(self, now, request);
     }
 
     fn handle_dispatch_ended(
         &mut self,
         now: Nanos,
         id: u64,
-        number: usize,
+        dispatch_index: usize,
         outcome: DispatchOutcome,
         duration: Nanos,
     ) {
@@ -165,7 +165,7 @@
             self,
             now,
             id,
-            number,
+            dispatch_index,
             DispatchResult {
                 outcome,
                 duration,
@@ -179,23 +179,20 @@
         PolicyRuntime::handle_client_disconnected(self, now, id);
     }
 
-    fn update_endpoints(&mut self, now: Nanos, entries: &[ListedEndpoint]) {
-        self.handle_event(
-            now,
-            Event::EndpointsListed { is_complete: false, is_stale: false, endpoints: entries },
-        );
+    fn update_endpoints(&mut self, now: Nanos, endpoints: &[ListedEndpoint]) {
+        self.handle_event(now, Event::EndpointsListed { is_complete: false, is_stale: false, endpoints });
     }
 
     fn record_peer_outcomes(
         &mut self,
         now: Nanos,
-        srv: &str,
+        server: &str,
         rule_set: &str,
         outcome: DispatchOutcome,
         times: u16,
     ) {
         (0..times).for_each(|_| {
-            self.handle_event(now, Event::PeerDispatchEnded { endpoint: srv, rule_set, outcome })
+            self.handle_event(now, Event::PeerDispatchEnded { endpoint: server, rule_set, outcome })
         });
     }
 
@@ -234,7 +231,7 @@
 
     fn select_endpoint(&mut self) -> Option<Name> {
         let all = self.in_flight.len();
-        let nth = |srvs: &BTreeMap<Name, usize>, at: usize| srvs.keys().nth(at % all.max(1)).cloned();
+        let nth = |servers: &BTreeMap<Name, usize>, at: usize| servers.keys().nth(at % all.max(1)).cloned();
         match self.policy {
             RoutingPolicy::RoundRobin { .. } => {
                 self.round_robin_index += 1;
@@ -257,39 +254,34 @@
     }
 
     fn send(&mut self, now: Nanos, id: u64) {
-        let picked = self.select_endpoint();
-        let Some(req) = self.requests.get_mut(&id) else { return };
-        let Some(srv) = picked.filter(|_| now < req.deadline) else {
+        let selected = self.select_endpoint();
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        let Some(server) = selected.filter(|_| now < request.deadline) else {
             self.requests.remove(&id);
             return self.actions.push(Action::Abort { request_id: id });
         };
-        *self.in_flight.entry(srv.clone()).or_default() += 1;
-        let (number, give_up) = (req.dispatches.len(), req.deadline);
+        *self.in_flight.entry(server.clone()).or_default() += 1;
+        let (dispatch_index, give_up_at) = (request.dispatches.len(), request.deadline);
         let (site, cell) = ("".into(), 0);
-        req.dispatches.push(ochreshed::Dispatch {
-            endpoint: srv.clone(),
+        request.dispatches.push(ochreshed::Dispatch {
+            endpoint: server.clone(),
             site,
             cell,
             sent_at: now,
             outcome: None,
         });
-        self.actions.push(Action::Send {
-            request_id: id,
-            dispatch_index: number,
-            endpoint: srv,
-            give_up_at: give_up,
-        });
+        self.actions.push(Action::Send { request_id: id, dispatch_index, endpoint: server, give_up_at });
     }
 }
 
 impl Router for BaselineRouter {
-    fn accept_request(&mut self, now: Nanos, req: RequestContext) {
-        let id = req.id;
+    fn accept_request(&mut self, now: Nanos, request: RequestContext) {
+        let id = request.id;
         // Violates rule 1: the request is never answered.
         if self.policy == RoutingPolicy::ViolatesRule(1) && id.is_multiple_of(50) {
             return;
         }
-        self.requests.insert(id, req);
+        self.requests.insert(id, request);
         self.send(now, id);
     }
 
@@ -297,14 +289,14 @@
         &mut self,
         now: Nanos,
         id: u64,
-        number: usize,
+        dispatch_index: usize,
         outcome: DispatchOutcome,
         _: Nanos,
     ) {
         let tries = self.max_attempts();
-        let Some(req) = self.requests.get_mut(&id) else { return };
-        req.dispatches[number].outcome = Some(outcome);
-        if let Some(out) = self.in_flight.get_mut(&req.dispatches[number].endpoint) {
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        request.dispatches[dispatch_index].outcome = Some(outcome);
+        if let Some(out) = self.in_flight.get_mut(&request.dispatches[dispatch_index].endpoint) {
             *out = out.saturating_sub(1);
         }
         if outcome == DispatchOutcome::Done {
@@ -312,15 +304,15 @@
             return;
         }
         // Baselines also run a request twice only if its effect allows that, except the one that violates rule 2.
-        let once = !self.replayable_rule_sets.contains(&req.rule_set)
-            && req.first_possible_run().is_some()
+        let must_not_repeat = !self.replayable_rule_sets.contains(&request.rule_set)
+            && request.first_possible_run().is_some()
             && self.policy != RoutingPolicy::ViolatesRule(2);
-        if req.dispatches.len() < tries && !once {
+        if request.dispatches.len() < tries && !must_not_repeat {
             return self.send(now, id);
         }
-        let ran = req.first_possible_run().is_some();
+        let may_have_run = request.first_possible_run().is_some();
         self.requests.remove(&id);
-        self.actions.push(if ran {
+        self.actions.push(if may_have_run {
             Action::Abort { request_id: id }
         } else {
             Action::Deny { request_id: id, retry_after: 0 }
@@ -328,8 +320,8 @@
     }
 
     fn handle_client_disconnected(&mut self, _: Nanos, id: u64) {
-        if let Some(req) = self.requests.remove(&id) {
-            for dispatch in req.dispatches.iter().filter(|d| d.outcome.is_none()) {
+        if let Some(request) = self.requests.remove(&id) {
+            for dispatch in request.dispatches.iter().filter(|d| d.outcome.is_none()) {
                 if let Some(out) = self.in_flight.get_mut(&dispatch.endpoint) {
                     *out = out.saturating_sub(1);
                 }
@@ -337,8 +329,8 @@
         }
     }
 
-    fn update_endpoints(&mut self, _: Nanos, entries: &[ListedEndpoint]) {
-        for entry in entries {
+    fn update_endpoints(&mut self, _: Nanos, endpoints: &[ListedEndpoint]) {
+        for entry in endpoints {
             if entry.state == EndpointState::Up {
                 self.in_flight.entry(entry.name.clone()).or_default();
             } else if self.policy != RoutingPolicy::ViolatesRule(3) {
--- a/emulator/src/scenario.rs
+++ b/emulator/src/scenario.rs
@@ -234,16 +234,16 @@
                 errors.push(what);
             }
         };
-        check(self.duration > 0, "lasts: a day has to last".into());
+        check(self.duration > 0, "lasts: must be over 0".into());
         check(
             (0.0..1e6).contains(&self.clients.requests_per_s),
             "clients.per_s: from 0 up to a million".into(),
         );
         check((1..=1_000).contains(&self.clients.instances), "clients.instances: from 1 to 1,000".into());
         check((1..=3).contains(&self.tiers.len()), "tiers: one to three".into());
-        if let Some(fleet) = &self.gossip {
-            check((0.0..1.0).contains(&fleet.loss), "fleet.loss: a part under 1".into());
-            if let Err(why) = fleet.delay.validate() {
+        if let Some(gossip) = &self.gossip {
+            check((0.0..1.0).contains(&gossip.loss), "fleet.loss: must be at least 0 and under 1".into());
+            if let Err(why) = gossip.delay.validate() {
                 check(false, format!("fleet.delay: {why}"));
             }
         }
@@ -252,16 +252,28 @@
             let valid = set.traffic_weight > 0.0
                 && set.client_timeout > 0
                 && set.response_target <= set.client_timeout;
-            check(valid, format!("rule set {}: a part over 0 and a target within the timeout", set.name));
+            check(
+                valid,
+                format!(
+                    "rule set {}: part must be over 0, and response_target at most client_timeout",
+                    set.name
+                ),
+            );
         }
         for tier in &self.tiers {
             let valid = (1..=10_000).contains(&tier.server_count)
                 && (1..=tier.server_count).contains(&tier.site_count)
                 && tier.slots > 0;
-            check(valid, format!("tier {}: srvs, as many sites at most, and slots", tier.name));
+            check(
+                valid,
+                format!(
+                    "tier {}: srvs must be from 1 to 10,000, sites from 1 to srvs, and slots over 0",
+                    tier.name
+                ),
+            );
             check(
                 (0.0..=1.0).contains(&tier.failure_fraction),
-                format!("tier {}: failing is a part", tier.name),
+                format!("tier {}: failing must be from 0 to 1", tier.name),
             );
             if let Err(why) = tier.work_time.validate() {
                 check(false, format!("tier {}: work: {why}", tier.name));
@@ -275,10 +287,10 @@
             );
             let site = tier.is_none_or(|tier| fault.site < tier.site_count);
             check(site, format!("trouble in {}: there is no site {}", fault.tier, fault.site));
-            check(fault.factor > 0.0, format!("trouble in {}: times is over 0", fault.tier));
+            check(fault.factor > 0.0, format!("trouble in {}: times must be over 0", fault.tier));
             check(
                 (0.0..=1.0).contains(&fault.fraction),
-                format!("trouble in {}: part is a part", fault.tier),
+                format!("trouble in {}: part must be from 0 to 1", fault.tier),
             );
         }
         errors
--- a/emulator/src/simulation.rs
+++ b/emulator/src/simulation.rs
@@ -31,7 +31,7 @@
     /// A client sends its first attempt or a retry.
     ClientAttempt {
         call: usize,
-        try_number: u32,
+        attempt: u32,
     },
     ClientDisconnect(RequestKey),
     InstanceWake(usize),
@@ -46,7 +46,7 @@
     },
     JobEnd {
         job: u64,
-        ends: Nanos,
+        ends_at: Nanos,
     },
     DispatchResponse {
         key: RequestKey,
@@ -96,7 +96,7 @@
 /// The caller that waits for the answer to a request: a client, or a server of the tier above.
 #[derive(Clone, Copy)]
 enum Caller {
-    Client { call: usize, try_number: u32 },
+    Client { call: usize, attempt: u32 },
     Job { key: RequestKey, number: usize, server: usize },
 }
 
@@ -185,7 +185,7 @@
     let mut simulation = Simulation::new(scenario, policy, seed);
     simulation.auditor.traced_request = Some(id);
     let lines = simulation.run().1.into_iter();
-    lines.map(|(at, what)| format!("{:.3} s  {what}", (at - START) as f64 / 1e9)).collect()
+    lines.map(|(at, description)| format!("{:.3} s  {description}", (at - START) as f64 / 1e9)).collect()
 }
 
 impl<'a> Simulation<'a> {
@@ -221,9 +221,9 @@
             utility_by_rule_set: vec![(0.0, 0.0); scenario.rule_sets.len()],
             report: SimulationReport::default(),
         };
-        for me in 0..scenario.clients.instances {
-            let placement = InstancePlacement { tier: 0, index: me, instances: scenario.clients.instances };
-            simulation.add_instance(placement, me % scenario.tiers[0].site_count);
+        for index in 0..scenario.clients.instances {
+            let placement = InstancePlacement { tier: 0, index, instances: scenario.clients.instances };
+            simulation.add_instance(placement, index % scenario.tiers[0].site_count);
         }
         for (at, tier) in scenario.tiers.iter().enumerate() {
             for number in 0..tier.server_count {
@@ -360,9 +360,9 @@
     }
 
     fn run(mut self) -> (SimulationReport, Vec<(Nanos, String)>) {
-        let ends = START + self.scenario.duration;
+        let ends_at = START + self.scenario.duration;
         let longest_timeout = self.scenario.rule_sets.iter().map(|set| set.client_timeout).max().unwrap_or(S);
-        let last = ends + longest_timeout * u64::from(1 + self.scenario.clients.max_retries) + 2 * S;
+        let last = ends_at + longest_timeout * u64::from(1 + self.scenario.clients.max_retries) + 2 * S;
         self.events.schedule_at(START, Event::ClientArrival);
         self.events.schedule_at(START + S, Event::AuditCheck);
         for (number, fault) in self.scenario.faults.iter().enumerate() {
@@ -371,18 +371,18 @@
         }
         while let Some(event) = self.events.pop_until(last) {
             self.report.events += 1;
-            self.handle_event(event, ends);
+            self.handle_event(event, ends_at);
         }
         self.auditor.check_unanswered(last + S, true);
         let trace = std::mem::take(&mut self.auditor.trace);
         (self.into_report(), trace)
     }
 
-    fn handle_event(&mut self, event: Event, ends: Nanos) {
+    fn handle_event(&mut self, event: Event, ends_at: Nanos) {
         let now = self.events.now();
         match event {
             Event::ClientArrival => {
-                if now < ends {
+                if now < ends_at {
                     self.start_client_call(now);
                     if let Some(gap) = self
                         .arrival_random
@@ -392,7 +392,7 @@
                     }
                 }
             }
-            Event::ClientAttempt { call, try_number } => self.attempt_call(now, call, try_number),
+            Event::ClientAttempt { call, attempt } => self.attempt_call(now, call, attempt),
             Event::ClientDisconnect(key) => {
                 if self.pending.contains_key(&key) {
                     self.instances[key.0].router.handle_client_disconnected(now, key.1);
@@ -416,8 +416,8 @@
             Event::DispatchTimeout { key, number } => {
                 self.end_dispatch(now, key, number, DispatchOutcome::TimedOut)
             }
-            Event::JobEnd { job, ends } => {
-                if self.jobs.get(&job).is_some_and(|job| job.ends_at == ends) {
+            Event::JobEnd { job, ends_at } => {
+                if self.jobs.get(&job).is_some_and(|job| job.ends_at == ends_at) {
                     self.finish_job(now, job);
                 }
             }
@@ -455,7 +455,7 @@
             Event::InstanceCrash(instance) => self.crash_instance(now, instance),
             Event::AuditCheck => {
                 self.auditor.check_unanswered(now, false);
-                if now < ends {
+                if now < ends_at {
                     self.events.schedule_after(S, Event::AuditCheck);
                 }
             }
@@ -482,38 +482,38 @@
         self.attempt_call(now, self.calls.len() - 1, 0);
     }
 
-    fn attempt_call(&mut self, now: Nanos, call: usize, try_number: u32) {
+    fn attempt_call(&mut self, now: Nanos, call: usize, attempt: u32) {
         let instance = self.arrival_random.sample_below(self.scenario.clients.instances);
         let set = self.calls[call].rule_set;
-        let ends = now + self.rule_set(set).client_timeout;
-        self.accept_request(now, instance, set, ends, Caller::Client { call, try_number });
+        let ends_at = now + self.rule_set(set).client_timeout;
+        self.accept_request(now, instance, set, ends_at, Caller::Client { call, attempt });
     }
 
-    fn accept_request(&mut self, now: Nanos, instance: usize, set: usize, ends: Nanos, caller: Caller) {
+    fn accept_request(&mut self, now: Nanos, instance: usize, set: usize, ends_at: Nanos, caller: Caller) {
         self.next_id += 1;
         let (key, rule_set) = ((instance, self.next_id), self.rule_set(set));
         self.accepted_by_tier[self.instances[instance].tier] += 1;
-        self.auditor.record_accepted(now, key, ends, rule_set.effect, rule_set.dedup_window);
+        self.auditor.record_accepted(now, key, ends_at, rule_set.effect, rule_set.dedup_window);
         self.pending
-            .insert(key, PendingRequest { caller, rule_set: set, deadline: ends, active_dispatch: None });
-        self.events.schedule_at(ends + MS, Event::ClientDisconnect(key));
-        let req = RequestContext {
+            .insert(key, PendingRequest { caller, rule_set: set, deadline: ends_at, active_dispatch: None });
+        self.events.schedule_at(ends_at + MS, Event::ClientDisconnect(key));
+        let request = RequestContext {
             id: key.1,
             rule_set: rule_set.name.as_str().into(),
             customer: "".into(),
-            is_client_retry: matches!(caller, Caller::Client { try_number, .. } if try_number > 0),
+            is_client_retry: matches!(caller, Caller::Client { attempt, .. } if attempt > 0),
             received_at: now,
-            deadline: ends,
+            deadline: ends_at,
             body_pending: false,
             expected_cost: None,
             preferred_endpoint: None,
             dispatches: Vec::new(),
         };
-        self.instances[instance].router.accept_request(now, req);
+        self.instances[instance].router.accept_request(now, request);
         self.run_instance(instance);
     }
 
-    /// Runs the event work of an instance and carries out its actions.
+    /// Runs the due work of an instance and carries out its actions.
     fn run_instance(&mut self, instance: usize) {
         let now = self.events.now();
         let next = self.instances[instance].router.run_due_work(now).max(now + 1);
@@ -549,9 +549,9 @@
 
     fn sample_delay(&mut self, site: usize, server: usize) -> Nanos {
         let network = &self.scenario.network;
-        let way =
+        let link =
             if site == self.servers[server].site { &network.within_site } else { &network.between_sites };
-        way.sample(&mut self.network_random)
+        link.sample(&mut self.network_random)
     }
 
     fn send_dispatch(&mut self, now: Nanos, key: RequestKey, number: usize, name: &Name, give_up_at: Nanos) {
@@ -577,7 +577,7 @@
             // The dispatch ended before it arrived.
             return;
         };
-        let (ends, tier) = (pending.deadline, &self.scenario.tiers[self.servers[server].tier]);
+        let (ends_at, tier) = (pending.deadline, &self.scenario.tiers[self.servers[server].tier]);
         let work = (tier.work_time.sample(&mut self.work_random) as f64
             * self.slowdown[self.servers[server].tier]) as Nanos;
         if self.servers[server].failing_fast {
@@ -589,7 +589,7 @@
             let (name, can) = (self.servers[server].name.clone(), tier.slots as f64 * speed);
             self.auditor.record_slow_start_work(now, key, &name, work as f64 / 1e9, can);
         }
-        if now >= ends {
+        if now >= ends_at {
             return;
         }
         self.next_id += 1;
@@ -597,25 +597,25 @@
         match self.servers[server].queue.submit(now, job, work) {
             Admission::Rejected => self.send_response(server, key, number, DispatchOutcome::Full),
             Admission::Queued => drop(self.jobs.insert(job, Job { key, number, server, ends_at: 0 })),
-            Admission::Started { ends_at: ends } => {
+            Admission::Started { ends_at } => {
                 self.jobs.insert(job, Job { key, number, server, ends_at: 0 });
-                self.schedule_job_ends(now, vec![(job, ends)]);
+                self.schedule_job_ends(now, vec![(job, ends_at)]);
             }
         }
     }
 
     /// Schedules the ends of jobs that have started or whose end has moved.
     fn schedule_job_ends(&mut self, now: Nanos, jobs: Vec<(u64, Nanos)>) {
-        for (number, ends) in jobs {
+        for (number, ends_at) in jobs {
             let Some(job) = self.jobs.get_mut(&number) else { continue };
             let first = job.ends_at == 0;
-            job.ends_at = ends;
+            job.ends_at = ends_at;
             let (key, server) = (job.key, job.server);
             if first {
                 let name = self.servers[server].name.clone();
                 self.auditor.record_run(now, key, &name);
             }
-            self.events.schedule_at(ends, Event::JobEnd { job: number, ends });
+            self.events.schedule_at(ends_at, Event::JobEnd { job: number, ends_at });
         }
     }
 
@@ -635,12 +635,12 @@
             self.servers[server].downstream_instance,
             self.pending.get(&key).map(|pending| (pending.rule_set, pending.deadline)),
         ) {
-            (Some(downstream), Some((set, ends))) if now + MIN_TIME_LEFT < ends => {
+            (Some(downstream), Some((set, ends_at))) if now + MIN_TIME_LEFT < ends_at => {
                 self.accept_request(
                     now,
                     downstream,
                     set,
-                    ends - MIN_TIME_LEFT,
+                    ends_at - MIN_TIME_LEFT,
                     Caller::Job { key, number: dispatch, server },
                 );
             }
@@ -717,12 +717,11 @@
         self.auditor.record_answer(now, key, answer);
         let Some(PendingRequest { caller, .. }) = self.pending.remove(&key) else { return };
         match caller {
-            Caller::Client { call, try_number } => match answer {
+            Caller::Client { call, attempt } => match answer {
                 Answer::Done => self.record_success(now, call),
-                Answer::Denied if try_number < self.scenario.clients.max_retries => {
+                Answer::Denied if attempt < self.scenario.clients.max_retries => {
                     let pause = self.scenario.clients.retry_delay;
-                    self.events
-                        .schedule_after(pause, Event::ClientAttempt { call, try_number: try_number + 1 });
+                    self.events.schedule_after(pause, Event::ClientAttempt { call, attempt: attempt + 1 });
                 }
                 _ => {}
             },
@@ -763,7 +762,9 @@
     fn apply_fault(&mut self, now: Nanos, number: usize, begins: bool) {
         let ScenarioFault { kind, tier, site, target_count, duration, factor, fraction, .. } =
             &self.scenario.faults[number];
-        let Some(tier) = self.scenario.tiers.iter().position(|known| known.name == *tier) else { return };
+        let Some(tier) = self.scenario.tiers.iter().position(|candidate| candidate.name == *tier) else {
+            return;
+        };
         let of: Vec<usize> =
             (0..self.servers.len()).filter(|server| self.servers[*server].tier == tier).collect();
         match kind {
@@ -866,9 +867,9 @@
             .map(|(sent, taken)| *sent as f64 / (*taken).max(1) as f64)
             .collect();
         let line = |violation: &RuleViolation| {
-            let RuleViolation { rule, at, key, description: what } = violation;
+            let RuleViolation { rule, at, key, description } = violation;
             format!(
-                "rule {rule} at {:.3} s, req {} of instance {}: {what}",
+                "rule {rule} at {:.3} s, req {} of instance {}: {description}",
                 (at - START) as f64 / 1e9,
                 key.1,
                 key.0
