--- a/drill/src/party.rs
+++ b/drill/src/party.rs
@@ -1,4 +1,5 @@
 //! The parties of a drill, their zones and regions, and the selectors by which a drill file names some of them.
+//! All random draws come from the stream that the caller passes.
 
 use std::collections::BTreeMap;
 
--- a/drill/tests/rogue.rs
+++ b/drill/tests/rogue.rs
@@ -1,5 +1,5 @@
-//! A minimal balancer that breaks one rule on purpose, to test the auditor. It answers health checks and forwards each
-//! request to one server chosen in turn. `--break` names the rule violation.
+//! A minimal balancer that breaks one rule on purpose, only for tests of the auditor. It answers health checks and forwards
+//! each request to one server chosen in turn. `--break` names the rule violation.
 
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
