--- a/src/endpoint_set.rs
+++ b/src/endpoint_set.rs
@@ -4,31 +4,32 @@
 
 use std::collections::{BTreeSet, HashMap};
 
-use crate::in_flight::{InFlightList, age_beyond_grace};
-use crate::policy::{MEAN_LOAD_WINDOW, S};
-use crate::statistics::{CountHistogram, Health, SlidingWindow, WINDOW_BUCKETS};
+use crate::in_flight::{InFlightList, age_beyond_extra_time};
+use crate::policy::MEAN_LOAD_WINDOW;
+use crate::statistics::{CountHistogram, Health, OVERALL_HEALTH, SlidingWindow, WINDOW_BUCKETS};
 use crate::stride_scheduler::{StrideEntry, StrideScheduler};
 use crate::types::*;
 
-/// How old the sums over ramps may be. A long ramp grows by a thousandth in this time.
-const RAMP_REFRESH_INTERVAL: Nanos = S / 50;
+/// How old the sums over ramps may be. Even a long ramp grows by only about a thousandth in
+/// this time.
+const RAMP_REFRESH_INTERVAL: Nanos = SECOND / 50;
 /// The scheduler gets the new weight of a ramping endpoint when its ramp has grown by this factor.
-const MIN_RAMP_GROWTH: f64 = 1.1;
-const COMPLETION_WINDOW: Nanos = 4 * S;
-const LOAD_REPORT_LIFETIME: Nanos = 3 * S;
+const MIN_RAMP_GROWTH_FACTOR: f64 = 1.1;
+const COMPLETION_WINDOW: Nanos = 4 * SECOND;
+const LOAD_REPORT_LIFETIME: Nanos = 3 * SECOND;
 
 /// A dispatch in flight at an endpoint.
 pub struct EndpointDispatch {
     pub sent_at: Nanos,
     /// Its slot in [`EndpointSet::in_flight`].
     pub slot: u32,
-    /// How much longer than others it may take before it is late.
-    pub grace: Nanos,
+    /// How much longer than others it may take before it is overdue.
+    pub extra_time: Nanos,
 }
 
 impl EndpointDispatch {
-    pub fn age_beyond_grace(&self, now: Nanos) -> f64 {
-        age_beyond_grace(now, self.sent_at, self.grace)
+    pub fn age_beyond_extra_time(&self, now: Nanos) -> f64 {
+        age_beyond_extra_time(now, self.sent_at, self.extra_time)
     }
 }
 
@@ -52,7 +53,7 @@
     /// The last bucket for which it is in `EndpointSet::completed_by_bucket`.
     completed_bucket: u64,
     /// Its losses that its site still counts, if the epoch is that of the site.
-    loss_epoch: u64,
+    loss_reset_count: u64,
     losses: usize,
     /// How many times in a row it refused a request because it is at capacity or draining.
     pub consecutive_refusals: u32,
@@ -64,7 +65,7 @@
     pub idle_closed_at: Nanos,
     /// The health over all requests, followed by that in each rule set, where only errors and successes count.
     pub health: Vec<Health>,
-    /// What is left of its slow-start budget, as of `budget_updated_at`, and `WarmTraffic::accepted` at that time.
+    /// What is left of its slow-start budget, as of `budget_updated_at`, and `EstablishedTraffic::accepted` at that time.
     pub slow_start_budget: f64,
     pub budget_updated_at: Nanos,
     pub budget_accepted: f64,
@@ -93,19 +94,19 @@
 pub struct Site {
     pub name: Name,
     pub members: Vec<u32>,
-    pub up: usize,
-    pub usable: usize,
+    pub up_count: usize,
+    pub usable_count: usize,
     /// When any of its endpoints last answered.
     pub last_response_at: Nanos,
     /// Lost dispatches since then: no connection, a reset or a time-out.
     pub losses: usize,
     /// How many times the losses were reset.
-    loss_epoch: u64,
+    loss_reset_count: u64,
 }
 
 impl Site {
     pub fn reset_losses(&mut self) {
-        (self.losses, self.loss_epoch) = (0, self.loss_epoch + 1);
+        (self.losses, self.loss_reset_count) = (0, self.loss_reset_count + 1);
     }
 }
 
@@ -136,16 +137,16 @@
     /// The turns among the endpoints in the subset.
     pub subset: StrideScheduler,
     /// The turns among the other endpoints of the list.
-    pub outside: StrideScheduler,
+    pub outside_subset: StrideScheduler,
     slow_start: Nanos,
     slow_start_share: f64,
     timers: BTreeSet<(Nanos, Timer, u32)>,
-    pub unresponsive: BTreeSet<u32>,
-    gone: BTreeSet<u32>,
+    pub unresponsive_ids: BTreeSet<u32>,
+    gone_ids: BTreeSet<u32>,
     /// Endpoints that are not in any scheduler yet.
-    unscheduled: Vec<u32>,
-    ramping: BTreeSet<u32>,
-    ramped_at: Nanos,
+    unscheduled_ids: Vec<u32>,
+    ramping_ids: BTreeSet<u32>,
+    ramps_refreshed_at: Nanos,
     pub any_in_slow_start: bool,
     /// How much ramps reduce the weight in the subset.
     ramp_deductions: f64,
@@ -153,14 +154,14 @@
     completed_by_bucket: [Vec<u32>; WINDOW_BUCKETS],
     /// The last bucket that was looked at.
     current_bucket: u64,
-    pub up: usize,
-    pub usable: usize,
+    pub up_count: usize,
+    pub usable_count: usize,
     /// How many usable endpoints are ejected from each rule set; the first element is not used.
     pub ejected_counts: Vec<usize>,
     /// Over the usable endpoints in the subset: their weight, their dispatches in flight, and the times in flight of those
     /// that ended.
-    subset_weight: i128,
-    in_flight_count: i64,
+    usable_subset_weight: i128,
+    subset_in_flight_count: i64,
     in_flight_time: SlidingWindow,
     /// Dispatches whose age is below the maximum up to which ages count, and the sum of their send times.
     uncapped_count: i128,
@@ -170,15 +171,15 @@
     /// Over the responsive endpoints among them: the dispatches in flight.
     pub responsive_in_flight: i64,
     /// Completions of those added before the completion window.
-    old_completions: CountHistogram,
+    completions_of_established: CountHistogram,
     /// Completions of the others, by the time at which they were added.
-    new_completions: Vec<(Nanos, CountHistogram)>,
+    completions_of_recently_added: Vec<(Nanos, CountHistogram)>,
     completion_window: SlidingWindow,
     /// Completions are counted from this time on, which leaves out a pause.
-    rates_from: Nanos,
+    rates_counted_from: Nanos,
     now: Nanos,
-    reported_load: f64,
-    reported_weight: i128,
+    fresh_report_load_sum: f64,
+    fresh_report_weight_sum: i128,
 }
 
 /// A turn that an endpoint could not take.
@@ -191,20 +192,20 @@
 /// What the load of an endpoint is compared with: requests in flight per unit of weight in the subset, as the mean over
 /// [`MEAN_LOAD_WINDOW`] and at this moment, and the reported load per unit of weight.
 pub struct MeanLoads {
-    pub lasting: f64,
-    pub momentary: f64,
-    pub reported: f64,
+    pub mean_in_flight: f64,
+    pub current_in_flight: f64,
+    pub reported_load: f64,
 }
 
 /// The traffic that endpoints past their slow start accept from this instance per unit of weight, from which the budgets of
 /// endpoints in slow start follow.
 #[derive(Default)]
-pub struct WarmTraffic {
+pub struct EstablishedTraffic {
     pub accepted_per_s: f64,
     /// Requests accepted so far.
     pub accepted: f64,
     /// What an endpoint in slow start may get in any case.
-    pub min_per_s: f64,
+    pub min_requests_per_s: f64,
 }
 
 /// The fixed-point representation of 1: 2^64.
@@ -234,40 +235,40 @@
             members_by_cell: HashMap::new(),
             in_flight: InFlightList::new(),
             subset: StrideScheduler::default(),
-            outside: StrideScheduler::default(),
+            outside_subset: StrideScheduler::default(),
             slow_start,
             slow_start_share,
             timers: BTreeSet::new(),
-            unresponsive: BTreeSet::new(),
-            gone: BTreeSet::new(),
-            unscheduled: Vec::new(),
-            ramping: BTreeSet::new(),
-            ramped_at: 0,
+            unresponsive_ids: BTreeSet::new(),
+            gone_ids: BTreeSet::new(),
+            unscheduled_ids: Vec::new(),
+            ramping_ids: BTreeSet::new(),
+            ramps_refreshed_at: 0,
             any_in_slow_start: false,
             ramp_deductions: 0.0,
             completed_by_bucket: Default::default(),
             current_bucket: completion_window.bucket_number(now),
-            up: 0,
-            usable: 0,
+            up_count: 0,
+            usable_count: 0,
             ejected_counts: vec![0; rule_sets + 1],
-            subset_weight: 0,
-            in_flight_count: 0,
+            usable_subset_weight: 0,
+            subset_in_flight_count: 0,
             in_flight_time: SlidingWindow::new(MEAN_LOAD_WINDOW),
             uncapped_count: 0,
             uncapped_sent_at_sum: 0,
             capped_count: 0,
             responsive_in_flight: 0,
-            old_completions: CountHistogram::default(),
-            new_completions: Vec::new(),
+            completions_of_established: CountHistogram::default(),
+            completions_of_recently_added: Vec::new(),
             completion_window,
-            rates_from: 0,
+            rates_counted_from: 0,
             now,
-            reported_load: 0.0,
-            reported_weight: 0,
+            fresh_report_load_sum: 0.0,
+            fresh_report_weight_sum: 0,
         }
     }
 
-    pub fn find(&self, name: &str) -> Option<u32> {
+    pub fn find_id(&self, name: &str) -> Option<u32> {
         self.ids_by_name.get(name).copied()
     }
 
@@ -288,15 +289,16 @@
     pub fn record_loss(&mut self, endpoint_id: u32) {
         let endpoint = &mut self.endpoints[endpoint_id as usize];
         let site = &mut self.sites[endpoint.site_index as usize];
-        let earlier_losses = if endpoint.loss_epoch == site.loss_epoch { endpoint.losses } else { 0 };
-        (endpoint.loss_epoch, endpoint.losses) = (site.loss_epoch, earlier_losses + 1);
+        let earlier_losses =
+            if endpoint.loss_reset_count == site.loss_reset_count { endpoint.losses } else { 0 };
+        (endpoint.loss_reset_count, endpoint.losses) = (site.loss_reset_count, earlier_losses + 1);
         site.losses += 1;
     }
 
     /// Changes values that sums depend on.
-    pub fn change(&mut self, endpoint_id: u32, change: impl FnOnce(&mut Endpoint)) {
+    pub fn update_with_sums(&mut self, endpoint_id: u32, apply: impl FnOnce(&mut Endpoint)) {
         self.add_to_sums(endpoint_id, -1);
-        change(&mut self.endpoints[endpoint_id as usize]);
+        apply(&mut self.endpoints[endpoint_id as usize]);
         if self.endpoints[endpoint_id as usize].ramp_deduction > 0.0 {
             // An endpoint that no longer counts must not stay in the sum of the ramps.
             self.update_ramp_deduction(self.now, endpoint_id);
@@ -309,23 +311,23 @@
         let endpoint = &self.endpoints[endpoint_id as usize];
         let (sign_i128, sign_f64) = (i128::from(sign), sign as f64);
         let site = &mut self.sites[endpoint.site_index as usize];
-        let change = |count: &mut usize| *count = count.wrapping_add_signed(sign as isize);
+        let adjust = |count: &mut usize| *count = count.wrapping_add_signed(sign as isize);
         if endpoint.state == EndpointState::Up {
-            change(&mut site.up);
-            change(&mut self.up);
+            adjust(&mut site.up_count);
+            adjust(&mut self.up_count);
         }
         if endpoint.is_usable() {
-            change(&mut site.usable);
-            change(&mut self.usable);
-            endpoint.ejected_rule_sets.iter().for_each(|index| change(&mut self.ejected_counts[*index]));
+            adjust(&mut site.usable_count);
+            adjust(&mut self.usable_count);
+            endpoint.ejected_rule_sets.iter().for_each(|index| adjust(&mut self.ejected_counts[*index]));
             if endpoint.has_fresh_report {
-                self.reported_load += sign_f64 * endpoint.reported_load;
-                self.reported_weight += sign_i128 * to_fixed_point(endpoint.weight);
+                self.fresh_report_load_sum += sign_f64 * endpoint.reported_load;
+                self.fresh_report_weight_sum += sign_i128 * to_fixed_point(endpoint.weight);
             }
         }
         if endpoint.is_in_subset() {
-            self.subset_weight += sign_i128 * to_fixed_point(endpoint.subset_weight);
-            self.in_flight_count += sign * endpoint.in_flight.len() as i64;
+            self.usable_subset_weight += sign_i128 * to_fixed_point(endpoint.subset_weight);
+            self.subset_in_flight_count += sign * endpoint.in_flight.len() as i64;
             self.in_flight_time.merge(&endpoint.in_flight_time, sign_f64);
             for EndpointDispatch { sent_at, slot, .. } in &endpoint.in_flight {
                 match self.in_flight.get(*slot).age_capped {
@@ -350,13 +352,16 @@
     /// The histogram that counts endpoints added at this time.
     fn completion_histogram(&mut self, added_at: Nanos) -> &mut CountHistogram {
         if added_at + COMPLETION_WINDOW <= self.now {
-            return &mut self.old_completions;
+            return &mut self.completions_of_established;
         }
-        let at = self.new_completions.iter().position(|(at, _)| *at == added_at).unwrap_or_else(|| {
-            self.new_completions.push((added_at, CountHistogram::default()));
-            self.new_completions.len() - 1
-        });
-        &mut self.new_completions[at].1
+        let at =
+            self.completions_of_recently_added.iter().position(|(at, _)| *at == added_at).unwrap_or_else(
+                || {
+                    self.completions_of_recently_added.push((added_at, CountHistogram::default()));
+                    self.completions_of_recently_added.len() - 1
+                },
+            );
+        &mut self.completions_of_recently_added[at].1
     }
 
     /// Applies what changes with time alone, up to now.
@@ -366,21 +371,21 @@
             // It may have been postponed since, or the id may now be that of another endpoint.
             let endpoint = &self.endpoints[endpoint_id as usize];
             let (ejected_until, report_expires_at) =
-                (endpoint.health[0].ejected_until, endpoint.reported_at + LOAD_REPORT_LIFETIME);
+                (endpoint.health[OVERALL_HEALTH].ejected_until, endpoint.reported_at + LOAD_REPORT_LIFETIME);
             match timer {
                 Timer::EjectionEnd if endpoint.ejected && ejected_until <= now => {
-                    self.change(endpoint_id, |endpoint| endpoint.ejected = false);
+                    self.update_with_sums(endpoint_id, |endpoint| endpoint.ejected = false);
                     self.reschedule(now, endpoint_id);
                 }
                 Timer::RuleSetEjectionEnd(health_index)
                     if endpoint.health[health_index].ejected_until <= now =>
                 {
-                    self.change(endpoint_id, |endpoint| {
+                    self.update_with_sums(endpoint_id, |endpoint| {
                         endpoint.ejected_rule_sets.retain(|ejected| *ejected != health_index)
                     });
                 }
                 Timer::ReportExpiry if endpoint.has_fresh_report && report_expires_at <= now => {
-                    self.change(endpoint_id, |endpoint| endpoint.has_fresh_report = false)
+                    self.update_with_sums(endpoint_id, |endpoint| endpoint.has_fresh_report = false)
                 }
                 Timer::ReportExpiry if endpoint.has_fresh_report => {
                     self.timers.insert((report_expires_at, timer, endpoint_id));
@@ -400,11 +405,13 @@
         }
         self.now = now;
         let is_old = |added_at: Nanos| added_at + COMPLETION_WINDOW <= now;
-        while let Some(at) =
-            self.new_completions.iter().position(|(added_at, counts)| is_old(*added_at) || counts.is_empty())
+        while let Some(at) = self
+            .completions_of_recently_added
+            .iter()
+            .position(|(added_at, counts)| is_old(*added_at) || counts.is_empty())
         {
-            let (_, counts) = self.new_completions.swap_remove(at);
-            self.old_completions.merge(counts);
+            let (_, counts) = self.completions_of_recently_added.swap_remove(at);
+            self.completions_of_established.merge(counts);
         }
         let bucket = self.completion_window.bucket_number(now);
         for passed in (self.current_bucket + 1..=bucket).take(WINDOW_BUCKETS) {
@@ -433,18 +440,18 @@
 
     /// Sums up the ramps again, unless that was done less than [`RAMP_REFRESH_INTERVAL`] ago.
     pub fn refresh_ramps(&mut self, now: Nanos) {
-        let any_ramp = !self.ramping.is_empty() || self.any_in_slow_start || self.ramp_deductions > 0.0;
-        if !any_ramp || now < self.ramped_at + RAMP_REFRESH_INTERVAL {
+        let any_ramp = !self.ramping_ids.is_empty() || self.any_in_slow_start || self.ramp_deductions > 0.0;
+        if !any_ramp || now < self.ramps_refreshed_at + RAMP_REFRESH_INTERVAL {
             return;
         }
-        self.ramped_at = now;
+        self.ramps_refreshed_at = now;
         (self.any_in_slow_start, self.ramp_deductions) = (false, 0.0);
-        for endpoint_id in self.ramping.iter().copied().collect::<Vec<_>>() {
+        for endpoint_id in self.ramping_ids.iter().copied().collect::<Vec<_>>() {
             self.endpoints[endpoint_id as usize].ramp_deduction = 0.0;
             self.update_ramp_deduction(now, endpoint_id);
             let endpoint = &self.endpoints[endpoint_id as usize];
             let ramp = endpoint.ramp(now, self.slow_start, self.slow_start_share);
-            if ramp >= 1.0 || ramp > endpoint.scheduled_ramp * MIN_RAMP_GROWTH {
+            if ramp >= 1.0 || ramp > endpoint.scheduled_ramp * MIN_RAMP_GROWTH_FACTOR {
                 self.reschedule(now, endpoint_id);
             }
         }
@@ -474,16 +481,16 @@
         );
         let outside_weight =
             if is_up && endpoint.subset_weight <= 0.0 { endpoint.weight * ramp } else { 0.0 };
-        self.outside.set_weight(
+        self.outside_subset.set_weight(
             endpoint_id,
             &mut endpoint.outside_entry,
             outside_weight,
             endpoint.start_phase,
         );
         if is_up && ramp < 1.0 {
-            self.ramping.insert(endpoint_id)
+            self.ramping_ids.insert(endpoint_id)
         } else {
-            self.ramping.remove(&endpoint_id)
+            self.ramping_ids.remove(&endpoint_id)
         };
         self.update_ramp_deduction(now, endpoint_id);
     }
@@ -493,13 +500,13 @@
         for (endpoint_id, taken) in
             skipped.iter().map(|turn| (turn.endpoint_id, false)).chain([(endpoint_id, true)])
         {
-            if self.ramping.contains(&endpoint_id) {
+            if self.ramping_ids.contains(&endpoint_id) {
                 self.reschedule(now, endpoint_id);
             }
             let endpoint = &mut self.endpoints[endpoint_id as usize];
             for (scheduler, entry) in [
                 (&mut self.subset, &mut endpoint.subset_entry),
-                (&mut self.outside, &mut endpoint.outside_entry),
+                (&mut self.outside_subset, &mut endpoint.outside_entry),
             ] {
                 match entry.weight > 0.0 {
                     true if taken => scheduler.take_turn(endpoint_id, entry),
@@ -516,17 +523,17 @@
         endpoint_id: u32,
         request_id: u64,
         dispatch_index: usize,
-        grace: Nanos,
+        extra_time: Nanos,
     ) {
         let endpoint = &mut self.endpoints[endpoint_id as usize];
         let reused = endpoint.in_flight.is_empty() && endpoint.last_used_at > endpoint.idle_closed_at;
         let idle = if reused { now - endpoint.last_used_at } else { 0 };
         endpoint.last_used_at = now;
-        let slot = self.in_flight.add(now, endpoint_id, (request_id, dispatch_index), grace, idle);
-        endpoint.in_flight.push(EndpointDispatch { sent_at: now, slot, grace });
+        let slot = self.in_flight.add(now, endpoint_id, (request_id, dispatch_index), extra_time, idle);
+        endpoint.in_flight.push(EndpointDispatch { sent_at: now, slot, extra_time });
         if endpoint.is_in_subset() {
-            (self.in_flight_count, self.uncapped_count, self.uncapped_sent_at_sum) = (
-                self.in_flight_count + 1,
+            (self.subset_in_flight_count, self.uncapped_count, self.uncapped_sent_at_sum) = (
+                self.subset_in_flight_count + 1,
                 self.uncapped_count + 1,
                 self.uncapped_sent_at_sum + i128::from(now),
             );
@@ -558,7 +565,7 @@
             endpoint.last_used_at = now;
             endpoint.in_flight_time.add(now, time_in_flight);
             if endpoint.is_in_subset() {
-                self.in_flight_count -= 1;
+                self.subset_in_flight_count -= 1;
                 self.responsive_in_flight -= i64::from(!endpoint.unresponsive);
                 match capped {
                     true => self.capped_count -= 1,
@@ -587,12 +594,12 @@
         let endpoint = &mut self.endpoints[endpoint_id as usize];
         if endpoint.has_fresh_report {
             if endpoint.is_usable() {
-                self.reported_load += value - endpoint.reported_load;
+                self.fresh_report_load_sum += value - endpoint.reported_load;
             }
             (endpoint.reported_load, endpoint.reported_at) = (value, now);
         } else {
             self.timers.insert((now + LOAD_REPORT_LIFETIME, Timer::ReportExpiry, endpoint_id));
-            self.change(endpoint_id, |endpoint| {
+            self.update_with_sums(endpoint_id, |endpoint| {
                 (endpoint.reported_load, endpoint.reported_at, endpoint.has_fresh_report) = (value, now, true)
             });
         }
@@ -600,26 +607,26 @@
 
     pub fn eject(&mut self, now: Nanos, endpoint_id: u32, until: Nanos) {
         self.timers.insert((until, Timer::EjectionEnd, endpoint_id));
-        self.change(endpoint_id, |endpoint| endpoint.ejected = until > now);
+        self.update_with_sums(endpoint_id, |endpoint| endpoint.ejected = until > now);
     }
 
     /// Ejects an endpoint from a rule set until the given time.
     pub fn eject_from_rule_set(&mut self, endpoint_id: u32, health_index: usize, until: Nanos) {
         self.timers.insert((until, Timer::RuleSetEjectionEnd(health_index), endpoint_id));
-        self.change(endpoint_id, |endpoint| {
+        self.update_with_sums(endpoint_id, |endpoint| {
             endpoint.ejected_rule_sets.retain(|ejected| *ejected != health_index);
             endpoint.ejected_rule_sets.push(health_index);
         });
     }
 
     /// Applies a list entry to a known endpoint. Returns whether its process has restarted.
-    pub fn update(&mut self, now: Nanos, endpoint_id: u32, entry: &ListedEndpoint) -> bool {
+    pub fn apply_entry(&mut self, now: Nanos, endpoint_id: u32, entry: &ListedEndpoint) -> bool {
         let endpoint = self.get(endpoint_id);
         let restarted = endpoint.started_at != entry.started_at && entry.state == EndpointState::Up;
         if (endpoint.state, endpoint.weight, endpoint.started_at)
             != (entry.state, entry.weight, entry.started_at)
         {
-            self.change(endpoint_id, |endpoint| {
+            self.update_with_sums(endpoint_id, |endpoint| {
                 (endpoint.state, endpoint.weight, endpoint.started_at) =
                     (entry.state, entry.weight, entry.started_at);
                 if restarted {
@@ -632,7 +639,7 @@
             self.update_named_entry(endpoint_id);
             self.reschedule(now, endpoint_id);
             if entry.state == EndpointState::Gone {
-                self.gone.insert(endpoint_id);
+                self.gone_ids.insert(endpoint_id);
             }
         }
         restarted
@@ -640,23 +647,23 @@
 
     /// Marks an endpoint as gone because the list no longer contains it.
     pub fn mark_gone(&mut self, now: Nanos, endpoint_id: u32) {
-        self.change(endpoint_id, |endpoint| endpoint.state = EndpointState::Gone);
+        self.update_with_sums(endpoint_id, |endpoint| endpoint.state = EndpointState::Gone);
         self.update_named_entry(endpoint_id);
         self.reschedule(now, endpoint_id);
-        self.gone.insert(endpoint_id);
+        self.gone_ids.insert(endpoint_id);
     }
 
     /// Adds an endpoint, whose first turn comes after the given fraction of a stride.
-    pub fn add(&mut self, now: Nanos, entry: &ListedEndpoint, start_phase: f64) -> u32 {
+    pub fn add_endpoint(&mut self, now: Nanos, entry: &ListedEndpoint, start_phase: f64) -> u32 {
         let site_index = self.sites.iter().position(|site| site.name == entry.site).unwrap_or_else(|| {
             let site = Site {
                 name: entry.site.clone(),
                 members: Vec::new(),
-                up: 0,
-                usable: 0,
+                up_count: 0,
+                usable_count: 0,
                 last_response_at: 0,
                 losses: 0,
-                loss_epoch: 0,
+                loss_reset_count: 0,
             };
             // Reuses the place of a site that has lost its last endpoint.
             match self.sites.iter().position(|site| site.members.is_empty()) {
@@ -688,7 +695,7 @@
             last_used_at: 0,
             idle_closed_at: 0,
             completed_bucket: 0,
-            loss_epoch: 0,
+            loss_reset_count: 0,
             losses: 0,
             health: vec![Health::default(); self.ejected_counts.len()],
             slow_start_budget: 0.0,
@@ -717,9 +724,9 @@
         self.members_by_cell.entry(entry.cell).or_default().push(endpoint_id);
         self.add_to_sums(endpoint_id, 1);
         self.update_named_entry(endpoint_id);
-        self.unscheduled.push(endpoint_id);
+        self.unscheduled_ids.push(endpoint_id);
         if entry.state == EndpointState::Gone {
-            self.gone.insert(endpoint_id);
+            self.gone_ids.insert(endpoint_id);
         }
         endpoint_id
     }
@@ -740,29 +747,29 @@
     /// Removes the endpoints that are gone and have nothing in flight.
     pub fn remove_drained(&mut self, now: Nanos) {
         let mut removed = BTreeSet::new();
-        for endpoint_id in std::mem::take(&mut self.gone) {
+        for endpoint_id in std::mem::take(&mut self.gone_ids) {
             if self.get(endpoint_id).state != EndpointState::Gone {
                 continue;
             }
             if !self.get(endpoint_id).in_flight.is_empty() {
-                self.gone.insert(endpoint_id);
+                self.gone_ids.insert(endpoint_id);
                 continue;
             }
             self.reschedule(now, endpoint_id);
             self.add_to_sums(endpoint_id, -1);
             let endpoint = self.get(endpoint_id);
             let (name, cell) = (endpoint.name.clone(), endpoint.cell);
-            let (loss_epoch, losses) = (endpoint.loss_epoch, endpoint.losses);
+            let (loss_reset_count, losses) = (endpoint.loss_reset_count, endpoint.losses);
             let site = self.site_mut(endpoint_id);
             site.members.retain(|member| *member != endpoint_id);
-            site.losses -= if loss_epoch == site.loss_epoch { losses } else { 0 };
+            site.losses -= if loss_reset_count == site.loss_reset_count { losses } else { 0 };
             if let Some(members) = self.members_by_cell.get_mut(&cell) {
                 members.retain(|member| *member != endpoint_id);
                 if members.is_empty() {
                     self.members_by_cell.remove(&cell);
                 }
             }
-            self.unresponsive.remove(&endpoint_id);
+            self.unresponsive_ids.remove(&endpoint_id);
             self.ids_by_name.remove(&name);
             self.free_ids.push(endpoint_id);
             removed.insert(endpoint_id);
@@ -775,8 +782,8 @@
     /// Counts the listed endpoints and those of them that are avoided: draining or ejected. Endpoints that are gone but have
     /// dispatches in flight are not listed.
     pub fn count_endpoints(&self) -> EndpointCounts {
-        let listed = self.ids_by_name.len() - self.gone.len().min(self.ids_by_name.len());
-        EndpointCounts { listed, avoided: listed - self.usable.min(listed) }
+        let listed = self.ids_by_name.len() - self.gone_ids.len().min(self.ids_by_name.len());
+        EndpointCounts { listed, avoided: listed - self.usable_count.min(listed) }
     }
 
     /// The ids of the known endpoints, in the order of their names.
@@ -804,10 +811,10 @@
             }
         }
         for (endpoint_id, subset_weight) in changed {
-            self.change(endpoint_id, |endpoint| endpoint.subset_weight = subset_weight);
+            self.update_with_sums(endpoint_id, |endpoint| endpoint.subset_weight = subset_weight);
             self.reschedule(now, endpoint_id);
         }
-        for endpoint_id in std::mem::take(&mut self.unscheduled) {
+        for endpoint_id in std::mem::take(&mut self.unscheduled_ids) {
             if self.get(endpoint_id).subset_weight <= 0.0 {
                 self.reschedule(now, endpoint_id);
             }
@@ -819,7 +826,7 @@
                 .enumerate()
                 .map(|(endpoint_id, endpoint)| (endpoint_id as u32, &mut endpoint.subset_entry)),
         );
-        self.outside.rebase(
+        self.outside_subset.rebase(
             endpoints
                 .iter_mut()
                 .enumerate()
@@ -830,15 +837,15 @@
     /// The means that the load of an endpoint is compared with.
     pub fn mean_loads(&self, now: Nanos) -> MeanLoads {
         let (weight, reported) =
-            (from_fixed_point(self.subset_weight), from_fixed_point(self.reported_weight));
+            (from_fixed_point(self.usable_subset_weight), from_fixed_point(self.fresh_report_weight_sum));
         let ages = self.uncapped_count * i128::from(now) - self.uncapped_sent_at_sum
             + self.capped_count * i128::from(MEAN_LOAD_WINDOW);
         let lasting = (self.in_flight_time.sum(now) + ages as f64) / MEAN_LOAD_WINDOW as f64;
         let per_weight = |sum: f64, weight: f64| if weight > 0.0 { sum / weight } else { 0.0 };
         MeanLoads {
-            lasting: per_weight(lasting, weight),
-            momentary: per_weight(self.in_flight_count as f64, weight),
-            reported: per_weight(self.reported_load, reported),
+            mean_in_flight: per_weight(lasting, weight),
+            current_in_flight: per_weight(self.subset_in_flight_count as f64, weight),
+            reported_load: per_weight(self.fresh_report_load_sum, reported),
         }
     }
 
@@ -846,23 +853,23 @@
     /// within the latency limit, and at least the floor.
     pub fn concurrency_limit(&mut self, now: Nanos, latency_limit_s: f64, floor: f64) -> f64 {
         let completion_window = &self.completion_window;
-        let from = self.rates_from;
+        let from = self.rates_counted_from;
         let scale = |added_at: Nanos| {
             move |count: f64| {
                 completion_window.to_rate_per_s(count, now, added_at.max(from)) * latency_limit_s
             }
         };
-        let long = self.old_completions.sum_with_floor(scale(0), floor);
-        let short = self
-            .new_completions
+        let established = self.completions_of_established.sum_with_floor(scale(0), floor);
+        let recently_added = self
+            .completions_of_recently_added
             .iter_mut()
             .map(|(added_at, counts)| counts.sum_with_floor(scale(*added_at), floor));
-        long + short.sum::<f64>()
+        established + recently_added.sum::<f64>()
     }
 
     /// Leaves a pause without requests out of the time over which completions are counted.
     pub fn exclude_pause(&mut self, now: Nanos, pause: Nanos) {
-        self.rates_from = now - COMPLETION_WINDOW.saturating_sub(pause).min(now);
+        self.rates_counted_from = now - COMPLETION_WINDOW.saturating_sub(pause).min(now);
     }
 
     /// The requests that an endpoint completes per second.
@@ -870,13 +877,13 @@
         self.completion_window.to_rate_per_s(
             f64::from(endpoint.recent_completions),
             now,
-            endpoint.added_at.max(self.rates_from),
+            endpoint.added_at.max(self.rates_counted_from),
         )
     }
 
     /// The weight in the subset, reduced by ramps.
     pub fn ramped_weight(&self) -> f64 {
-        from_fixed_point(self.subset_weight) - self.ramp_deductions
+        from_fixed_point(self.usable_subset_weight) - self.ramp_deductions
     }
 }
 
@@ -904,8 +911,6 @@
 
     use super::*;
 
-    const MS: Nanos = S / 1_000;
-
     /// An event at the endpoint with this number.
     #[derive(Clone, Debug)]
     enum Event {
@@ -949,13 +954,14 @@
 
     fn apply(endpoint_set: &mut EndpointSet, now: &mut Nanos, id: &mut u64, event: Event) {
         endpoint_set.advance(*now);
-        let endpoint_id = |endpoint_set: &EndpointSet, number: u8| endpoint_set.find(&format!("s{number}"));
+        let endpoint_id =
+            |endpoint_set: &EndpointSet, number: u8| endpoint_set.find_id(&format!("s{number}"));
         match event {
             Event::List(number, state, weight, slow_start) => {
                 let entry = entry(number, state, weight, slow_start.then_some(*now));
                 match endpoint_id(endpoint_set, number) {
-                    Some(endpoint_id) => drop(endpoint_set.update(*now, endpoint_id, &entry)),
-                    None => drop(endpoint_set.add(*now, &entry, 0.5)),
+                    Some(endpoint_id) => drop(endpoint_set.apply_entry(*now, endpoint_id, &entry)),
+                    None => drop(endpoint_set.add_endpoint(*now, &entry, 0.5)),
                 }
                 endpoint_set.remove_drained(*now);
                 endpoint_set.set_subset(*now, 0.3, 0.4);
@@ -980,14 +986,14 @@
             }
             Event::Eject(number, ms) => {
                 if let Some(endpoint_id) = endpoint_id(endpoint_set, number) {
-                    let until = *now + u64::from(ms) * MS;
-                    endpoint_set.get_mut(endpoint_id).health[0].ejected_until = until;
+                    let until = *now + u64::from(ms) * MILLISECOND;
+                    endpoint_set.get_mut(endpoint_id).health[OVERALL_HEALTH].ejected_until = until;
                     endpoint_set.eject(*now, endpoint_id, until);
                 }
             }
             Event::EjectFromRuleSet(number, set, ms) => {
                 if let Some(endpoint_id) = endpoint_id(endpoint_set, number) {
-                    let until = *now + u64::from(ms) * MS;
+                    let until = *now + u64::from(ms) * MILLISECOND;
                     endpoint_set.get_mut(endpoint_id).health[usize::from(set)].ejected_until = until;
                     endpoint_set.eject_from_rule_set(endpoint_id, usize::from(set), until);
                 }
@@ -999,13 +1005,14 @@
             }
             Event::SetUnresponsive(number, unresponsive) => {
                 if let Some(endpoint_id) = endpoint_id(endpoint_set, number) {
-                    endpoint_set.change(endpoint_id, |endpoint| endpoint.unresponsive = unresponsive);
+                    endpoint_set
+                        .update_with_sums(endpoint_id, |endpoint| endpoint.unresponsive = unresponsive);
                 }
             }
             Event::SetSubset(from, part) => {
                 endpoint_set.set_subset(*now, f64::from(from) / 10.0, f64::from(part) / 10.0);
             }
-            Event::AdvanceTime(ms) => *now += u64::from(ms) * MS,
+            Event::AdvanceTime(ms) => *now += u64::from(ms) * MILLISECOND,
         }
         endpoint_set.advance(*now);
     }
@@ -1015,7 +1022,7 @@
         let known: Vec<u32> = endpoint_set.ids().collect();
         let endpoints = || known.iter().map(|endpoint_id| endpoint_set.get(*endpoint_id));
         for endpoint in endpoints() {
-            let ejected = endpoint.health[0].ejected_until > now;
+            let ejected = endpoint.health[OVERALL_HEALTH].ejected_until > now;
             prop_assert_eq!(endpoint.ejected, ejected, "{} ejected", endpoint.name);
             prop_assert_eq!(
                 endpoint.has_fresh_report,
@@ -1037,14 +1044,19 @@
         let means = endpoint_set.mean_loads(now);
         let close = |a: f64, b: f64| (a - b).abs() <= 1e-6 * (a.abs() + b.abs()) + 1e-9;
         let lasting = per_weight(in_subset().map(|endpoint| endpoint.mean_in_flight(now)).sum(), weight);
-        prop_assert!(close(means.lasting, lasting), "lasting {} {}", means.lasting, lasting);
+        prop_assert!(close(means.mean_in_flight, lasting), "lasting {} {}", means.mean_in_flight, lasting);
         let momentary = per_weight(in_subset().map(|endpoint| endpoint.in_flight.len() as f64).sum(), weight);
-        prop_assert!(close(means.momentary, momentary), "momentary {} {}", means.momentary, momentary);
+        prop_assert!(
+            close(means.current_in_flight, momentary),
+            "momentary {} {}",
+            means.current_in_flight,
+            momentary
+        );
         let reported = per_weight(
             reporting().map(|endpoint| endpoint.reported_load).sum(),
             reporting().map(|endpoint| endpoint.weight).sum(),
         );
-        prop_assert!(close(means.reported, reported), "reported {} {}", means.reported, reported);
+        prop_assert!(close(means.reported_load, reported), "reported {} {}", means.reported_load, reported);
         let responsive = || in_subset().filter(|endpoint| !endpoint.unresponsive);
         let limit: f64 = responsive()
             .map(|endpoint| endpoint_set.completions_per_s(now, endpoint) * 0.7)
@@ -1061,16 +1073,19 @@
                 .count();
             prop_assert_eq!(endpoint_set.ejected_counts[set], ejected, "ejected from set {}", set);
         }
-        prop_assert_eq!(endpoint_set.usable, endpoints().filter(|endpoint| endpoint.is_usable()).count());
+        prop_assert_eq!(
+            endpoint_set.usable_count,
+            endpoints().filter(|endpoint| endpoint.is_usable()).count()
+        );
         for site in &endpoint_set.sites {
             let of =
                 |endpoint: &&Endpoint| endpoint_set.sites[endpoint.site_index as usize].name == site.name;
             prop_assert_eq!(
-                site.up,
+                site.up_count,
                 endpoints().filter(of).filter(|endpoint| endpoint.state == EndpointState::Up).count()
             );
             prop_assert_eq!(
-                site.usable,
+                site.usable_count,
                 endpoints().filter(of).filter(|endpoint| endpoint.is_usable()).count()
             );
         }
@@ -1084,8 +1099,8 @@
 
         #[test]
         fn sums_match_a_recount_after_any_events(events in events()) {
-            let (mut now, mut id) = (1_000 * S, 0);
-            let mut endpoint_set = EndpointSet::new(now, 2, 20 * S, 0.2);
+            let (mut now, mut id) = (1_000 * SECOND, 0);
+            let mut endpoint_set = EndpointSet::new(now, 2, 20 * SECOND, 0.2);
             for event in events {
                 apply(&mut endpoint_set, &mut now, &mut id, event);
                 check_sums(&mut endpoint_set, now)?;
@@ -1095,8 +1110,8 @@
 
     #[test]
     fn endpoints_that_come_and_go_leave_no_state_behind() {
-        let mut now = 1_000 * S;
-        let mut endpoint_set = EndpointSet::new(now, 2, 20 * S, 0.2);
+        let mut now = 1_000 * SECOND;
+        let mut endpoint_set = EndpointSet::new(now, 2, 20 * SECOND, 0.2);
         let listed = |number: u32, state| ListedEndpoint {
             name: format!("s{number}").into(),
             state,
@@ -1106,18 +1121,18 @@
             cell: u64::from(number / 100),
         };
         for number in 0..2_000 {
-            endpoint_set.add(now, &listed(number, EndpointState::Up), 0.5);
+            endpoint_set.add_endpoint(now, &listed(number, EndpointState::Up), 0.5);
         }
         for number in 0..10_000u32 {
-            now += 10 * MS;
+            now += 10 * MILLISECOND;
             endpoint_set.advance(now);
-            endpoint_set.add(now, &listed(number + 2_000, EndpointState::Up), 0.5);
-            let endpoint_id = endpoint_set.find(&format!("s{number}")).expect("listed");
+            endpoint_set.add_endpoint(now, &listed(number + 2_000, EndpointState::Up), 0.5);
+            let endpoint_id = endpoint_set.find_id(&format!("s{number}")).expect("listed");
             endpoint_set.record_send(now, endpoint_id, u64::from(number), 0, 0);
             endpoint_set.record_load_report(now, endpoint_id, 1.0);
             endpoint_set.record_end(now, endpoint_id, u64::from(number), 0, true);
-            endpoint_set.eject(now, endpoint_id, now + S);
-            endpoint_set.update(now, endpoint_id, &listed(number, EndpointState::Gone));
+            endpoint_set.eject(now, endpoint_id, now + SECOND);
+            endpoint_set.apply_entry(now, endpoint_id, &listed(number, EndpointState::Gone));
             endpoint_set.remove_drained(now);
         }
         endpoint_set.set_subset(now, 0.0, 1.0);
@@ -1128,7 +1143,7 @@
                 && endpoint_set.completed_by_bucket.iter().flatten().count() <= 1_000
         );
         assert_eq!(
-            (endpoint_set.up, endpoint_set.subset.len(), endpoint_set.ids_by_name.len()),
+            (endpoint_set.up_count, endpoint_set.subset.len(), endpoint_set.ids_by_name.len()),
             (2_000, 2_000, 2_000)
         );
         let all: Vec<u32> = endpoint_set.ids().collect();
@@ -1136,12 +1151,12 @@
             endpoint_set.mark_gone(now, endpoint_id);
         }
         endpoint_set.remove_drained(now);
-        now += 10 * S;
+        now += 10 * SECOND;
         endpoint_set.advance(now);
         let empty = (
-            endpoint_set.up,
-            endpoint_set.subset_weight,
-            endpoint_set.in_flight_count,
+            endpoint_set.up_count,
+            endpoint_set.usable_subset_weight,
+            endpoint_set.subset_in_flight_count,
             endpoint_set.uncapped_count,
             endpoint_set.capped_count,
         );
--- a/src/in_flight.rs
+++ b/src/in_flight.rs
@@ -1,5 +1,5 @@
-//! The dispatches in flight, as a linked list in the order in which they were sent, so that late ones are found without a walk
-//! over the others. Slots of ended dispatches are reused: memory grows only with the number of dispatches in flight at a time.
+//! The dispatches in flight, as a linked list in the order in which they were sent, so that overdue ones are found without a
+//! walk over the others. Slots of ended dispatches are reused: memory grows only with the number of dispatches in flight at a time.
 
 use crate::types::{Nanos, to_seconds};
 
@@ -15,8 +15,8 @@
     pub cancelled: bool,
     /// For how long its connection had been idle before.
     pub idle: Nanos,
-    /// How much longer than others it may take before it is late.
-    pub grace: Nanos,
+    /// How much longer than others it may take before it is overdue.
+    pub extra_time: Nanos,
     /// Whether its age has reached the maximum up to which ages count.
     pub age_capped: bool,
     previous: u32,
@@ -32,9 +32,9 @@
     oldest_uncapped: u32,
 }
 
-/// The time in seconds since a dispatch was sent, less its grace.
-pub fn age_beyond_grace(now: Nanos, sent_at: Nanos, grace: Nanos) -> f64 {
-    to_seconds(now.saturating_sub(sent_at + grace))
+/// The time in seconds since a dispatch was sent, less its extra time.
+pub fn age_beyond_extra_time(now: Nanos, sent_at: Nanos, extra_time: Nanos) -> f64 {
+    to_seconds(now.saturating_sub(sent_at + extra_time))
 }
 
 impl InFlightList {
@@ -54,7 +54,7 @@
         sent_at: Nanos,
         endpoint_id: u32,
         (request_id, dispatch_index): (u64, usize),
-        grace: Nanos,
+        extra_time: Nanos,
         idle: Nanos,
     ) -> u32 {
         let previous = self.newest;
@@ -65,7 +65,7 @@
             dispatch_index,
             cancelled: false,
             idle,
-            grace,
+            extra_time,
             age_capped: false,
             previous,
             next: NONE,
--- a/src/policy/endpoint_limits.rs
+++ b/src/policy/endpoint_limits.rs
@@ -2,20 +2,21 @@
 //! slow-start budget. Endpoints are not compared with each other here; the means to compare with are given.
 
 use super::*;
-use crate::endpoint_set::{Endpoint, EndpointDispatch, MeanLoads, WarmTraffic};
+use crate::endpoint_set::{Endpoint, EndpointDispatch, EstablishedTraffic, MeanLoads};
 
 /// Duration of the ramp of an endpoint that returns from an ejection.
-const EJECTION_RETURN_RAMP: Nanos = 3 * S;
+const EJECTION_RETURN_RAMP: Nanos = 3 * SECOND;
 /// The share of its weight with which an endpoint returns from an ejection.
 const EJECTION_RETURN_SHARE: f64 = 0.2;
-/// An endpoint is congested with this many times the mean in flight and a request more, or with that as a mean over
-/// [`MEAN_LOAD_WINDOW`].
+/// An endpoint is congested above this many times the mean load of all, now or over [`MEAN_LOAD_WINDOW`], plus a margin for
+/// chance; see [`Endpoint::is_congested`].
 const CONGESTION_FACTOR: f64 = 1.25;
-pub const MEAN_LOAD_WINDOW: Nanos = 8 * S;
-/// An endpoint is unresponsive when the ages of its unanswered dispatches, in overdue times, sum up to this. An endpoint that
-/// rarely gets a request may only be slow.
+/// The time over which the mean number of requests in flight is taken.
+pub const MEAN_LOAD_WINDOW: Nanos = 8 * SECOND;
+/// An endpoint is unresponsive when the ages of its unanswered dispatches, in units of the overdue time, sum up to this. One
+/// overdue dispatch is not enough: an endpoint that rarely gets a request may only be slow.
 const UNRESPONSIVE_OVERDUE_SUM: f64 = 3.0;
-/// What an endpoint in slow start may get in relation to its even share, to leave room for random bursts.
+/// An endpoint in slow start may get this many times its even share, which leaves room for random bursts.
 const SLOW_START_HEADROOM: f64 = 1.5;
 
 impl Endpoint {
@@ -25,20 +26,21 @@
 
     /// The share of its weight with which an endpoint counts that is in slow start or returns from an ejection.
     pub fn ramp(&self, now: Nanos, slow_start: Nanos, slow_start_share: f64) -> f64 {
-        let warm = match self.started_at {
+        let slow_start_ramp = match self.started_at {
             Some(at) if now < at + slow_start => {
                 slow_start_share
                     + (1.0 - slow_start_share) * now.saturating_sub(at) as f64 / slow_start as f64
             }
             _ => 1.0,
         };
-        let back = now.saturating_sub(self.health[0].ejected_until);
-        let returned = if back < EJECTION_RETURN_RAMP {
-            EJECTION_RETURN_SHARE + (1.0 - EJECTION_RETURN_SHARE) * back as f64 / EJECTION_RETURN_RAMP as f64
+        let time_since_return = now.saturating_sub(self.health[OVERALL_HEALTH].ejected_until);
+        let return_ramp = if time_since_return < EJECTION_RETURN_RAMP {
+            EJECTION_RETURN_SHARE
+                + (1.0 - EJECTION_RETURN_SHARE) * time_since_return as f64 / EJECTION_RETURN_RAMP as f64
         } else {
             1.0
         };
-        warm * returned
+        slow_start_ramp * return_ramp
     }
 
     /// How many requests it may have in flight from this instance. By Little's law, what it completes within the latency
@@ -54,41 +56,42 @@
         if !self.is_unresponsive(now, latency_limit_s) {
             return self.in_flight.len();
         }
-        let in_time =
-            |dispatch: &&EndpointDispatch| dispatch.age_beyond_grace(now) <= OVERDUE_FACTOR * latency_limit_s;
+        let in_time = |dispatch: &&EndpointDispatch| {
+            dispatch.age_beyond_extra_time(now) <= OVERDUE_FACTOR * latency_limit_s
+        };
         self.in_flight.iter().filter(in_time).count()
     }
 
-    /// Whether a dispatch is overdue and the endpoint has answered nothing since it was sent. Guards against endpoints cut off
-    /// without a reset: what is in flight there must not use up the concurrency limit.
+    /// Whether a dispatch is overdue and the endpoint has answered nothing since it was sent. Endpoints may be cut
+    /// off without a reset, and what is in flight there must not use up the concurrency limit.
     pub fn is_unresponsive(&self, now: Nanos, latency_limit_s: f64) -> bool {
         let unanswered = self.in_flight.iter().filter(|dispatch| self.last_response_at <= dispatch.sent_at);
-        let overdue =
-            unanswered.map(|dispatch| dispatch.age_beyond_grace(now) / (OVERDUE_FACTOR * latency_limit_s));
+        let overdue = unanswered
+            .map(|dispatch| dispatch.age_beyond_extra_time(now) / (OVERDUE_FACTOR * latency_limit_s));
         let (max, sum) = overdue.fold((0.0, 0.0), |(max, sum): (f64, f64), age| (max.max(age), sum + age));
         max > 1.0 && sum >= UNRESPONSIVE_OVERDUE_SUM
     }
 
     /// Whether it has far more in flight than the mean, now or over a while, or reports a far higher load than others. The
     /// mean over a while is needed because a quiet instance nearly always has none or one in flight at an endpoint, even at
-    /// one that is many times slower than the others. One request that takes the latency limit is within chance, and a quiet
-    /// instance has no more there.
+    /// one that is many times slower than the others. The margin on that mean is one request that takes the latency limit: a
+    /// quiet instance may have that much by chance.
     pub fn is_congested(&self, now: Nanos, latency_limit_s: f64, means: &MeanLoads) -> bool {
-        self.in_flight.len() as f64 > CONGESTION_FACTOR * means.momentary * self.subset_weight + 1.0
+        self.in_flight.len() as f64 > CONGESTION_FACTOR * means.current_in_flight * self.subset_weight + 1.0
             || self.mean_in_flight(now)
-                > CONGESTION_FACTOR * means.lasting * self.subset_weight
+                > CONGESTION_FACTOR * means.mean_in_flight * self.subset_weight
                     + latency_limit_s / to_seconds(MEAN_LOAD_WINDOW)
             || (self.has_fresh_report
-                && self.reported_load > CONGESTION_FACTOR * means.reported * self.weight + 2.0)
+                && self.reported_load > CONGESTION_FACTOR * means.reported_load * self.weight + 2.0)
     }
 
-    /// The slow-start budget now. It grows by what warm endpoints of the same weight accept from this instance, scaled to the
-    /// least capacity that the endpoint can have at its age, and by no less than the floor. That capacity grows linearly, so
-    /// its mean over a period is its value in the middle.
+    /// The slow-start budget now. It grows by what established endpoints of the same weight accept from this instance, scaled to
+    /// the least capacity that the endpoint can have at its age, and by no less than `min_requests_per_s`. That capacity grows
+    /// linearly, so its mean over a period is its value in the middle.
     pub fn current_slow_start_budget(
         &self,
         now: Nanos,
-        warm_traffic: &WarmTraffic,
+        established_traffic: &EstablishedTraffic,
         slow_start: Nanos,
         slow_start_share: f64,
     ) -> f64 {
@@ -96,8 +99,10 @@
         let middle = since + (now - since) / 2;
         let weight =
             self.subset_weight * self.ramp(middle, slow_start, slow_start_share) * SLOW_START_HEADROOM;
-        let growth = (warm_traffic.accepted - self.budget_accepted) * weight;
-        let max = (warm_traffic.accepted_per_s * weight / 2.0).max(1.0);
-        (self.slow_start_budget + growth.max(warm_traffic.min_per_s * to_seconds(now - since))).min(max)
+        let growth = (established_traffic.accepted - self.budget_accepted) * weight;
+        let max = (established_traffic.accepted_per_s * weight / 2.0).max(1.0);
+        (self.slow_start_budget
+            + growth.max(established_traffic.min_requests_per_s * to_seconds(now - since)))
+        .min(max)
     }
 }
--- a/src/policy/endpoint_selection.rs
+++ b/src/policy/endpoint_selection.rs
@@ -28,14 +28,14 @@
 const MIN_UTILITY_FACTOR: f64 = 0.6;
 const MAX_UTILITY_FACTOR: f64 = 2.0;
 /// What an endpoint in slow start gets at least per second from all instances with it in their subsets.
-const SLOW_START_MIN_PER_S: f64 = 1.0;
+const SLOW_START_MIN_REQUESTS_PER_S: f64 = 1.0;
 
 /// What endpoints are assessed against in one selection.
 struct SelectionContext {
     now: Nanos,
     latency_limit_s: f64,
     /// The latency limit from which concurrency limits follow: widened in recovery and scaled by utility.
-    limit_latency_s: f64,
+    scaled_latency_limit_s: f64,
     /// The floor of an endpoint's concurrency limit.
     limit_floor: f64,
     burst_factor: f64,
@@ -56,7 +56,7 @@
     /// Ejected, unresponsive or congested: used only if no endpoint is healthy.
     Degraded,
     /// Healthy, but it has reset this request before.
-    TriedBefore,
+    ResetBefore,
     Unavailable,
     /// Not for this request.
     Excluded,
@@ -68,7 +68,7 @@
         let retry = Some(request).filter(|request| !request.dispatches.is_empty());
         let health_index = self.config.health_index(&request.rule_set);
         let context = self.selection_context(now, retry.is_some(), health_index)?;
-        let preferred = request.preferred_endpoint.as_ref().and_then(|name| self.endpoints.find(name));
+        let preferred = request.preferred_endpoint.as_ref().and_then(|name| self.endpoints.find_id(name));
         let preferred = preferred.filter(|id| !self.endpoints.get(*id).ejected);
         if preferred.is_some_and(|id| self.assess(&context, id, health_index, retry) <= Suitability::Degraded)
         {
@@ -78,16 +78,16 @@
             return self.select_among(&context, health_index, retry, &candidates);
         }
         // Retries go to all endpoints: to the subset and to the others, in proportion to their weights.
-        let outside = retry.is_some() && !self.endpoints.outside.is_empty();
-        self.outside_credit += if outside { 1.0 - self.subset_share } else { 0.0 };
-        let outside_first = outside && self.outside_credit >= 1.0;
-        self.outside_credit -= if outside_first { 1.0 } else { 0.0 };
+        let includes_outside = retry.is_some() && !self.endpoints.outside_subset.is_empty();
+        self.outside_retry_credit += if includes_outside { 1.0 - self.subset_share } else { 0.0 };
+        let starts_outside = includes_outside && self.outside_retry_credit >= 1.0;
+        self.outside_retry_credit -= if starts_outside { 1.0 } else { 0.0 };
         let mut skipped = Vec::new();
         let (mut healthy, mut degraded) =
-            self.next_scheduled(&context, health_index, retry, outside_first, &mut skipped);
-        if healthy.is_none() && outside {
+            self.next_scheduled(&context, health_index, retry, starts_outside, &mut skipped);
+        if healthy.is_none() && includes_outside {
             let (other, last) =
-                self.next_scheduled(&context, health_index, retry, !outside_first, &mut skipped);
+                self.next_scheduled(&context, health_index, retry, !starts_outside, &mut skipped);
             (healthy, degraded) = (other, degraded.or(last));
         }
         // If a degraded endpoint is used, the other degraded ones keep their turns.
@@ -126,17 +126,17 @@
 
     /// The candidates for a request, if they are few or the request is bound to a deduplication group, which may be empty.
     fn candidates(&self, retry: Option<&RequestContext>) -> Option<Vec<u32>> {
-        let EndpointSet { subset, outside, .. } = &self.endpoints;
+        let EndpointSet { subset, outside_subset, .. } = &self.endpoints;
         if let Some((request, members)) =
-            retry.and_then(|request| Some((request, self.bound_group(request)?)))
+            retry.and_then(|request| Some((request, self.required_group(request)?)))
         {
             let from = request.id as usize % members.len().max(1);
             let count = members.len().min(MAX_ASSESSED_ENDPOINTS);
             return Some(members.iter().cycle().skip(from).take(count).copied().collect());
         }
-        let count = if retry.is_some() { outside.len() } else { 0 } + subset.len();
+        let count = if retry.is_some() { outside_subset.len() } else { 0 } + subset.len();
         (count <= MAX_SCANNED_CANDIDATES)
-            .then(|| subset.iter().chain(outside.iter().filter(|_| retry.is_some())).collect())
+            .then(|| subset.iter().chain(outside_subset.iter().filter(|_| retry.is_some())).collect())
     }
 
     /// Selects among these candidates: the current weight of each suitable one grows by its weight; the one with the greatest
@@ -152,9 +152,9 @@
     ) -> Option<u32> {
         let assessed: Vec<(Suitability, u32)> =
             candidates.iter().map(|id| (self.assess(context, *id, health_index, retry), *id)).collect();
-        let is_bound = retry.is_some_and(|request| self.bound_group(request).is_some());
+        let has_required_group = retry.is_some_and(|request| self.required_group(request).is_some());
         let best = assessed.iter().map(|(suitability, _)| *suitability).min()?;
-        if best > Suitability::TriedBefore || (best == Suitability::TriedBefore && !is_bound) {
+        if best > Suitability::ResetBefore || (best == Suitability::ResetBefore && !has_required_group) {
             return None;
         }
         let (mut total, mut selected) = (0.0, None);
@@ -180,10 +180,10 @@
         context: &SelectionContext,
         health_index: usize,
         retry: Option<&RequestContext>,
-        outside: bool,
+        from_outside: bool,
         skipped: &mut Vec<SkippedTurn>,
     ) -> (Option<u32>, Option<u32>) {
-        let scheduler = if outside { &self.endpoints.outside } else { &self.endpoints.subset };
+        let scheduler = if from_outside { &self.endpoints.outside_subset } else { &self.endpoints.subset };
         let mut first_degraded = None;
         for endpoint_id in scheduler.iter().take(MAX_ASSESSED_ENDPOINTS) {
             match self.assess(context, endpoint_id, health_index, retry) {
@@ -193,14 +193,14 @@
                     skipped.push(SkippedTurn { endpoint_id, degraded: true });
                 }
                 Suitability::Unavailable => skipped.push(SkippedTurn { endpoint_id, degraded: false }),
-                Suitability::TriedBefore | Suitability::Excluded => {}
+                Suitability::ResetBefore | Suitability::Excluded => {}
             }
         }
         (None, first_degraded)
     }
 
     /// The members of the deduplication group that a request is bound to because it may have run there.
-    fn bound_group(&self, request: &RequestContext) -> Option<&[u32]> {
+    fn required_group(&self, request: &RequestContext) -> Option<&[u32]> {
         let run = request.first_possible_run()?;
         let set = self.config.rule_set(&request.rule_set).filter(|set| set.effect == Effect::Deduplicated)?;
         let members = match set.dedup_group {
@@ -232,29 +232,30 @@
         if rejected_by_site || tried.any(|dispatch| dispatch.outcome != Some(DispatchOutcome::Reset)) {
             return Suitability::Excluded;
         }
-        let is_warm = !endpoint.in_slow_start(now, self.config.slow_start);
-        let has_budget =
-            is_warm || self.config.limits_at_proxies || self.slow_start_budget(now, endpoint) >= 1.0;
-        let is_open = endpoint.state == EndpointState::Up
-            && (health_index == 0 || endpoint.health[health_index].ejected_until <= now)
+        let is_past_slow_start = !endpoint.in_slow_start(now, self.config.slow_start);
+        let has_budget = is_past_slow_start
+            || self.config.proxies_enforce_limits
+            || self.slow_start_budget(now, endpoint) >= 1.0;
+        let accepts_requests = endpoint.state == EndpointState::Up
+            && (health_index == OVERALL_HEALTH || endpoint.health[health_index].ejected_until <= now)
             && has_budget;
-        let has_room = || {
+        let is_below_limit = || {
             let limit = endpoint.concurrency_limit(
                 self.endpoints.completions_per_s(now, endpoint),
-                context.limit_latency_s,
+                context.scaled_latency_limit_s,
                 context.limit_floor,
             );
-            let allowance = if is_warm {
+            let allowance = if is_past_slow_start {
                 context.burst_factor * burst_allowance(limit, self.instances_per_endpoint())
             } else {
                 0.0
             };
             let limit = limit + allowance;
             retry.is_some()
-                || self.config.limits_at_proxies
+                || self.config.proxies_enforce_limits
                 || (endpoint.count_against_limit(now, context.latency_limit_s) as f64) < limit.max(1.0)
         };
-        if !is_open || !has_room() {
+        if !accepts_requests || !is_below_limit() {
             return Suitability::Unavailable;
         }
         let is_healthy = !endpoint.ejected
@@ -263,14 +264,14 @@
         match (is_healthy, tried_before) {
             (true, false) => Suitability::Healthy,
             (false, false) => Suitability::Degraded,
-            (true, true) => Suitability::TriedBefore,
+            (true, true) => Suitability::ResetBefore,
             (false, true) => Suitability::Excluded,
         }
     }
 
     pub(super) fn slow_start_budget(&self, now: Nanos, endpoint: &Endpoint) -> f64 {
         let (slow_start, share) = (self.config.slow_start, self.config.slow_start_share);
-        endpoint.current_slow_start_budget(now, &self.warm_traffic, slow_start, share)
+        endpoint.current_slow_start_budget(now, &self.established_traffic, slow_start, share)
     }
 
     fn update_slow_start_budget(&mut self, now: Nanos, endpoint_id: u32) {
@@ -279,7 +280,7 @@
     }
 
     pub(super) fn set_slow_start_budget(&mut self, now: Nanos, endpoint_id: u32, budget: f64) {
-        let accepted = self.warm_traffic.accepted;
+        let accepted = self.established_traffic.accepted;
         let endpoint = self.endpoints.get_mut(endpoint_id);
         (endpoint.slow_start_budget, endpoint.budget_updated_at, endpoint.budget_accepted) =
             (budget, now, accepted);
@@ -293,15 +294,15 @@
         health_index: usize,
     ) -> Option<SelectionContext> {
         self.endpoints.advance(now);
-        self.check_late_dispatches(now);
-        self.update_warm_traffic(now);
+        self.check_overdue_dispatches(now);
+        self.update_established_traffic(now);
         let latency_limit_s = self.latency_limit_s(now);
         let burst_factor = self.burst_factor(now);
         let utility_factor = self.utility_factor(now, health_index, burst_factor);
-        let limit_latency_s = latency_limit_s * self.recovery_factor(now) * utility_factor;
+        let scaled_latency_limit_s = latency_limit_s * self.recovery_factor(now) * utility_factor;
         let limit_floor = self.endpoint_limit_floor(now) * utility_factor;
-        if !is_retry && !self.config.limits_at_proxies {
-            let limit = self.endpoints.concurrency_limit(now, limit_latency_s, limit_floor);
+        if !is_retry && !self.config.proxies_enforce_limits {
+            let limit = self.endpoints.concurrency_limit(now, scaled_latency_limit_s, limit_floor);
             // In overload fractions are dropped: rounded up, each of hundreds of instances would exceed its limit by one.
             let allowance = burst_factor * burst_allowance(limit, self.config.instances);
             let limit = if self.is_overloaded(now) { limit.floor() } else { limit + allowance };
@@ -311,7 +312,14 @@
             }
         }
         let means = self.endpoints.mean_loads(now);
-        Some(SelectionContext { now, latency_limit_s, limit_latency_s, limit_floor, burst_factor, means })
+        Some(SelectionContext {
+            now,
+            latency_limit_s,
+            scaled_latency_limit_s,
+            limit_floor,
+            burst_factor,
+            means,
+        })
     }
 
     /// The factor on the concurrency limit for a rule set: above 1 if its utility is above the mean of the arrivals, below 1 if
@@ -319,7 +327,7 @@
     /// at a quiet instance, the next one is as likely that of least utility.
     pub(super) fn utility_factor(&self, now: Nanos, health_index: usize, burst_factor: f64) -> f64 {
         match health_index.checked_sub(1).and_then(|at| self.config.rule_sets.get(at)) {
-            Some(set) if self.config.tier == 0 && self.config.utility_by_work => (set.utility
+            Some(set) if self.config.is_first_tier() && self.config.utility_by_work => (set.utility
                 / self.statistics.utilities.mean(now).max(1e-9))
             .sqrt()
             .clamp(MIN_UTILITY_FACTOR.max(burst_factor), MAX_UTILITY_FACTOR),
@@ -329,27 +337,28 @@
 
     /// The share of the burst allowance that is left: none in overload or when latencies are high.
     pub(super) fn burst_factor(&self, now: Nanos) -> f64 {
-        if self.config.tier > 0 || self.is_overloaded(now) {
+        if !self.config.is_first_tier() || self.is_overloaded(now) {
             return 0.0;
         }
         let statistics = &self.statistics;
         let unloaded =
-            statistics.latency.min_bucket_mean(now).min(statistics.latency_long.min_bucket_mean(now));
-        ((NO_BURST_LATENCY_FACTOR - statistics.latency_short.mean(now) / unloaded)
+            statistics.latency_20s.min_bucket_mean(now).min(statistics.latency_80s.min_bucket_mean(now));
+        ((NO_BURST_LATENCY_FACTOR - statistics.latency_2s.mean(now) / unloaded)
             / (NO_BURST_LATENCY_FACTOR - UNLOADED_LATENCY_FACTOR))
             .clamp(0.0, 1.0)
     }
 
     /// Updates what warm endpoints accept from this instance per unit of weight, while any endpoint is in slow start.
-    pub(super) fn update_warm_traffic(&mut self, now: Nanos) {
-        let since = std::mem::replace(&mut self.warm_traffic_updated_at, now);
+    pub(super) fn update_established_traffic(&mut self, now: Nanos) {
+        let since = std::mem::replace(&mut self.established_traffic_updated_at, now);
         self.endpoints.refresh_ramps(now);
         if self.endpoints.any_in_slow_start {
             let accepted_per_s = self.statistics.accepted_per_s(now, self.started_at);
             let per_weight = accepted_per_s / self.endpoints.ramped_weight().max(1e-9);
-            self.warm_traffic.accepted_per_s = per_weight;
-            self.warm_traffic.accepted += per_weight * to_seconds(now - since.min(now));
-            self.warm_traffic.min_per_s = SLOW_START_MIN_PER_S / self.instances_per_endpoint();
+            self.established_traffic.accepted_per_s = per_weight;
+            self.established_traffic.accepted += per_weight * to_seconds(now - since.min(now));
+            self.established_traffic.min_requests_per_s =
+                SLOW_START_MIN_REQUESTS_PER_S / self.instances_per_endpoint();
         }
     }
 
@@ -366,8 +375,8 @@
         }
         // A pending body may take seconds, and the endpoint does not start on the request before it is complete.
         if !request.body_pending {
-            let grace = self.grace(now, request);
-            self.endpoints.record_send(now, endpoint_id, request.id, request.dispatches.len(), grace);
+            let extra_time = self.extra_time(now, request);
+            self.endpoints.record_send(now, endpoint_id, request.id, request.dispatches.len(), extra_time);
         }
         let endpoint = self.endpoints.get(endpoint_id);
         request.dispatches.push(Dispatch {
@@ -377,7 +386,7 @@
             sent_at: now,
             outcome: None,
         });
-        self.in_flight += 1;
+        self.in_flight_count += 1;
         RoutingDecision::Send { endpoint: endpoint.name.clone(), give_up_at }
     }
 
@@ -392,15 +401,16 @@
     /// blindly: with hundreds of instances, each one meets a given endpoint too rarely to know that it is congested, slow or
     /// failing. And with more endpoints than connections it would open a connection for each request.
     pub(super) fn update_subset(&mut self, now: Nanos, list_changed: bool) {
-        let up = (self.endpoints.up as f64).max(1.0);
-        let observable = (self.statistics.first_sends.rate_per_s(now, self.started_at)
+        let up = (self.endpoints.up_count as f64).max(1.0);
+        let observable_endpoints = (self.statistics.first_sends.rate_per_s(now, self.started_at)
             * SUBSET_SEND_INTERVAL_S)
             .max(MIN_SUBSET_ENDPOINTS);
-        let connected = (self.config.max_connections * SUBSET_CONNECTION_SHARE).max(MIN_SUBSET_ENDPOINTS);
-        let wanted = observable.min(connected) / up;
+        let connectable_endpoints =
+            (self.config.max_connections * SUBSET_CONNECTION_SHARE).max(MIN_SUBSET_ENDPOINTS);
+        let wanted_share = observable_endpoints.min(connectable_endpoints) / up;
         let instances = self.config.instances;
-        let share = (wanted.max(MIN_INSTANCES_PER_ENDPOINT / instances) * instances).ceil() / instances;
-        let share = if share > 0.5 || self.config.limits_at_proxies { 1.0 } else { share };
+        let share = (wanted_share.max(MIN_INSTANCES_PER_ENDPOINT / instances) * instances).ceil() / instances;
+        let share = if share > 0.5 || self.config.proxies_enforce_limits { 1.0 } else { share };
         if list_changed || share != self.subset_share {
             self.subset_share = share;
             self.endpoints.set_subset(now, self.config.instance_index / instances % 1.0, share);
--- a/src/policy/outlier_ejection.rs
+++ b/src/policy/outlier_ejection.rs
@@ -1,35 +1,40 @@
 //! Outlier ejection: endpoints are ejected for their last outcomes, and whole sites when they fall silent. Outcomes are judged
-//! as they come. Dispatches that become late are looked for among the late ones, not by a walk over the list. Connections that
-//! were lost while idle are handled here too.
+//! as they come. Overdue dispatches are found at the old end of the list of dispatches in flight, without a walk over the
+//! endpoints. Connections that were lost while idle are handled here too.
 
 use super::*;
-use crate::in_flight::age_beyond_grace;
+use crate::in_flight::age_beyond_extra_time;
 use crate::statistics::Health;
 
-/// With more than [`MANY_LATE`] late dispatches, they are checked only this often. What is looked for is late by hundreds of
-/// milliseconds.
-const LATE_CHECK_INTERVAL: Nanos = 5 * MS;
-const MANY_LATE: usize = 128;
-/// A whole site is overdue after this part of the overdue time: until it is, what is stuck there takes up concurrency limits at
-/// each tier above. This does not hold at the first tier in overload, where endpoints are late for lack of processing time.
+/// The least time between two checks with more than [`MANY_OVERDUE_CANDIDATES`] candidates. Dispatches at a lost site or endpoint
+/// are overdue by hundreds of milliseconds, so a delay of this size does not matter.
+const OVERDUE_CHECK_INTERVAL: Nanos = 5 * MILLISECOND;
+/// Above this number of candidates, [`OVERDUE_CHECK_INTERVAL`] bounds the cost of the checks.
+const MANY_OVERDUE_CANDIDATES: usize = 128;
+/// The dispatches of a site count as overdue after this part of the overdue time, because stuck requests take up concurrency
+/// limits at each tier above. At the first tier in overload the whole overdue time applies: there endpoints are late for lack of
+/// processing time.
 const SITE_OVERDUE_FACTOR: f64 = 0.75;
-/// A site is not ejected for fewer losses than this, including its overdue dispatches, unless two are overdue.
+/// A site is ejected only with at least this many losses, including its overdue dispatches, or with [`MIN_SITE_OVERDUE`].
 const MIN_SITE_LOSSES: usize = 3;
+/// This many overdue dispatches are enough to eject a site, whatever its other losses.
 const MIN_SITE_OVERDUE: usize = 2;
-/// Connections are closed before the idle time from which on more dispatches than this, and more than this share of them, were
-/// lost. One lost dispatch is not enough, because its endpoint may only be slow.
+/// Connections are closed before an idle time from which on more dispatches than this were lost. One lost dispatch is not
+/// enough, because its endpoint may only be slow.
 const MIN_IDLE_LOSSES: f64 = 1.5;
+/// More than this share of the dispatches after such an idle time must have been lost.
 const MIN_IDLE_LOSS_SHARE: f64 = 0.4;
 /// Time constant with which the counts of lost dispatches decay.
-const IDLE_LOSS_DECAY: Nanos = 15 * S;
+const IDLE_LOSS_DECAY: Nanos = 15 * SECOND;
 /// An endpoint does well in a rule set with at least this many outcomes there and no failure.
 const MIN_OUTCOMES_WITHOUT_FAILURE: u32 = 4;
-/// An ejection lasts this long, plus a random part of the jitter.
-const EJECTION_TIME: Nanos = 3 * S;
-const EJECTION_JITTER: Nanos = 2 * S;
+/// The least duration of an ejection.
+const EJECTION_TIME: Nanos = 3 * SECOND;
+/// An ejection lasts longer by a random part of this.
+const EJECTION_JITTER: Nanos = 2 * SECOND;
 
-/// A dispatch that is overdue, or nearly.
-struct LateDispatch {
+/// A dispatch that is overdue, or is so after [`SITE_OVERDUE_FACTOR`] of the overdue time.
+struct OverdueCandidate {
     slot: u32,
     endpoint_id: u32,
     sent_at: Nanos,
@@ -56,15 +61,15 @@
     ) {
         let failure = match outcome {
             DispatchOutcome::Done => {
-                !self.config.limits_at_proxies
+                !self.config.proxies_enforce_limits
                     && to_seconds(duration) > self.latency_limit_s(now) * OVERDUE_FACTOR
             }
             DispatchOutcome::Error
             | DispatchOutcome::Reset
             | DispatchOutcome::TimedOut
             | DispatchOutcome::NoConnection => true,
-            // Guards against an endpoint that drains before the list says so: it is never congested and would attract ever
-            // more requests.
+            // An endpoint may drain before the list says so. It is then never congested, and would attract ever more requests
+            // if its refusals did not count as failures.
             DispatchOutcome::Full
                 if endpoint_id.is_some_and(|id| self.endpoints.get(id).consecutive_refusals > 1) =>
             {
@@ -79,7 +84,8 @@
         let (failure_ratio, is_last_tier) = (self.statistics.failures.mean(now), self.is_last_tier());
         let Some(endpoint_id) = endpoint_id else { return };
         let endpoint = self.endpoints.get_mut(endpoint_id);
-        if health_index > 0 && matches!(outcome, DispatchOutcome::Done | DispatchOutcome::Error) {
+        if health_index != OVERALL_HEALTH && matches!(outcome, DispatchOutcome::Done | DispatchOutcome::Error)
+        {
             endpoint.health[health_index].record(outcome == DispatchOutcome::Error, 1);
         }
         let does_well = |(index, health): (usize, &Health)| {
@@ -87,19 +93,20 @@
         };
         let is_rule_set_error =
             outcome == DispatchOutcome::Error && endpoint.health.iter().enumerate().any(does_well);
-        let health_index = if is_rule_set_error { health_index } else { 0 };
-        if health_index == 0 {
-            // No connection and no response count twice, because they tell more than an error. So does a slow response at the
-            // last tier, whose cause can't be at a lower one. Guards against a stuck endpoint that is only late.
+        let health_index = if is_rule_set_error { health_index } else { OVERALL_HEALTH };
+        if health_index == OVERALL_HEALTH {
+            // A missing connection or response counts twice, because it is stronger evidence than an error. So does a slow
+            // response at the last tier, because no lower tier can have caused it; this ejects a stuck endpoint that still
+            // answers, but late.
             let counts_twice = matches!(outcome, DispatchOutcome::NoConnection | DispatchOutcome::TimedOut)
                 || (outcome == DispatchOutcome::Done && is_last_tier);
-            endpoint.health[0].record(failure, if failure && counts_twice { 2 } else { 1 });
+            endpoint.health[OVERALL_HEALTH].record(failure, if failure && counts_twice { 2 } else { 1 });
         }
         let Health { outcome_count, ejected_until, .. } = endpoint.health[health_index];
         let failures = endpoint.health[health_index].count_failures();
         let allowed = f64::from(outcome_count) * (2.0 * failure_ratio + 0.2);
-        // Endpoints without a process make up what fails everywhere by themselves: one that only refuses connections, while
-        // sites have answered since it last did, is ejected whatever the failure ratio is.
+        // Many endpoints without a process raise the failure ratio so far that none of them would exceed it. An endpoint that
+        // only refuses connections, while any site has answered since its own last response, is therefore ejected at any ratio.
         let refuses_all = outcome == DispatchOutcome::NoConnection && failures == outcome_count;
         let refusing_since = refuses_all.then_some(endpoint.last_response_at);
         let is_gone = refusing_since
@@ -111,7 +118,7 @@
             && self.may_eject(endpoint_id, health_index)
         {
             let ejected_until = now + EJECTION_TIME + self.rng.next_duration(EJECTION_JITTER);
-            let rule_set = if health_index > 0 {
+            let rule_set = if health_index != OVERALL_HEALTH {
                 format!(" from rule set {}", self.config.rule_sets[health_index - 1].name)
             } else {
                 String::new()
@@ -120,7 +127,7 @@
             self.endpoints.get_mut(endpoint_id).health[health_index] =
                 Health { outcomes: 1, outcome_count: 3, ejected_until };
             match health_index {
-                0 => self.endpoints.eject(now, endpoint_id, ejected_until),
+                OVERALL_HEALTH => self.endpoints.eject(now, endpoint_id, ejected_until),
                 _ => self.endpoints.eject_from_rule_set(endpoint_id, health_index, ejected_until),
             }
             let name = &self.endpoints.get(endpoint_id).name;
@@ -131,58 +138,68 @@
         }
     }
 
-    /// Whether one more endpoint may be ejected: no more than half of a site are, one by one; a whole site is ejected by
-    /// [`Balancer::eject_silent_sites`]. For an endpoint alone in its site, or for a rule set, half of the whole list counts.
+    /// Whether one more endpoint may be ejected. Single ejections cover at most half of a site, or half of the whole list if the
+    /// endpoint is alone in its site or is ejected from a rule set only. [`Balancer::eject_silent_sites`] ejects whole sites.
     fn may_eject(&self, endpoint_id: u32, health_index: usize) -> bool {
         let site = &self.endpoints.sites[self.endpoints.get(endpoint_id).site_index as usize];
-        let (up, usable) = if health_index > 0 {
-            (self.endpoints.up, self.endpoints.usable - self.endpoints.ejected_counts[health_index])
-        } else if site.up < 2 {
-            (self.endpoints.up, self.endpoints.usable)
+        let (up, usable) = if health_index != OVERALL_HEALTH {
+            (
+                self.endpoints.up_count,
+                self.endpoints.usable_count - self.endpoints.ejected_counts[health_index],
+            )
+        } else if site.up_count < 2 {
+            (self.endpoints.up_count, self.endpoints.usable_count)
         } else {
-            (site.up, site.usable)
+            (site.up_count, site.usable_count)
         };
         let ejected = up - usable;
         2 * (ejected + 1) <= up
     }
 
-    /// Checks the dispatches that are late by now for unresponsive endpoints and silent sites.
-    pub(super) fn check_late_dispatches(&mut self, now: Nanos) {
-        if self.config.limits_at_proxies
-            || (self.last_late_count > MANY_LATE && now < self.last_late_check_at + LATE_CHECK_INTERVAL)
+    /// Checks the overdue dispatches for unresponsive endpoints and silent sites.
+    pub(super) fn check_overdue_dispatches(&mut self, now: Nanos) {
+        if self.config.proxies_enforce_limits
+            || (self.last_candidate_count > MANY_OVERDUE_CANDIDATES
+                && now < self.last_overdue_check_at + OVERDUE_CHECK_INTERVAL)
         {
             return;
         }
         let is_overloaded = self.is_overloaded(now);
         let overdue_s = self.latency_limit_s_when(now, is_overloaded) * OVERDUE_FACTOR;
-        let factor = if self.config.tier == 0 && is_overloaded { 1.0 } else { SITE_OVERDUE_FACTOR };
-        let late: Vec<LateDispatch> = {
+        let factor = if self.config.is_first_tier() && is_overloaded { 1.0 } else { SITE_OVERDUE_FACTOR };
+        let candidates: Vec<OverdueCandidate> = {
             let in_flight = self.endpoints.in_flight.iter();
-            let late =
+            let candidates =
                 in_flight.take_while(|(_, dispatch)| to_seconds(now - dispatch.sent_at) > overdue_s * factor);
-            let late = late.filter(|(_, dispatch)| {
-                age_beyond_grace(now, dispatch.sent_at, dispatch.grace) > overdue_s * factor
+            let candidates = candidates.filter(|(_, dispatch)| {
+                age_beyond_extra_time(now, dispatch.sent_at, dispatch.extra_time) > overdue_s * factor
             });
-            late.map(|(slot, dispatch)| LateDispatch {
-                slot,
-                endpoint_id: dispatch.endpoint_id,
-                sent_at: dispatch.sent_at,
-            })
-            .collect()
+            candidates
+                .map(|(slot, dispatch)| OverdueCandidate {
+                    slot,
+                    endpoint_id: dispatch.endpoint_id,
+                    sent_at: dispatch.sent_at,
+                })
+                .collect()
         };
-        let nothing_late = late.is_empty() && self.endpoints.unresponsive.is_empty();
-        if nothing_late && self.endpoints.sites.iter().all(|site| site.losses < MIN_SITE_LOSSES) {
+        let none_overdue = candidates.is_empty() && self.endpoints.unresponsive_ids.is_empty();
+        if none_overdue && self.endpoints.sites.iter().all(|site| site.losses < MIN_SITE_LOSSES) {
             return;
         }
-        (self.last_late_check_at, self.last_late_count) = (now, late.len());
-        self.eject_silent_sites(now, &late);
-        self.update_unresponsive_endpoints(now, overdue_s / OVERDUE_FACTOR, &late);
+        (self.last_overdue_check_at, self.last_candidate_count) = (now, candidates.len());
+        self.eject_silent_sites(now, &candidates);
+        self.update_unresponsive_endpoints(now, overdue_s / OVERDUE_FACTOR, &candidates);
     }
 
     /// Updates which endpoints are unresponsive.
-    fn update_unresponsive_endpoints(&mut self, now: Nanos, latency_limit_s: f64, late: &[LateDispatch]) {
-        let mut ids = self.endpoints.unresponsive.clone();
-        ids.extend(late.iter().map(|dispatch| dispatch.endpoint_id));
+    fn update_unresponsive_endpoints(
+        &mut self,
+        now: Nanos,
+        latency_limit_s: f64,
+        candidates: &[OverdueCandidate],
+    ) {
+        let mut ids = self.endpoints.unresponsive_ids.clone();
+        ids.extend(candidates.iter().map(|dispatch| dispatch.endpoint_id));
         for endpoint_id in ids {
             self.update_unresponsive(now, latency_limit_s, endpoint_id);
         }
@@ -192,50 +209,50 @@
         let endpoint = self.endpoints.get(endpoint_id);
         let unresponsive = endpoint.is_unresponsive(now, latency_limit_s);
         if unresponsive != endpoint.unresponsive {
-            self.endpoints.change(endpoint_id, |endpoint| endpoint.unresponsive = unresponsive);
+            self.endpoints.update_with_sums(endpoint_id, |endpoint| endpoint.unresponsive = unresponsive);
         }
-        let ids = &mut self.endpoints.unresponsive;
+        let ids = &mut self.endpoints.unresponsive_ids;
         let _changed = if unresponsive { ids.insert(endpoint_id) } else { ids.remove(&endpoint_id) };
     }
 
     /// Ejects each site as a whole that has overdue dispatches and has answered nothing since, while others have, and cancels
-    /// those dispatches. Guards against a lost site: failures there are not independent, so a quiet instance would otherwise
-    /// lose a request to each of its endpoints to find out, and what is stuck there takes up capacity of each caller above.
-    fn eject_silent_sites(&mut self, now: Nanos, late: &[LateDispatch]) {
-        let mut late_by_site = vec![Vec::new(); self.endpoints.sites.len()];
-        for dispatch in late {
+    /// those dispatches. Failures within a lost site are not independent: by single ejections, a quiet instance would lose a
+    /// request to each of its endpoints, and the stuck requests would take up capacity at each tier above.
+    fn eject_silent_sites(&mut self, now: Nanos, candidates: &[OverdueCandidate]) {
+        let mut candidates_by_site = vec![Vec::new(); self.endpoints.sites.len()];
+        for dispatch in candidates {
             let site_index = self.endpoints.get(dispatch.endpoint_id).site_index;
-            late_by_site[site_index as usize].push((dispatch.slot, dispatch.sent_at));
+            candidates_by_site[site_index as usize].push((dispatch.slot, dispatch.sent_at));
         }
-        for (site_index, mut late) in late_by_site.into_iter().enumerate() {
+        for (site_index, mut candidates) in candidates_by_site.into_iter().enumerate() {
             let site = &self.endpoints.sites[site_index];
             let (last_response_at, losses, name) = (site.last_response_at, site.losses, site.name.clone());
-            if late.is_empty() && losses < MIN_SITE_LOSSES {
+            if candidates.is_empty() && losses < MIN_SITE_LOSSES {
                 continue;
             }
             let others = self.endpoints.sites.iter().enumerate().filter(|(index, _)| *index != site_index);
             let others_responded_at = others.map(|(_, site)| site.last_response_at).max().unwrap_or(0);
-            late.retain(|(_, sent_at)| last_response_at <= *sent_at && *sent_at < others_responded_at);
+            candidates.retain(|(_, sent_at)| last_response_at <= *sent_at && *sent_at < others_responded_at);
             if others_responded_at <= last_response_at
-                || (late.len() < MIN_SITE_OVERDUE && late.len() + losses < MIN_SITE_LOSSES)
+                || (candidates.len() < MIN_SITE_OVERDUE && candidates.len() + losses < MIN_SITE_LOSSES)
             {
                 continue;
             }
-            let late_count = late.len();
-            for (slot, _) in late {
+            let candidate_count = candidates.len();
+            for (slot, _) in candidates {
                 let dispatch = self.endpoints.in_flight.get_mut(slot);
                 if !std::mem::replace(&mut dispatch.cancelled, true) && self.config.may_cancel {
                     self.cancellations.push_back((dispatch.request_id, dispatch.dispatch_index));
                 }
             }
             let site = &mut self.endpoints.sites[site_index];
-            if site.usable == 0 {
+            if site.usable_count == 0 {
                 continue;
             }
             site.reset_losses();
             let until = now + EJECTION_TIME + self.rng.next_duration(EJECTION_JITTER);
             for endpoint_id in site.members.clone() {
-                let health = &mut self.endpoints.get_mut(endpoint_id).health[0];
+                let health = &mut self.endpoints.get_mut(endpoint_id).health[OVERALL_HEALTH];
                 health.ejected_until = health.ejected_until.max(until);
                 let until = health.ejected_until;
                 self.endpoints.eject(now, endpoint_id, until);
@@ -246,7 +263,7 @@
             }
             let silent_s = to_seconds(now - last_response_at.max(self.started_at));
             self.log_lines.push_back(format!(
-                "ejected site {name}: no response for {silent_s:.1} s, {late_count} dispatches overdue, {losses} lost"
+                "ejected site {name}: no response for {silent_s:.1} s, {candidate_count} dispatches overdue, {losses} lost"
             ));
         }
     }
@@ -257,23 +274,23 @@
         if idle > 0 && (lost || outcome == DispatchOutcome::Done) {
             self.idle_losses.record(now, idle, lost, IDLE_LOSS_DECAY);
             if lost && self.idle_losses.idle_limit(MIN_IDLE_LOSSES, MIN_IDLE_LOSS_SHARE).is_some() {
-                self.idle_check_at = now;
+                self.idle_connection_check_at = now;
             }
         }
     }
 
-    /// Closes connections that have been idle for nearly as long as those that were lost. Guards against a network that drops
-    /// idle connections silently: a request sent on one is lost, while a new connection works.
+    /// Closes connections that have been idle for nearly as long as those that were lost. Networks may drop idle connections
+    /// silently: a request sent on one is lost, while a new connection works.
     pub(super) fn close_idle_connections(&mut self, now: Nanos) {
-        if now < self.idle_check_at {
+        if now < self.idle_connection_check_at {
             return;
         }
         self.idle_losses.record(now, 0, false, IDLE_LOSS_DECAY);
         let Some(idle_limit) = self.idle_losses.idle_limit(MIN_IDLE_LOSSES, MIN_IDLE_LOSS_SHARE) else {
-            self.idle_check_at = Nanos::MAX;
+            self.idle_connection_check_at = Nanos::MAX;
             return;
         };
-        self.idle_check_at = now + idle_limit / 8;
+        self.idle_connection_check_at = now + idle_limit / 8;
         let is_idle = |endpoint_id: &u32| {
             let endpoint = self.endpoints.get(*endpoint_id);
             endpoint.in_flight.is_empty()
@@ -283,7 +300,7 @@
         for endpoint_id in self.endpoints.ids().filter(is_idle).collect::<Vec<u32>>() {
             let endpoint = self.endpoints.get_mut(endpoint_id);
             endpoint.idle_closed_at = now;
-            self.idle_closes.push_back(endpoint.name.clone());
+            self.connection_closes.push_back(endpoint.name.clone());
         }
     }
 }
--- a/src/policy/reference_tests.rs
+++ b/src/policy/reference_tests.rs
@@ -68,7 +68,7 @@
         if scenario.reports {
             parameters.insert("report_in_flight".into(), ParameterValue::Number(0.0));
         }
-        let now = 1_000 * S;
+        let now = 1_000 * SECOND;
         let mut simulation = Simulation {
             now,
             balancer: Balancer::new(now, scenario.seed, parameters),
@@ -107,7 +107,7 @@
     }
 
     fn record_difference(&mut self, what: String) {
-        self.differences.push(format!("{} ms: {what}", (self.now - 1_000 * S) / MS));
+        self.differences.push(format!("{} ms: {what}", (self.now - 1_000 * SECOND) / MILLISECOND));
     }
 
     fn apply_list(&mut self, is_complete: bool, entries: &[ListedEndpoint]) {
@@ -116,7 +116,7 @@
             Event::EndpointsListed { is_complete, is_stale: false, endpoints: entries },
         );
         // The losses of a removed endpoint no longer count.
-        self.losses.retain(|endpoint, _| self.balancer.endpoints.find(endpoint).is_some());
+        self.losses.retain(|endpoint, _| self.balancer.endpoints.find_id(endpoint).is_some());
     }
 
     fn compute_reference(&self, request: &RequestContext) -> Reference {
@@ -128,14 +128,14 @@
         let health_index = balancer.config.health_index(&request.rule_set);
         let burst_factor = balancer.burst_factor(now);
         let utility_factor = balancer.utility_factor(now, health_index, burst_factor);
-        let (limit_latency_s, limit_floor) = (
+        let (scaled_latency_limit_s, limit_floor) = (
             latency_limit_s * balancer.recovery_factor(now) * utility_factor,
             balancer.endpoint_limit_floor(now) * utility_factor,
         );
         let limit = |endpoint: &Endpoint| {
             endpoint.concurrency_limit(
                 balancer.endpoints.completions_per_s(now, endpoint),
-                limit_latency_s,
+                scaled_latency_limit_s,
                 limit_floor,
             )
         };
@@ -156,9 +156,13 @@
             if all > 0.0 { sum / all } else { 0.0 }
         };
         let means = MeanLoads {
-            lasting: mean(&|endpoint| endpoint.subset_weight, &|endpoint| endpoint.mean_in_flight(now)),
-            momentary: mean(&|endpoint| endpoint.subset_weight, &|endpoint| endpoint.in_flight.len() as f64),
-            reported: mean(
+            mean_in_flight: mean(&|endpoint| endpoint.subset_weight, &|endpoint| {
+                endpoint.mean_in_flight(now)
+            }),
+            current_in_flight: mean(&|endpoint| endpoint.subset_weight, &|endpoint| {
+                endpoint.in_flight.len() as f64
+            }),
+            reported_load: mean(
                 &|endpoint| if endpoint.has_fresh_report { endpoint.weight } else { 0.0 },
                 &|endpoint| endpoint.reported_load,
             ),
@@ -204,7 +208,7 @@
             let tried_before = tried.clone().next().is_some();
             let is_open = endpoint.state == EndpointState::Up
                 && if is_retry { endpoint.weight > 0.0 } else { endpoint.subset_weight > 0.0 }
-                && (health_index == 0 || endpoint.health[health_index].ejected_until <= now)
+                && (health_index == OVERALL_HEALTH || endpoint.health[health_index].ejected_until <= now)
                 && (!endpoint.in_slow_start(now, balancer.config.slow_start)
                     || balancer.slow_start_budget(now, endpoint) >= 1.0);
             let has_room = is_retry
@@ -251,7 +255,7 @@
             let overdue = in_flight.filter(|dispatch| {
                 site.last_response_at <= dispatch.sent_at
                     && dispatch.sent_at < others
-                    && dispatch.age_beyond_grace(now) > overdue_s * factor
+                    && dispatch.age_beyond_extra_time(now) > overdue_s * factor
             });
             let overdue = overdue.count();
             let members = endpoints.iter().filter(|endpoint| endpoint.site_index as usize == *site_index);
@@ -270,11 +274,11 @@
     }
 
     /// Lets the balancer check the late dispatches, and compares what it ejects with the reference.
-    fn check_late_dispatches(&mut self) {
+    fn check_overdue_dispatches(&mut self) {
         self.balancer.endpoints.advance(self.now);
         let sites = self.silent_sites();
         let earlier_lines = self.balancer.log_lines.len();
-        self.balancer.check_late_dispatches(self.now);
+        self.balancer.check_overdue_dispatches(self.now);
         let lines = self.balancer.log_lines.iter().skip(earlier_lines);
         let ejected: BTreeSet<Name> = lines
             .filter_map(|line| line.strip_prefix("ejected site ")?.split(':').next().map(Name::from))
@@ -290,16 +294,16 @@
     fn route(&mut self, id: u64) {
         let Some(mut request) = self.requests.remove(&id) else { return };
         self.waiting_until.retain(|(_, waiting)| *waiting != id);
-        self.check_late_dispatches();
-        self.balancer.update_warm_traffic(self.now);
+        self.check_overdue_dispatches();
+        self.balancer.update_established_traffic(self.now);
         let now = self.now;
         let reference = self.compute_reference(&request);
         let is_retry = !request.dispatches.is_empty();
-        let was_called = self.balancer.called_request == Some(id);
+        let is_its_turn = self.balancer.next_in_queue == Some(id);
         let others = self.balancer.wait_queue.len() - usize::from(self.balancer.wait_queue.contains(id));
         // Whether an endpoint is selected at all.
         let selects = now < request.deadline
-            && if is_retry { self.balancer.may_retry(now, &request) } else { was_called || others == 0 };
+            && if is_retry { self.balancer.may_retry(now, &request) } else { is_its_turn || others == 0 };
         // The arrival is counted before the selection and may change these.
         let state_of = |balancer: &Balancer| {
             (balancer.recovery_factor(now), balancer.is_overloaded(now), balancer.active_since)
@@ -339,10 +343,10 @@
         let duration = (self.scenario.service_time_ms as f64
             * (0.5 + fraction)
             * if is_slow { 6.0 } else { 1.0 }) as u64
-            * MS;
+            * MILLISECOND;
         // One site is cut off for a while in the middle of the simulation.
-        let is_cut_off =
-            number % self.scenario.sites == 1 && (4 * S..9 * S).contains(&(self.now - 1_000 * S));
+        let is_cut_off = number % self.scenario.sites == 1
+            && (4 * SECOND..9 * SECOND).contains(&(self.now - 1_000 * SECOND));
         if is_cut_off || duration > remaining {
             return (DispatchOutcome::TimedOut, remaining);
         }
@@ -355,8 +359,8 @@
             return (DispatchOutcome::Done, duration);
         }
         match self.rng.next_u32() % 4 {
-            0 => (DispatchOutcome::Full, MS),
-            1 => (DispatchOutcome::NoConnection, 3 * MS),
+            0 => (DispatchOutcome::Full, MILLISECOND),
+            1 => (DispatchOutcome::NoConnection, 3 * MILLISECOND),
             2 => (DispatchOutcome::Reset, duration / 2),
             _ => (DispatchOutcome::Error, duration / 3),
         }
@@ -391,7 +395,7 @@
     }
 
     fn run_next_actions(&mut self) {
-        self.check_late_dispatches();
+        self.check_overdue_dispatches();
         loop {
             match self.balancer.next_action(self.now) {
                 NextAction::SleepUntil(_) => return,
@@ -401,7 +405,7 @@
                     if let Some(end) = end {
                         self.outcomes.insert((id, number), DispatchOutcome::Cancelled);
                         self.ends.remove(&end);
-                        self.ends.insert((self.now + MS, id, number));
+                        self.ends.insert((self.now + MILLISECOND, id, number));
                     }
                 }
                 _ => {}
@@ -429,7 +433,7 @@
                 self.last_id += 1;
                 let id = self.last_id;
                 let rule_set = ["read", "move", "charge"][self.rng.next_u32() as usize % 3];
-                let deadline = self.now + 3 * S;
+                let deadline = self.now + 3 * SECOND;
                 let (rule_set, customer) = (rule_set.into(), "".into());
                 let request = RequestContext::new(id, rule_set, customer, self.now, deadline);
                 self.requests.insert(id, request);
@@ -499,7 +503,7 @@
     let check = |scenario: Scenario| {
         let mut simulation = Simulation::new(&scenario);
         for _ in 0..12 {
-            simulation.run(S);
+            simulation.run(SECOND);
             simulation.change_list();
         }
         let differences = simulation.differences.join("\n");
--- a/src/statistics.rs
+++ b/src/statistics.rs
@@ -128,8 +128,8 @@
     }
 }
 
-/// A histogram of counts, with the sum over all members of the scaled count or a floor, whichever is greater. The cost of a
-/// sum depends on how far the threshold between the two has moved, not on the number of members.
+/// A histogram of counts that sums up, over all members, the greater of the scaled count and a floor. A sum costs only as much
+/// as the threshold between the two has moved since the last one, whatever the number of members.
 #[derive(Default)]
 pub struct CountHistogram {
     members_by_count: BTreeMap<u32, u32>,
@@ -191,11 +191,11 @@
     pub first_sends: SlidingWindow,
     pub retries: SlidingWindow,
     /// Seconds from dispatch to response, adjusted to a request of mean expected cost, over 2 s.
-    pub latency_short: SlidingWindow,
+    pub latency_2s: SlidingWindow,
     /// The same over 20 s.
-    pub latency: SlidingWindow,
+    pub latency_20s: SlidingWindow,
     /// The same over 80 s.
-    pub latency_long: SlidingWindow,
+    pub latency_80s: SlidingWindow,
     pub arrivals: SlidingWindow,
     pub denials: SlidingWindow,
     /// Dispatches that never ran.
@@ -242,9 +242,9 @@
         RequestStatistics {
             first_sends: window(10),
             retries: window(10),
-            latency_short: window(2),
-            latency: window(20),
-            latency_long: window(80),
+            latency_2s: window(2),
+            latency_20s: window(20),
+            latency_80s: window(80),
             arrivals: window(2),
             denials: window(2),
             never_ran: window(10),
@@ -258,8 +258,8 @@
 const IDLE_CLASSES: usize = 8;
 const MIN_IDLE: Nanos = 100_000_000;
 
-/// Counts lost and successful dispatches by how long their connection had been idle. Each class covers twice the idle time of
-/// the one before; counts decay exponentially.
+/// Counts lost and successful dispatches by how long their connection had been idle. The first class begins at [`MIN_IDLE`], and
+/// each next one at twice the idle time of the one before. Counts decay exponentially.
 #[derive(Default)]
 pub struct IdleLosses {
     lost: [f64; IDLE_CLASSES],
@@ -293,8 +293,12 @@
     }
 }
 
+/// How many of its last outcomes an endpoint is judged by.
 const MAX_OUTCOMES: u32 = 6;
 
+/// The index in [`crate::endpoint_set::Endpoint::health`] of the health over all requests.
+pub const OVERALL_HEALTH: usize = 0;
+
 /// The last outcomes of an endpoint, and until when it is ejected for them.
 #[derive(Clone, Copy, Default)]
 pub struct Health {
--- a/src/types.rs
+++ b/src/types.rs
@@ -6,6 +6,9 @@
 /// A point in time or a duration, in nanoseconds.
 pub type Nanos = u64;
 
+pub(crate) const MILLISECOND: Nanos = 1_000_000;
+pub(crate) const SECOND: Nanos = 1_000 * MILLISECOND;
+
 /// A name or an id, as the protocol gave it.
 pub type Name = Arc<str>;
 
@@ -162,6 +165,7 @@
     pub started_at: Option<Nanos>,
     pub weight: f64,
     pub site: Name,
+    /// The endpoints of a cell share a record of processed requests; see `DedupGroup::Cell` in `config`.
     pub cell: u64,
 }
 
@@ -191,9 +195,9 @@
         load_report: &'a [f64],
     },
     /// Another instance shared the outcome of one of its dispatches. It counts towards the endpoint's health like a local
-    /// one, with three exceptions. It does not enter the mean over all endpoints, because instances mostly share failures.
-    /// Towards the silence of a site it counts once per endpoint, because a few endpoints that are gone cause many losses. In
-    /// overload it is ignored, because endpoints are then silent for lack of processing time.
+    /// one, with three exceptions. It does not enter the failure ratio over all endpoints, because instances mostly share
+    /// failures. As a loss of its site it counts once per endpoint, because a few endpoints that are gone cause many losses. In
+    /// overload it is ignored, because endpoints are then unresponsive for lack of processing time.
     PeerDispatchEnded {
         endpoint: &'a str,
         rule_set: &'a str,
