--- a/src/endpoint_set.rs
+++ b/src/endpoint_set.rs
@@ -1,10 +1,10 @@
 //! The endpoints that an instance knows, under small ids that stay the same while an endpoint is known, and the sums over
-//! them that decisions need. A sum changes together with what it is of, or at the time at which that changes by itself, so no
-//! request walks the list. What the values mean is decided in [`crate::policy`].
+//! them that decisions need. A sum is updated whenever one of its addends changes, also when that happens by the passing of
+//! time, so no request walks the list. What the values mean is decided in [`crate::policy`].
 
 use std::collections::{BTreeSet, HashMap};
 
-use crate::in_flight::{InFlightList, age_beyond_extra_time};
+use crate::in_flight::{DispatchId, InFlightList, age_beyond_extra_time};
 use crate::policy::MEAN_LOAD_WINDOW;
 use crate::statistics::{CountHistogram, Health, OVERALL_HEALTH, SlidingWindow, WINDOW_BUCKETS};
 use crate::stride_scheduler::{StrideEntry, StrideScheduler};
@@ -15,7 +15,9 @@
 const RAMP_REFRESH_INTERVAL: Nanos = SECOND / 50;
 /// The scheduler gets the new weight of a ramping endpoint when its ramp has grown by this factor.
 const MIN_RAMP_GROWTH_FACTOR: f64 = 1.1;
+/// Completions of this time give the rate at which an endpoint completes requests.
 const COMPLETION_WINDOW: Nanos = 4 * SECOND;
+/// A load report counts for this long.
 const LOAD_REPORT_LIFETIME: Nanos = 3 * SECOND;
 
 /// A dispatch in flight at an endpoint.
@@ -50,10 +52,11 @@
     /// The count of `completions` now.
     recent_completions: u32,
     added_at: Nanos,
-    /// The last bucket for which it is in `EndpointSet::completed_by_bucket`.
+    /// The last bucket under which it is in `EndpointSet::completed_by_bucket`.
     completed_bucket: u64,
-    /// Its losses that its site still counts, if the epoch is that of the site.
+    /// `Site::loss_reset_count` when its last loss was counted.
     loss_reset_count: u64,
+    /// Its losses that its site still counts, if `loss_reset_count` is that of the site.
     losses: usize,
     /// How many times in a row it refused a request because it is at capacity or draining.
     pub consecutive_refusals: u32,
@@ -63,11 +66,13 @@
     pub last_used_at: Nanos,
     /// When its idle connections were last closed.
     pub idle_closed_at: Nanos,
-    /// The health over all requests, followed by that in each rule set, where only errors and successes count.
+    /// The health over all requests at [`OVERALL_HEALTH`], followed by one for each rule set. In those of rule sets, only errors
+    /// and successes count.
     pub health: Vec<Health>,
-    /// What is left of its slow-start budget, as of `budget_updated_at`, and `EstablishedTraffic::accepted` at that time.
+    /// What is left of its slow-start budget, in requests, as of `budget_updated_at`.
     pub slow_start_budget: f64,
     pub budget_updated_at: Nanos,
+    /// `EstablishedTraffic::accepted` at `budget_updated_at`.
     pub budget_accepted: f64,
     pub reported_load: f64,
     pub reported_at: Nanos,
@@ -94,7 +99,9 @@
 pub struct Site {
     pub name: Name,
     pub members: Vec<u32>,
+    /// How many of its endpoints are up.
     pub up_count: usize,
+    /// How many of them are up and not ejected.
     pub usable_count: usize,
     /// When any of its endpoints last answered.
     pub last_response_at: Nanos,
@@ -110,7 +117,7 @@
     }
 }
 
-/// What changes when its time has come.
+/// A change that happens by the passing of time.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Timer {
     EjectionEnd,
@@ -150,35 +157,40 @@
     pub any_in_slow_start: bool,
     /// How much ramps reduce the weight in the subset.
     ramp_deductions: f64,
-    /// The endpoints that had their first completion in each bucket.
+    /// The endpoints with a completion in each bucket; their counts change when the bucket expires.
     completed_by_bucket: [Vec<u32>; WINDOW_BUCKETS],
-    /// The last bucket that was looked at.
+    /// The last bucket up to which the counts have been updated.
     current_bucket: u64,
     pub up_count: usize,
     pub usable_count: usize,
     /// How many usable endpoints are ejected from each rule set; the first element is not used.
     pub ejected_counts: Vec<usize>,
-    /// Over the usable endpoints in the subset: their weight, their dispatches in flight, and the times in flight of those
-    /// that ended.
+    // The following sums, up to `completions_of_recently_added`, are over the usable endpoints in the subset.
+    /// The sum of their weights in the subset, in fixed point.
     usable_subset_weight: i128,
+    /// Their dispatches in flight.
     subset_in_flight_count: i64,
+    /// The times in flight of their dispatches that ended.
     in_flight_time: SlidingWindow,
-    /// Dispatches whose age is below the maximum up to which ages count, and the sum of their send times.
+    /// Their dispatches in flight that are younger than [`MEAN_LOAD_WINDOW`].
     uncapped_count: i128,
+    /// The sum of the send times of those dispatches.
     uncapped_sent_at_sum: i128,
-    /// Dispatches whose age is at the maximum.
+    /// Their dispatches in flight whose age is at least [`MEAN_LOAD_WINDOW`], and counts as that.
     capped_count: i128,
-    /// Over the responsive endpoints among them: the dispatches in flight.
+    /// The dispatches in flight at those that are responsive.
     pub responsive_in_flight: i64,
-    /// Completions of those added before the completion window.
+    /// The completions at those that are responsive and were added before [`COMPLETION_WINDOW`] began.
     completions_of_established: CountHistogram,
-    /// Completions of the others, by the time at which they were added.
+    /// The completions at the other responsive ones, by the time at which they were added.
     completions_of_recently_added: Vec<(Nanos, CountHistogram)>,
     completion_window: SlidingWindow,
     /// Completions are counted from this time on, which leaves out a pause.
     rates_counted_from: Nanos,
     now: Nanos,
+    /// The sum of the reported loads over all usable endpoints with a fresh report, in the subset or not.
     fresh_report_load_sum: f64,
+    /// The sum of the weights of the same endpoints, in fixed point.
     fresh_report_weight_sum: i128,
 }
 
@@ -189,10 +201,11 @@
     pub degraded: bool,
 }
 
-/// What the load of an endpoint is compared with: requests in flight per unit of weight in the subset, as the mean over
-/// [`MEAN_LOAD_WINDOW`] and at this moment, and the reported load per unit of weight.
+/// What the load of an endpoint is compared with. All values are per unit of weight.
 pub struct MeanLoads {
+    /// Requests in flight in the subset, as the mean over [`MEAN_LOAD_WINDOW`].
     pub mean_in_flight: f64,
+    /// Requests in flight in the subset at this moment.
     pub current_in_flight: f64,
     pub reported_load: f64,
 }
@@ -202,9 +215,9 @@
 #[derive(Default)]
 pub struct EstablishedTraffic {
     pub accepted_per_s: f64,
-    /// Requests accepted so far.
+    /// Requests accepted so far, per unit of weight.
     pub accepted: f64,
-    /// What an endpoint in slow start may get in any case.
+    /// How many requests per second an endpoint in slow start may get in any case, whatever its weight.
     pub min_requests_per_s: f64,
 }
 
@@ -295,7 +308,7 @@
         site.losses += 1;
     }
 
-    /// Changes values that sums depend on.
+    /// Changes values of an endpoint together with the sums that depend on them.
     pub fn update_with_sums(&mut self, endpoint_id: u32, apply: impl FnOnce(&mut Endpoint)) {
         self.add_to_sums(endpoint_id, -1);
         apply(&mut self.endpoints[endpoint_id as usize]);
@@ -529,7 +542,8 @@
         let reused = endpoint.in_flight.is_empty() && endpoint.last_used_at > endpoint.idle_closed_at;
         let idle = if reused { now - endpoint.last_used_at } else { 0 };
         endpoint.last_used_at = now;
-        let slot = self.in_flight.add(now, endpoint_id, (request_id, dispatch_index), extra_time, idle);
+        let slot =
+            self.in_flight.add(now, endpoint_id, DispatchId { request_id, dispatch_index }, extra_time, idle);
         endpoint.in_flight.push(EndpointDispatch { sent_at: now, slot, extra_time });
         if endpoint.is_in_subset() {
             (self.subset_in_flight_count, self.uncapped_count, self.uncapped_sent_at_sum) = (
@@ -619,7 +633,8 @@
         });
     }
 
-    /// Applies a list entry to a known endpoint. Returns whether its process has restarted.
+    /// Applies a list entry to a known endpoint. Returns whether the endpoint is up with another start time than before, which
+    /// means a new process.
     pub fn apply_entry(&mut self, now: Nanos, endpoint_id: u32, entry: &ListedEndpoint) -> bool {
         let endpoint = self.get(endpoint_id);
         let restarted = endpoint.started_at != entry.started_at && entry.state == EndpointState::Up;
@@ -779,7 +794,7 @@
         }
     }
 
-    /// Counts the listed endpoints and those of them that are avoided: draining or ejected. Endpoints that are gone but have
+    /// Counts the listed endpoints and those of them that get no requests now because they are draining or ejected. Endpoints that are gone but have
     /// dispatches in flight are not listed.
     pub fn count_endpoints(&self) -> EndpointCounts {
         let listed = self.ids_by_name.len() - self.gone_ids.len().min(self.ids_by_name.len());
@@ -791,8 +806,8 @@
         self.by_name.iter().map(|entry| entry.endpoint_id)
     }
 
-    /// Sets the subset to the share `share` of all weight that begins at the fraction `start`, in the order of names. New
-    /// endpoints are scheduled from now on.
+    /// Sets the subset to a range of the endpoints, in the order of their names. The range begins after the fraction `start` of
+    /// all weight, has the fraction `share` of it, and wraps around at the end. New endpoints are scheduled from now on.
     pub fn set_subset(&mut self, now: Nanos, start: f64, share: f64) {
         let whole = share >= 1.0;
         let total: f64 = if whole { 0.0 } else { self.by_name.iter().map(|entry| entry.weight).sum() };
@@ -840,17 +855,17 @@
             (from_fixed_point(self.usable_subset_weight), from_fixed_point(self.fresh_report_weight_sum));
         let ages = self.uncapped_count * i128::from(now) - self.uncapped_sent_at_sum
             + self.capped_count * i128::from(MEAN_LOAD_WINDOW);
-        let lasting = (self.in_flight_time.sum(now) + ages as f64) / MEAN_LOAD_WINDOW as f64;
+        let mean_in_flight = (self.in_flight_time.sum(now) + ages as f64) / MEAN_LOAD_WINDOW as f64;
         let per_weight = |sum: f64, weight: f64| if weight > 0.0 { sum / weight } else { 0.0 };
         MeanLoads {
-            mean_in_flight: per_weight(lasting, weight),
+            mean_in_flight: per_weight(mean_in_flight, weight),
             current_in_flight: per_weight(self.subset_in_flight_count as f64, weight),
             reported_load: per_weight(self.fresh_report_load_sum, reported),
         }
     }
 
     /// The sum of the concurrency limits of the responsive endpoints in the subset. Each limit is what the endpoint completes
-    /// within the latency limit, and at least the floor.
+    /// within the latency limit, and at least `floor`, which is per endpoint.
     pub fn concurrency_limit(&mut self, now: Nanos, latency_limit_s: f64, floor: f64) -> f64 {
         let completion_window = &self.completion_window;
         let from = self.rates_counted_from;
@@ -911,10 +926,14 @@
 
     use super::*;
 
+    /// The latency limit and the floor for which the sum of the concurrency limits is compared.
+    const LATENCY_LIMIT_S: f64 = 0.7;
+    const LIMIT_FLOOR: f64 = 0.4;
+
     /// An event at the endpoint with this number.
     #[derive(Clone, Debug)]
     enum Event {
-        List(u8, u8, u8, bool),
+        List { number: u8, state: u8, weight: u8, is_in_slow_start: bool },
         Send(u8),
         End(u8, bool),
         Eject(u8, u16),
@@ -927,7 +946,9 @@
 
     fn events() -> impl Strategy<Value = Vec<Event>> {
         let event = prop_oneof![
-            (0..12u8, 0..4u8, 0..4u8, any::<bool>()).prop_map(|(n, s, w, c)| Event::List(n, s, w, c)),
+            (0..12u8, 0..4u8, 0..4u8, any::<bool>()).prop_map(|(number, state, weight, is_in_slow_start)| {
+                Event::List { number, state, weight, is_in_slow_start }
+            }),
             (0..12u8).prop_map(Event::Send),
             (0..12u8, any::<bool>()).prop_map(|(n, done)| Event::End(n, done)),
             (0..12u8, 0..6_000u16).prop_map(|(n, ms)| Event::Eject(n, ms)),
@@ -942,12 +963,12 @@
 
     fn entry(number: u8, state: u8, weight: u8, started_at: Option<Nanos>) -> ListedEndpoint {
         ListedEndpoint {
-            name: format!("s{number}").into(),
+            name: format!("endpoint-{number}").into(),
             state: [EndpointState::Up, EndpointState::Up, EndpointState::Draining, EndpointState::Gone]
                 [usize::from(state)],
             started_at,
             weight: [1.0, 0.25, 1e9, 1e-6][usize::from(weight)],
-            site: format!("x{}", number % 3).into(),
+            site: format!("site-{}", number % 3).into(),
             cell: u64::from(number % 2),
         }
     }
@@ -955,10 +976,10 @@
     fn apply(endpoint_set: &mut EndpointSet, now: &mut Nanos, id: &mut u64, event: Event) {
         endpoint_set.advance(*now);
         let endpoint_id =
-            |endpoint_set: &EndpointSet, number: u8| endpoint_set.find_id(&format!("s{number}"));
+            |endpoint_set: &EndpointSet, number: u8| endpoint_set.find_id(&format!("endpoint-{number}"));
         match event {
-            Event::List(number, state, weight, slow_start) => {
-                let entry = entry(number, state, weight, slow_start.then_some(*now));
+            Event::List { number, state, weight, is_in_slow_start } => {
+                let entry = entry(number, state, weight, is_in_slow_start.then_some(*now));
                 match endpoint_id(endpoint_set, number) {
                     Some(endpoint_id) => drop(endpoint_set.apply_entry(*now, endpoint_id, &entry)),
                     None => drop(endpoint_set.add_endpoint(*now, &entry, 0.5)),
@@ -1043,14 +1064,21 @@
         let reporting = || endpoints().filter(|endpoint| endpoint.is_usable() && endpoint.has_fresh_report);
         let means = endpoint_set.mean_loads(now);
         let close = |a: f64, b: f64| (a - b).abs() <= 1e-6 * (a.abs() + b.abs()) + 1e-9;
-        let lasting = per_weight(in_subset().map(|endpoint| endpoint.mean_in_flight(now)).sum(), weight);
-        prop_assert!(close(means.mean_in_flight, lasting), "lasting {} {}", means.mean_in_flight, lasting);
-        let momentary = per_weight(in_subset().map(|endpoint| endpoint.in_flight.len() as f64).sum(), weight);
+        let mean_in_flight =
+            per_weight(in_subset().map(|endpoint| endpoint.mean_in_flight(now)).sum(), weight);
+        prop_assert!(
+            close(means.mean_in_flight, mean_in_flight),
+            "mean_in_flight {} {}",
+            means.mean_in_flight,
+            mean_in_flight
+        );
+        let current_in_flight =
+            per_weight(in_subset().map(|endpoint| endpoint.in_flight.len() as f64).sum(), weight);
         prop_assert!(
-            close(means.current_in_flight, momentary),
-            "momentary {} {}",
+            close(means.current_in_flight, current_in_flight),
+            "current_in_flight {} {}",
             means.current_in_flight,
-            momentary
+            current_in_flight
         );
         let reported = per_weight(
             reporting().map(|endpoint| endpoint.reported_load).sum(),
@@ -1059,8 +1087,8 @@
         prop_assert!(close(means.reported_load, reported), "reported {} {}", means.reported_load, reported);
         let responsive = || in_subset().filter(|endpoint| !endpoint.unresponsive);
         let limit: f64 = responsive()
-            .map(|endpoint| endpoint_set.completions_per_s(now, endpoint) * 0.7)
-            .map(|l| l.max(0.4))
+            .map(|endpoint| endpoint_set.completions_per_s(now, endpoint) * LATENCY_LIMIT_S)
+            .map(|limit| limit.max(LIMIT_FLOOR))
             .sum();
         let in_flight: i64 = responsive().map(|endpoint| endpoint.in_flight.len() as i64).sum();
         prop_assert_eq!(endpoint_set.responsive_in_flight, in_flight);
@@ -1089,7 +1117,7 @@
                 endpoints().filter(of).filter(|endpoint| endpoint.is_usable()).count()
             );
         }
-        let summed = endpoint_set.concurrency_limit(now, 0.7, 0.4);
+        let summed = endpoint_set.concurrency_limit(now, LATENCY_LIMIT_S, LIMIT_FLOOR);
         prop_assert!(close(summed, limit), "concurrency limit {summed} {limit}");
         Ok(())
     }
@@ -1113,11 +1141,11 @@
         let mut now = 1_000 * SECOND;
         let mut endpoint_set = EndpointSet::new(now, 2, 20 * SECOND, 0.2);
         let listed = |number: u32, state| ListedEndpoint {
-            name: format!("s{number}").into(),
+            name: format!("endpoint-{number}").into(),
             state,
             started_at: None,
             weight: 1.0,
-            site: format!("x{}", number / 1_000).into(),
+            site: format!("site-{}", number / 1_000).into(),
             cell: u64::from(number / 100),
         };
         for number in 0..2_000 {
@@ -1127,7 +1155,7 @@
             now += 10 * MILLISECOND;
             endpoint_set.advance(now);
             endpoint_set.add_endpoint(now, &listed(number + 2_000, EndpointState::Up), 0.5);
-            let endpoint_id = endpoint_set.find_id(&format!("s{number}")).expect("listed");
+            let endpoint_id = endpoint_set.find_id(&format!("endpoint-{number}")).expect("listed");
             endpoint_set.record_send(now, endpoint_id, u64::from(number), 0, 0);
             endpoint_set.record_load_report(now, endpoint_id, 1.0);
             endpoint_set.record_end(now, endpoint_id, u64::from(number), 0, true);
--- a/src/in_flight.rs
+++ b/src/in_flight.rs
@@ -6,6 +6,13 @@
 /// The end of the list.
 const NONE: u32 = u32::MAX;
 
+/// Identifies a dispatch: the request and the index among its dispatches.
+#[derive(Clone, Copy)]
+pub struct DispatchId {
+    pub request_id: u64,
+    pub dispatch_index: usize,
+}
+
 /// A dispatch in flight.
 pub struct InFlightDispatch {
     pub sent_at: Nanos,
@@ -53,7 +60,7 @@
         &mut self,
         sent_at: Nanos,
         endpoint_id: u32,
-        (request_id, dispatch_index): (u64, usize),
+        DispatchId { request_id, dispatch_index }: DispatchId,
         extra_time: Nanos,
         idle: Nanos,
     ) -> u32 {
@@ -147,7 +154,13 @@
         let mut slots = Vec::new();
         for round in 0..50u64 {
             for number in 0..4 {
-                slots.push(list.add(round, 0, (round * 4 + number, 0), 0, 0));
+                slots.push(list.add(
+                    round,
+                    0,
+                    DispatchId { request_id: round * 4 + number, dispatch_index: 0 },
+                    0,
+                    0,
+                ));
             }
             for _ in 0..3 {
                 let ended = slots.remove((round as usize * 7) % slots.len());
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -28,6 +28,7 @@
 
 use crate::config::{Config, DedupGroup, Effect, RuleSet};
 use crate::endpoint_set::{EndpointSet, EstablishedTraffic};
+use crate::in_flight::DispatchId;
 use crate::statistics::{IdleLosses, OVERALL_HEALTH, RequestStatistics, Rng};
 use crate::types::*;
 use crate::wait_queue::{WaitQueue, WaitingRequest};
@@ -137,7 +138,7 @@
     list_retry_delay: Nanos,
     /// When a whole site was last ejected.
     site_ejected_at: Option<Nanos>,
-    cancellations: VecDeque<(u64, usize)>,
+    cancellations: VecDeque<DispatchId>,
     idle_losses: IdleLosses,
     idle_connection_check_at: Nanos,
     connection_closes: VecDeque<Name>,
@@ -514,7 +515,8 @@
                 self.in_flight_count = self.in_flight_count.saturating_sub(1);
                 let endpoint_id = self.endpoints.find_id(&name);
                 if let Some(endpoint_id) = endpoint_id {
-                    self.record_end(now, endpoint_id, (request.id, dispatch_index), outcome);
+                    let dispatch_id = DispatchId { request_id: request.id, dispatch_index };
+                    self.record_end(now, endpoint_id, dispatch_id, outcome);
                     self.record_load_report(now, endpoint_id, load_report);
                 }
                 if outcome == DispatchOutcome::Done {
@@ -585,7 +587,7 @@
         &mut self,
         now: Nanos,
         endpoint_id: u32,
-        (request_id, dispatch_index): (u64, usize),
+        DispatchId { request_id, dispatch_index }: DispatchId,
         outcome: DispatchOutcome,
     ) {
         let completed = outcome == DispatchOutcome::Done;
@@ -656,7 +658,7 @@
         if let Some(name) = self.connection_closes.pop_front() {
             return NextAction::CloseIdleConnections(name);
         }
-        if let Some((request_id, dispatch_index)) = self.cancellations.pop_front() {
+        if let Some(DispatchId { request_id, dispatch_index }) = self.cancellations.pop_front() {
             return NextAction::CancelDispatch(request_id, dispatch_index);
         }
         if self.subscribe_to_list_at.is_some_and(|at| at <= now) {
--- a/src/policy/endpoint_selection.rs
+++ b/src/policy/endpoint_selection.rs
@@ -15,6 +15,8 @@
 const MIN_SUBSET_ENDPOINTS: f64 = 2.0;
 /// Each endpoint is in the subsets of at least this many instances.
 const MIN_INSTANCES_PER_ENDPOINT: f64 = 6.0;
+/// A subset of more than this share saves too little; the whole list is used instead.
+const MAX_PARTIAL_SUBSET_SHARE: f64 = 0.5;
 /// The share of its connections that an instance uses for its subset; the others are for retries and bursts.
 const SUBSET_CONNECTION_SHARE: f64 = 0.5;
 /// The room above a concurrency limit for random bursts, in standard deviations of the requests in flight.
@@ -24,17 +26,18 @@
 const MAX_BURST_SHARE: f64 = 0.3;
 /// There is no room for bursts when latencies reach this many times the unloaded latency.
 const NO_BURST_LATENCY_FACTOR: f64 = 1.6;
-/// The factors on the concurrency limit that a rule set may have by its utility.
+/// The least factor on the concurrency limit that a rule set may have by its utility.
 const MIN_UTILITY_FACTOR: f64 = 0.6;
+/// The greatest factor on the concurrency limit that a rule set may have by its utility.
 const MAX_UTILITY_FACTOR: f64 = 2.0;
-/// What an endpoint in slow start gets at least per second from all instances with it in their subsets.
+/// An endpoint in slow start may always get this many requests per second from all instances with it in their subsets.
 const SLOW_START_MIN_REQUESTS_PER_S: f64 = 1.0;
 
 /// What endpoints are assessed against in one selection.
 struct SelectionContext {
     now: Nanos,
     latency_limit_s: f64,
-    /// The latency limit from which concurrency limits follow: widened in recovery and scaled by utility.
+    /// `latency_limit_s` times the factors of recovery and of utility. Only concurrency limits follow from it.
     scaled_latency_limit_s: f64,
     /// The floor of an endpoint's concurrency limit.
     limit_floor: f64,
@@ -42,18 +45,20 @@
     means: MeanLoads,
 }
 
-/// How many requests may be in flight above a limit by chance. Limits that many instances share add up, and bursts even out
-/// between them: the allowance is the deviation of this instance, less its part of the deviation of all together. Guards
-/// against denials at instances with limits of a few requests, for bursts that the endpoints would not notice.
-pub(super) fn burst_allowance(limit: f64, instances: f64) -> f64 {
-    (BURST_DEVIATIONS * limit.sqrt()).min(MAX_BURST_SHARE * limit) * (1.0 - 1.0 / instances.max(1.0).sqrt())
+/// How many requests may be in flight above a limit by chance. The limits of the instances that share the endpoints add up, and
+/// their bursts even out: the allowance is the deviation of this instance, less its part of the deviation of all together.
+/// Without it, instances with limits of a few requests would deny bursts that the endpoints would not notice.
+pub(super) fn burst_allowance(limit: f64, sharing_instances: f64) -> f64 {
+    (BURST_DEVIATIONS * limit.sqrt()).min(MAX_BURST_SHARE * limit)
+        * (1.0 - 1.0 / sharing_instances.max(1.0).sqrt())
 }
 
 /// How well an endpoint can take a request; a lower value is better.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Suitability {
     Healthy,
-    /// Ejected, unresponsive or congested: used only if no endpoint is healthy.
+    /// Ejected, unresponsive or congested: used if no endpoint is healthy, or if it is the preferred one of the request and not
+    /// ejected.
     Degraded,
     /// Healthy, but it has reset this request before.
     ResetBefore,
@@ -62,6 +67,13 @@
     Excluded,
 }
 
+/// What a scheduler offers for a request.
+struct ScheduledEndpoints {
+    healthy: Option<u32>,
+    /// The first degraded endpoint that comes before the healthy one.
+    degraded: Option<u32>,
+}
+
 impl Balancer {
     /// Selects an endpoint by smooth weighted round robin over those that can take this request now.
     pub(super) fn select_endpoint(&mut self, now: Nanos, request: &RequestContext) -> Option<u32> {
@@ -83,12 +95,11 @@
         let starts_outside = includes_outside && self.outside_retry_credit >= 1.0;
         self.outside_retry_credit -= if starts_outside { 1.0 } else { 0.0 };
         let mut skipped = Vec::new();
-        let (mut healthy, mut degraded) =
+        let ScheduledEndpoints { mut healthy, mut degraded } =
             self.next_scheduled(&context, health_index, retry, starts_outside, &mut skipped);
         if healthy.is_none() && includes_outside {
-            let (other, last) =
-                self.next_scheduled(&context, health_index, retry, !starts_outside, &mut skipped);
-            (healthy, degraded) = (other, degraded.or(last));
+            let elsewhere = self.next_scheduled(&context, health_index, retry, !starts_outside, &mut skipped);
+            (healthy, degraded) = (elsewhere.healthy, degraded.or(elsewhere.degraded));
         }
         // If a degraded endpoint is used, the other degraded ones keep their turns.
         skipped.retain(|turn| healthy.is_some() || !turn.degraded);
@@ -103,7 +114,7 @@
     pub(super) fn can_send(&mut self, now: Nanos, health_index: usize) -> bool {
         let Some(context) = self.selection_context(now, false, health_index) else { return false };
         let Some(candidates) = self.update_candidates(now, None) else {
-            let (healthy, degraded) =
+            let ScheduledEndpoints { healthy, degraded } =
                 self.next_scheduled(&context, health_index, None, false, &mut Vec::new());
             return healthy.or(degraded).is_some();
         };
@@ -124,12 +135,14 @@
         Some(candidates)
     }
 
-    /// The candidates for a request, if they are few or the request is bound to a deduplication group, which may be empty.
+    /// The candidates for a request, if they are few or the request requires a deduplication group; the group may be empty.
+    /// `None` if there are too many to assess each.
     fn candidates(&self, retry: Option<&RequestContext>) -> Option<Vec<u32>> {
         let EndpointSet { subset, outside_subset, .. } = &self.endpoints;
         if let Some((request, members)) =
             retry.and_then(|request| Some((request, self.required_group(request)?)))
         {
+            // Begins at a place that depends on the request, so that not all begin at the same member.
             let from = request.id as usize % members.len().max(1);
             let count = members.len().min(MAX_ASSESSED_ENDPOINTS);
             return Some(members.iter().cycle().skip(from).take(count).copied().collect());
@@ -140,9 +153,9 @@
     }
 
     /// Selects among these candidates: the current weight of each suitable one grows by its weight; the one with the greatest
-    /// is selected and gives up what all gained. If all are ejected or congested, a degraded one is better than none; the
-    /// concurrency limit still holds. A healthy one that has reset the request comes last, and only if the request is bound
-    /// to a group: in a group of one endpoint, a response that was lost once could not be had otherwise.
+    /// is selected and gives up what all gained. If no endpoint is healthy, a degraded one is selected; the concurrency limit
+    /// still holds. A healthy one that has reset the request comes last, and only if the request requires a group: otherwise,
+    /// in a group of one endpoint, the recorded response could never be fetched.
     fn select_among(
         &mut self,
         context: &SelectionContext,
@@ -174,7 +187,8 @@
         Some(id)
     }
 
-    /// The next healthy endpoint of a scheduler, and the next degraded one before it. Those passed over are added to `skipped`.
+    /// The next healthy endpoint of a scheduler, and the next degraded one before it. All that come before the healthy one are
+    /// added to `skipped`, also the degraded one that may be selected after all.
     fn next_scheduled(
         &self,
         context: &SelectionContext,
@@ -182,12 +196,14 @@
         retry: Option<&RequestContext>,
         from_outside: bool,
         skipped: &mut Vec<SkippedTurn>,
-    ) -> (Option<u32>, Option<u32>) {
+    ) -> ScheduledEndpoints {
         let scheduler = if from_outside { &self.endpoints.outside_subset } else { &self.endpoints.subset };
         let mut first_degraded = None;
         for endpoint_id in scheduler.iter().take(MAX_ASSESSED_ENDPOINTS) {
             match self.assess(context, endpoint_id, health_index, retry) {
-                Suitability::Healthy => return (Some(endpoint_id), first_degraded),
+                Suitability::Healthy => {
+                    return ScheduledEndpoints { healthy: Some(endpoint_id), degraded: first_degraded };
+                }
                 Suitability::Degraded => {
                     first_degraded = first_degraded.or(Some(endpoint_id));
                     skipped.push(SkippedTurn { endpoint_id, degraded: true });
@@ -196,10 +212,10 @@
                 Suitability::ResetBefore | Suitability::Excluded => {}
             }
         }
-        (None, first_degraded)
+        ScheduledEndpoints { healthy: None, degraded: first_degraded }
     }
 
-    /// The members of the deduplication group that a request is bound to because it may have run there.
+    /// The members of the deduplication group that a request requires because it may have run there.
     fn required_group(&self, request: &RequestContext) -> Option<&[u32]> {
         let run = request.first_possible_run()?;
         let set = self.config.rule_set(&request.rule_set).filter(|set| set.effect == Effect::Deduplicated)?;
@@ -323,8 +339,8 @@
     }
 
     /// The factor on the concurrency limit for a rule set: above 1 if its utility is above the mean of the arrivals, below 1 if
-    /// it is below and latencies are high. Guards against a queue too short to tell ranks apart: of the two or three requests
-    /// at a quiet instance, the next one is as likely that of least utility.
+    /// it is below and latencies are high. At a quiet instance the queue holds too few requests for ranks to matter; this prefers
+    /// useful requests before they are queued.
     pub(super) fn utility_factor(&self, now: Nanos, health_index: usize, burst_factor: f64) -> f64 {
         match health_index.checked_sub(1).and_then(|at| self.config.rule_sets.get(at)) {
             Some(set) if self.config.is_first_tier() && self.config.utility_by_work => (set.utility
@@ -348,7 +364,7 @@
             .clamp(0.0, 1.0)
     }
 
-    /// Updates what warm endpoints accept from this instance per unit of weight, while any endpoint is in slow start.
+    /// Updates what endpoints accept from this instance per unit of ramped weight, while any endpoint is in slow start.
     pub(super) fn update_established_traffic(&mut self, now: Nanos) {
         let since = std::mem::replace(&mut self.established_traffic_updated_at, now);
         self.endpoints.refresh_ramps(now);
@@ -395,7 +411,7 @@
         self.subset_share * self.config.instances
     }
 
-    /// Updates the subset: a range of the list, by weight, that begins at this instance's place among the instances, so that
+    /// Updates the subset: a range of the list, by weight, that begins at a place given by the instance's index, so that
     /// the subsets of all together cover the endpoints evenly without coordination. It is the whole list if this instance
     /// sends enough to learn the state of each endpoint in time, and can keep connections to all. Otherwise it would select
     /// blindly: with hundreds of instances, each one meets a given endpoint too rarely to know that it is congested, slow or
@@ -410,7 +426,8 @@
         let wanted_share = observable_endpoints.min(connectable_endpoints) / up;
         let instances = self.config.instances;
         let share = (wanted_share.max(MIN_INSTANCES_PER_ENDPOINT / instances) * instances).ceil() / instances;
-        let share = if share > 0.5 || self.config.proxies_enforce_limits { 1.0 } else { share };
+        let share =
+            if share > MAX_PARTIAL_SUBSET_SHARE || self.config.proxies_enforce_limits { 1.0 } else { share };
         if list_changed || share != self.subset_share {
             self.subset_share = share;
             self.endpoints.set_subset(now, self.config.instance_index / instances % 1.0, share);
--- a/src/policy/outlier_ejection.rs
+++ b/src/policy/outlier_ejection.rs
@@ -242,7 +242,8 @@
             for (slot, _) in candidates {
                 let dispatch = self.endpoints.in_flight.get_mut(slot);
                 if !std::mem::replace(&mut dispatch.cancelled, true) && self.config.may_cancel {
-                    self.cancellations.push_back((dispatch.request_id, dispatch.dispatch_index));
+                    let (request_id, dispatch_index) = (dispatch.request_id, dispatch.dispatch_index);
+                    self.cancellations.push_back(DispatchId { request_id, dispatch_index });
                 }
             }
             let site = &mut self.endpoints.sites[site_index];
