--- a/src/policy.rs
+++ b/src/policy.rs
@@ -669,7 +669,11 @@
         if is_queueing != self.is_queueing {
             self.is_queueing = is_queueing;
             let completions_per_s = self.statistics.latency_2s.rate_per_s(now, self.started_at);
-            let state = if is_queueing { "requests queue" } else { "queue is empty" };
+            let state = if is_queueing {
+                "requests are waiting in the queue"
+            } else {
+                "the request queue is empty again"
+            };
             return NextAction::Log(format!(
                 "{state}: {} in flight, {completions_per_s:.0} completed per second",
                 self.in_flight_count
--- a/tests/traces.rs
+++ b/tests/traces.rs
@@ -665,11 +665,11 @@
         4007 8: waits 200 ms
         4008 9: waits 200 ms
         4008 WatchEndpoints
-        4008 log: requests queue: 7 in flight, 11 completed per second
+        4008 log: requests are waiting in the queue: 7 in flight, 11 completed per second
         4048 9: to a
         4248 7: waits 2758 ms
         4248 8: deny
-        4248 log: queue is empty: 7 in flight, 10 completed per second
+        4248 log: the request queue is empty again: 7 in flight, 10 completed per second
         "#]],
     );
 }
