--- a/replica/src/lib.rs
+++ b/replica/src/lib.rs
@@ -1,4 +1,4 @@
-//! The state that the balancers of a fleet replicate among themselves.
+//! The state that the balancer instances of a fleet replicate among themselves by gossip.
 //!
 //! - [`stamp`]: the order of discovery's lists, also when discovery has lost its state and numbers them anew;
 //! - [`status`]: which servers serve, drain or are gone;
--- a/replica/src/outcomes.rs
+++ b/replica/src/outcomes.rs
@@ -3,8 +3,8 @@
 //! A row replaces one with a smaller sequence number. Rows of different processes under one instance name are told
 //! apart by their start ids; the row of the process that the membership considers live is kept.
 //!
-//! Invariant: rows hold counts, never verdicts. Each reader adds up the counts of live instances itself, so that no
-//! instance gets its own verdict back as if it were another's observation.
+//! Invariant: rows hold counts, never judgements of a server's health. Each reader adds up the counts of live instances
+//! itself, so that a judgement never counts as evidence for itself.
 
 use std::collections::BTreeMap;
 
@@ -12,7 +12,7 @@
 
 use crate::Nanos;
 
-/// Entries of one row, each for a server and a rule set. Readers ignore further ones.
+/// The most entries of one row, each for a server and a rule set. Readers ignore further ones.
 pub const MAX_ENTRIES_PER_ROW: usize = 64;
 pub const MAX_RULE_SETS_PER_ROW: usize = 32;
 
@@ -37,7 +37,8 @@
         u32::from(self.succeeded) + u32::from(self.failed) + u32::from(self.lost)
     }
 
-    /// Scales the counts down to a total of at most `max_total`, in proportion and rounded.
+    /// Scales the counts down to a total of at most `max_total`, in proportion and rounded, so that one instance cannot
+    /// outweigh the others.
     pub fn scaled_down(self, max_total: u16) -> OutcomeCounts {
         let total = self.total();
         if total <= u32::from(max_total) {
@@ -63,6 +64,7 @@
     pub start_id: u64,
     /// Increases with each row that the process writes.
     pub sequence: u64,
+    /// The zone of the writing instance.
     pub zone: String,
     pub rule_sets: Vec<String>,
     /// A server, an index into `rule_sets`, and the counts.
@@ -82,7 +84,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct StoredRow {
     pub row: OutcomeRow,
-    /// When it was written: the time of its receipt on the local clock less its age then.
+    /// When it was written, on the local clock: the time of its receipt less its age then.
     pub written_at: Nanos,
 }
 
--- a/replica/src/stamp.rs
+++ b/replica/src/stamp.rs
@@ -40,11 +40,11 @@
         self.discovery_stamp
     }
 
-    /// Takes account of a stamp from another instance.
+    /// Records the stamp of a status from another instance or from a snapshot. A stamp of its own changes nothing.
     ///
-    /// If its epoch is later and its version not smaller than ours, our version belongs to that epoch too. This covers
+    /// If its epoch is later and its version not smaller than the own one, the own version belongs to that epoch too. This covers
     /// an instance that started after discovery had lost its state and so never sees the version decrease.
-    pub fn observe_peer_stamp(&mut self, stamp: Stamp) {
+    pub fn observe_stamp(&mut self, stamp: Stamp) {
         self.newest_epoch = self.newest_epoch.max(stamp.epoch);
         if stamp.epoch > self.discovery_stamp.epoch && stamp.version >= self.discovery_stamp.version {
             self.discovery_stamp.epoch = stamp.epoch;
@@ -79,7 +79,7 @@
             (Stamp { epoch: 1, version: 2 }, Stamp { epoch: 1, version: 3 })
         );
         // An instance that hears of the epoch first enters it.
-        late.observe_peer_stamp(a.discovery_stamp());
+        late.observe_stamp(a.discovery_stamp());
         assert_eq!(late.record_discovery_version(4), Stamp { epoch: 1, version: 4 });
         assert!(
             late.discovery_stamp() > b.discovery_stamp()
@@ -87,18 +87,18 @@
         );
     }
 
-    /// Guards against a restarted process whose updates the others reject as older for ever.
+    /// Guards against a restarted process whose updates the other instances reject as outdated for ever.
     #[test]
     fn an_instance_that_starts_after_the_restart_of_discovery_enters_its_epoch() {
         let mut started = EpochTracker::default();
         assert_eq!(started.record_discovery_version(5), Stamp { epoch: 0, version: 5 });
-        started.observe_peer_stamp(Stamp { epoch: 1, version: 6 });
+        started.observe_stamp(Stamp { epoch: 1, version: 6 });
         assert_eq!(started.record_discovery_version(7), Stamp { epoch: 1, version: 7 });
         // An instance with a version from before the restart stays in its epoch until discovery reports a smaller
         // version.
         let mut old = EpochTracker::default();
         old.record_discovery_version(41);
-        old.observe_peer_stamp(Stamp { epoch: 1, version: 6 });
+        old.observe_stamp(Stamp { epoch: 1, version: 6 });
         assert_eq!(
             (old.discovery_stamp(), old.record_discovery_version(8)),
             (Stamp { epoch: 0, version: 41 }, Stamp { epoch: 1, version: 8 })
--- a/replica/src/status.rs
+++ b/replica/src/status.rs
@@ -12,10 +12,10 @@
 
 use crate::stamp::Stamp;
 
-/// Statuses of servers with longer ids are not accepted.
+/// Statuses of servers with longer ids are ignored.
 pub const MAX_SERVER_ID_BYTES: usize = 128;
 
-/// The status of a server. The derived order is from better to worse.
+/// The status of a server, from better to worse. The order of the variants is part of the encoding and of the digests.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum ServerStatus {
     Serving,
@@ -45,7 +45,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct StatusTable {
     entries: BTreeMap<String, StampedStatus>,
-    /// Statuses up to this stamp are ignored for servers without an entry.
+    /// The newest stamp that has been evicted: statuses up to it are ignored for servers without an entry.
     floor: Stamp,
     max_entries: usize,
 }
@@ -80,22 +80,20 @@
     pub fn raise_floor(&mut self, floor: Stamp) {
         if floor > self.floor {
             self.floor = floor;
-            self.entries.retain(|_, stamped| stamped.status != ServerStatus::Gone || stamped.stamp > floor);
+            self.entries.retain(|_, entry| entry.status != ServerStatus::Gone || entry.stamp > floor);
         }
     }
 
-    /// Merges a status and returns whether it has replaced the previous one, or was added.
-    pub fn merge(&mut self, server: &str, stamped: StampedStatus) -> bool {
+    /// Merges a status and returns whether it has replaced the previous one, or was added and not evicted at once. An older
+    /// status, and that of a server with an invalid id, is ignored.
+    pub fn merge(&mut self, server: &str, entry: StampedStatus) -> bool {
         match self.entries.get_mut(server) {
-            Some(current) if stamped > *current => *current = stamped,
+            Some(current) if entry > *current => *current = entry,
             Some(_) => return false,
-            None if stamped.stamp <= self.floor
-                || server.is_empty()
-                || server.len() > MAX_SERVER_ID_BYTES =>
-            {
+            None if entry.stamp <= self.floor || server.is_empty() || server.len() > MAX_SERVER_ID_BYTES => {
                 return false;
             }
-            None => drop(self.entries.insert(server.to_owned(), stamped)),
+            None => drop(self.entries.insert(server.to_owned(), entry)),
         }
         if self.entries.len() > self.max_entries {
             self.evict_oldest();
@@ -103,24 +101,19 @@
         self.entries.contains_key(server)
     }
 
-    /// Evicts the oldest entries of servers that are gone or, if there are none, the oldest entries of all. Raises the
-    /// floor to their stamp, so that no other replica brings them back. This bounds memory while servers come and go
+    /// Evicts the entries with the oldest stamp, of servers that are gone if there are any. Raises the floor to that stamp, so that no other replica brings them back. This bounds memory while servers come and go
     /// all day.
     fn evict_oldest(&mut self) {
-        let gone = self
-            .entries
-            .values()
-            .filter(|stamped| stamped.status == ServerStatus::Gone)
-            .map(|stamped| stamped.stamp);
-        let Some(oldest) = gone.min().or_else(|| self.entries.values().map(|stamped| stamped.stamp).min())
-        else {
+        let gone =
+            self.entries.values().filter(|entry| entry.status == ServerStatus::Gone).map(|entry| entry.stamp);
+        let Some(oldest) = gone.min().or_else(|| self.entries.values().map(|entry| entry.stamp).min()) else {
             return;
         };
-        let any_gone = self.entries.values().any(|stamped| stamped.status == ServerStatus::Gone);
+        let any_gone = self.entries.values().any(|entry| entry.status == ServerStatus::Gone);
         self.floor = self.floor.max(oldest);
         let floor = self.floor;
         self.entries
-            .retain(|_, stamped| stamped.stamp > floor || (any_gone && stamped.status != ServerStatus::Gone));
+            .retain(|_, entry| entry.stamp > floor || (any_gone && entry.status != ServerStatus::Gone));
     }
 }
 
@@ -130,22 +123,22 @@
 
     use super::*;
 
-    fn stamped(version: u64, status: ServerStatus) -> StampedStatus {
+    fn entry(version: u64, status: ServerStatus) -> StampedStatus {
         StampedStatus { stamp: Stamp { epoch: 0, version }, status }
     }
 
     #[test]
     fn a_drain_is_only_undone_by_a_newer_status() {
         let mut table = StatusTable::new(10);
-        assert!(table.merge("s", stamped(5, ServerStatus::Draining)));
+        assert!(table.merge("s", entry(5, ServerStatus::Draining)));
         assert!(
-            !table.merge("s", stamped(5, ServerStatus::Serving))
-                && !table.merge("s", stamped(4, ServerStatus::Serving))
+            !table.merge("s", entry(5, ServerStatus::Serving))
+                && !table.merge("s", entry(4, ServerStatus::Serving))
         );
-        assert!(table.merge("s", stamped(6, ServerStatus::Serving)));
+        assert!(table.merge("s", entry(6, ServerStatus::Serving)));
         assert!(
-            table.merge("s", stamped(6, ServerStatus::Gone))
-                && table.get("s").is_some_and(|stamped| stamped.status == ServerStatus::Gone)
+            table.merge("s", entry(6, ServerStatus::Gone))
+                && table.get("s").is_some_and(|entry| entry.status == ServerStatus::Gone)
         );
     }
 
@@ -153,18 +146,15 @@
     #[test]
     fn evicted_entries_do_not_come_back() {
         let mut table = StatusTable::new(3);
-        table.merge("old", stamped(1, ServerStatus::Gone));
+        table.merge("old", entry(1, ServerStatus::Gone));
         for version in 2..5 {
-            table.merge(&format!("s{version}"), stamped(version, ServerStatus::Serving));
+            table.merge(&format!("s{version}"), entry(version, ServerStatus::Serving));
         }
         assert_eq!((table.len(), table.get("old")), (3, None));
-        assert!(!table.merge("old", stamped(1, ServerStatus::Serving)), "a status at the floor was accepted");
-        assert!(
-            table.merge("old", stamped(9, ServerStatus::Serving)),
-            "a status above the floor is accepted"
-        );
+        assert!(!table.merge("old", entry(1, ServerStatus::Serving)), "a status at the floor was accepted");
+        assert!(table.merge("old", entry(9, ServerStatus::Serving)), "a status above the floor is accepted");
         let mut other = StatusTable::new(3);
-        other.merge("old", stamped(1, ServerStatus::Gone));
+        other.merge("old", entry(1, ServerStatus::Gone));
         other.raise_floor(table.floor());
         assert!(other.is_empty());
     }
@@ -184,12 +174,12 @@
         ) {
             let (mut one, mut other) = (StatusTable::new(100), StatusTable::new(100));
             for (server, version, status) in &updates {
-                one.merge(&server.to_string(), stamped(*version, *status));
+                one.merge(&server.to_string(), entry(*version, *status));
             }
             let repeated =
                 order.iter().filter(|_| !updates.is_empty()).map(|at| at.get(&updates)).chain(updates.iter().rev());
             for (server, version, status) in repeated {
-                other.merge(&server.to_string(), stamped(*version, *status));
+                other.merge(&server.to_string(), entry(*version, *status));
             }
             prop_assert_eq!(one, other);
         }
@@ -199,11 +189,11 @@
         fn memory_is_bounded(updates in prop::collection::vec((any::<u8>(), 1..200u64, any_status()), 0..300)) {
             let mut table = StatusTable::new(20);
             for (server, version, status) in updates {
-                let (server, stamped, floor) = (server.to_string(), stamped(version, status), table.floor());
+                let (server, entry, floor) = (server.to_string(), entry(version, status), table.floor());
                 let had_entry = table.get(&server).is_some();
-                let merged = table.merge(&server, stamped);
+                let merged = table.merge(&server, entry);
                 prop_assert!(table.len() <= 20 && table.floor() >= floor);
-                prop_assert!(!merged || had_entry || stamped.stamp > floor);
+                prop_assert!(!merged || had_entry || entry.stamp > floor);
             }
         }
     }
--- a/replica/src/store.rs
+++ b/replica/src/store.rs
@@ -1,4 +1,4 @@
-//! One instance's replica of the shared state, and how replicas converge.
+//! One balancer instance's replica of the shared state, and how replicas converge.
 //!
 //! Status changes spread in deltas that fit a datagram, each sent a bounded number of times. Digests show in which
 //! buckets two replicas differ, and only the statuses of those are exchanged.
@@ -18,8 +18,8 @@
 pub const DIGEST_BUCKETS: usize = 16;
 /// One sum for each bucket of server ids.
 pub type Digest = [u32; DIGEST_BUCKETS];
-/// Buckets of the digest for replicas that differ in many statuses. Even of a long list, only a few statuses fall into
-/// each.
+/// Buckets of the digest for replicas that differ in many statuses: so many that only a few statuses of a long list fall
+/// into each.
 pub const FINE_DIGEST_BUCKETS: usize = 1_024;
 
 /// What replicas send each other.
@@ -27,7 +27,7 @@
 pub enum Update {
     Status {
         server: String,
-        stamped: StampedStatus,
+        entry: StampedStatus,
     },
     /// `age` is that of the row when it is sent, so that clocks of different machines are never compared.
     Outcomes {
@@ -35,17 +35,19 @@
         row: OutcomeRow,
         age: Nanos,
     },
-    /// The floor of the sender's [`StatusTable`].
-    Floor(Stamp),
+    /// The eviction floor of the sender's [`StatusTable`].
+    EvictionFloor(Stamp),
 }
 
 // The kinds of encoded updates. Unknown kinds are skipped.
 const STATUS_KIND: u8 = 1;
-const FLOOR_KIND: u8 = 3;
-/// Kind 2 was a row of counts without rule sets.
+const EVICTION_FLOOR_KIND: u8 = 3;
+/// Kind 2, a row of counts without rule sets, is no longer used.
 const OUTCOMES_KIND: u8 = 4;
 /// The header of an encoded update: one byte for the kind, two for the length.
 const UPDATE_HEADER_BYTES: usize = 3;
+/// The longest update with this instance's own row, so that its length fits the header.
+const MAX_ROW_UPDATE_BYTES: usize = u16::MAX as usize;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Store {
@@ -57,7 +59,7 @@
     /// The sequence number of the last row written here.
     row_sequence: u64,
     /// Servers with a status change to pass on, and how often it has been sent.
-    pending: BTreeMap<String, u32>,
+    pending_sends: BTreeMap<String, u32>,
 }
 
 impl Store {
@@ -70,7 +72,7 @@
             outcomes: OutcomeTable::default(),
             epochs: EpochTracker::default(),
             row_sequence: 0,
-            pending: BTreeMap::new(),
+            pending_sends: BTreeMap::new(),
         }
     }
 
@@ -83,8 +85,8 @@
     }
 
     /// Applies a list, or changes of it, that discovery has sent to this instance. A full list also marks the known
-    /// servers that it does not contain as gone. Returns the servers whose status has changed, without new ones that
-    /// serve.
+    /// servers that it does not contain as gone. Returns the servers whose status has changed, except new ones that are
+    /// serving.
     pub fn apply_discovery(
         &mut self,
         version: u64,
@@ -92,42 +94,43 @@
         entries: &[(String, ServerStatus)],
     ) -> Vec<String> {
         let stamp = self.epochs.record_discovery_version(version);
-        let mut changes: Vec<(String, ServerStatus)> = entries.to_vec();
+        let mut updated: Vec<(String, ServerStatus)> = entries.to_vec();
         if is_full_list {
             let listed: HashSet<&String> = entries.iter().map(|(server, _)| server).collect();
             let missing = self
                 .statuses
                 .iter()
-                .filter(|(server, stamped)| stamped.status != ServerStatus::Gone && !listed.contains(server));
-            // A list says nothing of servers whose status is from a newer one.
+                .filter(|(server, entry)| entry.status != ServerStatus::Gone && !listed.contains(server));
+            // A server whose status is from a newer list is not marked as gone.
             let missing = missing
-                .filter(|(_, stamped)| stamped.stamp <= stamp)
+                .filter(|(_, entry)| entry.stamp <= stamp)
                 .map(|(server, _)| (server.clone(), ServerStatus::Gone));
-            changes.extend(missing.collect::<Vec<_>>());
+            updated.extend(missing.collect::<Vec<_>>());
         }
-        changes
+        updated
             .retain(|(server, status)| self.merge_status(server, StampedStatus { stamp, status: *status }));
-        changes.into_iter().map(|(server, _)| server).collect()
+        updated.into_iter().map(|(server, _)| server).collect()
     }
 
-    fn merge_status(&mut self, server: &str, stamped: StampedStatus) -> bool {
-        self.epochs.observe_peer_stamp(stamped.stamp);
+    /// Merges a status and returns whether the change is to be passed on.
+    fn merge_status(&mut self, server: &str, entry: StampedStatus) -> bool {
+        self.epochs.observe_stamp(entry.stamp);
         let changed = match self.statuses.get(server) {
             // An unchanged status with a newer stamp is not passed on, or else every list would be passed on whole.
-            Some(current) if current.status == stamped.status && stamped.stamp > current.stamp => {
-                self.statuses.merge(server, stamped);
+            Some(current) if current.status == entry.status && entry.stamp > current.stamp => {
+                self.statuses.merge(server, entry);
                 false
             }
             // Nor is a new server that is serving: each instance learns that from its own list, and otherwise the whole
             // first list would be passed on.
-            None if stamped.status == ServerStatus::Serving => {
-                self.statuses.merge(server, stamped);
+            None if entry.status == ServerStatus::Serving => {
+                self.statuses.merge(server, entry);
                 false
             }
-            _ => self.statuses.merge(server, stamped),
+            _ => self.statuses.merge(server, entry),
         };
         if changed {
-            self.pending.insert(server.into(), 0);
+            self.pending_sends.insert(server.into(), 0);
         }
         changed
     }
@@ -136,9 +139,9 @@
     pub fn restore(&mut self, discovery_stamp: Stamp, statuses: &[(String, StampedStatus)], floor: Stamp) {
         self.epochs.restore(discovery_stamp);
         self.statuses.raise_floor(floor);
-        for (server, stamped) in statuses {
-            self.epochs.observe_peer_stamp(stamped.stamp);
-            self.statuses.merge(server, *stamped);
+        for (server, entry) in statuses {
+            self.epochs.observe_stamp(entry.stamp);
+            self.statuses.merge(server, *entry);
         }
     }
 
@@ -156,33 +159,35 @@
         let (writer, start_id) = (self.instance.clone(), self.start_id);
         self.outcomes.merge(now, &writer, row.clone(), 0, start_id);
         let mut bytes = Vec::new();
-        encode_update(&mut bytes, &Update::Outcomes { writer, row, age: 0 }, usize::from(u16::MAX));
+        // The result is empty if the row is longer than that.
+        encode_update(&mut bytes, &Update::Outcomes { writer, row, age: 0 }, MAX_ROW_UPDATE_BYTES);
         bytes
     }
 
-    /// Merges updates from another replica and returns the servers whose status has changed, without new ones that
-    /// serve. `live_start_id` returns the start id of a live member.
+    /// Merges updates from another replica and returns the servers whose status has changed, except new ones that are
+    /// serving. `find_live_start_id` returns the start id of the live process of an instance.
     pub fn merge_updates(
         &mut self,
         now: Nanos,
         updates: Vec<Update>,
-        live_start_id: impl Fn(&str) -> Option<u64>,
+        find_live_start_id: impl Fn(&str) -> Option<u64>,
     ) -> Vec<String> {
         let mut changed = Vec::new();
         for update in updates {
             match update {
-                Update::Status { server, stamped } => {
-                    if self.merge_status(&server, stamped) {
+                Update::Status { server, entry } => {
+                    if self.merge_status(&server, entry) {
                         changed.push(server);
                     }
                 }
                 Update::Outcomes { writer, row, age } => {
-                    let Some(start_id) = live_start_id(&writer).filter(|_| writer != self.instance) else {
+                    let Some(start_id) = find_live_start_id(&writer).filter(|_| writer != self.instance)
+                    else {
                         continue;
                     };
                     self.outcomes.merge(now, &writer, row, age, start_id);
                 }
-                Update::Floor(floor) => self.statuses.raise_floor(floor),
+                Update::EvictionFloor(floor) => self.statuses.raise_floor(floor),
             }
         }
         changed
@@ -195,36 +200,36 @@
     }
 
     pub fn has_pending_updates(&self) -> bool {
-        !self.pending.is_empty()
+        !self.pending_sends.is_empty()
     }
 
     /// Encodes pending status changes in at most `max_bytes`, those sent least often first. Each is dropped from the
     /// pending ones after `max_sends` sends.
     pub fn next_delta(&mut self, max_bytes: usize, max_sends: u32) -> Vec<u8> {
         let mut order: Vec<(u32, String)> =
-            self.pending.iter().map(|(server, sends)| (*sends, server.clone())).collect();
+            self.pending_sends.iter().map(|(server, sends)| (*sends, server.clone())).collect();
         order.sort();
         let mut bytes = Vec::new();
         for (sends, server) in order {
-            let Some(stamped) = self.statuses.get(&server) else {
-                self.pending.remove(&server);
+            let Some(entry) = self.statuses.get(&server) else {
+                self.pending_sends.remove(&server);
                 continue;
             };
-            if !encode_update(&mut bytes, &Update::Status { server: server.clone(), stamped }, max_bytes) {
+            if !encode_update(&mut bytes, &Update::Status { server: server.clone(), entry }, max_bytes) {
                 continue;
             }
             if sends + 1 >= max_sends {
-                self.pending.remove(&server);
+                self.pending_sends.remove(&server);
             } else {
-                self.pending.insert(server, sends + 1);
+                self.pending_sends.insert(server, sends + 1);
             }
         }
         bytes
     }
 
     /// Sums over the statuses in each bucket of server ids. Stamps are left out, since replicas that got the same
-    /// statuses from different lists do not differ. So are serving servers, since a server without an entry counts as
-    /// serving.
+    /// statuses from different lists do not differ. Serving servers are left out as well, since a server without an
+    /// entry counts as serving.
     pub fn digest(&self) -> Digest {
         let mut digest = [0u32; DIGEST_BUCKETS];
         self.add_to_digest(&mut digest);
@@ -239,42 +244,43 @@
     }
 
     fn add_to_digest(&self, digest: &mut [u32]) {
-        let not_serving = self.statuses.iter().filter(|(_, stamped)| stamped.status != ServerStatus::Serving);
-        for (server, stamped) in not_serving {
+        let not_serving = self.statuses.iter().filter(|(_, entry)| entry.status != ServerStatus::Serving);
+        for (server, entry) in not_serving {
             let bucket = bucket_index(server, digest.len());
-            // A sum does not depend on the order. CRCs or exclusive or would not do: the CRCs of two servers with the
-            // same change differ in the same bits, so that two changes in one bucket would cancel out.
-            digest[bucket] = digest[bucket].wrapping_add(xxh32(server.as_bytes(), 1 + stamped.status as u32));
+            // A sum does not depend on the order. The exclusive or of CRCs would not do: the CRCs of two servers change in
+            // the same bits with the same change of status, so that two changes in one bucket would cancel out.
+            // The seed 0 is that of `bucket_index`.
+            digest[bucket] = digest[bucket].wrapping_add(xxh32(server.as_bytes(), 1 + entry.status as u32));
         }
     }
 
-    /// The statuses in the buckets in which another replica's digest, with any number of buckets, differs from ours.
+    /// The statuses in the buckets in which a peer's digest, with any number of buckets, differs from that of this replica.
     fn statuses_in_differing_buckets<'a>(
         &'a self,
-        theirs: &'a [u32],
+        peer_digest: &'a [u32],
     ) -> impl Iterator<Item = (&'a String, &'a StampedStatus)> {
-        let mut ours = vec![0u32; theirs.len().max(1)];
-        self.add_to_digest(&mut ours);
+        let mut own_digest = vec![0u32; peer_digest.len().max(1)];
+        self.add_to_digest(&mut own_digest);
         let differs = move |server: &str| {
-            let bucket = bucket_index(server, ours.len());
-            Some(&ours[bucket]) != theirs.get(bucket)
+            let bucket = bucket_index(server, own_digest.len());
+            Some(&own_digest[bucket]) != peer_digest.get(bucket)
         };
         self.statuses.iter().filter(move |(server, _)| differs(server))
     }
 
     /// The number of statuses that [`Store::encode_differences`] would return.
-    pub fn count_differences(&self, theirs: &[u32]) -> usize {
-        self.statuses_in_differing_buckets(theirs).count()
+    pub fn count_differences(&self, peer_digest: &[u32]) -> usize {
+        self.statuses_in_differing_buckets(peer_digest).count()
     }
 
-    /// Encodes the floor and the statuses in the buckets in which another replica's digest differs from ours, in chunks
+    /// Encodes the floor and the statuses in the buckets in which another replica's digest differs from its own, in chunks
     /// of at most `max_chunk_bytes`.
-    pub fn encode_differences(&self, theirs: &[u32], max_chunk_bytes: usize) -> Vec<Vec<u8>> {
-        let statuses = self.statuses_in_differing_buckets(theirs);
+    pub fn encode_differences(&self, peer_digest: &[u32], max_chunk_bytes: usize) -> Vec<Vec<u8>> {
+        let statuses = self.statuses_in_differing_buckets(peer_digest);
         let updates =
-            statuses.map(|(server, stamped)| Update::Status { server: server.clone(), stamped: *stamped });
+            statuses.map(|(server, entry)| Update::Status { server: server.clone(), entry: *entry });
         let mut chunks = vec![Vec::new()];
-        for update in [Update::Floor(self.statuses.floor())].into_iter().chain(updates) {
+        for update in [Update::EvictionFloor(self.statuses.floor())].into_iter().chain(updates) {
             let last = chunks.len() - 1;
             if !encode_update(&mut chunks[last], &update, max_chunk_bytes) {
                 let mut chunk = Vec::new();
@@ -294,9 +300,9 @@
 /// Appends an update if the result has at most `max_bytes`, and returns whether it did.
 fn encode_update(bytes: &mut Vec<u8>, update: &Update, max_bytes: usize) -> bool {
     let (kind, body) = match update {
-        Update::Status { server, stamped } => (STATUS_KIND, postcard::to_stdvec(&(server, stamped))),
+        Update::Status { server, entry } => (STATUS_KIND, postcard::to_stdvec(&(server, entry))),
         Update::Outcomes { writer, row, age } => (OUTCOMES_KIND, postcard::to_stdvec(&(writer, row, age))),
-        Update::Floor(floor) => (FLOOR_KIND, postcard::to_stdvec(floor)),
+        Update::EvictionFloor(floor) => (EVICTION_FLOOR_KIND, postcard::to_stdvec(floor)),
     };
     // Serializing plain values to memory does not fail.
     let body = body.unwrap_or_default();
@@ -319,13 +325,11 @@
         let (body, rest) = rest.split_at_checked(length).ok_or("an item is cut")?;
         bytes = rest;
         let update = match header[0] {
-            STATUS_KIND => {
-                postcard::from_bytes(body).map(|(server, stamped)| Update::Status { server, stamped })
-            }
+            STATUS_KIND => postcard::from_bytes(body).map(|(server, entry)| Update::Status { server, entry }),
             OUTCOMES_KIND => {
                 postcard::from_bytes(body).map(|(writer, row, age)| Update::Outcomes { writer, row, age })
             }
-            FLOOR_KIND => postcard::from_bytes(body).map(Update::Floor),
+            EVICTION_FLOOR_KIND => postcard::from_bytes(body).map(Update::EvictionFloor),
             _ => continue,
         };
         updates.push(update.map_err(|_| "an item can't be read")?);
@@ -360,7 +364,7 @@
     }
 
     fn status(store: &Store, server: &str) -> Option<ServerStatus> {
-        store.statuses().get(server).map(|stamped| stamped.status)
+        store.statuses().get(server).map(|entry| entry.status)
     }
 
     #[test]
@@ -414,8 +418,8 @@
         other.apply_discovery(4, true, &servers[..200]);
         for (from, to) in [(0, 1), (1, 0)] {
             let stores = [&mut one, &mut other];
-            let theirs = stores[to].digest();
-            let chunks = stores[from].encode_differences(&theirs, 1_000);
+            let peer_digest = stores[to].digest();
+            let chunks = stores[from].encode_differences(&peer_digest, 1_000);
             assert!(chunks.iter().all(|chunk| chunk.len() <= 1_000));
             for chunk in chunks {
                 stores[to].merge_updates(0, decode_updates(&chunk).expect("updates"), |_| Some(1));
@@ -423,7 +427,7 @@
         }
         assert_eq!(one.digest(), other.digest());
         let draining_servers = |store: &Store| {
-            store.statuses().iter().filter(|(_, stamped)| stamped.status == ServerStatus::Draining).count()
+            store.statuses().iter().filter(|(_, entry)| entry.status == ServerStatus::Draining).count()
         };
         assert_eq!((draining_servers(&one), draining_servers(&other)), (100, 100));
     }
--- a/replica/tests/frozen_forms.rs
+++ b/replica/tests/frozen_forms.rs
@@ -47,24 +47,24 @@
 /// The name of a kind of update in the fixture. A new kind does not compile until it has a sample.
 fn sample_name(update: &Update) -> String {
     match update {
-        Update::Status { stamped: StampedStatus { status: ServerStatus::Serving, .. }, .. } => {
+        Update::Status { entry: StampedStatus { status: ServerStatus::Serving, .. }, .. } => {
             "serving status".into()
         }
-        Update::Status { stamped: StampedStatus { status: ServerStatus::Draining, .. }, .. } => {
+        Update::Status { entry: StampedStatus { status: ServerStatus::Draining, .. }, .. } => {
             "draining status".into()
         }
-        Update::Status { stamped: StampedStatus { status: ServerStatus::Gone, .. }, .. } => {
+        Update::Status { entry: StampedStatus { status: ServerStatus::Gone, .. }, .. } => {
             "gone status".into()
         }
         Update::Outcomes { .. } => "outcomes".into(),
-        Update::Floor(_) => "floor".into(),
+        Update::EvictionFloor(_) => "floor".into(),
     }
 }
 
 fn sample_updates() -> Vec<Update> {
     let status = |server: &str, epoch, version, status| Update::Status {
         server: server.into(),
-        stamped: StampedStatus { stamp: Stamp { epoch, version }, status },
+        entry: StampedStatus { stamp: Stamp { epoch, version }, status },
     };
     let counts = |succeeded, failed, lost| OutcomeCounts { succeeded, failed, lost };
     let row = OutcomeRow {
@@ -79,7 +79,7 @@
         status("i-2", 1, 300, ServerStatus::Draining),
         status("i-3", u32::MAX, u64::MAX, ServerStatus::Gone),
         Update::Outcomes { writer: "n1".into(), row, age: 1_500_000_000 },
-        Update::Floor(Stamp { epoch: 2, version: 70_000 }),
+        Update::EvictionFloor(Stamp { epoch: 2, version: 70_000 }),
     ]
 }
 
--- a/replica/tests/search.rs
+++ b/replica/tests/search.rs
@@ -24,7 +24,7 @@
 }
 
 #[derive(Clone, PartialEq, Eq, Hash)]
-struct World {
+struct SearchState {
     replicas: Vec<Store>,
     /// The statuses under a faulty merge rule, in place of the replicas' own.
     faulty_statuses: Vec<BTreeMap<String, StampedStatus>>,
@@ -46,10 +46,10 @@
     violation: Option<String>,
 }
 
-impl World {
-    fn new() -> World {
+impl SearchState {
+    fn new() -> SearchState {
         let replicas = (0..REPLICAS).map(|number| Store::new(&format!("n{number}"), 1, 10)).collect();
-        World {
+        SearchState {
             replicas,
             faulty_statuses: vec![BTreeMap::new(); REPLICAS],
             messages: Vec::new(),
@@ -90,8 +90,8 @@
             (status != ServerStatus::Gone).then(|| (SERVER.to_owned(), status)).into_iter().collect();
         self.replicas[replica].apply_discovery(version, true, &entries);
         let held = self.replicas[replica].statuses().get(SERVER);
-        if let Some(stamped) = held {
-            self.merge_faulty(rule, replica, stamped);
+        if let Some(entry) = held {
+            self.merge_faulty(rule, replica, entry);
         }
     }
 
@@ -106,29 +106,29 @@
         let (to, bytes) = self.messages[index].clone();
         let updates = decode_updates(&bytes).expect("updates");
         for update in &updates {
-            if let Update::Status { stamped, .. } = update {
-                self.merge_faulty(rule, to, *stamped);
+            if let Update::Status { entry, .. } = update {
+                self.merge_faulty(rule, to, *entry);
             }
         }
         self.replicas[to].merge_updates(0, updates, |_| Some(1));
     }
 
-    /// Lets all replicas exchange their differences until they have converged, and returns an error if they have not.
+    /// Lets all replicas exchange their differences, and returns an error if they have not converged then.
     fn check_convergence(&self) -> Option<String> {
-        let mut world = self.clone();
+        let mut state = self.clone();
         for _ in 0..REPLICAS {
             for from in 0..REPLICAS {
                 for to in (0..REPLICAS).filter(|to| *to != from) {
-                    let theirs = world.replicas[to].digest();
-                    for chunk in world.replicas[from].encode_differences(&theirs, 1_000) {
-                        world.replicas[to]
+                    let peer_digest = state.replicas[to].digest();
+                    for chunk in state.replicas[from].encode_differences(&peer_digest, 1_000) {
+                        state.replicas[to]
                             .merge_updates(0, decode_updates(&chunk).expect("updates"), |_| Some(1));
                     }
                 }
             }
         }
-        let first = world.replicas[0].digest();
-        let equal = world.replicas.iter().all(|replica| replica.digest() == first);
+        let first = state.replicas[0].digest();
+        let equal = state.replicas.iter().all(|replica| replica.digest() == first);
         (!equal).then(|| "replicas differ after they have exchanged their differences".into())
     }
 }
@@ -136,27 +136,27 @@
 impl Search {
     fn run(rule: MergeRule, depth: usize) -> Search {
         let mut search = Search { rule, seen: HashSet::new(), state_count: 0, violation: None };
-        search.visit(World::new(), depth);
+        search.visit(SearchState::new(), depth);
         search
     }
 
-    fn visit(&mut self, mut world: World, remaining_depth: usize) {
+    fn visit(&mut self, mut state: SearchState, remaining_depth: usize) {
         // A status that a process holds is only ever replaced by a greater one.
         for replica in 0..REPLICAS {
-            let held = world.held_status(self.rule, replica);
-            if world.last_held[replica] > held {
-                let before = world.last_held[replica];
+            let held = state.held_status(self.rule, replica);
+            if state.last_held[replica] > held {
+                let before = state.last_held[replica];
                 self.violation.get_or_insert(format!("replica {replica} held {before:?} and now {held:?}"));
             }
-            world.last_held[replica] = held;
+            state.last_held[replica] = held;
         }
         if self.rule == MergeRule::Real
-            && let Some(violation) = world.check_convergence()
+            && let Some(violation) = state.check_convergence()
         {
             self.violation.get_or_insert(violation);
         }
         let mut hasher = DefaultHasher::new();
-        world.hash(&mut hasher);
+        state.hash(&mut hasher);
         if self.violation.is_some() || !self.seen.insert((hasher.finish(), remaining_depth)) {
             return;
         }
@@ -165,38 +165,38 @@
             return;
         }
         let rule = self.rule;
-        let mut visit_after = |event: &dyn Fn(&mut World)| {
-            let mut after = world.clone();
+        let mut visit_after = |event: &dyn Fn(&mut SearchState)| {
+            let mut after = state.clone();
             event(&mut after);
             self.visit(after, remaining_depth - 1);
         };
         for status in [ServerStatus::Serving, ServerStatus::Draining, ServerStatus::Gone] {
-            if world.versions.len() < 4 && world.versions[world.versions.len() - 1] != status {
-                visit_after(&|world| world.versions.push(status));
+            if state.versions.len() < 4 && state.versions[state.versions.len() - 1] != status {
+                visit_after(&|state| state.versions.push(status));
             }
         }
         for replica in 0..REPLICAS {
-            visit_after(&|world| world.send_list(rule, replica));
+            visit_after(&|state| state.send_list(rule, replica));
             for to in
-                (0..REPLICAS).filter(|to| *to != replica && world.replicas[replica].has_pending_updates())
+                (0..REPLICAS).filter(|to| *to != replica && state.replicas[replica].has_pending_updates())
             {
-                visit_after(&|world| world.send_delta(replica, to));
+                visit_after(&|state| state.send_delta(replica, to));
             }
         }
-        for index in 0..world.messages.len() {
+        for index in 0..state.messages.len() {
             // A delivered message stays in flight, so that it can be delivered again at any time. Or it is lost.
-            visit_after(&|world| world.deliver_message(rule, index));
-            visit_after(&|world| drop(world.messages.remove(index)));
-        }
-        if world.state_lost_at == 0 && world.versions.len() > 1 {
-            visit_after(&|world| world.state_lost_at = world.versions.len() - 1);
-        }
-        if world.start_count < 3 {
-            visit_after(&|world| {
-                world.start_count += 1;
-                world.replicas[0] = Store::new("n0", world.start_count, 10);
-                world.faulty_statuses[0].clear();
-                world.last_held[0] = None;
+            visit_after(&|state| state.deliver_message(rule, index));
+            visit_after(&|state| drop(state.messages.remove(index)));
+        }
+        if state.state_lost_at == 0 && state.versions.len() > 1 {
+            visit_after(&|state| state.state_lost_at = state.versions.len() - 1);
+        }
+        if state.start_count < 3 {
+            visit_after(&|state| {
+                state.start_count += 1;
+                state.replicas[0] = Store::new("n0", state.start_count, 10);
+                state.faulty_statuses[0].clear();
+                state.last_held[0] = None;
             });
         }
     }
