--- a/src/config.rs
+++ b/src/config.rs
@@ -12,6 +12,7 @@
     pub min_response_target: Nanos,
     /// 0 is the tier that clients call.
     pub tier: usize,
+    /// How many tiers there are.
     pub tiers: usize,
     pub instances: f64,
     pub instance_index: f64,
@@ -76,6 +77,7 @@
 pub enum DedupGroup {
     All,
     Site,
+    /// The endpoints with the same cell number, whatever their site.
     Cell,
 }
 
--- a/src/endpoint_set.rs
+++ b/src/endpoint_set.rs
@@ -378,7 +378,7 @@
     }
 
     /// Applies what changes with time alone, up to now.
-    pub fn advance(&mut self, now: Nanos) {
+    pub fn advance_to(&mut self, now: Nanos) {
         while let Some((_, timer, endpoint_id)) = self.timers.first().copied().filter(|(at, ..)| *at <= now) {
             self.timers.pop_first();
             // It may have been postponed since, or the id may now be that of another endpoint.
@@ -566,11 +566,11 @@
     ) -> Nanos {
         let mut idle = 0;
         let (endpoint, in_flight) = (&mut self.endpoints[endpoint_id as usize], &mut self.in_flight);
-        let is_it = |slot: u32| {
+        let is_ended = |slot: u32| {
             in_flight.get(slot).request_id == request_id
                 && in_flight.get(slot).dispatch_index == dispatch_index
         };
-        if let Some(at) = endpoint.in_flight.iter().position(|dispatch| is_it(dispatch.slot)) {
+        if let Some(at) = endpoint.in_flight.iter().position(|dispatch| is_ended(dispatch.slot)) {
             let EndpointDispatch { sent_at, slot, .. } = endpoint.in_flight.remove(at);
             let (capped, time_in_flight) =
                 (in_flight.get(slot).age_capped, now.saturating_sub(sent_at).min(MEAN_LOAD_WINDOW) as f64);
@@ -619,7 +619,7 @@
         }
     }
 
-    pub fn eject(&mut self, now: Nanos, endpoint_id: u32, until: Nanos) {
+    pub fn eject_endpoint(&mut self, now: Nanos, endpoint_id: u32, until: Nanos) {
         self.timers.insert((until, Timer::EjectionEnd, endpoint_id));
         self.update_with_sums(endpoint_id, |endpoint| endpoint.ejected = until > now);
     }
@@ -974,7 +974,7 @@
     }
 
     fn apply(endpoint_set: &mut EndpointSet, now: &mut Nanos, id: &mut u64, event: Event) {
-        endpoint_set.advance(*now);
+        endpoint_set.advance_to(*now);
         let endpoint_id =
             |endpoint_set: &EndpointSet, number: u8| endpoint_set.find_id(&format!("endpoint-{number}"));
         match event {
@@ -1009,7 +1009,7 @@
                 if let Some(endpoint_id) = endpoint_id(endpoint_set, number) {
                     let until = *now + u64::from(ms) * MILLISECOND;
                     endpoint_set.get_mut(endpoint_id).health[OVERALL_HEALTH].ejected_until = until;
-                    endpoint_set.eject(*now, endpoint_id, until);
+                    endpoint_set.eject_endpoint(*now, endpoint_id, until);
                 }
             }
             Event::EjectFromRuleSet(number, set, ms) => {
@@ -1035,7 +1035,7 @@
             }
             Event::AdvanceTime(ms) => *now += u64::from(ms) * MILLISECOND,
         }
-        endpoint_set.advance(*now);
+        endpoint_set.advance_to(*now);
     }
 
     /// Compares every sum with one computed from the endpoints.
@@ -1153,13 +1153,13 @@
         }
         for number in 0..10_000u32 {
             now += 10 * MILLISECOND;
-            endpoint_set.advance(now);
+            endpoint_set.advance_to(now);
             endpoint_set.add_endpoint(now, &listed(number + 2_000, EndpointState::Up), 0.5);
             let endpoint_id = endpoint_set.find_id(&format!("endpoint-{number}")).expect("listed");
             endpoint_set.record_send(now, endpoint_id, u64::from(number), 0, 0);
             endpoint_set.record_load_report(now, endpoint_id, 1.0);
             endpoint_set.record_end(now, endpoint_id, u64::from(number), 0, true);
-            endpoint_set.eject(now, endpoint_id, now + SECOND);
+            endpoint_set.eject_endpoint(now, endpoint_id, now + SECOND);
             endpoint_set.apply_entry(now, endpoint_id, &listed(number, EndpointState::Gone));
             endpoint_set.remove_drained(now);
         }
@@ -1180,7 +1180,7 @@
         }
         endpoint_set.remove_drained(now);
         now += 10 * SECOND;
-        endpoint_set.advance(now);
+        endpoint_set.advance_to(now);
         let empty = (
             endpoint_set.up_count,
             endpoint_set.usable_subset_weight,
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -62,7 +62,7 @@
 const SITE_LOSS_MIN_COMPLETIONS: f64 = 5.0;
 /// Replaces [`RECOVERY_MAX_COMPLETION_SHARE`] for [`SITE_LOSS_RECOVERY`].
 const SITE_LOSS_MAX_COMPLETION_SHARE: f64 = 0.75;
-/// How long after the ejection of a site the wider bounds of recovery apply.
+/// How long after the ejection of a site its own bounds of recovery apply.
 const SITE_LOSS_RECOVERY: Nanos = 10 * SECOND;
 /// The greatest factor on concurrency limits in recovery and in steady traffic.
 const MAX_RECOVERY_FACTOR: f64 = 2.0;
@@ -200,7 +200,7 @@
             return match endpoint_id {
                 Some(endpoint_id) => {
                     self.statistics.count_retry(now, request.was_rejected());
-                    self.send(now, request, endpoint_id)
+                    self.dispatch_request(now, request, endpoint_id)
                 }
                 None => self.deny_or_abort(now, request, 0),
             };
@@ -221,7 +221,7 @@
                 self.subset_updated_in_second = second;
                 self.update_subset(now, false);
             }
-            return self.send(now, request, endpoint_id);
+            return self.dispatch_request(now, request, endpoint_id);
         }
         self.queue_or_deny(now, request, waiting, is_over_rate)
     }
@@ -256,7 +256,7 @@
         is_over_rate: bool,
     ) -> RoutingDecision {
         let set = self.config.rule_set(&request.rule_set);
-        let mut rank = set.map_or(1.0, |set| self.rank(now, set));
+        let mut rank = set.map_or(1.0, |set| self.compute_rank(now, set));
         let max_wait =
             set.map_or(DEFAULT_MAX_WAIT, |set| (set.response_target as f64 * MAX_WAIT_SHARE) as Nanos);
         if is_over_rate {
@@ -344,7 +344,7 @@
 
     /// The factor by which concurrency limits are widened while latencies are about as without load. It is
     /// [`MAX_RECOVERY_FACTOR`] in recovery, when a fault at a lower tier has passed and the instance completes far less than
-    /// before. In steady traffic it is the ratio of the most completions in any 2 s to those in the last 2 s. Otherwise the
+    /// before. In steady traffic it is the ratio of the most completions in any 2 s to those in the last 2 s, up to that factor. Otherwise the
     /// limit would shrink because clients left, and then deny what the endpoints could process.
     fn recovery_factor(&self, now: Nanos) -> f64 {
         let buckets = self.statistics.latency_20s.live_buckets(now);
@@ -404,7 +404,8 @@
             / subset_size
     }
 
-    fn rank(&self, now: Nanos, set: &RuleSet) -> f64 {
+    /// The rank of requests of a rule set in the queue: their utility, or their utility per second of latency.
+    fn compute_rank(&self, now: Nanos, set: &RuleSet) -> f64 {
         if self.config.utility_by_work {
             return set.utility;
         }
@@ -503,7 +504,7 @@
 
     /// Handles an event, and returns what the adapter does for its request.
     pub fn handle_event(&mut self, now: Nanos, event: Event) -> NextStep {
-        self.endpoints.advance(now);
+        self.endpoints.advance_to(now);
         match event {
             Event::DispatchEnded { request, dispatch_index, outcome, duration, is_final, load_report } => {
                 let Some(dispatch) = request.dispatches.get_mut(dispatch_index) else {
@@ -652,7 +653,7 @@
         if let Some(line) = self.log_lines.pop_front() {
             return NextAction::Log(line);
         }
-        self.endpoints.advance(now);
+        self.endpoints.advance_to(now);
         self.check_overdue_dispatches(now);
         self.close_idle_connections(now);
         if let Some(name) = self.connection_closes.pop_front() {
@@ -689,7 +690,8 @@
         if let Some(last) = self.wait_queue.back()
             && now + self.expected_wait(now, self.wait_queue.len() - 1) > last.expires_at
         {
-            // Requests of higher rank were queued before it, so that it would wait too long: it is denied now, not when it expires.
+            // Requests of higher rank were queued before it, so that it would wait too long: it is denied now, not when it
+            // expires.
             return NextAction::Route(last.id);
         }
         let poll_at = match (is_queueing, self.in_flight_count) {
--- a/src/policy/endpoint_limits.rs
+++ b/src/policy/endpoint_limits.rs
@@ -11,6 +11,10 @@
 /// An endpoint is congested above this many times the mean load of all, now or over [`MEAN_LOAD_WINDOW`], plus a margin for
 /// chance; see [`Endpoint::is_congested`].
 const CONGESTION_FACTOR: f64 = 1.25;
+/// That margin for the requests that this instance has in flight now.
+const CONGESTION_MARGIN: f64 = 1.0;
+/// That margin for the load that the endpoint reports.
+const REPORTED_LOAD_MARGIN: f64 = 2.0;
 /// The time over which the mean number of requests in flight is taken.
 pub const MEAN_LOAD_WINDOW: Nanos = 8 * SECOND;
 /// An endpoint is unresponsive when the ages of its unanswered dispatches, in units of the overdue time, sum up to this. One
@@ -77,12 +81,14 @@
     /// one that is many times slower than the others. The margin on that mean is one request that takes the latency limit: a
     /// quiet instance may have that much by chance.
     pub fn is_congested(&self, now: Nanos, latency_limit_s: f64, means: &MeanLoads) -> bool {
-        self.in_flight.len() as f64 > CONGESTION_FACTOR * means.current_in_flight * self.subset_weight + 1.0
+        self.in_flight.len() as f64
+            > CONGESTION_FACTOR * means.current_in_flight * self.subset_weight + CONGESTION_MARGIN
             || self.mean_in_flight(now)
                 > CONGESTION_FACTOR * means.mean_in_flight * self.subset_weight
                     + latency_limit_s / to_seconds(MEAN_LOAD_WINDOW)
             || (self.has_fresh_report
-                && self.reported_load > CONGESTION_FACTOR * means.reported_load * self.weight + 2.0)
+                && self.reported_load
+                    > CONGESTION_FACTOR * means.reported_load * self.weight + REPORTED_LOAD_MARGIN)
     }
 
     /// The slow-start budget now. It grows by what established endpoints of the same weight accept from this instance, scaled to
@@ -100,6 +106,7 @@
         let weight =
             self.subset_weight * self.ramp(middle, slow_start, slow_start_share) * SLOW_START_HEADROOM;
         let growth = (established_traffic.accepted - self.budget_accepted) * weight;
+        // At most what it gains in half a second, and no less than one request.
         let max = (established_traffic.accepted_per_s * weight / 2.0).max(1.0);
         (self.slow_start_budget
             + growth.max(established_traffic.min_requests_per_s * to_seconds(now - since)))
--- a/src/policy/endpoint_selection.rs
+++ b/src/policy/endpoint_selection.rs
@@ -82,8 +82,9 @@
         let context = self.selection_context(now, retry.is_some(), health_index)?;
         let preferred = request.preferred_endpoint.as_ref().and_then(|name| self.endpoints.find_id(name));
         let preferred = preferred.filter(|id| !self.endpoints.get(*id).ejected);
-        if preferred.is_some_and(|id| self.assess(&context, id, health_index, retry) <= Suitability::Degraded)
-        {
+        if preferred.is_some_and(|id| {
+            self.assess_endpoint(&context, id, health_index, retry) <= Suitability::Degraded
+        }) {
             return preferred;
         }
         if let Some(candidates) = self.update_candidates(now, retry) {
@@ -120,7 +121,7 @@
         };
         candidates.iter().any(|id| {
             matches!(
-                self.assess(&context, *id, health_index, None),
+                self.assess_endpoint(&context, *id, health_index, None),
                 Suitability::Healthy | Suitability::Degraded
             )
         })
@@ -163,8 +164,10 @@
         retry: Option<&RequestContext>,
         candidates: &[u32],
     ) -> Option<u32> {
-        let assessed: Vec<(Suitability, u32)> =
-            candidates.iter().map(|id| (self.assess(context, *id, health_index, retry), *id)).collect();
+        let assessed: Vec<(Suitability, u32)> = candidates
+            .iter()
+            .map(|id| (self.assess_endpoint(context, *id, health_index, retry), *id))
+            .collect();
         let has_required_group = retry.is_some_and(|request| self.required_group(request).is_some());
         let best = assessed.iter().map(|(suitability, _)| *suitability).min()?;
         if best > Suitability::ResetBefore || (best == Suitability::ResetBefore && !has_required_group) {
@@ -200,7 +203,7 @@
         let scheduler = if from_outside { &self.endpoints.outside_subset } else { &self.endpoints.subset };
         let mut first_degraded = None;
         for endpoint_id in scheduler.iter().take(MAX_ASSESSED_ENDPOINTS) {
-            match self.assess(context, endpoint_id, health_index, retry) {
+            match self.assess_endpoint(context, endpoint_id, health_index, retry) {
                 Suitability::Healthy => {
                     return ScheduledEndpoints { healthy: Some(endpoint_id), degraded: first_degraded };
                 }
@@ -230,7 +233,7 @@
     }
 
     /// Assesses how well an endpoint can take a request; `retry` is the request unless this is its first send.
-    fn assess(
+    fn assess_endpoint(
         &self,
         context: &SelectionContext,
         endpoint_id: u32,
@@ -309,7 +312,7 @@
         is_retry: bool,
         health_index: usize,
     ) -> Option<SelectionContext> {
-        self.endpoints.advance(now);
+        self.endpoints.advance_to(now);
         self.check_overdue_dispatches(now);
         self.update_established_traffic(now);
         let latency_limit_s = self.latency_limit_s(now);
@@ -378,7 +381,8 @@
         }
     }
 
-    pub(super) fn send(
+    /// Records a dispatch to this endpoint and returns the decision to send it.
+    pub(super) fn dispatch_request(
         &mut self,
         now: Nanos,
         request: &mut RequestContext,
--- a/src/policy/outlier_ejection.rs
+++ b/src/policy/outlier_ejection.rs
@@ -28,6 +28,14 @@
 const IDLE_LOSS_DECAY: Nanos = 15 * SECOND;
 /// An endpoint does well in a rule set with at least this many outcomes there and no failure.
 const MIN_OUTCOMES_WITHOUT_FAILURE: u32 = 4;
+/// An endpoint is not ejected for fewer failures than this among its last outcomes.
+const MIN_FAILURES: u32 = 2;
+/// An endpoint is not at fault up to this many times the failure ratio over all endpoints, plus [`ALLOWED_FAILURE_RATIO`].
+const ALLOWED_FAILURE_FACTOR: f64 = 2.0;
+/// The failure ratio that an endpoint may have if no other dispatch fails.
+const ALLOWED_FAILURE_RATIO: f64 = 0.2;
+/// Connections are closed before the idle limit by the limit divided by this, and checked as often.
+const IDLE_CLOSE_MARGIN_DIVISOR: Nanos = 8;
 /// The least duration of an ejection.
 const EJECTION_TIME: Nanos = 3 * SECOND;
 /// An ejection lasts longer by a random part of this.
@@ -104,17 +112,18 @@
         }
         let Health { outcome_count, ejected_until, .. } = endpoint.health[health_index];
         let failures = endpoint.health[health_index].count_failures();
-        let allowed = f64::from(outcome_count) * (2.0 * failure_ratio + 0.2);
+        let allowed =
+            f64::from(outcome_count) * (ALLOWED_FAILURE_FACTOR * failure_ratio + ALLOWED_FAILURE_RATIO);
         // Many endpoints without a process raise the failure ratio so far that none of them would exceed it. An endpoint that
         // only refuses connections, while any site has answered since its own last response, is therefore ejected at any ratio.
         let refuses_all = outcome == DispatchOutcome::NoConnection && failures == outcome_count;
         let refusing_since = refuses_all.then_some(endpoint.last_response_at);
-        let is_gone = refusing_since
+        let has_no_process = refusing_since
             .is_some_and(|since| self.endpoints.sites.iter().any(|site| site.last_response_at > since));
         if failure
             && ejected_until <= now
-            && failures >= 2
-            && (is_gone || f64::from(failures) > allowed)
+            && failures >= MIN_FAILURES
+            && (has_no_process || f64::from(failures) > allowed)
             && self.may_eject(endpoint_id, health_index)
         {
             let ejected_until = now + EJECTION_TIME + self.rng.next_duration(EJECTION_JITTER);
@@ -127,7 +136,7 @@
             self.endpoints.get_mut(endpoint_id).health[health_index] =
                 Health { outcomes: 1, outcome_count: 3, ejected_until };
             match health_index {
-                OVERALL_HEALTH => self.endpoints.eject(now, endpoint_id, ejected_until),
+                OVERALL_HEALTH => self.endpoints.eject_endpoint(now, endpoint_id, ejected_until),
                 _ => self.endpoints.eject_from_rule_set(endpoint_id, health_index, ejected_until),
             }
             let name = &self.endpoints.get(endpoint_id).name;
@@ -256,7 +265,7 @@
                 let health = &mut self.endpoints.get_mut(endpoint_id).health[OVERALL_HEALTH];
                 health.ejected_until = health.ejected_until.max(until);
                 let until = health.ejected_until;
-                self.endpoints.eject(now, endpoint_id, until);
+                self.endpoints.eject_endpoint(now, endpoint_id, until);
             }
             // In overload endpoints are silent for lack of processing time, which does not show that the site is lost.
             if !self.is_overloaded(now) {
@@ -291,12 +300,12 @@
             self.idle_connection_check_at = Nanos::MAX;
             return;
         };
-        self.idle_connection_check_at = now + idle_limit / 8;
+        self.idle_connection_check_at = now + idle_limit / IDLE_CLOSE_MARGIN_DIVISOR;
         let is_idle = |endpoint_id: &u32| {
             let endpoint = self.endpoints.get(*endpoint_id);
             endpoint.in_flight.is_empty()
                 && endpoint.last_used_at > endpoint.idle_closed_at
-                && now - endpoint.last_used_at >= idle_limit - idle_limit / 8
+                && now - endpoint.last_used_at >= idle_limit - idle_limit / IDLE_CLOSE_MARGIN_DIVISOR
         };
         for endpoint_id in self.endpoints.ids().filter(is_idle).collect::<Vec<u32>>() {
             let endpoint = self.endpoints.get_mut(endpoint_id);
--- a/src/policy/reference_tests.rs
+++ b/src/policy/reference_tests.rs
@@ -1,4 +1,4 @@
-//! Random scenarios in which each decision that relies on maintained sums, schedulers and late dispatches is compared with a
+//! Random scenarios in which each decision that relies on maintained sums, schedulers and overdue dispatches is compared with a
 //! plain reference that visits all endpoints: which endpoints may take a request, and which sites are silent. The reference
 //! shares with the policy only the interpretation of a single endpoint's state.
 
@@ -24,11 +24,13 @@
     instances: u64,
     tier: u64,
     requests_per_s: u64,
-    /// Without load.
+    /// The processing time without load.
     service_time_ms: u64,
-    /// Of the endpoints that are slow, of the dispatches that fail, and of the endpoints that have just started.
+    /// Of the endpoints: those that are slow.
     slow_percentage: u64,
+    /// Of the dispatches: those that fail.
     failing_percentage: u64,
+    /// Of the endpoints: those that have just started.
     started_percentage: u64,
     reports: bool,
 }
@@ -56,7 +58,8 @@
 struct Reference {
     healthy: BTreeSet<Name>,
     degraded: BTreeSet<Name>,
-    tried_before: BTreeSet<Name>,
+    /// Healthy, but they have reset the request before.
+    reset_before: BTreeSet<Name>,
     /// The requests in flight are so close to the concurrency limit that rounding decides.
     is_tie: bool,
 }
@@ -140,8 +143,8 @@
             )
         };
         let padded_limit = |endpoint: &Endpoint| {
-            let warm = !endpoint.in_slow_start(now, balancer.config.slow_start);
-            let allowance = if warm {
+            let is_past_slow_start = !endpoint.in_slow_start(now, balancer.config.slow_start);
+            let allowance = if is_past_slow_start {
                 burst_factor
                     * endpoint_selection::burst_allowance(limit(endpoint), balancer.instances_per_endpoint())
             } else {
@@ -204,19 +207,19 @@
                 (Some(run), DedupGroup::Cell) => endpoint.cell == run.cell,
                 _ => true,
             };
-            let mut tried = request.dispatches.iter().filter(|d| d.endpoint == endpoint.name);
+            let mut tried = request.dispatches.iter().filter(|dispatch| dispatch.endpoint == endpoint.name);
             let tried_before = tried.clone().next().is_some();
-            let is_open = endpoint.state == EndpointState::Up
+            let accepts_requests = endpoint.state == EndpointState::Up
                 && if is_retry { endpoint.weight > 0.0 } else { endpoint.subset_weight > 0.0 }
                 && (health_index == OVERALL_HEALTH || endpoint.health[health_index].ejected_until <= now)
                 && (!endpoint.in_slow_start(now, balancer.config.slow_start)
                     || balancer.slow_start_budget(now, endpoint) >= 1.0);
-            let has_room = is_retry
+            let is_below_limit = is_retry
                 || (endpoint.count_against_limit(now, latency_limit_s) as f64) < padded_limit(endpoint);
-            if !is_open
+            if !accepts_requests
                 || !is_in_group
-                || !has_room
-                || tried.any(|d| d.outcome != Some(DispatchOutcome::Reset))
+                || !is_below_limit
+                || tried.any(|dispatch| dispatch.outcome != Some(DispatchOutcome::Reset))
             {
                 continue;
             }
@@ -229,7 +232,7 @@
                 (true, true)
                     if run.is_some() && group.is_some_and(|set| set.dedup_group != DedupGroup::All) =>
                 {
-                    reference.tried_before.insert(endpoint.name.clone())
+                    reference.reset_before.insert(endpoint.name.clone())
                 }
                 _ => false,
             };
@@ -247,20 +250,20 @@
         let factor = if balancer.config.tier == 0 && is_overloaded { 1.0 } else { 0.75 };
         let sites = balancer.endpoints.sites.iter().enumerate().filter(|(site_index, site)| {
             let others = balancer.endpoints.sites.iter().enumerate().filter(|(other, _)| other != site_index);
-            let others = others.map(|(_, site)| site.last_response_at).max().unwrap_or(0);
+            let others_responded_at = others.map(|(_, site)| site.last_response_at).max().unwrap_or(0);
             let in_flight = endpoints
                 .iter()
                 .filter(|endpoint| endpoint.site_index as usize == *site_index)
                 .flat_map(|endpoint| &endpoint.in_flight);
             let overdue = in_flight.filter(|dispatch| {
                 site.last_response_at <= dispatch.sent_at
-                    && dispatch.sent_at < others
+                    && dispatch.sent_at < others_responded_at
                     && dispatch.age_beyond_extra_time(now) > overdue_s * factor
             });
             let overdue = overdue.count();
             let members = endpoints.iter().filter(|endpoint| endpoint.site_index as usize == *site_index);
             let losses: usize = members.filter_map(|endpoint| self.losses.get(&endpoint.name)).sum();
-            others > site.last_response_at
+            others_responded_at > site.last_response_at
                 && (overdue >= 2 || overdue + losses >= 3)
                 && endpoints
                     .iter()
@@ -273,9 +276,9 @@
         self.losses.retain(|endpoint, _| self.list[endpoint].site != *site);
     }
 
-    /// Lets the balancer check the late dispatches, and compares what it ejects with the reference.
+    /// Lets the balancer check the overdue dispatches, and compares what it ejects with the reference.
     fn check_overdue_dispatches(&mut self) {
-        self.balancer.endpoints.advance(self.now);
+        self.balancer.endpoints.advance_to(self.now);
         let sites = self.silent_sites();
         let earlier_lines = self.balancer.log_lines.len();
         self.balancer.check_overdue_dispatches(self.now);
@@ -311,16 +314,16 @@
         let before = state_of(&self.balancer);
         let decision = self.balancer.route(now, &mut request);
         let state_changed = state_of(&self.balancer) != before;
-        let best = [&reference.healthy, &reference.degraded, &reference.tried_before]
+        let allowed = [&reference.healthy, &reference.degraded, &reference.reset_before]
             .into_iter()
             .find(|names| !names.is_empty());
-        let is_right = match (&decision, best) {
-            (RoutingDecision::Send { endpoint, .. }, Some(best)) => selects && best.contains(endpoint),
+        let is_right = match (&decision, allowed) {
+            (RoutingDecision::Send { endpoint, .. }, Some(allowed)) => selects && allowed.contains(endpoint),
             (RoutingDecision::Send { .. }, None) => false,
-            (_, best) => !selects || best.is_none(),
+            (_, allowed) => !selects || allowed.is_none(),
         };
         if !is_right && !reference.is_tie && !state_changed {
-            self.record_difference(format!("{id}: {decision:?}, selects {selects}, among {best:?}"));
+            self.record_difference(format!("{id}: {decision:?}, selects {selects}, among {allowed:?}"));
         }
         match decision {
             RoutingDecision::Send { endpoint, .. } => {
--- a/src/types.rs
+++ b/src/types.rs
@@ -24,7 +24,8 @@
     List(Vec<Parameters>),
 }
 
-/// How a dispatch, or a probe, ended.
+/// How a dispatch, or a probe, ended. An endpoint refuses a request ([`DispatchOutcome::Full`]), a proxy beside it rejects one
+/// ([`DispatchOutcome::Rejected`]), and a balancer denies one ([`RoutingDecision::Deny`]).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DispatchOutcome {
     Done,
@@ -40,8 +41,8 @@
     Cancelled,
     /// The adapter could not send the request.
     NotSent,
-    /// The proxy beside the endpoint rejected the request for want of capacity. It never reached the endpoint and does not
-    /// count as an attempt.
+    /// The proxy beside the endpoint rejected the request because the endpoint is at capacity. The request never reached the
+    /// endpoint and does not count as an attempt.
     Rejected,
 }
 
@@ -238,7 +239,7 @@
     Log(String),
     /// Close the idle connections to this endpoint.
     CloseIdleConnections(Name),
-    /// Cancel the dispatch of the request with this id and this dispatch index.
+    /// Cancel a dispatch, given by the id of its request and its index in [`RequestContext::dispatches`].
     CancelDispatch(u64, usize),
     /// Call [`crate::Balancer::route`] for the waiting request with this id now.
     Route(u64),
