--- a/src/config.rs
+++ b/src/config.rs
@@ -14,7 +14,9 @@
     pub tier: usize,
     /// How many tiers there are.
     pub tiers: usize,
+    /// How many instances send requests to the same endpoints.
     pub instances: f64,
+    /// The position of this instance among them, from 0.
     pub instance_index: f64,
     /// Proxies beside the endpoints enforce their concurrency limits, and other instances tell which endpoints are unresponsive.
     /// This instance then keeps no concurrency limit, slow-start budget or subset, and does not judge endpoints by latency.
@@ -37,10 +39,11 @@
     /// Utilities are per unit of work, so that the rank of a request is its utility; else the rank is its utility per second of
     /// latency.
     pub utility_by_work: bool,
+    /// How long the slow start of an endpoint lasts.
     pub slow_start: Nanos,
     /// The share of its capacity that an endpoint has at the start of its slow start.
     pub slow_start_share: f64,
-    /// The instance subscribes to the endpoint list by itself; else the adapter supplies it.
+    /// The instance asks for a subscription to the endpoint list when it starts.
     pub subscribes_to_list: bool,
     /// How many connections to endpoints this instance may hold.
     pub max_connections: f64,
@@ -58,7 +61,7 @@
     pub late_utility: f64,
     pub effect: Effect,
     pub dedup_group: DedupGroup,
-    /// Seconds from dispatch to response.
+    /// Seconds from dispatch to response, over 20 s.
     pub latency: SlidingWindow,
 }
 
--- a/src/endpoint_set.rs
+++ b/src/endpoint_set.rs
@@ -90,6 +90,7 @@
     ramp_deduction: f64,
     /// Whether the sums count it as ejected.
     pub ejected: bool,
+    /// Whether the sums count it as unresponsive.
     pub unresponsive: bool,
     pub has_fresh_report: bool,
     /// The rule sets from which it is ejected, by their indexes in `health`.
@@ -141,12 +142,13 @@
     pub sites: Vec<Site>,
     pub members_by_cell: HashMap<u64, Vec<u32>>,
     pub in_flight: InFlightList,
-    /// The turns among the endpoints in the subset.
+    /// Schedules the endpoints in the subset.
     pub subset: StrideScheduler,
-    /// The turns among the other endpoints of the list.
+    /// Schedules the other endpoints of the list.
     pub outside_subset: StrideScheduler,
     slow_start: Nanos,
     slow_start_share: f64,
+    /// When each change happens, and at which endpoint.
     timers: BTreeSet<(Nanos, Timer, u32)>,
     pub unresponsive_ids: BTreeSet<u32>,
     gone_ids: BTreeSet<u32>,
--- a/src/in_flight.rs
+++ b/src/in_flight.rs
@@ -24,7 +24,7 @@
     pub idle: Nanos,
     /// How much longer than others it may take before it is overdue.
     pub extra_time: Nanos,
-    /// Whether its age has reached the maximum up to which ages count.
+    /// Whether its age has reached the maximum that the owner gives to [`InFlightList::cap_next`].
     pub age_capped: bool,
     previous: u32,
     next: u32,
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -5,9 +5,10 @@
 //! be. `endpoint_selection` selects endpoints, `outlier_ejection` judges them, `endpoint_limits` interprets the state of one.
 //!
 //! A failed dispatch is retried only by the balancer in front of the callee that caused the failure, on another endpoint, and
-//! as long as retries are at most a tenth of the requests sent for the first time. Endpoints are selected by smooth weighted round robin that skips congested ones; new
-//! and returning endpoints ramp up. The round robin is among no more endpoints than the instance can observe: a subset of the
-//! list, which begins at a place given by the index of the instance. Six mechanisms are added to this:
+//! as long as retries are at most a tenth of the requests sent for the first time. Endpoints are selected by smooth weighted
+//! round robin that skips congested ones; new and returning endpoints ramp up. The round robin is among no more endpoints than
+//! the instance can observe: a subset of the list, which begins at a place given by the index of the instance. Six mechanisms
+//! are added to this:
 //! 1. Concurrency limit: no more requests in flight at an endpoint than it completes within a part of the response target.
 //! 2. Queue: requests over the limit wait for a short time, by utility; one that would wait too long is denied at once.
 //! 3. Health: an endpoint is judged by its last outcomes; one that fails is ejected for a partly random time.
--- a/src/policy/outlier_ejection.rs
+++ b/src/policy/outlier_ejection.rs
@@ -12,7 +12,7 @@
 /// Above this number of candidates, [`OVERDUE_CHECK_INTERVAL`] bounds the cost of the checks.
 const MANY_OVERDUE_CANDIDATES: usize = 128;
 /// The dispatches of a site count as overdue after this part of the overdue time, because stuck requests take up concurrency
-/// limits at each tier above. At the first tier in overload the whole overdue time applies: there endpoints are late for lack of
+/// limits at each tier above. At the first tier in overload the whole overdue time applies: there endpoints are slow for lack of
 /// processing time.
 const SITE_OVERDUE_FACTOR: f64 = 0.75;
 /// A site is ejected only with at least this many losses, including its overdue dispatches, or with [`MIN_SITE_OVERDUE`].
