--- a/emulator/src/mesh/attendant.rs
+++ b/emulator/src/mesh/attendant.rs
@@ -33,7 +33,7 @@
 }
 
 enum OpenRequest {
-    Watch { which: usize, steward: SocketAddr, record: RecordVersion },
+    Watch { slot_index: usize, steward: SocketAddr, record: RecordVersion },
     Configuration { steward: SocketAddr, revision: Revision, is_full_fetch: bool },
     AcquireLease { claim: u64, steward: SocketAddr },
     CompleteLease { claim: u64, steward: SocketAddr },
@@ -96,9 +96,12 @@
             accepts_clients: true,
             health: Default::default(),
         };
-        let slot =
-            |which| WatchSlot { watcher: Watcher::new(which, count), open_request: None, had_updates: false };
-        (0..count).for_each(|which| context.start_timer(0, Timer::SendWatch(which)));
+        let slot = |slot_index| WatchSlot {
+            watcher: Watcher::new(slot_index, count),
+            open_request: None,
+            had_updates: false,
+        };
+        (0..count).for_each(|slot_index| context.start_timer(0, Timer::SendWatch(slot_index)));
         context.start_timer(S, Timer::UpstreamStep(UpstreamStep::Start));
         Attendant {
             address: at,
@@ -138,11 +141,11 @@
     fn update_record(&mut self, context: &mut ProcessContext, change: impl FnOnce(&mut EndpointRecord)) {
         self.record.sequence += 1;
         change(&mut self.record);
-        for which in 0..self.watches.len() {
-            if let Some(open) = self.watches[which].open_request.take() {
+        for slot_index in 0..self.watches.len() {
+            if let Some(open) = self.watches[slot_index].open_request.take() {
                 // The open watch is abandoned; its response will be ignored.
                 self.open_requests.remove(&open);
-                self.send_watch(which, context);
+                self.send_watch(slot_index, context);
             }
         }
     }
@@ -188,18 +191,18 @@
             .max(self.fetching)
     }
 
-    fn send_watch(&mut self, which: usize, context: &mut ProcessContext) {
+    fn send_watch(&mut self, slot_index: usize, context: &mut ProcessContext) {
         let (stewards, configuration) = (self.replicas.replicas(), self.configuration_revision());
-        let slot = &mut self.watches[which];
+        let slot = &mut self.watches[slot_index];
         let Some(steward) = slot.watcher.next_replica(context.now, self.address, &stewards) else {
-            context.start_timer(watch_client::RETRY_INTERVAL, Timer::SendWatch(which));
+            context.start_timer(watch_client::RETRY_INTERVAL, Timer::SendWatch(slot_index));
             return;
         };
         let request = slot.watcher.request(steward, self.record.clone(), configuration, Vec::new());
         let id = context.send_request(steward, InternalRequest::Watch(request), slot.had_updates);
         slot.open_request = Some(id);
         self.open_requests
-            .insert(id, OpenRequest::Watch { which, steward, record: self.record.record_version() });
+            .insert(id, OpenRequest::Watch { slot_index, steward, record: self.record.record_version() });
         context.start_timer(watch_client::MAX_WAIT + watch_client::RESPONSE_GRACE, Timer::RequestTimeout(id));
     }
 
@@ -211,20 +214,20 @@
         context: &mut ProcessContext,
     ) -> bool {
         match (self.open_requests.remove(&id), response) {
-            (Some(OpenRequest::Watch { which, steward, record }), InternalResponse::Watch(response)) => {
+            (Some(OpenRequest::Watch { slot_index, steward, record }), InternalResponse::Watch(response)) => {
                 let has_configuration = self.configuration.is_some();
-                let suspects = self.watches[which].watcher.handle_response(
+                let suspects = self.watches[slot_index].watcher.handle_response(
                     context.now,
                     steward,
                     record,
                     has_configuration,
                     &response,
                 );
-                self.watches[which].open_request = None;
-                self.watches[which].had_updates = has_updates(&response);
-                self.apply_updates((which, steward), *response, suspects, context);
-                if self.watches[which].open_request.is_none() {
-                    self.send_watch(which, context);
+                self.watches[slot_index].open_request = None;
+                self.watches[slot_index].had_updates = has_updates(&response);
+                self.apply_updates((slot_index, steward), *response, suspects, context);
+                if self.watches[slot_index].open_request.is_none() {
+                    self.send_watch(slot_index, context);
                 }
             }
             (
@@ -253,17 +256,17 @@
     /// A request timed out or its connection broke.
     pub fn handle_failure(&mut self, id: u64, context: &mut ProcessContext) {
         match self.open_requests.remove(&id) {
-            Some(OpenRequest::Watch { which, steward, .. }) => {
+            Some(OpenRequest::Watch { slot_index, steward, .. }) => {
                 let stewards = self.replicas.replicas().len();
-                self.watches[which].watcher.record_failure(
+                self.watches[slot_index].watcher.record_failure(
                     context.now,
                     steward,
                     self.configuration.is_some(),
                     stewards,
                 );
-                self.watches[which].open_request = None;
-                self.endpoints.clear_suspects(which);
-                context.start_timer(watch_client::RETRY_INTERVAL, Timer::SendWatch(which));
+                self.watches[slot_index].open_request = None;
+                self.endpoints.clear_suspects(slot_index);
+                context.start_timer(watch_client::RETRY_INTERVAL, Timer::SendWatch(slot_index));
             }
             Some(OpenRequest::Configuration { revision, .. }) => self.end_fetch(revision),
             Some(OpenRequest::AcquireLease { claim, steward }) => {
@@ -278,13 +281,15 @@
 
     fn apply_updates(
         &mut self,
-        (which, steward): (usize, SocketAddr),
+        (slot_index, steward): (usize, SocketAddr),
         response: WatchResponse,
         suspects: HashSet<SocketAddr>,
         context: &mut ProcessContext,
     ) {
-        if let Some(life) = response.known_incarnation.filter(|life| *life > self.record.incarnation) {
-            self.update_record(context, |record| record.incarnation = life + 1);
+        if let Some(incarnation) =
+            response.known_incarnation.filter(|incarnation| *incarnation > self.record.incarnation)
+        {
+            self.update_record(context, |record| record.incarnation = incarnation + 1);
         }
         if let Some(revision) =
             response.configuration.filter(|revision| *revision > self.configuration_revision())
@@ -303,7 +308,7 @@
             self.replicas.set_replicas(response.replicas.into_iter().chain(self.seeds.iter().copied()));
         }
         let endpoints: Vec<SocketAddr> = response.records.iter().map(|record| record.inbound_proxy).collect();
-        if self.endpoints.merge(context.now, which, response.records, suspects) {
+        if self.endpoints.merge(context.now, slot_index, response.records, suspects) {
             // The whole list is rebuilt.
             context.process_records(Cause::RecordUpdates, self.endpoints.len());
             self.suspects = self.endpoints.suspects();
@@ -414,7 +419,7 @@
         if claim.is_decided {
             return;
         }
-        claim.unanswered.retain(|silent| *silent != steward);
+        claim.unanswered.retain(|replica| *replica != steward);
         if response == CoreResponse::Unavailable {
             self.replicas.mark_unresponsive(context.now, steward);
             if claim.in_flight == 0 {
@@ -423,8 +428,8 @@
             return;
         }
         self.replicas.mark_responsive(steward);
-        let silent = std::mem::take(&mut claim.unanswered);
-        silent.into_iter().for_each(|silent| self.replicas.mark_unresponsive(context.now, silent));
+        let replica = std::mem::take(&mut claim.unanswered);
+        replica.into_iter().for_each(|replica| self.replicas.mark_unresponsive(context.now, replica));
         self.decide_claim(number, response, context);
     }
 
@@ -496,8 +501,8 @@
 
     pub fn handle_timer(&mut self, timer: Timer, context: &mut ProcessContext) {
         match timer {
-            Timer::SendWatch(which) if self.watches[which].open_request.is_none() => {
-                self.send_watch(which, context)
+            Timer::SendWatch(slot_index) if self.watches[slot_index].open_request.is_none() => {
+                self.send_watch(slot_index, context)
             }
             Timer::RequestTimeout(id) => self.handle_failure(id, context),
             Timer::HedgeLease(claim) => self.ask_next_replica(claim, context),
--- a/emulator/src/mesh/audit.rs
+++ b/emulator/src/mesh/audit.rs
@@ -40,11 +40,11 @@
     }
 
     pub fn record_applied_configuration(&mut self, now: Nanos, attendant: usize, version: Revision) {
-        let was = self.applied_configurations.insert(attendant, version).unwrap_or_default();
-        if was > version {
+        let previous = self.applied_configurations.insert(attendant, version).unwrap_or_default();
+        if previous > version {
             self.report_violation(
                 now,
-                format!("attendant {attendant} went back from r{} to r{}", was.version, version.version),
+                format!("attendant {attendant} went back from r{} to r{}", previous.version, version.version),
             );
         }
     }
@@ -58,15 +58,15 @@
         version: RecordVersion,
     ) {
         self.checks[0] += 1;
-        let rows = self.record_versions.entry(attendant).or_default();
-        if rows.len() <= about {
-            rows.resize(about + 1, RecordVersion::default());
+        let versions = self.record_versions.entry(attendant).or_default();
+        if versions.len() <= about {
+            versions.resize(about + 1, RecordVersion::default());
         }
-        let was = std::mem::replace(&mut rows[about], version);
-        if was > version {
+        let previous = std::mem::replace(&mut versions[about], version);
+        if previous > version {
             self.report_violation(
                 now,
-                format!("attendant {attendant} went back from {was:?} to {version:?} of {about}"),
+                format!("attendant {attendant} went back from {previous:?} to {version:?} of {about}"),
             );
         }
     }
--- a/emulator/src/mesh/simulation.rs
+++ b/emulator/src/mesh/simulation.rs
@@ -254,9 +254,9 @@
         let now = self.events.now();
         match event {
             Event::MessageArrival(message) => self.receive_message(message),
-            Event::MessageReady(life, message) => self.process_message(life, *message),
-            Event::TimerExpiry(node, life, timer) => self.expire_timer(node, life, timer),
-            Event::TimerReady(node, life, timer) => self.run_timer(node, life, timer),
+            Event::MessageReady(incarnation, message) => self.process_message(incarnation, *message),
+            Event::TimerExpiry(node, incarnation, timer) => self.expire_timer(node, incarnation, timer),
+            Event::TimerReady(node, incarnation, timer) => self.run_timer(node, incarnation, timer),
             Event::ConnectionBroken(node, id) => {
                 if self.open_calls.remove(&id).is_some() {
                     self.with_process(node, |process, context| match process {
@@ -345,7 +345,7 @@
             return;
         }
         let seeds = self.seed_addresses();
-        let (at, life) = (self.nodes[node].address, self.nodes[node].incarnation);
+        let (at, incarnation) = (self.nodes[node].address, self.nodes[node].incarnation);
         let mut context = ProcessContext {
             now: self.events.now(),
             last_request_id: self.last_request_id,
@@ -364,7 +364,7 @@
                 zone: String::new(),
             };
             // The first stewards start as the initial membership; it adds the others as spares.
-            let first = life == 0 && node < voters;
+            let first = incarnation == 0 && node < voters;
             let storage = self.nodes[node].storage.clone();
             let seeds = &seeds[..voters];
             let start = StewardStart {
@@ -396,7 +396,7 @@
         self.apply_effects(node, context);
     }
 
-    fn kill_process(&mut self, node: usize, down: Nanos) {
+    fn kill_process(&mut self, node: usize, downtime: Nanos) {
         let Some(process) = self.nodes[node].process.take() else { return };
         let now = self.events.now();
         self.nodes[node].incarnation += 1;
@@ -419,7 +419,7 @@
             self.events.schedule_after(after, Event::ConnectionBroken(from, id));
         }
         self.open_calls.retain(|_, (from, _)| *from != node);
-        self.events.schedule_after(down.max(MS), Event::ProcessStart(node));
+        self.events.schedule_after(downtime.max(MS), Event::ProcessStart(node));
     }
 
     fn start_fault(&mut self, number: usize, step: usize) {
@@ -445,8 +445,8 @@
 
     fn advance_upstream(&mut self, node: usize, step: UpstreamStep) {
         if step == UpstreamStep::Kill {
-            let down = self.scenario.faults.iter().find(|fault| fault.kind == FaultKind::Roll);
-            self.kill_process(node, down.map_or(S, |fault| fault.downtime));
+            let downtime = self.scenario.faults.iter().find(|fault| fault.kind == FaultKind::Roll);
+            self.kill_process(node, downtime.map_or(S, |fault| fault.downtime));
             return;
         }
         let cold = self.scenario.upstreams.slow_start;
@@ -458,7 +458,7 @@
     }
 
     /// Queues work on the processor of a node and returns when it is done.
-    fn occupy_processor(&mut self, node: usize, cause: Cause, takes: Nanos) -> Nanos {
+    fn occupy_processor(&mut self, node: usize, cause: Cause, duration: Nanos) -> Nanos {
         let share = match node < self.scenario.stewards {
             true => self.scenario.processor.steward_share,
             false => self.scenario.processor.attendant_share,
@@ -469,8 +469,8 @@
         if node.frozen_until <= now {
             node.usage.max_wait = node.usage.max_wait.max(from - now);
         }
-        node.usage.record_work(now, cause, takes);
-        node.processor_free_at = from + (takes as f64 / share) as Nanos;
+        node.usage.record_work(now, cause, duration);
+        node.processor_free_at = from + (duration as f64 / share) as Nanos;
         node.processor_free_at
     }
 
@@ -491,8 +491,8 @@
         if self.nodes[from].is_partitioned != self.nodes[to].is_partitioned {
             return;
         }
-        let takes = (bytes as f64 * 8e3 / self.scenario.link.bandwidth_mbit_s) as Nanos;
-        self.nodes[from].link_out_free_at = self.nodes[from].link_out_free_at.max(done) + takes;
+        let duration = (bytes as f64 * 8e3 / self.scenario.link.bandwidth_mbit_s) as Nanos;
+        self.nodes[from].link_out_free_at = self.nodes[from].link_out_free_at.max(done) + duration;
         let mut at =
             self.nodes[from].link_out_free_at + self.scenario.link.delay.sample(&mut self.network_random);
         if self.network_random.sample_bool(self.scenario.link.loss) {
@@ -517,20 +517,20 @@
             }
             return;
         }
-        let takes = (message.bytes as f64 * 8e3 / self.scenario.link.bandwidth_mbit_s) as Nanos;
-        self.nodes[to].link_in_free_at = self.nodes[to].link_in_free_at.max(now) + takes;
+        let duration = (message.bytes as f64 * 8e3 / self.scenario.link.bandwidth_mbit_s) as Nanos;
+        self.nodes[to].link_in_free_at = self.nodes[to].link_in_free_at.max(now) + duration;
         self.nodes[to].usage.record_message(now, message.cause, message.bytes, false);
         self.nodes[to].usage.record_wakeups(message.cause, 1);
         let done = self
             .occupy_processor(to, message.cause, self.message_cost(message.bytes))
             .max(self.nodes[to].link_in_free_at);
-        let life = self.nodes[to].incarnation;
-        self.events.schedule_at(done, Event::MessageReady(life, message));
+        let incarnation = self.nodes[to].incarnation;
+        self.events.schedule_at(done, Event::MessageReady(incarnation, message));
     }
 
-    fn process_message(&mut self, life: u64, message: Message) {
+    fn process_message(&mut self, incarnation: u64, message: Message) {
         let Message { from, to, id, cause, payload, .. } = message;
-        if self.nodes[to].incarnation != life {
+        if self.nodes[to].incarnation != incarnation {
             return;
         }
         match payload {
@@ -557,8 +557,8 @@
     }
 
     /// A timer expired; it is handled when the processor is free.
-    fn expire_timer(&mut self, node: usize, life: u64, timer: Timer) {
-        if self.nodes[node].incarnation != life || self.nodes[node].process.is_none() {
+    fn expire_timer(&mut self, node: usize, incarnation: u64, timer: Timer) {
+        if self.nodes[node].incarnation != incarnation || self.nodes[node].process.is_none() {
             return;
         }
         // The request was answered in time.
@@ -572,14 +572,14 @@
         let busy = self.nodes[node].processor_free_at > now;
         let done = self.occupy_processor(node, Cause::Timers, self.scenario.processor.timer_time);
         if busy {
-            self.events.schedule_at(done, Event::TimerReady(node, life, timer));
+            self.events.schedule_at(done, Event::TimerReady(node, incarnation, timer));
         } else {
-            self.run_timer(node, life, timer);
+            self.run_timer(node, incarnation, timer);
         }
     }
 
-    fn run_timer(&mut self, node: usize, life: u64, timer: Timer) {
-        if self.nodes[node].incarnation != life {
+    fn run_timer(&mut self, node: usize, incarnation: u64, timer: Timer) {
+        if self.nodes[node].incarnation != incarnation {
             return;
         }
         if let Timer::RequestTimeout(id) = timer
@@ -612,7 +612,7 @@
 
     fn apply_effects(&mut self, node: usize, context: ProcessContext) {
         self.last_request_id = context.last_request_id;
-        let life = self.nodes[node].incarnation;
+        let incarnation = self.nodes[node].incarnation;
         for out in context.effects {
             match out {
                 ProcessEffect::Request { to, id, request, had_updates } => {
@@ -628,15 +628,16 @@
                     self.send_message(node, to, id, cause, Payload::Response(response));
                 }
                 ProcessEffect::StartTimer(after, timer) => {
-                    self.events.schedule_after(after, Event::TimerExpiry(node, life, timer))
+                    self.events.schedule_after(after, Event::TimerExpiry(node, incarnation, timer))
                 }
                 ProcessEffect::RunWhenIdle(timer) => {
                     let at = self.nodes[node].processor_free_at;
-                    self.events.schedule_at(at, Event::TimerReady(node, life, timer));
+                    self.events.schedule_at(at, Event::TimerReady(node, incarnation, timer));
                 }
                 ProcessEffect::SyncDisk => {
-                    let takes = self.scenario.disk_sync_time.sample(&mut self.network_random);
-                    self.events.schedule_after(takes, Event::TimerExpiry(node, life, Timer::DiskSynced));
+                    let duration = self.scenario.disk_sync_time.sample(&mut self.network_random);
+                    self.events
+                        .schedule_after(duration, Event::TimerExpiry(node, incarnation, Timer::DiskSynced));
                 }
                 ProcessEffect::ProcessRecords(cause, count) => {
                     self.occupy_processor(node, cause, self.scenario.processor.record_time * count as u64);
@@ -700,8 +701,9 @@
                 self.lease_delays_ms.push(delay as f64 / 1e6);
                 self.auditor.record_lease_granted(now, key, token);
                 let run = self.scenario.leases.run_time.sample(&mut self.load_random);
-                let life = self.nodes[node].incarnation;
-                self.events.schedule_after(run, Event::TimerExpiry(node, life, Timer::RequestDone(claim)));
+                let incarnation = self.nodes[node].incarnation;
+                self.events
+                    .schedule_after(run, Event::TimerExpiry(node, incarnation, Timer::RequestDone(claim)));
             }
             Observation::LeaseReleased(key, token) => self.auditor.record_lease_released(key, token),
             Observation::LeaseUnanswered => self.lease_counts[2] += 1,
--- a/emulator/src/mesh/steward.rs
+++ b/emulator/src/mesh/steward.rs
@@ -489,10 +489,10 @@
 
     fn publish_state(&mut self, ticks: bool, context: &mut ProcessContext) {
         let committed = self.core.committed_configuration().or(self.core.stored_configuration());
-        let rank = |configuration: Option<&Arc<RegisterValue>>| {
+        let revision_of = |configuration: Option<&Arc<RegisterValue>>| {
             configuration.map(|configuration| configuration.revision())
         };
-        let changed = rank(self.committed.as_ref()) != rank(committed);
+        let changed = revision_of(self.committed.as_ref()) != revision_of(committed);
         if !changed && !ticks {
             return;
         }
