--- a/balancer/src/mesh/proxy/headers.rs
+++ b/balancer/src/mesh/proxy/headers.rs
@@ -19,8 +19,8 @@
 pub const RESPONDING_UPSTREAM: HeaderName = HeaderName::from_static("ochreshed-delivered-by");
 /// Set by an upstream on the response to a request that it has not run.
 pub const NOT_RUN: HeaderName = HeaderName::from_static("ochreshed-not-delivered");
-/// From an outbound to an inbound proxy: the terms of a request (see `inbound_request`).
-pub const REQUEST_TERMS: HeaderName = HeaderName::from_static("ochreshed-knock");
+/// From an outbound to an inbound proxy: the parameters of a request (see `inbound_request`).
+pub const REQUEST_PARAMETERS: HeaderName = HeaderName::from_static("ochreshed-knock");
 /// From an outbound to an inbound proxy: the fencing token of the request's session. In a request of its own, it announces
 /// the handover of a session.
 pub const FENCING_TOKEN: HeaderName = HeaderName::from_static("ochreshed-fence");
--- a/balancer/src/mesh/proxy/inbound.rs
+++ b/balancer/src/mesh/proxy/inbound.rs
@@ -15,7 +15,7 @@
 //! - A request is sent to the upstream at most once.
 //! - A request is sent only to the incarnation that it is addressed to, and not after that incarnation's drain period.
 //! - An incarnation that is draining or has ended never serves again.
-//! - A request that is reported as rejected, gone, fenced or not sent has not run.
+//! - A request that is reported as rejected, refused, not accepted, fenced, not connected or not sent has not run.
 
 use std::collections::{HashMap, VecDeque};
 use std::net::SocketAddr;
@@ -45,10 +45,10 @@
 use crate::mesh::proxy::connection_pool::{ConnectionPool, ExchangeError, LargeResponseShaper, ResponseBody};
 use crate::mesh::proxy::fencing::{FencingTable, FencingToken};
 use crate::mesh::proxy::headers::{
-    ATTEMPT_OUTCOME, CALLER_SERVICE, EXECUTION_STAMP, FENCING_TOKEN, NOT_RUN, REQUEST_ID, REQUEST_TERMS,
+    ATTEMPT_OUTCOME, CALLER_SERVICE, EXECUTION_STAMP, FENCING_TOKEN, NOT_RUN, REQUEST_ID, REQUEST_PARAMETERS,
     RESPONDING_UPSTREAM, TARGET_UPSTREAM, TIME_LEFT_MS,
 };
-use crate::mesh::proxy::inbound_request::{InboundRequest, MAX_TIME_LEFT_MS, RequestTerms};
+use crate::mesh::proxy::inbound_request::{InboundRequest, MAX_TIME_LEFT_MS, RequestParameters};
 use crate::mesh::proxy::listener::{self, ReceivedRequest, RequestError, header_str, plain_response};
 use crate::mesh::proxy::session_affinity::SessionTable;
 
@@ -60,6 +60,20 @@
 const DRAIN_ACCEPT_DIVISOR: u32 = 2;
 /// Timeout of the health check after a start.
 const PROBE_TIMEOUT: Nanos = 1_000 * MS;
+/// Time within which a heartbeat must have been received.
+const HEARTBEAT_READ_TIMEOUT: Duration = Duration::from_secs(1);
+/// Memory budget for the body of one heartbeat.
+const HEARTBEAT_MEMORY_BYTES: usize = 1 << 16;
+/// Longest warm-up time that is accepted from a heartbeat.
+const MAX_WARM_UP_MS: f64 = 600_000.0;
+/// Greatest concurrency limit that is accepted from a heartbeat.
+const MAX_REPORTED_CONCURRENCY_LIMIT: u32 = 100_000;
+/// Time within which the body of a request from another node must have been received.
+const REQUEST_READ_TIMEOUT: Duration = Duration::from_secs(10);
+/// Separators in a request's id up to which the id of its run is searched for.
+const MAX_ID_SEPARATORS: usize = 8;
+/// Ids in control calls are truncated to this number of characters.
+const MAX_SUBJECT_CHARS: usize = 256;
 /// Number of ended incarnations whose ids are remembered.
 const MAX_PAST_INCARNATIONS: usize = 32;
 /// Longest accepted body of a heartbeat.
@@ -74,11 +88,12 @@
     /// The upstream ran the request, or rejected it permanently with a response of its own.
     Responded(Parts, ResponseBody),
     /// The upstream refused the request and stated that it has not run.
-    UpstreamFull,
+    RefusedByUpstream,
     /// The request was not admitted and never reached the upstream.
     Rejected,
-    /// The incarnation that the request is addressed to accepts no more requests; the request has not run.
-    Gone,
+    /// The incarnation that the request is addressed to is not the current one, has ended or is past its drain period; the
+    /// request has not run.
+    NotAccepting,
     /// Another outbound proxy has owned the session since this term; the request has not run.
     Fenced(u64),
     /// No connection to the upstream, or the request was not written completely; it has not run.
@@ -92,13 +107,14 @@
 }
 
 impl UpstreamOutcome {
-    /// Name of the outcome in the header [`ATTEMPT_OUTCOME`].
+    /// Name of the outcome in the header [`ATTEMPT_OUTCOME`]; that of a fenced request is sent as [`FENCED_PREFIX`] and the
+    /// owner's term instead.
     pub fn wire_name(&self) -> &'static str {
         match self {
             UpstreamOutcome::Responded(..) => "ran",
-            UpstreamOutcome::UpstreamFull => "full",
+            UpstreamOutcome::RefusedByUpstream => "full",
             UpstreamOutcome::Rejected => "turned",
-            UpstreamOutcome::Gone => "gone",
+            UpstreamOutcome::NotAccepting => "gone",
             UpstreamOutcome::Fenced(_) => "fenced",
             UpstreamOutcome::ConnectFailed => "unreachable",
             UpstreamOutcome::NotSent => "unsent",
@@ -108,13 +124,13 @@
     }
 
     /// The outcome that an inbound proxy on another node reported with this response. An unknown name, such as one from a
-    /// newer version, counts as [`UpstreamOutcome::Reset`], since the request may have run.
+    /// newer build, counts as [`UpstreamOutcome::Reset`], since the request may have run.
     pub fn from_wire_name(name: &str, head: Parts, body: ResponseBody) -> UpstreamOutcome {
         match name {
             "ran" => UpstreamOutcome::Responded(head, body),
-            "full" => UpstreamOutcome::UpstreamFull,
+            "full" => UpstreamOutcome::RefusedByUpstream,
             "turned" => UpstreamOutcome::Rejected,
-            "gone" => UpstreamOutcome::Gone,
+            "gone" => UpstreamOutcome::NotAccepting,
             name if name.starts_with(FENCED_PREFIX) => {
                 UpstreamOutcome::Fenced(name[FENCED_PREFIX.len()..].parse().unwrap_or(0))
             }
@@ -146,6 +162,52 @@
     connections: Arc<ConnectionPool>,
 }
 
+/// A heartbeat of an upstream incarnation.
+struct Heartbeat {
+    address: SocketAddr,
+    service: String,
+    zone: String,
+    software_version: String,
+    concurrency_limit: u32,
+    sequence: u64,
+    /// Serving or draining.
+    state: UpstreamState,
+    warming_up_ms: u64,
+}
+
+impl Heartbeat {
+    /// Parses the JSON body of a heartbeat. The error says what is malformed.
+    fn parse(body: &[u8]) -> Result<Heartbeat, &'static str> {
+        let text = std::str::from_utf8(body).map_err(|_| "not UTF-8")?;
+        let heartbeat = jzon::parse(text).map_err(|_| "no JSON")?;
+        let (notice, status) = (&heartbeat["notice"], &heartbeat["status"]);
+        let string_field = |object: &Json, name: &str| object[name].as_str().unwrap_or_default().to_owned();
+        let address = heartbeat["address"].as_str().and_then(|text| text.parse().ok()).ok_or("no address")?;
+        let service = string_field(notice, "line");
+        if service.is_empty() {
+            return Err("no line");
+        }
+        let state = if status["state"].as_str() == Some("closing") {
+            UpstreamState::Draining
+        } else {
+            UpstreamState::Serving
+        };
+        Ok(Heartbeat {
+            address,
+            service,
+            zone: string_field(notice, "zone"),
+            software_version: string_field(notice, "edition"),
+            concurrency_limit: notice["pigeonholes"]
+                .as_u32()
+                .unwrap_or(1)
+                .clamp(1, MAX_REPORTED_CONCURRENCY_LIMIT),
+            sequence: status["postmark_seq"].as_u64().unwrap_or(0),
+            state,
+            warming_up_ms: status["cold_left_ms"].as_f64().unwrap_or(0.0).clamp(0.0, MAX_WARM_UP_MS) as u64,
+        })
+    }
+}
+
 impl std::fmt::Debug for ConnectionPool {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
         write!(f, "{}", self.address())
@@ -207,10 +269,10 @@
     /// Requests at the upstream, and those queued for admission.
     admission: Mutex<AdmissionQueue<QueuedRequest>>,
     /// Health of the upstream, derived from the outcomes of its requests.
-    health: Mutex<OutlierDetector>,
+    outlier_detector: Mutex<OutlierDetector>,
     /// Members' shares of the concurrency limit, from the configuration in force on this node.
-    shares: ArcSwap<RetryShares>,
-    /// Paces large responses to other nodes.
+    member_shares: ArcSwap<RetryShares>,
+    /// Limits the rate of large responses to other nodes.
     large_response_shaper: Arc<LargeResponseShaper>,
     /// Moving average of the size of large responses, in bytes; 0 before the first.
     mean_large_bytes: Mutex<f64>,
@@ -251,6 +313,20 @@
     member: Option<Name>,
 }
 
+/// The permit of a request, or the request's place in the admission queue.
+enum PermitState {
+    Granted(AdmissionPermit),
+    Queued { expires_at: Nanos, permit: oneshot::Receiver<AdmissionPermit> },
+}
+
+/// Estimated times of a large response to another node.
+#[derive(Default)]
+struct LinkDelay {
+    /// How long the link is busy with earlier responses.
+    wait: Nanos,
+    transfer_time: Nanos,
+}
+
 /// A permit that has been granted and not yet delivered to its request.
 struct GrantedPermit {
     waiter: oneshot::Sender<AdmissionPermit>,
@@ -306,16 +382,21 @@
 }
 
 impl UpstreamRun {
+    /// Ends the run with this outcome. The drop that follows has no effect then.
     fn finish(self, outcome: RunOutcome) {
         let now = self.proxy.clock.now();
-        lock(&self.proxy.health).end_run(now, self.run_id, outcome);
+        lock(&self.proxy.outlier_detector).end_run(now, self.run_id, outcome);
         self.proxy.update_health(now);
     }
 }
 
 impl Drop for UpstreamRun {
     fn drop(&mut self) {
-        lock(&self.proxy.health).end_run(self.proxy.clock.now(), self.run_id, RunOutcome::Abandoned);
+        lock(&self.proxy.outlier_detector).end_run(
+            self.proxy.clock.now(),
+            self.run_id,
+            RunOutcome::Abandoned,
+        );
     }
 }
 
@@ -352,8 +433,8 @@
             connection_limit: ConnectionLimit::new(settings.max_connections),
             in_flight: AtomicUsize::new(0),
             admission: Mutex::default(),
-            health: Mutex::default(),
-            shares: ArcSwap::default(),
+            outlier_detector: Mutex::default(),
+            member_shares: ArcSwap::default(),
             large_response_shaper: LargeResponseShaper::new(settings.link_mbps, clock),
             mean_large_bytes: Mutex::new(0.0),
             pending_large: AtomicUsize::new(0),
@@ -383,7 +464,7 @@
             warming_up_ms: 0,
             calls_services: self.calls_services.load(Relaxed),
             accepts_clients: self.accepts_clients.load(Relaxed),
-            health: lock(&self.health).health(),
+            health: lock(&self.outlier_detector).health(),
         };
         if let Some(upstream) = &state.upstream {
             record.service = upstream.service.clone();
@@ -397,8 +478,8 @@
         record
     }
 
-    /// Whether the current upstream incarnation has signed off and accepts no more requests.
-    pub fn upstream_signed_off(&self) -> bool {
+    /// Whether the current upstream incarnation has signed off, and so accepts no more requests.
+    pub fn has_upstream_ended(&self) -> bool {
         lock(&self.state).upstream.as_ref().is_some_and(|upstream| upstream.state == UpstreamState::Absent)
     }
 
@@ -409,7 +490,7 @@
 
     /// Restores the upstream after a restart from this node's earlier `record`, if one health check confirms that the same
     /// incarnation still runs. The inbound proxy can then serve before the upstream's next heartbeat.
-    pub async fn probe_upstream(self: Arc<Self>, record: EndpointRecord, health_path: String) {
+    pub async fn restore_probed_upstream(self: Arc<Self>, record: EndpointRecord, health_path: String) {
         let Some(address) = self.upstream_address.filter(|_| record.state != UpstreamState::Absent) else {
             return;
         };
@@ -446,7 +527,7 @@
         }
         let is_draining = record.state == UpstreamState::Draining;
         log::info!(
-            "upstream found again: upstream={} service={} state={}",
+            "upstream restored by a health check: upstream={} service={} state={}",
             record.upstream_id,
             record.service,
             record.state
@@ -491,14 +572,14 @@
         self.publish_record();
     }
 
-    /// Increments the sequence number of the endpoint record and wakes the watches, which report it.
+    /// Increments the sequence number of the endpoint record and wakes the tasks that report it to the control plane.
     pub fn publish_record(&self) {
         lock(&self.state).record_sequence += 1;
         self.record_changes.notify_waiters();
     }
 
-    /// Ensures that this node's incarnation is later than one under which other nodes know its record: they ignore records
-    /// of earlier incarnations.
+    /// Raises this node's incarnation above one under which other nodes know its record, since they ignore records of earlier
+    /// incarnations.
     pub fn ensure_incarnation_above(&self, incarnation: u64) {
         let mut state = lock(&self.state);
         if incarnation > state.incarnation {
@@ -509,17 +590,19 @@
         }
     }
 
-    /// Looks up the run at the upstream of which a request to this node's outbound proxy is a nested call: the id of a nested
-    /// call extends that of its run. Returns whether the run is a retry, since its calls then count as retries too; `None`
+    /// Finds the run at the upstream that made a request to this node's outbound proxy as a nested call: the id of a nested
+    /// call begins with the id of the run. Returns whether the run is a retry, since its calls then count as retries too; `None`
     /// if the request is not a nested call. The first nested call marks the upstream as one that calls other services.
-    pub fn nested_call_is_retry(&self, id: &[u8]) -> Option<bool> {
-        let mut separators = id.iter().enumerate().filter(|(_, byte)| !byte.is_ascii_alphanumeric()).take(8);
+    pub fn record_nested_call(&self, id: &[u8]) -> Option<bool> {
+        let mut separators =
+            id.iter().enumerate().filter(|(_, byte)| !byte.is_ascii_alphanumeric()).take(MAX_ID_SEPARATORS);
         let is_retry = {
             let active_requests = lock(&self.active_requests);
             separators.find_map(|(at, _)| active_requests.get(&id[..at]).copied())
         };
         if is_retry.is_some() && !self.calls_services.swap(true, Relaxed) {
-            log::info!("the upstream calls other services");
+            let service = self.service().unwrap_or_default();
+            log::info!("upstream makes nested calls, published in the endpoint record: service={service}");
             self.publish_record();
         }
         is_retry
@@ -536,13 +619,13 @@
         let (call_name, subject) = call_and_subject(&uri);
         match (call_name.as_str(), subject) {
             ("offices.beat", Some(upstream_id)) => {
-                let body_memory = Arc::new(Semaphore::new(1 << 16));
+                let body_memory = Arc::new(Semaphore::new(HEARTBEAT_MEMORY_BYTES));
                 let read = listener::read_message(
                     received,
                     &body_memory,
                     self.clock,
                     MAX_HEARTBEAT_BYTES,
-                    Duration::from_secs(1),
+                    HEARTBEAT_READ_TIMEOUT,
                 )
                 .await;
                 let heartbeat = match read {
@@ -555,7 +638,7 @@
                 }
             }
             ("offices.sign_off", Some(upstream_id)) => {
-                self.sign_off(&upstream_id);
+                self.end_upstream(&upstream_id);
                 listener::json_response(200, "{}".into())
             }
             ("sessions.count", _) => {
@@ -565,28 +648,19 @@
         }
     }
 
-    /// Handles a heartbeat of an upstream incarnation: JSON with its address, service and concurrency limit. Heartbeats of
-    /// ended incarnations and those older than the last one are accepted and ignored. The error says what is malformed.
+    /// Handles a heartbeat of an upstream incarnation. Heartbeats of ended incarnations and those older than the last one are
+    /// accepted and ignored. The error says what is malformed.
     pub fn handle_heartbeat(self: &Arc<Self>, upstream_id: &str, body: &[u8]) -> Result<(), &'static str> {
-        let text = std::str::from_utf8(body).map_err(|_| "not UTF-8")?;
-        let heartbeat = jzon::parse(text).map_err(|_| "no JSON")?;
-        let (notice, status) = (&heartbeat["notice"], &heartbeat["status"]);
-        let string_field = |object: &Json, name: &str| object[name].as_str().unwrap_or_default().to_owned();
-        let address: SocketAddr =
-            heartbeat["address"].as_str().and_then(|text| text.parse().ok()).ok_or("no address")?;
-        let service = string_field(notice, "line");
-        if service.is_empty() {
-            return Err("no line");
-        }
-        let heartbeat_sequence = status["postmark_seq"].as_u64().unwrap_or(0);
-        let reported_state = if status["state"].as_str() == Some("closing") {
-            UpstreamState::Draining
-        } else {
-            UpstreamState::Serving
-        };
-        let warming_up_ms = status["cold_left_ms"].as_f64().unwrap_or(0.0).clamp(0.0, 600_000.0) as u64;
-        let concurrency_limit = notice["pigeonholes"].as_u32().unwrap_or(1).clamp(1, 100_000);
-        let (zone, software_version) = (string_field(notice, "zone"), string_field(notice, "edition"));
+        let Heartbeat {
+            address,
+            service,
+            zone,
+            software_version,
+            concurrency_limit,
+            sequence: heartbeat_sequence,
+            state: reported_state,
+            warming_up_ms,
+        } = Heartbeat::parse(body)?;
         let now = self.clock.now();
         let mut state = lock(&self.state);
         if state.past_incarnations.iter().any(|ended| ended == upstream_id) {
@@ -649,7 +723,7 @@
         state.upstream = Some(upstream);
         drop(state);
         if previous.is_none_or(|previous| previous.id != upstream_id) {
-            lock(&self.health).reset();
+            lock(&self.outlier_detector).reset();
         }
         if !is_unchanged {
             let mut admission = lock(&self.admission);
@@ -671,8 +745,9 @@
         )
     }
 
-    /// Ends an upstream incarnation. It is remembered even if it was unknown, since a late heartbeat of it may still arrive.
-    fn sign_off(&self, upstream_id: &str) {
+    /// Ends an upstream incarnation that has signed off. It is remembered even if it was unknown, since a late heartbeat of it
+    /// may still arrive.
+    fn end_upstream(&self, upstream_id: &str) {
         let mut state = lock(&self.state);
         state.end_incarnation(upstream_id);
         let Some(upstream) = &mut state.upstream else { return };
@@ -681,7 +756,7 @@
         }
         upstream.state = UpstreamState::Absent;
         upstream.connections.close_idle();
-        log::info!("upstream signed off: upstream={upstream_id}");
+        log::info!("upstream ended, its requests go elsewhere: upstream={upstream_id}");
         drop(state);
         self.publish_record();
     }
@@ -732,13 +807,13 @@
 
     /// Sets members' shares of the concurrency limit, from the configuration in force on this node.
     pub fn set_member_shares(&self, shares: &Arc<RetryShares>) {
-        self.shares.store(shares.clone());
+        self.member_shares.store(shares.clone());
     }
 
     /// A member's share as configured on this node, or else as the outbound proxy sent it. A partitioned outbound proxy may
     /// not know yet that the platform has reduced the share.
     fn effective_share(&self, received: MemberShare) -> MemberShare {
-        let share = self.shares.load().get(&received.member).map(|share| share.concurrency);
+        let share = self.member_shares.load().get(&received.member).map(|share| share.concurrency);
         MemberShare { share: share.unwrap_or(received.share), ..received }
     }
 
@@ -782,34 +857,36 @@
             is_large,
             is_remote,
             fencing_token,
-            target,
+            target_at,
             deadline,
             member_share,
             ..
         } = request;
-        let Some(connections) = self.accepting_pool(upstream_id) else { return UpstreamOutcome::Gone };
+        let Some(connections) = self.accepting_pool(upstream_id) else {
+            return UpstreamOutcome::NotAccepting;
+        };
         let now = self.clock.now();
-        if let Err(current_term) = self.check_fencing(now, fencing_token) {
-            return UpstreamOutcome::Fenced(current_term);
+        if let Err(owner_term) = self.check_fencing(now, fencing_token) {
+            return UpstreamOutcome::Fenced(owner_term);
         }
         // A large response meets its target only if its last byte does. The target for the run is therefore earlier by the
-        // transfer time, and by the part of the wait for the link that exceeds the run time, which passes concurrently.
+        // transfer time, and by the wait for the link as far as it is longer than the run, during which the link empties.
         let is_paced = is_large && is_remote;
-        let (link_wait, transfer_time) = if is_paced { self.large_response_delay(now) } else { (0, 0) };
+        let link = if is_paced { self.estimate_link_delay(now) } else { LinkDelay::default() };
         let run_time = lock(&self.admission).mean_run_time();
-        let target = target.saturating_sub(transfer_time + link_wait.saturating_sub(run_time));
-        if link_wait > 0 && now + run_time > target {
+        let target_at = target_at.saturating_sub(link.transfer_time + link.wait.saturating_sub(run_time));
+        if link.wait > 0 && now + run_time > target_at {
             return UpstreamOutcome::Rejected;
         }
         let member_share = member_share.map(|received| self.effective_share(received));
         let member = member_share.as_ref().map(|member_share| member_share.member.clone());
-        let admitted = {
+        let permit_state = {
             let mut permit = None;
             let admission_request = AdmissionRequest {
                 is_nested,
                 rejections: request.rejections,
                 has_affinity: request.has_affinity,
-                target,
+                target: target_at,
                 deadline,
             };
             let decision = lock(&self.admission).request_member_admission(
@@ -824,9 +901,9 @@
             );
             match (decision, permit) {
                 (Admission::Admitted, _) => {
-                    Ok(AdmissionPermit { proxy: self.clone(), started_at: 0, member })
+                    PermitState::Granted(AdmissionPermit { proxy: self.clone(), started_at: 0, member })
                 }
-                (Admission::Queued(expires_at), Some(permit)) => Err((expires_at, permit)),
+                (Admission::Queued(expires_at), Some(permit)) => PermitState::Queued { expires_at, permit },
                 _ => return UpstreamOutcome::Rejected,
             }
         };
@@ -836,27 +913,31 @@
         let request_id = id.as_ref().map(|id| id.as_bytes().to_vec()).unwrap_or_default();
         lock(&self.active_requests).insert(request_id.clone(), is_retry);
         let guard = RequestGuard { proxy: self.clone(), request_id };
-        let mut permit = match admitted {
-            Ok(permit) => permit,
-            Err((expires_at, granted)) => match timeout_at(self.clock.instant(expires_at), granted).await {
-                Ok(Ok(permit)) => permit,
-                Ok(Err(_)) => return UpstreamOutcome::Rejected,
-                Err(_) => return UpstreamOutcome::NotSent,
-            },
+        let mut permit = match permit_state {
+            PermitState::Granted(permit) => permit,
+            PermitState::Queued { expires_at, permit } => {
+                match timeout_at(self.clock.instant(expires_at), permit).await {
+                    Ok(Ok(permit)) => permit,
+                    // The admission queue has dropped the request.
+                    Ok(Err(_)) => return UpstreamOutcome::Rejected,
+                    // The request has expired in the queue.
+                    Err(_) => return UpstreamOutcome::NotSent,
+                }
+            }
         };
         if self.accepting_pool(upstream_id).is_none() {
-            return UpstreamOutcome::Gone;
+            return UpstreamOutcome::NotAccepting;
         }
         // The session may have moved to another owner while the request waited.
-        if let Err(current_term) = self.check_fencing(self.clock.now(), fencing_token) {
-            return UpstreamOutcome::Fenced(current_term);
+        if let Err(owner_term) = self.check_fencing(self.clock.now(), fencing_token) {
+            return UpstreamOutcome::Fenced(owner_term);
         }
-        let left_ms = deadline.saturating_sub(self.clock.now()) / MS;
-        if left_ms == 0 {
+        let time_left_ms = deadline.saturating_sub(self.clock.now()) / MS;
+        if time_left_ms == 0 {
             return UpstreamOutcome::NotSent;
         }
         let mut added_headers = HeaderMap::new();
-        added_headers.insert(TIME_LEFT_MS, HeaderValue::from(left_ms));
+        added_headers.insert(TIME_LEFT_MS, HeaderValue::from(time_left_ms));
         if let Ok(upstream_id) = HeaderValue::try_from(upstream_id) {
             added_headers.insert(TARGET_UPSTREAM, upstream_id);
         }
@@ -865,7 +946,7 @@
         let matches_request = |head: &Parts| head.headers.get(&REQUEST_ID) == id.as_ref();
         permit.started_at = self.clock.now();
         let class = RequestClass { member: permit.member.clone(), is_nested, is_large };
-        let run = self.begin_run(permit.started_at, class);
+        let run = self.start_run(permit.started_at, class);
         let response = connections
             .exchange(message, &added_headers, deadline, Some(Box::new(permit)), matches_request)
             .await;
@@ -886,11 +967,12 @@
         };
         head.headers.remove(&ATTEMPT_OUTCOME);
         if head.status == StatusCode::MISDIRECTED_REQUEST {
-            return UpstreamOutcome::Gone;
+            // The run counts as abandoned when it is dropped, since another incarnation has responded.
+            return UpstreamOutcome::NotAccepting;
         }
         if head.headers.contains_key(&NOT_RUN) {
             run.finish(RunOutcome::Failed);
-            return UpstreamOutcome::UpstreamFull;
+            return UpstreamOutcome::RefusedByUpstream;
         }
         // An encoded response, or a successful one without the upstream's stamp, was created or modified by an intermediary,
         // so it doesn't show whether the request has run.
@@ -917,21 +999,21 @@
     }
 
     /// Registers a run with the outlier detector.
-    fn begin_run(self: &Arc<Self>, now: Nanos, class: RequestClass) -> UpstreamRun {
-        let run_id = lock(&self.health).start_run(now, class);
+    fn start_run(self: &Arc<Self>, now: Nanos, class: RequestClass) -> UpstreamRun {
+        let run_id = lock(&self.outlier_detector).start_run(now, class);
         self.update_health(now);
         UpstreamRun { proxy: self.clone(), run_id }
     }
 
     /// Logs and publishes the upstream's health if it has changed.
     fn update_health(&self, now: Nanos) {
-        let mut health = lock(&self.health);
+        let mut health = lock(&self.outlier_detector);
         let (previous, current) = (health.health(), health.update(now));
         drop(health);
         if previous != current {
             let service = self.service().unwrap_or_default();
             log::info!(
-                "upstream health: service={service} failure_level={} latency_level={}",
+                "upstream health changed, record published: service={service} failure_level={} latency_level={}",
                 current.failure_level,
                 current.latency_level
             );
@@ -948,23 +1030,25 @@
         body
     }
 
-    /// Estimates, from the mean size, for a large response to another node that is requested now: how long the link is busy
-    /// with earlier ones, and its own transfer time.
-    fn large_response_delay(&self, now: Nanos) -> (Nanos, Nanos) {
+    /// Estimates the delays of a large response to another node that is requested now, from the mean size.
+    fn estimate_link_delay(&self, now: Nanos) -> LinkDelay {
         let mean = *lock(&self.mean_large_bytes);
         let pending_bytes = self.pending_large.load(Relaxed) as f64 * mean;
         let pacer = self.large_response_shaper.pacer();
-        (pacer.queue_delay(now) + pacer.transfer_time(pending_bytes), pacer.transfer_time(mean))
+        LinkDelay {
+            wait: pacer.queue_delay(now) + pacer.transfer_time(pending_bytes),
+            transfer_time: pacer.transfer_time(mean),
+        }
     }
 
-    /// Reports bytes that go to other nodes unpaced to the pacer.
+    /// Reports to the pacer how many bytes go to other nodes unpaced.
     pub fn record_outgoing_bytes(&self, bytes: u64) {
         self.large_response_shaper
             .pacer()
             .record_unpaced(self.clock.now(), bytes as usize + ESTIMATED_HEADER_BYTES);
     }
 
-    /// The error is the current owner's term, if the session has moved to a later owner.
+    /// The error is the term since which another proxy owns the session.
     fn check_fencing(&self, now: Nanos, fencing_token: Option<FencingToken>) -> Result<(), u64> {
         fencing_token.map_or(Ok(()), |fencing_token| self.fencing_table.check(now, fencing_token))
     }
@@ -999,28 +1083,36 @@
         let received_at = received.received_at;
         let headers = received.request.headers();
         let upstream_id = header_str(headers, &TARGET_UPSTREAM).to_owned();
-        let left_ms = header_str(headers, &TIME_LEFT_MS).parse::<u64>().unwrap_or(0).min(MAX_TIME_LEFT_MS);
+        let time_left_ms =
+            header_str(headers, &TIME_LEFT_MS).parse::<u64>().unwrap_or(0).min(MAX_TIME_LEFT_MS);
         let fencing_header = header_str(headers, &FENCING_TOKEN);
         if let Some(keys) = self.sessions.handle_handover(fencing_header) {
             return self.with_outcome(Response::new(ResponseBody::from_bytes(keys)), "ran");
         }
         let fencing_token = FencingToken::from_header(fencing_header);
-        let RequestTerms { target_ms, rejections, has_affinity, is_retry, is_nested, is_large, member_share } =
-            RequestTerms::from_headers(headers, left_ms);
+        let RequestParameters {
+            target_ms,
+            rejections,
+            has_affinity,
+            is_retry,
+            is_nested,
+            is_large,
+            member_share,
+        } = RequestParameters::from_headers(headers, time_left_ms);
         let caller = headers.get(&CALLER_SERVICE).cloned().unwrap_or(HeaderValue::from_static(""));
         let read =
-            listener::read_message(received, &body_memory, self.clock, u64::MAX, Duration::from_secs(10))
-                .await;
+            listener::read_message(received, &body_memory, self.clock, u64::MAX, REQUEST_READ_TIMEOUT).await;
         let (mut message, _permit) = match read {
             Ok(read) => read,
             Err(RequestError(status, reason)) => {
-                return self.with_outcome(plain_response(status, reason), "unsent");
+                return self
+                    .with_outcome(plain_response(status, reason), UpstreamOutcome::NotSent.wire_name());
             }
         };
-        message.head.headers_mut().remove(&REQUEST_TERMS);
+        message.head.headers_mut().remove(&REQUEST_PARAMETERS);
         message.head.headers_mut().remove(&FENCING_TOKEN);
         let (message, upstream_id, caller, is_remote) = (&Arc::new(message), &*upstream_id, &caller, true);
-        let (target, deadline) = (received_at + target_ms * MS, received_at + left_ms * MS);
+        let (target_at, deadline) = (received_at + target_ms * MS, received_at + time_left_ms * MS);
         let request = InboundRequest {
             message,
             upstream_id,
@@ -1032,7 +1124,7 @@
             is_large,
             is_remote,
             fencing_token,
-            target,
+            target_at,
             deadline,
             member_share,
         };
@@ -1042,15 +1134,21 @@
             UpstreamOutcome::Responded(head, body) => {
                 self.with_outcome(Response::from_parts(head, body), outcome_name)
             }
-            UpstreamOutcome::Fenced(current_term) => self
-                .with_outcome(plain_response(503, outcome_name), &format!("{FENCED_PREFIX}{current_term}")),
+            UpstreamOutcome::Fenced(owner_term) => {
+                self.with_outcome(plain_response(503, outcome_name), &format!("{FENCED_PREFIX}{owner_term}"))
+            }
             _ => self.with_outcome(plain_response(503, outcome_name), outcome_name),
         }
     }
 }
 
-/// Parses the name of a control call and the id of its subject from the query; the name is empty for any other path. Ids are
-/// truncated to 256 characters.
+/// Parses a value of the header [`ATTEMPT_OUTCOME`]: the name of the outcome, and the inbound proxy's load if it is valid.
+pub fn parse_outcome_header(value: &str) -> (&str, Option<f64>) {
+    let (outcome_name, load) = value.split_once(' ').unwrap_or((value, ""));
+    (outcome_name, load.parse().ok())
+}
+
+/// Parses the name of a control call and the id of its subject from the query; the name is empty for any other path.
 pub fn call_and_subject(uri: &hyper::Uri) -> (String, Option<String>) {
     if uri.path() != "/api/rpc" {
         return (String::new(), None);
@@ -1060,7 +1158,7 @@
     for (name, value) in pairs {
         match name {
             "call" => call_name = value.to_owned(),
-            "of" => subject = Some(value.chars().take(256).collect()),
+            "of" => subject = Some(value.chars().take(MAX_SUBJECT_CHARS).collect()),
             _ => {}
         }
     }
--- a/balancer/src/mesh/proxy/inbound_request.rs
+++ b/balancer/src/mesh/proxy/inbound_request.rs
@@ -1,9 +1,9 @@
-//! A request as an inbound proxy receives it from an outbound proxy, on its own node or another, and the terms of the request
+//! A request as an inbound proxy receives it from an outbound proxy, on its own node or another, and the parameters of the request
 //! that are sent between nodes.
 //!
-//! Main types: [`InboundRequest`], [`RequestTerms`] with the wire format of the header [`REQUEST_TERMS`].
+//! Main types: [`InboundRequest`], [`RequestParameters`] with the wire format of the header [`REQUEST_PARAMETERS`].
 //!
-//! Invariants: missing or malformed terms never fail a request; they get the defaults of a plain request.
+//! Invariants: missing or malformed parameters never fail a request; they get the defaults of a plain request.
 
 use std::sync::Arc;
 
@@ -13,7 +13,7 @@
 
 use crate::body::RequestMessage;
 use crate::mesh::proxy::fencing::FencingToken;
-use crate::mesh::proxy::headers::REQUEST_TERMS;
+use crate::mesh::proxy::headers::REQUEST_PARAMETERS;
 
 const MS: Nanos = 1_000_000;
 /// Upper bound of the time left that a client sends, in ms; a greater one is reduced to this.
@@ -45,16 +45,16 @@
     /// The session and its owner's term; none without a session.
     pub fencing_token: Option<FencingToken>,
     /// When a response misses the latency target.
-    pub target: Nanos,
+    pub target_at: Nanos,
     /// When nobody waits for the response any more.
     pub deadline: Nanos,
     /// The member that owns the route, and its share of the concurrency limit; none on a route of the platform.
     pub member_share: Option<MemberShare>,
 }
 
-/// The terms of a request as read from the wire; see the fields of the same names of [`InboundRequest`].
+/// The parameters of a request as read from the wire; see the fields of the same names of [`InboundRequest`].
 #[derive(Debug, PartialEq)]
-pub struct RequestTerms {
+pub struct RequestParameters {
     /// Time until the latency target, in ms.
     pub target_ms: u64,
     pub rejections: u32,
@@ -66,12 +66,12 @@
 }
 
 impl InboundRequest<'_> {
-    /// Formats the terms as the value of the header [`REQUEST_TERMS`], separated by spaces: the ms until the latency target,
+    /// Formats the parameters as the value of the header [`REQUEST_PARAMETERS`], separated by spaces: the ms until the latency target,
     /// the number of rejections, and flags as letters (`a`: retry or nested call of one; `c`: nested call; `l`: large response;
     /// `t`: session bound to this upstream). On a member's route the member's share and name follow; the name may contain
     /// spaces and extends to the end. The time left until the deadline has a header of its own.
-    pub fn terms_header(&self, now: Nanos) -> String {
-        let mut value = format!("{} {} ", self.target.saturating_sub(now) / MS, self.rejections);
+    pub fn format_parameters(&self, now: Nanos) -> String {
+        let mut value = format!("{} {} ", self.target_at.saturating_sub(now) / MS, self.rejections);
         value.extend(
             [(self.is_retry, 'a'), (self.is_nested, 'c'), (self.is_large, 'l'), (self.has_affinity, 't')]
                 .iter()
@@ -85,15 +85,16 @@
     }
 }
 
-impl RequestTerms {
-    /// Parses the terms from a request's headers. Missing or malformed terms get the defaults of a plain request, whose latency
-    /// target is the end of its time left, `left_ms`.
-    pub fn from_headers(headers: &HeaderMap, left_ms: u64) -> RequestTerms {
+impl RequestParameters {
+    /// Parses the parameters from a request's headers. Missing or malformed parameters get the defaults of a plain request, whose latency
+    /// target is the end of its time left, `time_left_ms`.
+    pub fn from_headers(headers: &HeaderMap, time_left_ms: u64) -> RequestParameters {
         // A member's name may be in any script, so the value is UTF-8 and not only ASCII.
-        let value = headers.get(&REQUEST_TERMS).and_then(|value| std::str::from_utf8(value.as_bytes()).ok());
+        let value =
+            headers.get(&REQUEST_PARAMETERS).and_then(|value| std::str::from_utf8(value.as_bytes()).ok());
         let mut parts = value.unwrap_or_default().trim().splitn(5, ' ');
         let target_ms =
-            parts.next().and_then(|text| text.parse().ok()).unwrap_or(left_ms).min(MAX_TIME_LEFT_MS);
+            parts.next().and_then(|text| text.parse().ok()).unwrap_or(time_left_ms).min(MAX_TIME_LEFT_MS);
         let rejections = parts.next().and_then(|text| text.parse().ok()).unwrap_or(0);
         let flags = parts.next().unwrap_or_default();
         let [is_retry, is_nested, is_large, has_affinity] =
@@ -101,6 +102,6 @@
         let share = parts.next().and_then(|text| text.parse().ok());
         let member = parts.next().filter(|name| !name.is_empty() && name.len() <= MAX_MEMBER_NAME_BYTES);
         let member_share = share.zip(member).map(|(share, name)| MemberShare { member: name.into(), share });
-        RequestTerms { target_ms, rejections, has_affinity, is_retry, is_nested, is_large, member_share }
+        RequestParameters { target_ms, rejections, has_affinity, is_retry, is_nested, is_large, member_share }
     }
 }
--- a/balancer/src/mesh/proxy/node.rs
+++ b/balancer/src/mesh/proxy/node.rs
@@ -1,4 +1,4 @@
-//! The attendant process: the proxies of one node and the state that they share.
+//! The node process (`attendant`): the proxies of one node and the state that they share.
 //!
 //! [`run`] reads the settings, binds the four listeners (inbound, outbound, readiness, control), starts the watches on the
 //! control plane and performs the graceful shutdown. `outbound` and `inbound` handle requests with the state in [`Node`]. New
@@ -10,8 +10,7 @@
 //! - A node reports itself ready only with a configuration and endpoint records, and never while it shuts down.
 //! - A configuration is replaced as a whole, and never by an older one.
 //! - The process doesn't end while requests are in flight and the shutdown grace lasts.
-//! - Locks are taken in this order: the configuration's versions before the base documents, the endpoint records before the
-//!   schedulers.
+//! - Locks are taken in this order: [`Node`]'s `versions` before `base_documents`, `endpoint_view` before `schedulers`.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::net::SocketAddr;
@@ -65,22 +64,38 @@
 use crate::mesh::shared::recovery_time::RecoveryTime;
 use crate::mesh::start;
 
-/// File descriptors reserved for anything but the connections of clients, to inbound proxies and to the upstream.
+/// File descriptors kept free for everything other than connections (clients', to inbound proxies and to the upstream).
 const RESERVED_DESCRIPTORS: u64 = 300;
+/// Least number of connections, however few descriptors the settings allow.
+const MIN_SOCKETS: u64 = 64;
+// The parts of `max_sockets` for the connections to the upstream and to other inbound proxies, and for those accepted by
+// the inbound, the outbound and each of the two small listeners. They add up to slightly more than one.
+const UPSTREAM_SOCKET_DIVISOR: usize = 8;
+const INBOUND_PROXY_SOCKET_DIVISOR: usize = 4;
+const INBOUND_LISTENER_SOCKET_DIVISOR: usize = 4;
+const OUTBOUND_LISTENER_SOCKET_DIVISOR: usize = 3;
+const SMALL_LISTENER_SOCKET_DIVISOR: usize = 32;
+const MIN_LISTENER_CONNECTIONS: usize = 16;
+/// Time within which a listener must have received the head of a request.
+const HEADER_TIMEOUT: Duration = Duration::from_secs(20);
+const MIN_BUFFER_BYTES: usize = 1 << 20;
+const MAX_REQUEST_BODY_MEMORY_BYTES: usize = 1 << 29;
+const MAX_READ_AHEAD_BYTES: usize = 1 << 28;
 /// Share of the process's memory for request bodies.
 const REQUEST_BODY_MEMORY_SHARE: f64 = 0.15;
 /// Share of the process's memory for responses that are read ahead of their clients.
 const READ_AHEAD_MEMORY_SHARE: f64 = 0.15;
 /// Above this number of routes, the recorded times left are cleared.
 const MAX_TIME_LEFT_ROUTES: usize = 20_000;
-/// Most log lines on overlay violations, and on editions in force, per applied configuration or document.
+/// Most log lines of each kind when a configuration or a member's document is applied.
 const MAX_LOGGED_CHANGES: usize = 20;
 /// How long the greatest time left of a route's clients is valid.
 const TIME_LEFT_WINDOW: Nanos = 10_000_000_000;
-/// The control plane counts as unreachable after this time without a response, which is the time of three watches.
+/// The control plane counts as unreachable after this time without a response, three times the duration of
+/// the longest watch.
 const CONTROL_PLANE_TIMEOUT: Nanos = 1_500_000_000;
-/// How long clients may still connect after a shutdown has begun: the platform checks readiness once a second and acts after
-/// two failures.
+/// How long clients may still connect after a shutdown has begun: the orchestrator checks readiness once a second and acts
+/// after two failures.
 const MIN_DRAIN_TIME: Duration = Duration::from_millis(2_400);
 /// Time within which all outbound proxies receive the record that says that this node no longer accepts clients.
 const RECORD_PROPAGATION_TIME: Duration = Duration::from_millis(500);
@@ -143,7 +158,7 @@
 
 /// The greatest recent time left of a route's clients.
 struct MaxTimeLeft {
-    left_ms: u64,
+    time_left_ms: u64,
     recorded_at: Nanos,
 }
 
@@ -161,7 +176,7 @@
     /// The value that was applied last.
     applied: Option<Arc<RegisterValue>>,
     /// The revision that is being fetched or was rejected; [`Revision::NONE`] if there is none.
-    fetching: Revision,
+    fetching_or_rejected: Revision,
 }
 
 /// The state of one node's proxies.
@@ -175,7 +190,7 @@
     pub configuration: ArcSwapOption<AppliedConfiguration>,
     base_documents: Mutex<BaseDocuments>,
     versions: Mutex<ConfigurationVersions>,
-    records: Mutex<EndpointView>,
+    endpoint_view: Mutex<EndpointView>,
     /// Inbound proxies of nodes that no reachable replica has heard from recently.
     suspected: ArcSwap<HashSet<SocketAddr>>,
     schedulers: Mutex<SchedulerSet>,
@@ -212,10 +227,10 @@
     pub fn new(settings: Settings, inbound_address: SocketAddr, clock: Clock) -> Arc<Node> {
         let max_sockets = max_sockets(&settings);
         let body_bytes = ((settings.limits.memory_mb as f64 * REQUEST_BODY_MEMORY_SHARE * 1e6) as usize)
-            .clamp(1 << 20, 1 << 29);
+            .clamp(MIN_BUFFER_BYTES, MAX_REQUEST_BODY_MEMORY_BYTES);
         let read_ahead_bytes = ((settings.limits.memory_mb as f64 * READ_AHEAD_MEMORY_SHARE * 1e6) as usize)
-            .clamp(1 << 20, 1 << 28);
-        let incarnation = clock.now() / 1_000_000;
+            .clamp(MIN_BUFFER_BYTES, MAX_READ_AHEAD_BYTES);
+        let incarnation_ms = clock.now() / 1_000_000;
         let mut rng = ChaCha8Rng::seed_from_u64(rand::random());
         let seed: u64 = rng.random();
         let inbound_settings = InboundSettings {
@@ -223,7 +238,7 @@
             zone: settings.zone.clone(),
             upstream_address: settings.upstream_address,
             drain_timeout: settings.bounds.drain_timeout,
-            max_connections: max_sockets / 8,
+            max_connections: max_sockets / UPSTREAM_SOCKET_DIVISOR,
             read_ahead_bytes,
             link_mbps: settings.limits.link_mbps,
         };
@@ -235,7 +250,7 @@
             configuration: ArcSwapOption::empty(),
             base_documents: Mutex::default(),
             versions: Mutex::default(),
-            records: Mutex::default(),
+            endpoint_view: Mutex::default(),
             suspected: ArcSwap::default(),
             schedulers: Mutex::default(),
             outcomes: Mutex::new(OutcomeCounter::with_window(
@@ -243,8 +258,8 @@
             )),
             max_times_left: Mutex::default(),
             connection_pools: Mutex::default(),
-            connection_permits: Arc::new(Semaphore::new(max_sockets / 4)),
-            inbound: InboundProxy::new(inbound_settings, clock, incarnation),
+            connection_permits: Arc::new(Semaphore::new(max_sockets / INBOUND_PROXY_SOCKET_DIVISOR)),
+            inbound: InboundProxy::new(inbound_settings, clock, incarnation_ms),
             inbound_address,
             body_memory: Arc::new(Semaphore::new(body_bytes)),
             rng: Mutex::new(ChaCha8Rng::seed_from_u64(seed)),
@@ -280,7 +295,11 @@
     /// Revision of the configuration that is applied or being fetched, whichever is later.
     pub fn configuration_revision(&self) -> Revision {
         let versions = lock(&self.versions);
-        versions.applied.as_ref().map_or(Revision::NONE, |value| value.revision()).max(versions.fetching)
+        versions
+            .applied
+            .as_ref()
+            .map_or(Revision::NONE, |value| value.revision())
+            .max(versions.fetching_or_rejected)
     }
 
     /// The applied configuration as the control plane sent it, which is the base for the next incremental fetch.
@@ -293,7 +312,7 @@
     pub fn start_fetch(&self, revision: Revision) -> bool {
         let is_later = revision > self.configuration_revision();
         if is_later {
-            lock(&self.versions).fetching = revision;
+            lock(&self.versions).fetching_or_rejected = revision;
         }
         is_later
     }
@@ -301,8 +320,8 @@
     /// To be called when a fetch has ended, whether it succeeded or not.
     pub fn fetch_ended(&self, revision: Revision) {
         let mut versions = lock(&self.versions);
-        if versions.fetching == revision {
-            versions.fetching = Revision::NONE;
+        if versions.fetching_or_rejected == revision {
+            versions.fetching_or_rejected = Revision::NONE;
         }
     }
 
@@ -326,7 +345,7 @@
     }
 
     /// Begins the shutdown; requests that still run after `grace` are aborted.
-    pub fn start_draining(&self, grace: Duration) {
+    pub fn begin_shutdown(&self, grace: Duration) {
         self.shutting_down.store(true, Relaxed);
         self.shutdown_deadline.store(self.clock.now() + grace.as_nanos() as Nanos, Relaxed);
     }
@@ -342,7 +361,7 @@
     }
 
     /// Returns once all requests are aborted.
-    pub async fn aborted(&self) {
+    pub async fn wait_until_aborted(&self) {
         // The sender lives as long as the node, so waiting can't fail.
         let _ = self.aborted.subscribe().wait_for(|aborted| *aborted).await;
     }
@@ -357,9 +376,9 @@
 
     /// Counts a request received by the outbound proxy. If it is a nested call of a run at this node's upstream, returns
     /// whether that run is a retry.
-    pub fn count_request(&self, id: &HeaderValue) -> Option<bool> {
+    pub fn record_request(&self, id: &HeaderValue) -> Option<bool> {
         self.requests_received.fetch_add(1, Relaxed);
-        self.inbound.nested_call_is_retry(id.as_bytes())
+        self.inbound.record_nested_call(id.as_bytes())
     }
 
     /// Chooses the service for a request of this route at random, by the services' weights.
@@ -387,7 +406,7 @@
         }
         // The configuration is read under the locks: after a later one is applied, all schedulers are renewed, so the one
         // created here is replaced if it is outdated.
-        let records = lock(&self.records);
+        let records = lock(&self.endpoint_view);
         let mut schedulers = lock(&self.schedulers);
         let configuration = self.configuration.load_full()?;
         if let Some(scheduler) = schedulers.scheduler(&key) {
@@ -444,9 +463,9 @@
         BudgetReport { services, recovery_ms: self.recovery_time.recorded_ms(), outcomes }
     }
 
-    /// Estimates how much of its time a client had used before this attempt, in ms: the greatest time left on this route in
-    /// [`TIME_LEFT_WINDOW`], less this request's time left.
-    pub fn time_used_ms(&self, route: &Route, left_ms: u64) -> u64 {
+    /// Records the time left of a request, and estimates how much of its time the client had used before this attempt, in ms:
+    /// the greatest time left on this route in [`TIME_LEFT_WINDOW`], less this request's.
+    pub fn record_time_left(&self, route: &Route, time_left_ms: u64) -> u64 {
         let now = self.clock.now();
         let mut times = lock(&self.max_times_left);
         if times.len() > MAX_TIME_LEFT_ROUTES {
@@ -454,11 +473,11 @@
         }
         let member = route.share.as_ref().map(|share| share.member.clone());
         let key = RouteKey { route: route.name.clone(), member };
-        let max = times.entry(key).or_insert(MaxTimeLeft { left_ms, recorded_at: now });
-        if left_ms >= max.left_ms || now > max.recorded_at + TIME_LEFT_WINDOW {
-            *max = MaxTimeLeft { left_ms, recorded_at: now };
+        let max = times.entry(key).or_insert(MaxTimeLeft { time_left_ms, recorded_at: now });
+        if time_left_ms >= max.time_left_ms || now > max.recorded_at + TIME_LEFT_WINDOW {
+            *max = MaxTimeLeft { time_left_ms, recorded_at: now };
         }
-        max.left_ms - left_ms
+        max.time_left_ms - time_left_ms
     }
 
     /// Whether the node of this inbound proxy is suspected, so that attempts there may be cancelled. Always false while this
@@ -503,11 +522,13 @@
             // theirs.
             Err(errors) => {
                 log::error!(
-                    "configuration not applied, this build can't read it: version={} error={}",
+                    "configuration not applied, this build can't read it: version={} error_count={} first_error={}",
                     value.version,
+                    errors.len(),
                     errors[0]
                 );
-                versions.fetching = Revision::new(value.version, u64::MAX);
+                // No revision of this version is fetched again.
+                versions.fetching_or_rejected = Revision::new(value.version, u64::MAX);
             }
         }
     }
@@ -589,11 +610,13 @@
             self.inbound.restore_upstream_state(&record.upstream_id, record.state);
             if !self.inbound.knows_upstream() {
                 tokio::spawn(
-                    self.inbound.clone().probe_upstream(record.clone(), self.health_path(&record.service)),
+                    self.inbound
+                        .clone()
+                        .restore_probed_upstream(record.clone(), self.health_path(&record.service)),
                 );
             }
         }
-        let changed = lock(&self.records).merge(self.clock.now(), watch_index, records, suspected);
+        let changed = lock(&self.endpoint_view).merge(self.clock.now(), watch_index, records, suspected);
         if changed {
             self.update_schedulers();
         }
@@ -602,19 +625,19 @@
     /// Path of a service's health check.
     fn health_path(&self, service: &str) -> String {
         let configuration = self.configuration.load();
-        let service = configuration.as_ref().and_then(|configuration| configuration.service(service));
-        service.map_or("/health".into(), |service| service.health_path.clone())
+        let configured = configuration.as_ref().and_then(|configuration| configuration.service(service));
+        configured.map_or("/health".into(), |service| service.health_path.clone())
     }
 
     /// To be called when a watch has failed: the nodes that it reported as suspected are no longer suspected because of it.
     pub fn watch_lost(&self, watch_index: usize) {
-        lock(&self.records).clear_suspects(watch_index);
+        lock(&self.endpoint_view).clear_suspects(watch_index);
     }
 
     /// Updates the schedulers to the current configuration and endpoint records.
     fn update_schedulers(&self) {
         let Some(configuration) = self.configuration.load_full() else { return };
-        let records = lock(&self.records);
+        let records = lock(&self.endpoint_view);
         self.suspected.store(Arc::new(records.suspects()));
         let (outbound_proxies, mut schedulers) = (records.client_proxies(), lock(&self.schedulers));
         schedulers.renew(&configuration.plans, |previous, plan| {
@@ -629,18 +652,18 @@
     /// Passes the upstream's connection limit to the inbound proxy.
     fn update_connection_limit(&self) {
         let (configuration, service) = (self.configuration.load(), self.inbound.service());
-        let service = configuration
+        let configured = configuration
             .as_ref()
             .zip(service)
             .and_then(|(configuration, service)| configuration.service(&service).cloned());
-        if let Some(service) = service {
-            self.inbound.set_connection_limit(service.max_connections as usize);
+        if let Some(configured) = configured {
+            self.inbound.set_connection_limit(configured.max_connections as usize);
         }
     }
 
     /// Number of known endpoint records.
     pub fn record_count(&self) -> usize {
-        lock(&self.records).len()
+        lock(&self.endpoint_view).len()
     }
 
     /// The response with this node's metrics.
@@ -684,7 +707,7 @@
         !self.shutting_down.load(Relaxed)
             && !self.control_plane_unreachable()
             && self.configuration.load().is_some()
-            && !lock(&self.records).is_empty()
+            && !lock(&self.endpoint_view).is_empty()
     }
 }
 
@@ -709,7 +732,7 @@
 
 /// Number of file descriptors available for connections.
 fn max_sockets(settings: &Settings) -> usize {
-    settings.limits.file_descriptors.saturating_sub(RESERVED_DESCRIPTORS).max(64) as usize
+    settings.limits.file_descriptors.saturating_sub(RESERVED_DESCRIPTORS).max(MIN_SOCKETS) as usize
 }
 
 /// Addresses of the replicas in the settings for calls between the mesh's own processes, which use the same port on all
@@ -718,7 +741,7 @@
     settings.seeds.iter().map(|seed| SocketAddr::new(seed.ip(), settings.internal_ports.first)).collect()
 }
 
-/// Runs an attendant until it is terminated. The error describes invalid settings.
+/// Runs the node process until it is terminated. The error describes invalid settings.
 pub fn run(path: Option<PathBuf>) -> Result<ExitCode, SettingsError> {
     let path = Settings::path(path)?;
     let settings = Settings::read(&path)?;
@@ -752,8 +775,8 @@
         }
     }
     let limits = |max_connections: usize| ListenerLimits {
-        max_connections: max_connections.max(16),
-        header_timeout: Duration::from_secs(20),
+        max_connections: max_connections.max(MIN_LISTENER_CONNECTIONS),
+        header_timeout: HEADER_TIMEOUT,
     };
     let (Some(control_listener), Some(readiness_listener), Some(outbound_listener), Some(inbound_listener)) =
         (listeners.pop(), listeners.pop(), listeners.pop(), listeners.pop())
@@ -765,7 +788,7 @@
         tokio::spawn(listener::serve(
             inbound_listener,
             clock,
-            limits(max_sockets / 4),
+            limits(max_sockets / INBOUND_LISTENER_SOCKET_DIVISOR),
             state_receiver.clone(),
             connection_count(),
             {
@@ -776,7 +799,7 @@
         tokio::spawn(listener::serve(
             outbound_listener,
             clock,
-            limits(max_sockets / 3),
+            limits(max_sockets / OUTBOUND_LISTENER_SOCKET_DIVISOR),
             state_receiver.clone(),
             connection_count(),
             {
@@ -798,7 +821,7 @@
         tokio::spawn(listener::serve(
             listener,
             clock,
-            limits(max_sockets / 32),
+            limits(max_sockets / SMALL_LISTENER_SOCKET_DIVISOR),
             state_receiver,
             connection_count(),
             move |received: ReceivedRequest| {
@@ -836,18 +859,18 @@
         "termination requested: requests_in_flight={}",
         node.requests_in_flight.load(Relaxed) + inbound.requests_in_flight()
     );
-    // The node reports itself not ready, so that the platform sends clients to other nodes; those that still connect are
+    // The node reports itself not ready, so that the orchestrator sends clients to other nodes; those that still connect are
     // served. The inbound proxy accepts requests for longer, since all nodes lose its upstream's capacity once it stops.
     let started_at = Instant::now();
     let grace = node.settings.load().bounds.shutdown_grace.saturating_sub(SHUTDOWN_MARGIN);
-    node.start_draining(grace);
+    node.begin_shutdown(grace);
     state_sender.send_replace(ListenerState::Draining);
     // The listeners close before the grace ends, so that the last requests have time to finish.
     let max_accept_time = grace.saturating_sub(CONNECTION_CLOSE_MARGIN);
-    // If the upstream has signed off, this node leaves permanently, and the platform may still send clients here if few other
+    // If the upstream has signed off, this node leaves permanently, and the orchestrator may still send clients here if few other
     // nodes in the zone are ready. It then accepts clients for as long as possible.
     let min_accept_time =
-        if inbound.upstream_signed_off() { max_accept_time } else { MIN_DRAIN_TIME.min(max_accept_time) };
+        if inbound.has_upstream_ended() { max_accept_time } else { MIN_DRAIN_TIME.min(max_accept_time) };
     let has_requests = || node.requests_in_flight.load(Relaxed) + inbound.requests_in_flight() > 0;
     while started_at.elapsed() < max_accept_time && (started_at.elapsed() < min_accept_time || has_requests())
     {
@@ -869,14 +892,14 @@
         let _ = timeout_at(started_at + grace + SHUTDOWN_MARGIN / 2, all_ended).await;
     }
     log::info!(
-        "stopped: after_ms={} requests_served={}",
+        "stopped after shutdown: shutdown_ms={} requests_received={}",
         started_at.elapsed().as_millis(),
         node.requests_received.load(Relaxed)
     );
     ExitCode::SUCCESS
 }
 
-/// Answers the platform's readiness check.
+/// Answers the orchestrator's readiness check.
 fn readiness_response(node: &Node, received: &ReceivedRequest) -> Response<ResponseBody> {
     match received.request.uri().path() {
         "/api/ready" if node.is_ready() => plain_response(200, "ready"),
@@ -892,7 +915,7 @@
         .record_when(&node.clock, || node.is_ready() && node.inbound.knows_upstream())
         .await;
     let version = node.configuration.load().as_ref().map_or(0, |configuration| configuration.version);
-    let records = lock(&node.records).len();
+    let records = lock(&node.endpoint_view).len();
     log::info!("full service after {full_ms} ms: configuration_version={version} endpoint_records={records}");
 }
 
@@ -919,13 +942,13 @@
             match Settings::read(&path) {
                 Ok(settings) => {
                     if settings.seeds != node.settings.load().seeds {
-                        log::info!("settings reloaded: seeds={}", settings.seeds.len());
+                        log::info!("settings reloaded with other seeds: seeds={}", settings.seeds.len());
                     }
                     node.settings.store(Arc::new(settings));
                     let known = node.replicas.replicas();
                     node.set_replicas(known);
                 }
-                Err(error) => log::warn!("settings not reloaded: {error}"),
+                Err(error) => log::warn!("settings not reloaded, the previous ones stay in force: {error}"),
             }
         }
     }
--- a/balancer/src/mesh/proxy/outbound.rs
+++ b/balancer/src/mesh/proxy/outbound.rs
@@ -3,16 +3,18 @@
 //! Request path: [`handle_request`] finds the route in the configuration in force, reads the body and computes the deadline.
 //! A request with an idempotency key acquires a lease first (`run_with_lease`). `RequestInFlight::run` then chooses a service
 //! and executes the scheduler's actions: each attempt goes to the inbound proxy of the chosen endpoint, and its outcome goes
-//! back to the decision module, until the request has a final response.
+//! back to the policy (`ochreshed::Balancer`, behind [`RequestScheduler`]), until the request has a final response.
+//!
+//! A member is a tenant with routes of its own; all other routes belong to the platform.
 //!
 //! Main types: `RequestInFlight` (a request with its deadline and session), `Attempt` (parameters of one attempt),
 //! `RequestOutcome` (the final outcome).
 //!
 //! Invariants:
-//! - Only the decision module chooses the endpoint of an attempt.
+//! - Only the policy chooses the endpoint of an attempt.
 //! - A request that the configuration in force on this node doesn't allow is not forwarded.
 //! - A response that has arrived is returned without delay.
-//! - A client is told that its request has not run only if that is certain. (On a repeatable route an upstream's own error
+//! - Only if it is certain that a request has not run is its client told so. (On a repeatable route an upstream's own error
 //!   response is passed on unchanged, since a second run is harmless there.)
 
 use std::pin::pin;
@@ -34,10 +36,10 @@
 use crate::mesh::proxy::connection_pool::{ExchangeError, ResponseBody};
 use crate::mesh::proxy::fencing::FencingToken;
 use crate::mesh::proxy::headers::{
-    ATTEMPT_OUTCOME, CALLER_SERVICE, FENCING_TOKEN, IDEMPOTENCY_KEY, REQUEST_ID, REQUEST_TERMS,
+    ATTEMPT_OUTCOME, CALLER_SERVICE, FENCING_TOKEN, IDEMPOTENCY_KEY, REQUEST_ID, REQUEST_PARAMETERS,
     TARGET_UPSTREAM, TIME_LEFT_MS,
 };
-use crate::mesh::proxy::inbound::UpstreamOutcome;
+use crate::mesh::proxy::inbound::{self, UpstreamOutcome};
 use crate::mesh::proxy::inbound_request::{InboundRequest, MAX_TIME_LEFT_MS};
 use crate::mesh::proxy::lease_client;
 use crate::mesh::proxy::listener::{self, ReceivedRequest, RequestError, header_str, plain_response};
@@ -52,14 +54,21 @@
 const RESPONSE_MARGIN: Nanos = 12 * MS;
 /// Longest response body, in bytes, that is stored with its lease. A longer one completes the lease as indeterminate.
 const MAX_STORED_RESPONSE_BYTES: usize = 64 * 1024;
-/// `Retry-After` of a rejection for which the decision module gives no time.
+/// `Retry-After` of a rejection for which the policy gives no time.
 const DEFAULT_RETRY_AFTER: Nanos = 100 * MS;
 /// A request for a large response is rejected if this process shuts down sooner than this after it was received, since the
 /// response would be truncated.
 const MIN_LARGE_RESPONSE_TIME: Nanos = 2_400 * MS;
-/// Added to the decision module's retry time, so that a burst of requests that is rejected at once doesn't return at once.
+/// Added to the policy's retry time, so that a burst of requests that is rejected at once doesn't return at once.
 const RETRY_AFTER_OFFSET: Nanos = 10 * MS;
 
+/// `Retry-After` while this node has no configuration.
+const RETRY_AFTER_WITHOUT_CONFIGURATION: Nanos = 300 * MS;
+/// `Retry-After` if no quorum grants the lease on the request's key.
+const RETRY_AFTER_WITHOUT_LEASE: Nanos = 200 * MS;
+/// Tenths of a route's deadline before which no nested call is late.
+const NESTED_TARGET_TENTHS: u64 = 7;
+
 /// Final outcome of a request at this outbound proxy.
 enum RequestOutcome {
     /// An upstream's response, successful or not.
@@ -83,7 +92,9 @@
     let Some(id) = headers.get(&REQUEST_ID).cloned() else {
         return plain_response(400, "no Ochreshed-Consignment-Id");
     };
-    let Some(configuration) = node.configuration.load_full() else { return rejection_response(300 * MS) };
+    let Some(configuration) = node.configuration.load_full() else {
+        return rejection_response(RETRY_AFTER_WITHOUT_CONFIGURATION);
+    };
     let host = header_str(headers, &HOST).to_owned();
     let path = received.request.uri().path().to_owned();
     let Some(route) = configuration.route(&host, &path).cloned() else {
@@ -95,14 +106,14 @@
         .and_then(|name| headers.get(&**name))
         .and_then(|value| value.to_str().ok());
     let session_value = session_value.filter(|value| !value.is_empty()).map(str::to_owned);
-    let left_ms =
+    let time_left_ms =
         header_str(headers, &TIME_LEFT_MS).parse::<u64>().unwrap_or(route.deadline_ms).min(MAX_TIME_LEFT_MS);
     let key =
         Some(header_str(headers, &IDEMPOTENCY_KEY)).filter(|key| !key.is_empty()).map(lease_client::hash_key);
     let received_at = received.received_at;
-    let nested_call = node.count_request(&id);
+    let caller_run_is_retry = node.record_request(&id);
     let limits = configuration.limits();
-    let body_timeout = Duration::from_millis(limits.header_timeout_ms.max(left_ms));
+    let body_timeout = Duration::from_millis(limits.header_timeout_ms.max(time_left_ms));
     let read =
         listener::read_message(received, &node.body_memory, node.clock, limits.max_body_bytes, body_timeout)
             .await;
@@ -110,7 +121,7 @@
         Ok(read) => read,
         Err(RequestError(status, reason)) => return plain_response(status, reason),
     };
-    for name in [&TARGET_UPSTREAM, &CALLER_SERVICE, &REQUEST_TERMS, &FENCING_TOKEN, &ATTEMPT_OUTCOME] {
+    for name in [&TARGET_UPSTREAM, &CALLER_SERVICE, &REQUEST_PARAMETERS, &FENCING_TOKEN, &ATTEMPT_OUTCOME] {
         message.head.headers_mut().remove(name);
     }
     let shutdown_deadline = node.shutdown_deadline();
@@ -119,17 +130,17 @@
     {
         return rejection_response(DEFAULT_RETRY_AFTER);
     }
-    let deadline = (received_at + left_ms.min(route.deadline_ms) * MS)
+    let deadline = (received_at + time_left_ms.min(route.deadline_ms) * MS)
         .min(shutdown_deadline)
         .saturating_sub(RESPONSE_MARGIN);
-    let target = (received_at + route.latency_target_ms * MS)
-        .saturating_sub(node.time_used_ms(&route, left_ms) * MS + RESPONSE_MARGIN);
+    let target_at = (received_at + route.latency_target_ms * MS)
+        .saturating_sub(node.record_time_left(&route, time_left_ms) * MS + RESPONSE_MARGIN);
     // A nested call occupies its caller's slot, and its response is useful for as long as the caller waits. It is therefore
-    // not late before 70 % of the route's deadline have passed.
-    let target = if nested_call.is_some() {
-        target.max(received_at + route.deadline_ms * MS * 7 / 10)
+    // not late before [`NESTED_TARGET_TENTHS`] of the route's deadline have passed.
+    let target_at = if caller_run_is_retry.is_some() {
+        target_at.max(received_at + route.deadline_ms * MS * NESTED_TARGET_TENTHS / 10)
     } else {
-        target
+        target_at
     };
     let in_flight = RequestInFlight {
         node: node.clone(),
@@ -138,9 +149,9 @@
         message: Arc::new(message),
         deadline,
         received_at,
-        target,
-        caller_is_retry: nested_call == Some(true),
-        is_nested: nested_call.is_some(),
+        target_at,
+        caller_is_retry: caller_run_is_retry == Some(true),
+        is_nested: caller_run_is_retry.is_some(),
         key,
         session_value,
     };
@@ -194,28 +205,29 @@
 async fn run_with_lease(in_flight: RequestInFlight, key: LeaseKey) -> Response<ResponseBody> {
     let node = in_flight.node.clone();
     let token: LeaseToken = node.new_token();
-    let now = node.clock.now();
-    let time_left = in_flight.deadline.saturating_sub(now);
-    let wait = lock(&node.lease_breaker).max_wait(now, time_left, node.quorum_unreachable());
-    let left_ms = (time_left / MS).min(u64::from(u32::MAX)) as u32;
-    let timeout = Duration::from_nanos(wait);
+    let requested_at = node.clock.now();
+    let time_left = in_flight.deadline.saturating_sub(requested_at);
+    let max_wait = lock(&node.lease_breaker).max_wait(requested_at, time_left, node.quorum_unreachable());
+    let time_left_ms = (time_left / MS).min(u64::from(u32::MAX)) as u32;
+    let timeout = Duration::from_nanos(max_wait);
     let response =
-        lease_client::acquire_lease(&node.replicas, &node.rpc, (key, token), left_ms, timeout).await;
+        lease_client::acquire_lease(&node.replicas, &node.rpc, (key, token), time_left_ms, timeout).await;
     match response {
         CoreResponse::Unavailable => {
             let ended_at = node.clock.now();
-            lock(&node.lease_breaker).record_timeout(ended_at, ended_at - now);
+            lock(&node.lease_breaker).record_timeout(ended_at, ended_at - requested_at);
         }
         _ => lock(&node.lease_breaker).record_answer(),
     }
-    let complete = |outcome| {
+    let end_lease = |outcome| {
         lease_client::complete_lease(node.replicas.clone(), node.rpc.clone(), (key, token), outcome)
     };
+    let release_lease = || end_lease(None);
     match response {
         CoreResponse::LeaseGranted => {}
         other => {
             // Some replicas may have granted the lease without a known quorum. It is released, and the token is never used.
-            complete(None);
+            release_lease();
             return match other {
                 CoreResponse::LeaseHeld(LeaseOutcome::Completed(stored)) => replay_stored(&stored),
                 CoreResponse::LeaseHeld(LeaseOutcome::Pending) => {
@@ -224,7 +236,7 @@
                 CoreResponse::LeaseHeld(LeaseOutcome::Indeterminate) => {
                     plain_response(502, "a req with this key may have run")
                 }
-                _ => rejection_response(200 * MS),
+                _ => rejection_response(RETRY_AFTER_WITHOUT_LEASE),
             };
         }
     }
@@ -233,25 +245,25 @@
             let bytes =
                 http_body_util::BodyExt::collect(body).await.map(|body| body.to_bytes()).unwrap_or_default();
             if bytes.len() <= MAX_STORED_RESPONSE_BYTES {
-                complete(Some(LeaseOutcome::Completed(Arc::new(stored_response(&head, &bytes)))));
+                end_lease(Some(LeaseOutcome::Completed(Arc::new(stored_response(&head, &bytes)))));
             } else {
-                complete(Some(LeaseOutcome::Indeterminate));
+                end_lease(Some(LeaseOutcome::Indeterminate));
             }
             RequestOutcome::Response(head, ResponseBody::from_bytes(bytes)).into_response()
         }
         RequestOutcome::NotRun(retry_after) => {
-            complete(None);
+            release_lease();
             rejection_response(retry_after)
         }
         other => {
-            complete(Some(LeaseOutcome::Indeterminate));
+            end_lease(Some(LeaseOutcome::Indeterminate));
             other.into_response()
         }
     }
 }
 
-/// Converts a response to the form that is stored with its lease, without the headers of this one exchange and those whose
-/// values aren't visible ASCII.
+/// Converts a response to the form that is stored with its lease, without the headers that belong to this
+/// exchange only and those whose values aren't visible ASCII.
 fn stored_response(head: &Parts, body: &[u8]) -> StoredResponse {
     let as_text = |(name, value): (&HeaderName, &HeaderValue)| {
         Some((name.as_str().to_owned(), value.to_str().ok()?.to_owned()))
@@ -274,21 +286,21 @@
     response
 }
 
-/// Whether a status tells the client that the request has not run and never will.
-fn promises_not_run(status: StatusCode) -> bool {
+/// Whether a status claims that the request has not run and never will.
+fn claims_not_run(status: StatusCode) -> bool {
     matches!(status.as_u16(), 408 | 421 | 429 | 503)
 }
 
-/// Whether a response counts as a success for the decision module, the session binding and the outcome counts.
+/// Whether a response counts as a success for the policy, the session binding and the outcome counts.
 fn is_success(head: &Parts) -> bool {
-    !head.status.is_server_error() && !promises_not_run(head.status)
+    !head.status.is_server_error() && !claims_not_run(head.status)
 }
 
 /// Parameters of one attempt of a request.
 #[derive(Clone, Copy)]
 struct Attempt {
     /// Number of inbound proxies that have rejected the request before. Starts at 1 for a large response, so that the first
-    /// inbound proxy may queue it: a node in the same zone matters more than a short wait.
+    /// inbound proxy, which is in the same zone, may queue it: that matters more than a short wait.
     rejections: u32,
     /// The session is bound to this upstream, so the request prefers to wait for a slot there.
     has_affinity: bool,
@@ -304,14 +316,15 @@
 struct RequestInFlight {
     node: Arc<Node>,
     route: Arc<Route>,
-    /// The edition of the member's routes that its outcome is counted for; none on a route of the platform.
+    /// The version of the member's routes, and whether it is a canary, that its outcome is counted for; none on a route of the
+    /// platform.
     edition: Option<RouteEdition>,
     message: Arc<RequestMessage>,
     /// When its attempts end: [`RESPONSE_MARGIN`] before the client's own deadline.
     deadline: Nanos,
     received_at: Nanos,
     /// When a response misses the route's latency target.
-    target: Nanos,
+    target_at: Nanos,
     /// It is a nested call of a run that is itself a retry.
     caller_is_retry: bool,
     /// It is a nested call: a run of the upstream on this node waits for it.
@@ -327,7 +340,7 @@
     async fn run(&self) -> RequestOutcome {
         let outcome = self.run_attempts().await;
         let succeeded = matches!(&outcome, RequestOutcome::Response(head, _) if is_success(head));
-        self.count(OutcomeCounts {
+        self.count_outcome(OutcomeCounts {
             succeeded: succeeded.into(),
             failed: (!succeeded).into(),
             ..OutcomeCounts::default()
@@ -335,8 +348,8 @@
         outcome
     }
 
-    /// Counts for the member's edition; does nothing on a route of the platform.
-    fn count(&self, counts: impl Into<OutcomeCounts>) {
+    /// Adds to the outcomes of the member's edition; does nothing on a route of the platform.
+    fn count_outcome(&self, counts: impl Into<OutcomeCounts>) {
         if let Some(edition) = &self.edition {
             self.node.count_outcome(edition, counts.into());
         }
@@ -357,6 +370,7 @@
             .zip(self.key)
             .map(|(fencing_token, key)| session_affinity::track_key(&self.node, fencing_token.session, key));
         let route_class: Name = request_scheduler::route_class(&self.route).as_str().into();
+        // The id is assigned by the scheduler; the policy's customers are not used.
         let mut request = RequestContext::new(0, route_class, "".into(), self.received_at, self.deadline);
         request.is_client_retry = self.caller_is_retry;
         request.body_pending = self.message.remainder.is_some();
@@ -366,10 +380,8 @@
             .map(|binding| binding.upstream_id.as_str().into());
         let mut scheduled = scheduler.schedule(request);
         let mut error_response: Option<(Parts, ResponseBody)> = None;
-        // Requests for large responses count as rejected once from the start, so that the first inbound proxy, which is in
-        // the same zone, may queue them instead of rejecting them.
-        let (mut may_have_run, mut attempts_sent, mut rejections) = (false, 0, u32::from(is_large));
-        let mut aborted = pin!(self.node.aborted());
+        let (mut may_have_run, mut attempts_counted, mut rejections) = (false, 0, u32::from(is_large));
+        let mut aborted = pin!(self.node.wait_until_aborted());
         loop {
             let action = tokio::select! {
                 biased;
@@ -378,7 +390,7 @@
             };
             match action {
                 Some(SchedulerAction::Send { attempt_number, upstream_id, give_up_at }) => {
-                    if attempts_sent >= self.route.max_attempts {
+                    if attempts_counted >= self.route.max_attempts {
                         break;
                     }
                     let started_at = self.node.clock.now();
@@ -395,10 +407,10 @@
                         scheduled.finish();
                         break;
                     }
-                    self.count(scheduled.attempt_started());
+                    self.count_outcome(scheduled.attempt_started());
                     let has_affinity =
                         session.as_ref().is_some_and(|session| session.is_bound_to(&endpoint.upstream_id));
-                    let is_retry = attempts_sent > 0;
+                    let is_retry = attempts_counted > 0;
                     let attempt = Attempt { rejections, has_affinity, is_retry, is_large, fencing_token };
                     let Some((outcome, load)) =
                         self.run_attempt(&mut scheduled, &endpoint, attempt, give_up_at).await
@@ -407,11 +419,11 @@
                         scheduled.attempt_ended(attempt_number, DispatchOutcome::Cancelled, 0, false, None);
                         continue;
                     };
-                    attempts_sent +=
+                    attempts_counted +=
                         u32::from(!matches!(outcome, UpstreamOutcome::Rejected | UpstreamOutcome::Fenced(_)));
                     if matches!(outcome, UpstreamOutcome::Rejected) {
                         rejections += 1;
-                        self.count(OutcomeCounts { rejected: 1, ..OutcomeCounts::default() });
+                        self.count_outcome(OutcomeCounts { rejected: 1, ..OutcomeCounts::default() });
                     }
                     let duration = self.node.clock.now() - started_at;
                     let dispatch_outcome = match outcome {
@@ -430,20 +442,22 @@
                         }
                         UpstreamOutcome::Responded(head, body) => {
                             may_have_run = true;
-                            // The attempt may have run. On a route that isn't repeatable, a response whose status promises
+                            // The attempt may have run. On a route that isn't repeatable, a response whose status claims
                             // the contrary isn't passed on.
-                            let is_false_promise =
-                                !self.route.repeat_policy.repeatable() && promises_not_run(head.status);
-                            error_response = (!is_false_promise).then_some((head, body));
+                            let is_untrusted_claim =
+                                !self.route.repeat_policy.repeatable() && claims_not_run(head.status);
+                            error_response = (!is_untrusted_claim).then_some((head, body));
                             DispatchOutcome::Error
                         }
-                        UpstreamOutcome::UpstreamFull | UpstreamOutcome::Gone => DispatchOutcome::Full,
+                        UpstreamOutcome::RefusedByUpstream | UpstreamOutcome::NotAccepting => {
+                            DispatchOutcome::Full
+                        }
                         UpstreamOutcome::Rejected => DispatchOutcome::Rejected,
-                        UpstreamOutcome::Fenced(current_term) => {
+                        UpstreamOutcome::Fenced(owner_term) => {
                             // Another proxy has owned the session since a later term. The request ends here, and the
                             // client's retry goes to the new owner.
                             if let Some(fencing_token) = fencing_token {
-                                self.node.sessions().record_fencing(fencing_token, current_term);
+                                self.node.sessions().record_fencing(fencing_token, owner_term);
                             }
                             scheduled.attempt_ended(
                                 attempt_number,
@@ -468,16 +482,17 @@
                     };
                     scheduled.attempt_ended(attempt_number, dispatch_outcome, duration, false, load);
                 }
+                // No attempt is in flight here.
                 Some(SchedulerAction::Cancel) => {}
                 Some(SchedulerAction::Reject { retry_after }) => {
-                    self.count(scheduled.finish());
+                    self.count_outcome(scheduled.finish());
                     if error_response.is_none() && !may_have_run {
                         return RequestOutcome::NotRun(retry_after);
                     }
                     break;
                 }
                 Some(SchedulerAction::Fail) | None => {
-                    self.count(scheduled.finish());
+                    self.count_outcome(scheduled.finish());
                     break;
                 }
             }
@@ -519,7 +534,7 @@
         give_up_at: Nanos,
     ) -> Option<(UpstreamOutcome, Option<f64>)> {
         let sending = self.send_attempt(endpoint, attempt, give_up_at.min(self.deadline));
-        let mut aborted = pin!(self.node.aborted());
+        let mut aborted = pin!(self.node.wait_until_aborted());
         tokio::pin!(sending);
         loop {
             tokio::select! {
@@ -542,7 +557,7 @@
     }
 
     /// Forwards one attempt to the endpoint's inbound proxy: by a function call on this node, else over a connection with the
-    /// terms in headers. The second value is the inbound proxy's load (running and queued requests), if known.
+    /// parameters in headers. The second value is the inbound proxy's load (running and queued requests), if known.
     async fn send_attempt(
         &self,
         endpoint: &Endpoint,
@@ -552,7 +567,7 @@
         let Attempt { rejections, has_affinity, is_large, fencing_token, .. } = attempt;
         let (node, now) = (&self.node, self.node.clock.now());
         let (caller, is_remote) = (node.caller_header(), endpoint.inbound_proxy != node.inbound_address());
-        let (message, upstream_id, target) = (&self.message, &*endpoint.upstream_id, self.target);
+        let (message, upstream_id, target_at) = (&self.message, &*endpoint.upstream_id, self.target_at);
         let member_share = self
             .route
             .share
@@ -569,7 +584,7 @@
             is_large,
             is_remote,
             fencing_token,
-            target,
+            target_at,
             deadline,
             member_share,
         };
@@ -577,17 +592,17 @@
             let outcome = node.inbound.forward(request).await;
             return (outcome, Some(node.inbound.load() as f64));
         }
-        let left_ms = deadline.saturating_sub(now) / MS;
-        if left_ms == 0 {
+        let time_left_ms = deadline.saturating_sub(now) / MS;
+        if time_left_ms == 0 {
             return (UpstreamOutcome::NotSent, None);
         }
         let mut added_headers = HeaderMap::new();
-        added_headers.insert(TIME_LEFT_MS, HeaderValue::from(left_ms));
+        added_headers.insert(TIME_LEFT_MS, HeaderValue::from(time_left_ms));
         if let Ok(id) = HeaderValue::try_from(&*endpoint.upstream_id) {
             added_headers.insert(TARGET_UPSTREAM, id);
         }
-        if let Ok(value) = HeaderValue::try_from(request.terms_header(now)) {
-            added_headers.insert(REQUEST_TERMS, value);
+        if let Ok(value) = HeaderValue::try_from(request.format_parameters(now)) {
+            added_headers.insert(REQUEST_PARAMETERS, value);
         }
         if let Some(Ok(value)) =
             fencing_token.map(|fencing_token| HeaderValue::try_from(fencing_token.to_header()))
@@ -605,8 +620,8 @@
         {
             Ok((head, body)) => {
                 let value = header_str(&head.headers, &ATTEMPT_OUTCOME).to_owned();
-                let (outcome_name, load) = value.split_once(' ').unwrap_or((&value, ""));
-                return (UpstreamOutcome::from_wire_name(outcome_name, head, body), load.parse().ok());
+                let (outcome_name, load) = inbound::parse_outcome_header(&value);
+                return (UpstreamOutcome::from_wire_name(outcome_name, head, body), load);
             }
             Err(ExchangeError::ConnectFailed) => UpstreamOutcome::ConnectFailed,
             Err(ExchangeError::NotSent) => UpstreamOutcome::NotSent,
--- a/balancer/src/mesh/proxy/tests/inbound_tests.rs
+++ b/balancer/src/mesh/proxy/tests/inbound_tests.rs
@@ -73,7 +73,7 @@
     let proxy = proxy.clone();
     tokio::spawn(async move {
         let (caller, now) = (HeaderValue::from_static("y"), proxy.clock.now());
-        let (target, deadline) = (now + target_ms * MS, now + 20_000 * MS);
+        let (target_at, deadline) = (now + target_ms * MS, now + 20_000 * MS);
         let request = InboundRequest {
             message: &message,
             upstream_id: "i-1",
@@ -85,7 +85,7 @@
             is_large: false,
             is_remote: false,
             fencing_token,
-            target,
+            target_at,
             deadline,
             member_share,
         };
@@ -217,19 +217,26 @@
     }
 }
 
-/// Guards against malformed terms from other programs, and against member names that are not ASCII.
+/// Guards against malformed parameters from other programs, and against member names that are not ASCII.
 #[test]
-fn request_terms_are_parsed_and_malformed_ones_ignored() {
+fn request_parameters_are_parsed_and_malformed_ones_ignored() {
     let parse = |value: &str| {
         let mut headers = HeaderMap::new();
         headers.insert(
-            REQUEST_TERMS,
+            REQUEST_PARAMETERS,
             HeaderValue::from_str(value)
                 .or(HeaderValue::from_bytes(value.as_bytes()))
                 .expect("a header value"),
         );
-        let RequestTerms { target_ms, rejections, has_affinity, is_retry, is_nested, is_large, member_share } =
-            RequestTerms::from_headers(&headers, 700);
+        let RequestParameters {
+            target_ms,
+            rejections,
+            has_affinity,
+            is_retry,
+            is_nested,
+            is_large,
+            member_share,
+        } = RequestParameters::from_headers(&headers, 700);
         assert_eq!(has_affinity, value.split(' ').nth(2).is_some_and(|flags| flags.contains('t')), "{value}");
         let member = member_share.map(|member| (member.share, member.member.to_string()));
         (target_ms, rejections, is_retry, is_nested, is_large, member)
@@ -290,12 +297,12 @@
 async fn a_late_heartbeat_restores_no_incarnation_that_has_signed_off() {
     let (proxy, upstream) = proxy_with_upstream(2).await;
     let upstream_address = upstream.local_addr().expect("its address");
-    proxy.sign_off("i-1");
+    proxy.end_upstream("i-1");
     send_heartbeat(&proxy, upstream_address, "i-1", 9, 2, "open_for_post");
     assert_eq!(forward(&proxy, "a", 0, 10_000).await.expect("no panic"), "gone");
     // The incarnation is unknown here when it signs off.
     let (proxy, _, upstream_address) = proxy_without_heartbeat().await;
-    proxy.sign_off("i-1");
+    proxy.end_upstream("i-1");
     send_heartbeat(&proxy, upstream_address, "i-1", 9, 2, "open_for_post");
     assert_eq!(forward(&proxy, "a", 0, 10_000).await.expect("no panic"), "gone");
     // The incarnation signed off or drained before a restart of this process, as other nodes report before or after the late
@@ -324,19 +331,19 @@
     let at_upstream = accept_request(&upstream).await;
     assert_eq!(
         (
-            proxy.nested_call_is_retry(b"f00"),
-            proxy.nested_call_is_retry(b"f001.2"),
+            proxy.record_nested_call(b"f00"),
+            proxy.record_nested_call(b"f001.2"),
             proxy.endpoint_record().calls_services
         ),
         (None, None, false)
     );
     assert_eq!(
-        (proxy.nested_call_is_retry(b"f00.2"), proxy.endpoint_record().calls_services),
+        (proxy.record_nested_call(b"f00.2"), proxy.endpoint_record().calls_services),
         (Some(false), true)
     );
     respond(at_upstream).await;
     assert_eq!(run.await.expect("no panic"), "ran");
-    assert_eq!(proxy.nested_call_is_retry(b"f00.3"), None);
+    assert_eq!(proxy.record_nested_call(b"f00.3"), None);
 }
 
 /// Guards against an upstream that is excluded for good, or accepted as another incarnation, because of one wrong response to
@@ -359,7 +366,7 @@
             concurrency_limit: 1,
             ..proxy.endpoint_record()
         };
-        let probe = tokio::spawn(proxy.clone().probe_upstream(record, "/health".into()));
+        let probe = tokio::spawn(proxy.clone().restore_probed_upstream(record, "/health".into()));
         let (mut stream, _) = upstream.accept().await.expect("a probe");
         let head =
             format!("HTTP/1.1 {status}\r\nochreshed-delivered-by: {responding_id}\r\nconnection: close");
--- a/balancer/src/mesh/proxy/tests/outbound_tests.rs
+++ b/balancer/src/mesh/proxy/tests/outbound_tests.rs
@@ -372,7 +372,7 @@
         let proxy = TestProxy::new(&[RespondOnRelease(200, "late")], &[CoreResponse::LeaseGranted]).await;
         let mut stream = proxy.send(request_text(path, headers).as_bytes()).await;
         proxy.wait_until(|environment| !environment.received.is_empty()).await;
-        proxy.node.start_draining(Duration::from_secs(5));
+        proxy.node.begin_shutdown(Duration::from_secs(5));
         let large = proxy.call("/large/", "").await;
         proxy.node.abort_requests();
         let response = read_message(&mut stream).await.expect("a response");
@@ -392,7 +392,7 @@
     .assert_eq(&report);
     // Less time is left than a large response needs, and than the client would wait.
     let proxy = TestProxy::new(&[RespondOnRelease(200, "late")], &[]).await;
-    proxy.node.start_draining(Duration::from_millis(300));
+    proxy.node.begin_shutdown(Duration::from_millis(300));
     assert_eq!(proxy.call("/large/", "").await.status(), "503");
     assert_eq!(proxy.call("/once/", "").await.status(), "504");
 }
@@ -672,9 +672,9 @@
             .map(received_header);
     assert_eq!(forwarded, ["beta", id, "kept", "-", "7"]);
     assert!(received.head.starts_with("POST /again/a%20b/?c=%2F HTTP/1.1\r\n"), "{}", received.head);
-    // The terms hold the target and zero rejections, and none of the client's flags.
-    let terms = received_header("ochreshed-knock");
-    assert!(terms.split_once(' ').is_some_and(|(_, rejections)| rejections == "0"), "{terms}");
+    // The parameters hold the latency target and zero rejections, and none of the client's flags.
+    let parameters = received_header("ochreshed-knock");
+    assert!(parameters.split_once(' ').is_some_and(|(_, rejections)| rejections == "0"), "{parameters}");
     assert_eq!(received_header("ochreshed-way"), "-");
     assert!(received_header("ochreshed-time-left-ms").parse::<u32>().is_ok_and(|left| left < 5_000));
     assert_eq!(response.header("ochreshed-way"), None);
@@ -739,7 +739,7 @@
     let (norte, sul, platform) = (sent("/norte/"), sent("/sul/"), sent("/again/"));
     assert!((104..=106).contains(&norte) && (sul, platform) == (52, 112), "{norte} {sul} {platform}");
     // Inbound proxies get the member and its share of the slots, for members' requests only.
-    let sent_terms = |path: &str| {
+    let sent_parameters = |path: &str| {
         let received = proxy
             .received()
             .into_iter()
@@ -749,11 +749,15 @@
             .map(|received| received.header("ochreshed-knock").unwrap_or_default().to_owned())
             .collect::<Vec<_>>()
     };
-    assert!(sent_terms("/sul/").iter().all(|terms| terms.ends_with(" 0.5 sul")), "{:?}", sent_terms("/sul/"));
     assert!(
-        sent_terms("/again/")
+        sent_parameters("/sul/").iter().all(|parameters| parameters.ends_with(" 0.5 sul")),
+        "{:?}",
+        sent_parameters("/sul/")
+    );
+    assert!(
+        sent_parameters("/again/")
             .iter()
-            .all(|terms| terms.split(' ').count() == 3 - usize::from(!terms.ends_with('a')))
+            .all(|parameters| parameters.split(' ').count() == 3 - usize::from(!parameters.ends_with('a')))
     );
     // The report counts attempts by service, and outcomes by member.
     let report = proxy.node.budget_report();
