--- a/balancer/src/mesh/proxy/connection_pool.rs
+++ b/balancer/src/mesh/proxy/connection_pool.rs
@@ -88,6 +88,12 @@
     read_ahead: Option<Arc<Semaphore>>,
 }
 
+impl std::fmt::Debug for ConnectionPool {
+    fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
+        write!(f, "{}", self.address())
+    }
+}
+
 impl ConnectionPool {
     /// Creates an empty pool. `permits` bounds the connections of all pools that share it.
     pub fn new(address: SocketAddr, clock: Clock, permits: Arc<Semaphore>) -> ConnectionPool {
--- a/balancer/src/mesh/proxy/inbound.rs
+++ b/balancer/src/mesh/proxy/inbound.rs
@@ -208,12 +208,6 @@
     }
 }
 
-impl std::fmt::Debug for ConnectionPool {
-    fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
-        write!(f, "{}", self.address())
-    }
-}
-
 struct ProxyState {
     upstream: Option<Upstream>,
     /// Ids of ended incarnations, oldest first.
@@ -265,7 +259,7 @@
     state: Mutex<ProxyState>,
     connection_limit: ConnectionLimit,
     /// Requests that are queued or admitted, until their response has been read.
-    in_flight: AtomicUsize,
+    unfinished_requests: AtomicUsize,
     /// Requests at the upstream, and those queued for admission.
     admission: Mutex<AdmissionQueue<QueuedRequest>>,
     /// Health of the upstream, derived from the outcomes of its requests.
@@ -409,7 +403,7 @@
 impl Drop for RequestGuard {
     fn drop(&mut self) {
         lock(&self.proxy.active_requests).remove(&self.request_id);
-        self.proxy.in_flight.fetch_sub(1, Relaxed);
+        self.proxy.unfinished_requests.fetch_sub(1, Relaxed);
     }
 }
 
@@ -431,7 +425,7 @@
             drain_timeout: settings.drain_timeout,
             state: Mutex::new(state),
             connection_limit: ConnectionLimit::new(settings.max_connections),
-            in_flight: AtomicUsize::new(0),
+            unfinished_requests: AtomicUsize::new(0),
             admission: Mutex::default(),
             outlier_detector: Mutex::default(),
             member_shares: ArcSwap::default(),
@@ -591,8 +585,9 @@
     }
 
     /// Finds the run at the upstream that made a request to this node's outbound proxy as a nested call: the id of a nested
-    /// call begins with the id of the run. Returns whether the run is a retry, since its calls then count as retries too; `None`
-    /// if the request is not a nested call. The first nested call marks the upstream as one that calls other services.
+    /// call begins with the id of the run. Returns whether the run is a retry, since its calls then count as retries too;
+    /// `None` if the request is not a nested call. The first nested call marks the upstream as one that calls other
+    /// services.
     pub fn record_nested_call(&self, id: &[u8]) -> Option<bool> {
         let mut separators =
             id.iter().enumerate().filter(|(_, byte)| !byte.is_ascii_alphanumeric()).take(MAX_ID_SEPARATORS);
@@ -819,7 +814,7 @@
 
     /// Number of requests that are queued or running, or whose response is still being read.
     pub fn requests_in_flight(&self) -> usize {
-        self.in_flight.load(Relaxed)
+        self.unfinished_requests.load(Relaxed)
     }
 
     /// Number of requests that run at the upstream or are queued. Outbound proxies get it with each response.
@@ -908,7 +903,7 @@
             }
         };
         let pending = is_paced.then(|| PendingLargeResponse::new(self));
-        self.in_flight.fetch_add(1, Relaxed);
+        self.unfinished_requests.fetch_add(1, Relaxed);
         let id = message.head.headers().get(&REQUEST_ID).cloned();
         let request_id = id.as_ref().map(|id| id.as_bytes().to_vec()).unwrap_or_default();
         lock(&self.active_requests).insert(request_id.clone(), is_retry);
--- a/balancer/src/mesh/proxy/inbound_request.rs
+++ b/balancer/src/mesh/proxy/inbound_request.rs
@@ -1,5 +1,5 @@
-//! A request as an inbound proxy receives it from an outbound proxy, on its own node or another, and the parameters of the request
-//! that are sent between nodes.
+//! A request as an inbound proxy receives it from an outbound proxy, on its own node or another, and the parameters of the
+//! request that are sent between nodes.
 //!
 //! Main types: [`InboundRequest`], [`RequestParameters`] with the wire format of the header [`REQUEST_PARAMETERS`].
 //!
@@ -66,10 +66,10 @@
 }
 
 impl InboundRequest<'_> {
-    /// Formats the parameters as the value of the header [`REQUEST_PARAMETERS`], separated by spaces: the ms until the latency target,
-    /// the number of rejections, and flags as letters (`a`: retry or nested call of one; `c`: nested call; `l`: large response;
-    /// `t`: session bound to this upstream). On a member's route the member's share and name follow; the name may contain
-    /// spaces and extends to the end. The time left until the deadline has a header of its own.
+    /// Formats the parameters as the value of the header [`REQUEST_PARAMETERS`], separated by spaces: the ms until the
+    /// latency target, the number of rejections, and flags as letters (`a`: retry or nested call of one; `c`: nested call;
+    /// `l`: large response; `t`: session bound to this upstream). On a member's route the member's share and name follow;
+    /// the name may contain spaces and extends to the end. The time left until the deadline has a header of its own.
     pub fn format_parameters(&self, now: Nanos) -> String {
         let mut value = format!("{} {} ", self.target_at.saturating_sub(now) / MS, self.rejections);
         value.extend(
@@ -86,8 +86,8 @@
 }
 
 impl RequestParameters {
-    /// Parses the parameters from a request's headers. Missing or malformed parameters get the defaults of a plain request, whose latency
-    /// target is the end of its time left, `time_left_ms`.
+    /// Parses the parameters from a request's headers. Missing or malformed parameters get the defaults of a plain request,
+    /// whose latency target is the end of its time left, `time_left_ms`.
     pub fn from_headers(headers: &HeaderMap, time_left_ms: u64) -> RequestParameters {
         // A member's name may be in any script, so the value is UTF-8 and not only ASCII.
         let value =
--- a/balancer/src/mesh/proxy/mod.rs
+++ b/balancer/src/mesh/proxy/mod.rs
@@ -1,7 +1,7 @@
 //! The data plane: the proxies of one node, and their clients of the control plane.
 //!
 //! Request path: `listener` accepts a request, `outbound` finds its route and acquires the lease on its key (`lease_client`)
-//! and its session (`session_affinity`), `request_scheduler` lets the decision module choose the endpoint of each attempt,
+//! and its session (`session_affinity`), `request_scheduler` lets the policy choose the endpoint of each attempt,
 //! `connection_pool` sends the attempt to the inbound proxy of the chosen node, and `inbound` admits it to the upstream.
 //! `control_plane_watch` keeps configuration and endpoint records up to date, and `node` holds the shared state.
 
--- a/balancer/src/mesh/proxy/node.rs
+++ b/balancer/src/mesh/proxy/node.rs
@@ -867,8 +867,8 @@
     state_sender.send_replace(ListenerState::Draining);
     // The listeners close before the grace ends, so that the last requests have time to finish.
     let max_accept_time = grace.saturating_sub(CONNECTION_CLOSE_MARGIN);
-    // If the upstream has signed off, this node leaves permanently, and the orchestrator may still send clients here if few other
-    // nodes in the zone are ready. It then accepts clients for as long as possible.
+    // If the upstream has signed off, this node leaves permanently, and the orchestrator may still send clients here if few
+    // other nodes in the zone are ready. It then accepts clients for as long as possible.
     let min_accept_time =
         if inbound.has_upstream_ended() { max_accept_time } else { MIN_DRAIN_TIME.min(max_accept_time) };
     let has_requests = || node.requests_in_flight.load(Relaxed) + inbound.requests_in_flight() > 0;
--- a/balancer/src/mesh/proxy/request_scheduler.rs
+++ b/balancer/src/mesh/proxy/request_scheduler.rs
@@ -1,14 +1,15 @@
-//! Runs the decision module for one service: it chooses the endpoint of each attempt and decides on retries and rejections.
+//! Runs the policy (`ochreshed::Balancer`) for one service: it chooses the endpoint of each attempt and decides on retries
+//! and rejections.
 //!
-//! Request path: [`RequestScheduler::schedule`] hands a request to the module, whose decisions arrive as
+//! Request path: [`RequestScheduler::schedule`] hands a request to the policy, whose decisions arrive as
 //! [`SchedulerAction`]s at the [`ScheduledRequest`]. The outbound proxy executes them and reports each attempt with
 //! [`ScheduledRequest::attempt_started`] and [`ScheduledRequest::attempt_ended`], which may lead to further actions.
 //!
 //! Main types: [`RequestScheduler`] (one for each [`SchedulerKey`]), [`SchedulerPlan`] and [`ServiceSettings`] (configuration
-//! of the module), [`Endpoint`].
+//! of the policy), [`Endpoint`].
 //!
 //! Invariants:
-//! - Only the module makes decisions, from the parameters and endpoints that it is given.
+//! - Only the policy makes decisions, from the parameters and endpoints that it is given.
 //! - No I/O.
 //! - A scheduler with the same settings is kept across changes of configuration, since a new one must learn the state of the
 //!   upstreams again.
@@ -48,7 +49,7 @@
 /// Weight factor of upstreams in other zones while one in the node's own zone accepts requests.
 const OTHER_ZONE_WEIGHT_FACTOR: f64 = 0.001;
 
-/// A decision of the module about one request.
+/// A decision of the policy about one request.
 #[derive(Debug)]
 pub enum SchedulerAction {
     /// Make an attempt at this upstream, until `give_up_at` at the latest. `attempt_number` identifies the attempt in
@@ -82,7 +83,7 @@
     }
 }
 
-/// A class of requests that the decision module treats alike. The module gets the classes in the order of these fields.
+/// A class of requests that the policy treats alike. The policy gets the classes in the order of these fields.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Debug)]
 struct RouteClass {
     /// See [`route_class`].
@@ -146,7 +147,7 @@
     }
 }
 
-/// Configuration of a scheduler's decision module. Any change creates a new module.
+/// Configuration of a scheduler's policy. Any change creates a new policy instance.
 #[derive(Clone, PartialEq, Debug)]
 pub struct ServiceSettings {
     plan: SchedulerPlan,
@@ -179,7 +180,7 @@
         calls_services: bool,
         bounds: &OperatingBounds,
     ) -> ServiceSettings {
-        // Each change makes the module start learning again and only the magnitude of the number matters, so it is rounded to
+        // Each change makes the policy start learning again and only the magnitude of the number matters, so it is rounded to
         // a power of two.
         let outbound_proxies = 2u64.pow((outbound_proxies.max(1) as f64).log2().round() as u32);
         // Half of the retry budget is reserved for what an outbound proxy can't see: nested calls of runs on other nodes,
@@ -193,7 +194,7 @@
         }
     }
 
-    /// The same limits as in the module's parameters, for the counts that this process reports.
+    /// The same limits as in the policy's parameters, for the counts that this process reports.
     fn retry_limits(&self) -> RetryLimits {
         let floor = (self.retry_slack / self.outbound_proxies.max(1) as f64).min(1.0);
         RetryLimits {
@@ -208,7 +209,7 @@
         self.plan.route_classes.iter().any(|class| class.name == class_name && class.repeatable)
     }
 
-    /// The settings in the form that the decision module reads.
+    /// The settings in the form that the policy reads.
     fn parameters(&self) -> Parameters {
         let number = |value: f64| ParameterValue::Number(value);
         let class_parameters = |class: &RouteClass| {
@@ -228,7 +229,7 @@
         };
         Parameters::from([
             ("instances".into(), number(self.outbound_proxies as f64)),
-            // The inbound proxy beside an upstream enforces its concurrency limit, not the module.
+            // The inbound proxy beside an upstream enforces its concurrency limit, not the policy.
             ("level".into(), ParameterValue::Text("doors".into())),
             ("report_in_flight".into(), number(0.0)),
             ("again_part".into(), number(self.retry_ratio)),
@@ -263,14 +264,14 @@
 }
 
 struct SchedulerState {
-    /// The decision module with its pending requests.
+    /// The policy with its pending requests.
     decision_module: PolicyRuntime,
     /// Channels for the actions of each request, by request id.
     action_senders: HashMap<u64, mpsc::UnboundedSender<SchedulerAction>>,
     last_request_id: u64,
-    /// When the module next asks to be run.
+    /// When the policy next asks to be run.
     wake_at: Nanos,
-    /// The endpoints as last given to the module.
+    /// The endpoints as last given to the policy.
     listed: HashMap<Name, ListedEndpoint>,
     endpoints: HashMap<Name, Endpoint>,
     retry_account: RetryAccount,
@@ -284,11 +285,11 @@
     pub settings: ServiceSettings,
     clock: Clock,
     state: Mutex<SchedulerState>,
-    /// Notified when the module asks to be run earlier than before.
+    /// Notified when the policy asks to be run earlier than before.
     timer_changed: Notify,
 }
 
-/// A request that is pending at the decision module. If dropped before it has finished, the module learns that the client
+/// A request that is pending at the policy. If dropped before it has finished, the policy learns that the client
 /// has left.
 pub struct ScheduledRequest {
     scheduler: Arc<RequestScheduler>,
@@ -296,14 +297,14 @@
     pub id: u64,
     /// Actions to execute, in this order.
     pub actions: mpsc::UnboundedReceiver<SchedulerAction>,
-    /// The request has its final response, or the module has given it up.
+    /// The request has its final response, or the policy has given it up.
     finished: bool,
     attempts: RequestAttempts,
 }
 
 impl RequestScheduler {
-    /// Returns the previous scheduler if its settings are the same; else creates one with a new module and the previous one's
-    /// retry account. `window` is the time over which attempts are counted.
+    /// Returns the previous scheduler if its settings are the same; else creates one with a new policy instance and the
+    /// previous one's retry account. `window` is the time over which attempts are counted.
     pub fn reuse_or_create(
         previous: Option<Arc<RequestScheduler>>,
         (service, settings): (Name, ServiceSettings),
@@ -350,7 +351,7 @@
         scheduler
     }
 
-    /// Runs the module whenever it asks to be run, until no one else holds the scheduler.
+    /// Runs the policy whenever it asks to be run, until no one else holds the scheduler.
     async fn run_timer(scheduler: Weak<RequestScheduler>) {
         loop {
             let (clock, wake_at) = {
@@ -384,12 +385,12 @@
         state.retry_pool = pool.cloned();
     }
 
-    /// Updates the module's retry allowance, if the retry budget is divided.
+    /// Updates the policy's retry allowance, if the retry budget is divided.
     fn update_retry_allowance(&self, state: &mut SchedulerState, now: Nanos) {
         let Some(pool) = &state.retry_pool else { return };
         let RetryLimits { ratio, floor, .. } = self.settings.retry_limits();
         let remaining = lock(pool).remaining_retries(now, self.settings.plan.member.as_ref(), ratio, floor);
-        // The module's limit covers all retries that it has made since it was created, so these are added to what remains.
+        // The policy's limit covers all retries that it has made since it was created, so these are added to what remains.
         let floor = remaining + f64::from(state.retry_account.policy_counts(now).retried);
         state.decision_module.set_retry_budget(0.0, floor);
         state.retry_account.set_allowance(0.0, floor);
@@ -402,7 +403,7 @@
         }
     }
 
-    /// Runs the module and hands its actions to the requests until there are no more. Returns when the module next asks to be
+    /// Runs the policy and hands its actions to the requests until there are no more. Returns when the policy next asks to be
     /// run.
     fn dispatch_actions(&self, state: &mut SchedulerState) -> Nanos {
         loop {
@@ -429,7 +430,7 @@
                         log::info!("{}: {line}", self.service);
                         continue;
                     }
-                    // The module gets the endpoints from `update_endpoints`, so nothing is watched or probed here.
+                    // The policy gets the endpoints from `update_endpoints`, so nothing is watched or probed here.
                     Action::WatchEndpoints
                     | Action::FetchEndpoints
                     | Action::Probe(_)
@@ -442,7 +443,7 @@
         }
     }
 
-    /// Dispatches actions, and notifies the timer if the module now asks to be run earlier.
+    /// Dispatches actions, and notifies the timer if the policy now asks to be run earlier.
     fn dispatch_and_wake(&self, state: &mut SchedulerState) {
         let previous = state.wake_at;
         if self.dispatch_actions(state) < previous {
@@ -450,7 +451,7 @@
         }
     }
 
-    /// Assigns an id to a request and hands it to the module, which may act on it immediately.
+    /// Assigns an id to a request and hands it to the policy, which may act on it immediately.
     pub fn schedule(self: &Arc<Self>, mut request: RequestContext) -> ScheduledRequest {
         let mut state = lock(&self.state);
         state.last_request_id += 1;
@@ -485,7 +486,7 @@
         lock(&self.state).endpoints.get(upstream_id).cloned()
     }
 
-    /// Gives the module the service's endpoints if they have changed. `zone` is that of this node; `suspected` are inbound
+    /// Gives the policy the service's endpoints if they have changed. `zone` is that of this node; `suspected` are inbound
     /// proxies that get no new requests.
     pub fn update_endpoints<'a>(
         &self,
@@ -605,7 +606,7 @@
         self.scheduler.dispatch_and_wake(&mut state);
     }
 
-    /// To be called when the module has given up the request, or the outbound proxy ends it itself. Returns what that counts
+    /// To be called when the policy has given up the request, or the outbound proxy ends it itself. Returns what that counts
     /// as: a denied retry, if any.
     pub fn finish(&mut self) -> AttemptCounts {
         self.finished = true;
--- a/balancer/src/mesh/proxy/tests/request_scheduler_tests.rs
+++ b/balancer/src/mesh/proxy/tests/request_scheduler_tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the request scheduler: the endpoints that it gives to the decision module, and the counting of the retry budget.
+//! Tests of the request scheduler: the endpoints that it gives to the policy, and the counting of the retry budget.
 
 use std::collections::{BTreeSet, HashSet};
 use std::net::SocketAddr;
@@ -164,7 +164,7 @@
 }
 
 /// Guards against a member's scheduler that increases a service's retry budget or uses others' shares of it, however often the
-/// member's module is replaced.
+/// member's policy instance is replaced.
 #[tokio::test]
 async fn schedulers_of_one_service_share_one_retry_budget() {
     let records = [1, 2].map(|host| record(host, "a", UpstreamState::Serving));
@@ -215,7 +215,7 @@
 }
 
 /// Guards against nested calls of retried runs that aren't counted as retries, and against reported counts that differ from
-/// those of the module.
+/// those of the policy.
 #[tokio::test]
 async fn nested_calls_of_retried_runs_use_the_retry_budget() {
     let records = [1, 2].map(|host| record(host, "a", UpstreamState::Serving));
@@ -246,6 +246,6 @@
     let (attempt_number, _) = next_attempt(&mut scheduled).await.expect("sent");
     scheduled.attempt_ended(attempt_number, DispatchOutcome::Error, MS, false, None);
     assert_eq!(next_attempt(&mut scheduled).await, None);
-    // Attempts that were counted before the module was replaced are still reported.
+    // Attempts that were counted before the policy instance was replaced are still reported.
     assert_eq!(calling_service.attempt_counts(), AttemptCounts { first: 3, retried: 1, denied: 1 });
 }
