--- a/balancer/src/mesh/proxy/session_affinity.rs
+++ b/balancer/src/mesh/proxy/session_affinity.rs
@@ -77,7 +77,7 @@
 struct OwnedSession {
     owner: SessionOwner,
     binding: Option<SessionBinding>,
-    /// When the replicas were last told of its use.
+    /// When its use was last reported to the replicas.
     renewed_at: Nanos,
     used_at: Nanos,
 }
@@ -119,7 +119,7 @@
     pub requests_at_bound_upstream: u64,
     /// Requests that ran at another upstream although the bound one still runs.
     pub requests_at_other_upstream: u64,
-    /// Sessions that were bound to another upstream because theirs was gone.
+    /// Sessions that were bound to another upstream because theirs had ended.
     pub rebound_sessions: u64,
     /// Median duration of a move, in ns.
     pub median_move_duration: Nanos,
@@ -286,21 +286,18 @@
         Some(self.release(fencing_token).iter().map(|key| format!("{key:032x}\n")).collect())
     }
 
-    /// Records that an inbound proxy refused a request because it knows the later term `current_term`.
-    pub fn record_fencing(&self, fencing_token: FencingToken, current_term: u64) {
+    /// Records that an inbound proxy refused a request because it knows the later term `owner_term`.
+    pub fn record_fencing(&self, fencing_token: FencingToken, owner_term: u64) {
         let mut state = lock(&self.0);
         state.counts.fenced_requests += 1;
-        if state
-            .sessions
-            .get(&fencing_token.session)
-            .is_some_and(|owned| owned.owner.since_term < current_term)
+        if state.sessions.get(&fencing_token.session).is_some_and(|owned| owned.owner.since_term < owner_term)
         {
             state.remove(fencing_token.session);
         }
         if state.reported_terms.len() >= MAX_SESSIONS {
             state.reported_terms.clear();
         }
-        state.reported_terms.insert(fencing_token.session, current_term);
+        state.reported_terms.insert(fencing_token.session, owner_term);
     }
 
     /// Stores a session as committed by the replicas; `None` if this proxy, `own_address`, doesn't own it.
