--- a/replica/src/store.rs
+++ b/replica/src/store.rs
@@ -247,7 +247,7 @@
         let not_serving = self.statuses.iter().filter(|(_, entry)| entry.status != ServerStatus::Serving);
         for (server, entry) in not_serving {
             let bucket = bucket_index(server, digest.len());
-            // A sum does not depend on the order. The exclusive or of CRCs would not do: the CRCs of two servers change in
+            // A sum does not depend on the order. Neither CRCs nor an exclusive or would do: the CRCs of two servers change in
             // the same bits with the same change of status, so that two changes in one bucket would cancel out.
             // The seed 0 is that of `bucket_index`.
             digest[bucket] = digest[bucket].wrapping_add(xxh32(server.as_bytes(), 1 + entry.status as u32));
