--- a/balancer/src/mesh/proxy/inbound.rs
+++ b/balancer/src/mesh/proxy/inbound.rs
@@ -596,8 +596,7 @@
             separators.find_map(|(at, _)| active_requests.get(&id[..at]).copied())
         };
         if is_retry.is_some() && !self.calls_services.swap(true, Relaxed) {
-            let service = self.service().unwrap_or_default();
-            log::info!("upstream makes nested calls, published in the endpoint record: service={service}");
+            log::info!("upstream makes nested calls; its endpoint record says so from now on");
             self.publish_record();
         }
         is_retry
